--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -69,9 +69,7 @@
         self.claims = Claims(settings, loop, self.state, self.replica, self._won, self._lost, self._reluctant)
         self.book = JobBook(settings, loop, self.state, self.replica, self._push)
         hosts = [one.host_name for one in settings.platform.siblings]
-        self.withdrawals = Withdrawals(
-            loop, settings.platform.host_name, hosts, self.mesh.send, params.workers.cancel
-        )
+        self.withdrawals = Withdrawals(loop, settings.platform.host_name, hosts, self.mesh.send, params.workers.cancel)
         self.book.withdrawn = self.withdrawals.learned
         self.shares = Shares(settings, loop, self.state, self.replica, self._push, self._condition)
         self.catalog: dict[str, MachineType] = {}
@@ -107,9 +105,7 @@
         sockets = params.resources.fd_limit
         direct = min(MOST_DIRECT, max(4, sockets // 8))
         self._gate = Gate(direct)
-        self._server = Server(
-            loop, group, self._handle, max(16, sockets - direct - RESERVED_SOCKETS - 8 * params.size)
-        )
+        self._server = Server(loop, group, self._handle, max(16, sockets - direct - RESERVED_SOCKETS - 8 * params.size))
         self.replica.listen(DONE, self._page_changed)
         self.replica.listen(JOBS, self._job_changed)
         self.replica.listen(MACHINES, self._machine_changed)
--- a/badgerroute/coordination/jobs.py
+++ b/badgerroute/coordination/jobs.py
@@ -170,7 +170,11 @@
 
     def hand_levels_back(self) -> None:
         """Dependents that have come, or were withdrawn, raise and lower what they need."""
-        own = lambda ref: -self.active[ref].job.priority.level if ref in self.active else inf  # noqa: E731
+
+        def own(ref: str) -> float:
+            record = self.active.get(ref)
+            return -record.job.priority.level if record else inf
+
         found = self.dependencies.handed_back(own, lambda ref: 0)
         self._levels = {ref: -int(least) for ref, least in found.items() if least != inf}
 
--- a/badgerroute/coordination/owner.py
+++ b/badgerroute/coordination/owner.py
@@ -521,9 +521,7 @@
         and urgent jobs in another part waited behind its idle ones.
         """
         ranks = [
-            self.planner.rank(job)
-            for job in self.part.jobs.values()
-            if job.spec.team == message.team and job.startable
+            self.planner.rank(job) for job in self.part.jobs.values() if job.spec.team == message.team and job.startable
         ]
         if message.rank is None or not ranks or message.rank > min(ranks):
             return None
--- a/badgerroute/scheduling/part.py
+++ b/badgerroute/scheduling/part.py
@@ -376,9 +376,7 @@
         """
         return checkin and placement.sent is not None and report.newer_than(*placement.sent)
 
-    def _present(
-        self, machine: Machine, ref: str, index: int, task: TaskReport, now: timedelta, prompt: bool
-    ) -> None:
+    def _present(self, machine: Machine, ref: str, index: int, task: TaskReport, now: timedelta, prompt: bool) -> None:
         phase = PHASES[task.state]
         placement = machine.placements.get((ref, index))
         if placement is None:
--- a/tests/standins/day.py
+++ b/tests/standins/day.py
@@ -39,11 +39,27 @@
 
 def job(ref: str, **changes: object) -> dict:
     described = {
-        "ref": ref, "herd": "batch", "crew": "blue", "gait": "array", "rank": "normal", "heads": 6, "cpus": 1.0,
-        "accelerators": 0.0, "ram_gb": 1.0, "breeds": None, "pasture": None, "together": False, "spread": False,
-        "strays": True, "brand": "img-1", "image_gb": 0.5, "trek_s": 5.0, "waypoint_s": 0.0, "pen_s": 0.0,
+        "ref": ref,
+        "herd": "batch",
+        "crew": "blue",
+        "gait": "array",
+        "rank": "normal",
+        "heads": 6,
+        "cpus": 1.0,
+        "accelerators": 0.0,
+        "ram_gb": 1.0,
+        "breeds": None,
+        "pasture": None,
+        "together": False,
+        "spread": False,
+        "strays": True,
+        "brand": "img-1",
+        "image_gb": 0.5,
+        "trek_s": 5.0,
+        "waypoint_s": 0.0,
+        "pen_s": 0.0,
         "market_s": None,
-    }  # fmt: skip
+    }
     return described | changes
 
 
--- a/tests/standins/workers.py
+++ b/tests/standins/workers.py
@@ -81,10 +81,17 @@
                 one |= {"cause": task.cause, "kept": task.kept}
             heads.append(one)
         return {
-            "mount": self.name, "address": self.address, "breed": self.kind.name, "pasture": self.zone,
-            "strays": self.spot, "ride": self.session, "tally": self.tally, "crook": self.token,
-            "recall_s": notice, "heads": heads,
-        }  # fmt: skip
+            "mount": self.name,
+            "address": self.address,
+            "breed": self.kind.name,
+            "pasture": self.zone,
+            "strays": self.spot,
+            "ride": self.session,
+            "tally": self.tally,
+            "crook": self.token,
+            "recall_s": notice,
+            "heads": heads,
+        }
 
     async def _awake(self) -> None:
         while self.hung:
@@ -328,8 +335,16 @@
 class Site:
     """Workers, cloud and jobs as they really are."""
 
-    def __init__(self, world: World, hosts: list[str], kinds: list[Kind], zones: list[str], limits: dict[str, float],
-                 capacity: int, cancel: timedelta) -> None:  # fmt: skip
+    def __init__(
+        self,
+        world: World,
+        hosts: list[str],
+        kinds: list[Kind],
+        zones: list[str],
+        limits: dict[str, float],
+        capacity: int,
+        cancel: timedelta,
+    ) -> None:
         self.world, self.loop = world, world.loop
         self.hosts, self.zones, self.limits, self.cancel = hosts, zones, limits, cancel
         self.mistaken: set[str] = set()  # jobs that fail on every machine
@@ -414,11 +429,20 @@
             return reply(503, {"error": "trouble"})
         if request.path == "/catalog":
             breeds = [
-                {"label": kind.name, "cpus": kind.cpus, "accelerators": 0, "ram_gb": kind.memory_gb, "local_gb": 40,
-                 "fetch_gb_per_s": kind.fetch, "price": 1.0, "low_price": 0.3, "startup_s": kind.boot / SECOND,
-                 "pastures": self.zones}
+                {
+                    "label": kind.name,
+                    "cpus": kind.cpus,
+                    "accelerators": 0,
+                    "ram_gb": kind.memory_gb,
+                    "local_gb": 40,
+                    "fetch_gb_per_s": kind.fetch,
+                    "price": 1.0,
+                    "low_price": 0.3,
+                    "startup_s": kind.boot / SECOND,
+                    "pastures": self.zones,
+                }
                 for kind in self.kinds.values()
-            ]  # fmt: skip
+            ]
             return reply(200, {"breeds": breeds})
         if request.path == "/rentals/delete":
             for name in json.loads(request.body)["mounts"]:
@@ -428,11 +452,18 @@
             return await self._rent(json.loads(request.body))
         query = parse_query(request.query)
         rows = [
-            {"ref": name, "address": f"{name}:9000", "breed": kind.name, "pasture": zone, "strays": spot,
-             "condition": condition, "held_s": (self.loop.now() - self.asked_at.get(name, timedelta(0))) / SECOND}
+            {
+                "ref": name,
+                "address": f"{name}:9000",
+                "breed": kind.name,
+                "pasture": zone,
+                "strays": spot,
+                "condition": condition,
+                "held_s": (self.loop.now() - self.asked_at.get(name, timedelta(0))) / SECOND,
+            }
             for name, (kind, zone, spot, condition) in sorted(self._all().items())
             if name > query.get("since", "")
-        ]  # fmt: skip
+        ]
         return reply(200, {"mounts": rows, "more": False})
 
     def _all(self) -> dict[str, tuple[Kind, str, bool, str]]:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -26,10 +26,24 @@
 
 def submission(ref: str = "run-1", **changes: object) -> Submission:
     described = dict(
-        ref=ref, job_class="batch", team="blue", kind="array", priority=Priority.NORMAL, tasks=4, cpus=2.0,
-        accelerators=0.0, memory_gb=1.0, image="img-1", image_gb=5.0, together=False, spread=False, spot=True,
-        estimate_s=10.0, checkpoint_s=0.0, save_s=0.0,
-    )  # fmt: skip
+        ref=ref,
+        job_class="batch",
+        team="blue",
+        kind="array",
+        priority=Priority.NORMAL,
+        tasks=4,
+        cpus=2.0,
+        accelerators=0.0,
+        memory_gb=1.0,
+        image="img-1",
+        image_gb=5.0,
+        together=False,
+        spread=False,
+        spot=True,
+        estimate_s=10.0,
+        checkpoint_s=0.0,
+        save_s=0.0,
+    )
     return Submission(**(described | changes))
 
 
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -211,9 +211,11 @@
 
     def settled() -> bool:
         return any(
-            owner.part.settled for one, _ in day.controllers.values() for owner in one.owners.values()
+            owner.part.settled
+            for one, _ in day.controllers.values()
+            for owner in one.owners.values()
             if owner.number == part
-        )  # fmt: skip
+        )
 
     assert day.until(settled, 60), "one machine must not block its part"
     deaf.deaf = day.site.cloud_down = False
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -85,24 +85,55 @@
 
 
 GOOD = job("run-000412")
-BAD_JOBS = {
-    "not json": b"{",
-    "not utf-8": b'{"ref":"\xff"}',
-    "not an object": b"[1]",
-    "deep": b"[" * 60000,
-    "nan": json.dumps(GOOD | {"cpus": float("nan")}).encode(),
-    "huge": json.dumps(GOOD).replace('"cpus": 1.0', '"cpus": 1e999').encode(),
-} | {
-    f"{name}={value!r}": json.dumps(GOOD | {name: value}).encode()
-    for name, value in [
-        ("ref", "job 1"), ("ref", ""), ("ref", 5), ("ref", "run-" + "x" * 200), ("gait", "demon"), ("rank", "high"),
-        ("heads", 0), ("heads", -1), ("heads", 100_001), ("heads", 2.5), ("heads", "3"), ("heads", 10**30),
-        ("cpus", -1), ("cpus", "1"), ("cpus", None), ("ram_gb", -0.5), ("trek_s", 0), ("trek_s", -3),
-        ("waypoint_s", -1), ("together", 1), ("spread", "no"), ("strays", None), ("breeds", "g8"), ("breeds", [1]),
-        ("pasture", 7), ("market_s", -1), ("brand", ""), ("crew", 3), ("herd", None), ("image_gb", -2),
-    ]
-} | {f"no {name}": json.dumps({key: GOOD[key] for key in GOOD if key != name}).encode() for name in
-     ("ref", "herd", "crew", "gait", "rank", "heads", "cpus", "together", "trek_s", "brand")}  # fmt: skip
+BAD_JOBS = (
+    {
+        "not json": b"{",
+        "not utf-8": b'{"ref":"\xff"}',
+        "not an object": b"[1]",
+        "deep": b"[" * 60000,
+        "nan": json.dumps(GOOD | {"cpus": float("nan")}).encode(),
+        "huge": json.dumps(GOOD).replace('"cpus": 1.0', '"cpus": 1e999').encode(),
+    }
+    | {
+        f"{name}={value!r}": json.dumps(GOOD | {name: value}).encode()
+        for name, value in [
+            ("ref", "job 1"),
+            ("ref", ""),
+            ("ref", 5),
+            ("ref", "run-" + "x" * 200),
+            ("gait", "demon"),
+            ("rank", "high"),
+            ("heads", 0),
+            ("heads", -1),
+            ("heads", 100_001),
+            ("heads", 2.5),
+            ("heads", "3"),
+            ("heads", 10**30),
+            ("cpus", -1),
+            ("cpus", "1"),
+            ("cpus", None),
+            ("ram_gb", -0.5),
+            ("trek_s", 0),
+            ("trek_s", -3),
+            ("waypoint_s", -1),
+            ("together", 1),
+            ("spread", "no"),
+            ("strays", None),
+            ("breeds", "g8"),
+            ("breeds", [1]),
+            ("pasture", 7),
+            ("market_s", -1),
+            ("brand", ""),
+            ("crew", 3),
+            ("herd", None),
+            ("image_gb", -2),
+        ]
+    }
+    | {
+        f"no {name}": json.dumps({key: GOOD[key] for key in GOOD if key != name}).encode()
+        for name in ("ref", "herd", "crew", "gait", "rank", "heads", "cpus", "together", "trek_s", "brand")
+    }
+)
 
 
 @pytest.mark.parametrize("name", BAD_JOBS)
@@ -114,7 +145,10 @@
 @pytest.mark.parametrize(
     "body",
     [
-        b"", b"{}", b"[]", b"null",
+        b"",
+        b"{}",
+        b"[]",
+        b"null",
         b'{"mount":"m","address":"x","breed":"b","pasture":"a","strays":false,"ride":1,"tally":1,"crook":0,"heads":[]}',
         b'{"mount":"m","address":"x:1","breed":"b","pasture":"a","strays":false,"ride":-1,"tally":1,"crook":0}',
         b'{"mount":"m","address":"x:1","breed":"b","pasture":"a","strays":false,"ride":1,"tally":1,'
@@ -124,7 +158,7 @@
         b'{"mount":"m","address":"x:1","breed":"b","pasture":"a","strays":false,"ride":1,"tally":1,"crook":0,'
         b'"heads":[{"head":"run-1/2","try":1,"condition":"dancing"}]}',
     ],
-)  # fmt: skip
+)
 def test_bad_reports(body: bytes) -> None:
     with pytest.raises(Malformed):
         parse_report(body)
@@ -259,11 +293,11 @@
         ("scheduling {\n  tua = 2.0\n}\n", "tua"),
         ("scheduling {\n  delta = 1.5\n}\n", "scheduling.delta"),
         ("fleet {\n  idle_s = -4\n}\n", "fleet.idle_s"),
-        ("fleet {\n  return_idle = \"yes\"\n}\n", "fleet.return_idle"),
+        ('fleet {\n  return_idle = "yes"\n}\n', "fleet.return_idle"),
         ("machines {\n}\n", "machines"),
         ("scheduling {", "HCL"),
     ],
-)  # fmt: skip
+)
 def test_operator_settings(text: str, named: str | None, tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     platform, operator = tmp_path / "settings.toml", tmp_path / "operators.hcl"
     platform.write_text(PLATFORM)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -285,10 +285,16 @@
 
 
 BIG_REPORT = {
-    "mount": "host-000001", "address": "host-000001:9000", "breed": "k8", "pasture": "a", "strays": False, "ride": 1,
-    "tally": 10**6, "crook": 0,
+    "mount": "host-000001",
+    "address": "host-000001:9000",
+    "breed": "k8",
+    "pasture": "a",
+    "strays": False,
+    "ride": 1,
+    "tally": 10**6,
+    "crook": 0,
     "heads": [{"head": f"run-x/{index}", "try": 1, "condition": "running"} for index in range(900)],
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize("degraded", [False, True], ids=["well", "outage"])
--- a/tests/test_left_waiting.py
+++ b/tests/test_left_waiting.py
@@ -8,13 +8,17 @@
 
 from badgerroute.coordination import users as users_module
 from badgerroute.protocol.common import Malformed
+from badgerroute.protocol.mesh import PartSummary
 from badgerroute.protocol.users import Submission, parse_submission
 from tests.standins.day import HOSTS, SECOND, Day, job
 
 
 def split_to(monkeypatch: pytest.MonkeyPatch, parts: dict[str, int]) -> None:
     """New jobs belong to the parts named here."""
-    whole = lambda one, summaries, size: [(parts[one.ref], 0, one.tasks)]  # noqa: E731
+
+    def whole(one: Submission, summaries: list[PartSummary], size: int) -> list[tuple[int, int, int]]:
+        return [(parts[one.ref], 0, one.tasks)]
+
     monkeypatch.setattr(users_module, "split", whole)
 
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -6,6 +6,7 @@
 import pytest
 
 from badgerroute.coordination.withdrawals import Withdrawals
+from badgerroute.protocol.mesh import Withdrawn
 from badgerroute.settings import Objective
 from tests.standins.day import HOSTS, SECOND, Day, job
 from tests.standins.workers import Worker
@@ -186,7 +187,10 @@
 def test_withdrawals_are_told_until_they_are_acknowledged() -> None:
     day = Day(seed=23)
     sent: list[tuple[str, list]] = []
-    send = lambda host, message: sent.append((host, message.jobs))  # noqa: E731
+
+    def send(host: str, message: Withdrawn) -> None:
+        sent.append((host, message.jobs))
+
     told = Withdrawals(day.loop, "me", ["one", "two"], send, CANCEL * SECOND)
     told.learned("run-1", 7, at_once=True)
     told.learned("run-2", 9, at_once=False)
@@ -510,11 +514,29 @@
 
 
 MEETINGS = [
-    held_report, mute_machines, boots_at_once, limits_full, far_ends, one_task_jobs, unheard_leader,
-    reports_at_takeover, returns_at_once, all_away, close_looks, more_than_room, slow_then_refused, answers_lost,
-    held_commands, earlier_sessions, alone_with_workers, cancelled_in_hand_over, zone_loses_machines, ten_leaders,
-    zone_alone, writes_late,
-]  # fmt: skip
+    held_report,
+    mute_machines,
+    boots_at_once,
+    limits_full,
+    far_ends,
+    one_task_jobs,
+    unheard_leader,
+    reports_at_takeover,
+    returns_at_once,
+    all_away,
+    close_looks,
+    more_than_room,
+    slow_then_refused,
+    answers_lost,
+    held_commands,
+    earlier_sessions,
+    alone_with_workers,
+    cancelled_in_hand_over,
+    zone_loses_machines,
+    ten_leaders,
+    zone_alone,
+    writes_late,
+]
 
 
 def start(seed: int, capacity: int = 3) -> Day:
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -300,14 +300,17 @@
 
 
 TROUBLES = [
-    late_writes, cut_from_state_and_siblings, refused_alone_then_an_outage, hand_overs, standstill, deaf_and_hung,
+    late_writes,
+    cut_from_state_and_siblings,
+    refused_alone_then_an_outage,
+    hand_overs,
+    standstill,
+    deaf_and_hung,
     old_reports,
-]  # fmt: skip
+]
 
 
-@pytest.mark.parametrize(
-    ("one", "other"), list(itertools.combinations(TROUBLES, 2)), ids=lambda fault: fault.__name__
-)
+@pytest.mark.parametrize(("one", "other"), list(itertools.combinations(TROUBLES, 2)), ids=lambda fault: fault.__name__)
 def test_two_troubles_at_once(one: Callable[[Day], None], other: Callable[[Day], None]) -> None:
     """Most rules that were ever broken broke when two troubles met."""
     day = Day(seed=sum((one.__name__ + other.__name__).encode()), machines=8)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -117,8 +117,12 @@
     refs = chain(day, "p", rank="urgent", market_s=90.0)
     day.run(1)
     assert [day.poll(ref) for ref in refs[1:]] == ["queued"] * 3
-    assert all(ref not in owner.part.jobs for one, _ in day.controllers.values() for owner in one.owners.values()
-               for ref in refs[1:])  # fmt: skip
+    assert all(
+        ref not in owner.part.jobs
+        for one, _ in day.controllers.values()
+        for owner in one.owners.values()
+        for ref in refs[1:]
+    )
     assert day.finish(90) == []
     assert [day.told[ref] for ref in refs] == ["done"] * 4
     ended = {key[7:]: item[0]["at"] for key, item in day.state.items.items() if key.startswith("b/past/")}
@@ -145,11 +149,22 @@
 @pytest.mark.parametrize(
     ("follows", "status"),
     [
-        (["run-running"], 201), (["run-over"], 201), (["run-off"], 201), (["run-running", "run-over", "run-over"], 201),
-        (["run-nobody"], 422), (["run-over", "run-nobody"], 422), (["run-new"], 422), ([], 201), (None, 201),
-        ("run-over", 400), ([7], 400), (["over"], 400), ([None], 400), ({"run-over": 1}, 400),
+        (["run-running"], 201),
+        (["run-over"], 201),
+        (["run-off"], 201),
+        (["run-running", "run-over", "run-over"], 201),
+        (["run-nobody"], 422),
+        (["run-over", "run-nobody"], 422),
+        (["run-new"], 422),
+        ([], 201),
+        (None, 201),
+        ("run-over", 400),
+        ([7], 400),
+        (["over"], 400),
+        ([None], 400),
+        ({"run-over": 1}, 400),
     ],
-)  # fmt: skip
+)
 def test_what_may_be_named(follows: object, status: int) -> None:
     day = Day(seed=43)
     day.run(5)
@@ -307,12 +322,17 @@
     day.run(8)
     day.submit(job("run-stage", heads=12, crew="guests", rank="idle", trek_s=6.0))
     day.run(6)
-    placed = lambda: sum(name.startswith("run-stage/") for name in day.rules.on)  # noqa: E731
+
+    def placed() -> int:
+        return sum(name.startswith("run-stage/") for name in day.rules.on)
+
+    def levels() -> set[int]:
+        owners = [owner for one, _ in day.controllers.values() for owner in one.owners.values()]
+        return {owner.part.jobs["run-stage"].level for owner in owners if "run-stage" in owner.part.jobs}
+
     assert not placed()
     day.submit(job("run-end", heads=1, rank="urgent", market_s=60.0, follows=["run-stage"]))
     assert day.until(lambda: placed() >= 8, 15)
-    levels = lambda: {owner.part.jobs["run-stage"].level for one, _ in day.controllers.values()  # noqa: E731
-                      for owner in one.owners.values() if "run-stage" in owner.part.jobs}  # fmt: skip
     assert levels() == {2}
     day.cancel("run-end")
     day.run(1.5)
@@ -338,8 +358,12 @@
     for host in HOSTS:
         day.restart(host, SECOND)
     day.run(10)
-    found = [owner.part.jobs["run-b"] for one, _ in day.controllers.values() for owner in one.owners.values()
-             if "run-b" in owner.part.jobs]  # fmt: skip
+    found = [
+        owner.part.jobs["run-b"]
+        for one, _ in day.controllers.values()
+        for owner in one.owners.values()
+        if "run-b" in owner.part.jobs
+    ]
     assert found and all(abs((one.accepted - done_at) / SECOND) < 4 for one in found)
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -108,11 +108,24 @@
 
 
 TROUBLES: list[Callable[[Day], Iterator[float]]] = [
-    quiet, dies_before_its_turn, outage, cancellations, meetings.mute_machines, meetings.writes_late,
-    meetings.answers_lost, meetings.limits_full, meetings.unheard_leader, meetings.alone_with_workers,
-    meetings.cancelled_in_hand_over, meetings.reports_at_takeover, meetings.earlier_sessions, meetings.held_report,
-    meetings.slow_then_refused, meetings.close_looks, meetings.far_ends,
-]  # fmt: skip
+    quiet,
+    dies_before_its_turn,
+    outage,
+    cancellations,
+    meetings.mute_machines,
+    meetings.writes_late,
+    meetings.answers_lost,
+    meetings.limits_full,
+    meetings.unheard_leader,
+    meetings.alone_with_workers,
+    meetings.cancelled_in_hand_over,
+    meetings.reports_at_takeover,
+    meetings.earlier_sessions,
+    meetings.held_report,
+    meetings.slow_then_refused,
+    meetings.close_looks,
+    meetings.far_ends,
+]
 
 
 @pytest.mark.parametrize("trouble", TROUBLES, ids=lambda one: one.__name__)
