--- a/badgerroute/coordination/withdrawals.py
+++ b/badgerroute/coordination/cancellation_broadcast.py
@@ -8,15 +8,15 @@
 from collections.abc import Callable, Iterable
 from datetime import timedelta
 
-from badgerroute.protocol.mesh import Message, Withdrawn
+from badgerroute.protocol.mesh import CancellationNotice, Message
 from badgerroute.transport.loop import Loop
 
 AGAIN = timedelta(milliseconds=900)  # a sibling that has not acknowledged by then is told once more
-MOST_AT_ONCE = 200  # jobs in one message
-MOST_KEPT = 4000  # for one sibling: they hasten what the watch and G bring about in any case
+MAX_CANCELLATIONS_PER_MESSAGE = 200  # jobs in one message
+MAX_UNACKNOWLEDGED_CANCELLATIONS = 4000  # for one sibling: they hasten what the watch and G bring about in any case
 
 
-class Withdrawals:
+class CancellationBroadcast:
     """`kept` is for how long telling is of use: after that, a sibling that still acts has a later proof."""
 
     def __init__(
@@ -33,10 +33,10 @@
             if ref in untold:
                 continue
             untold[ref] = (revision, now, now if at_once else None)
-            if len(untold) > MOST_KEPT:
+            if len(untold) > MAX_UNACKNOWLEDGED_CANCELLATIONS:
                 del untold[next(iter(untold))]
             if at_once:
-                self._send(host, Withdrawn(self._me, [(ref, revision)]))
+                self._send(host, CancellationNotice(self._me, [(ref, revision)]))
 
     def known_to(self, host: str, refs: Iterable[str]) -> None:
         """A sibling acknowledged these, or told us of them itself."""
@@ -51,8 +51,10 @@
         for host, untold in self._untold.items():
             for ref in [ref for ref, (_, learned, _) in untold.items() if now - learned > self._kept]:
                 del untold[ref]
-            due = [ref for ref, (_, _, told) in untold.items() if told is None or now - told >= AGAIN][:MOST_AT_ONCE]
+            due = [ref for ref, (_, _, told) in untold.items() if told is None or now - told >= AGAIN][
+                :MAX_CANCELLATIONS_PER_MESSAGE
+            ]
             for ref in due:
                 untold[ref] = (*untold[ref][:2], now)
             if due:
-                self._send(host, Withdrawn(self._me, [(ref, untold[ref][0]) for ref in due]))
+                self._send(host, CancellationNotice(self._me, [(ref, untold[ref][0]) for ref in due]))
--- a/badgerroute/coordination/claims.py
+++ b/badgerroute/coordination/claims.py
@@ -13,7 +13,15 @@
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
 from badgerroute.storage.replica import FLEET, PARTS, Replica
-from badgerroute.storage.state import Conflicted, LeaseGone, StateClient, Unavailable, Unknown, put, when
+from badgerroute.storage.state import (
+    ConflictError,
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    StateClient,
+    StateUnavailableError,
+    put,
+    when,
+)
 from badgerroute.transport.clock import ZERO
 from badgerroute.transport.loop import Future, Loop
 
@@ -108,11 +116,11 @@
             try:
                 await self._keep_lease()
                 await self._claim_all()
-            except (Unavailable, Unknown) as error:
+            except (StateUnavailableError, OutcomeUnknownError) as error:
                 log.info("event=claims_delayed error=%s", error)
                 await self._loop.sleep(RETRY)
                 continue
-            except LeaseGone:
+            except LeaseExpiredError:
                 self._lease_ended()
                 continue
             # Woken by the watch, all who are left come at once; then who has fewest parts goes first. When they came as
@@ -187,7 +195,7 @@
         until = held.until if held is not None else 0.0
         if held is None or not held.handed:
             until = max(until, self._now_of_day() + self._settings.grace.total_seconds())
-        await self._write(part, self._replica.mark(self.key(part)), until)
+        await self._write(part, self._replica.revision_of(self.key(part)), until)
 
     def _now_of_day(self) -> float:
         return self._loop.clock.today().timestamp()
@@ -202,7 +210,7 @@
             term = await self._state.transact(
                 [when(key, mark)], [put(key, records.write(record), lease)], Urgency.CLAIM
             )
-        except Conflicted:
+        except ConflictError:
             log.info("event=claim_missed part=%d", part)
             item = await self._state.get(key, Urgency.CLAIM)
             if item is not None:
@@ -212,7 +220,9 @@
             self._busy.discard(part)
         if lease != self.lease:  # the lease ended while we waited: so did the claim
             return None
-        if max(self._above.get(part, 0), self._replica.mark(key)) > term:  # so it has, and somebody else came after us
+        if (
+            max(self._above.get(part, 0), self._replica.revision_of(key)) > term
+        ):  # so it has, and somebody else came after us
             return None
         bound = 2 * self._settings.params.time_bound_ms / 1000  # two controllers' times of day
         claim = Claim(term, max(ZERO, timedelta(seconds=until - self._now_of_day() + bound)))
@@ -249,7 +259,7 @@
             mark = await self._state.transact([when(key, claim.term)], [put(key, value, lease)], Urgency.CLAIM)
             self._replica.learn(key, bytes(value), mark)
             log.info("event=part_handed_over part=%d to=%s", part, host)
-        except (Unavailable, Unknown, Conflicted, LeaseGone) as error:
+        except (StateUnavailableError, OutcomeUnknownError, ConflictError, LeaseExpiredError) as error:
             log.info("event=hand_over_failed part=%d error=%s", part, error)
         finally:
             self._busy.discard(part)
@@ -262,9 +272,9 @@
         lease = self.lease
         try:
             mark = await self._state.transact(
-                [when(FLEET, self._replica.mark(FLEET))], [put(FLEET, record, lease)], Urgency.CLAIM
+                [when(FLEET, self._replica.revision_of(FLEET))], [put(FLEET, record, lease)], Urgency.CLAIM
             )
-        except Conflicted:
+        except ConflictError:
             return
         if lease == self.lease:
             self.fleet = mark
--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -7,29 +7,37 @@
 
 import msgspec
 
+from badgerroute.coordination.cancellation_broadcast import CancellationBroadcast
 from badgerroute.coordination.claims import Claim, Claims
 from badgerroute.coordination.fleet import Fleet, rents_ahead
-from badgerroute.coordination.hearing import Hearing
-from badgerroute.coordination.jobs import JobBook
+from badgerroute.coordination.forecast import JobForecast
+from badgerroute.coordination.job_store import JobStore
 from badgerroute.coordination.mesh import Mesh
-from badgerroute.coordination.outlook import Outlook
+from badgerroute.coordination.migration import fits_capacity
 from badgerroute.coordination.owner import Owner
 from badgerroute.coordination.pipelines import Pipelines
-from badgerroute.coordination.shares import Shares
-from badgerroute.coordination.trade import fits_bin
+from badgerroute.coordination.quotas import TeamQuotas
+from badgerroute.coordination.reachability import WorkerReachability
 from badgerroute.coordination.users import Users, answer, come_back, error
-from badgerroute.coordination.withdrawals import Withdrawals
 from badgerroute.protocol import mesh as mesh_wire
 from badgerroute.protocol.cloud import MachineType
-from badgerroute.protocol.common import Malformed
+from badgerroute.protocol.common import MalformedError
 from badgerroute.protocol.state import Condition
 from badgerroute.protocol.workers import Redirect, parse_report
 from badgerroute.settings import Settings
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
-from badgerroute.storage.cloud import CloudClient, CloudUnavailable, NoCapacity
-from badgerroute.storage.replica import CATALOG, DONE, GONE, JOBS, MACHINES, Replica
-from badgerroute.storage.state import Conflicted, LeaseGone, StateClient, Unavailable, Unknown, put, when
+from badgerroute.storage.cloud import CloudClient, CloudUnavailableError, NoCapacityError
+from badgerroute.storage.replica import CATALOG, DELETED, DONE, JOBS, MACHINES, Replica
+from badgerroute.storage.state import (
+    ConflictError,
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    StateClient,
+    StateUnavailableError,
+    put,
+    when,
+)
 from badgerroute.transport.http import Request, Response, Server
 from badgerroute.transport.loop import Future, Gate, Group, Loop
 from badgerroute.transport.net import Network
@@ -38,12 +46,12 @@
 GOSSIP = timedelta(milliseconds=500)
 FLUSH = timedelta(milliseconds=300)
 STALE = timedelta(seconds=3)
-MOST_GONE = 5000
-GONE_QUIET = timedelta(seconds=8)  # a sibling without a claim that is silent for so long uses nothing
+MAX_DELETED_REMEMBERED = 5000
+SIBLING_SILENT_AFTER = timedelta(seconds=8)  # a sibling without a claim that is silent for so long uses nothing
 UP_PROOF = timedelta(seconds=3)
 HAND_OVER_PAUSE = timedelta(seconds=2)
 RESERVED_SOCKETS = 48  # for the state service, the cloud and the mesh
-MOST_DIRECT = 128  # commands on their way to workers, each with a connection of its own
+MAX_DIRECT_COMMANDS = 128  # commands on their way to workers, each with a connection of its own
 
 
 class CatalogRecord(msgspec.Struct):
@@ -65,21 +73,25 @@
         self.cloud = CloudClient(loop, network, settings.platform.endpoints.cloud, params.cloud, params.size)
         self.replica = Replica(loop, self.state)
         self.mesh = Mesh(settings, loop, network, group, self._on_message)
-        self.hearing = Hearing(loop, network, self.replica, random.Random(settings.platform.host_name).sample)
+        self.reachability = WorkerReachability(
+            loop, network, self.replica, random.Random(settings.platform.host_name).sample
+        )
         self.claims = Claims(settings, loop, self.state, self.replica, self._won, self._lost, self._reluctant)
-        self.book = JobBook(settings, loop, self.state, self.replica, self._push)
+        self.job_store = JobStore(settings, loop, self.state, self.replica, self._push)
         hosts = [one.host_name for one in settings.platform.siblings]
-        self.withdrawals = Withdrawals(loop, settings.platform.host_name, hosts, self.mesh.send, params.workers.cancel)
-        self.book.withdrawn = self.withdrawals.learned
-        self.shares = Shares(settings, loop, self.state, self.replica, self._push, self._condition)
+        self.cancellation_broadcast = CancellationBroadcast(
+            loop, settings.platform.host_name, hosts, self.mesh.send, params.workers.cancel
+        )
+        self.job_store.withdrawn = self.cancellation_broadcast.learned
+        self.quotas = TeamQuotas(settings, loop, self.state, self.replica, self._push, self._condition)
         self.catalog: dict[str, MachineType] = {}
-        self.book.known_types = lambda: self.catalog
-        self.book.released = self._tell_owners
+        self.job_store.known_types = lambda: self.catalog
+        self.job_store.released = self._notify_owners
         self.pipelines = Pipelines(
             loop,
             self.state,
             self.replica,
-            self.book,
+            self.job_store,
             lambda part: part in self.claims.parts,
             lambda: self.claims.fleet is not None and self.claims.fresh(),
             settings.home,
@@ -93,24 +105,26 @@
             self.replica,
             self.catalog,
             self._summaries,
-            self._machines_gone,
+            self._machines_deleted,
         )
         self.owners: dict[int, Owner] = {}
-        self.outlook = Outlook(settings, loop, self.book, self.replica, self.catalog, self.owners, self._summaries)
+        self.forecast = JobForecast(
+            settings, loop, self.job_store, self.replica, self.catalog, self.owners, self._summaries
+        )
         self.siblings: dict[str, Sibling] = {}
-        self.users = Users(params, self.book, self.replica, self.catalog, self._summaries, self._running)
+        self.users = Users(params, self.job_store, self.replica, self.catalog, self._summaries, self._running)
         self._flush = Future()
         self._began = loop.now()
-        self._gone: dict[str, None] = {}  # machines that were deleted, oldest first
+        self._deleted: dict[str, None] = {}  # machines that were deleted, oldest first
         sockets = params.resources.fd_limit
-        direct = min(MOST_DIRECT, max(4, sockets // 8))
+        direct = min(MAX_DIRECT_COMMANDS, max(4, sockets // 8))
         self._gate = Gate(direct)
         self._server = Server(loop, group, self._handle, max(16, sockets - direct - RESERVED_SOCKETS - 8 * params.size))
         self.replica.listen(DONE, self._page_changed)
         self.replica.listen(JOBS, self._job_changed)
         self.replica.listen(MACHINES, self._machine_changed)
         self.replica.listen(CATALOG, self._catalog_changed)
-        self.replica.listen(GONE, self._gone_changed)
+        self.replica.listen(DELETED, self._deleted_changed)
 
     # -- life
 
@@ -127,13 +141,13 @@
             (self._catalog_duty, "catalog"),
             (self._gossip_duty, "gossip"),
             (self._flush_duty, "flush"),
-            (self._outlook_duty, "outlook"),
+            (self._forecast_duty, "forecast"),
             (self._steal_duty, "steal"),
             (self._hand_over_duty, "hand-over"),
             (self.fleet.rent_duty, "rent"),
             (self.fleet.delete_duty, "delete"),
             (self._idle_duty, "idle"),
-            (self.hearing.probe, "probe"),
+            (self.reachability.probe, "probe"),
             (self.pipelines.resolve, "resolve"),
             (self.pipelines.withdraw, "withdraw"),
             (self.pipelines.tidy, "tidy"),
@@ -152,8 +166,8 @@
             self.state,
             self.replica,
             self.claims,
-            self.book,
-            self.shares,
+            self.job_store,
+            self.quotas,
             self.catalog,
             self._push,
             self._progressed,
@@ -162,7 +176,7 @@
         owner.delete = self.fleet.delete
         owner.ask = self._ask_share
         owner.resolved = self.pipelines.resolved
-        owner.trade.borrow = self._ask_machines
+        owner.migration.request_loan = self._ask_machines
         self.owners[part] = owner
         owner.start()
 
@@ -179,12 +193,12 @@
     # -- what the watch says
 
     def _job_changed(self, key: str, value: bytes | None, revision: int) -> None:
-        self._tell_owners(key.removeprefix(JOBS))
+        self._notify_owners(key.removeprefix(JOBS))
 
     def _page_changed(self, key: str, value: bytes | None, revision: int) -> None:
-        self._tell_owners(key.removeprefix(DONE).rpartition("/")[0])
+        self._notify_owners(key.removeprefix(DONE).rpartition("/")[0])
 
-    def _tell_owners(self, ref: str) -> None:
+    def _notify_owners(self, ref: str) -> None:
         for owner in self.owners.values():
             if owner.ready:
                 owner.job_changed(ref)
@@ -194,17 +208,17 @@
             if owner.ready:
                 owner.machine_changed(key.removeprefix(MACHINES), value)
 
-    def _gone_changed(self, key: str, value: bytes | None, revision: int) -> None:
+    def _deleted_changed(self, key: str, value: bytes | None, revision: int) -> None:
         if value is not None:
-            self._remember_gone(records.read(value, records.GoneRecord).names)
+            self._remember_deleted(records.read(value, records.DeletedMachinesRecord).names)
 
-    def _remember_gone(self, names: list[str]) -> None:
-        self._gone.update(dict.fromkeys(names))
-        while len(self._gone) > MOST_GONE:  # copies come minutes late, not weeks
-            del self._gone[next(iter(self._gone))]
+    def _remember_deleted(self, names: list[str]) -> None:
+        self._deleted.update(dict.fromkeys(names))
+        while len(self._deleted) > MAX_DELETED_REMEMBERED:  # copies come minutes late, not weeks
+            del self._deleted[next(iter(self._deleted))]
 
-    def _machines_gone(self, names: list[str]) -> None:
-        self._remember_gone(names)
+    def _machines_deleted(self, names: list[str]) -> None:
+        self._remember_deleted(names)
         members = {name for owner in self.owners.values() for name in owner.part.machines}
         for number, owner in enumerate(list(self.owners.values())):
             # One that never was a member is remembered by any of our parts.
@@ -229,7 +243,7 @@
             if self.claims.fleet is not None or not self.catalog:
                 try:
                     types = await self.cloud.catalog()
-                except (CloudUnavailable, NoCapacity) as trouble:
+                except (CloudUnavailableError, NoCapacityError) as trouble:
                     log.info("event=catalog_failed error=%s", trouble)
                     pause = timedelta(seconds=2)
                 else:
@@ -242,14 +256,16 @@
     async def _store_catalog(self, types: list[MachineType]) -> None:
         """In one key, or in one for each type where that would be too large: every version reads both."""
         found = {CATALOG: records.write(CatalogRecord(types))}
-        if len(bytes(found[CATALOG])) > self.state.most_bytes:
+        if len(bytes(found[CATALOG])) > self.state.max_value_bytes:
             found = {f"{CATALOG}/{kind.name}": records.write(CatalogRecord([kind])) for kind in types}
         for key, value in found.items():
-            if self.replica.value(key) == bytes(value) or len(bytes(value)) > self.state.most_bytes:
+            if self.replica.value(key) == bytes(value) or len(bytes(value)) > self.state.max_value_bytes:
                 continue
             try:
-                at = await self.state.transact([when(key, self.replica.mark(key))], [put(key, value)], Urgency.PROGRESS)
-            except (Unavailable, Unknown, Conflicted) as trouble:
+                at = await self.state.transact(
+                    [when(key, self.replica.revision_of(key))], [put(key, value)], Urgency.PROGRESS
+                )
+            except (StateUnavailableError, OutcomeUnknownError, ConflictError) as trouble:
                 log.debug("event=catalog_not_stored error=%s", trouble)
             else:
                 self.replica.learn(key, bytes(value), at)
@@ -260,14 +276,14 @@
             self.state.share(self._in_use())
             if self.claims.lease is not None:
                 self.mesh.broadcast(self._gossip())
-            self.withdrawals.repeat()
+            self.cancellation_broadcast.repeat()
 
     def _in_use(self) -> int:
         """How many controllers may be using the state service: this one, and all that are heard or hold a claim.
 
         Right after the start nobody has been heard yet, so none is counted out then.
         """
-        if self._loop.now() - self._began < GONE_QUIET:
+        if self._loop.now() - self._began < SIBLING_SILENT_AFTER:
             return self.settings.params.size
         claimed = {self.claims.owner(part) for part in range(self.settings.params.size)}
         hosts = [one.host_name for one in self.settings.platform.siblings]
@@ -275,7 +291,7 @@
 
     def _heard(self, host: str) -> bool:
         sibling = self.siblings.get(host)
-        return sibling is not None and self._loop.now() - sibling.heard < GONE_QUIET
+        return sibling is not None and self._loop.now() - sibling.heard < SIBLING_SILENT_AFTER
 
     def _gossip(self) -> mesh_wire.Gossip:
         parts = [owner.summary() for owner in self.owners.values() if owner.ready]
@@ -284,7 +300,7 @@
             self.claims.lease or 0,
             bool(self.catalog) and self.replica.ready.done,
             self._proved(),
-            self.hearing.deaf,
+            self.reachability.isolated,
             parts,
         )
 
@@ -298,7 +314,7 @@
             self._flush = Future()
             try:
                 await self._flush_once()
-            except (Unavailable, Unknown, LeaseGone) as trouble:
+            except (StateUnavailableError, OutcomeUnknownError, LeaseExpiredError) as trouble:
                 log.info("event=progress_delayed error=%s", trouble)
                 self._flush.set()
             if any(owner.progress for owner in self.owners.values()):
@@ -324,19 +340,19 @@
             When a thousand small jobs ended together, writing that down took two minutes, and larger ones that had been
             done in time were told done too late.
             """
-            record = self.book.active.get(one.ref)
+            record = self.job_store.active.get(one.ref)
             if record is None:
                 return 0, timedelta.max
-            done = self.book.done(one.ref, record) | one.done
-            return record.job.tasks - done.bit_count(), self.outlook.time_left(record)
+            done = self.job_store.done(one.ref, record) | one.done
+            return record.job.tasks - done.bit_count(), self.forecast.time_left(record)
 
         batch = sorted(merged.values(), key=order)
-        await self.book.write_progress(batch, self._condition)
+        await self.job_store.write_progress(batch, self._condition)
 
-    async def _outlook_duty(self) -> None:
+    async def _forecast_duty(self) -> None:
         while True:
             await self._loop.sleep(GOSSIP)
-            self.outlook.update()
+            self.forecast.update()
 
     async def _steal_duty(self) -> None:
         """Idle parts ask busy ones for waiting tasks, one request per part and period."""
@@ -345,18 +361,20 @@
             for owner in list(self.owners.values()):
                 if not owner.ready or not owner.part.settled or not self.claims.acting(owner.number):
                     continue
-                await owner.trade.pass_on_gangs(self._summaries())
-                bins, images = owner.idle_bins()
-                if not bins:
+                await owner.migration.pass_on_gangs(self._summaries())
+                capacities, images = owner.idle_capacities()
+                if not capacities:
                     continue
-                short = owner.trade.short_teams()
-                if owner.trade.has_work_for(bins, short):
+                short = owner.migration.short_teams()
+                if owner.migration.has_work_for(capacities, short):
                     continue
-                victim = self._busiest(owner.number, bins, short)
+                victim = self._busiest(owner.number, capacities, short)
                 if victim is not None:
-                    self._steal_from(victim, mesh_wire.Steal(victim, owner.number, bins, images, sorted(short)))
+                    self._steal_from(
+                        victim, mesh_wire.StealRequest(victim, owner.number, capacities, images, sorted(short))
+                    )
 
-    def _busiest(self, thief: int, bins: list[mesh_wire.Bin], short: set[str]) -> int | None:
+    def _busiest(self, thief: int, capacities: list[mesh_wire.FreeCapacity], short: set[str]) -> int | None:
         """The part where most waits that would fit the thief's room.
 
         What fits nowhere there once drew every request to itself, while a third part's work waited beside room for it.
@@ -364,8 +382,8 @@
         waiting = {
             summary.part: sum(
                 want.count * max(want.cpus, want.accelerators)
-                for want in summary.wants
-                if want.team not in short and any(fits_bin(want, one) for one in bins)
+                for want in summary.demands
+                if want.team not in short and any(fits_capacity(want, one) for one in capacities)
             )
             for summary in self._summaries()
             if summary.part != thief and summary.settled
@@ -373,9 +391,9 @@
         busiest = max(waiting, key=lambda part: waiting[part], default=None)
         return busiest if busiest is not None and waiting[busiest] > 0 else None
 
-    def _steal_from(self, victim: int, message: mesh_wire.Steal) -> None:
+    def _steal_from(self, victim: int, message: mesh_wire.StealRequest) -> None:
         if victim in self.owners:
-            self._group.spawn(self.owners[victim].trade.on_steal(message), "steal")
+            self._group.spawn(self.owners[victim].migration.on_steal(message), "steal")
         else:
             host = self.claims.owner(victim)
             if host is not None:
@@ -401,20 +419,24 @@
     def _fit(sibling: Sibling) -> bool:
         """Whether a part may be given to a sibling."""
         told = sibling.gossip
-        return told.ready and told.proved and told.lease > 0 and not told.deaf
+        return told.ready and told.proved and told.lease > 0 and not told.isolated
 
     def _reluctant(self) -> bool:
-        return self.hearing.deaf
+        return self.reachability.isolated
 
-    async def _on_knock(self, knock: mesh_wire.Knock) -> None:
+    async def _on_misdirected_report(self, misdirected: mesh_wire.MisdirectedReport) -> None:
         """Our workers knock at a sibling's door: if they don't reach us, it had better own them."""
-        owner, sibling = self.owners.get(knock.part), self.siblings.get(knock.host)
-        if owner is None or not owner.ready or sibling is None or not owner.missed(knock.machine):
+        owner, sibling = self.owners.get(misdirected.part), self.siblings.get(misdirected.host)
+        if owner is None or not owner.ready or sibling is None or not owner.missed(misdirected.machine):
             return  # new machines knock anywhere; they say nothing of us
-        if self.hearing.knocked(knock, owner.silent()) and self._recent(sibling) and self._fit(sibling):
-            log.warning("event=workers_unheard part=%d to=%s", knock.part, knock.host)
-            self.hearing.gave_up(knock.part)
-            await self.claims.hand_over(knock.part, knock.host, sibling.gossip.lease)
+        if (
+            self.reachability.note_misdirected(misdirected, owner.silent())
+            and self._recent(sibling)
+            and self._fit(sibling)
+        ):
+            log.warning("event=workers_unheard part=%d to=%s", misdirected.part, misdirected.host)
+            self.reachability.part_given_up(misdirected.part)
+            await self.claims.hand_over(misdirected.part, misdirected.host, sibling.gossip.lease)
 
     async def _idle_duty(self) -> None:
         """Return machines that nothing needs, where a machine can be had again in time."""
@@ -424,7 +446,7 @@
                 continue
             now = self._loop.now()
             idle = self.settings.operator.fleet.idle
-            if not self.book.active:
+            if not self.job_store.active:
                 idle /= 2  # there is nothing that a warm cache could be of use to
             for owner in list(self.owners.values()):
                 if not owner.ready or not owner.part.settled or not self.claims.acting(owner.number):
@@ -464,46 +486,46 @@
         elif isinstance(message, mesh_wire.Push):
             if self.replica.ready.done:
                 self.replica.learn(message.key, message.value, message.revision)
-        elif isinstance(message, mesh_wire.Steal):
+        elif isinstance(message, mesh_wire.StealRequest):
             owner = self.owners.get(message.victim)
             if owner is not None and owner.ready:
-                self._group.spawn(owner.trade.on_steal(message), "steal")
-        elif isinstance(message, mesh_wire.Lack):
+                self._group.spawn(owner.migration.on_steal(message), "steal")
+        elif isinstance(message, mesh_wire.ShareRequest):
             self._give_share(message)
-        elif isinstance(message, mesh_wire.Borrow):
+        elif isinstance(message, mesh_wire.MachineLoanRequest):
             self._lend(message)
-        elif isinstance(message, mesh_wire.Knock):
-            self._group.spawn(self._on_knock(message), "knock")
-        elif isinstance(message, mesh_wire.Withdrawn):
+        elif isinstance(message, mesh_wire.MisdirectedReport):
+            self._group.spawn(self._on_misdirected_report(message), "knock")
+        elif isinstance(message, mesh_wire.CancellationNotice):
             self._on_withdrawn(message)
-        elif isinstance(message, mesh_wire.WithdrawnHeard):
-            self.withdrawals.known_to(message.host, message.refs)
+        elif isinstance(message, mesh_wire.CancellationAck):
+            self.cancellation_broadcast.known_to(message.host, message.refs)
 
-    def _on_withdrawn(self, message: mesh_wire.Withdrawn) -> None:
+    def _on_withdrawn(self, message: mesh_wire.CancellationNotice) -> None:
         """Act on it in this very step, though the state service may not answer us; then say that we have heard."""
         refs = [ref for ref, _ in message.jobs]
-        self.withdrawals.known_to(message.host, refs)
+        self.cancellation_broadcast.known_to(message.host, refs)
         if not self.replica.ready.done:
             return  # not acknowledged, so it comes again
         for ref, revision in message.jobs:
-            self.book.hear_withdrawn(ref, revision)
-        self.withdrawals.known_to(message.host, refs)
-        self.mesh.send(message.host, mesh_wire.WithdrawnHeard(self.settings.platform.host_name, refs))
+            self.job_store.learn_cancelled(ref, revision)
+        self.cancellation_broadcast.known_to(message.host, refs)
+        self.mesh.send(message.host, mesh_wire.CancellationAck(self.settings.platform.host_name, refs))
 
-    def _ask_machines(self, message: mesh_wire.Borrow) -> None:
+    def _ask_machines(self, message: mesh_wire.MachineLoanRequest) -> None:
         self.mesh.broadcast(message)
         self._lend(message)
 
-    def _lend(self, message: mesh_wire.Borrow) -> None:
+    def _lend(self, message: mesh_wire.MachineLoanRequest) -> None:
         for owner in self.owners.values():
             if owner.ready and owner.number != message.part:
-                self._group.spawn(owner.trade.lend(message), "lend")
+                self._group.spawn(owner.migration.lend(message), "lend")
 
-    def _ask_share(self, message: mesh_wire.Lack) -> None:
+    def _ask_share(self, message: mesh_wire.ShareRequest) -> None:
         self.mesh.broadcast(message)
         self._give_share(message)
 
-    def _give_share(self, message: mesh_wire.Lack) -> None:
+    def _give_share(self, message: mesh_wire.ShareRequest) -> None:
         for owner in self.owners.values():
             if owner.ready and owner.number != message.part:
                 self._group.spawn(owner.give_share(message), "give-share")
@@ -547,10 +569,10 @@
     async def _checkin(self, request: Request) -> Response:
         try:
             report = parse_report(request.body)
-        except Malformed as problem:
+        except MalformedError as problem:
             return error(400, str(problem))
-        self.hearing.heard()
-        if report.machine in self._gone:
+        self.reachability.heard()
+        if report.machine in self._deleted:
             return come_back("this machine was deleted")  # a late copy, whatever it says
         part = self._part_of(report.machine)
         owner = self.owners.get(part)
@@ -560,7 +582,9 @@
                 return answer(421, Redirect())
             if self._silent(part):
                 # Sent back there, it would wait in vain once more, and by then its lease is over.
-                self.mesh.send(host, mesh_wire.Knock(part, report.machine, self.settings.platform.host_name))
+                self.mesh.send(
+                    host, mesh_wire.MisdirectedReport(part, report.machine, self.settings.platform.host_name)
+                )
                 return come_back("its owner does not hear its workers")
             return answer(421, Redirect(host))
         if not owner.ready or not self.claims.acting(part):
--- a/badgerroute/coordination/fleet.py
+++ b/badgerroute/coordination/fleet.py
@@ -7,12 +7,18 @@
 
 from badgerroute.coordination.claims import Claims
 from badgerroute.protocol.cloud import ListedMachine, MachineType
-from badgerroute.protocol.mesh import PartSummary, Want
+from badgerroute.protocol.mesh import PartSummary, PendingDemand
 from badgerroute.scheduling.model import Room, capacity_of
 from badgerroute.scheduling.objectives import Objectives
 from badgerroute.settings import Settings
 from badgerroute.storage import records
-from badgerroute.storage.cloud import MOST_DELETED, MOST_RENTED, CloudClient, CloudUnavailable, NoCapacity
+from badgerroute.storage.cloud import (
+    MAX_MACHINES_PER_DELETION,
+    MAX_MACHINES_PER_RENTAL,
+    CloudClient,
+    CloudUnavailableError,
+    NoCapacityError,
+)
 from badgerroute.storage.records import MachineRecord
 from badgerroute.storage.replica import MACHINES, Replica
 from badgerroute.transport.loop import Group, Loop
@@ -20,7 +26,7 @@
 log = logging.getLogger("badgerroute.fleet")
 ROUND = timedelta(seconds=1)
 REFUSED_PAUSE = timedelta(seconds=10)
-MOST_PAUSE = timedelta(seconds=60)
+MAX_RENTAL_PAUSE = timedelta(seconds=60)
 BOOT_PATIENCE = 4  # times the nominal boot time: what is not up by then, and is overtaken, most likely never will be
 BOOT_LIMIT = 15  # and so is this, although nothing else came up meanwhile
 BOOT_DUE = 3  # what is not up by then is not counted on, so another is rented in its place
@@ -97,13 +103,13 @@
             await self._loop.sleep(timedelta(milliseconds=200))
             for name in [name for name in self._to_delete if self._belongs_to_others(name)]:
                 del self._to_delete[name]
-            names = list(self._to_delete)[:MOST_DELETED]
+            names = list(self._to_delete)[:MAX_MACHINES_PER_DELETION]
             # A controller that stood still, or was cut off, once deleted machines that a new owner used by then.
             if not names or not self._claims.certain():
                 continue
             try:
                 await self._cloud.delete(names)
-            except (CloudUnavailable, NoCapacity) as error:
+            except (CloudUnavailableError, NoCapacityError) as error:
                 log.info("event=delete_failed machines=%d error=%s", len(names), error)
                 await self._loop.sleep(ROUND)
                 continue
@@ -124,7 +130,7 @@
             try:
                 await self._look()
                 await self._rent()
-            except CloudUnavailable as error:
+            except CloudUnavailableError as error:
                 log.info("event=cloud_trouble error=%s", error)
 
     async def _look(self) -> None:
@@ -136,7 +142,7 @@
         machines = await self._cloud.machines()
         self._list_at = now
         members = {key.removeprefix(MACHINES) for key in self._replica.under(MACHINES)}
-        doomed: list[str] = []
+        useless: list[str] = []
         listed = set()
         lag = 2 * self._settings.params.cloud.list_lag + timedelta(seconds=5)
         for one in machines:
@@ -146,19 +152,19 @@
             age = timedelta(seconds=one.age_s)
             if one.state == "failed":
                 if not self._belongs_to_others(one.name):  # else its owner finds out sooner
-                    doomed.append(one.name)
+                    useless.append(one.name)
             elif one.name in members:
                 self._came_up(one.name)
             elif one.state == "booting":
                 if self._hopeless(now - age, boot, now):
-                    doomed.append(one.name)
+                    useless.append(one.name)
                 elif one.name not in self._pending:
                     self._pending[one.name] = Pending((one.type, one.zone, one.spot), 1, now - age)
             elif one.name not in self._pending or not self._due(self._pending[one.name]):
                 # Up, but it never reported to anybody. Its worker may be cut off; it must not cost for ever.
                 since = self._unclaimed.setdefault(one.name, now)
                 if now - since > 2 * lag + self._settings.params.workers.lease:
-                    doomed.append(one.name)
+                    useless.append(one.name)
         self._unclaimed = {name: since for name, since in self._unclaimed.items() if name in listed}
         for name in [name for name in self._unclaimed if name in members]:
             del self._unclaimed[name]
@@ -170,10 +176,10 @@
             elif self._hopeless(pending.since + lag, boot, now):
                 del self._pending[name]
                 if name in listed:
-                    doomed.append(name)
-        if doomed:
-            log.info("event=machines_useless machines=%s", ",".join(doomed))
-            self.delete(doomed)
+                    useless.append(name)
+        if useless:
+            log.info("event=machines_useless machines=%s", ",".join(useless))
+            self.delete(useless)
 
     def _came_up(self, name: str) -> None:
         pending = self._pending.pop(name, None)
@@ -205,7 +211,7 @@
         if most <= 0:
             return
         if rents_ahead(self._settings, self._catalog):
-            wanted = {place: MOST_RENTED for place in self._places() if self._may_ask(place)}
+            wanted = {place: MAX_MACHINES_PER_RENTAL for place in self._places() if self._may_ask(place)}
         else:
             wanted = self._wanted()
         for place, count in sorted(wanted.items(), key=lambda one: self._price(one[0])):
@@ -232,15 +238,15 @@
         """Rent some machines; how many are on their way. A lost answer is asked for again by the same name."""
         self._counter += 1
         request = f"r-{self._claims.fleet}-{self._counter}"
-        count = min(count, MOST_RENTED)
+        count = min(count, MAX_MACHINES_PER_RENTAL)
         for _ in range(3):
             if self._claims.fleet is None:
                 return count
             try:
                 names = await self._cloud.rent(request, *place, count)
-            except NoCapacity:
+            except NoCapacityError:
                 names = []
-            except CloudUnavailable as error:
+            except CloudUnavailableError as error:
                 log.info("event=rent_unanswered request=%s error=%s", request, error)
                 await self._loop.sleep(ROUND)
                 continue
@@ -257,7 +263,7 @@
                 )
             if len(names) < count:
                 pause = self._refused.get(place, (now, REFUSED_PAUSE / 2))[1]
-                pause = REFUSED_PAUSE if names else min(2 * pause, MOST_PAUSE)
+                pause = REFUSED_PAUSE if names else min(2 * pause, MAX_RENTAL_PAUSE)
                 self._refused[place] = (now + pause, pause)
             else:
                 self._refused.pop(place, None)
@@ -270,27 +276,27 @@
     def _wanted(self) -> dict[Place, int]:
         """Machines that the waiting tasks need beyond the free room there is and is coming."""
         summaries = self._summaries()
-        bins: list[tuple[Place, Room]] = []
+        capacities: list[tuple[Place, Room]] = []
         used: dict[str, float] = {}
         used_gpus: dict[str, float] = {}
-        wants: list[Want] = []
+        demands: list[PendingDemand] = []
         for part in summaries:
-            for one in part.bins:
+            for one in part.capacities:
                 room = Room(one.cpus, one.accelerators, one.memory_gb)
-                bins.extend(((one.type, one.zone, one.spot), room.copy()) for _ in range(one.count))
+                capacities.extend(((one.type, one.zone, one.spot), room.copy()) for _ in range(one.count))
             for team, (cpus, gpus) in part.used.items():
                 used[team] = used.get(team, 0.0) + cpus
                 used_gpus[team] = used_gpus.get(team, 0.0) + gpus
-            wants.extend(part.wants)
+            demands.extend(part.demands)
         for pending in self._pending.values():
             kind = self._catalog.get(pending.place[0])
             if kind is not None and self._due(pending):
-                bins.extend((pending.place, capacity_of(kind)) for _ in range(pending.count))
+                capacities.extend((pending.place, capacity_of(kind)) for _ in range(pending.count))
         teams = {team.name: team for team in self._settings.params.teams}
         wanted: dict[Place, int] = {}
         soon = sum(part.freeing for part in summaries)
-        wants.sort(key=lambda want: (not want.guaranteed, -want.level, -want.waited_s))
-        for want in wants:
+        demands.sort(key=lambda want: (not want.guaranteed, -want.level, -want.waited_s))
+        for want in demands:
             team = teams.get(want.team)
             if team is None:
                 continue
@@ -306,10 +312,12 @@
                 waits = min(count, int(soon / want.cpus))
                 soon -= waits * want.cpus
                 count -= waits
-            self._fit(want, count, bins, wanted)
+            self._fit(want, count, capacities, wanted)
         return wanted
 
-    def _fit(self, want: Want, count: int, bins: list[tuple[Place, Room]], wanted: dict[Place, int]) -> None:
+    def _fit(
+        self, want: PendingDemand, count: int, capacities: list[tuple[Place, Room]], wanted: dict[Place, int]
+    ) -> None:
         need = Room(want.cpus, want.accelerators, want.memory_gb)
 
         def allowed(place: Place) -> bool:
@@ -320,7 +328,7 @@
                 and (want.spot or not spot)
             )
 
-        for place, room in bins:
+        for place, room in capacities:
             if count <= 0:
                 return
             if not room.holds(need) or not allowed(place):
@@ -340,8 +348,8 @@
             room = capacity_of(self._catalog[place[0]])
             fitting = min(count, room.times(need))
             room.take(Room(need.cpus * fitting, need.accelerators * fitting, need.memory_gb * fitting))
-            bins.append((place, room))
+            capacities.append((place, room))
             wanted[place] = wanted.get(place, 0) + 1
             count -= fitting
-            if wanted[place] >= MOST_RENTED:
+            if wanted[place] >= MAX_MACHINES_PER_RENTAL:
                 return
--- a/badgerroute/coordination/outlook.py
+++ b/badgerroute/coordination/forecast.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 from math import inf
 
-from badgerroute.coordination.jobs import JobBook
+from badgerroute.coordination.job_store import JobStore
 from badgerroute.coordination.owner import Owner
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.mesh import PartSummary
@@ -21,25 +21,25 @@
 from badgerroute.storage.replica import MACHINES, Replica
 from badgerroute.transport.loop import Loop
 
-HUNGRY = timedelta(seconds=160)  # a job that has not begun by then comes first, however late it is
+STARVING_AFTER = timedelta(seconds=160)  # a job that has not begun by then comes first, however late it is
 BETWEEN_REPORTS = 2  # that pass between the end of a stage and the start of the next
 BETWEEN = timedelta(seconds=5)  # and what else does: writing it down, an image to fetch
 FIRST = -1  # tier of such a job
 LEAST_SHARE = 0.25  # of the processors that small tasks get at least, beside the gangs
 
 
-class Outlook:
+class JobForecast:
     def __init__(
         self,
         settings: Settings,
         loop: Loop,
-        book: JobBook,
+        job_store: JobStore,
         replica: Replica,
         catalog: dict[str, MachineType],
         owners: dict[int, Owner],
         summaries: Callable[[], list[PartSummary]],
     ) -> None:
-        self._loop, self._book, self._replica, self._catalog = loop, book, replica, catalog
+        self._loop, self._job_store, self._replica, self._catalog = loop, job_store, replica, catalog
         self._owners, self._summaries = owners, summaries
         self._teams: dict[str, Team] = {team.name: team for team in settings.params.teams}
         self._objectives = Objectives(settings.params.objectives)
@@ -48,17 +48,19 @@
 
     def update(self) -> None:
         """Tell the owners' jobs what can be expected of them."""
-        self._book.hand_levels_back()
+        self._job_store.inherit_levels()
         if not self._owners:
             return
         within: dict[str, bool] = {}
         left: dict[str, int] = {}
         used: dict[str, Room] = {}
-        for ref, record in sorted(self._book.there(), key=lambda one: self._book.began(*one)):
+        for ref, record in sorted(
+            self._job_store.schedulable(), key=lambda one: self._job_store.effective_arrival(*one)
+        ):
             team = self._teams.get(record.job.team)
             if team is None:
                 continue
-            left[ref] = record.job.tasks - self._book.done(ref, record).bit_count()
+            left[ref] = record.job.tasks - self._job_store.done(ref, record).bit_count()
             room = used.setdefault(team.name, Room())
             room.add(Room(left[ref] * record.job.cpus, left[ref] * record.job.accelerators))
             within[ref] = Room(team.cpus, team.gpus).holds(room)
@@ -69,10 +71,10 @@
             for job in owner.part.jobs.values():
                 job.guaranteed = within.get(job.ref, False)
                 job.tier = ranks.get(job.ref, 0)
-                record = self._book.active.get(job.ref)
+                record = self._job_store.active.get(job.ref)
                 if record is None:
                     continue
-                owner.part.set_level(job, self._book.level(job.ref))
+                owner.part.set_level(job, self._job_store.level(job.ref))
                 due = needed.get(job.ref)
                 job.start_by = due and now + timedelta(seconds=due - today) - self._run_time(record)
 
@@ -86,15 +88,15 @@
         """
 
         def own(ref: str) -> float:
-            record = self._book.active.get(ref)
+            record = self._job_store.active.get(ref)
             deadline = record and self._objectives.deadline(record.job)
             return record.accepted + deadline.total_seconds() if deadline else inf
 
         def length(ref: str) -> float:
-            record = self._book.active.get(ref)
+            record = self._job_store.active.get(ref)
             return (self._run_time(record) + self._between).total_seconds() if record else 0.0
 
-        found = self._book.dependencies.handed_back(own, length)
+        found = self._job_store.dependencies.inherited_minimum(own, length)
         return {ref: due for ref, due in found.items() if due != inf}
 
     def _tiers(self, left: dict[str, int], within: dict[str, bool], needed: dict[str, float]) -> dict[str, float]:
@@ -104,35 +106,35 @@
             for ref, count in summary.running.items():
                 running[ref] = running.get(ref, 0) + count
         today = self._today()
-        mistaken = {job.ref for owner in self._owners.values() for job in owner.part.jobs.values() if job.mistaken}
+        failing = {job.ref for owner in self._owners.values() for job in owner.part.jobs.values() if job.failing}
         groups: dict[tuple[int, bool], list[Load]] = {}
-        hungry: set[str] = set()
+        starving: set[str] = set()
         for ref, count in left.items():
-            record = self._book.active[ref]
+            record = self._job_store.active[ref]
             spec = record.job
-            if spec.gang or spec.cpus <= 0 or ref in mistaken:
+            if spec.gang or spec.cpus <= 0 or ref in failing:
                 continue
-            began = self._book.began(ref, record)
+            began = self._job_store.effective_arrival(ref, record)
             age = timedelta(seconds=max(0.0, today - began))
             limit = min(processors, self._teams[spec.team].limits[0])
             at_once = max(1, int(limit / spec.cpus))
-            if age > HUNGRY and spec.tasks - count + running.get(ref, 0) < min(spec.tasks, at_once):
-                hungry.add(ref)
+            if age > STARVING_AFTER and spec.tasks - count + running.get(ref, 0) < min(spec.tasks, at_once):
+                starving.add(ref)
             run = self._run_time(record)
             waves = -(-count // at_once)
             due = [one - age for one in self._objectives.due(spec, timedelta(seconds=began - record.accepted))]
             if ref in needed:
                 due.append(timedelta(seconds=needed[ref] - today))
             due.sort()
-            group = (-self._book.level(ref), not within[ref])
+            group = (-self._job_store.level(ref), not within[ref])
             groups.setdefault(group, []).append(Load(ref, count * spec.cpus * run, waves * run, due))
         found = tiers([groups[one] for one in sorted(groups)], processors)
-        found.update(dict.fromkeys(hungry, FIRST))
+        found.update(dict.fromkeys(starving, FIRST))
         return found
 
     def time_left(self, record: JobRecord) -> timedelta:
         """Until the next time by which the job should be complete."""
-        began = self._book.began(record.job.ref, record)
+        began = self._job_store.effective_arrival(record.job.ref, record)
         age = timedelta(seconds=self._today() - began)
         dues = self._objectives.due(record.job, timedelta(seconds=began - record.accepted))
         return min((due - age for due in dues if due > age), default=timedelta.max)
@@ -155,7 +157,7 @@
                 kind = self._types[key] = records.read(self._replica.value(key), records.MachineRecord).type
             if kind in self._catalog:
                 total[kind] = total.get(kind, 0.0) + self._catalog[kind].cpus
-        gangs = [one.job for _, one in self._book.there() if one.job.gang]
+        gangs = [one.job for _, one in self._job_store.schedulable() if one.job.gang]
         fitting = {
             kind for kind in total for job in gangs if capacity_of(self._catalog[kind]).holds(need_of(job))
         }  # machine types that gangs can use
--- a/badgerroute/coordination/jobs.py
+++ b/badgerroute/coordination/job_store.py
@@ -14,14 +14,14 @@
 from badgerroute.settings import Settings
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
-from badgerroute.storage.records import DonePage, JobRecord, PastRecord, PredecessorsPage
-from badgerroute.storage.replica import DONE, JOBS, PAST, PREDECESSORS, Replica
+from badgerroute.storage.records import DonePage, FinalStateRecord, JobRecord, PredecessorsPage
+from badgerroute.storage.replica import DONE, FINAL_STATES, JOBS, PREDECESSORS, Replica
 from badgerroute.storage.state import (
-    Conflicted,
-    LeaseGone,
+    ConflictError,
+    LeaseExpiredError,
+    OutcomeUnknownError,
     StateClient,
-    Unavailable,
-    Unknown,
+    StateUnavailableError,
     put,
     remove,
     when,
@@ -29,10 +29,10 @@
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger("badgerroute.jobs")
-MOST_FINAL = 20_000
-MOST_BYTES = 40_000  # of a transaction's 64 KiB
+MAX_FINAL_STATES_REMEMBERED = 20_000
+MAX_TRANSACTION_BYTES = 40_000  # of a transaction's 64 KiB
 PAGE_REFS = 24  # predecessors on a page: the same at every node, since each may write a page of a repeated submission
-MOST_LOOKED_UP = 40  # predecessors, for one answer
+MAX_LOOKUPS_PER_ANSWER = 40  # predecessors, for one answer
 READ_LIMIT = timedelta(milliseconds=1500)
 
 Pushed = Callable[[str, bytes | None, int], None]
@@ -47,7 +47,7 @@
         self.ref, self.done, self.parts = ref, done, parts
 
 
-class JobBook:
+class JobStore:
     def __init__(self, settings: Settings, loop: Loop, state: StateClient, replica: Replica, pushed: Pushed) -> None:
         self._settings, self._loop, self._state, self._replica = settings, loop, state, replica
         self._pushed = pushed
@@ -60,13 +60,13 @@
         self.pages: dict[str, set[str]] = {}  # job -> its keys beside its record
         self._lacking: set[str] = set()  # unfinished jobs whose predecessors we have not all seen yet
         self._levels: dict[str, int] = {}  # of jobs that others wait for
-        self.dependencies = Dependencies(self._how_it_ended, self._released, self._doomed)
+        self.dependencies = Dependencies(self._final_state_of, self._released, self._cancelled_upstream)
         self.released: Callable[[str], None] = lambda ref: None
         self._confirming: set[str] = set()  # jobs whose users are about to be told that they are withdrawn
         replica.listen(DONE, self._done_changed)
         replica.listen(PREDECESSORS, self._predecessors_changed)
         replica.listen(JOBS, self._job_changed)
-        replica.listen(PAST, self._past_changed)
+        replica.listen(FINAL_STATES, self._final_state_changed)
 
     # -- what the watch says
 
@@ -122,44 +122,44 @@
                 self._paged.pop(ref, None)
         return ref
 
-    def _past_changed(self, key: str, value: bytes | None, revision: int) -> None:
+    def _final_state_changed(self, key: str, value: bytes | None, revision: int) -> None:
         if value is not None:
-            past = records.read(value, PastRecord)
-            self._remember(key.removeprefix(PAST), past.state, revision, past.at)
+            past = records.read(value, FinalStateRecord)
+            self._remember(key.removeprefix(FINAL_STATES), past.state, revision, past.at)
 
     def _remember(self, ref: str, state: str, revision: int, at: float) -> None:
         """Final states never change, so they alone may be answered from memory."""
         fresh = ref not in self._final
         self._final[ref] = (state, revision, at)
         self._final.move_to_end(ref)
-        if len(self._final) > MOST_FINAL:
+        if len(self._final) > MAX_FINAL_STATES_REMEMBERED:
             self._final.popitem(last=False)
         if fresh and state == "withdrawn":
             self.withdrawn(ref, revision, ref in self._confirming)
         self.dependencies.finished(ref, state, at)
 
-    def hear_withdrawn(self, ref: str, revision: int) -> None:
+    def learn_cancelled(self, ref: str, revision: int) -> None:
         """A sibling knows that a job is withdrawn, though our watch may not say so for a while."""
         self._remember(ref, "withdrawn", revision, 0.0)
         self._replica.learn(JOBS + ref, None, revision)
 
     # -- jobs that wait for others
 
-    def _how_it_ended(self, ref: str) -> tuple[str, float] | None:
+    def _final_state_of(self, ref: str) -> tuple[str, float] | None:
         known = self._final.get(ref)
         return (known[0], known[2]) if known else None
 
     def _released(self, ref: str) -> None:
         self.released(ref)
 
-    def _doomed(self, ref: str) -> None:
+    def _cancelled_upstream(self, ref: str) -> None:
         log.info("event=job_doomed job=%s", ref)
 
     def waits(self, ref: str) -> bool:
         """Whether a job waits for others: until it is released, it is not there for anything but questions."""
         return ref in self._lacking or self.dependencies.waits(ref)
 
-    def there(self) -> Iterator[tuple[str, JobRecord]]:
+    def schedulable(self) -> Iterator[tuple[str, JobRecord]]:
         """The unfinished jobs that do not wait for others: those that are there for planning."""
         return ((ref, record) for ref, record in self.active.items() if not self.waits(ref))
 
@@ -168,17 +168,17 @@
         own = self.active[ref].job.priority.level
         return max(own, self._levels.get(ref, own))
 
-    def hand_levels_back(self) -> None:
+    def inherit_levels(self) -> None:
         """Dependents that have come, or were withdrawn, raise and lower what they need."""
 
         def own(ref: str) -> float:
             record = self.active.get(ref)
             return -record.job.priority.level if record else inf
 
-        found = self.dependencies.handed_back(own, lambda ref: 0)
+        found = self.dependencies.inherited_minimum(own, lambda ref: 0)
         self._levels = {ref: -int(least) for ref, least in found.items() if least != inf}
 
-    def began(self, ref: str, record: JobRecord) -> float:
+    def effective_arrival(self, ref: str, record: JobRecord) -> float:
         """The time of day from which a job's times count: when the last job that it needs was done."""
         return max(record.accepted, self.dependencies.released_at(ref))
 
@@ -200,11 +200,11 @@
                 missing.append(ref)
         return missing
 
-    async def at_first(self, ref: str) -> str:
+    async def state_after_acceptance(self, ref: str) -> str:
         """What to say of a job that was just accepted. `queued`, as far as can be told now, is no promise."""
         try:
             found = await self._decide(ref)
-        except Unavailable:
+        except StateUnavailableError:
             return "queued"
         return "withdrawn" if found is not None and found[0] == "withdrawn" else "queued"
 
@@ -214,25 +214,25 @@
         It is withdrawn if any job that it needs is, directly or through others, though its own record is still there.
         Some node may have said so already, so what we don't know of these jobs has to be found out first.
         """
-        for _ in range(MOST_LOOKED_UP):
+        for _ in range(MAX_LOOKUPS_PER_ANSWER):
             record = self.active.get(ref)
             if record is None:
                 return None
-            if ref in self.dependencies.doomed:
+            if ref in self.dependencies.cancelled:
                 return "withdrawn", None, 0
             if ref in self._lacking:
-                raise Unavailable("what the job waits for is not known yet")
+                raise StateUnavailableError("what the job waits for is not known yet")
             unknown = next(iter(self.dependencies.unknown_ancestors(ref, self.active)), None)
             if unknown is None:
-                return "active", record, self._replica.mark(JOBS + ref)
+                return "active", record, self._replica.revision_of(JOBS + ref)
             if await self._read_through(unknown, Urgency.READ) is None:
-                raise Unavailable(f"{unknown} is not known")
-        raise Unavailable("too many jobs to look up")
+                raise StateUnavailableError(f"{unknown} is not known")
+        raise StateUnavailableError("too many jobs to look up")
 
     def over(self, ref: str, past: msgspec.Raw, revision: int) -> None:
         """A final state of ours was written."""
         self._change(JOBS + ref, None, revision)
-        self._change(PAST + ref, bytes(past), revision)
+        self._change(FINAL_STATES + ref, bytes(past), revision)
 
     def _change(self, key: str, value: bytes | None, revision: int) -> None:
         self._replica.learn(key, value, revision)
@@ -242,7 +242,7 @@
 
     def final(self, ref: str) -> str | None:
         known = self._final.get(ref)
-        if known is None and ref in self.dependencies.doomed:
+        if known is None and ref in self.dependencies.cancelled:
             return "withdrawn"  # nothing can change that any more, and its own record follows
         return known[0] if known else None
 
@@ -265,7 +265,7 @@
         if item is not None:
             self._replica.learn(item.key, bytes(item.value), item.revision)
             return "active", records.read(bytes(item.value), JobRecord), item.revision
-        return await self._look_up_past(ref, urgency)
+        return await self._look_up_final_state(ref, urgency)
 
     async def current(self, ref: str) -> tuple[str, JobRecord | None, int] | None:
         """The same from our copy, once that has caught up with the state service: for the many who only look."""
@@ -281,14 +281,14 @@
             return final, None, 0
         record = self.active.get(ref)
         if record is not None:
-            return "active", record, self._replica.mark(JOBS + ref)
-        return await self._look_up_past(ref, Urgency.READ)
+            return "active", record, self._replica.revision_of(JOBS + ref)
+        return await self._look_up_final_state(ref, Urgency.READ)
 
-    async def _look_up_past(self, ref: str, urgency: Urgency) -> tuple[str, JobRecord | None, int] | None:
-        past = await self._state.get(PAST + ref, urgency)
+    async def _look_up_final_state(self, ref: str, urgency: Urgency) -> tuple[str, JobRecord | None, int] | None:
+        past = await self._state.get(FINAL_STATES + ref, urgency)
         if past is None:
             return None
-        known = records.read(bytes(past.value), PastRecord)
+        known = records.read(bytes(past.value), FinalStateRecord)
         state = known.state
         self._remember(ref, state, past.revision, known.at)
         # It left `jobs` in the same transaction. Until the watch says so, a controller that had just told a user that
@@ -310,18 +310,18 @@
         key = JOBS + job.ref
         record, pages = self._compact(JobRecord(job, self._today(), ranges))
         value = records.write(record)
-        for first in range(0, len(pages), self._state.most_changes):  # before the record: whoever sees it has them
-            written = pages[first : first + self._state.most_changes]
+        for first in range(0, len(pages), self._state.max_changes):  # before the record: whoever sees it has them
+            written = pages[first : first + self._state.max_changes]
             at = await self._state.transact([], [put(*one) for one in written], Urgency.SUBMIT, READ_LIMIT)
             for one, refs in written:
                 self._change(one, bytes(refs), at)
         try:
             mark = await self._state.transact(
-                [when(key, 0), when(PAST + job.ref, 0)], [put(key, value)], Urgency.SUBMIT, READ_LIMIT
+                [when(key, 0), when(FINAL_STATES + job.ref, 0)], [put(key, value)], Urgency.SUBMIT, READ_LIMIT
             )
-        except Conflicted:
+        except ConflictError:
             return False
-        except Unknown:
+        except OutcomeUnknownError:
             if await self.look_up(job.ref, Urgency.SUBMIT) is None:
                 raise
             return False
@@ -333,7 +333,7 @@
 
     def fits(self, record: JobRecord) -> bool:
         """Whether a record may be written as it is."""
-        return len(bytes(records.write(record))) <= self._state.most_bytes
+        return len(bytes(records.write(record))) <= self._state.max_value_bytes
 
     def _compact(self, record: JobRecord) -> tuple[JobRecord, list[tuple[str, msgspec.Raw]]]:
         """A record that fits, and the pages for what did not."""
@@ -355,13 +355,13 @@
             return record
         return msgspec.structs.replace(record, job=msgspec.structs.replace(record.job, types=types))
 
-    async def spill(self, ref: str) -> None:
+    async def page_out(self, ref: str) -> None:
         """Make a record that an older version left too large small enough to be written again.
 
         The bits of done tasks go to pages, in as many writes as it takes, and the record itself last. Until then it
         holds them too, and from then on the pages do, so none is lost wherever this stops. It may be done by anybody.
         """
-        record, mark = self.active.get(ref), self._replica.mark(JOBS + ref)
+        record, mark = self.active.get(ref), self._replica.revision_of(JOBS + ref)
         if record is None:
             return
         done, known = self.done(ref, record), self._paged.get(ref, 0)
@@ -376,13 +376,13 @@
             log.info("event=record_too_large job=%s", ref)
             return
         changes = [*pages, (JOBS + ref, records.write(small))]
-        for first in range(0, len(changes), self._state.most_changes):
-            written = changes[first : first + self._state.most_changes]
+        for first in range(0, len(changes), self._state.max_changes):
+            written = changes[first : first + self._state.max_changes]
             conditions = [when(JOBS + ref, mark)]
-            conditions += [when(key, self._replica.mark(key)) for key, _ in written if key != JOBS + ref]
+            conditions += [when(key, self._replica.revision_of(key)) for key, _ in written if key != JOBS + ref]
             try:
                 at = await self._state.transact(conditions, [put(*one) for one in written], Urgency.PROGRESS)
-            except (Conflicted, Unavailable, Unknown, LeaseGone) as error:
+            except (ConflictError, StateUnavailableError, OutcomeUnknownError, LeaseExpiredError) as error:
                 log.info("event=spill_delayed job=%s error=%s", ref, error)
                 return
             for key, value in written:
@@ -412,17 +412,20 @@
             state, record, mark = found
             if record is None:
                 return state
-            past = records.write(PastRecord("withdrawn", record.job.tasks, self._today()))
+            past = records.write(FinalStateRecord("withdrawn", record.job.tasks, self._today()))
             try:
                 at = await self._state.transact(
-                    [when(JOBS + ref, mark)], [remove(JOBS + ref), put(PAST + ref, past)], Urgency.CANCEL, READ_LIMIT
+                    [when(JOBS + ref, mark)],
+                    [remove(JOBS + ref), put(FINAL_STATES + ref, past)],
+                    Urgency.CANCEL,
+                    READ_LIMIT,
                 )
-            except Conflicted:
+            except ConflictError:
                 continue  # progress was written in between
             self.over(ref, past, at)
             log.info("event=job_withdrawn job=%s", ref)
             return "withdrawn"
-        raise Unavailable("too much changes at once")
+        raise StateUnavailableError("too much changes at once")
 
     # -- progress
 
@@ -435,27 +438,27 @@
             over: list[JobRecord] = []
             size = 0
             for one in batch:
-                room = self._state.most_changes - len(changes)
-                if size > MOST_BYTES or room < 2:
+                room = self._state.max_changes - len(changes)
+                if size > MAX_TRANSACTION_BYTES or room < 2:
                     break  # what is left comes with the next write
                 record = self.active.get(one.ref)
                 held = [claims(part) for part in one.parts]
                 if record is None or None in held:
                     continue  # cancelled meanwhile, or the part is not ours any more
                 key = JOBS + one.ref
-                for condition in (*held, when(key, self._replica.mark(key))):
+                for condition in (*held, when(key, self._replica.revision_of(key))):
                     conditions[condition.key] = condition
                 known = self.done(one.ref, record)
                 done = known | one.done
                 if done.bit_count() >= record.job.tasks:
-                    past = records.write(PastRecord("done", record.job.tasks, self._today()))
-                    changes += [remove(key), put(PAST + one.ref, past)]
-                    results += [(key, None), (PAST + one.ref, bytes(past))]
+                    past = records.write(FinalStateRecord("done", record.job.tasks, self._today()))
+                    changes += [remove(key), put(FINAL_STATES + one.ref, past)]
+                    results += [(key, None), (FINAL_STATES + one.ref, bytes(past))]
                     over.append(record)
                 elif done != known:
                     for where, value in self._progress(one.ref, record, known, done)[:room]:
                         if where != key:
-                            conditions[where] = when(where, self._replica.mark(where))
+                            conditions[where] = when(where, self._replica.revision_of(where))
                         changes.append(put(where, value))
                         size += len(bytes(value))
                         results.append((where, bytes(value)))
@@ -463,13 +466,13 @@
                 return
             try:
                 at = await self._state.transact(list(conditions.values()), changes, Urgency.COMPLETE)
-            except Conflicted as error:
+            except ConflictError as error:
                 await self.refresh(error.failed)
                 continue
-            except Unknown:
+            except OutcomeUnknownError:
                 await self.refresh([key for key, _ in results])
                 continue
-            except LeaseGone:
+            except LeaseExpiredError:
                 return
             today = self._loop.clock.today().timestamp()
             for one in over:
@@ -506,4 +509,4 @@
                 await self._loop.sleep(timedelta(milliseconds=50))
 
 
-__all__ = ["JobBook", "Progress"]
+__all__ = ["JobStore", "Progress"]
--- a/badgerroute/coordination/registrar.py
+++ b/badgerroute/coordination/member_registry.py
@@ -9,14 +9,22 @@
 from badgerroute.storage.budget import Urgency
 from badgerroute.storage.records import MachineRecord
 from badgerroute.storage.replica import MACHINES, Replica
-from badgerroute.storage.state import Conflicted, LeaseGone, StateClient, Unavailable, Unknown, put, when
+from badgerroute.storage.state import (
+    ConflictError,
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    StateClient,
+    StateUnavailableError,
+    put,
+    when,
+)
 from badgerroute.transport.loop import Future, Group, Loop
 
 log = logging.getLogger("badgerroute.registrar")
 Push = Callable[[str, bytes | None, int], None]
 
 
-class Registrar:
+class MemberRegistry:
     """Writes new members down, several in one transaction."""
 
     def __init__(self, loop: Loop, group: Group, state: StateClient, replica: Replica, push: Push) -> None:
@@ -39,12 +47,12 @@
         try:
             await self._loop.sleep(timedelta(milliseconds=20))  # machines that come up together go in together
             while self._waiting:
-                names = list(self._waiting)[: self._state.most_changes]
+                names = list(self._waiting)[: self._state.max_changes]
                 batch = {name: self._waiting.pop(name) for name in names}
                 written: set[str] = set()
                 try:
                     written = await self._write(claims, {name: record for name, (record, _) in batch.items()})
-                except (Unavailable, Unknown, Conflicted, LeaseGone) as error:
+                except (StateUnavailableError, OutcomeUnknownError, ConflictError, LeaseExpiredError) as error:
                     log.info("event=register_failed machines=%d error=%s", len(batch), error)
                 finally:
                     for name, (_, future) in batch.items():
@@ -56,7 +64,7 @@
         batch = {
             name: record
             for name, record in batch.items()
-            if record.part in claims.parts and not self._replica.mark(MACHINES + name)
+            if record.part in claims.parts and not self._replica.revision_of(MACHINES + name)
         }
         if not batch:
             return set()
@@ -65,7 +73,7 @@
         values = {MACHINES + name: records.write(record) for name, record in batch.items()}
         try:
             at = await self._state.transact(conditions, [put(*item) for item in values.items()], Urgency.SUBMIT)
-        except Conflicted as error:
+        except ConflictError as error:
             for key in error.failed:
                 item = await self._state.get(key, Urgency.SUBMIT)
                 if item is not None:
--- a/badgerroute/coordination/mesh.py
+++ b/badgerroute/coordination/mesh.py
@@ -14,7 +14,7 @@
 from badgerroute.transport.net import Network, Stream
 
 log = logging.getLogger("badgerroute.mesh")
-MOST_QUEUED = 256
+MAX_QUEUED_FRAMES = 256
 SILENCE = timedelta(seconds=20)
 WRITE_LIMIT = timedelta(seconds=3)
 ACK_EVERY = timedelta(seconds=1)
@@ -27,7 +27,7 @@
 
     def __init__(self, host: str, address: str) -> None:
         self.host, self.address = host, address
-        self.queue: deque[bytes] = deque(maxlen=MOST_QUEUED)
+        self.queue: deque[bytes] = deque(maxlen=MAX_QUEUED_FRAMES)
         self.wake = Future()
         self.unheard: timedelta | None = None  # since when what we wrote has not been acknowledged
         self.lost: Exception | None = None  # why the other side will hear no more on this connection
--- a/badgerroute/coordination/trade.py
+++ b/badgerroute/coordination/migration.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from badgerroute.coordination.claims import Claims
-from badgerroute.coordination.jobs import JobBook
-from badgerroute.coordination.registrar import Push
+from badgerroute.coordination.job_store import JobStore
+from badgerroute.coordination.member_registry import Push
 from badgerroute.protocol import mesh as mesh_wire
 from badgerroute.scheduling.model import Job, Machine, Room, allows, need_of
 from badgerroute.scheduling.part import Part
@@ -21,16 +21,24 @@
 from badgerroute.storage.budget import Urgency
 from badgerroute.storage.records import MachineRecord, lowest
 from badgerroute.storage.replica import JOBS, MACHINES, Replica
-from badgerroute.storage.state import Conflicted, LeaseGone, StateClient, Unavailable, Unknown, put, when
+from badgerroute.storage.state import (
+    ConflictError,
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    StateClient,
+    StateUnavailableError,
+    put,
+    when,
+)
 from badgerroute.transport.loop import Group, Loop
 
-log = logging.getLogger("badgerroute.trade")
-MOST_RANGES = 48
+log = logging.getLogger("badgerroute.migration")
+MAX_RANGES = 48
 GANG_HOPE = timedelta(seconds=30)  # a gang that has waited longer, and does not fit, keeps no room from others' work
 PASS_ON_PAUSE = timedelta(seconds=8)  # a gang that was passed on is left where it is for so long
 
 
-def fits_bin(want: mesh_wire.Want, one: mesh_wire.Bin) -> bool:
+def fits_capacity(want: mesh_wire.PendingDemand, one: mesh_wire.FreeCapacity) -> bool:
     """Whether a waiting task could run on such a machine as it is now."""
     return (
         (want.types is None or one.type in want.types)
@@ -40,7 +48,7 @@
     )
 
 
-class Trade:
+class WorkMigration:
     """`active` tells whether the part's owner is still the one it was; `changed` is told of jobs to read again."""
 
     def __init__(
@@ -52,7 +60,7 @@
         state: StateClient,
         replica: Replica,
         claims: Claims,
-        book: JobBook,
+        job_store: JobStore,
         push: Push,
         active: Callable[[], bool],
         changed: Callable[[str], None],
@@ -60,23 +68,23 @@
         self.number, self.part, self.planner = part.number, part, planner
         self._loop, self._group = loop, group
         self._state, self._replica, self._claims = state, replica, claims
-        self._book, self._push = book, push
+        self._job_store, self._push = job_store, push
         self._active, self._changed = active, changed
-        self.borrow: Callable[[mesh_wire.Borrow], None] = lambda message: None
+        self.request_loan: Callable[[mesh_wire.MachineLoanRequest], None] = lambda message: None
         self._passed_on: dict[str, timedelta] = {}
-        self._borrowing: tuple[str, timedelta] | None = None  # gang, and since when
+        self._loan_request: tuple[str, timedelta] | None = None  # gang, and since when
 
     def gathering(self, now: timedelta) -> str | None:
         """The gang for which machines were asked lately: what comes now comes for it."""
-        if self._borrowing is not None and now - self._borrowing[1] < PASS_ON_PAUSE:
-            return self._borrowing[0]
+        if self._loan_request is not None and now - self._loan_request[1] < PASS_ON_PAUSE:
+            return self._loan_request[0]
         return None
 
     def short_teams(self) -> set[str]:
         """Teams of which work waits here for want of a share: more of it would wait just as long."""
         return {job.spec.team for job in self.part.jobs.values() if self.part.short_of_share(job)}
 
-    def has_work_for(self, bins: list[mesh_wire.Bin], short: set[str]) -> bool:
+    def has_work_for(self, capacities: list[mesh_wire.FreeCapacity], short: set[str]) -> bool:
         """Whether something waits here that the free room could soon be used for.
 
         Any waiting job once counted, also one that no machine here may run, that its team's limit holds back, or that
@@ -86,14 +94,14 @@
         seen: set[tuple] = set()  # jobs come in few shapes
         for job in self.part.jobs.values():
             spec = job.spec
-            if job.mistaken or job.failed_on or spec.team in short or not job.startable or job.blocked_until > now:
+            if job.failing or job.failed_on or spec.team in short or not job.startable or job.blocked_until > now:
                 continue
-            if job.gang and now - job.since > GANG_HOPE and not self._holds(job, bins):
+            if job.gang and now - job.since > GANG_HOPE and not self._holds(job, capacities):
                 continue
             shape = (spec.cpus, spec.accelerators, spec.memory_gb, spec.zone, spec.spot, tuple(spec.types or ()))
             if shape not in seen:
                 seen.add(shape)
-                if self._slots(job, bins):
+                if self._slots(job, capacities):
                     return True
         return False
 
@@ -104,21 +112,21 @@
     async def pass_on_gangs(self, summaries: list[mesh_wire.PartSummary]) -> None:
         """Give gangs for which there is no room here to a part that has some, or could make some."""
         now = self._loop.now()
-        for job in self.planner.stuck_gangs(now):
+        for job in self.planner.unplaceable_gangs(now):
             if now - self._passed_on.get(job.ref, -PASS_ON_PAUSE) < PASS_ON_PAUSE:
                 continue
             others = [one for one in summaries if one.part != self.number and one.settled]
-            options = [one for one in others if self._holds(job, one.bins)] or [
+            options = [one for one in others if self._holds(job, one.capacities)] or [
                 one for one in others if self._holds(job, one.soft.get(job.level, []))
             ]
-            record = self._book.active.get(job.ref)
+            record = self._job_store.active.get(job.ref)
             if record is None:
                 continue
             if not options:
-                self._borrow(job, now, others)
+                self._request_loan(job, now, others)
                 continue
             target = min(
-                options, key=lambda one: (-self._beside(job, one), sum(want.gang for want in one.wants), one.part)
+                options, key=lambda one: (-self._beside(job, one), sum(want.gang for want in one.demands), one.part)
             )
             self._passed_on = {ref: at for ref, at in self._passed_on.items() if now - at < PASS_ON_PAUSE}
             self._passed_on[job.ref] = now
@@ -126,7 +134,7 @@
             log.info("event=gang_passed_on job=%s from=%d to=%d", job.ref, self.number, target.part)
             await self._write_steal([(job.ref, moved)], target.part)
 
-    def _borrow(self, job: Job, now: timedelta, others: list[mesh_wire.PartSummary]) -> None:
+    def _request_loan(self, job: Job, now: timedelta, others: list[mesh_wire.PartSummary]) -> None:
         """No part could hold the gang: gather empty machines here until it fits."""
         here: Counter[str] = Counter()  # by zone, if it must lie in one
         for machine, room in self.planner.room_without(job.level):
@@ -135,19 +143,19 @@
         for machine in self.part.machines.values():
             if machine.held_for == job.ref:
                 here[machine.zone if job.spec.together else ""] += 1
-        whole = here + sum((self._slots(job, one.bins) for one in others), Counter())
+        whole = here + sum((self._slots(job, one.capacities) for one in others), Counter())
         if not whole:
             return
         # Room in two zones is no room for a gang that must lie in one: such a gang once waited for ever.
         zone = max(sorted(whole), key=lambda one: (min(job.spec.tasks, whole[one]), here[one]))
         lacking = job.spec.tasks - here[zone]
         if lacking > 0 and self.part.fits_share(job, job.spec.tasks) >= job.spec.tasks:
-            self._borrowing = (job.ref, now)
+            self._loan_request = (job.ref, now)
             self._passed_on[job.ref] = now
             spec = msgspec.structs.replace(job.spec, zone=zone) if zone else job.spec
-            self.borrow(mesh_wire.Borrow(self.number, spec, lacking))
+            self.request_loan(mesh_wire.MachineLoanRequest(self.number, spec, lacking))
 
-    async def lend(self, message: mesh_wire.Borrow) -> None:
+    async def lend(self, message: mesh_wire.MachineLoanRequest) -> None:
         """Give empty machines to a part that is too small for a gang, in one conditional write.
 
         Only a machine with nothing on it and no start on its way is given, and from before the write on nothing
@@ -159,7 +167,7 @@
         given: list[Machine] = []
         slots = 0
         for machine in self.part.machines.values():
-            if slots >= message.count or len(given) >= self._state.most_changes:
+            if slots >= message.count or len(given) >= self._state.max_changes:
                 break
             fits = machine.usable and machine.empty and machine.held_for is None and machine.free.holds(need)
             if fits and allows(message.job, machine.kind.name, machine.zone, machine.spot):
@@ -173,15 +181,15 @@
             machine.draining = True
             key = MACHINES + machine.name
             record = MachineRecord(message.part, machine.address, machine.kind.name, machine.zone, machine.spot)
-            conditions.append(when(key, self._replica.mark(key)))
+            conditions.append(when(key, self._replica.revision_of(key)))
             puts.append(put(key, records.write(record)))
         try:
             at = await self._state.transact(conditions, puts, Urgency.PROGRESS)
-        except (Conflicted, Unavailable, LeaseGone) as error:
+        except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
             log.debug("event=lend_failed part=%d error=%s", self.number, error)
             for machine in given:
                 machine.draining = False
-        except Unknown:
+        except OutcomeUnknownError:
             # It may yet be applied, so these machines are of no use here until a write of ours rules that out.
             for machine in given:
                 self._group.spawn(self._settle_machine(machine), "settle-lend")
@@ -208,14 +216,14 @@
                 self._replica.learn(key, bytes(found.value), at)
                 machine.draining = False
                 return
-            except (Unavailable, Unknown, Conflicted, LeaseGone):
+            except (StateUnavailableError, OutcomeUnknownError, ConflictError, LeaseExpiredError):
                 await self._loop.sleep(timedelta(milliseconds=500))
 
     @staticmethod
-    def _slots(job: Job, bins: list[mesh_wire.Bin]) -> Counter[str]:
+    def _slots(job: Job, capacities: list[mesh_wire.FreeCapacity]) -> Counter[str]:
         """How many of a job's tasks fit there: by zone, if they must lie in one."""
         slots: Counter[str] = Counter()
-        for one in bins:
+        for one in capacities:
             if allows(job.spec, one.type, one.zone, one.spot):
                 room = Room(one.cpus, one.accelerators, one.memory_gb)
                 slots[one.zone if job.spec.together else ""] += one.count * room.times(job.need)
@@ -226,26 +234,26 @@
         """How many of a gang's tasks could find their image in a part."""
         return min(job.spec.tasks, sum(room >= job.need.cpus for room in one.beside.get(job.spec.image, ())))
 
-    def _holds(self, job: Job, bins: list[mesh_wire.Bin]) -> bool:
-        return max(self._slots(job, bins).values(), default=0) >= job.spec.tasks
+    def _holds(self, job: Job, capacities: list[mesh_wire.FreeCapacity]) -> bool:
+        return max(self._slots(job, capacities).values(), default=0) >= job.spec.tasks
 
-    async def on_steal(self, message: mesh_wire.Steal) -> None:
+    async def on_steal(self, message: mesh_wire.StealRequest) -> None:
         """An idle part wants work: give it tasks that wait here and fit there, in one conditional write."""
         if not self.part.settled or not self._acting():
             return
-        bins = [[one, one.count] for one in message.bins]
+        capacities = [[one, one.count] for one in message.capacities]
         changes: list[tuple[str, records.JobRecord]] = []
         now = self._loop.now()
         jobs = sorted(self.part.jobs.values(), key=lambda job: (not job.guaranteed, -job.level, job.accepted))
         for job in jobs:
-            if len(changes) >= min(6, self._state.most_changes):
+            if len(changes) >= min(6, self._state.max_changes):
                 break
-            record = self._book.active.get(job.ref)
-            if record is None or len(record.ranges) > MOST_RANGES or not job.waiting_bits or job.mistaken:
+            record = self._job_store.active.get(job.ref)
+            if record is None or len(record.ranges) > MAX_RANGES or not job.waiting_bits or job.failing:
                 continue
             if job.spec.team in message.short:
                 continue
-            taken = self._stealable(job, bins, message.images, now)
+            taken = self._stealable(job, capacities, message.images, now)
             if taken:
                 ranges = record.ranges
                 while taken:
@@ -257,8 +265,10 @@
         if changes:
             await self._write_steal(changes, message.thief)
 
-    def _stealable(self, job: Job, bins: list[list], images: dict[str, tuple[float, float]], now: timedelta) -> int:
-        """The waiting tasks of a job that the other part could start, as a bit set; takes their room from `bins`."""
+    def _stealable(
+        self, job: Job, capacities: list[list], images: dict[str, tuple[float, float]], now: timedelta
+    ) -> int:
+        """The waiting tasks of a job that the other part could start, as a bit set; takes room from `capacities`."""
         spec = job.spec
         waiting = job.waiting_bits
         whole = spec.gang or spec.together or spec.spread
@@ -273,15 +283,15 @@
             return 0
         fitting = 0
         used: list[tuple[list, int]] = []
-        for entry in bins:
-            bin_, count = entry
+        for entry in capacities:
+            capacity, count = entry
             if not count or fitting >= wanted:
                 continue
-            if spec.types is not None and bin_.type not in spec.types:
+            if spec.types is not None and capacity.type not in spec.types:
                 continue
-            if (spec.zone is not None and spec.zone != bin_.zone) or (bin_.spot and not spec.spot):
+            if (spec.zone is not None and spec.zone != capacity.zone) or (capacity.spot and not spec.spot):
                 continue
-            each = Room(bin_.cpus, bin_.accelerators, bin_.memory_gb).times(job.need)
+            each = Room(capacity.cpus, capacity.accelerators, capacity.memory_gb).times(job.need)
             if not each:
                 continue
             machines = min(count, -(-(wanted - fitting) // each))
@@ -315,16 +325,16 @@
             job = self.part.jobs.get(ref)
             if job is None:
                 continue
-            if not self._book.fits(record):
+            if not self._job_store.fits(record):
                 # An older version may have left it larger than may be written now: it is traded once it is smaller.
-                self._group.spawn(self._book.spill(ref), "spill")
+                self._group.spawn(self._job_store.page_out(ref), "page-out")
                 continue
             given = job.owned & ~record.owned(self.number)
             if given & (job.placed_bits | job.giving):
                 # Between the choice and this write a task of it was placed: once, a gang was passed on while the
                 # write for the gang before it took its time, and ran in both parts.
                 continue
-            conditions.append(when(key, self._replica.mark(key)))
+            conditions.append(when(key, self._replica.revision_of(key)))
             puts.append(put(key, records.write(record)))
             held.append((job, given))
             # Nothing of it starts here while the write is on its way. What we own may be read from the record again
@@ -334,11 +344,11 @@
             return
         try:
             at = await self._state.transact(conditions, puts, Urgency.PROGRESS)
-        except (Conflicted, Unavailable, LeaseGone) as error:
+        except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
             log.debug("event=steal_failed part=%d error=%s", self.number, error)
-            if isinstance(error, Conflicted):
+            if isinstance(error, ConflictError):
                 await self._refresh([JOBS + job.ref for job, _ in held])
-        except Unknown:
+        except OutcomeUnknownError:
             # It may yet be applied: the tasks stay out of reach until another write has settled the key.
             for job, given in held:
                 self._group.spawn(self._settle(job, given), "settle-steal")
@@ -358,8 +368,8 @@
 
     async def _refresh(self, keys: list[str]) -> None:
         try:
-            await self._book.refresh(keys)
-        except Unavailable:
+            await self._job_store.refresh(keys)
+        except StateUnavailableError:
             log.debug("event=refresh_failed")
 
     async def _settle(self, job: Job, given: int) -> None:
@@ -375,5 +385,5 @@
                 self._push(key, bytes(found.value), at)
                 self._given(job, given)
                 return
-            except (Unavailable, Unknown, Conflicted, LeaseGone):
+            except (StateUnavailableError, OutcomeUnknownError, ConflictError, LeaseExpiredError):
                 await self._loop.sleep(timedelta(milliseconds=500))
--- a/badgerroute/coordination/owner.py
+++ b/badgerroute/coordination/owner.py
@@ -5,16 +5,16 @@
 from collections.abc import Callable, Coroutine
 from datetime import timedelta
 
-from badgerroute.coordination import hearing, summary
+from badgerroute.coordination import reachability, summary
 from badgerroute.coordination.claims import Claim, Claims
 from badgerroute.coordination.fleet import rents_ahead
-from badgerroute.coordination.jobs import JobBook, Progress
-from badgerroute.coordination.registrar import Push, Registrar
-from badgerroute.coordination.shares import Shares
-from badgerroute.coordination.trade import Trade
+from badgerroute.coordination.job_store import JobStore, Progress
+from badgerroute.coordination.member_registry import MemberRegistry, Push
+from badgerroute.coordination.migration import WorkMigration
+from badgerroute.coordination.quotas import TeamQuotas
 from badgerroute.protocol import mesh as mesh_wire
 from badgerroute.protocol.cloud import MachineType
-from badgerroute.protocol.common import Malformed, encode
+from badgerroute.protocol.common import MalformedError, encode
 from badgerroute.protocol.workers import Command, DirectCommands, Report, ReportAnswer, parse_report
 from badgerroute.scheduling.model import ZERO, Machine, Phase, Room
 from badgerroute.scheduling.objectives import Objectives
@@ -23,14 +23,14 @@
 from badgerroute.settings import Settings
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
-from badgerroute.storage.records import GoneRecord, MachineRecord
-from badgerroute.storage.replica import GONE, MACHINES, Replica
+from badgerroute.storage.records import DeletedMachinesRecord, MachineRecord
+from badgerroute.storage.replica import DELETED, MACHINES, Replica
 from badgerroute.storage.state import (
-    Conflicted,
-    LeaseGone,
+    ConflictError,
+    LeaseExpiredError,
+    OutcomeUnknownError,
     StateClient,
-    Unavailable,
-    Unknown,
+    StateUnavailableError,
     put,
     remove,
     when,
@@ -50,13 +50,13 @@
 PARTIAL = timedelta(seconds=3)  # between two writes of a job's progress, unless it may be complete
 SUMMARY_KEPT = timedelta(milliseconds=400)
 REGISTER_LIMIT = timedelta(seconds=1)
-MOST_HASTY = 16  # machines that are told of withdrawn jobs in one round; the others hear by their reports
-PROMISED = timedelta(seconds=2.5)  # what another part lacks is asked for every second
+MAX_DIRECT_CANCELLATIONS = 16  # machines that are told of withdrawn jobs in one round; the others hear by their reports
+RESERVATION_TTL = timedelta(seconds=2.5)  # what another part lacks is asked for every second
 UNEVEN = 0.15  # of our share: what we may use more than a part whose jobs are our equals
 FORGET_AGAIN = timedelta(seconds=1)
 FORGET_AT_ONCE = 8  # a transaction as large as the budget's burst has to wait until nobody else writes
-GONE_PAGE = 100  # deleted machines on a page, which may be written anew for each of them
-GONE_NAME = 64  # bytes that a name may take, at twice a page's length
+NAMES_PER_PAGE = 100  # deleted machines on a page, which may be written anew for each of them
+MACHINE_NAME_BYTES = 64  # bytes that a name may take, at twice a page's length
 
 
 async def _at_once() -> None:
@@ -77,8 +77,8 @@
         state: StateClient,
         replica: Replica,
         claims: Claims,
-        book: JobBook,
-        shares: Shares,
+        job_store: JobStore,
+        quotas: TeamQuotas,
         catalog: dict[str, MachineType],
         push: Push,
         progressed: Callable[[], None],
@@ -87,23 +87,23 @@
         self.number = number
         self._settings, self._loop, self._network = settings, loop, network
         self._state, self._replica, self._claims = state, replica, claims
-        self._book, self._shares, self._catalog = book, shares, catalog
+        self._job_store, self._quotas, self._catalog = job_store, quotas, catalog
         self._push, self._progressed, self._gate = push, progressed, gate
         self.group = Group(loop, f"{parent.name}/part-{number}")
         self.objectives = Objectives(settings.params.objectives)
         self.part = Part(
-            number, claim.term, lambda team: shares.of(number, team), loop.now(), settings.params.workers.lease
+            number, claim.term, lambda team: quotas.of(number, team), loop.now(), settings.params.workers.lease
         )
         self.planner = Planner(self.part, settings.operator.scheduling, self.objectives, settings.params.workers.report)
         self.grace = claim.grace
         self.ready = False
         self.delete: Callable[[list[str]], None] = lambda names: None
         self.resolved: Callable[[], Coroutine[object, object, None]] = _at_once  # how jobs ended that others wait for
-        self._window = records.window(state.most_bytes)
+        self._window = records.window(state.max_value_bytes)
         self._fencing: set[str] = set()
         self._given_up: set[str] = set()  # neither answers nor commands reach them
-        self.registrar = Registrar(loop, self.group, state, replica, push)
-        self.trade = Trade(
+        self.member_registry = MemberRegistry(loop, self.group, state, replica, push)
+        self.migration = WorkMigration(
             self.part,
             self.planner,
             loop,
@@ -111,14 +111,14 @@
             state,
             replica,
             claims,
-            book,
+            job_store,
             push,
             lambda: self.ready,
             self.job_changed,
         )
         self.progress: set[str] = set()
         self._most_members = 0
-        self._gone_most = max(1, min(GONE_PAGE, state.most_bytes // GONE_NAME))
+        self._names_per_page = max(1, min(NAMES_PER_PAGE, state.max_value_bytes // MACHINE_NAME_BYTES))
         self._summary: tuple[timedelta, mesh_wire.PartSummary] | None = None
         self._raising: Future | None = None
 
@@ -140,7 +140,7 @@
         now = self._loop.now()
         for key in self._replica.under(MACHINES):
             self.machine_changed(key.removeprefix(MACHINES), self._replica.value(key))
-        for ref in list(self._book.active):
+        for ref in list(self._job_store.active):
             self.job_changed(ref)
         self.ready = True
         log.info(
@@ -154,7 +154,7 @@
             self._fence(machine)
         self.part.claimed_at = min(self.part.claimed_at, now)
         self.group.duty(self._rounds, "rounds", ROUND)
-        self.group.duty(self._tell, "tell", STATE_LOGGED)
+        self.group.duty(self._log_state, "tell", STATE_LOGGED)
 
     def _fence(self, machine: Machine) -> None:
         if machine.name not in self._fencing:
@@ -165,7 +165,7 @@
         """Tell a member of the new term until its list is known and it hears us, or it is gone."""
         began = self._loop.now()
         try:
-            while self.part.machines.get(machine.name) is machine and (not machine.fenced or machine.deaf):
+            while self.part.machines.get(machine.name) is machine and (not machine.fenced or machine.unreachable):
                 if not await self.direct(machine, []):
                     if machine.name not in self._given_up and self._loop.now() - began > self._patience():
                         self._given_up.add(machine.name)
@@ -205,12 +205,12 @@
                 return False
             try:
                 report = parse_report(response.body)
-            except Malformed as error:
+            except MalformedError as error:
                 log.warning("event=bad_direct_answer machine=%s error=%s", machine.name, error)
                 return False
             if self.part.machines.get(machine.name) is not machine or report.machine != machine.name:
                 return False
-            self.take_in(machine, report, checkin=False)
+            self.apply_report(machine, report, checkin=False)
             if response.status == 200:
                 return True
             if report.token > self.part.term and not await self.raise_term():
@@ -229,7 +229,7 @@
         raised = False
         try:
             term = await self._claims.raise_term(self.number)
-        except (Unavailable, Unknown, LeaseGone) as error:
+        except (StateUnavailableError, OutcomeUnknownError, LeaseExpiredError) as error:
             log.info("event=raise_failed part=%d error=%s", self.number, error)
         else:
             if term is not None:
@@ -253,22 +253,22 @@
         kind = self._catalog.get(record.type)
         if known is None and kind is not None:
             machine = self.part.add_machine(name, record, kind, now)
-            machine.held_for = self.trade.gathering(now)
+            machine.held_for = self.migration.gathering(now)
 
     def job_changed(self, ref: str) -> None:
-        record = self._book.active.get(ref)
+        record = self._job_store.active.get(ref)
         if record is None:
             self.part.drop_job(ref)
             return
-        if self._book.waits(ref):
+        if self._job_store.waits(ref):
             return  # until we ourselves have seen it released, nothing of it is there
         now = self._loop.now()
-        age = timedelta(seconds=self._loop.clock.today().timestamp() - self._book.began(ref, record))
-        held_back = timedelta(seconds=self._book.began(ref, record) - record.accepted)
-        done = self._book.done(ref, record)
+        age = timedelta(seconds=self._loop.clock.today().timestamp() - self._job_store.effective_arrival(ref, record))
+        held_back = timedelta(seconds=self._job_store.effective_arrival(ref, record) - record.accepted)
+        done = self._job_store.done(ref, record)
         job = self.part.add_job(record, now - max(ZERO, age), self._window, now, done, held_back)
         if job is not None:
-            self.part.set_level(job, self._book.level(ref))
+            self.part.set_level(job, self._job_store.level(ref))
 
     # -- reports
 
@@ -285,11 +285,11 @@
             return None  # it would drop the answer, and stay here while its lease runs out
         if not self._claims.acting(self.number) or self.part.machines.get(report.machine) is not machine:
             return None
-        if machine.deaf or machine.name in self._given_up:
+        if machine.unreachable or machine.name in self._given_up:
             # Each answer of ours would put off the time from which on it is certainly rid of its tasks.
             self._fence(machine)
             return None
-        fresh = self.take_in(machine, report, checkin=True)
+        fresh = self.apply_report(machine, report, checkin=True)
         now = self._loop.now()
         if fresh:
             deadline = now + self._settings.operator.scheduling.round
@@ -302,7 +302,7 @@
             self.planner.fill(machine, now, over)
         commands = self.part.commands(machine, now, starts=fresh) if fresh else []
         machine.answered = now
-        if not machine.fenced or machine.deaf:
+        if not machine.fenced or machine.unreachable:
             self._fence(machine)
         return ReportAnswer(self.part.term, commands)
 
@@ -310,8 +310,8 @@
         if report.type not in self._catalog or not self._claims.acting(self.number):
             return None
         record = MachineRecord(self.number, report.address, report.type, report.zone, report.spot)
-        written = self.registrar.add(report.machine, record)
-        self.registrar.start(self._claims)
+        written = self.member_registry.add(report.machine, record)
+        self.member_registry.start(self._claims)
         await self._loop.first(written, REGISTER_LIMIT)
         machine = self.part.machines.get(report.machine)
         if machine is not None and written.done and written.result and not report.tasks and report.token == 0:
@@ -320,7 +320,7 @@
             machine.pristine = True
         return machine
 
-    def take_in(self, machine: Machine, report: Report, checkin: bool) -> bool:
+    def apply_report(self, machine: Machine, report: Report, checkin: bool) -> bool:
         now = self._loop.now()
         events = self.part.on_report(machine, report, checkin, now)
         if events is None:
@@ -330,11 +330,11 @@
             self._progressed()
         if not self.part.settled:
             self.part.settle()
-        for one in events.sick:
-            self.group.spawn(self._retire_sick(one), "retire")
+        for one in events.quarantined:
+            self.group.spawn(self._retire_quarantined(one), "retire")
         return True
 
-    async def _retire_sick(self, machine: Machine) -> None:
+    async def _retire_quarantined(self, machine: Machine) -> None:
         """A machine that fails everything is worth nothing: drain it, then have it deleted."""
         for placement in list(machine.placements.values()):
             self.part.stop(placement, timedelta(seconds=placement.job.spec.save_s))
@@ -356,7 +356,7 @@
 
             self._expire(now)
             self._notices(now)
-            self.part.end_promises(now)
+            self.part.expire_reservations(now)
             self.part.settle()
             self.planner.release_holds(now)
             self.planner.gangs(now, over)
@@ -366,7 +366,7 @@
             await self._urgent_halts()
             await self._seek_shares()
 
-    async def _tell(self) -> None:
+    async def _log_state(self) -> None:
         """Where the part stands, for people on call."""
         while True:
             await self._loop.sleep(STATE_LOGGED)
@@ -437,8 +437,8 @@
                     else:
                         begun = placement.running_since is not None
                         withdrawn[placement.machine] = begun and withdrawn.get(placement.machine, True)
-        hasty = [one for one in sorted(withdrawn, key=lambda one: withdrawn[one]) if one not in gangs]
-        for machine in (*gangs, *hasty[:MOST_HASTY]):
+        direct = [one for one in sorted(withdrawn, key=lambda one: withdrawn[one]) if one not in gangs]
+        for machine in (*gangs, *direct[:MAX_DIRECT_CANCELLATIONS]):
             commands = self.part.commands(machine, self._loop.now(), starts=False)
             self.group.spawn(self.direct(machine, commands, urgent=True), "halt")
 
@@ -447,12 +447,12 @@
     async def _seek_shares(self) -> None:
         lacks, self.planner.short_of_share = self.planner.short_of_share, {}
         for team, lack in lacks.items():
-            if not await self._shares.raise_own(self.number, team, lack):
+            if not await self._quotas.raise_own(self.number, team, lack):
                 first = self._first_short(team)
                 if first is None:
                     continue
                 rank, lack, age = first
-                message = self._shares.ask(self.number, team, lack, age, rank, self.part.usage[team].cpus)
+                message = self._quotas.ask(self.number, team, lack, age, rank, self.part.usage[team].cpus)
                 if message is not None:
                     self.group.spawn(self._ask(message), "ask-share")
 
@@ -472,28 +472,28 @@
             lack.accelerators += count * job.need.accelerators
         return rank, lack, max(now - job.accepted for job in first)
 
-    async def _ask(self, message: mesh_wire.Lack) -> None:
+    async def _ask(self, message: mesh_wire.ShareRequest) -> None:
         self.ask(message)
 
-    ask: Callable[[mesh_wire.Lack], None] = staticmethod(lambda message: None)
+    ask: Callable[[mesh_wire.ShareRequest], None] = staticmethod(lambda message: None)
 
-    async def give_share(self, message: mesh_wire.Lack) -> None:
+    async def give_share(self, message: mesh_wire.ShareRequest) -> None:
         """Another part lacks a share: give what we neither use nor can use soon, or what it has the better use for."""
         team = message.team
         if not self.part.settled or not self._claims.acting(self.number):
             return
-        cpus, gpus = self._shares.of(self.number, team)
+        cpus, gpus = self._quotas.of(self.number, team)
         used = self.part.usage[team]
         lack = Room(message.cpus, message.accelerators)
         spare = Room(cpus - used.cpus, gpus - used.accelerators)
-        keep = self._yield_to(message, lack, spare)
+        keep = self._share_to_yield(message, lack, spare)
         if keep is None:
             spare.take(self._soon(message))
         else:
             lack = keep
-        await self._shares.give(self.number, message.part, team, lack, spare)
+        await self._quotas.give(self.number, message.part, team, lack, spare)
 
-    def _soon(self, message: mesh_wire.Lack) -> Room:
+    def _soon(self, message: mesh_wire.ShareRequest) -> Room:
         """What a team's jobs that wait here could use of its share."""
         soon = Room()
         for job in self.part.jobs.values():
@@ -513,7 +513,7 @@
                 soon.accelerators += min(count, room) * job.need.accelerators
         return soon
 
-    def _yield_to(self, message: mesh_wire.Lack, lack: Room, spare: Room) -> Room | None:
+    def _share_to_yield(self, message: mesh_wire.ShareRequest, lack: Room, spare: Room) -> Room | None:
         """How much of our share another part should have though work waits for it here; None: nothing.
 
         All that it lacks, if its jobs come before ours; if they are equal, so much that both use the same. What is not
@@ -527,28 +527,28 @@
             return None
         wanted = lack.copy()
         if message.rank == min(ranks):
-            kept = self.part.promised.get(message.team, (Room(), ZERO))[0]  # free by now, but not for us
+            kept = self.part.reserved_for_siblings.get(message.team, (Room(), ZERO))[0]  # free by now, but not for us
             more = (self.part.usage[message.team].cpus + kept.cpus - message.used) / 2
-            if more <= UNEVEN * self._shares.of(self.number, message.team)[0]:
+            if more <= UNEVEN * self._quotas.of(self.number, message.team)[0]:
                 return None
             wanted = Room(min(wanted.cpus, more), wanted.accelerators)
         missing = Room(max(0.0, wanted.cpus - spare.cpus), max(0.0, wanted.accelerators - spare.accelerators))
         used = self.part.usage[message.team]
         missing = Room(min(missing.cpus, used.cpus), min(missing.accelerators, used.accelerators))
-        self.part.promise(message.team, missing, self._loop.now() + PROMISED)
+        self.part.reserve_for_sibling(message.team, missing, self._loop.now() + RESERVATION_TTL)
         return wanted
 
     # -- what others are told
 
-    def idle_bins(self) -> tuple[list[mesh_wire.Bin], dict[str, tuple[float, float]]]:
-        return summary.idle_bins(self.part)
+    def idle_capacities(self) -> tuple[list[mesh_wire.FreeCapacity], dict[str, tuple[float, float]]]:
+        return summary.idle_capacities(self.part)
 
     def summary(self) -> mesh_wire.PartSummary:
         """What others need to know. Made anew a few times a second at most: it looks at everything there is."""
         now = self._loop.now()
         if self._summary is None or now - self._summary[0] >= SUMMARY_KEPT:
             ahead = rents_ahead(self._settings, self._catalog)
-            levels = {self._book.level(ref) for ref, record in self._book.there() if record.job.gang}
+            levels = {self._job_store.level(ref) for ref, record in self._job_store.schedulable() if record.job.gang}
             silent = self.silent() > 0
             self._summary = (now, summary.summarize(self.part, self.planner, levels, ahead, now, silent))
         return self._summary[1]
@@ -557,10 +557,10 @@
         """Whether a machine is a member whose report should have come by now."""
         machine = self.part.machines.get(name)
         report, now = self._settings.params.workers.report, self._loop.now()
-        return machine is not None and hearing.overdue(machine, self.part, report, now)
+        return machine is not None and reachability.overdue(machine, self.part, report, now)
 
     def silent(self) -> int:
-        return hearing.silent(self.part, self._settings.params.workers.report, self._loop.now())
+        return reachability.silent(self.part, self._settings.params.workers.report, self._loop.now())
 
     # -- members leave
 
@@ -574,16 +574,16 @@
             self.part.remove_machine(name, now)
         self.part.settle()
         while names and self.number in self._claims.parts:
-            key, known = self._gone_page()
-            batch = names[: min(self._state.most_changes - 1, self._gone_most - len(known), FORGET_AT_ONCE)]
-            gone = records.write(GoneRecord([*known, *(one for one in batch if one not in known)]))
-            members = [MACHINES + name for name in batch if self._replica.mark(MACHINES + name)]
+            key, known = self._deleted_machines_page()
+            batch = names[: min(self._state.max_changes - 1, self._names_per_page - len(known), FORGET_AT_ONCE)]
+            gone = records.write(DeletedMachinesRecord([*known, *(one for one in batch if one not in known)]))
+            members = [MACHINES + name for name in batch if self._replica.revision_of(MACHINES + name)]
             changes = [put(key, gone), *(remove(one) for one in members)]
             # On the page as we know it: carried out late, an older write of it would strike newer names off.
-            conditions = [self._claims.condition(self.number), when(key, self._replica.mark(key))]
+            conditions = [self._claims.condition(self.number), when(key, self._replica.revision_of(key))]
             try:
                 at = await self._state.transact(conditions, changes, Urgency.PROGRESS)
-            except (Unavailable, Unknown, Conflicted, LeaseGone) as error:
+            except (StateUnavailableError, OutcomeUnknownError, ConflictError, LeaseExpiredError) as error:
                 log.info("event=forget_failed machines=%d error=%s", len(batch), error)
                 await self._loop.sleep(FORGET_AGAIN)
                 continue
@@ -592,20 +592,20 @@
                 self._push(one, value, at)
             names = names[len(batch) :]
 
-    def _gone_page(self) -> tuple[str, list[str]]:
+    def _deleted_machines_page(self) -> tuple[str, list[str]]:
         """Where the next deleted machines are written down, and what stands there.
 
         A page is small, since each deletion writes one anew; there are pages for twice as many machines as we have ever
         had at once, and when all are full the oldest begins anew.
         """
-        prefix = f"{GONE}{self.number}/"
-        pages = sorted(self._replica.under(prefix), key=self._replica.mark)
+        prefix = f"{DELETED}{self.number}/"
+        pages = sorted(self._replica.under(prefix), key=self._replica.revision_of)
         self._most_members = max(self._most_members, len(self.part.machines))
         if pages:
-            known = records.read(self._replica.value(pages[-1]), GoneRecord).names
-            if len(known) < self._gone_most:
+            known = records.read(self._replica.value(pages[-1]), DeletedMachinesRecord).names
+            if len(known) < self._names_per_page:
                 return pages[-1], known
-        if len(pages) < max(4, -(-2 * self._most_members // self._gone_most)):
+        if len(pages) < max(4, -(-2 * self._most_members // self._names_per_page)):
             return f"{prefix}{len(pages)}", []
         return pages[0], []
 
--- a/badgerroute/coordination/pipelines.py
+++ b/badgerroute/coordination/pipelines.py
@@ -8,20 +8,29 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from badgerroute.coordination.jobs import JobBook
+from badgerroute.coordination.job_store import JobStore
 from badgerroute.protocol.state import Put, Remove
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
-from badgerroute.storage.records import JobRecord, PastRecord
-from badgerroute.storage.replica import JOBS, PAST, Replica
-from badgerroute.storage.state import Conflicted, LeaseGone, StateClient, Unavailable, Unknown, put, remove, when
+from badgerroute.storage.records import FinalStateRecord, JobRecord
+from badgerroute.storage.replica import FINAL_STATES, JOBS, Replica
+from badgerroute.storage.state import (
+    ConflictError,
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    StateClient,
+    StateUnavailableError,
+    put,
+    remove,
+    when,
+)
 from badgerroute.transport.clock import ZERO
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger("badgerroute.pipelines")
 TICK = timedelta(milliseconds=200)
 ASK_AGAIN = timedelta(seconds=2)
-MOST_ASKED = 25  # in one round
+MAX_LOOKUPS_PER_ROUND = 25  # in one round
 OTHERS_WAIT = timedelta(seconds=3)  # before a controller that owns nothing of a withdrawn job does it too
 TIDY = timedelta(seconds=10)
 FORGOTTEN = timedelta(seconds=60)  # pages are written before their job's record
@@ -36,12 +45,12 @@
         loop: Loop,
         state: StateClient,
         replica: Replica,
-        book: JobBook,
+        job_store: JobStore,
         owned: Callable[[int], bool],
         tidies: Callable[[], bool],
         turn: int,
     ) -> None:
-        self._loop, self._state, self._replica, self._book = loop, state, replica, book
+        self._loop, self._state, self._replica, self._job_store = loop, state, replica, job_store
         self._owned, self._tidies, self._turn = owned, tidies, turn
         self._asked: dict[str, timedelta] = {}
         self._seen: dict[str, timedelta] = {}  # withdrawn jobs whose own record is still to be written
@@ -55,12 +64,12 @@
             await self._loop.sleep(TICK)
             now = self._loop.now()
             self._asked = {ref: at for ref, at in self._asked.items() if now - at < ASK_AGAIN}
-            unknown = [ref for ref in self._book.unknown() if ref not in self._asked]
+            unknown = [ref for ref in self._job_store.unknown() if ref not in self._asked]
             try:
-                for ref in unknown[:MOST_ASKED]:
+                for ref in unknown[:MAX_LOOKUPS_PER_ROUND]:
                     self._asked[ref] = now
-                    await self._book.look_up(ref, Urgency.COMPLETE)
-            except Unavailable as error:
+                    await self._job_store.look_up(ref, Urgency.COMPLETE)
+            except StateUnavailableError as error:
                 log.info("event=predecessors_unknown jobs=%d error=%s", len(unknown), error)
                 await self._loop.sleep(5 * TICK)
 
@@ -70,7 +79,7 @@
         A part that is taken over before would take the tasks of jobs that were released long ago for strays.
         """
         end = self._loop.now() + RESOLVE_LIMIT
-        while self._book.unknown() and self._loop.now() < end:
+        while self._job_store.unknown() and self._loop.now() < end:
             await self._loop.sleep(TICK / 4)
 
     # -- what is withdrawn with a predecessor
@@ -80,22 +89,22 @@
             await self._loop.sleep(TICK)
             due = self._due()
             while due:
-                batch, due = due[: max(1, self._state.most_changes // 2)], due[max(1, self._state.most_changes // 2) :]
+                batch, due = due[: max(1, self._state.max_changes // 2)], due[max(1, self._state.max_changes // 2) :]
                 try:
                     await self._withdraw(batch)
-                except (Unavailable, Unknown, Conflicted, LeaseGone) as error:
+                except (StateUnavailableError, OutcomeUnknownError, ConflictError, LeaseExpiredError) as error:
                     log.info("event=withdrawal_delayed jobs=%d error=%s", len(batch), error)
                     await self._loop.sleep(2 * TICK)
                     break
 
     def _due(self) -> list[str]:
-        now, doomed = self._loop.now(), self._book.dependencies.doomed
-        self._seen = {ref: self._seen.get(ref, now) for ref in doomed}
+        now, cancelled = self._loop.now(), self._job_store.dependencies.cancelled
+        self._seen = {ref: self._seen.get(ref, now) for ref in cancelled}
         return [ref for ref, since in self._seen.items() if now - since >= self._patience(ref)]
 
     def _patience(self, ref: str) -> timedelta:
         """The owner of a job's first tasks comes first, so that the others' writes do not fail for nothing."""
-        record = self._book.active.get(ref)
+        record = self._job_store.active.get(ref)
         if record is not None and record.ranges and self._owned(record.ranges[0][0]):
             return ZERO
         return OTHERS_WAIT + self._turn * OTHERS_WAIT / 3
@@ -103,20 +112,20 @@
     async def _withdraw(self, refs: list[str]) -> None:
         jobs: list[tuple[str, JobRecord]] = []
         for ref in refs:
-            record = self._book.active.get(ref)
-            if record is not None and self._replica.mark(JOBS + ref):
+            record = self._job_store.active.get(ref)
+            if record is not None and self._replica.revision_of(JOBS + ref):
                 jobs.append((ref, record))
         if not jobs:
             return
         today = self._loop.clock.today().timestamp()
-        pasts = {ref: records.write(PastRecord("withdrawn", record.job.tasks, today)) for ref, record in jobs}
+        pasts = {ref: records.write(FinalStateRecord("withdrawn", record.job.tasks, today)) for ref, record in jobs}
         changes: list[Put | Remove] = []
         for ref, past in pasts.items():
-            changes += [remove(JOBS + ref), put(PAST + ref, past)]
-        conditions = [when(JOBS + ref, self._replica.mark(JOBS + ref)) for ref in pasts]
+            changes += [remove(JOBS + ref), put(FINAL_STATES + ref, past)]
+        conditions = [when(JOBS + ref, self._replica.revision_of(JOBS + ref)) for ref in pasts]
         at = await self._state.transact(conditions, changes, Urgency.COMPLETE)
         for ref, past in pasts.items():
-            self._book.over(ref, past, at)
+            self._job_store.over(ref, past, at)
         log.info("event=withdrawn_with_predecessor jobs=%s", ",".join(pasts))
 
     # -- pages of jobs that are over
@@ -125,21 +134,23 @@
         while True:
             await self._loop.sleep(TIDY)
             now = self._loop.now()
-            self._idle = {ref: self._idle.get(ref, now) for ref in self._book.pages if ref not in self._book.active}
+            self._idle = {
+                ref: self._idle.get(ref, now) for ref in self._job_store.pages if ref not in self._job_store.active
+            }
             if not self._tidies():
                 continue
             try:
                 for ref in [ref for ref, since in self._idle.items() if now - since >= FORGOTTEN]:
                     await self._tidy(ref)
-            except (Unavailable, Unknown, Conflicted, LeaseGone) as error:
+            except (StateUnavailableError, OutcomeUnknownError, ConflictError, LeaseExpiredError) as error:
                 log.info("event=tidying_delayed error=%s", error)
 
     async def _tidy(self, ref: str) -> None:
-        found = await self._book.look_up(ref, Urgency.PROGRESS)
+        found = await self._job_store.look_up(ref, Urgency.PROGRESS)
         if found is not None and found[1] is not None:
             return  # it is not over
-        keys = sorted(self._book.pages.get(ref, ()))[: self._state.most_changes]
-        conditions = [when(key, self._replica.mark(key)) for key in keys]
+        keys = sorted(self._job_store.pages.get(ref, ()))[: self._state.max_changes]
+        conditions = [when(key, self._replica.revision_of(key)) for key in keys]
         if keys:
             at = await self._state.transact(conditions, [remove(key) for key in keys], Urgency.PROGRESS)
             for key in keys:
--- a/badgerroute/coordination/shares.py
+++ b/badgerroute/coordination/quotas.py
@@ -10,7 +10,7 @@
 from datetime import timedelta
 from math import inf
 
-from badgerroute.protocol.mesh import Lack
+from badgerroute.protocol.mesh import ShareRequest
 from badgerroute.protocol.state import Condition
 from badgerroute.scheduling.model import EPSILON, Room
 from badgerroute.settings import Settings, Team
@@ -18,7 +18,15 @@
 from badgerroute.storage.budget import Urgency
 from badgerroute.storage.records import ShareRecord
 from badgerroute.storage.replica import SHARES, Replica
-from badgerroute.storage.state import Conflicted, LeaseGone, StateClient, Unavailable, Unknown, put, when
+from badgerroute.storage.state import (
+    ConflictError,
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    StateClient,
+    StateUnavailableError,
+    put,
+    when,
+)
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger("badgerroute.shares")
@@ -26,7 +34,7 @@
 ASK_AGAIN = timedelta(seconds=1)
 
 
-class Shares:
+class TeamQuotas:
     def __init__(
         self,
         settings: Settings,
@@ -93,13 +101,13 @@
 
     def ask(
         self, part: int, team: str, lack: Room, age: timedelta, rank: tuple[float, float, float] | None, used: float
-    ) -> Lack | None:
+    ) -> ShareRequest | None:
         """The question to the siblings, not more than once in a while."""
         now = self._loop.now()
         if now - self._asked.get((part, team), -ASK_AGAIN) < ASK_AGAIN:
             return None
         self._asked[part, team] = now
-        return Lack(part, team, lack.cpus, lack.accelerators, age.total_seconds(), rank, used)
+        return ShareRequest(part, team, lack.cpus, lack.accelerators, age.total_seconds(), rank, used)
 
     async def give(self, giver: int, taker: int, team: str, lack: Room, spare: Room) -> None:
         """Move some of a part's unused share to another part."""
@@ -136,15 +144,15 @@
             return False
         key = SHARES + team
         value = records.write(ShareRecord(shares))
-        mark = self._replica.mark(key)
+        mark = self._replica.revision_of(key)
         self._writing.add(team)
         try:
             at = await self._state.transact([condition, when(key, mark)], [put(key, value)], Urgency.COMPLETE)
-        except (Conflicted, Unknown) as error:
+        except (ConflictError, OutcomeUnknownError) as error:
             log.debug("event=share_unsettled team=%s error=%s", team, error)
-            await self._settle(key, mark, unknown=isinstance(error, Unknown))
+            await self._settle(key, mark, unknown=isinstance(error, OutcomeUnknownError))
             return False
-        except (Unavailable, LeaseGone):
+        except (StateUnavailableError, LeaseExpiredError):
             return False
         finally:
             self._writing.discard(team)
@@ -165,5 +173,5 @@
                 at = await self._state.transact([when(key, mark)], [put(key, value)], Urgency.COMPLETE)
                 self._replica.learn(key, bytes(value), at)
                 return
-            except (Conflicted, Unknown, Unavailable):
+            except (ConflictError, OutcomeUnknownError, StateUnavailableError):
                 await self._loop.sleep(timedelta(milliseconds=300))
--- a/badgerroute/coordination/hearing.py
+++ b/badgerroute/coordination/reachability.py
@@ -19,11 +19,11 @@
 from badgerroute.transport.loop import Loop
 from badgerroute.transport.net import Network
 
-log = logging.getLogger("badgerroute.hearing")
+log = logging.getLogger("badgerroute.reachability")
 FEWEST = 3  # machines whose silence says something of us rather than of them
-KNOCKS = 2  # and one for each
-PER_KNOCK = 8  # silent machines
-KNOCK_KEPT = timedelta(seconds=6)
+MIN_MISDIRECTED = 2  # and one for each
+SILENT_PER_MISDIRECTED = 8  # silent machines
+MISDIRECTED_TTL = timedelta(seconds=6)
 PROBE_EVERY = timedelta(seconds=2)
 PROBES = 3
 PROBE_LIMIT = timedelta(seconds=1)
@@ -42,40 +42,40 @@
     return late if len(expected) >= FEWEST and 2 * late >= len(expected) else 0
 
 
-class Hearing:
+class WorkerReachability:
     def __init__(self, loop: Loop, network: Network, replica: Replica, random: Callable[[list[str], int], list[str]]):
         self._loop, self._network, self._replica, self._sample = loop, network, replica, random
-        self._knocks: dict[int, dict[str, timedelta]] = {}  # part -> machines that knock at our siblings' doors
-        self.deaf = False  # we gave a part away because no worker reached us, and none has since
+        self._misdirected: dict[int, dict[str, timedelta]] = {}  # part -> machines that knock at our siblings' doors
+        self.isolated = False  # we gave a part away because no worker reached us, and none has since
 
-    def knocked(self, knock: wire.Knock, silent: int) -> bool:
+    def note_misdirected(self, misdirected: wire.MisdirectedReport, silent: int) -> bool:
         """Note that a machine of ours reported to a sibling; whether too many of the silent ones do for chance."""
         now = self._loop.now()
-        known = self._knocks.setdefault(knock.part, {})
-        known[knock.machine] = now
-        for name in [name for name, at in known.items() if now - at > KNOCK_KEPT]:
+        known = self._misdirected.setdefault(misdirected.part, {})
+        known[misdirected.machine] = now
+        for name in [name for name, at in known.items() if now - at > MISDIRECTED_TTL]:
             del known[name]
-        return silent > 0 and len(known) >= max(KNOCKS, silent // PER_KNOCK)
+        return silent > 0 and len(known) >= max(MIN_MISDIRECTED, silent // SILENT_PER_MISDIRECTED)
 
-    def gave_up(self, part: int) -> None:
-        self._knocks.pop(part, None)
-        self.deaf = True
+    def part_given_up(self, part: int) -> None:
+        self._misdirected.pop(part, None)
+        self.isolated = True
 
     def heard(self) -> None:
-        self.deaf = False
+        self.isolated = False
 
     async def probe(self) -> None:
         """Find out when workers can be reached again: they have no reason to report to us by themselves."""
         while True:
             await self._loop.sleep(PROBE_EVERY)
-            if not self.deaf:
+            if not self.isolated:
                 continue
             members = self._replica.under(MACHINES)
             for key in self._sample(members, min(PROBES, len(members))):
                 value = self._replica.value(key)
                 if value is not None and await self._answers(records.read(value, MachineRecord).address):
                     log.info("event=workers_reached again=%s", key.removeprefix(MACHINES))
-                    self.deaf = False
+                    self.isolated = False
                     break
 
     async def _answers(self, address: str) -> bool:
--- a/badgerroute/coordination/split.py
+++ b/badgerroute/coordination/split.py
@@ -15,7 +15,7 @@
     need = need_of(job)
     return sum(
         one.count * Room(one.cpus, one.accelerators, one.memory_gb).times(need)
-        for one in summary.bins
+        for one in summary.capacities
         if (job.types is None or one.type in job.types)
         and (job.zone is None or job.zone == one.zone)
         and (job.spot or not one.spot)
@@ -23,7 +23,7 @@
 
 
 def _queued(summary: PartSummary) -> float:
-    return sum(want.count * max(want.cpus, want.accelerators, 0.01) for want in summary.wants)
+    return sum(want.count * max(want.cpus, want.accelerators, 0.01) for want in summary.demands)
 
 
 def _load(summary: PartSummary | None) -> float:
--- a/badgerroute/coordination/summary.py
+++ b/badgerroute/coordination/summary.py
@@ -4,17 +4,17 @@
 from collections.abc import Iterable
 from datetime import timedelta
 
-from badgerroute.protocol.mesh import Bin, PartSummary, Want
+from badgerroute.protocol.mesh import FreeCapacity, PartSummary, PendingDemand
 from badgerroute.protocol.users import Priority
 from badgerroute.scheduling.model import Machine, Room
 from badgerroute.scheduling.part import Part
 from badgerroute.scheduling.planner import Planner
 
-MOST_WANTS = 200
-MOST_BESIDE = 16  # machines that cache an image, of which the others are told
+MAX_DEMANDS = 200
+MAX_IMAGE_MACHINES = 16  # machines that cache an image, of which the others are told
 
 
-def idle_bins(part: Part) -> tuple[list[Bin], dict[str, tuple[float, float]]]:
+def idle_capacities(part: Part) -> tuple[list[FreeCapacity], dict[str, tuple[float, float]]]:
     """The free room of a part's machines, and where images lie in it."""
     images: dict[str, tuple[float, float]] = {}
     rooms: list[tuple[Machine, Room]] = []
@@ -26,10 +26,10 @@
         for image in machine.images:
             total, most = images.get(image, (0.0, 0.0))
             images[image] = (total + free.cpus, max(most, free.cpus))
-    return _bins(rooms), images
+    return _capacities(rooms), images
 
 
-def _bins(rooms: Iterable[tuple[Machine, Room]]) -> list[Bin]:
+def _capacities(rooms: Iterable[tuple[Machine, Room]]) -> list[FreeCapacity]:
     counts = Counter(
         (
             machine.kind.name,
@@ -41,12 +41,12 @@
         )
         for machine, room in rooms
     )
-    return [Bin(*key, count) for key, count in counts.items()]
+    return [FreeCapacity(*key, count) for key, count in counts.items()]
 
 
-def _wants(planner: Planner, now: timedelta) -> list[Want]:
+def _demands(planner: Planner, now: timedelta) -> list[PendingDemand]:
     return [
-        Want(
+        PendingDemand(
             one.ref,
             one.team,
             one.need.cpus,
@@ -61,7 +61,7 @@
             one.job.spec.zone,
             one.job.spec.spot,
         )
-        for one in planner.shapes(now)[:MOST_WANTS]
+        for one in planner.shapes(now)[:MAX_DEMANDS]
     ]
 
 
@@ -69,7 +69,7 @@
     part: Part, planner: Planner, levels: set[int], rents_ahead: bool, now: timedelta, silent: bool = False
 ) -> PartSummary:
     """`levels`: those of the gangs there are, which others may want to make room for here."""
-    bins, images = idle_bins(part)
+    capacities, images = idle_capacities(part)
     running = {
         job.ref: count
         for job in part.jobs.values()
@@ -80,11 +80,11 @@
         term=part.term,
         settled=part.settled,
         machines=len(part.machines),
-        bins=bins,
+        capacities=capacities,
         images=images,
-        beside=planner.room_beside_images(max(levels, default=Priority.URGENT.level), MOST_BESIDE),
-        soft={level: _bins(planner.room_without(level)) for level in levels},
-        wants=_wants(planner, now),
+        beside=planner.room_beside_images(max(levels, default=Priority.URGENT.level), MAX_IMAGE_MACHINES),
+        soft={level: _capacities(planner.room_without(level)) for level in levels},
+        demands=_demands(planner, now),
         freeing=0.0 if rents_ahead else planner.freeing(now),  # only renting by need looks at it
         running=running,
         used={team: (one.cpus, one.accelerators) for team, one in part.usage.items() if one.tasks},
--- a/badgerroute/protocol/common.py
+++ b/badgerroute/protocol/common.py
@@ -8,16 +8,16 @@
 NO_LIMIT = 2**64
 
 
-class Malformed(ValueError):
+class MalformedError(ValueError):
     """A message that breaks its interface's rules; the text names the field."""
 
 
 def decode(data: bytes, decoder: msgspec.json.Decoder) -> Any:
-    """Decode one JSON message; everything that can be wrong with it becomes `Malformed`."""
+    """Decode one JSON message; everything that can be wrong with it becomes `MalformedError`."""
     try:
         return decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError, OverflowError) as error:
-        raise Malformed(str(error)) from None
+        raise MalformedError(str(error)) from None
 
 
 encode = msgspec.json.encode
--- a/badgerroute/protocol/mesh.py
+++ b/badgerroute/protocol/mesh.py
@@ -1,12 +1,12 @@
 """Controllers <-> controllers: msgpack structs, one per frame. A lost message costs time, never safety."""
 
 import msgspec
-from msgspec import Struct
+from msgspec import Struct, field
 
 from badgerroute.protocol.users import Submission
 
 
-class Bin(Struct, array_like=True):
+class FreeCapacity(Struct, array_like=True):
     """Machines with the same free room."""
 
     type: str
@@ -18,7 +18,7 @@
     count: int
 
 
-class Want(Struct, array_like=True):
+class PendingDemand(Struct, array_like=True):
     """Waiting tasks of one job in one part."""
 
     ref: str
@@ -41,11 +41,11 @@
     term: int
     settled: bool
     machines: int
-    bins: list[Bin]
+    capacities: list[FreeCapacity] = field(name="bins")
     images: dict[str, tuple[float, float]]  # image -> free processors beside it: in all, and on one machine at most
     beside: dict[str, list[float]]  # image -> processors on machines that cache it, lesser work than gangs not counted
-    soft: dict[int, list[Bin]]  # level -> room there would be for it if lesser work were stopped
-    wants: list[Want]
+    soft: dict[int, list[FreeCapacity]]  # level -> room there would be for it if lesser work were stopped
+    demands: list[PendingDemand] = field(name="wants")
     freeing: float  # processors of small tasks that should end before a new machine could serve
     running: dict[str, int]
     used: dict[str, tuple[float, float]]
@@ -59,7 +59,7 @@
     lease: int
     ready: bool
     proved: bool  # the state service answered it within the last seconds
-    deaf: bool  # it knows that no worker reaches it
+    isolated: bool = field(name="deaf")  # it knows that no worker reaches it
     parts: list[PartSummary]
 
 
@@ -71,17 +71,17 @@
     value: bytes | None
 
 
-class Steal(Struct, tag="steal"):
+class StealRequest(Struct, tag="steal"):
     """An idle part asks a busy one for waiting tasks; the busy one's owner decides and writes."""
 
     victim: int
     thief: int
-    bins: list[Bin]
+    capacities: list[FreeCapacity] = field(name="bins")
     images: dict[str, tuple[float, float]]
     short: list[str] = []  # teams of which work waits at the thief already, for want of a share
 
 
-class Lack(Struct, tag="lack"):
+class ShareRequest(Struct, tag="lack"):
     """A part lacks a share of a team's limit; who has it unused may give it."""
 
     part: int
@@ -93,7 +93,7 @@
     used: float = 0.0  # processors that the part uses of the team's limit
 
 
-class Borrow(Struct, tag="borrow"):
+class MachineLoanRequest(Struct, tag="borrow"):
     """A part too small for a gang asks the others for empty machines."""
 
     part: int
@@ -101,7 +101,7 @@
     count: int
 
 
-class Knock(Struct, tag="knock"):
+class MisdirectedReport(Struct, tag="knock"):
     """A machine of a silent part reported to a controller that does not own it."""
 
     part: int
@@ -109,20 +109,29 @@
     host: str
 
 
-class Withdrawn(Struct, tag="withdrawn"):
+class CancellationNotice(Struct, tag="withdrawn"):
     """Jobs that are withdrawn, with the revisions of their final states. Repeated until it is acknowledged."""
 
     host: str
     jobs: list[tuple[str, int]]
 
 
-class WithdrawnHeard(Struct, tag="withdrawn_heard"):
+class CancellationAck(Struct, tag="withdrawn_heard"):
     """These are known to be withdrawn here too."""
 
     host: str
     refs: list[str]
 
 
-Message = Gossip | Push | Steal | Lack | Borrow | Knock | Withdrawn | WithdrawnHeard
+Message = (
+    Gossip
+    | Push
+    | StealRequest
+    | ShareRequest
+    | MachineLoanRequest
+    | MisdirectedReport
+    | CancellationNotice
+    | CancellationAck
+)
 encoder = msgspec.msgpack.Encoder()
 decoder = msgspec.msgpack.Decoder(Message)
--- a/badgerroute/protocol/users.py
+++ b/badgerroute/protocol/users.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import UNSET, Meta, Struct, field
 
-from badgerroute.protocol.common import Malformed, decode
+from badgerroute.protocol.common import MalformedError, decode
 
 REF = re.compile(r"run-[0-9A-Za-z_.-]{1,60}\Z")
 Text = Annotated[str, Meta(min_length=1, max_length=120)]
@@ -65,13 +65,13 @@
 def parse_submission(body: bytes) -> Submission:
     job = decode(body, _submission)
     if not REF.match(job.ref):
-        raise Malformed("ref: not a job id")
+        raise MalformedError("ref: not a job id")
     if job.estimate_s == 0 and job.kind != "daemon":  # a daemon runs until it is cancelled: docs/questions.md
-        raise Malformed("trek_s: must be above 0")
+        raise MalformedError("trek_s: must be above 0")
     if job.cpus == 0 and job.accelerators == 0 and job.memory_gb == 0:
-        raise Malformed("cpus: a task must take something of its machine")
+        raise MalformedError("cpus: a task must take something of its machine")
     if any(not REF.match(one) for one in job.predecessors or ()):
-        raise Malformed("follows: not a job id")
+        raise MalformedError("follows: not a job id")
     return job
 
 
--- a/badgerroute/protocol/workers.py
+++ b/badgerroute/protocol/workers.py
@@ -5,7 +5,7 @@
 import msgspec
 from msgspec import UNSET, Meta, Struct, UnsetType, field
 
-from badgerroute.protocol.common import NO_LIMIT, Malformed, decode
+from badgerroute.protocol.common import NO_LIMIT, MalformedError, decode
 
 Count = Annotated[int, Meta(ge=0)]
 Text = Annotated[str, Meta(min_length=1, max_length=120)]
@@ -42,13 +42,13 @@
 def parse_report(body: bytes) -> Report:
     report = decode(body, _report)
     if max(report.session, report.seq, report.token) >= NO_LIMIT:
-        raise Malformed("a counter is out of range")
+        raise MalformedError("a counter is out of range")
     host, _, port = report.address.rpartition(":")
     if not port.isdigit() or not 0 < int(port) < 65536 or not host:
-        raise Malformed("address: not host:port")
+        raise MalformedError("address: not host:port")
     for task in report.tasks:
         if task.attempt >= NO_LIMIT:
-            raise Malformed("try: out of range")
+            raise MalformedError("try: out of range")
     return report
 
 
--- a/badgerroute/scheduling/dependencies.py
+++ b/badgerroute/scheduling/dependencies.py
@@ -10,15 +10,15 @@
 
 
 class Dependencies:
-    """`final` tells what is known to be over; `released` and `doomed` are called once for each job that becomes so."""
+    """`final` tells what is known to be over; `released` and `cancelled` are told of each job once."""
 
-    def __init__(self, final: Final, released: Callable[[str], None], doomed: Callable[[str], None]) -> None:
-        self._final, self._released, self._doomed = final, released, doomed
+    def __init__(self, final: Final, released: Callable[[str], None], cancelled: Callable[[str], None]) -> None:
+        self._final, self._released, self._cancelled = final, released, cancelled
         self._needs: dict[str, tuple[str, ...]] = {}  # unfinished job -> its predecessors
         self._left: dict[str, set[str]] = {}  # job that waits -> predecessors that are not known to be done
         self._after: dict[str, float] = {}  # unfinished job -> when the last predecessor known to be done was done
         self._dependents: dict[str, dict[str, None]] = {}  # predecessor -> unfinished jobs that wait for it
-        self.doomed: set[str] = set()  # unfinished jobs that are withdrawn, since a predecessor is
+        self.cancelled: set[str] = set()  # unfinished jobs that are withdrawn, since a predecessor is
 
     def add(self, ref: str, predecessors: Iterable[str]) -> None:
         if ref in self._needs:
@@ -28,7 +28,7 @@
         self._left[ref] = left = set()
         lost = False
         for one in needs:
-            known = ("withdrawn", 0.0) if one in self.doomed else self._final(one)
+            known = ("withdrawn", 0.0) if one in self.cancelled else self._final(one)
             if known is None:
                 left.add(one)
                 self._dependents.setdefault(one, {})[ref] = None
@@ -37,7 +37,7 @@
             else:
                 lost = True
         if lost:
-            self._doom(ref)
+            self._cancel_downstream(ref)
         elif not left:
             del self._left[ref]
             self._released(ref)
@@ -48,7 +48,7 @@
             self._forget(one, ref)
         self._left.pop(ref, None)
         self._after.pop(ref, None)
-        self.doomed.discard(ref)
+        self.cancelled.discard(ref)
 
     def _forget(self, predecessor: str, ref: str) -> None:
         dependents = self._dependents.get(predecessor)
@@ -61,7 +61,7 @@
         """A job has its final state, durably."""
         for dependent in list(self._dependents.get(ref, ())):
             if state != "done":
-                self._doom(dependent)
+                self._cancel_downstream(dependent)
                 continue
             self._forget(ref, dependent)
             left = self._left.get(dependent)
@@ -69,20 +69,20 @@
                 continue
             left.discard(ref)
             self._after[dependent] = max(self._after[dependent], at)
-            if not left and dependent not in self.doomed:
+            if not left and dependent not in self.cancelled:
                 del self._left[dependent]
                 self._released(dependent)
 
-    def _doom(self, ref: str) -> None:
+    def _cancel_downstream(self, ref: str) -> None:
         """Withdrawn, and all that need it with it. A loop: chains may be long."""
         found = [ref]
         while found:
             one = found.pop()
-            if one in self.doomed or one not in self._needs:
+            if one in self.cancelled or one not in self._needs:
                 continue
-            self.doomed.add(one)
+            self.cancelled.add(one)
             found.extend(self._dependents.get(one, ()))
-            self._doomed(one)
+            self._cancelled(one)
 
     def waits(self, ref: str) -> bool:
         """Whether not all of a job's predecessors are known to be done: until then nothing of it is there to plan."""
@@ -111,7 +111,7 @@
                 else:
                     yield one
 
-    def handed_back(self, own: Callable[[str], float], step: Callable[[str], float]) -> dict[str, float]:
+    def inherited_minimum(self, own: Callable[[str], float], step: Callable[[str], float]) -> dict[str, float]:
         """For each job with dependents the least of its own value, and of theirs less a step each.
 
         With levels negated that is the highest level; with due times, and stages' lengths as steps, the earliest time.
@@ -121,7 +121,7 @@
             stack = [first]
             while stack:  # a loop, not a recursion: chains may be long
                 one = stack[-1]
-                later = [two for two in self._dependents.get(one, ()) if two not in self.doomed]
+                later = [two for two in self._dependents.get(one, ()) if two not in self.cancelled]
                 missing = [two for two in later if two not in found]
                 if missing and one not in found:
                     stack.extend(missing)
--- a/badgerroute/scheduling/ladder.py
+++ b/badgerroute/scheduling/ladder.py
@@ -19,7 +19,7 @@
     ANY = 2
 
 
-class Whereabouts:
+class ImageLocations:
     """Where images are cached in a part, gathered once for a round of decisions."""
 
     def __init__(self, machines: Iterable[Machine]) -> None:
@@ -51,7 +51,7 @@
     job: Job,
     wait: timedelta,
     fetch: timedelta,
-    images: Whereabouts,
+    images: ImageLocations,
     correction: float,
     settings: Scheduling,
     start_within: timedelta | None = None,
@@ -74,7 +74,7 @@
     return Rung.CACHED
 
 
-def rung_of(job: Job, machine: Machine, images: Whereabouts) -> Rung:
+def rung_of(job: Job, machine: Machine, images: ImageLocations) -> Rung:
     """The rung that starting the job on this machine would be."""
     if job.spec.image in machine.images:
         return Rung.CACHED
--- a/badgerroute/scheduling/model.py
+++ b/badgerroute/scheduling/model.py
@@ -11,7 +11,7 @@
 from badgerroute.storage.records import lowest
 
 EPSILON = 1e-6
-MOST_TIMES = 1_000_000  # more tasks than a job may have
+MAX_TIMES = 1_000_000  # more tasks than a job may have
 ZERO = timedelta(0)
 
 
@@ -63,7 +63,7 @@
             )
             if needed > 0
         ]
-        return max(0, int(min([MOST_TIMES, *counts])))
+        return max(0, int(min([MAX_TIMES, *counts])))
 
     def copy(self) -> "Room":
         return Room(self.cpus, self.accelerators, self.memory_gb)
@@ -133,7 +133,7 @@
     alive: bool = False
     dead_session: int = 0  # its lease ended in this session: whatever still comes from it is an old copy
     untaken: int = 0  # reports in a row that lacked a start which an answer of ours had carried
-    deaf: bool = False  # its reports reach us, but it seems that our answers don't reach it
+    unreachable: bool = False  # its reports reach us, but it seems that our answers don't reach it
     lost_at: timedelta | None = None  # when its lease was found to be over
     notice: timedelta | None = None  # steady time at which the cloud takes it
     draining: bool = False
@@ -151,7 +151,7 @@
 
     @property
     def usable(self) -> bool:
-        return self.alive and self.fenced and not self.draining and not self.deaf and self.notice is None
+        return self.alive and self.fenced and not self.draining and not self.unreachable and self.notice is None
 
     @property
     def empty(self) -> bool:
@@ -217,7 +217,7 @@
     run_count: int = 0
     failed_on: dict[str, int] = field(default_factory=dict)  # machine -> tasks of it that failed there
     failed_at: timedelta = ZERO
-    mistaken: bool = False  # it fails wherever it goes, so the fault is its own: tried now and then, a task at a time
+    failing: bool = False  # it fails wherever it goes, so the fault is its own: tried now and then, a task at a time
     probes: int = 0  # times that it was tried since
     stopped: int = 0  # times that a gang was stopped for another job
     blocked_until: timedelta = ZERO
@@ -252,7 +252,7 @@
     def startable(self) -> int:
         """How many of its tasks are worth a place now: of a job that fails everywhere one at a time, or its gang."""
         count = self.waiting_bits.bit_count()
-        if self.mistaken and not self.gang:
+        if self.failing and not self.gang:
             return min(count, 0 if self.placed else 1)
         return count
 
--- a/badgerroute/scheduling/part.py
+++ b/badgerroute/scheduling/part.py
@@ -29,11 +29,11 @@
 SICK_TRIES = 3
 AVOIDED = timedelta(seconds=5)
 FORGIVEN = timedelta(seconds=30)  # after so long a job may go back to a machine on which it failed
-MISTAKEN = 3  # a job that fails on so many machines, and is done on none, is taken to be at fault itself
+FAILING_AFTER_MACHINES = 3  # a job that fails on so many machines, and is done on none, is taken to be at fault itself
 UNTAKEN = 2  # one answer may be lost on its way
-MOST_REJOINS = 12  # a gang one of whose machines has no image by then is placed anew
+MAX_REJOINS = 12  # a gang one of whose machines has no image by then is placed anew
 BACKOFF = timedelta(seconds=2)
-MOST_BACKOFF = timedelta(seconds=60)
+MAX_BACKOFF = timedelta(seconds=60)
 
 
 @dataclass(slots=True)
@@ -69,7 +69,7 @@
 
     progressed: set[str] = field(default_factory=set)  # jobs with tasks newly done
     freed: bool = False
-    sick: list[Machine] = field(default_factory=list)
+    quarantined: list[Machine] = field(default_factory=list)
 
 
 class Part:
@@ -91,7 +91,9 @@
         self.usage: defaultdict[str, Usage] = defaultdict(Usage)
         self.estimates = Estimates()
         self.settled = False  # every member fenced or provably rid of its tasks: until then nothing is placed
-        self.promised: dict[str, tuple[Room, timedelta]] = {}  # team -> of its share, what is kept for another part
+        self.reserved_for_siblings: dict[
+            str, tuple[Room, timedelta]
+        ] = {}  # team -> of its share, what is kept for another part
         self._counter = 0
         self._fastest = 1e-6  # GB a second, of the machines ever here
 
@@ -155,7 +157,7 @@
         job.owned = owned
         job.done |= done
         job.done_here &= ~job.done
-        job.mistaken = job.mistaken and not job.done  # it was done elsewhere
+        job.failing = job.failing and not job.done  # it was done elsewhere
         if job.over:
             del self.jobs[ref]
             return None
@@ -195,8 +197,8 @@
     def fits_share(self, job: Job, tasks: int = 1) -> int:
         """How many of so many tasks the team's share still has room for."""
         cpus, accelerators = self.shares(job.spec.team)
-        if job.spec.team in self.promised:
-            kept = self.promised[job.spec.team][0]
+        if job.spec.team in self.reserved_for_siblings:
+            kept = self.reserved_for_siblings[job.spec.team][0]
             cpus, accelerators = cpus - kept.cpus, accelerators - kept.accelerators
         used = self.usage[job.spec.team]
         fitting = Room(cpus - used.cpus, accelerators - used.accelerators).times(
@@ -204,16 +206,16 @@
         )
         return max(0, min(tasks, fitting))
 
-    def promise(self, team: str, room: Room, until: timedelta) -> None:
+    def reserve_for_sibling(self, team: str, room: Room, until: timedelta) -> None:
         """As the team's tasks end here, start nothing in so much of its share: another part is to have it."""
         if room.cpus > EPSILON or room.accelerators > EPSILON:
-            self.promised[team] = (room, until)
+            self.reserved_for_siblings[team] = (room, until)
         else:
-            self.promised.pop(team, None)
+            self.reserved_for_siblings.pop(team, None)
 
-    def end_promises(self, now: timedelta) -> None:
-        for team in [team for team, (_, until) in self.promised.items() if until < now]:
-            del self.promised[team]
+    def expire_reservations(self, now: timedelta) -> None:
+        for team in [team for team, (_, until) in self.reserved_for_siblings.items() if until < now]:
+            del self.reserved_for_siblings[team]
 
     def short_of_share(self, job: Job) -> bool:
         """Whether a job waits for want of a share: a gang for the whole of it, an array for that of one task."""
@@ -299,13 +301,13 @@
             return None
         events = Events()
         if not checkin:
-            machine.deaf, machine.untaken = False, 0  # it answered a command, so it hears us
+            machine.unreachable, machine.untaken = False, 0  # it answered a command, so it hears us
         if report.session > machine.session and machine.session:
             # The lease expired in between: everything that was on the machine is dead.
             self.lose_tasks(machine, now)
             events.freed = True
             if checkin and machine.answered is not None and now - machine.answered < self._lease:
-                self._deafen(machine)  # its lease ran out although we answered: it does not hear us
+                self._mark_unreachable(machine)  # its lease ran out although we answered: it does not hear us
         # After a silence, of the machine's or ours, there is no telling when what it says came about.
         prompt = machine.heard is not None and now - machine.heard <= self._lease / 3
         machine.session, machine.seq = report.session, report.seq
@@ -351,7 +353,7 @@
         if untaken:
             machine.untaken += 1
             if machine.untaken >= UNTAKEN:
-                self._deafen(machine)
+                self._mark_unreachable(machine)
         elif machine.placements:
             machine.untaken = 0
         if not machine.placements:
@@ -359,11 +361,11 @@
                 machine.idle_since = now
         return events
 
-    def _deafen(self, machine: Machine) -> None:
+    def _mark_unreachable(self, machine: Machine) -> None:
         """Nothing more is placed there, or it would be started, found missing and started again for ever."""
-        if not machine.deaf:
+        if not machine.unreachable:
             log.info("event=machine_deaf machine=%s part=%d", machine.name, self.number)
-        machine.deaf = True
+        machine.unreachable = True
         for placement in list(machine.placements.values()):
             if placement.phase is Phase.RESERVED:
                 self._forget(placement)
@@ -468,7 +470,7 @@
         return (
             job.gang
             and len(job.placed) == job.spec.tasks  # else it waits for nobody
-            and placement.rejoined < MOST_REJOINS
+            and placement.rejoined < MAX_REJOINS
             and placement.machine.usable
             and placement.attempt == job.gang_attempt
             and not any(one.stopping or one.running_since is not None for one in job.placed.values())
@@ -512,7 +514,7 @@
     ) -> None:
         if cause == "error":
             job.failed_on[machine.name] = job.failed_on.get(machine.name, 0) + 1
-            if self._seems_mistaken(job):
+            if self._seems_failing(job):
                 self._blame_job(job, machine, now)
             else:
                 job.failed_at = now
@@ -522,22 +524,22 @@
                 # Time for the same jobs to fail elsewhere: two mistaken ones may happen to fail here first.
                 judged = now - min(machine.failed_jobs.values()) >= AVOIDED
                 if again or known_good or (judged and self._only_here(machine) >= SICK_JOBS):
-                    self._sicken(machine, events)
+                    self._quarantine(machine, events)
         elif cause in ("no_room", "in_use"):
             machine.avoid_until = now + timedelta(seconds=2)
         elif cause == "no_such":
             job.blocked_until = now + BACKOFF
 
     @staticmethod
-    def _seems_mistaken(job: Job) -> bool:
+    def _seems_failing(job: Job) -> bool:
         """Whether the job's failures are its own: no task of it was ever done, and it fails wherever it goes.
 
         Many machines may be sick at once, so it must have failed on more of them than it runs on.
         """
-        if job.mistaken or job.done | job.done_here:
-            return job.mistaken
+        if job.failing or job.done | job.done_here:
+            return job.failing
         running = {one.machine.name for one in job.placed.values() if one.running_since is not None}
-        return len(job.failed_on) >= MISTAKEN and len(job.failed_on) > len(running - job.failed_on.keys())
+        return len(job.failed_on) >= FAILING_AFTER_MACHINES and len(job.failed_on) > len(running - job.failed_on.keys())
 
     def _only_here(self, machine: Machine) -> int:
         """How many jobs failed on this machine and nowhere else; those that fail elsewhere too may be mistaken."""
@@ -546,7 +548,7 @@
 
     def forgive(self, job: Job, now: timedelta) -> None:
         """Else a job would wait for ever where only machines that it once failed on may run it."""
-        if job.failed_on and not job.mistaken and now - job.failed_at >= FORGIVEN:
+        if job.failed_on and not job.failing and now - job.failed_at >= FORGIVEN:
             job.failed_on = {}
 
     def _blame_job(self, job: Job, machine: Machine, now: timedelta) -> None:
@@ -554,33 +556,33 @@
 
         A few such jobs once had dozens of machines called sick, drained and deleted, with all that ran on them.
         """
-        if not job.mistaken:
+        if not job.failing:
             log.info("event=job_mistaken job=%s part=%d machines=%d", job.ref, self.number, len(job.failed_on))
-            job.mistaken = True
+            job.failing = True
             for name in job.failed_on:
                 one = self.machines.get(name)
                 if one is not None and one.failed_jobs.pop(job.ref, None) is not None and not one.failed_jobs:
                     one.avoid_until = ZERO
         if now >= job.blocked_until:  # the rest of a wave that was started before says nothing new
             job.probes += 1
-            job.blocked_until = now + min(MOST_BACKOFF, BACKOFF * 2 ** min(10, job.probes))
+            job.blocked_until = now + min(MAX_BACKOFF, BACKOFF * 2 ** min(10, job.probes))
         job.failed_on = {machine.name: 1}  # any other will do for the next probe
 
     def _blame_machines(self, job: Job, machine: Machine, events: Events) -> None:
         """A task of the job was done, so there is nothing wrong with it: its failures were their machines'."""
         failed, job.failed_on = job.failed_on, {}
-        job.mistaken, job.probes, job.blocked_until = False, 0, ZERO
+        job.failing, job.probes, job.blocked_until = False, 0, ZERO
         for name, tasks in failed.items():
             one = self.machines.get(name)
             if one is None or one is machine or job.ref not in one.failed_jobs:
                 continue
             if tasks >= SICK_TRIES or len(one.failed_jobs) >= SICK_JOBS:
-                self._sicken(one, events)
+                self._quarantine(one, events)
 
-    def _sicken(self, machine: Machine, events: Events) -> None:
+    def _quarantine(self, machine: Machine, events: Events) -> None:
         if not machine.draining:
             machine.draining = True
-            events.sick.append(machine)
+            events.quarantined.append(machine)
             log.info("event=machine_sick machine=%s jobs=%d", machine.name, len(machine.failed_jobs))
 
     # -- answers
--- a/badgerroute/scheduling/planner.py
+++ b/badgerroute/scheduling/planner.py
@@ -52,7 +52,7 @@
         self._tiers: dict[str, float] = {}
         self._ordered_at = -timedelta(days=1)
         self._least = Room()  # no array task that waits takes less than this
-        self._images = ladder.Whereabouts([])
+        self._images = ladder.ImageLocations([])
         self._gang_cursor = 0
         self._fill_cursor = 0
         self.short_of_share: dict[str, Room] = {}  # what teams lacked in the last rounds
@@ -64,7 +64,7 @@
         if now - self._ordered_at < ORDER_KEPT:
             return
         self._ordered_at = now
-        self._images = ladder.Whereabouts(self.part.machines.values())
+        self._images = ladder.ImageLocations(self.part.machines.values())
         waiting = [job for job in self.part.jobs.values() if job.waiting_bits and job.blocked_until <= now]
         for job in waiting:
             self.part.forgive(job, now)
@@ -186,7 +186,7 @@
         spec = job.spec
         if not machine.free.holds(job.need) or not allows(spec, machine.kind.name, machine.zone, machine.spot):
             return False
-        if job.mistaken and job.placed:
+        if job.failing and job.placed:
             return False
         if machine.name in job.failed_on or ladder.rung_of(job, machine, self._images) is not rung:
             return False
@@ -212,7 +212,7 @@
         if not machine.free.holds(job.need) or (not beyond and len(job.placed) >= job.desire):
             return False
         bits = job.waiting_bits
-        if not bits or (job.mistaken and job.placed) or not self._zone_allowed(job, machine.zone, 1):
+        if not bits or (job.failing and job.placed) or not self._zone_allowed(job, machine.zone, 1):
             return False
         if not self.part.fits_share(job):
             self._lacks(job, bits.bit_count())
@@ -313,10 +313,10 @@
             options.append((rung, spoilt, machine.free.cpus, due, machine))
         chosen = self._choose(job, tasks, options)
         if chosen is None:
-            if make_room and not blocked_by_rung and not job.mistaken:
+            if make_room and not blocked_by_rung and not job.failing:
                 self._make_room_for_gang(job, tasks, now)
             return False
-        if not job.mistaken and self._better_beside_image(job, tasks, chosen, wait, now):  # it waits for room there
+        if not job.failing and self._better_beside_image(job, tasks, chosen, wait, now):  # it waits for room there
             return False
         attempt = self.part.next_attempt()
         log.debug(
@@ -395,7 +395,7 @@
                     total += job.need.cpus
         return total
 
-    def stuck_gangs(self, now: timedelta) -> list[Job]:
+    def unplaceable_gangs(self, now: timedelta) -> list[Job]:
         """Gangs that have waited long and for which no room could be made in this part."""
         holders = {one.held_for for one in self.part.machines.values()}
         return [
@@ -403,7 +403,7 @@
             for job in self._order
             if job.gang
             and not job.placed
-            and not job.mistaken
+            and not job.failing
             and job.ref not in holders
             and job.waiting_bits
             and now - job.since >= self._patience(job)
@@ -586,7 +586,7 @@
         self._refresh(now)
         coming = sum(machine.leaving for machine in self.part.machines.values())  # room on its way already
         for job in self._order:
-            if job.gang or job.mistaken or now - job.since < self._patience(job):
+            if job.gang or job.failing or now - job.since < self._patience(job):
                 continue
             bits = job.waiting_bits
             if not bits or now - min(job.requeued.get(lowest(bits), job.since), now) < self._patience(job):
--- a/badgerroute/settings.py
+++ b/badgerroute/settings.py
@@ -98,12 +98,12 @@
     next: NextLimits | None = None
 
     @property
-    def most_changes(self) -> int:
+    def max_changes(self) -> int:
         """In one transaction, now and later: nobody says when the lower limit comes."""
         return min(self.txn_ops, (self.next and self.next.txn_ops) or self.txn_ops)
 
     @property
-    def most_bytes(self) -> int:
+    def max_value_bytes(self) -> int:
         """Of a value, now and later."""
         return int(min(self.value_kb, (self.next and self.next.value_kb) or self.value_kb) * 1024)
 
--- a/badgerroute/storage/budget.py
+++ b/badgerroute/storage/budget.py
@@ -20,7 +20,7 @@
     PROGRESS = 5
 
 
-class Exhausted(Exception):
+class BudgetExhaustedError(Exception):
     """The budget gives nothing within the time the asker can wait."""
 
 
@@ -56,7 +56,7 @@
         self._arm()
         try:
             if not await self._loop.first(granted, limit):
-                raise Exhausted(f"no budget within {limit.total_seconds():.1f} s")
+                raise BudgetExhaustedError(f"no budget within {limit.total_seconds():.1f} s")
         finally:
             if not granted.done:
                 granted.set()  # whoever looks at it next skips it
--- a/badgerroute/storage/cloud.py
+++ b/badgerroute/storage/cloud.py
@@ -7,25 +7,25 @@
 import msgspec
 
 from badgerroute.protocol import cloud as wire
-from badgerroute.protocol.common import Malformed, decode, encode
+from badgerroute.protocol.common import MalformedError, decode, encode
 from badgerroute.settings import CloudLimits
-from badgerroute.storage.budget import Budget, Exhausted, Urgency
+from badgerroute.storage.budget import Budget, BudgetExhaustedError, Urgency
 from badgerroute.transport.http import Client, Response, Unanswered
 from badgerroute.transport.loop import Loop
 from badgerroute.transport.net import Network
 
 log = logging.getLogger("badgerroute.cloud")
 LIMIT = timedelta(seconds=6)
-MOST_RENTED = 50
-MOST_DELETED = 100
+MAX_MACHINES_PER_RENTAL = 50
+MAX_MACHINES_PER_DELETION = 100
 PAGE = 500
 
 
-class CloudUnavailable(Exception):
+class CloudUnavailableError(Exception):
     """No usable answer; the request may have been carried out, or may yet be."""
 
 
-class NoCapacity(Exception):
+class NoCapacityError(Exception):
     """None to be had of this type, in this zone, of this kind."""
 
 
@@ -38,32 +38,32 @@
         try:
             await self._budget.take(1, urgency, LIMIT)
             response = await self._client.request(method, target, body, LIMIT)
-        except (Exhausted, Unanswered) as error:
-            raise CloudUnavailable(str(error)) from None
+        except (BudgetExhaustedError, Unanswered) as error:
+            raise CloudUnavailableError(str(error)) from None
         if response.status == 503 and b"no capacity" in response.body:
-            raise NoCapacity
+            raise NoCapacityError
         if response.status != 200:
-            raise CloudUnavailable(f"status {response.status}")
+            raise CloudUnavailableError(f"status {response.status}")
         return response
 
     @staticmethod
     def _decoded(response: Response, decoder: msgspec.json.Decoder) -> Any:
         try:
             return decode(response.body, decoder)
-        except Malformed as error:
-            raise CloudUnavailable(f"nonsense from the cloud: {error}") from None
+        except MalformedError as error:
+            raise CloudUnavailableError(f"nonsense from the cloud: {error}") from None
 
     async def catalog(self) -> list[wire.MachineType]:
         return self._decoded(await self._call("GET", "/catalog", b"", Urgency.READ), wire.catalog_decoder).types
 
     async def rent(self, request: str, kind: str, zone: str, spot: bool, count: int) -> list[str]:
-        body = encode(wire.RentalRequest(request, kind, zone, spot, min(count, MOST_RENTED)))
+        body = encode(wire.RentalRequest(request, kind, zone, spot, min(count, MAX_MACHINES_PER_RENTAL)))
         response = await self._call("POST", "/rentals", body, Urgency.COMPLETE)
         return self._decoded(response, wire.rented_decoder).machines
 
     async def delete(self, names: list[str]) -> None:
         """When this returns, the machines and everything on them are gone."""
-        body = encode(wire.Deletion(names[:MOST_DELETED]))
+        body = encode(wire.Deletion(names[:MAX_MACHINES_PER_DELETION]))
         await self._call("POST", "/rentals/delete", body, Urgency.CLAIM)
 
     async def machines(self) -> list[wire.ListedMachine]:
--- a/badgerroute/storage/records.py
+++ b/badgerroute/storage/records.py
@@ -29,7 +29,7 @@
     spot: bool
 
 
-class GoneRecord(Struct):
+class DeletedMachinesRecord(Struct):
     """Machines of a part that were deleted lately."""
 
     names: list[str]
@@ -41,7 +41,7 @@
     shares: dict[str, tuple[float, float]]
 
 
-class PastRecord(Struct):
+class FinalStateRecord(Struct):
     """A final state, kept for ever, and the time of day at which it was reached (0: written by an older version)."""
 
     state: str
@@ -143,9 +143,9 @@
     return joined
 
 
-def window(most_bytes: int) -> int:
+def window(max_value_bytes: int) -> int:
     """How far beyond its first unfinished task a job may start others, so that its record fits its key."""
-    return max(64, most_bytes // 2 * 6)
+    return max(64, max_value_bytes // 2 * 6)
 
 
 _decoders: dict[type, msgspec.json.Decoder] = {}
--- a/badgerroute/storage/replica.py
+++ b/badgerroute/storage/replica.py
@@ -8,13 +8,13 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from badgerroute.storage.state import StateClient, TooOld, Unavailable
+from badgerroute.storage.state import StateClient, StateUnavailableError, WatchExpiredError
 from badgerroute.transport.clock import ZERO
 from badgerroute.transport.loop import Future, Loop
 
 log = logging.getLogger("badgerroute.replica")
 PREFIX = "b/"
-PARTS, FLEET, JOBS, PAST, MACHINES, SHARES, CATALOG, GONE, DONE, PREDECESSORS = (
+PARTS, FLEET, JOBS, FINAL_STATES, MACHINES, SHARES, CATALOG, DELETED, DONE, PREDECESSORS = (
     "b/parts/",
     "b/fleet",
     "b/jobs/",
@@ -28,7 +28,7 @@
 )
 # What jobs need beside their records is listed first, so that it is there when they are. Finished jobs are for ever,
 # and too many to hold.
-LISTED = (DONE, PREDECESSORS, PARTS, FLEET, JOBS, MACHINES, SHARES, CATALOG, GONE)
+LISTED = (DONE, PREDECESSORS, PARTS, FLEET, JOBS, MACHINES, SHARES, CATALOG, DELETED)
 NOWHERE = PREFIX + "nowhere"  # a key that never exists
 BLOCK = timedelta(seconds=1)
 PAUSE = timedelta(milliseconds=150)  # between two watches: each one counts as a request
@@ -47,7 +47,7 @@
         self._loop, self._state = loop, state
         self.items: dict[str, tuple[bytes, int]] = {}
         self._under: dict[str, dict[str, None]] = {}
-        self._gone: dict[str, int] = {}  # removals that the watch has not covered yet
+        self._deleted: dict[str, int] = {}  # removals that the watch has not covered yet
         self.revision = 0
         self.ready = Future()
         self.proved = -timedelta(days=1)  # when the last watch that was answered had been sent
@@ -59,7 +59,7 @@
     def listen(self, prefix: str, listener: Listener) -> None:
         self._listeners.append((prefix, listener))
 
-    def mark(self, key: str) -> int:
+    def revision_of(self, key: str) -> int:
         """Revision of a key; 0 if it does not exist."""
         item = self.items.get(key)
         return item[1] if item else 0
@@ -86,18 +86,18 @@
             self._apply(key, value, revision)
 
     def _apply(self, key: str, value: bytes | None, revision: int) -> None:
-        if revision <= self.mark(key) or revision <= self._gone.get(key, 0):
+        if revision <= self.revision_of(key) or revision <= self._deleted.get(key, 0):
             return
         if value is None:
             self._drop(key)
-            self._gone[key] = revision
+            self._deleted[key] = revision
         else:
             if key not in self.items:
                 self._under.setdefault(_prefix(key), {})[key] = None
             self.items[key] = (value, revision)
-            self._gone.pop(key, None)
+            self._deleted.pop(key, None)
         self._notify(key, value, revision)
-        if key.startswith(PAST):
+        if key.startswith(FINAL_STATES):
             self._drop(key)
 
     def _notify(self, key: str, value: bytes | None, revision: int) -> None:
@@ -110,8 +110,8 @@
 
     def _covered(self, revision: int) -> None:
         self.revision = max(self.revision, revision)
-        if self._gone:
-            self._gone = {key: mark for key, mark in self._gone.items() if mark > self.revision}
+        if self._deleted:
+            self._deleted = {key: mark for key, mark in self._deleted.items() if mark > self.revision}
         if self._advanced:
             waiting, self._advanced = self._advanced, []
             for wanted, future in waiting:
@@ -137,7 +137,7 @@
         self._readers.append(reader)
         self._wanted.set()
         if not await self._loop.first(reader, READ_LIMIT):
-            raise Unavailable("the watch lags behind")
+            raise StateUnavailableError("the watch lags behind")
         await reader
 
     async def answer_readers(self) -> None:
@@ -148,7 +148,7 @@
             readers, self._readers = self._readers, []
             try:
                 revision = await self._state.revision(NOWHERE)
-            except Unavailable as error:
+            except StateUnavailableError as error:
                 for reader in readers:
                     reader.fail(error)
             else:
@@ -187,11 +187,11 @@
                     await self._load()
                     loaded = True
                 changes = await self._state.follow(PREFIX, self.revision, BLOCK)
-            except TooOld:
+            except WatchExpiredError:
                 log.info("event=watch_too_old")
                 loaded = False
                 continue
-            except Unavailable as error:
+            except StateUnavailableError as error:
                 log.info("event=watch_failed error=%s", error)
                 await self._loop.sleep(delay)
                 delay = min(2 * delay, timedelta(seconds=1))
--- a/badgerroute/storage/state.py
+++ b/badgerroute/storage/state.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from badgerroute.protocol import state as wire
-from badgerroute.protocol.common import Malformed, decode, encode
+from badgerroute.protocol.common import MalformedError, decode, encode
 from badgerroute.settings import StateLimits
-from badgerroute.storage.budget import Budget, Exhausted, Urgency
+from badgerroute.storage.budget import Budget, BudgetExhaustedError, Urgency
 from badgerroute.transport.http import Client, Response, Unanswered
 from badgerroute.transport.loop import Loop
 from badgerroute.transport.net import Network
@@ -24,29 +24,29 @@
 SLACK = 0.95  # budgets stay a little below the published limits: clocks differ, and a 429 helps nobody
 
 
-class Unavailable(Exception):
+class StateUnavailableError(Exception):
     """Nothing was done, and nothing will be done later."""
 
 
-class Unknown(Exception):
+class OutcomeUnknownError(Exception):
     """The transaction may have been applied, or may yet be: read back before going on."""
 
 
-class Conflicted(Exception):
+class ConflictError(Exception):
     def __init__(self, failed: list[str]) -> None:
         super().__init__(f"conditions failed: {failed}")
         self.failed = failed
 
 
-class Refused(Unavailable):
+class RequestRefusedError(StateUnavailableError):
     """The service calls the transaction malformed or too large: as it is, it must not be sent again."""
 
 
-class LeaseGone(Exception):
+class LeaseExpiredError(Exception):
     """The lease has ended, and the keys attached to it are gone."""
 
 
-class TooOld(Exception):
+class WatchExpiredError(Exception):
     """A watch began before what the service still remembers."""
 
 
@@ -74,8 +74,8 @@
         self._limits = limits
         self._over: list[timedelta] = []  # when the service lately said that we are over its limits
         # Kept to from the first write on, though the service may still take more: nobody says when it no longer does.
-        self.most_changes = limits.most_changes
-        self.most_bytes = int(limits.most_bytes * SLACK)
+        self.max_changes = limits.max_changes
+        self.max_value_bytes = int(limits.max_value_bytes * SLACK)
         self.requests = 0
         self.conflicts = 0
 
@@ -107,8 +107,8 @@
         """What was refused must not come again: from now on everything is kept smaller than that was."""
         self._lower("400")
         if changes > 2:
-            self.most_changes = max(2, min(self.most_changes, changes) // 2)
-        self.most_bytes = max(LEAST_BYTES, min(self.most_bytes, len(body) * 3 // 4))
+            self.max_changes = max(2, min(self.max_changes, changes) // 2)
+        self.max_value_bytes = max(LEAST_BYTES, min(self.max_value_bytes, len(body) * 3 // 4))
         log.warning(
             "event=state_refused changes=%d conditions=%d bytes=%d body=%s", changes, conditions, len(body), body[:120]
         )
@@ -124,51 +124,51 @@
     ) -> Response:
         try:
             await self._reads.take(1, urgency, limit)
-        except Exhausted as error:
-            raise Unavailable(str(error)) from None
+        except BudgetExhaustedError as error:
+            raise StateUnavailableError(str(error)) from None
         self.requests += 1
         try:
             response = await (client or self._client).request(method, target, body, limit)
         except Unanswered as error:
             if error.sent:
-                raise Unknown(str(error)) from None
-            raise Unavailable(str(error)) from None
+                raise OutcomeUnknownError(str(error)) from None
+            raise StateUnavailableError(str(error)) from None
         if response.status == 429:
             self._over_limit()
         if response.status in (429, 503):
-            raise Unavailable(f"status {response.status}")
+            raise StateUnavailableError(f"status {response.status}")
         return response
 
     @staticmethod
     def _decoded(response: Response, decoder: msgspec.json.Decoder) -> Any:
         try:
             return decode(response.body, decoder)
-        except Malformed as error:
-            raise Unknown(f"nonsense from the state service: {error}") from None
+        except MalformedError as error:
+            raise OutcomeUnknownError(f"nonsense from the state service: {error}") from None
 
     async def get(self, key: str, urgency: Urgency = Urgency.READ) -> wire.Item | None:
         try:
             response = await self._call("GET", "/kv/" + quote(key, safe="/"), b"", urgency)
-        except Unknown as error:  # a read changes nothing, so whether it happened does not matter
-            raise Unavailable(str(error)) from None
+        except OutcomeUnknownError as error:  # a read changes nothing, so whether it happened does not matter
+            raise StateUnavailableError(str(error)) from None
         if response.status == 404:
             return None
         if response.status != 200:
-            raise Unavailable(f"status {response.status}")
+            raise StateUnavailableError(f"status {response.status}")
         try:
             return self._decoded(response, wire.item_decoder)
-        except Unknown as error:
-            raise Unavailable(str(error)) from None
+        except OutcomeUnknownError as error:
+            raise StateUnavailableError(str(error)) from None
 
     async def revision(self, absent: str, urgency: Urgency = Urgency.READ) -> int:
         """What the service has applied by now: it says so when asked for a key that is not there."""
         try:
             response = await self._call("GET", "/kv/" + quote(absent, safe="/"), b"", urgency)
             if response.status != 404:
-                raise Unavailable(f"status {response.status}")
+                raise StateUnavailableError(f"status {response.status}")
             return self._decoded(response, wire.missing_decoder).revision
-        except Unknown as error:
-            raise Unavailable(str(error)) from None
+        except OutcomeUnknownError as error:
+            raise StateUnavailableError(str(error)) from None
 
     async def list(self, prefix: str) -> tuple[list[wire.Item], int]:
         """All items under a prefix, and a revision that none of the pages is older than."""
@@ -181,10 +181,10 @@
             try:
                 response = await self._call("GET", target, b"", Urgency.CLAIM)
                 if response.status != 200:
-                    raise Unavailable(f"status {response.status}")
+                    raise StateUnavailableError(f"status {response.status}")
                 page = self._decoded(response, wire.listing_decoder)
-            except Unknown as error:
-                raise Unavailable(str(error)) from None
+            except OutcomeUnknownError as error:
+                raise StateUnavailableError(str(error)) from None
             revision = page.revision if revision is None else min(revision, page.revision)
             found.extend(page.items)
             if not page.more or not page.items:
@@ -201,8 +201,8 @@
         """The revision at which the changes were applied. Raises one of this module's errors otherwise."""
         try:
             await self._writes.take(max(1, len(changes)), urgency, limit)
-        except Exhausted as error:
-            raise Unavailable(str(error)) from None
+        except BudgetExhaustedError as error:
+            raise StateUnavailableError(str(error)) from None
         conditions = list(conditions)
         body = encode(wire.Transaction(conditions, list(changes)))
         response = await self._call("POST", "/txn", body, urgency, limit)
@@ -210,28 +210,28 @@
             return self._decoded(response, wire.applied_decoder).revision
         if response.status == 409:
             self.conflicts += 1
-            raise Conflicted(self._decoded(response, wire.conflict_decoder).failed)
+            raise ConflictError(self._decoded(response, wire.conflict_decoder).failed)
         if response.status == 400 and b"lease" in response.body:
-            raise LeaseGone("no such lease")
+            raise LeaseExpiredError("no such lease")
         if response.status == 400:
             self._tighten(body, len(conditions), len(changes))
-            raise Refused(f"refused: {response.body[:100]!r}")
-        raise Unavailable(f"status {response.status}")
+            raise RequestRefusedError(f"refused: {response.body[:100]!r}")
+        raise StateUnavailableError(f"status {response.status}")
 
     async def grant(self, ttl: timedelta) -> int:
         body = encode({"ttl_ms": int(ttl / timedelta(milliseconds=1))})
         response = await self._call("POST", "/grants", body, Urgency.CLAIM, client=self._claim_client)
         if response.status not in (200, 201):
-            raise Unavailable(f"status {response.status}")
+            raise StateUnavailableError(f"status {response.status}")
         return self._decoded(response, wire.lease_decoder).lease
 
     async def touch(self, lease: int, limit: timedelta) -> None:
         target = f"/grants/{lease}/touch"
         response = await self._call("POST", target, b"", Urgency.CLAIM, limit, client=self._claim_client)
         if response.status == 404:
-            raise LeaseGone("lease ended")
+            raise LeaseExpiredError("lease ended")
         if response.status != 200:
-            raise Unavailable(f"status {response.status}")
+            raise StateUnavailableError(f"status {response.status}")
 
     async def follow(self, prefix: str, since: int, block: timedelta) -> wire.Changes:
         target = (
@@ -242,9 +242,9 @@
                 "GET", target, b"", Urgency.CLAIM, block + timedelta(seconds=3), client=self._watch_client
             )
             if response.status == 410:
-                raise TooOld
+                raise WatchExpiredError
             if response.status != 200:
-                raise Unavailable(f"status {response.status}")
+                raise StateUnavailableError(f"status {response.status}")
             return self._decoded(response, wire.changes_decoder)
-        except Unknown as error:
-            raise Unavailable(str(error)) from None
+        except OutcomeUnknownError as error:
+            raise StateUnavailableError(str(error)) from None
--- a/tests/standins/waiting.py
+++ b/tests/standins/waiting.py
@@ -33,7 +33,7 @@
         for ref in day.accepted:
             over = day.told.get(ref) in ("done", "withdrawn") or day.site.called_off(ref)
             finished = f"{ref}/{day.site.jobs[ref]['heads'] - 1}" in day.site.finished
-            if over or finished or ref in running or ref in day.site.mistaken or not self._could_run(ref):
+            if over or finished or ref in running or ref in day.site.failing or not self._could_run(ref):
                 self._since.pop(ref, None)
             elif now - self._since.setdefault(ref, now) > LONGEST:
                 day.rules.breach("left_waiting", ref)
@@ -68,7 +68,7 @@
 
     def _room(self, worker: Worker, job: dict) -> int:
         """How many of a job's tasks a machine that is well has room for."""
-        if worker.hung or worker.deaf or worker.mute or worker.sick or worker.notice_at is not None:
+        if worker.hung or worker.unreachable or worker.mute or worker.sick or worker.notice_at is not None:
             return 0
         if job["breeds"] is not None and worker.kind.name not in job["breeds"]:
             return 0
--- a/tests/standins/workers.py
+++ b/tests/standins/workers.py
@@ -54,7 +54,7 @@
     images: set[str] = field(default_factory=set)
     sick: bool = False
     hung: bool = False
-    deaf: bool = False  # its reports go out, but neither answers nor commands reach it
+    unreachable: bool = False  # its reports go out, but neither answers nor commands reach it
     mute: bool = False  # it reaches no controller, but commands reach it
     notice_at: timedelta | None = None
 
@@ -115,7 +115,7 @@
             except Unanswered:
                 response = None
             self.site.copies.append((self.name, body))
-            if self.deaf:
+            if self.unreachable:
                 response = None
             await self._awake()
             late = self.loop.now() - sent > 4 * SECOND
@@ -145,7 +145,7 @@
 
     async def _serve(self, request: Request) -> Response:
         await self._awake()
-        if self.deaf:
+        if self.unreachable:
             await self.loop.sleep(3600 * SECOND)
         if request.path == "/status":
             return reply(200, self.report())
@@ -241,7 +241,7 @@
         job = self.site.jobs[task.ref]
         if task.state == "fetching" and task.until is not None and now >= task.until:
             self.images.add(job["brand"])
-            if self.sick or task.ref in self.site.mistaken:
+            if self.sick or task.ref in self.site.failing:
                 self._exit(task, "error")
             elif task.name in self.site.finished:
                 self._exit(task, "done")
@@ -347,7 +347,7 @@
     ) -> None:
         self.world, self.loop = world, world.loop
         self.hosts, self.zones, self.limits, self.cancel = hosts, zones, limits, cancel
-        self.mistaken: set[str] = set()  # jobs that fail on every machine
+        self.failing: set[str] = set()  # jobs that fail on every machine
         self.kinds = {kind.name: kind for kind in kinds}
         self.capacity = capacity  # ordinary machines of a type in a zone; of spot machines there is one
         self.jobs: dict[str, dict] = {}
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -8,7 +8,7 @@
 
 from badgerroute.coordination.split import split
 from badgerroute.protocol.cloud import MachineType
-from badgerroute.protocol.mesh import Bin, PartSummary, Want
+from badgerroute.protocol.mesh import FreeCapacity, PartSummary, PendingDemand
 from badgerroute.protocol.users import Priority, Submission
 from badgerroute.protocol.workers import Report, TaskReport
 from badgerroute.scheduling import af, ladder
@@ -108,7 +108,7 @@
     job = add(target, submission(image_gb=image_gb, estimate_s=estimate))
     if where != "nowhere":
         target.machines["host-0"].touch_image("img-1", image_gb)
-    images = ladder.Whereabouts(target.machines.values())
+    images = ladder.ImageLocations(target.machines.values())
     fetch = ladder.fetch_time(job, target.machines["host-1"])
     assert ladder.allowed(job, wait * S, fetch, images, 1.0, Scheduling()) is expected
 
@@ -227,9 +227,11 @@
 
 def summary(number: int, free: int, beside: list[float], queued: float = 0.0) -> PartSummary:
     """A part with so many empty machines, some that cache the image, and processors that tasks wait for."""
-    bins = [Bin("k8", "a", False, 8.0, 0.0, 32.0, free)] if free else []
-    wants = [Want("run-w", "blue", queued, 0.0, 1.0, 1, False, 1, False, 0.0, None, None, True)] if queued else []
-    return PartSummary(number, 7, True, 9, bins, {}, {"img-1": beside}, {}, wants, 0.0, {}, {})
+    capacities = [FreeCapacity("k8", "a", False, 8.0, 0.0, 32.0, free)] if free else []
+    demands = (
+        [PendingDemand("run-w", "blue", queued, 0.0, 1.0, 1, False, 1, False, 0.0, None, None, True)] if queued else []
+    )
+    return PartSummary(number, 7, True, 9, capacities, {}, {"img-1": beside}, {}, demands, 0.0, {}, {})
 
 
 @pytest.mark.parametrize(
@@ -513,7 +515,7 @@
 
 
 @pytest.mark.parametrize(
-    ("events", "drained", "mistaken"),
+    ("events", "drained", "failing"),
     [
         (["0 run-1 error", "0 run-2 error"], set(), False),  # both may be about to fail elsewhere
         (["0 run-1 error", "0 run-2 error", "5", "0 run-3 error"], {"host-0"}, False),  # different jobs: the machine
@@ -523,11 +525,11 @@
         (["0 run-1 error", "1 run-1 error", "2 run-1 error"], set(), True),
         (["0 run-1 error", "1 run-1 error", "2 run-1 error", "0 run-2 error"], set(), True),  # run-1 says nothing of it
         (["0 run-1 error", "0 run-3 done", "0 run-2 error"], set(), False),
-        (["0 run-1 error", "1 run-1 error", "2 run-1 error", "3 run-1 done"], set(), False),  # so it is not mistaken
+        (["0 run-1 error", "1 run-1 error", "2 run-1 error", "3 run-1 done"], set(), False),  # so it is not the job that fails
         (["0 run-1 error", "60", "0 run-1 error"], {"host-0"}, False),  # nobody else may run it
     ],
 )
-def test_sick_machines_and_mistaken_jobs(events: list[str], drained: set[str], mistaken: bool) -> None:
+def test_sick_machines_and_failing_jobs(events: list[str], drained: set[str], failing: bool) -> None:
     """A job that fails wherever it goes is at fault itself; a machine, if it fails what is done elsewhere."""
     target = part(4)
     now = S
@@ -545,8 +547,8 @@
         ended = TaskReport(f"{ref}/{number}", number, "exited", cause)
         target.on_report(machine, report(2 * number + 2, [ended]), True, now)
     assert {one.name for one in target.machines.values() if one.draining} == drained
-    assert target.jobs["run-1"].mistaken is mistaken
-    assert target.jobs["run-1"].startable == (1 if mistaken else target.jobs["run-1"].waiting_bits.bit_count())
+    assert target.jobs["run-1"].failing is failing
+    assert target.jobs["run-1"].startable == (1 if failing else target.jobs["run-1"].waiting_bits.bit_count())
 
 
 DONE = TaskReport("run-1/0", 99, "exited", "done")
@@ -588,7 +590,7 @@
 
 
 @pytest.mark.parametrize(
-    ("reports", "deaf"),
+    ("reports", "unreachable"),
     [
         ([(2, 1, [])], False),  # one answer may be lost
         ([(2, 1, []), (3, 1, [])], True),  # two starts in a row were not taken
@@ -596,7 +598,7 @@
         ([(2, 2, [])], True),  # the lease ran out though we answered a moment ago
     ],
 )
-def test_machines_that_do_not_hear(reports: list[tuple[int, int, list]], deaf: bool) -> None:
+def test_machines_that_do_not_hear(reports: list[tuple[int, int, list]], unreachable: bool) -> None:
     target = part(1)
     machine = target.machines["host-0"]
     job = started(target)
@@ -606,7 +608,7 @@
         if not job.placed and machine.usable:
             target.place(job, 0, 99, machine, seq * S, Phase.RESERVED)
             target.commands(machine, seq * S, starts=True)
-    assert machine.deaf is deaf and machine.usable is not deaf
+    assert machine.unreachable is unreachable and machine.usable is not unreachable
     target.on_report(machine, report(20, session=machine.session), False, 20 * S)
     assert machine.usable, "it answered a command"
 
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -6,9 +6,9 @@
 import msgspec
 import pytest
 
-from badgerroute.coordination import outlook
+from badgerroute.coordination import forecast
 from badgerroute.coordination.owner import Owner
-from badgerroute.coordination.shares import Shares
+from badgerroute.coordination.quotas import TeamQuotas
 from badgerroute.coordination.users import Users, answer
 from badgerroute.settings import Objective
 from badgerroute.storage import records
@@ -193,7 +193,7 @@
     """Reports arrive, answers and commands don't. The machine is replaced, and its tasks run elsewhere."""
     workers = day.random.sample(list(day.site.workers.values()), 2)
     for worker in workers:
-        worker.deaf = True
+        worker.unreachable = True
     day.run(3)
     starts = day.rules.starts
     day.run(40)
@@ -205,8 +205,8 @@
     """A part whose new owner can't fence one of its machines, while the cloud deletes nothing either."""
     part = day.random.randrange(3)
     host = owner_host(day, part)
-    deaf = next(one for one in day.site.workers.values() if int(one.name[-6:]) % 3 == part)
-    deaf.deaf = day.site.cloud_down = True
+    unreachable = next(one for one in day.site.workers.values() if int(one.name[-6:]) % 3 == part)
+    unreachable.unreachable = day.site.cloud_down = True
     day.restart(host, 30 * SECOND)
 
     def settled() -> bool:
@@ -218,7 +218,7 @@
         )
 
     assert day.until(settled, 60), "one machine must not block its part"
-    deaf.deaf = day.site.cloud_down = False
+    unreachable.unreachable = day.site.cloud_down = False
 
 
 def late_copies(day: Day) -> None:
@@ -607,11 +607,11 @@
     for controller, _ in day.controllers.values():
         for owner in controller.owners.values():
             for one in list(owner.part.jobs.values()):
-                record = controller.book.active[one.ref]
+                record = controller.job_store.active[one.ref]
                 thief = (owner.number + 1) % 3
                 moved = msgspec.structs.replace(record, ranges=[(thief, 0, one.spec.tasks)])
-                day.loop.run(day.loop.spawn(owner.trade._write_steal([(one.ref, moved)], thief), "give"))
-                assert controller.book.active[one.ref].ranges == record.ranges
+                day.loop.run(day.loop.spawn(owner.migration._write_steal([(one.ref, moved)], thief), "give"))
+                assert controller.job_store.active[one.ref].ranges == record.ranges
                 tried += bool(one.placed)
     assert tried
     assert day.finish() == []
@@ -629,7 +629,7 @@
         for owner in controller.owners.values():
             one = owner.part.jobs["run-many"]
             top = one.waiting_bits.bit_length()
-            record = controller.book.active["run-many"]
+            record = controller.job_store.active["run-many"]
             thief = (owner.number + 1) % 3
             moved = msgspec.structs.replace(record, ranges=records.give(record.ranges, top - 3, top, thief))
             real = owner._state.transact
@@ -643,22 +643,22 @@
 
             with monkeypatch.context() as patch:
                 patch.setattr(owner._state, "transact", transact)
-                day.loop.run(day.loop.spawn(owner.trade._write_steal([("run-many", moved)], thief), "give"))
+                day.loop.run(day.loop.spawn(owner.migration._write_steal([("run-many", moved)], thief), "give"))
             assert one.giving == 0
     assert looked == 3
     assert day.finish(400) == []
     assert day.rules.broken == []
 
 
-@pytest.mark.parametrize(("hungry", "begins"), [(40, True), (3600, False)])
+@pytest.mark.parametrize(("starving", "begins"), [(40, True), (3600, False)])
 @pytest.mark.parametrize("seed", [8, 9])
-def test_the_largest_job_begins(seed: int, hungry: int, begins: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_largest_job_begins(seed: int, starving: int, begins: bool, monkeypatch: pytest.MonkeyPatch) -> None:
     """A job of a thousand tasks that can't be in time, in a burst of small ones that can: age wins in the end.
 
     Of a team without a limit, so that only the order of the jobs decides, and not how a limit happens to be divided.
     """
-    assert 1.5 * outlook.HUNGRY <= 240 * SECOND, "the largest too begin within four minutes"
-    monkeypatch.setattr(outlook, "HUNGRY", hungry * SECOND)
+    assert 1.5 * forecast.STARVING_AFTER <= 240 * SECOND, "the largest too begin within four minutes"
+    monkeypatch.setattr(forecast, "STARVING_AFTER", starving * SECOND)
     day = Day(seed=seed, capacity=0, objectives=[Objective("deadline", 0.9, "batch")])
     day.run(4)
     day.submit(job("run-big", crew="guests", heads=1000, rank="idle", trek_s=5.0, market_s=30.0))
@@ -674,14 +674,14 @@
 def test_share_moves_only_while_unused(monkeypatch: pytest.MonkeyPatch) -> None:
     """A share that is being given away counts as given before the write is known to be applied."""
     seen: list[tuple[float, float]] = []
-    real = Shares._write
+    real = TeamQuotas._write
 
-    async def write(self: Shares, team: str, writer: int, changed: dict) -> bool:
+    async def write(self: TeamQuotas, team: str, writer: int, changed: dict) -> bool:
         if len(changed) == 2:
             seen.append((self.of(writer, team)[0], changed[writer][0]))
         return await real(self, team, writer, changed)
 
-    monkeypatch.setattr(Shares, "_write", write)
+    monkeypatch.setattr(TeamQuotas, "_write", write)
     day = Day(seed=5)
     play(day, nothing)
     assert seen, "shares had to move on this day"
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -8,7 +8,7 @@
 
 from badgerroute import settings
 from badgerroute.cli import main
-from badgerroute.protocol.common import Malformed
+from badgerroute.protocol.common import MalformedError
 from badgerroute.protocol.users import parse_submission
 from badgerroute.protocol.workers import parse_report
 from badgerroute.transport.clock import VirtualClock
@@ -138,7 +138,7 @@
 
 @pytest.mark.parametrize("name", BAD_JOBS)
 def test_bad_submissions(name: str) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedError):
         parse_submission(BAD_JOBS[name])
 
 
@@ -160,7 +160,7 @@
     ],
 )
 def test_bad_reports(body: bytes) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedError):
         parse_report(body)
 
 
