--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -102,12 +102,12 @@
     controller.claims._drop(0)
 
     def give() -> None:
-        record = controller.book.active["run-a"]
+        record = controller.job_store.active["run-a"]
         top = owner.part.jobs["run-a"].waiting_bits.bit_length()
         moved = msgspec.structs.replace(record, ranges=records.give(record.ranges, top - 3, top, 1))
         assert moved.ranges != record.ranges
-        day.loop.run(day.loop.spawn(owner.trade._write_steal([("run-a", moved)], 1), "give"))
-        assert controller.book.active["run-a"].ranges != moved.ranges
+        day.loop.run(day.loop.spawn(owner.migration._write_steal([("run-a", moved)], 1), "give"))
+        assert controller.job_store.active["run-a"].ranges != moved.ranges
 
     give()
     day.run(3)
@@ -148,7 +148,7 @@
 
 def test_commands_to_machines_share_few_sockets(monkeypatch: pytest.MonkeyPatch) -> None:
     """One controller takes over all parts: a connection to each member at once would leave none for anybody else."""
-    monkeypatch.setattr(controller_module, "MOST_DIRECT", 8)
+    monkeypatch.setattr(controller_module, "MAX_DIRECT_COMMANDS", 8)
     day = Day(seed=5, machines=60)
     day.run(6)
     for host in HOSTS[1:]:
@@ -201,7 +201,7 @@
 def test_memory_of_deleted_machines_follows_the_fleet(
     members: int, deleted: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(owner_module, "GONE_PAGE", 10)
+    monkeypatch.setattr(owner_module, "NAMES_PER_PAGE", 10)
     day = Day(seed=6, machines=3 * members, capacity=0)
     day.run(8)
     owner = day.controllers[HOSTS[0]][0].owners[0]
@@ -213,7 +213,7 @@
     assert len(kept) >= min(deleted, 2 * members), "twice as many as it ever had"
     assert set(names[-2 * members :]) <= kept, "the latest"
     assert len(kept) <= max(40, 2 * members + 10) + 16, "and not without bound"
-    assert records.GoneRecord(list(kept)).names
+    assert records.DeletedMachinesRecord(list(kept)).names
 
 
 def calls_in(action: Callable[[], object]) -> int:
--- a/tests/test_left_waiting.py
+++ b/tests/test_left_waiting.py
@@ -7,7 +7,7 @@
 import pytest
 
 from badgerroute.coordination import users as users_module
-from badgerroute.protocol.common import Malformed
+from badgerroute.protocol.common import MalformedError
 from badgerroute.protocol.mesh import PartSummary
 from badgerroute.protocol.users import Submission, parse_submission
 from tests.standins.day import HOSTS, SECOND, Day, job
@@ -53,10 +53,10 @@
     return [job("run-q", heads=20, cpus=4.0, crew="guests", pasture="b", together=True, trek_s=20.0)]
 
 
-def mistaken(day: Day, parts: dict[str, int]) -> list[dict]:
+def failing(day: Day, parts: dict[str, int]) -> list[dict]:
     """Jobs that fail everywhere wait beside the room of the idle parts."""
     parts |= {"run-bad0": 0, "run-bad2": 2, "run-q": 1}
-    day.site.mistaken |= {"run-bad0", "run-bad2"}
+    day.site.failing |= {"run-bad0", "run-bad2"}
     return [
         job("run-bad0", heads=6, cpus=2.0, crew="guests"),
         job("run-bad2", heads=6, cpus=2.0, crew="guests"),
@@ -64,7 +64,7 @@
     ]
 
 
-@pytest.mark.parametrize(("jobs", "least"), [(decoy, 4), (limited, 38), (few_at_a_time, 2), (mistaken, 36)])
+@pytest.mark.parametrize(("jobs", "least"), [(decoy, 4), (limited, 38), (few_at_a_time, 2), (failing, 36)])
 def test_waiting_work_reaches_the_room_there_is(jobs: Callable, least: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """Two machines of eight processors in each part, one in each zone, and two spot machines; no more to be had."""
     day = Day(seed=31, machines=6, capacity=0)
@@ -75,7 +75,7 @@
     for one in described:
         day.submit(one)
     assert day.until(lambda: running(day, "run-q") >= least, 25)
-    for ref in day.site.mistaken:
+    for ref in day.site.failing:
         day.cancel(ref)
     assert day.rules.broken == []
 
@@ -187,7 +187,7 @@
         parse_submission(json.dumps(without | {name: None}).encode())
         cases = []
     for case in (*cases, *(without | {name: value} for value in wrong)):
-        with pytest.raises(Malformed):
+        with pytest.raises(MalformedError):
             parse_submission(json.dumps(case).encode())
 
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from badgerroute.coordination.withdrawals import Withdrawals
-from badgerroute.protocol.mesh import Withdrawn
+from badgerroute.coordination.cancellation_broadcast import CancellationBroadcast
+from badgerroute.protocol.mesh import CancellationNotice
 from badgerroute.settings import Objective
 from tests.standins.day import HOSTS, SECOND, Day, job
 from tests.standins.workers import Worker
@@ -52,21 +52,21 @@
     day.loop.later(10 * SECOND, lambda: setattr(worker, "hung", False))
 
 
-def deaf(day: Day, worker: Worker) -> None:
+def unreachable(day: Day, worker: Worker) -> None:
     """Its reports arrive; answers and commands don't."""
-    worker.deaf = True
-    day.loop.later(70 * SECOND, lambda: setattr(worker, "deaf", False))
+    worker.unreachable = True
+    day.loop.later(70 * SECOND, lambda: setattr(worker, "unreachable", False))
 
 
 GAPS = [
     # confirmed so long after the refusal, refused for, out for, the mesh, the machine under the job
     (0.0, 14, 58, "whole", well),
     (0.2, 14, 58, "whole", hung),
-    (1.0, 14, 58, "whole", deaf),
+    (1.0, 14, 58, "whole", unreachable),
     (1.7, 90, 58, "whole", well),
     (0.0, 14, 58, "cut", well),
     (0.05, 14, 40, "cut", hung),
-    (0.6, 14, 58, "cut", deaf),
+    (0.6, 14, 58, "cut", unreachable),
     (1.7, 90, 75, "cut", well),
     (1.9, 14, 58, "cut", hung),
     (1.0, 14, 58, "returns", well),
@@ -102,7 +102,7 @@
     if mesh == "returns":
         heal()
     day.run(6)
-    well_off = [one for one in workers_of(day, leader) if not one.hung and not one.deaf]
+    well_off = [one for one in workers_of(day, leader) if not one.hung and not one.unreachable]
     left = [task for one in well_off for task in one.tasks.values() if task.ref in refs and task.state != "exited"]
     if mesh != "cut":
         assert not left, "the leader was told, and acts at once though it can't reach the state service"
@@ -188,10 +188,10 @@
     day = Day(seed=23)
     sent: list[tuple[str, list]] = []
 
-    def send(host: str, message: Withdrawn) -> None:
+    def send(host: str, message: CancellationNotice) -> None:
         sent.append((host, message.jobs))
 
-    told = Withdrawals(day.loop, "me", ["one", "two"], send, CANCEL * SECOND)
+    told = CancellationBroadcast(day.loop, "me", ["one", "two"], send, CANCEL * SECOND)
     told.learned("run-1", 7, at_once=True)
     told.learned("run-2", 9, at_once=False)
     assert sent == [("one", [("run-1", 7)]), ("two", [("run-1", 7)])]
@@ -311,14 +311,14 @@
     heal = cut(day, workers[0].name, HOSTS)
     day.site.cloud_down = True  # else they are deleted, and the lease need not be waited for
     for worker in workers[1:3]:
-        worker.deaf = True
+        worker.unreachable = True
     yield 0.3
     day.restart(dead, 25 * SECOND)
     yield 14
     heal()
     day.site.cloud_down = False
     for worker in workers[1:3]:
-        worker.deaf = False
+        worker.unreachable = False
     yield 10
 
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from badgerroute.coordination.jobs import JobBook, Progress
+from badgerroute.coordination.job_store import JobStore, Progress
 from badgerroute.settings import Objective
 from badgerroute.transport.http import Client, Unanswered
 from tests.standins.day import HOSTS, SECOND, Day, job
@@ -46,7 +46,7 @@
     day = Day(seed=13, machines=12, capacity=0)
     day.run(5)
     before = set(day.site.workers)
-    day.site.mistaken |= {"run-bad", "run-bad-gang", "run-bad-one"}
+    day.site.failing |= {"run-bad", "run-bad-gang", "run-bad-one"}
     day.submit(job("run-bad", heads=80, brand="img-2"))
     day.submit(job("run-bad-gang", gait="group", heads=3, cpus=4.0, rank="urgent"))
     day.submit(job("run-bad-one", heads=1, rank="urgent"))
@@ -55,7 +55,7 @@
     for number in range(6):
         day.submit(job(f"run-{number}", heads=10))
         day.run(8)
-    for ref in day.site.mistaken:
+    for ref in day.site.failing:
         assert day.cancel(ref) == "withdrawn"
     assert day.finish() == []
     assert before <= set(day.site.workers), "no machine was given up"
@@ -217,14 +217,14 @@
     day = Day(seed=24, machines=9, objectives=[Objective("finished", 0.9, "soon", within_s=60.0)])
     day.run(5)
     batches: list[list[str]] = []
-    real = JobBook.write_progress
+    real = JobStore.write_progress
 
-    async def write(self: JobBook, batch: list[Progress], claims: object) -> None:
+    async def write(self: JobStore, batch: list[Progress], claims: object) -> None:
         complete = [one.ref for one in batch if one.done.bit_count() == 1]
         batches.append(complete)
         await real(self, batch, claims)
 
-    monkeypatch.setattr(JobBook, "write_progress", write)
+    monkeypatch.setattr(JobStore, "write_progress", write)
     for number in range(24):
         day.submit(job(f"run-{number}", heads=1, herd="soon" if number % 4 == 3 else "batch", trek_s=8.0))
     assert day.finish() == []
@@ -273,10 +273,10 @@
 def deaf_and_hung(day: Day) -> None:
     """Machines that don't hear, and machines that don't move, when their owner ends."""
     workers = day.random.sample(list(day.site.workers.values()), 3)
-    workers[0].deaf = workers[1].hung = workers[2].hung = True
+    workers[0].unreachable = workers[1].hung = workers[2].hung = True
 
     def heal() -> None:
-        workers[0].deaf = workers[1].hung = workers[2].hung = False
+        workers[0].unreachable = workers[1].hung = workers[2].hung = False
 
     day.loop.later(SECOND, lambda: day.restart(day.random.choice(HOSTS), 5 * SECOND))
     day.loop.later(8 * SECOND, heal)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -24,8 +24,8 @@
     def __init__(self, **ends: str) -> None:
         self.ends = {name: (state, 7.0) for name, state in ends.items()}
         self.released: list[str] = []
-        self.doomed: list[str] = []
-        self.graph = Dependencies(self.ends.get, self.released.append, self.doomed.append)
+        self.cancelled: list[str] = []
+        self.graph = Dependencies(self.ends.get, self.released.append, self.cancelled.append)
 
     def end(self, ref: str, state: str, at: float = 7.0) -> None:
         self.ends[ref] = (state, at)
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize(
-    ("needs", "ends", "released", "doomed"),
+    ("needs", "ends", "released", "cancelled"),
     [
         ({"b": "a"}, [], "", ""),
         ({"b": "a"}, [("a", "done")], "b", ""),
@@ -53,7 +53,7 @@
         ({"b": "aa"}, [("a", "done")], "b", ""),
     ],
 )
-def test_final_states_decide(needs: dict[str, str], ends: list, released: str, doomed: str) -> None:
+def test_final_states_decide(needs: dict[str, str], ends: list, released: str, cancelled: str) -> None:
     for again in (False, True):  # whatever is said twice changes nothing
         graph = Graph(o="done", w="withdrawn")
         for ref, predecessors in needs.items():
@@ -63,7 +63,7 @@
             for _ in range(1 + again):
                 graph.end(ref, state)
         assert "".join(graph.released) == released
-        assert "".join(sorted(graph.doomed)) == doomed
+        assert "".join(sorted(graph.cancelled)) == cancelled
         assert all(graph.graph.waits(ref) != (ref in released) for ref in needs if ref not in dict(ends))
 
 
@@ -82,9 +82,9 @@
         graph.graph.add(ref, predecessors)
     due = {"a": 1000.0, "b": 900.0, "c": 800.0, "d": 100.0, "e": 40.0}
     length = {"a": 1.0, "b": 20.0, "c": 5.0, "d": 10.0, "e": 10.0}
-    assert graph.graph.handed_back(due.get, length.get) == {"a": 25.0, "b": 90.0, "c": 30.0}
+    assert graph.graph.inherited_minimum(due.get, length.get) == {"a": 25.0, "b": 90.0, "c": 30.0}
     graph.end("e", "withdrawn")
-    assert graph.graph.handed_back(due.get, length.get) == {"a": 70.0, "b": 90.0, "c": 90.0}
+    assert graph.graph.inherited_minimum(due.get, length.get) == {"a": 70.0, "b": 90.0, "c": 90.0}
 
 
 def test_long_chains_and_wide_graphs() -> None:
@@ -92,9 +92,9 @@
     for number in range(3000):
         graph.graph.add(f"c{number + 1}", [f"c{number}"])
         graph.graph.add(f"w{number}", ["c0"])
-    assert len(graph.graph.handed_back(lambda ref: 0.0, lambda ref: 0.0)) == 3000
+    assert len(graph.graph.inherited_minimum(lambda ref: 0.0, lambda ref: 0.0)) == 3000
     graph.end("c0", "withdrawn")
-    assert len(graph.doomed) == 6000
+    assert len(graph.cancelled) == 6000
 
 
 # -- Days
@@ -429,5 +429,5 @@
 
 
 def test_records_of_the_past_tell_when() -> None:
-    assert records.read(b'{"state":"done","tasks":3}', records.PastRecord).at == 0.0
+    assert records.read(b'{"state":"done","tasks":3}', records.FinalStateRecord).at == 0.0
     assert timedelta(seconds=0) == 0 * SECOND
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -15,7 +15,7 @@
 from badgerroute.settings import NextLimits, StateLimits
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
-from badgerroute.storage.state import Refused, put
+from badgerroute.storage.state import RequestRefusedError, put
 from badgerroute.transport.loop import Loop
 from tests import test_meetings as meetings
 from tests.standins import production
@@ -30,20 +30,20 @@
     "PartClaim": records.PartClaim,
     "FleetClaim": records.FleetClaim,
     "MachineRecord": records.MachineRecord,
-    "GoneRecord": records.GoneRecord,
+    "GoneRecord": records.DeletedMachinesRecord,
     "ShareRecord": records.ShareRecord,
-    "PastRecord": records.PastRecord,
+    "PastRecord": records.FinalStateRecord,
     "JobRecord": records.JobRecord,
 }
 MESSAGES = {
     "Gossip": mesh.Gossip,
     "Push": mesh.Push,
-    "Steal": mesh.Steal,
-    "Lack": mesh.Lack,
-    "Borrow": mesh.Borrow,
-    "Knock": mesh.Knock,
-    "Withdrawn": mesh.Withdrawn,
-    "WithdrawnHeard": mesh.WithdrawnHeard,
+    "Steal": mesh.StealRequest,
+    "Lack": mesh.ShareRequest,
+    "Borrow": mesh.MachineLoanRequest,
+    "Knock": mesh.MisdirectedReport,
+    "Withdrawn": mesh.CancellationNotice,
+    "WithdrawnHeard": mesh.CancellationAck,
 }
 
 
@@ -255,21 +255,21 @@
     day.state.ledger = 1
     day.state.items["b/jobs/run-big"] = (left_by_an_old_version(40000, missing, [[0, 0, 40000]], None), 1, None)
     day.run(4)
-    book = day.controllers[HOSTS[0]][0].book
-    before = book.done("run-big", book.active["run-big"])
+    job_store = day.controllers[HOSTS[0]][0].job_store
+    before = job_store.done("run-big", job_store.active["run-big"])
     day.state.lower(day.settings[HOSTS[0]].params.state)
     day.state.late_writes = 0.4
     for turn in range(60):
         for controller, _ in day.controllers.values():
-            day.group.spawn(controller.book.spill("run-big"), "spill")
+            day.group.spawn(controller.job_store.page_out("run-big"), "page-out")
         day.run(1)
         if turn == 25:
             day.restart(HOSTS[1], SECOND)
         if turn == 40:
             day.state.late_writes = 0.0
         for controller, _ in day.controllers.values():
-            record = controller.book.active.get("run-big")
-            assert record is None or controller.book.done("run-big", record) == before
+            record = controller.job_store.active.get("run-big")
+            assert record is None or controller.job_store.done("run-big", record) == before
     assert day.state.items["b/jobs/run-big"][0]["bits"] == ""
     assert day.state.too_large == []
 
@@ -297,10 +297,10 @@
     async def write(changes: int) -> None:
         await state.transact([], [put(f"b/x/{one}", "y" * 100) for one in range(changes)], Urgency.COMPLETE)
 
-    with pytest.raises(Refused):
+    with pytest.raises(RequestRefusedError):
         run(day.loop, write(8))
-    assert state.most_changes == 4
-    run(day.loop, write(state.most_changes))
+    assert state.max_changes == 4
+    run(day.loop, write(state.max_changes))
     for number in range(4):
         day.submit(job(f"run-{number}", heads=12, trek_s=2.0))
     assert day.finish() == []
