--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -11,13 +11,17 @@
 from badgerroute.coordination.claims import Claim, Claims
 from badgerroute.coordination.fleet import Fleet, rents_ahead
 from badgerroute.coordination.forecast import JobForecast
+from badgerroute.coordination.job_reader import JobReader
 from badgerroute.coordination.job_store import JobStore
+from badgerroute.coordination.job_writer import JobWriter
 from badgerroute.coordination.mesh import Mesh
 from badgerroute.coordination.migration import fits_capacity
 from badgerroute.coordination.owner import Owner
 from badgerroute.coordination.pipelines import Pipelines
 from badgerroute.coordination.quotas import TeamQuotas
 from badgerroute.coordination.reachability import WorkerReachability
+from badgerroute.coordination.record_paging import RecordPager
+from badgerroute.coordination.services import Services
 from badgerroute.coordination.users import Users, answer, come_back, error
 from badgerroute.protocol import mesh as mesh_wire
 from badgerroute.protocol.cloud import MachineType
@@ -77,21 +81,24 @@
             loop, network, self.replica, random.Random(settings.platform.host_name).sample
         )
         self.claims = Claims(settings, loop, self.state, self.replica, self._won, self._lost, self._reluctant)
-        self.job_store = JobStore(settings, loop, self.state, self.replica, self._push)
         hosts = [one.host_name for one in settings.platform.siblings]
         self.cancellation_broadcast = CancellationBroadcast(
             loop, settings.platform.host_name, hosts, self.mesh.send, params.workers.cancel
         )
-        self.job_store.withdrawn = self.cancellation_broadcast.learned
-        self.quotas = TeamQuotas(settings, loop, self.state, self.replica, self._push, self._condition)
         self.catalog: dict[str, MachineType] = {}
-        self.job_store.known_types = lambda: self.catalog
-        self.job_store.released = self._notify_owners
+        self.owners: dict[int, Owner] = {}
+        self.siblings: dict[str, Sibling] = {}
+        self.job_store = JobStore(self.replica, self._push, self._notify_owners, self.cancellation_broadcast.learned)
+        self.job_reader = JobReader(loop, self.state, self.replica, self.job_store)
+        self.pager = RecordPager(self.state, self.replica, self.job_store, self.catalog)
+        self.job_writer = JobWriter(loop, self.state, self.replica, self.job_store, self.job_reader, self.pager)
+        self.quotas = TeamQuotas(settings, loop, self.state, self.replica, self._push, self._condition)
         self.pipelines = Pipelines(
             loop,
             self.state,
             self.replica,
             self.job_store,
+            self.job_reader,
             lambda part: part in self.claims.parts,
             lambda: self.claims.fleet is not None and self.claims.fresh(),
             settings.home,
@@ -107,12 +114,19 @@
             self._summaries,
             self._machines_deleted,
         )
-        self.owners: dict[int, Owner] = {}
         self.forecast = JobForecast(
             settings, loop, self.job_store, self.replica, self.catalog, self.owners, self._summaries
         )
-        self.siblings: dict[str, Sibling] = {}
-        self.users = Users(params, self.job_store, self.replica, self.catalog, self._summaries, self._running)
+        self.users = Users(
+            params,
+            self.job_store,
+            self.job_reader,
+            self.job_writer,
+            self.replica,
+            self.catalog,
+            self._summaries,
+            self._running,
+        )
         self._flush = Future()
         self._began = loop.now()
         self._deleted: dict[str, None] = {}  # machines that were deleted, oldest first
@@ -120,6 +134,27 @@
         direct = min(MAX_DIRECT_COMMANDS, max(4, sockets // 8))
         self._gate = Gate(direct)
         self._server = Server(loop, group, self._handle, max(16, sockets - direct - RESERVED_SOCKETS - 8 * params.size))
+        self._services = Services(
+            settings=settings,
+            loop=loop,
+            network=network,
+            group=group,
+            gate=self._gate,
+            state=self.state,
+            replica=self.replica,
+            claims=self.claims,
+            job_store=self.job_store,
+            job_reader=self.job_reader,
+            pager=self.pager,
+            quotas=self.quotas,
+            catalog=self.catalog,
+            publish=self._push,
+            progressed=self._progressed,
+            delete_machines=self.fleet.delete,
+            ask_share=self._ask_share,
+            ask_machines=self._ask_machines,
+            predecessors_resolved=self.pipelines.resolved,
+        )
         self.replica.listen(DONE, self._page_changed)
         self.replica.listen(JOBS, self._job_changed)
         self.replica.listen(MACHINES, self._machine_changed)
@@ -156,27 +191,7 @@
         await Future()
 
     def _won(self, part: int, claim: Claim) -> None:
-        owner = Owner(
-            part,
-            claim,
-            self.settings,
-            self._loop,
-            self._network,
-            self._group,
-            self.state,
-            self.replica,
-            self.claims,
-            self.job_store,
-            self.quotas,
-            self.catalog,
-            self._push,
-            self._progressed,
-            self._gate,
-        )
-        owner.delete = self.fleet.delete
-        owner.ask = self._ask_share
-        owner.resolved = self.pipelines.resolved
-        owner.migration.request_loan = self._ask_machines
+        owner = Owner(part, claim, self._services)
         self.owners[part] = owner
         owner.start()
 
@@ -224,7 +239,7 @@
             # One that never was a member is remembered by any of our parts.
             mine = [name for name in names if name in owner.part.machines or (not number and name not in members)]
             if mine:
-                self._group.spawn(owner.forget_machines(mine), "forget")
+                self._group.spawn(owner.deleted_machines.forget(mine), "forget")
 
     def _catalog_changed(self, key: str, value: bytes | None, revision: int) -> None:
         if value is not None:
@@ -347,7 +362,7 @@
             return record.job.tasks - done.bit_count(), self.forecast.time_left(record)
 
         batch = sorted(merged.values(), key=order)
-        await self.job_store.write_progress(batch, self._condition)
+        await self.job_writer.write_progress(batch, self._condition)
 
     async def _forecast_duty(self) -> None:
         while True:
@@ -528,7 +543,7 @@
     def _give_share(self, message: mesh_wire.ShareRequest) -> None:
         for owner in self.owners.values():
             if owner.ready and owner.number != message.part:
-                self._group.spawn(owner.give_share(message), "give-share")
+                self._group.spawn(owner.shares.give(message), "give-share")
 
     # -- HTTP
 
--- /dev/null
+++ b/badgerroute/coordination/deleted_machines.py
@@ -0,0 +1,83 @@
+"""What is remembered of deleted machines, so that a late copy of a report does not make a member of one again."""
+
+import logging
+from datetime import timedelta
+
+from badgerroute.coordination.services import Services
+from badgerroute.scheduling.part import Part
+from badgerroute.storage import records
+from badgerroute.storage.budget import Urgency
+from badgerroute.storage.records import DeletedMachinesRecord
+from badgerroute.storage.replica import DELETED, MACHINES
+from badgerroute.storage.state import (
+    ConflictError,
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    StateUnavailableError,
+    put,
+    remove,
+    when,
+)
+
+log = logging.getLogger("badgerroute.owner")
+RETRY_PAUSE = timedelta(seconds=1)
+MAX_MACHINES_PER_WRITE = 8  # a transaction as large as the budget's burst has to wait until nobody else writes
+NAMES_PER_PAGE = 100  # deleted machines on a page, which may be written anew for each of them
+MACHINE_NAME_BYTES = 64  # bytes that a name may take, at twice a page's length
+MIN_PAGES = 4
+
+
+class DeletedMachines:
+    """One part's deleted machines, in pages of its own."""
+
+    def __init__(self, part: Part, services: Services) -> None:
+        self._part, self._publish = part, services.publish
+        self._loop, self._state, self._replica = services.loop, services.state, services.replica
+        self._claims = services.claims
+        self._most_members = 0
+        self._names_per_page = max(1, min(NAMES_PER_PAGE, self._state.max_value_bytes // MACHINE_NAME_BYTES))
+
+    async def forget(self, names: list[str]) -> None:
+        """Machines that the cloud says are gone: their tasks are too.
+
+        They are written down as gone, so that a late copy of a report does not make a member of one again.
+        """
+        now = self._loop.now()
+        for name in names:
+            self._part.remove_machine(name, now)
+        self._part.settle()
+        while names and self._part.number in self._claims.parts:
+            key, known = self._page()
+            batch = names[: min(self._state.max_changes - 1, self._names_per_page - len(known), MAX_MACHINES_PER_WRITE)]
+            gone = records.write(DeletedMachinesRecord([*known, *(one for one in batch if one not in known)]))
+            members = [MACHINES + name for name in batch if self._replica.revision_of(MACHINES + name)]
+            changes = [put(key, gone), *(remove(one) for one in members)]
+            # On the page as we know it: carried out late, an older write of it would strike newer names off.
+            conditions = [self._claims.condition(self._part.number), when(key, self._replica.revision_of(key))]
+            try:
+                at = await self._state.transact(conditions, changes, Urgency.PROGRESS)
+            except (StateUnavailableError, OutcomeUnknownError, ConflictError, LeaseExpiredError) as error:
+                log.info("event=forget_failed machines=%d error=%s", len(batch), error)
+                await self._loop.sleep(RETRY_PAUSE)
+                continue
+            for one, value in ((key, bytes(gone)), *((member, None) for member in members)):
+                self._replica.learn(one, value, at)
+                self._publish(one, value, at)
+            names = names[len(batch) :]
+
+    def _page(self) -> tuple[str, list[str]]:
+        """Where the next deleted machines are written down, and what stands there.
+
+        A page is small, since each deletion writes one anew; there are pages for twice as many machines as we have ever
+        had at once, and when all are full the oldest begins anew.
+        """
+        prefix = f"{DELETED}{self._part.number}/"
+        pages = sorted(self._replica.under(prefix), key=self._replica.revision_of)
+        self._most_members = max(self._most_members, len(self._part.machines))
+        if pages:
+            known = records.read(self._replica.value(pages[-1]), DeletedMachinesRecord).names
+            if len(known) < self._names_per_page:
+                return pages[-1], known
+        if len(pages) < max(MIN_PAGES, -(-2 * self._most_members // self._names_per_page)):
+            return f"{prefix}{len(pages)}", []
+        return pages[0], []
--- /dev/null
+++ b/badgerroute/coordination/fencing.py
@@ -0,0 +1,58 @@
+"""Fencing: machines of a part are told of its term, so that no former owner can command them any more."""
+
+import logging
+from datetime import timedelta
+
+from badgerroute.coordination.machine_commands import MachineCommands
+from badgerroute.coordination.services import Services
+from badgerroute.scheduling.model import Machine
+from badgerroute.scheduling.part import Part
+from badgerroute.transport.loop import Group
+
+log = logging.getLogger("badgerroute.owner")
+FENCE_RETRY = timedelta(milliseconds=700)
+GIVE_UP = timedelta(seconds=3.5)  # a member that is silent for so long after a takeover is deleted at the cloud
+LONG_GIVE_UP = 5 * GIVE_UP
+
+
+class Fencing:
+    """Repeats an empty command to each machine until its task list is known in our term, or it is gone."""
+
+    def __init__(self, part: Part, services: Services, group: Group, commands: MachineCommands) -> None:
+        self._part, self._group, self._commands = part, group, commands
+        self._loop, self._delete = services.loop, services.delete_machines
+        self._fencing: set[str] = set()
+        self._given_up: set[str] = set()
+
+    def fence(self, machine: Machine) -> None:
+        """Begin to fence a machine, unless that is under way."""
+        if machine.name not in self._fencing:
+            self._fencing.add(machine.name)
+            self._group.spawn(self._fence_one(machine), f"fence-{machine.name}")
+
+    async def _fence_one(self, machine: Machine) -> None:
+        """Tell a member of the new term until its list is known and it hears us, or it is gone."""
+        began = self._loop.now()
+        try:
+            while self._part.machines.get(machine.name) is machine and (not machine.fenced or machine.unreachable):
+                if not await self._commands.send(machine, []):
+                    if self._loop.now() - began > self._patience():
+                        self._give_up(machine)
+                    await self._loop.sleep(FENCE_RETRY)
+        finally:
+            self._fencing.discard(machine.name)
+            self._given_up.discard(machine.name)
+
+    def _give_up(self, machine: Machine) -> None:
+        if machine.name not in self._given_up:
+            self._given_up.add(machine.name)
+            log.info("event=silent_member machine=%s part=%d", machine.name, self._part.number)
+            self._delete([machine.name])
+
+    def given_up(self, machine: Machine) -> bool:
+        """Whether neither answers nor commands reach a machine."""
+        return machine.name in self._given_up
+
+    def _patience(self) -> timedelta:
+        """If most members are silent, the fault is more likely on our side: don't have them all deleted at once."""
+        return GIVE_UP if 2 * len(self._fencing) <= len(self._part.machines) + 3 else LONG_GIVE_UP
--- /dev/null
+++ b/badgerroute/coordination/job_reader.py
@@ -0,0 +1,138 @@
+"""Look-ups of jobs: what the state service says of them now, or our copy once that has caught up with it."""
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+from datetime import timedelta
+
+from badgerroute.coordination.job_store import JobStore
+from badgerroute.protocol.users import JobView
+from badgerroute.storage import records
+from badgerroute.storage.budget import Urgency
+from badgerroute.storage.records import FinalStateRecord, JobRecord, JobState
+from badgerroute.storage.replica import FINAL_STATES, JOBS, Replica
+from badgerroute.storage.state import StateClient, StateUnavailableError
+from badgerroute.transport.loop import Loop
+
+MAX_LOOKUPS_PER_ANSWER = 40  # predecessors, for one answer
+REMOVAL_PAUSE = timedelta(milliseconds=50)
+
+
+@dataclass(frozen=True, slots=True)
+class JobLookup:
+    """What was found of a job: its record at a revision while it is unfinished, else its final state."""
+
+    state: JobState
+    record: JobRecord | None = None
+    revision: int = 0
+
+
+class JobReader:
+    """Every answer is no older than what any controller had told anybody when it was asked for."""
+
+    def __init__(self, loop: Loop, state: StateClient, replica: Replica, store: JobStore) -> None:
+        self._loop, self._state, self._replica, self._store = loop, state, replica, store
+
+    async def look_up(self, ref: str, urgency: Urgency = Urgency.READ) -> JobLookup | None:
+        """A job as the state service has it now; None: nobody submitted such a job.
+
+        A job moves only from `jobs` to the final states, in one transaction, so looking in this order misses none.
+        """
+        final = self._store.final(ref)
+        if final is not None:
+            return JobLookup(final)
+        found = await self._read_through(ref, urgency)
+        if found is not None and self._store.waits(ref):
+            await self._replica.current()
+            return await self._decide_waiting(ref) or await self._read_through(ref, urgency)
+        return found
+
+    async def current(self, ref: str) -> JobLookup | None:
+        """The same from our copy, once that has caught up with the state service: for the many who only look."""
+        final = self._store.final(ref)
+        if final is None:
+            await self._replica.current()
+            if self._store.waits(ref):
+                found = await self._decide_waiting(ref)
+                if found is not None:
+                    return found
+            final = self._store.final(ref)
+        if final is not None:
+            return JobLookup(final)
+        record = self._store.active.get(ref)
+        if record is not None:
+            return JobLookup(JobState.ACTIVE, record, self._replica.revision_of(JOBS + ref))
+        return await self._look_up_final_state(ref, Urgency.READ)
+
+    async def unaccepted(self, predecessors: Iterable[str]) -> list[str]:
+        """Which of these jobs nobody ever accepted: the state service says so, not our memory."""
+        missing = []
+        for ref in predecessors:
+            if not self._store.knows(ref) and await self._read_through(ref, Urgency.SUBMIT) is None:
+                missing.append(ref)
+        return missing
+
+    async def state_after_acceptance(self, ref: str) -> str:
+        """What to say of a job that was just accepted. `queued`, as far as can be told now, is no promise."""
+        try:
+            found = await self._decide_waiting(ref)
+        except StateUnavailableError:
+            return "queued"
+        return "withdrawn" if found is not None and found.state is JobState.WITHDRAWN else "queued"
+
+    async def refresh(self, keys: Iterable[str]) -> None:
+        """Read back keys whose state is in doubt."""
+        for key in keys:
+            item = await self._state.get(key, Urgency.COMPLETE)
+            if item is not None:
+                self._replica.learn(key, bytes(item.value), item.revision)
+            elif key.startswith(JOBS):
+                self._store.forget_record(key.removeprefix(JOBS))
+                await self._loop.sleep(REMOVAL_PAUSE)
+
+    def view(self, ref: str, found: JobLookup, running: int) -> JobView:
+        """What a user is shown; `running` tasks are as last heard."""
+        if found.record is None:
+            return JobView(ref, found.state.value)
+        done = self._store.done(ref, found.record).bit_count()
+        running = min(running, found.record.job.tasks - done)
+        return JobView(ref, "running" if running else "queued", done, running)
+
+    async def _decide_waiting(self, ref: str) -> JobLookup | None:
+        """What stands of a job that waits, from our copy. None: it is over, or never was.
+
+        It is withdrawn if any job that it needs is, directly or through others, though its own record is still there.
+        Some node may have said so already, so what we don't know of these jobs has to be found out first.
+        """
+        dependencies = self._store.dependencies
+        for _ in range(MAX_LOOKUPS_PER_ANSWER):
+            record = self._store.active.get(ref)
+            if record is None:
+                return None
+            if ref in dependencies.cancelled:
+                return JobLookup(JobState.WITHDRAWN)
+            if self._store.lacks_predecessors(ref):
+                raise StateUnavailableError("what the job waits for is not known yet")
+            unknown = next(iter(dependencies.unknown_ancestors(ref, self._store.active)), None)
+            if unknown is None:
+                return JobLookup(JobState.ACTIVE, record, self._replica.revision_of(JOBS + ref))
+            if await self._read_through(unknown, Urgency.READ) is None:
+                raise StateUnavailableError(f"{unknown} is not known")
+        raise StateUnavailableError("too many jobs to look up")
+
+    async def _read_through(self, ref: str, urgency: Urgency) -> JobLookup | None:
+        item = await self._state.get(JOBS + ref, urgency)
+        if item is None:
+            return await self._look_up_final_state(ref, urgency)
+        self._replica.learn(item.key, bytes(item.value), item.revision)
+        return JobLookup(JobState.ACTIVE, records.read(bytes(item.value), JobRecord), item.revision)
+
+    async def _look_up_final_state(self, ref: str, urgency: Urgency) -> JobLookup | None:
+        item = await self._state.get(FINAL_STATES + ref, urgency)
+        if item is None:
+            return None
+        final = records.read(bytes(item.value), FinalStateRecord)
+        self._store.remember(ref, final, item.revision)
+        # It left `jobs` in the same transaction. Until the watch says so, a controller that had just told a user that
+        # the job is withdrawn could still have started a task of it.
+        self._replica.learn(JOBS + ref, None, item.revision)
+        return JobLookup(final.state, None, item.revision)
--- /dev/null
+++ b/badgerroute/coordination/job_writer.py
@@ -0,0 +1,207 @@
+"""Changes to jobs: accepting and cancelling them, and writing their progress down."""
+
+import logging
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from datetime import timedelta
+
+import msgspec
+
+from badgerroute.coordination.job_reader import JobReader
+from badgerroute.coordination.job_store import JobStore
+from badgerroute.coordination.record_paging import RecordPager
+from badgerroute.protocol.state import Condition, Put, Remove
+from badgerroute.protocol.users import Submission
+from badgerroute.storage import records
+from badgerroute.storage.budget import Urgency
+from badgerroute.storage.records import FinalStateRecord, JobRecord, JobState, TaskRange
+from badgerroute.storage.replica import FINAL_STATES, JOBS, Replica
+from badgerroute.storage.state import (
+    ConflictError,
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    StateClient,
+    StateUnavailableError,
+    put,
+    remove,
+    when,
+)
+from badgerroute.transport.loop import Loop
+
+log = logging.getLogger("badgerroute.jobs")
+MAX_TRANSACTION_BYTES = 40_000  # of a transaction's 64 KiB
+MAX_CANCEL_TRIES = 6
+MAX_PROGRESS_TRIES = 5
+CHANGES_OF_AN_END = 2  # a record removed, a final state put
+ANSWER_LIMIT = timedelta(milliseconds=1500)
+
+ClaimOf = Callable[[int], Condition | None]
+
+
+@dataclass(slots=True)
+class Progress:
+    """Newly done tasks of one job, as a bit set, with the parts that saw them."""
+
+    ref: str
+    done: int
+    parts: set[int]
+
+
+@dataclass(slots=True)
+class ProgressTransaction:
+    """One transaction of progress in the making."""
+
+    conditions: dict[str, Condition] = field(default_factory=dict)
+    changes: list[Put | Remove] = field(default_factory=list)
+    results: list[tuple[str, bytes | None]] = field(default_factory=list)  # keys and what they hold afterwards
+    completed: list[JobRecord] = field(default_factory=list)
+    size: int = 0
+
+    def require(self, condition: Condition) -> None:
+        """Make the transaction conditional on a key."""
+        self.conditions[condition.key] = condition
+
+    def put(self, key: str, value: bytes) -> None:
+        """Write a key."""
+        self.changes.append(put(key, msgspec.Raw(value)))
+        self.results.append((key, value))
+        self.size += len(value)
+
+    def remove(self, key: str) -> None:
+        """Remove a key."""
+        self.changes.append(remove(key))
+        self.results.append((key, None))
+
+
+class JobWriter:
+    """Each write is conditional on what it rests on. Unknown outcomes are read back, never assumed."""
+
+    def __init__(
+        self,
+        loop: Loop,
+        state: StateClient,
+        replica: Replica,
+        store: JobStore,
+        reader: JobReader,
+        pager: RecordPager,
+    ) -> None:
+        self._loop, self._state, self._replica = loop, state, replica
+        self._store, self._reader, self._pager = store, reader, pager
+
+    def _today(self) -> float:
+        return self._loop.clock.today().timestamp()
+
+    # -- accepting and cancelling
+
+    async def accept(self, job: Submission, ranges: list[TaskRange]) -> bool:
+        """Store a new job. False: it is known already."""
+        key = JOBS + job.ref
+        compact = self._pager.compact(JobRecord(job, self._today(), ranges))
+        value = records.write(compact.record)
+        for first in range(0, len(compact.pages), self._state.max_changes):
+            # Before the record: whoever sees it has them.
+            pages = compact.pages[first : first + self._state.max_changes]
+            puts = [put(page.key, page.value) for page in pages]
+            applied = await self._state.transact([], puts, Urgency.SUBMIT, ANSWER_LIMIT)
+            for page in pages:
+                self._store.published(page.key, bytes(page.value), applied)
+        absent = [when(key, 0), when(FINAL_STATES + job.ref, 0)]
+        try:
+            applied = await self._state.transact(absent, [put(key, value)], Urgency.SUBMIT, ANSWER_LIMIT)
+        except ConflictError:
+            return False
+        except OutcomeUnknownError:
+            if await self._reader.look_up(job.ref, Urgency.SUBMIT) is None:
+                raise
+            return False
+        self._store.published(key, bytes(value), applied)
+        return True
+
+    async def cancel(self, ref: str) -> JobState | None:
+        """The final state after a cancellation; None: nobody submitted such a job.
+
+        After an unknown outcome the user asks again, and what is read back then tells what stands.
+        """
+        self._store.confirming(ref, True)
+        try:
+            return await self._cancel(ref)
+        finally:
+            self._store.confirming(ref, False)
+
+    async def _cancel(self, ref: str) -> JobState | None:
+        for _ in range(MAX_CANCEL_TRIES):
+            found = await self._reader.look_up(ref, Urgency.CANCEL)
+            if found is None:
+                return None
+            if found.record is None:
+                return found.state
+            final = records.write(FinalStateRecord(JobState.WITHDRAWN, found.record.job.tasks, self._today()))
+            unchanged = [when(JOBS + ref, found.revision)]
+            changes = [remove(JOBS + ref), put(FINAL_STATES + ref, final)]
+            try:
+                applied = await self._state.transact(unchanged, changes, Urgency.CANCEL, ANSWER_LIMIT)
+            except ConflictError:
+                continue  # progress was written in between
+            self._store.finished(ref, bytes(final), applied)
+            log.info("event=job_withdrawn job=%s", ref)
+            return JobState.WITHDRAWN
+        raise StateUnavailableError("too much changes at once")
+
+    # -- progress
+
+    async def write_progress(self, batch: list[Progress], claim_of: ClaimOf) -> None:
+        """Make done tasks durable, all in one transaction; jobs that are complete move to their final state."""
+        for _ in range(MAX_PROGRESS_TRIES):
+            transaction = self._progress_transaction(batch, claim_of)
+            if not transaction.changes:
+                return
+            try:
+                conditions = list(transaction.conditions.values())
+                applied = await self._state.transact(conditions, transaction.changes, Urgency.COMPLETE)
+            except ConflictError as error:
+                await self._reader.refresh(error.failed)
+            except OutcomeUnknownError:
+                await self._reader.refresh([key for key, _ in transaction.results])
+            except LeaseExpiredError:
+                return
+            else:
+                self._progress_written(transaction, applied)
+                return
+
+    def _progress_transaction(self, batch: list[Progress], claim_of: ClaimOf) -> ProgressTransaction:
+        transaction = ProgressTransaction()
+        for progress in batch:
+            room = self._state.max_changes - len(transaction.changes)
+            if transaction.size > MAX_TRANSACTION_BYTES or room < CHANGES_OF_AN_END:
+                break  # what is left comes with the next write
+            record = self._store.active.get(progress.ref)
+            claims = [claim_of(part) for part in progress.parts]
+            if record is None or None in claims:
+                continue  # cancelled meanwhile, or the part is not ours any more
+            key = JOBS + progress.ref
+            for condition in (*claims, when(key, self._replica.revision_of(key))):
+                transaction.require(condition)
+            self._add_progress(transaction, progress, record, room)
+        return transaction
+
+    def _add_progress(self, transaction: ProgressTransaction, progress: Progress, record: JobRecord, room: int) -> None:
+        key = JOBS + progress.ref
+        known = self._store.done(progress.ref, record)
+        done = known | progress.done
+        if done.bit_count() >= record.job.tasks:
+            final = records.write(FinalStateRecord(JobState.DONE, record.job.tasks, self._today()))
+            transaction.remove(key)
+            transaction.put(FINAL_STATES + progress.ref, bytes(final))
+            transaction.completed.append(record)
+        elif done != known:
+            for change in self._pager.progress(progress.ref, record, known, done)[:room]:
+                if change.key != key:
+                    transaction.require(when(change.key, self._replica.revision_of(change.key)))
+                transaction.put(change.key, bytes(change.value))
+
+    def _progress_written(self, transaction: ProgressTransaction, revision: int) -> None:
+        for record in transaction.completed:
+            took = self._today() - record.accepted
+            log.info("event=job_done job=%s class=%s took=%.1f", record.job.ref, record.job.job_class, took)
+        for key, value in transaction.results:
+            self._store.published(key, value, revision)
--- /dev/null
+++ b/badgerroute/coordination/machine_commands.py
@@ -0,0 +1,90 @@
+"""Commands sent to machines' own addresses, and the terms that let machines accept them."""
+
+import logging
+from collections.abc import Callable
+from datetime import timedelta
+
+from badgerroute.coordination.services import Services
+from badgerroute.protocol.common import MalformedError, encode
+from badgerroute.protocol.workers import Command, DirectCommands, Report, parse_report
+from badgerroute.scheduling.model import Machine
+from badgerroute.scheduling.part import Part
+from badgerroute.storage.state import LeaseExpiredError, OutcomeUnknownError, StateUnavailableError
+from badgerroute.transport.http import Client, Unanswered
+from badgerroute.transport.loop import Future
+
+log = logging.getLogger("badgerroute.owner")
+DIRECT_LIMIT = timedelta(seconds=2)
+DIRECT_CONNECT = timedelta(seconds=1)
+RAISE_LIMIT = timedelta(seconds=1)
+MAX_SENDS = 2  # the second in a higher term, if the first met a higher token
+
+
+class MachineCommands:
+    """`received` takes in the task list that a machine answers with."""
+
+    def __init__(self, part: Part, services: Services, received: Callable[[Machine, Report], None]) -> None:
+        self._part, self._received = part, received
+        self._loop, self._network, self._gate = services.loop, services.network, services.gate
+        self._claims = services.claims
+        self._raising: Future | None = None
+
+    async def send(self, machine: Machine, commands: list[Command], urgent: bool = False) -> bool:
+        """Send commands to a machine's own address; never starts, since these may be carried out minutes late.
+
+        Only so many at a time, and nothing stays open: an owner of everything has a thousand members, and every one of
+        them holds a connection to us already.
+        """
+        async with self._gate.place(urgent):
+            client = Client(self._loop, self._network, machine.address, most_idle=1, connect=DIRECT_CONNECT)
+            try:
+                return await self._send(client, machine, commands)
+            finally:
+                client.drop()
+
+    async def _send(self, client: Client, machine: Machine, commands: list[Command]) -> bool:
+        commands = [command for command in commands if command.kind != "start"]
+        for _ in range(MAX_SENDS):
+            body = encode(DirectCommands(self._part.term, machine.session, commands))
+            try:
+                response = await client.request("POST", "/do", body, DIRECT_LIMIT)
+            except Unanswered:
+                return False
+            if response.status not in (200, 409):
+                return False
+            try:
+                report = parse_report(response.body)
+            except MalformedError as error:
+                log.warning("event=bad_direct_answer machine=%s error=%s", machine.name, error)
+                return False
+            if self._part.machines.get(machine.name) is not machine or report.machine != machine.name:
+                return False
+            self._received(machine, report)
+            if response.status == 200:
+                return True
+            if report.token > self._part.term and not await self.raise_term():
+                return False
+        return False
+
+    async def raise_term(self) -> bool:
+        """Get a term above the token that some machine has seen elsewhere."""
+        if self._raising is not None:
+            # Whoever waits with others must learn how it went. Once they took it for granted, and an owner cut off from
+            # the state service answered hundreds of machines in its old term: they dropped the answers, stayed there
+            # all the same, and their leases ran out.
+            raising = self._raising
+            return await self._loop.first(raising, RAISE_LIMIT) and raising.result
+        self._raising = Future()
+        raised = False
+        try:
+            term = await self._claims.raise_term(self._part.number)
+        except (StateUnavailableError, OutcomeUnknownError, LeaseExpiredError) as error:
+            log.info("event=raise_failed part=%d error=%s", self._part.number, error)
+        else:
+            if term is not None:
+                self._part.term = term
+                raised = True
+        finally:
+            self._raising.set(raised)
+            self._raising = None
+        return raised
--- a/badgerroute/coordination/member_registry.py
+++ b/badgerroute/coordination/member_registry.py
@@ -1,34 +1,32 @@
 """New members of a part, written down before the first start is sent to them."""
 
 import logging
-from collections.abc import Callable
 from datetime import timedelta
 
-from badgerroute.coordination.claims import Claims
+from badgerroute.coordination.services import Services
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
 from badgerroute.storage.records import MachineRecord
-from badgerroute.storage.replica import MACHINES, Replica
+from badgerroute.storage.replica import MACHINES
 from badgerroute.storage.state import (
     ConflictError,
     LeaseExpiredError,
     OutcomeUnknownError,
-    StateClient,
     StateUnavailableError,
     put,
     when,
 )
-from badgerroute.transport.loop import Future, Group, Loop
+from badgerroute.transport.loop import Future, Group
 
 log = logging.getLogger("badgerroute.registrar")
-Push = Callable[[str, bytes | None, int], None]
 
 
 class MemberRegistry:
     """Writes new members down, several in one transaction."""
 
-    def __init__(self, loop: Loop, group: Group, state: StateClient, replica: Replica, push: Push) -> None:
-        self._loop, self._group, self._state, self._replica, self._push = loop, group, state, replica, push
+    def __init__(self, services: Services, group: Group) -> None:
+        self._loop, self._group, self._claims = services.loop, group, services.claims
+        self._state, self._replica, self._publish = services.state, services.replica, services.publish
         self._waiting: dict[str, tuple[MachineRecord, Future]] = {}
         self._running = False
 
@@ -38,12 +36,12 @@
             found = self._waiting[name] = (record, Future())
         return found[1]
 
-    def start(self, claims: Claims) -> None:
+    def start(self) -> None:
         if not self._running and self._waiting:
             self._running = True
-            self._group.spawn(self._run(claims), "registrar")
+            self._group.spawn(self._run(), "registrar")
 
-    async def _run(self, claims: Claims) -> None:
+    async def _run(self) -> None:
         try:
             await self._loop.sleep(timedelta(milliseconds=20))  # machines that come up together go in together
             while self._waiting:
@@ -51,7 +49,7 @@
                 batch = {name: self._waiting.pop(name) for name in names}
                 written: set[str] = set()
                 try:
-                    written = await self._write(claims, {name: record for name, (record, _) in batch.items()})
+                    written = await self._write({name: record for name, (record, _) in batch.items()})
                 except (StateUnavailableError, OutcomeUnknownError, ConflictError, LeaseExpiredError) as error:
                     log.info("event=register_failed machines=%d error=%s", len(batch), error)
                 finally:
@@ -60,15 +58,15 @@
         finally:
             self._running = False
 
-    async def _write(self, claims: Claims, batch: dict[str, MachineRecord]) -> set[str]:
+    async def _write(self, batch: dict[str, MachineRecord]) -> set[str]:
         batch = {
             name: record
             for name, record in batch.items()
-            if record.part in claims.parts and not self._replica.revision_of(MACHINES + name)
+            if record.part in self._claims.parts and not self._replica.revision_of(MACHINES + name)
         }
         if not batch:
             return set()
-        conditions = [claims.condition(part) for part in {record.part for record in batch.values()}]
+        conditions = [self._claims.condition(part) for part in {record.part for record in batch.values()}]
         conditions += [when(MACHINES + name, 0) for name in batch]
         values = {MACHINES + name: records.write(record) for name, record in batch.items()}
         try:
@@ -81,5 +79,5 @@
             raise
         for key, value in values.items():
             self._replica.learn(key, bytes(value), at)
-            self._push(key, bytes(value), at)
+            self._publish(key, bytes(value), at)
         return set(batch)
--- a/badgerroute/coordination/migration.py
+++ b/badgerroute/coordination/migration.py
@@ -10,27 +10,24 @@
 
 import msgspec
 
-from badgerroute.coordination.claims import Claims
-from badgerroute.coordination.job_store import JobStore
-from badgerroute.coordination.member_registry import Push
+from badgerroute.coordination.services import Services
 from badgerroute.protocol import mesh as mesh_wire
 from badgerroute.scheduling.model import Job, Machine, Room, allows, need_of
 from badgerroute.scheduling.part import Part
 from badgerroute.scheduling.planner import Planner
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
-from badgerroute.storage.records import MachineRecord, lowest
-from badgerroute.storage.replica import JOBS, MACHINES, Replica
+from badgerroute.storage.records import MachineRecord, TaskRange, lowest
+from badgerroute.storage.replica import JOBS, MACHINES
 from badgerroute.storage.state import (
     ConflictError,
     LeaseExpiredError,
     OutcomeUnknownError,
-    StateClient,
     StateUnavailableError,
     put,
     when,
 )
-from badgerroute.transport.loop import Group, Loop
+from badgerroute.transport.loop import Group
 
 log = logging.getLogger("badgerroute.migration")
 MAX_RANGES = 48
@@ -55,22 +52,17 @@
         self,
         part: Part,
         planner: Planner,
-        loop: Loop,
+        services: Services,
         group: Group,
-        state: StateClient,
-        replica: Replica,
-        claims: Claims,
-        job_store: JobStore,
-        push: Push,
         active: Callable[[], bool],
         changed: Callable[[str], None],
     ) -> None:
         self.number, self.part, self.planner = part.number, part, planner
-        self._loop, self._group = loop, group
-        self._state, self._replica, self._claims = state, replica, claims
-        self._job_store, self._push = job_store, push
+        self._loop, self._group = services.loop, group
+        self._state, self._replica, self._claims = services.state, services.replica, services.claims
+        self._job_store, self._job_reader, self._pager = services.job_store, services.job_reader, services.pager
+        self._publish, self._ask_machines = services.publish, services.ask_machines
         self._active, self._changed = active, changed
-        self.request_loan: Callable[[mesh_wire.MachineLoanRequest], None] = lambda message: None
         self._passed_on: dict[str, timedelta] = {}
         self._loan_request: tuple[str, timedelta] | None = None  # gang, and since when
 
@@ -130,7 +122,7 @@
             )
             self._passed_on = {ref: at for ref, at in self._passed_on.items() if now - at < PASS_ON_PAUSE}
             self._passed_on[job.ref] = now
-            moved = msgspec.structs.replace(record, ranges=[(target.part, 0, job.spec.tasks)])
+            moved = msgspec.structs.replace(record, ranges=[TaskRange(target.part, 0, job.spec.tasks)])
             log.info("event=gang_passed_on job=%s from=%d to=%d", job.ref, self.number, target.part)
             await self._write_steal([(job.ref, moved)], target.part)
 
@@ -153,7 +145,7 @@
             self._loan_request = (job.ref, now)
             self._passed_on[job.ref] = now
             spec = msgspec.structs.replace(job.spec, zone=zone) if zone else job.spec
-            self.request_loan(mesh_wire.MachineLoanRequest(self.number, spec, lacking))
+            self._ask_machines(mesh_wire.MachineLoanRequest(self.number, spec, lacking))
 
     async def lend(self, message: mesh_wire.MachineLoanRequest) -> None:
         """Give empty machines to a part that is too small for a gang, in one conditional write.
@@ -202,7 +194,7 @@
             )
             for change in puts:
                 self._replica.learn(change.key, bytes(change.value), at)
-                self._push(change.key, bytes(change.value), at)
+                self._publish(change.key, bytes(change.value), at)
 
     async def _settle_machine(self, machine: Machine) -> None:
         key = MACHINES + machine.name
@@ -325,9 +317,9 @@
             job = self.part.jobs.get(ref)
             if job is None:
                 continue
-            if not self._job_store.fits(record):
+            if not self._pager.fits(record):
                 # An older version may have left it larger than may be written now: it is traded once it is smaller.
-                self._group.spawn(self._job_store.page_out(ref), "page-out")
+                self._group.spawn(self._pager.page_out(ref), "page-out")
                 continue
             given = job.owned & ~record.owned(self.number)
             if given & (job.placed_bits | job.giving):
@@ -357,7 +349,7 @@
             log.info("event=steal part=%d thief=%d jobs=%d", self.number, thief, len(puts))
             for change in puts:
                 self._replica.learn(change.key, bytes(change.value), at)
-                self._push(change.key, bytes(change.value), at)
+                self._publish(change.key, bytes(change.value), at)
         for job, given in held:
             self._given(job, given)
 
@@ -368,7 +360,7 @@
 
     async def _refresh(self, keys: list[str]) -> None:
         try:
-            await self._job_store.refresh(keys)
+            await self._job_reader.refresh(keys)
         except StateUnavailableError:
             log.debug("event=refresh_failed")
 
@@ -382,7 +374,7 @@
                     return  # it has its final state: the watch drops it
                 at = await self._state.transact([when(key, found.revision)], [put(key, found.value)], Urgency.COMPLETE)
                 self._replica.learn(key, bytes(found.value), at)
-                self._push(key, bytes(found.value), at)
+                self._publish(key, bytes(found.value), at)
                 self._given(job, given)
                 return
             except (StateUnavailableError, OutcomeUnknownError, ConflictError, LeaseExpiredError):
--- a/badgerroute/coordination/pipelines.py
+++ b/badgerroute/coordination/pipelines.py
@@ -8,11 +8,12 @@
 from collections.abc import Callable
 from datetime import timedelta
 
+from badgerroute.coordination.job_reader import JobReader
 from badgerroute.coordination.job_store import JobStore
 from badgerroute.protocol.state import Put, Remove
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
-from badgerroute.storage.records import FinalStateRecord, JobRecord
+from badgerroute.storage.records import FinalStateRecord, JobRecord, JobState
 from badgerroute.storage.replica import FINAL_STATES, JOBS, Replica
 from badgerroute.storage.state import (
     ConflictError,
@@ -46,11 +47,13 @@
         state: StateClient,
         replica: Replica,
         job_store: JobStore,
+        job_reader: JobReader,
         owned: Callable[[int], bool],
         tidies: Callable[[], bool],
         turn: int,
     ) -> None:
-        self._loop, self._state, self._replica, self._job_store = loop, state, replica, job_store
+        self._loop, self._state, self._replica = loop, state, replica
+        self._job_store, self._job_reader = job_store, job_reader
         self._owned, self._tidies, self._turn = owned, tidies, turn
         self._asked: dict[str, timedelta] = {}
         self._seen: dict[str, timedelta] = {}  # withdrawn jobs whose own record is still to be written
@@ -68,7 +71,7 @@
             try:
                 for ref in unknown[:MAX_LOOKUPS_PER_ROUND]:
                     self._asked[ref] = now
-                    await self._job_store.look_up(ref, Urgency.COMPLETE)
+                    await self._job_reader.look_up(ref, Urgency.COMPLETE)
             except StateUnavailableError as error:
                 log.info("event=predecessors_unknown jobs=%d error=%s", len(unknown), error)
                 await self._loop.sleep(5 * TICK)
@@ -118,14 +121,16 @@
         if not jobs:
             return
         today = self._loop.clock.today().timestamp()
-        pasts = {ref: records.write(FinalStateRecord("withdrawn", record.job.tasks, today)) for ref, record in jobs}
+        pasts = {
+            ref: records.write(FinalStateRecord(JobState.WITHDRAWN, record.job.tasks, today)) for ref, record in jobs
+        }
         changes: list[Put | Remove] = []
         for ref, past in pasts.items():
             changes += [remove(JOBS + ref), put(FINAL_STATES + ref, past)]
         conditions = [when(JOBS + ref, self._replica.revision_of(JOBS + ref)) for ref in pasts]
         at = await self._state.transact(conditions, changes, Urgency.COMPLETE)
         for ref, past in pasts.items():
-            self._job_store.over(ref, past, at)
+            self._job_store.finished(ref, bytes(past), at)
         log.info("event=withdrawn_with_predecessor jobs=%s", ",".join(pasts))
 
     # -- pages of jobs that are over
@@ -146,8 +151,8 @@
                 log.info("event=tidying_delayed error=%s", error)
 
     async def _tidy(self, ref: str) -> None:
-        found = await self._job_store.look_up(ref, Urgency.PROGRESS)
-        if found is not None and found[1] is not None:
+        found = await self._job_reader.look_up(ref, Urgency.PROGRESS)
+        if found is not None and found.record is not None:
             return  # it is not over
         keys = sorted(self._job_store.pages.get(ref, ()))[: self._state.max_changes]
         conditions = [when(key, self._replica.revision_of(key)) for key in keys]
--- /dev/null
+++ b/badgerroute/coordination/record_paging.py
@@ -0,0 +1,139 @@
+"""Keeps jobs' records within the size of a value: what does not fit goes to further keys, called pages."""
+
+import logging
+from collections.abc import Container
+from dataclasses import dataclass
+
+import msgspec
+
+from badgerroute.coordination.job_store import JobStore, page_key
+from badgerroute.storage import records
+from badgerroute.storage.budget import Urgency
+from badgerroute.storage.records import DonePage, JobRecord, PredecessorsPage
+from badgerroute.storage.replica import DONE, JOBS, PREDECESSORS, Replica
+from badgerroute.storage.state import (
+    ConflictError,
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    StateClient,
+    StateUnavailableError,
+    put,
+    when,
+)
+
+log = logging.getLogger("badgerroute.paging")
+PAGE_REFS = 24  # predecessors on a page: the same at every node, since each may write a page of a repeated submission
+
+
+@dataclass(frozen=True, slots=True)
+class KeyValue:
+    """A key and the value that it is to have."""
+
+    key: str
+    value: msgspec.Raw
+
+    @property
+    def size(self) -> int:
+        """Of the value, in bytes."""
+        return len(bytes(self.value))
+
+
+@dataclass(frozen=True, slots=True)
+class CompactRecord:
+    """A record that fits, and the pages for what did not."""
+
+    record: JobRecord
+    pages: list[KeyValue]
+
+
+class RecordPager:
+    """`known_types` are the machine types there are."""
+
+    def __init__(self, state: StateClient, replica: Replica, store: JobStore, known_types: Container[str]) -> None:
+        self._state, self._replica, self._store, self._known_types = state, replica, store, known_types
+
+    def fits(self, record: JobRecord) -> bool:
+        """Whether a record may be written as it is."""
+        return len(bytes(records.write(record))) <= self._state.max_value_bytes
+
+    def compact(self, record: JobRecord) -> CompactRecord:
+        """A new job's record, with its predecessors on pages if they do not fit it."""
+        pages: list[KeyValue] = []
+        refs = list(dict.fromkeys(record.job.predecessors or ()))
+        if refs and not self.fits(record):
+            for number, first in enumerate(range(0, len(refs), PAGE_REFS)):
+                page = PredecessorsPage(refs[first : first + PAGE_REFS])
+                pages.append(KeyValue(page_key(PREDECESSORS, record.job.ref, number), records.write(page)))
+            job = msgspec.structs.replace(record.job, predecessors=None)
+            record = msgspec.structs.replace(record, job=job, pages=len(pages))
+        return CompactRecord(self._without_unknown_types(record), pages)
+
+    def _without_unknown_types(self, record: JobRecord) -> JobRecord:
+        """Without the machine types that there are not, if the record is too large with them."""
+        types = [name for name in record.job.types or () if name in self._known_types]
+        if not types or self.fits(record):
+            return record
+        return msgspec.structs.replace(record, job=msgspec.structs.replace(record.job, types=types))
+
+    def progress(self, ref: str, record: JobRecord, known: int, done: int) -> list[KeyValue]:
+        """What to write for a job with these tasks done: its record, or if that would be too large, pages beside it."""
+        whole = record.with_done(done)
+        if self.fits(whole):
+            return [KeyValue(JOBS + ref, records.write(whole))]
+        fresh, paged = done & ~known, self._store.paged(ref)
+        pages = []
+        for number in range(-(-record.job.tasks // records.PAGE_TASKS)):
+            bits = records.page_of(fresh, number)
+            if bits:
+                pages.append(self._done_page(ref, number, records.page_of(paged, number) | bits))
+        return pages
+
+    @staticmethod
+    def _done_page(ref: str, number: int, bits: int) -> KeyValue:
+        return KeyValue(page_key(DONE, ref, number), records.write(DonePage(records.pack(bits))))
+
+    async def page_out(self, ref: str) -> None:
+        """Make a record that an older version left too large small enough to be written again.
+
+        The bits of done tasks go to pages, in as many writes as it takes, and the record itself last. Until then it
+        holds them too, and from then on the pages do, so none is lost wherever this stops. It may be done by anybody.
+        """
+        record, revision = self._store.active.get(ref), self._replica.revision_of(JOBS + ref)
+        if record is None:
+            return
+        done = self._store.done(ref, record)
+        small = self._without_unknown_types(record.without_bits(done))
+        if not self.fits(small):
+            log.info("event=record_too_large job=%s", ref)
+            return
+        pages = self._missing_pages(ref, record, done)
+        changes = [*pages, KeyValue(JOBS + ref, records.write(small))]
+        for first in range(0, len(changes), self._state.max_changes):
+            if not await self._write(ref, revision, changes[first : first + self._state.max_changes]):
+                return
+        log.info("event=record_spilled job=%s pages=%d", ref, len(pages))
+
+    def _missing_pages(self, ref: str, record: JobRecord, done: int) -> list[KeyValue]:
+        """Pages with done tasks that no page says yet."""
+        known = self._store.paged(ref)
+        first = records.trailing_ones(done) // records.PAGE_TASKS
+        numbers = range(first, -(-record.job.tasks // records.PAGE_TASKS))
+        return [
+            self._done_page(ref, number, records.page_of(done, number))
+            for number in numbers
+            if records.page_of(done, number) != records.page_of(known, number)
+        ]
+
+    async def _write(self, ref: str, revision: int, changes: list[KeyValue]) -> bool:
+        """Write some of a record's pages, or at last the record; whether they are written."""
+        conditions = [when(JOBS + ref, revision)]
+        conditions += [when(one.key, self._replica.revision_of(one.key)) for one in changes if one.key != JOBS + ref]
+        puts = [put(one.key, one.value) for one in changes]
+        try:
+            applied = await self._state.transact(conditions, puts, Urgency.PROGRESS)
+        except (ConflictError, StateUnavailableError, OutcomeUnknownError, LeaseExpiredError) as error:
+            log.info("event=spill_delayed job=%s error=%s", ref, error)
+            return False
+        for one in changes:
+            self._store.published(one.key, bytes(one.value), applied)
+        return True
--- /dev/null
+++ b/badgerroute/coordination/services.py
@@ -0,0 +1,42 @@
+"""What the parts of one controller share: its clients, its view of the world, and whom they tell of what."""
+
+from collections.abc import Callable, Coroutine
+from dataclasses import dataclass
+
+from badgerroute.coordination.claims import Claims
+from badgerroute.coordination.job_reader import JobReader
+from badgerroute.coordination.job_store import JobStore, Publish
+from badgerroute.coordination.quotas import TeamQuotas
+from badgerroute.coordination.record_paging import RecordPager
+from badgerroute.protocol.cloud import MachineType
+from badgerroute.protocol.mesh import MachineLoanRequest, ShareRequest
+from badgerroute.settings import Settings
+from badgerroute.storage.replica import Replica
+from badgerroute.storage.state import StateClient
+from badgerroute.transport.loop import Gate, Group, Loop
+from badgerroute.transport.net import Network
+
+
+@dataclass(frozen=True, slots=True)
+class Services:
+    """Collaborators of every owner."""
+
+    settings: Settings
+    loop: Loop
+    network: Network
+    group: Group
+    gate: Gate  # how many commands may be on their way to machines at once
+    state: StateClient
+    replica: Replica
+    claims: Claims
+    job_store: JobStore
+    job_reader: JobReader
+    pager: RecordPager
+    quotas: TeamQuotas
+    catalog: dict[str, MachineType]
+    publish: Publish  # tells the siblings of a change of ours
+    progressed: Callable[[], None]  # there is progress to be written down
+    delete_machines: Callable[[list[str]], None]
+    ask_share: Callable[[ShareRequest], None]
+    ask_machines: Callable[[MachineLoanRequest], None]
+    predecessors_resolved: Callable[[], Coroutine[object, object, None]]  # waits until it is known how they ended
--- a/badgerroute/coordination/split.py
+++ b/badgerroute/coordination/split.py
@@ -7,6 +7,7 @@
 from badgerroute.protocol.mesh import PartSummary
 from badgerroute.protocol.users import Submission
 from badgerroute.scheduling.model import Room, need_of
+from badgerroute.storage.records import TaskRange
 
 UNEVEN = 1.5  # how much more than another a part may have waiting, for its size, to get a gang for its image's sake
 
@@ -46,8 +47,8 @@
     return [(one.machines + 1.0) / (_queued(one) + 10.0) if one else 0.01 for one in parts]
 
 
-def split(job: Submission, summaries: Sequence[PartSummary], size: int) -> list[tuple[int, int, int]]:
-    """Ranges (part, first, one past the last) that cover all tasks."""
+def split(job: Submission, summaries: Sequence[PartSummary], size: int) -> list[TaskRange]:
+    """Ranges that cover all tasks."""
     shares = weights(job, summaries, size)
     best = max(range(size), key=lambda part: (shares[part], -part))
     if job.gang or job.together or job.spread or job.tasks == 1:
@@ -66,21 +67,21 @@
             load = [_load(by_part.get(part)) for part in range(size)]
             home = zlib.crc32(job.image.encode()) % size
             if load[home] <= UNEVEN * min(load) + 1.0 and (home in fitting or not fitting):
-                return [(home, 0, job.tasks)]
+                return [TaskRange(home, 0, job.tasks)]
         best = max(fitting or [best], key=lambda part: (beside(part), shares[part], -part))
-        return [(best, 0, job.tasks)]
+        return [TaskRange(best, 0, job.tasks)]
     total = sum(shares)
     if total <= 0:
         shares, total = [1.0] * size, float(size)
-    ranges: list[tuple[int, int, int]] = []
+    ranges: list[TaskRange] = []
     first, seen = 0, 0.0
     for part in range(size):
         seen += shares[part]
         end = round(job.tasks * seen / total)
         if end > first:
-            ranges.append((part, first, end))
+            ranges.append(TaskRange(part, first, end))
             first = end
     if first < job.tasks:
-        part, start, _ = ranges.pop() if ranges else (best, 0, 0)
-        ranges.append((part, start, job.tasks))
+        last = ranges.pop() if ranges else TaskRange(best, 0, 0)
+        ranges.append(last._replace(end=job.tasks))
     return ranges
--- a/badgerroute/coordination/users.py
+++ b/badgerroute/coordination/users.py
@@ -3,7 +3,9 @@
 import logging
 from collections.abc import Callable
 
+from badgerroute.coordination.job_reader import JobLookup, JobReader
 from badgerroute.coordination.job_store import JobStore
+from badgerroute.coordination.job_writer import JobWriter
 from badgerroute.coordination.split import split
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.common import MalformedError, encode
@@ -11,7 +13,6 @@
 from badgerroute.protocol.users import REF, Submission, parse_submission
 from badgerroute.scheduling.model import Room, capacity_of, need_of
 from badgerroute.settings import Params, Team
-from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
 from badgerroute.storage.replica import Replica
 from badgerroute.storage.state import LeaseExpiredError, OutcomeUnknownError, StateUnavailableError
@@ -39,12 +40,15 @@
         self,
         params: Params,
         job_store: JobStore,
+        job_reader: JobReader,
+        job_writer: JobWriter,
         replica: Replica,
         catalog: dict[str, MachineType],
         summaries: Callable[[], list[PartSummary]],
         running: Callable[[str], int],
     ) -> None:
-        self._size, self._job_store, self._replica, self._catalog = params.size, job_store, replica, catalog
+        self._size, self._replica, self._catalog = params.size, replica, catalog
+        self._job_store, self._job_reader, self._job_writer = job_store, job_reader, job_writer
         self._summaries, self._running = summaries, running
         self._teams: dict[str, Team] = {team.name: team for team in params.teams}
 
@@ -65,34 +69,33 @@
             problem = self._impossible(job) or await self._unaccepted(job)
             if problem is not None:
                 # Whoever accepted it may have known better: only a job that nobody knows can be refused.
-                found = await self._job_store.look_up(job.ref, Urgency.SUBMIT)
+                found = await self._job_reader.look_up(job.ref, Urgency.SUBMIT)
                 if found is None:
                     log.info("event=submission_refused job=%s team=%s error=%s", job.ref, job.team, problem)
                     return error(422, problem)
                 return self._state_answer(200, job.ref, found)
-            if await self._job_store.accept(job, split(job, self._summaries(), self._size)):
+            if await self._job_writer.accept(job, split(job, self._summaries(), self._size)):
                 # One that names a job which is cancelled by now is accepted all the same, and withdrawn at once.
-                state = await self._job_store.state_after_acceptance(job.ref) if job.predecessors else "queued"
+                state = await self._job_reader.state_after_acceptance(job.ref) if job.predecessors else "queued"
                 return answer(201, {"ref": job.ref, "condition": state})
-            found = await self._job_store.look_up(job.ref, Urgency.SUBMIT)
+            found = await self._job_reader.look_up(job.ref, Urgency.SUBMIT)
             return come_back("undecided") if found is None else self._state_answer(200, job.ref, found)
         except (StateUnavailableError, OutcomeUnknownError, LeaseExpiredError) as trouble:
             log.info("event=submission_undecided job=%s error=%s", job.ref, trouble)
             return come_back("the state service can't be reached")
 
     async def _known(self, job: Submission) -> Response | None:
-        if self._job_store.final(job.ref) is None and job.ref not in self._job_store.active:
+        if not self._job_store.knows(job.ref):
             return None
-        found = await self._job_store.look_up(job.ref, Urgency.SUBMIT)
+        found = await self._job_reader.look_up(job.ref, Urgency.SUBMIT)
         return None if found is None else self._state_answer(200, job.ref, found)
 
-    def _state_answer(self, status: int, ref: str, found: tuple[str, records.JobRecord | None, int]) -> Response:
-        state, record, _ = found
-        return answer(status, self._job_store.view(ref, state, record, self._running(ref)))
+    def _state_answer(self, status: int, ref: str, found: JobLookup) -> Response:
+        return answer(status, self._job_reader.view(ref, found, self._running(ref)))
 
     async def _unaccepted(self, job: Submission) -> str | None:
         """Users name only jobs that were accepted, by any node, in whatever state they are by now."""
-        missing = await self._job_store.unaccepted(job.predecessors or ())
+        missing = await self._job_reader.unaccepted(job.predecessors or ())
         return f"follows {', '.join(missing[:3])}, which nobody accepted" if missing else None
 
     def _impossible(self, job: Submission) -> str | None:
@@ -124,7 +127,7 @@
         if not self._replica.ready.done:
             return come_back("starting")
         try:
-            found = await self._job_store.current(ref)
+            found = await self._job_reader.current(ref)
         except (StateUnavailableError, OutcomeUnknownError) as trouble:
             log.debug("event=poll_undecided job=%s error=%s", ref, trouble)
             return come_back("the state service can't be reached")
@@ -134,7 +137,7 @@
         if not REF.match(ref):
             return error(404, "no such job")
         try:
-            state = await self._job_store.cancel(ref)
+            state = await self._job_writer.cancel(ref)
         except (StateUnavailableError, OutcomeUnknownError, LeaseExpiredError) as trouble:
             log.info("event=cancellation_undecided job=%s error=%s", ref, trouble)
             return come_back("the state service can't be reached")
--- a/badgerroute/scheduling/dependencies.py
+++ b/badgerroute/scheduling/dependencies.py
@@ -5,8 +5,21 @@
 """
 
 from collections.abc import Callable, Container, Iterable, Iterator
+from dataclasses import dataclass
 
-Final = Callable[[str], tuple[str, float] | None]  # a job's final state and when it was reached, if that is known
+from badgerroute.storage.records import JobState
+
+
+@dataclass(frozen=True, slots=True)
+class FinalState:
+    """How a job ended, the time of day at which it did, and the revision of the record that says so."""
+
+    state: JobState
+    reached: float
+    revision: int = 0
+
+
+Final = Callable[[str], FinalState | None]  # a job's final state, if that is known
 
 
 class Dependencies:
@@ -28,14 +41,14 @@
         self._left[ref] = left = set()
         lost = False
         for one in needs:
-            known = ("withdrawn", 0.0) if one in self.cancelled else self._final(one)
-            if known is None:
+            known = self._final(one)
+            if one in self.cancelled or (known is not None and known.state is JobState.WITHDRAWN):
+                lost = True
+            elif known is None:
                 left.add(one)
                 self._dependents.setdefault(one, {})[ref] = None
-            elif known[0] == "done":
-                self._after[ref] = max(self._after[ref], known[1])
             else:
-                lost = True
+                self._after[ref] = max(self._after[ref], known.reached)
         if lost:
             self._cancel_downstream(ref)
         elif not left:
@@ -57,10 +70,10 @@
             if not dependents:
                 del self._dependents[predecessor]
 
-    def finished(self, ref: str, state: str, at: float) -> None:
+    def finished(self, ref: str, final: FinalState) -> None:
         """A job has its final state, durably."""
         for dependent in list(self._dependents.get(ref, ())):
-            if state != "done":
+            if final.state is JobState.WITHDRAWN:
                 self._cancel_downstream(dependent)
                 continue
             self._forget(ref, dependent)
@@ -68,7 +81,7 @@
             if left is None:
                 continue
             left.discard(ref)
-            self._after[dependent] = max(self._after[dependent], at)
+            self._after[dependent] = max(self._after[dependent], final.reached)
             if not left and dependent not in self.cancelled:
                 del self._left[dependent]
                 self._released(dependent)
--- a/badgerroute/storage/records.py
+++ b/badgerroute/storage/records.py
@@ -1,7 +1,8 @@
 """What is kept in the state service, and how it is written down."""
 
 import base64
-from typing import Any
+from enum import StrEnum
+from typing import Any, NamedTuple
 
 import msgspec
 from msgspec import Struct
@@ -41,10 +42,18 @@
     shares: dict[str, tuple[float, float]]
 
 
+class JobState(StrEnum):
+    """What the state service says of a job: the values are stored and told to users."""
+
+    ACTIVE = "active"
+    DONE = "done"
+    WITHDRAWN = "withdrawn"
+
+
 class FinalStateRecord(Struct):
     """A final state, kept for ever, and the time of day at which it was reached (0: written by an older version)."""
 
-    state: str
+    state: JobState
     tasks: int
     at: float = 0.0
 
@@ -61,15 +70,23 @@
     refs: list[str]
 
 
+class TaskRange(NamedTuple):
+    """The tasks from `first` to before `end` belong to `part`. Stored as a list of three numbers."""
+
+    part: int
+    first: int
+    end: int
+
+
 class JobRecord(Struct):
     """An unfinished job. Tasks below `base` are done; `bits` holds the others, task `base` first.
 
-    `ranges` says which part owns which tasks: (part, first, one past the last).
+    `ranges` says which part owns which tasks.
     """
 
     job: Submission
     accepted: float
-    ranges: list[tuple[int, int, int]]
+    ranges: list[TaskRange]
     base: int = 0
     bits: str = ""
     pages: int = 0  # keys that hold its predecessors, if these did not fit here
@@ -124,22 +141,20 @@
     return (bits & -bits).bit_length() - 1
 
 
-def give(ranges: list[tuple[int, int, int]], first: int, end: int, part: int) -> list[tuple[int, int, int]]:
+def give(ranges: list[TaskRange], first: int, end: int, part: int) -> list[TaskRange]:
     """The ranges after the tasks from `first` to before `end` have gone to `part`, neighbours joined."""
-    cut: list[tuple[int, int, int]] = []
-    for owner, start, stop in ranges:
-        if start < min(stop, first):
-            cut.append((owner, start, min(stop, first)))
-        if max(start, end) < stop:
-            cut.append((owner, max(start, end), stop))
-    cut.append((part, first, end))
-    cut.sort(key=lambda one: one[1])
-    joined: list[tuple[int, int, int]] = []
-    for owner, start, stop in cut:
-        if joined and joined[-1][0] == owner and joined[-1][2] == start:
-            joined[-1] = (owner, joined[-1][1], stop)
+    pieces = [TaskRange(part, first, end)]
+    for known in ranges:
+        before = known._replace(end=min(known.end, first))
+        after = known._replace(first=max(known.first, end))
+        pieces += [piece for piece in (before, after) if piece.first < piece.end]
+    pieces.sort(key=lambda piece: piece.first)
+    joined: list[TaskRange] = []
+    for piece in pieces:
+        if joined and joined[-1].part == piece.part and joined[-1].end == piece.first:
+            joined[-1] = joined[-1]._replace(end=piece.end)
         else:
-            joined.append((owner, start, stop))
+            joined.append(piece)
     return joined
 
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -18,7 +18,7 @@
 from badgerroute.scheduling.part import Part
 from badgerroute.scheduling.planner import Planner
 from badgerroute.settings import Scheduling
-from badgerroute.storage.records import JobRecord, MachineRecord, give, lowest, span, trailing_ones
+from badgerroute.storage.records import JobRecord, MachineRecord, TaskRange, give, lowest, span, trailing_ones
 
 S = timedelta(seconds=1)
 KIND = MachineType("k8", 8.0, 0.0, 32.0, 10.0, 0.5, 1.0, 0.3, 20.0, ["a", "b"])
@@ -525,7 +525,11 @@
         (["0 run-1 error", "1 run-1 error", "2 run-1 error"], set(), True),
         (["0 run-1 error", "1 run-1 error", "2 run-1 error", "0 run-2 error"], set(), True),  # run-1 says nothing of it
         (["0 run-1 error", "0 run-3 done", "0 run-2 error"], set(), False),
-        (["0 run-1 error", "1 run-1 error", "2 run-1 error", "3 run-1 done"], set(), False),  # so it is not the job that fails
+        (
+            ["0 run-1 error", "1 run-1 error", "2 run-1 error", "3 run-1 done"],
+            set(),
+            False,
+        ),  # so it is not the job that fails
         (["0 run-1 error", "60", "0 run-1 error"], {"host-0"}, False),  # nobody else may run it
     ],
 )
@@ -633,7 +637,7 @@
     ],
 )
 def test_ranges(ranges: list, first: int, end: int, part_number: int, expected: list) -> None:
-    assert give(ranges, first, end, part_number) == expected
+    assert give([TaskRange(*one) for one in ranges], first, end, part_number) == expected
 
 
 def test_bits() -> None:
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -7,7 +7,7 @@
 import pytest
 
 from badgerroute.coordination import forecast
-from badgerroute.coordination.owner import Owner
+from badgerroute.coordination.machine_commands import MachineCommands
 from badgerroute.coordination.quotas import TeamQuotas
 from badgerroute.coordination.users import Users, answer
 from badgerroute.settings import Objective
@@ -468,21 +468,21 @@
 
 def start_in_do(day: Day, monkeypatch: pytest.MonkeyPatch) -> None:
     """An owner that sends starts to a machine's own address."""
-    real = Owner.direct
+    real = MachineCommands.send
 
-    async def direct(self: Owner, machine: object, commands: list, urgent: bool = False) -> bool:
+    async def send(self: MachineCommands, machine: object, commands: list, urgent: bool = False) -> bool:
         for placement in machine.placements.values():
             placement.phase = placement.phase.RESERVED
-        return await real(self, machine, Sneaky(self.part.commands(machine, self._loop.now(), starts=True)))
+        return await real(self, machine, Sneaky(self._part.commands(machine, self._loop.now(), starts=True)))
 
     class Sneaky(list):
         def __iter__(self):  # hides from the filter that keeps starts out
             for one in list.__iter__(self):
                 yield type("Command", (), {"kind": "hidden", "inner": one})
 
-    monkeypatch.setattr(Owner, "direct", direct)
+    monkeypatch.setattr(MachineCommands, "send", send)
     monkeypatch.setattr(
-        "badgerroute.coordination.owner.encode",
+        "badgerroute.coordination.machine_commands.encode",
         lambda message: __import__("msgspec").json.encode(
             type(message)(message.token, message.session, [getattr(one, "inner", one) for one in message.commands])
             if hasattr(message, "session")
@@ -609,7 +609,7 @@
             for one in list(owner.part.jobs.values()):
                 record = controller.job_store.active[one.ref]
                 thief = (owner.number + 1) % 3
-                moved = msgspec.structs.replace(record, ranges=[(thief, 0, one.spec.tasks)])
+                moved = msgspec.structs.replace(record, ranges=[records.TaskRange(thief, 0, one.spec.tasks)])
                 day.loop.run(day.loop.spawn(owner.migration._write_steal([(one.ref, moved)], thief), "give"))
                 assert controller.job_store.active[one.ref].ranges == record.ranges
                 tried += bool(one.placed)
@@ -632,7 +632,7 @@
             record = controller.job_store.active["run-many"]
             thief = (owner.number + 1) % 3
             moved = msgspec.structs.replace(record, ranges=records.give(record.ranges, top - 3, top, thief))
-            real = owner._state.transact
+            real = owner.migration._state.transact
 
             async def transact(*args: object, owner=owner, one=one, real=real, top=top) -> int:
                 nonlocal looked
@@ -642,7 +642,7 @@
                 return await real(*args)
 
             with monkeypatch.context() as patch:
-                patch.setattr(owner._state, "transact", transact)
+                patch.setattr(owner.migration._state, "transact", transact)
                 day.loop.run(day.loop.spawn(owner.migration._write_steal([("run-many", moved)], thief), "give"))
             assert one.giving == 0
     assert looked == 3
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,7 +11,7 @@
 import pytest
 
 from badgerroute.coordination import controller as controller_module
-from badgerroute.coordination import owner as owner_module
+from badgerroute.coordination import deleted_machines as deleted_machines_module
 from badgerroute.coordination.owner import Owner
 from badgerroute.coordination.summary import summarize
 from badgerroute.protocol.cloud import MachineType
@@ -201,12 +201,12 @@
 def test_memory_of_deleted_machines_follows_the_fleet(
     members: int, deleted: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(owner_module, "NAMES_PER_PAGE", 10)
+    monkeypatch.setattr(deleted_machines_module, "NAMES_PER_PAGE", 10)
     day = Day(seed=6, machines=3 * members, capacity=0)
     day.run(8)
     owner = day.controllers[HOSTS[0]][0].owners[0]
     names = [f"host-9{number:05d}" for number in range(deleted)]
-    day.loop.run(day.loop.spawn(owner.forget_machines(names), "forget"))
+    day.loop.run(day.loop.spawn(owner.deleted_machines.forget(names), "forget"))
     day.run(2)
     pages = {key: value[0] for key, value in day.state.items.items() if key.startswith("b/gone/0/")}
     kept = {name for page in pages.values() for name in page["names"]}
--- a/tests/test_left_waiting.py
+++ b/tests/test_left_waiting.py
@@ -152,7 +152,7 @@
 
     def forget(name: str) -> None:
         day.site.remove_worker(name)
-        day.group.spawn(owner.forget_machines([name]), "forget")
+        day.group.spawn(owner.deleted_machines.forget([name]), "forget")
 
     day.state.late_writes, day.state.late_by = 1.0, (8.0, 9.0)
     day.loop.later(SECOND / 2, lambda: setattr(day.state, "late_writes", 0.0))
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from badgerroute.coordination.job_store import JobStore, Progress
+from badgerroute.coordination.job_writer import JobWriter, Progress
 from badgerroute.settings import Objective
 from badgerroute.transport.http import Client, Unanswered
 from tests.standins.day import HOSTS, SECOND, Day, job
@@ -217,14 +217,14 @@
     day = Day(seed=24, machines=9, objectives=[Objective("finished", 0.9, "soon", within_s=60.0)])
     day.run(5)
     batches: list[list[str]] = []
-    real = JobStore.write_progress
+    real = JobWriter.write_progress
 
-    async def write(self: JobStore, batch: list[Progress], claims: object) -> None:
+    async def write(self: JobWriter, batch: list[Progress], claims: object) -> None:
         complete = [one.ref for one in batch if one.done.bit_count() == 1]
         batches.append(complete)
         await real(self, batch, claims)
 
-    monkeypatch.setattr(JobStore, "write_progress", write)
+    monkeypatch.setattr(JobWriter, "write_progress", write)
     for number in range(24):
         day.submit(job(f"run-{number}", heads=1, herd="soon" if number % 4 == 3 else "batch", trek_s=8.0))
     assert day.finish() == []
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -7,8 +7,9 @@
 import pytest
 
 from badgerroute.coordination.pipelines import Pipelines
-from badgerroute.scheduling.dependencies import Dependencies
+from badgerroute.scheduling.dependencies import Dependencies, FinalState
 from badgerroute.storage import records
+from badgerroute.storage.records import JobState
 from tests.standins.day import HOSTS, SECOND, Day, job
 from tests.test_meetings import MEETINGS
 
@@ -22,15 +23,15 @@
     """A graph with what was reported of it."""
 
     def __init__(self, **ends: str) -> None:
-        self.ends = {name: (state, 7.0) for name, state in ends.items()}
+        self.ends = {name: FinalState(JobState(state), 7.0) for name, state in ends.items()}
         self.released: list[str] = []
         self.cancelled: list[str] = []
         self.graph = Dependencies(self.ends.get, self.released.append, self.cancelled.append)
 
     def end(self, ref: str, state: str, at: float = 7.0) -> None:
-        self.ends[ref] = (state, at)
+        self.ends[ref] = FinalState(JobState(state), at)
         self.graph.remove(ref)
-        self.graph.finished(ref, state, at)
+        self.graph.finished(ref, self.ends[ref])
 
 
 @pytest.mark.parametrize(
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -261,7 +261,7 @@
     day.state.late_writes = 0.4
     for turn in range(60):
         for controller, _ in day.controllers.values():
-            day.group.spawn(controller.job_store.page_out("run-big"), "page-out")
+            day.group.spawn(controller.pager.page_out("run-big"), "page-out")
         day.run(1)
         if turn == 25:
             day.restart(HOSTS[1], SECOND)
