--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -13,7 +13,7 @@
 from badgerroute.coordination.forecast import JobForecast
 from badgerroute.coordination.job_reader import JobReader
 from badgerroute.coordination.job_store import JobStore
-from badgerroute.coordination.job_writer import JobWriter
+from badgerroute.coordination.job_writer import JobWriter, Progress
 from badgerroute.coordination.mesh import Mesh
 from badgerroute.coordination.migration import fits_capacity
 from badgerroute.coordination.owner import Owner
@@ -337,7 +337,7 @@
             await self._loop.sleep(FLUSH)
 
     async def _flush_once(self) -> None:
-        merged: dict[str, object] = {}
+        merged: dict[str, Progress] = {}
         for owner in self.owners.values():
             for one in owner.batch():
                 known = merged.get(one.ref)
@@ -349,7 +349,7 @@
         if not merged:
             return
 
-        def order(one: object) -> tuple[int, timedelta]:
+        def order(one: Progress) -> tuple[int, timedelta]:
             """Jobs that are complete come first, and of these the ones that will soon be late.
 
             When a thousand small jobs ended together, writing that down took two minutes, and larger ones that had been
@@ -420,8 +420,8 @@
             await self._loop.sleep(HAND_OVER_PAUSE)
             hosts = self.settings.hosts
             for part in list(self.claims.parts):
-                home = hosts[part] if part < len(hosts) else None
-                sibling = self.siblings.get(home or "")
+                home = hosts[part] if part < len(hosts) else ""
+                sibling = self.siblings.get(home)
                 if part == self.settings.home or sibling is None or not self._recent(sibling):
                     continue
                 owner = self.owners.get(part)
--- a/badgerroute/coordination/deleted_machines.py
+++ b/badgerroute/coordination/deleted_machines.py
@@ -4,6 +4,7 @@
 from datetime import timedelta
 
 from badgerroute.coordination.services import Services
+from badgerroute.protocol.state import Put, Remove
 from badgerroute.scheduling.part import Part
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
@@ -51,7 +52,7 @@
             batch = names[: min(self._state.max_changes - 1, self._names_per_page - len(known), MAX_MACHINES_PER_WRITE)]
             gone = records.write(DeletedMachinesRecord([*known, *(one for one in batch if one not in known)]))
             members = [MACHINES + name for name in batch if self._replica.revision_of(MACHINES + name)]
-            changes = [put(key, gone), *(remove(one) for one in members)]
+            changes: list[Put | Remove] = [put(key, gone), *(remove(one) for one in members)]
             # On the page as we know it: carried out late, an older write of it would strike newer names off.
             conditions = [self._claims.condition(self._part.number), when(key, self._replica.revision_of(key))]
             try:
@@ -75,7 +76,7 @@
         pages = sorted(self._replica.under(prefix), key=self._replica.revision_of)
         self._most_members = max(self._most_members, len(self._part.machines))
         if pages:
-            known = records.read(self._replica.value(pages[-1]), DeletedMachinesRecord).names
+            known = records.read(self._replica.stored(pages[-1]), DeletedMachinesRecord).names
             if len(known) < self._names_per_page:
                 return pages[-1], known
         if len(pages) < max(MIN_PAGES, -(-2 * self._most_members // self._names_per_page)):
--- a/badgerroute/coordination/fleet.py
+++ b/badgerroute/coordination/fleet.py
@@ -284,9 +284,9 @@
             for one in part.capacities:
                 room = Room(one.cpus, one.accelerators, one.memory_gb)
                 capacities.extend(((one.type, one.zone, one.spot), room.copy()) for _ in range(one.count))
-            for team, (cpus, gpus) in part.used.items():
-                used[team] = used.get(team, 0.0) + cpus
-                used_gpus[team] = used_gpus.get(team, 0.0) + gpus
+            for name, (cpus, gpus) in part.used.items():
+                used[name] = used.get(name, 0.0) + cpus
+                used_gpus[name] = used_gpus.get(name, 0.0) + gpus
             demands.extend(part.demands)
         for pending in self._pending.values():
             kind = self._catalog.get(pending.place[0])
--- a/badgerroute/coordination/forecast.py
+++ b/badgerroute/coordination/forecast.py
@@ -71,12 +71,12 @@
             for job in owner.part.jobs.values():
                 job.guaranteed = within.get(job.ref, False)
                 job.tier = ranks.get(job.ref, 0)
-                record = self._job_store.active.get(job.ref)
-                if record is None:
+                active = self._job_store.active.get(job.ref)
+                if active is None:
                     continue
                 owner.part.set_level(job, self._job_store.level(job.ref))
                 due = needed.get(job.ref)
-                job.start_by = due and now + timedelta(seconds=due - today) - self._run_time(record)
+                job.start_by = None if due is None else now + timedelta(seconds=due - today) - self._run_time(active)
 
     def _today(self) -> float:
         return self._loop.clock.today().timestamp()
@@ -89,7 +89,9 @@
 
         def own(ref: str) -> float:
             record = self._job_store.active.get(ref)
-            deadline = record and self._objectives.deadline(record.job)
+            if record is None:
+                return inf
+            deadline = self._objectives.deadline(record.job)
             return record.accepted + deadline.total_seconds() if deadline else inf
 
         def length(ref: str) -> float:
@@ -154,7 +156,7 @@
         for key in self._replica.under(MACHINES):
             kind = self._types.get(key)
             if kind is None:
-                kind = self._types[key] = records.read(self._replica.value(key), records.MachineRecord).type
+                kind = self._types[key] = records.read(self._replica.stored(key), records.MachineRecord).type
             if kind in self._catalog:
                 total[kind] = total.get(kind, 0.0) + self._catalog[kind].cpus
         gangs = [one.job for _, one in self._job_store.schedulable() if one.job.gang]
--- a/badgerroute/coordination/job_reader.py
+++ b/badgerroute/coordination/job_reader.py
@@ -92,7 +92,7 @@
     def view(self, ref: str, found: JobLookup, running: int) -> JobView:
         """What a user is shown; `running` tasks are as last heard."""
         if found.record is None:
-            return JobView(ref, found.state.value)
+            return JobView(ref, "done" if found.state is JobState.DONE else "withdrawn")
         done = self._store.done(ref, found.record).bit_count()
         running = min(running, found.record.job.tasks - done)
         return JobView(ref, "running" if running else "queued", done, running)
--- a/badgerroute/coordination/job_writer.py
+++ b/badgerroute/coordination/job_writer.py
@@ -137,7 +137,7 @@
                 return found.state
             final = records.write(FinalStateRecord(JobState.WITHDRAWN, found.record.job.tasks, self._today()))
             unchanged = [when(JOBS + ref, found.revision)]
-            changes = [remove(JOBS + ref), put(FINAL_STATES + ref, final)]
+            changes: list[Put | Remove] = [remove(JOBS + ref), put(FINAL_STATES + ref, final)]
             try:
                 applied = await self._state.transact(unchanged, changes, Urgency.CANCEL, ANSWER_LIMIT)
             except ConflictError:
@@ -175,8 +175,8 @@
             if transaction.size > MAX_TRANSACTION_BYTES or room < CHANGES_OF_AN_END:
                 break  # what is left comes with the next write
             record = self._store.active.get(progress.ref)
-            claims = [claim_of(part) for part in progress.parts]
-            if record is None or None in claims:
+            claims = [claim for part in progress.parts if (claim := claim_of(part)) is not None]
+            if record is None or len(claims) < len(progress.parts):
                 continue  # cancelled meanwhile, or the part is not ours any more
             key = JOBS + progress.ref
             for condition in (*claims, when(key, self._replica.revision_of(key))):
--- a/badgerroute/coordination/machine_commands.py
+++ b/badgerroute/coordination/machine_commands.py
@@ -10,7 +10,7 @@
 from badgerroute.scheduling.model import Machine
 from badgerroute.scheduling.part import Part
 from badgerroute.storage.state import LeaseExpiredError, OutcomeUnknownError, StateUnavailableError
-from badgerroute.transport.http import Client, Unanswered
+from badgerroute.transport.http import Client, NoAnswerError
 from badgerroute.transport.loop import Future
 
 log = logging.getLogger("badgerroute.owner")
@@ -48,7 +48,7 @@
             body = encode(DirectCommands(self._part.term, machine.session, commands))
             try:
                 response = await client.request("POST", "/do", body, DIRECT_LIMIT)
-            except Unanswered:
+            except NoAnswerError:
                 return False
             if response.status not in (200, 409):
                 return False
--- a/badgerroute/coordination/mesh.py
+++ b/badgerroute/coordination/mesh.py
@@ -4,14 +4,15 @@
 from collections import deque
 from collections.abc import Callable
 from datetime import timedelta
+from functools import partial
 
 import msgspec
 
 from badgerroute.protocol import mesh as wire
 from badgerroute.settings import Settings
 from badgerroute.transport.frames import FrameReader, frame
-from badgerroute.transport.loop import Future, Group, Loop, TimeLimit
-from badgerroute.transport.net import Network, Stream
+from badgerroute.transport.loop import Future, Group, Loop, TimeLimitError
+from badgerroute.transport.net import Listener, Network, Stream
 
 log = logging.getLogger("badgerroute.mesh")
 MAX_QUEUED_FRAMES = 256
@@ -47,7 +48,7 @@
         listener = self._network.listen(self._address)
         self._group.spawn(self._accept(listener), "mesh-accept")
         for link in self._links.values():
-            self._group.duty(lambda link=link: self._speak(link), f"mesh-{link.host}", timedelta(seconds=1))
+            self._group.duty(partial(self._speak, link), f"mesh-{link.host}", timedelta(seconds=1))
 
     def send(self, host: str, message: wire.Message) -> None:
         link = self._links.get(host)
@@ -68,7 +69,7 @@
         while True:
             try:
                 stream = await self._network.connect(link.address, timedelta(seconds=1))
-            except (OSError, TimeLimit) as error:
+            except (OSError, TimeLimitError) as error:
                 log.debug("event=mesh_unreachable sibling=%s error=%s", link.host, error)
                 link.queue.clear()
                 await self._loop.sleep(timedelta(milliseconds=500))
@@ -85,12 +86,12 @@
                     if link.unheard is None:
                         link.unheard = self._loop.now()
                     elif self._loop.now() - link.unheard > UNHEARD:
-                        raise TimeLimit("nothing is acknowledged")
+                        raise TimeLimitError("nothing is acknowledged")
                     data = b"".join(link.queue)
                     link.queue.clear()
                     with self._loop.limit(WRITE_LIMIT):
                         await stream.write(data)
-            except (OSError, TimeLimit) as error:
+            except (OSError, TimeLimitError) as error:
                 log.info("event=mesh_link_lost sibling=%s error=%s", link.host, error)
             finally:
                 acks.cancel()
@@ -111,7 +112,7 @@
             link.lost = error
             link.wake.set()
 
-    async def _accept(self, listener: object) -> None:
+    async def _accept(self, listener: Listener) -> None:
         try:
             while True:
                 stream = await listener.accept()
@@ -143,7 +144,7 @@
                     self._receive(message)
                 except Exception as error:
                     log.error("event=mesh_message_failed error=%r", error, exc_info=error)
-        except (OSError, TimeLimit) as error:
+        except (OSError, TimeLimitError) as error:
             log.debug("event=mesh_ended error=%s", error)
         finally:
             stream.close()
--- a/badgerroute/coordination/owner.py
+++ b/badgerroute/coordination/owner.py
@@ -262,12 +262,13 @@
         for machine in lost:
             machine.lost_at = now
         if lost:
-            names = ",".join(machine.name for machine in lost)
-            log.info("event=machines_lost part=%d machines=%s", self.number, names)
+            log.info("event=machines_lost part=%d machines=%s", self.number, ",".join(one.name for one in lost))
         # Deleted only if it stays silent: when we could not answer for a while, all come back by themselves.
-        silent = [one for one in self.part.machines.values() if not one.alive and one.lost_at is not None]
+        silent = {
+            one.name: one.lost_at for one in self.part.machines.values() if not one.alive and one.lost_at is not None
+        }
         patience = LOST_PATIENCE if 3 * len(silent) <= len(self.part.machines) + 3 else 5 * LOST_PATIENCE
-        names = [one.name for one in silent if now - one.lost_at > patience]
+        names = [name for name, lost_at in silent.items() if now - lost_at > patience]
         if names:
             self._delete(names)
 
--- a/badgerroute/coordination/reachability.py
+++ b/badgerroute/coordination/reachability.py
@@ -15,7 +15,7 @@
 from badgerroute.storage import records
 from badgerroute.storage.records import MachineRecord
 from badgerroute.storage.replica import MACHINES, Replica
-from badgerroute.transport.http import Client, Unanswered
+from badgerroute.transport.http import Client, NoAnswerError
 from badgerroute.transport.loop import Loop
 from badgerroute.transport.net import Network
 
@@ -82,7 +82,7 @@
         client = Client(self._loop, self._network, address, most_idle=1, connect=PROBE_LIMIT)
         try:
             return (await client.request("GET", "/status", b"", PROBE_LIMIT)).status == 200
-        except Unanswered:
+        except NoAnswerError:
             return False
         finally:
             client.drop()
--- a/badgerroute/coordination/users.py
+++ b/badgerroute/coordination/users.py
@@ -55,9 +55,9 @@
     async def submit(self, request: Request) -> Response:
         try:
             job = parse_submission(request.body)
-        except MalformedError as problem:
-            log.info("event=submission_malformed error=%s", problem)
-            return error(400, str(problem))
+        except MalformedError as malformed:
+            log.info("event=submission_malformed error=%s", malformed)
+            return error(400, str(malformed))
         if not self._replica.ready.done:
             return come_back("starting")
         try:
--- a/badgerroute/storage/budget.py
+++ b/badgerroute/storage/budget.py
@@ -6,7 +6,7 @@
 from enum import IntEnum
 
 from badgerroute.transport.clock import ZERO
-from badgerroute.transport.loop import Future, Loop
+from badgerroute.transport.loop import Future, Loop, Timer
 
 
 class Urgency(IntEnum):
@@ -32,7 +32,7 @@
         self._at = loop.now()
         self._waiting: list[tuple[Urgency, int, float, Future]] = []
         self._order = itertools.count()
-        self._timer = None
+        self._timer: Timer | None = None
 
     def limit(self, rate: float, burst: float) -> None:
         """A new rate from now on."""
--- a/badgerroute/storage/cloud.py
+++ b/badgerroute/storage/cloud.py
@@ -10,7 +10,7 @@
 from badgerroute.protocol.common import MalformedError, decode, encode
 from badgerroute.settings import CloudLimits
 from badgerroute.storage.budget import Budget, BudgetExhaustedError, Urgency
-from badgerroute.transport.http import Client, Response, Unanswered
+from badgerroute.transport.http import Client, NoAnswerError, Response
 from badgerroute.transport.loop import Loop
 from badgerroute.transport.net import Network
 
@@ -38,7 +38,7 @@
         try:
             await self._budget.take(1, urgency, LIMIT)
             response = await self._client.request(method, target, body, LIMIT)
-        except (BudgetExhaustedError, Unanswered) as error:
+        except (BudgetExhaustedError, NoAnswerError) as error:
             raise CloudUnavailableError(str(error)) from None
         if response.status == 503 and b"no capacity" in response.body:
             raise NoCapacityError
--- a/badgerroute/storage/replica.py
+++ b/badgerroute/storage/replica.py
@@ -68,6 +68,10 @@
         item = self.items.get(key)
         return item[0] if item else None
 
+    def stored(self, key: str) -> bytes:
+        """The value of a key that exists."""
+        return self.items[key][0]
+
     def under(self, prefix: str) -> list[str]:
         """The keys right under a prefix that ends in a slash. Asked for several times a second."""
         return list(self._under.get(prefix, ()))
--- a/badgerroute/storage/state.py
+++ b/badgerroute/storage/state.py
@@ -12,7 +12,7 @@
 from badgerroute.protocol.common import MalformedError, decode, encode
 from badgerroute.settings import StateLimits
 from badgerroute.storage.budget import Budget, BudgetExhaustedError, Urgency
-from badgerroute.transport.http import Client, Response, Unanswered
+from badgerroute.transport.http import Client, NoAnswerError, Response
 from badgerroute.transport.loop import Loop
 from badgerroute.transport.net import Network
 
@@ -129,7 +129,7 @@
         self.requests += 1
         try:
             response = await (client or self._client).request(method, target, body, limit)
-        except Unanswered as error:
+        except NoAnswerError as error:
             if error.sent:
                 raise OutcomeUnknownError(str(error)) from None
             raise StateUnavailableError(str(error)) from None
--- a/badgerroute/transport/http.py
+++ b/badgerroute/transport/http.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 from urllib.parse import unquote_plus
 
-from badgerroute.transport.loop import Cancelled, Group, Loop, TimeLimit
+from badgerroute.transport.loop import CancelledError, Group, Loop, Routine, TimeLimitError
 from badgerroute.transport.net import Listener, Network, Stream
 
 log = logging.getLogger("badgerroute.http")
@@ -33,7 +33,7 @@
 TARGET = re.compile(rb"/[\x21-\x7e]*").fullmatch
 
 
-class BadMessage(Exception):
+class BadMessageError(Exception):
     """Bytes that are no acceptable HTTP message: answered 400, and the connection is closed."""
 
 
@@ -67,24 +67,24 @@
     for line in lines:
         matched = HEADER(line)
         if matched is None:
-            raise BadMessage("bad header line")
+            raise BadMessageError("bad header line")
         name, value = matched.groups()
         name = name.lower()
         if name in found and name in (b"content-length", b"transfer-encoding", b"host"):
-            raise BadMessage("repeated header")
+            raise BadMessageError("repeated header")
         found[name] = value
     return found
 
 
 def _length(headers: dict[bytes, bytes], most: int) -> int:
     if b"transfer-encoding" in headers:
-        raise BadMessage("transfer codings are not accepted")
+        raise BadMessageError("transfer codings are not accepted")
     raw = headers.get(b"content-length", b"0")
     if not raw.isdigit() or len(raw) > 12:
-        raise BadMessage("bad content-length")
+        raise BadMessageError("bad content-length")
     length = int(raw)
     if length > most:
-        raise BadMessage("body too large")
+        raise BadMessageError("body too large")
     return length
 
 
@@ -112,11 +112,11 @@
             if end >= 0:
                 break
             if len(self._data) > MAX_HEAD:
-                raise BadMessage("header too large")
+                raise BadMessageError("header too large")
             if not await self.more():
                 raise ConnectionError("closed in mid-message" if self._data else "closed")
         if end > MAX_HEAD:
-            raise BadMessage("header too large")
+            raise BadMessageError("header too large")
         head, self._data = self._data[:end], self._data[end + 4 :]
         return head.split(b"\r\n")
 
@@ -137,11 +137,11 @@
         lines = await self._head()
         words = lines[0].split(b" ")
         if len(words) != 3 or not words[2].startswith(b"HTTP/"):
-            raise BadMessage("bad request line")
+            raise BadMessageError("bad request line")
         if words[2] not in (b"HTTP/1.1", b"HTTP/1.0"):
-            raise BadMessage("unknown version")
+            raise BadMessageError("unknown version")
         if words[0] not in METHODS or TARGET(words[1]) is None:
-            raise BadMessage("bad request line")
+            raise BadMessageError("bad request line")
         method, target = words[0].decode(), words[1].decode()
         headers = _headers(lines[1:])
         body = await self._body(_length(headers, MAX_BODY))
@@ -153,7 +153,7 @@
         lines = await self._head()
         words = lines[0].split(b" ", 2)
         if len(words) < 2 or not words[0].startswith(b"HTTP/1.") or not words[1].isdigit() or len(words[1]) != 3:
-            raise BadMessage("bad status line")
+            raise BadMessageError("bad status line")
         headers = _headers(lines[1:])
         status = int(words[1])
         if headers.get(b"transfer-encoding", b"").lower() == b"chunked":
@@ -169,15 +169,15 @@
         while True:
             while b"\r\n" not in self._data:
                 if len(self._data) > MAX_HEAD or not await self.more():
-                    raise BadMessage("bad chunk")
+                    raise BadMessageError("bad chunk")
             line, _, self._data = self._data.partition(b"\r\n")
             try:
                 length = int(line.split(b";")[0], 16)
             except ValueError:
-                raise BadMessage("bad chunk") from None
+                raise BadMessageError("bad chunk") from None
             size += length
             if size > MAX_ANSWER or length < 0:
-                raise BadMessage("answer too large")
+                raise BadMessageError("answer too large")
             chunk = await self._body(length + 2)
             if length == 0:
                 return b"".join(parts)
@@ -209,7 +209,9 @@
     ) -> None:
         self._loop, self._group, self._handler = loop, group, handler
         self._most, self._idle, self._slow = most, idle, slow
-        self._connections: dict[Stream, tuple[object, timedelta]] = {}  # idle ones: their routine, and since when
+        self._connections: dict[
+            Stream, tuple[Routine | None, timedelta]
+        ] = {}  # idle ones: their routine, and since when
 
         self.open = 0
 
@@ -229,7 +231,8 @@
         if self._connections:
             stream = next(iter(self._connections))
             routine, _ = self._connections.pop(stream)
-            routine.cancel()
+            if routine is not None:
+                routine.cancel()
 
     async def _connection(self, stream: Stream) -> None:
         reader = Reader(stream)
@@ -254,10 +257,10 @@
                     await stream.write(encode_response(response, keep))
                 if not keep:
                     return
-        except BadMessage as error:
+        except BadMessageError as error:
             log.info("event=bad_request error=%s", error)
             await self._refuse(stream)
-        except (OSError, TimeLimit) as error:
+        except (OSError, TimeLimitError) as error:
             log.debug("event=connection_ended error=%s", error)
         finally:
             self._connections.pop(stream, None)
@@ -281,11 +284,11 @@
         try:
             with self._loop.limit(timedelta(seconds=1)):
                 await stream.write(encode_response(Response(400, body), keep=False))
-        except (OSError, TimeLimit):
+        except (OSError, TimeLimitError):
             log.debug("event=refusal_unsent")
 
 
-class Unanswered(Exception):
+class NoAnswerError(Exception):
     """No answer came. `sent` tells whether the other side may have got the request all the same."""
 
     def __init__(self, why: str, sent: bool) -> None:
@@ -331,14 +334,14 @@
                 sent = True
                 await stream.write(self._encode(method, target, body))
                 response = await reader.response()
-        except (OSError, TimeLimit, BadMessage, Cancelled) as error:
+        except (OSError, TimeLimitError, BadMessageError, CancelledError) as error:
             if stream is not None:
                 stream.close()
-            if isinstance(error, Cancelled):
+            if isinstance(error, CancelledError):
                 raise
-            if not isinstance(error, TimeLimit):
+            if not isinstance(error, TimeLimitError):
                 self.drop()  # the other side was restarted, most likely: its other connections are dead as well
-            raise Unanswered(str(error), sent) from None
+            raise NoAnswerError(str(error), sent) from None
         if response.keep and len(self._idle) < self._most_idle and not reader.started:
             self._idle.append((stream, reader, self._loop.now()))
         else:
--- a/badgerroute/transport/loop.py
+++ b/badgerroute/transport/loop.py
@@ -18,11 +18,11 @@
 log = logging.getLogger("badgerroute.loop")
 
 
-class Cancelled(BaseException):
+class CancelledError(BaseException):
     """Thrown into a routine that is being cancelled; not an `Exception`, so that nobody swallows it."""
 
 
-class TimeLimit(Exception):
+class TimeLimitError(Exception):
     """What a routine was waiting for did not come within its limit."""
 
 
@@ -71,13 +71,13 @@
         self._scheduled = False
 
     def cancel(self) -> None:
-        self.throw(Cancelled())
+        self.throw(CancelledError())
 
     def throw(self, error: BaseException) -> None:
         """Raise `error` at the point where the routine waits. Cancellation outranks a time limit."""
         if self.done:
             return
-        if self._thrown is None or isinstance(error, Cancelled):
+        if self._thrown is None or isinstance(error, CancelledError):
             self._thrown = error
         self.schedule()
 
@@ -111,7 +111,7 @@
                 target = self.coro.send(None)
         except StopIteration as stop:
             self.set(stop.value)
-        except Cancelled as error:
+        except CancelledError as error:
             self.fail(error)
         except Exception as error:
             watched = bool(self.waiters)
@@ -209,7 +209,7 @@
 
 
 class _Deadline:
-    """`with loop.limit(delta):` raises TimeLimit in the body when the time is over."""
+    """`with loop.limit(delta):` raises TimeLimitError in the body when the time is over."""
 
     __slots__ = ("_loop", "_delta", "_timer", "_error")
 
@@ -218,7 +218,8 @@
 
     def __enter__(self) -> "_Deadline":
         routine = self._loop.current
-        self._error = TimeLimit(f"no answer within {self._delta.total_seconds():.2f} s")
+        assert routine is not None, "a time limit is for a routine"
+        self._error = TimeLimitError(f"no answer within {self._delta.total_seconds():.2f} s")
         self._timer = self._loop.later(self._delta, lambda: routine.throw(self._error))
         return self
 
@@ -361,7 +362,7 @@
 
     def _ended(self, routine: Routine) -> None:
         self._routines.discard(routine)
-        if routine.error is not None and not isinstance(routine.error, Cancelled):
+        if routine.error is not None and not isinstance(routine.error, CancelledError):
             log.error("event=routine_failed routine=%s error=%r", routine.name, routine.error, exc_info=routine.error)
 
     def duty(self, make: Callable[[], Coroutine], name: str, pause: timedelta) -> Routine:
--- a/badgerroute/transport/net.py
+++ b/badgerroute/transport/net.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 from typing import Protocol
 
-from badgerroute.transport.loop import Loop, SelectorPoller, TimeLimit
+from badgerroute.transport.loop import Loop, SelectorPoller
 
 log = logging.getLogger("badgerroute.net")
 CHUNK = 65536
@@ -127,4 +127,4 @@
         return TcpListener(self._loop, self._poller, sock)
 
 
-__all__ = ["Listener", "Network", "Stream", "TcpNetwork", "TimeLimit", "split"]
+__all__ = ["Listener", "Network", "Stream", "TcpNetwork", "split"]
--- a/tests/standins/day.py
+++ b/tests/standins/day.py
@@ -23,7 +23,7 @@
     WorkerLimits,
 )
 from badgerroute.transport.clock import VirtualClock
-from badgerroute.transport.http import Client, Response, Unanswered
+from badgerroute.transport.http import Client, NoAnswerError, Response
 from badgerroute.transport.loop import Group, Loop, Routine, VirtualPoller
 from tests.standins import production
 from tests.standins.net import World
@@ -221,7 +221,7 @@
         async def go() -> Response | None:
             try:
                 return await client.request(method, path, data, 5 * SECOND, fresh=True)
-            except Unanswered:
+            except NoAnswerError:
                 return None
             finally:
                 client.drop()
--- a/tests/standins/production.py
+++ b/tests/standins/production.py
@@ -14,6 +14,8 @@
 from pathlib import Path
 from types import ModuleType
 
+from badgerroute.transport import http, loop
+
 ARCHIVE = Path(__file__).parent.parent / "data" / "production.zip"
 NAME = "badgerroute_production"
 OURS = re.compile(r"^(\s*(?:from|import) )badgerroute(?!\.transport)\b", re.MULTILINE)
@@ -23,6 +25,9 @@
     """A module of the version in production."""
     if str(ARCHIVE) not in sys.path:
         sys.path.append(str(ARCHIVE))
+        # What it calls these errors of the transport layer, which have other names by now.
+        http.Unanswered = http.NoAnswerError
+        loop.TimeLimit = loop.TimeLimitError
     return importlib.import_module(f"{NAME}.{name}")
 
 
--- a/tests/standins/users.py
+++ b/tests/standins/users.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 from typing import TYPE_CHECKING
 
-from badgerroute.transport.http import Client, Response, Unanswered
+from badgerroute.transport.http import Client, NoAnswerError, Response
 
 if TYPE_CHECKING:
     from tests.standins.day import Day
@@ -31,7 +31,7 @@
         data = b"" if body is None else json.dumps(body).encode()
         try:
             return await client.request(method, path, data, 5 * SECOND, fresh=True)
-        except Unanswered:
+        except NoAnswerError:
             return None
         finally:
             client.drop()
--- a/tests/standins/workers.py
+++ b/tests/standins/workers.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from badgerroute.transport.http import Client, Request, Response, Server, Unanswered, parse_query
+from badgerroute.transport.http import Client, NoAnswerError, Request, Response, Server, parse_query
 from badgerroute.transport.loop import Future, Group
 from tests.standins.net import World
 from tests.standins.state import reply
@@ -112,7 +112,7 @@
                 continue
             try:
                 response = await self.clients[hosts[at]].request("POST", "/checkin", body, 4 * SECOND)
-            except Unanswered:
+            except NoAnswerError:
                 response = None
             self.site.copies.append((self.name, body))
             if self.unreachable:
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -394,7 +394,7 @@
 
 async def _cancel_later(day: Day, ref: str) -> None:
     """A user who cancels while the fault goes on, and repeats it until told."""
-    from badgerroute.transport.http import Client, Unanswered
+    from badgerroute.transport.http import Client, NoAnswerError
 
     while True:
         client = Client(day.loop, day.user, f"{day.random.choice(HOSTS)}:8080")
@@ -405,7 +405,7 @@
                 if b"withdrawn" in response.body:
                     day.site.withdrawn.setdefault(ref, before)
                 return
-        except Unanswered:
+        except NoAnswerError:
             pass
         finally:
             client.drop()
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -12,8 +12,8 @@
 from badgerroute.protocol.users import parse_submission
 from badgerroute.protocol.workers import parse_report
 from badgerroute.transport.clock import VirtualClock
-from badgerroute.transport.http import BadMessage, Reader
-from badgerroute.transport.loop import Cancelled, Group, Loop, TimeLimit, VirtualPoller
+from badgerroute.transport.http import BadMessageError, Reader
+from badgerroute.transport.loop import CancelledError, Group, Loop, TimeLimitError, VirtualPoller
 from tests.conftest import known_red, mark_red
 from tests.standins.day import SECOND, Day, job
 
@@ -74,7 +74,7 @@
     ],
 )
 def test_bad_requests(data: bytes) -> None:
-    with pytest.raises(BadMessage):
+    with pytest.raises(BadMessageError):
         read_request(data)
 
 
@@ -335,7 +335,7 @@
         try:
             with one.limit(2 * SECOND):
                 await one.sleep(5 * SECOND)
-        except TimeLimit:
+        except TimeLimitError:
             seen.append(f"limit at {one.now() / SECOND:.0f}")
         with one.limit(2 * SECOND):
             await one.sleep(SECOND)
@@ -354,7 +354,7 @@
     one.run(one.spawn(one.sleep(SECOND), "pause"))
     group.cancel()
     one.run(one.spawn(one.sleep(SECOND), "pause"))
-    assert seen[-1] == "tidied" and isinstance(routine.error, Cancelled)
+    assert seen[-1] == "tidied" and isinstance(routine.error, CancelledError)
 
 
 def test_duty_begins_again_after_a_failure() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -24,7 +24,7 @@
 from badgerroute.settings import Scheduling
 from badgerroute.storage import records
 from badgerroute.transport.clock import VirtualClock
-from badgerroute.transport.loop import Cancelled, Gate, Loop
+from badgerroute.transport.loop import CancelledError, Gate, Loop
 from tests.standins.day import HOSTS, SECOND, Day, DayLoop, job
 from tests.standins.net import HostNetwork, VirtualStream
 
@@ -194,7 +194,7 @@
     assert came == ["a", "b", "u", "d"], "urgent ones first, then in order"
     run(3)
     assert gate.free == 2
-    assert isinstance(routines[2].error, Cancelled)
+    assert isinstance(routines[2].error, CancelledError)
 
 
 @pytest.mark.parametrize(("members", "deleted"), [(4, 30), (40, 300)])
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -8,7 +8,7 @@
 
 from badgerroute.coordination.job_writer import JobWriter, Progress
 from badgerroute.settings import Objective
-from badgerroute.transport.http import Client, Unanswered
+from badgerroute.transport.http import Client, NoAnswerError
 from tests.standins.day import HOSTS, SECOND, Day, job
 
 
@@ -293,7 +293,7 @@
         client = Client(day.loop, day.user, f"{day.random.choice(HOSTS)}:8080")
         try:
             await client.request("POST", "/checkin", body, SECOND * 2, fresh=True)
-        except Unanswered:
+        except NoAnswerError:
             pass
         finally:
             client.drop()
