--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -3,6 +3,7 @@
 import logging
 import random
 import zlib
+from collections.abc import Callable
 from datetime import timedelta
 
 import msgspec
@@ -48,6 +49,7 @@
 
 log = logging.getLogger("badgerroute.controller")
 GOSSIP = timedelta(milliseconds=500)
+SLICE_PAUSE = timedelta(milliseconds=25)  # between two slices of what takes more than a round
 FLUSH = timedelta(milliseconds=300)
 STALE = timedelta(seconds=3)
 MAX_DELETED_REMEMBERED = 5000
@@ -122,6 +124,7 @@
             self.job_store,
             self.job_reader,
             self.job_writer,
+            self.pager,
             self.replica,
             self.catalog,
             self._summaries,
@@ -153,7 +156,6 @@
             delete_machines=self.fleet.delete,
             ask_share=self._ask_share,
             ask_machines=self._ask_machines,
-            predecessors_resolved=self.pipelines.resolved,
         )
         self.replica.listen(DONE, self._page_changed)
         self.replica.listen(JOBS, self._job_changed)
@@ -367,8 +369,15 @@
     async def _forecast_duty(self) -> None:
         while True:
             await self._loop.sleep(GOSSIP)
+            while not self.forecast.inherit(self._round_over()):
+                await self._loop.sleep(SLICE_PAUSE)
             self.forecast.update()
 
+    def _round_over(self) -> Callable[[], bool]:
+        """Tells when the time for a round of decisions that begins now is over."""
+        deadline = self._loop.now() + self.settings.operator.scheduling.round
+        return lambda: self._loop.now() > deadline
+
     async def _steal_duty(self) -> None:
         """Idle parts ask busy ones for waiting tasks, one request per part and period."""
         while True:
--- a/badgerroute/coordination/forecast.py
+++ b/badgerroute/coordination/forecast.py
@@ -13,6 +13,7 @@
 from badgerroute.protocol.mesh import PartSummary
 from badgerroute.scheduling import ladder
 from badgerroute.scheduling.feasible import Load, tiers
+from badgerroute.scheduling.inheritance import InheritancePass, Inherited
 from badgerroute.scheduling.model import Room, capacity_of, need_of
 from badgerroute.scheduling.objectives import Objectives
 from badgerroute.settings import Settings, Team
@@ -24,6 +25,7 @@
 STARVING_AFTER = timedelta(seconds=160)  # a job that has not begun by then comes first, however late it is
 BETWEEN_REPORTS = 2  # that pass between the end of a stage and the start of the next
 BETWEEN = timedelta(seconds=5)  # and what else does: writing it down, an image to fetch
+LOWEST_LEVEL = 0
 FIRST = -1  # tier of such a job
 LEAST_SHARE = 0.25  # of the processors that small tasks get at least, beside the gangs
 
@@ -44,11 +46,11 @@
         self._teams: dict[str, Team] = {team.name: team for team in settings.params.teams}
         self._objectives = Objectives(settings.params.objectives)
         self._between = BETWEEN_REPORTS * settings.params.workers.report + BETWEEN
+        self._inheritance: InheritancePass | None = None  # under way
         self._types: dict[str, str] = {}  # member -> machine type, which never changes
 
     def update(self) -> None:
         """Tell the owners' jobs what can be expected of them."""
-        self._job_store.inherit_levels()
         if not self._owners:
             return
         within: dict[str, bool] = {}
@@ -64,7 +66,7 @@
             room = used.setdefault(team.name, Room())
             room.add(Room(left[ref] * record.job.cpus, left[ref] * record.job.accelerators))
             within[ref] = Room(team.cpus, team.gpus).holds(room)
-        needed = self._needed_by()
+        needed = {ref: one.due for ref, one in self._job_store.inherited.items() if one.due != inf}
         ranks = self._tiers(left, within, needed)
         now, today = self._loop.now(), self._today()
         for owner in self._owners.values():
@@ -81,25 +83,28 @@
     def _today(self) -> float:
         return self._loop.clock.today().timestamp()
 
-    def _needed_by(self) -> dict[str, float]:
-        """The times of day by which jobs that others wait for should be done, so that the last of them is in time.
-
-        Counted backwards from the last one's deadline, by the time that each stage in between is expected to take.
-        """
-
-        def own(ref: str) -> float:
-            record = self._job_store.active.get(ref)
-            if record is None:
-                return inf
-            deadline = self._objectives.deadline(record.job)
-            return record.accepted + deadline.total_seconds() if deadline else inf
-
-        def length(ref: str) -> float:
-            record = self._job_store.active.get(ref)
-            return (self._run_time(record) + self._between).total_seconds() if record else 0.0
-
-        found = self._job_store.dependencies.inherited_minimum(own, length)
-        return {ref: due for ref, due in found.items() if due != inf}
+    def inherit(self, over: Callable[[], bool]) -> bool:
+        """Go on working out what jobs take over from their dependents; whether that is complete, and in force."""
+        if self._inheritance is None:
+            self._inheritance = InheritancePass(self._job_store.dependencies, self._own, self._stage_duration)
+        if not self._inheritance.advance(over):
+            return False
+        self._job_store.inherited, self._inheritance = self._inheritance.result, None
+        return True
+
+    def _own(self, ref: str) -> Inherited:
+        """What a job would have without dependents."""
+        record = self._job_store.active.get(ref)
+        if record is None:
+            return Inherited(LOWEST_LEVEL, inf)
+        deadline = self._objectives.deadline(record.job)
+        due = record.accepted + deadline.total_seconds() if deadline else inf
+        return Inherited(record.job.priority.level, due)
+
+    def _stage_duration(self, ref: str) -> float:
+        """How long a stage is expected to take, with what passes before it starts."""
+        record = self._job_store.active.get(ref)
+        return (self._run_time(record) + self._between).total_seconds() if record else 0.0
 
     def _tiers(self, left: dict[str, int], within: dict[str, bool], needed: dict[str, float]) -> dict[str, float]:
         processors = self._processors()
--- a/badgerroute/coordination/job_reader.py
+++ b/badgerroute/coordination/job_reader.py
@@ -3,8 +3,10 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 from datetime import timedelta
+from itertools import islice
 
 from badgerroute.coordination.job_store import JobStore
+from badgerroute.protocol.state import Item
 from badgerroute.protocol.users import JobView
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
@@ -13,7 +15,9 @@
 from badgerroute.storage.state import StateClient, StateUnavailableError
 from badgerroute.transport.loop import Loop
 
-MAX_LOOKUPS_PER_ANSWER = 40  # predecessors, for one answer
+MAX_LOOKUP_ROUNDS = 40  # for one answer; each but the last brings up jobs further back
+MAX_LOOKUPS_PER_ROUND = 500
+FINAL_STATES_PER_PAGE = 100
 REMOVAL_PAUSE = timedelta(milliseconds=50)
 
 
@@ -26,6 +30,11 @@
     revision: int = 0
 
 
+def _key_before(key: str) -> str:
+    """A string after which, in the order of keys, this key comes first: no job's name holds a tilde."""
+    return key[:-1] + chr(ord(key[-1]) - 1) + "~"
+
+
 class JobReader:
     """Every answer is no older than what any controller had told anybody when it was asked for."""
 
@@ -63,18 +72,40 @@
             return JobLookup(JobState.ACTIVE, record, self._replica.revision_of(JOBS + ref))
         return await self._look_up_final_state(ref, Urgency.READ)
 
-    async def unaccepted(self, predecessors: Iterable[str]) -> list[str]:
-        """Which of these jobs nobody ever accepted: the state service says so, not our memory."""
-        missing = []
-        for ref in predecessors:
-            if not self._store.knows(ref) and await self._read_through(ref, Urgency.SUBMIT) is None:
-                missing.append(ref)
+    async def unaccepted(self, refs: Iterable[str], urgency: Urgency) -> list[str]:
+        """Which of these jobs nobody ever accepted: the state service says so, not our memory.
+
+        Of the others it is known afterwards that they are unfinished, or how they ended. One question serves many: a
+        page of final states settles every job up to its last key. Looked up one by one, a hundred predecessors used up
+        the budget of reads for seconds.
+        """
+        left = sorted({ref for ref in refs if not self._store.knows(ref)})
+        if not left:
+            return []
+        await self._replica.current()  # from here on all that were unfinished when we were asked are in our copy
+        left = [ref for ref in left if not self._store.knows(ref)]
+        missing: list[str] = []
+        while left:
+            limit = FINAL_STATES_PER_PAGE if len(left) > 1 else 1
+            page = await self._state.page(FINAL_STATES, _key_before(FINAL_STATES + left[0]), limit, urgency)
+            items = {item.key.removeprefix(FINAL_STATES): item for item in page.items}
+            last = max(items, default="")
+            settled = [ref for ref in left if ref <= last] if page.more else left
+            if not settled:
+                raise StateUnavailableError("an empty page that is not the last")
+            for ref in settled:
+                if ref in items:
+                    self._remember_final_state(ref, items[ref])
+                else:
+                    missing.append(ref)
+            left = left[len(settled) :]
         return missing
 
     async def state_after_acceptance(self, ref: str) -> str:
         """What to say of a job that was just accepted. `queued`, as far as can be told now, is no promise."""
         try:
-            found = await self._decide_waiting(ref)
+            # It may have its final state by now: a sibling withdrew it as soon as it saw the record.
+            found = await self._decide_waiting(ref) or await self.look_up(ref)
         except StateUnavailableError:
             return "queued"
         return "withdrawn" if found is not None and found.state is JobState.WITHDRAWN else "queued"
@@ -104,7 +135,7 @@
         Some node may have said so already, so what we don't know of these jobs has to be found out first.
         """
         dependencies = self._store.dependencies
-        for _ in range(MAX_LOOKUPS_PER_ANSWER):
+        for _ in range(MAX_LOOKUP_ROUNDS):
             record = self._store.active.get(ref)
             if record is None:
                 return None
@@ -112,11 +143,11 @@
                 return JobLookup(JobState.WITHDRAWN)
             if self._store.lacks_predecessors(ref):
                 raise StateUnavailableError("what the job waits for is not known yet")
-            unknown = next(iter(dependencies.unknown_ancestors(ref, self._store.active)), None)
-            if unknown is None:
+            unknown = list(islice(dependencies.unknown_ancestors(ref, self._store.active), MAX_LOOKUPS_PER_ROUND))
+            if not unknown:
                 return JobLookup(JobState.ACTIVE, record, self._replica.revision_of(JOBS + ref))
-            if await self._read_through(unknown, Urgency.READ) is None:
-                raise StateUnavailableError(f"{unknown} is not known")
+            if missing := await self.unaccepted(unknown, Urgency.READ):
+                raise StateUnavailableError(f"{missing[0]} is not known")
         raise StateUnavailableError("too many jobs to look up")
 
     async def _read_through(self, ref: str, urgency: Urgency) -> JobLookup | None:
@@ -130,9 +161,12 @@
         item = await self._state.get(FINAL_STATES + ref, urgency)
         if item is None:
             return None
+        return JobLookup(self._remember_final_state(ref, item), None, item.revision)
+
+    def _remember_final_state(self, ref: str, item: Item) -> JobState:
         final = records.read(bytes(item.value), FinalStateRecord)
         self._store.remember(ref, final, item.revision)
         # It left `jobs` in the same transaction. Until the watch says so, a controller that had just told a user that
         # the job is withdrawn could still have started a task of it.
         self._replica.learn(JOBS + ref, None, item.revision)
-        return JobLookup(final.state, None, item.revision)
+        return final.state
--- a/badgerroute/coordination/job_store.py
+++ b/badgerroute/coordination/job_store.py
@@ -6,9 +6,9 @@
 import logging
 from collections import OrderedDict
 from collections.abc import Callable, Iterator
-from math import inf
 
 from badgerroute.scheduling.dependencies import Dependencies, FinalState
+from badgerroute.scheduling.inheritance import Inherited
 from badgerroute.storage import records
 from badgerroute.storage.records import DonePage, FinalStateRecord, JobRecord, JobState, PredecessorsPage
 from badgerroute.storage.replica import DONE, FINAL_STATES, JOBS, PREDECESSORS, Replica
@@ -36,15 +36,16 @@
         withdrawn: CancellationListener,
     ) -> None:
         self._replica, self._publish = replica, publish
-        self._on_withdrawn = withdrawn
+        self._on_released, self._on_withdrawn = released, withdrawn
         self.active: dict[str, JobRecord] = {}
         self.pages: dict[str, set[str]] = {}  # job -> its keys beside its record
         self._final: OrderedDict[str, FinalState] = OrderedDict()
         self._paged: dict[str, int] = {}  # job -> done tasks that are written down on pages
         self._lacking: set[str] = set()  # unfinished jobs whose predecessors we have not all seen yet
-        self._levels: dict[str, int] = {}  # of jobs that others wait for
+        self._schedulable: dict[str, JobRecord] = {}  # unfinished jobs that do not wait for others
+        self.inherited: dict[str, Inherited] = {}  # what jobs take over from their dependents
         self._confirming: set[str] = set()  # jobs whose users are about to be told that they are withdrawn
-        self.dependencies = Dependencies(self._final.get, released, self._cancelled_upstream)
+        self.dependencies = Dependencies(self._final.get, self._released, self._cancelled_upstream)
         replica.listen(DONE, self._done_changed)
         replica.listen(PREDECESSORS, self._predecessors_changed)
         replica.listen(JOBS, self._job_changed)
@@ -56,6 +57,7 @@
         ref = key.removeprefix(JOBS)
         if value is None:
             self.active.pop(ref, None)
+            self._schedulable.pop(ref, None)
             self._paged.pop(ref, None)
             self._lacking.discard(ref)
             self.dependencies.remove(ref)
@@ -63,6 +65,8 @@
         self.active[ref] = record = records.read(value, JobRecord)
         if record.job.predecessors or record.pages:
             self._add_dependencies(ref, record)
+        if not self.waits(ref):
+            self._schedulable[ref] = record
 
     def _add_dependencies(self, ref: str, record: JobRecord) -> None:
         predecessors = self._predecessors(ref, record)
@@ -146,9 +150,16 @@
     def forget_record(self, ref: str) -> None:
         """The record is gone, though the watch has not said yet to which final state: nothing is written for it."""
         self.active.pop(ref, None)
+        self._schedulable.pop(ref, None)
 
     # -- dependencies
 
+    def _released(self, ref: str) -> None:
+        record = self.active.get(ref)
+        if record is not None:
+            self._schedulable[ref] = record
+        self._on_released(ref)
+
     @staticmethod
     def _cancelled_upstream(ref: str) -> None:
         log.info("event=job_doomed job=%s", ref)
@@ -157,28 +168,28 @@
         """Whether a job waits for others: until it is released, it is not there for anything but questions."""
         return ref in self._lacking or self.dependencies.waits(ref)
 
+    def undecided(self, ref: str) -> bool:
+        """Whether an unfinished job waits as far as we know, but may have been released.
+
+        That is so if its predecessors are not known, or none of those left is known to be unfinished.
+        """
+        if ref not in self.active or ref in self.dependencies.cancelled or not self.waits(ref):
+            return False
+        return ref in self._lacking or not any(one in self.active for one in self.dependencies.waits_for(ref))
+
     def lacks_predecessors(self, ref: str) -> bool:
         """Whether not all keys that name a job's predecessors have come yet."""
         return ref in self._lacking
 
     def schedulable(self) -> Iterator[tuple[str, JobRecord]]:
         """The unfinished jobs that do not wait for others: those that are there for planning."""
-        return ((ref, record) for ref, record in self.active.items() if not self.waits(ref))
+        return iter(self._schedulable.items())
 
     def level(self, ref: str) -> int:
         """Of a job's priority, or of that of a job which needs it, whichever is higher."""
         own = self.active[ref].job.priority.level
-        return max(own, self._levels.get(ref, own))
-
-    def inherit_levels(self) -> None:
-        """Dependents that have come, or were withdrawn, raise and lower what they need."""
-
-        def own(ref: str) -> float:
-            record = self.active.get(ref)
-            return -record.job.priority.level if record else inf
-
-        inherited = self.dependencies.inherited_minimum(own, lambda ref: 0)
-        self._levels = {ref: -int(least) for ref, least in inherited.items() if least != inf}
+        inherited = self.inherited.get(ref)
+        return own if inherited is None else max(own, inherited.level)
 
     def effective_arrival(self, ref: str, record: JobRecord) -> float:
         """The time of day from which a job's times count: when the last job that it needs was done."""
--- a/badgerroute/coordination/job_writer.py
+++ b/badgerroute/coordination/job_writer.py
@@ -9,7 +9,7 @@
 
 from badgerroute.coordination.job_reader import JobReader
 from badgerroute.coordination.job_store import JobStore
-from badgerroute.coordination.record_paging import RecordPager
+from badgerroute.coordination.record_paging import KeyValue, RecordPager, RecordTooLargeError
 from badgerroute.protocol.state import Condition, Put, Remove
 from badgerroute.protocol.users import Submission
 from badgerroute.storage import records
@@ -20,6 +20,7 @@
     ConflictError,
     LeaseExpiredError,
     OutcomeUnknownError,
+    RequestRefusedError,
     StateClient,
     StateUnavailableError,
     put,
@@ -94,29 +95,46 @@
     # -- accepting and cancelling
 
     async def accept(self, job: Submission, ranges: list[TaskRange]) -> bool:
-        """Store a new job. False: it is known already."""
-        key = JOBS + job.ref
-        compact = self._pager.compact(JobRecord(job, self._today(), ranges))
+        """Store a new job. False: it is known already. RecordTooLargeError: it can never be stored."""
+        key, today = JOBS + job.ref, self._today()
+        record = JobRecord(job, today, [], planned=ranges) if job.predecessors else JobRecord(job, today, ranges)
+        compact = self._pager.compact(record)
         value = records.write(compact.record)
-        for first in range(0, len(compact.pages), self._state.max_changes):
-            # Before the record: whoever sees it has them.
-            pages = compact.pages[first : first + self._state.max_changes]
-            puts = [put(page.key, page.value) for page in pages]
-            applied = await self._state.transact([], puts, Urgency.SUBMIT, ANSWER_LIMIT)
-            for page in pages:
-                self._store.published(page.key, bytes(page.value), applied)
         absent = [when(key, 0), when(FINAL_STATES + job.ref, 0)]
         try:
-            applied = await self._state.transact(absent, [put(key, value)], Urgency.SUBMIT, ANSWER_LIMIT)
+            pages = await self._write_pages(compact.pages, absent)
+            conditions = absent + pages
+            applied = await self._state.transact(conditions, [put(key, value)], Urgency.SUBMIT, ANSWER_LIMIT)
         except ConflictError:
             return False
         except OutcomeUnknownError:
             if await self._reader.look_up(job.ref, Urgency.SUBMIT) is None:
                 raise
             return False
+        except RequestRefusedError as error:
+            if error.by_size:
+                raise  # what is sent the next time is smaller
+            raise RecordTooLargeError(f"the state service does not take it: {error}") from None
         self._store.published(key, bytes(value), applied)
         return True
 
+    async def _write_pages(self, pages: list[KeyValue], absent: list[Condition]) -> list[Condition]:
+        """Write a new job's pages before its record, so that whoever sees that has them; conditions on these pages.
+
+        Only as long as there is no such job: a page carried out late would change the predecessors of an accepted one.
+        And the record is written only if the pages are still those: another node may have written others, for a
+        repeat with another list, or have tidied them up.
+        """
+        conditions: list[Condition] = []
+        for first in range(0, len(pages), self._state.max_changes):
+            batch = pages[first : first + self._state.max_changes]
+            puts = [put(page.key, page.value) for page in batch]
+            applied = await self._state.transact(absent, puts, Urgency.SUBMIT, ANSWER_LIMIT)
+            for page in batch:
+                self._store.published(page.key, bytes(page.value), applied)
+                conditions.append(when(page.key, applied))
+        return conditions
+
     async def cancel(self, ref: str) -> JobState | None:
         """The final state after a cancellation; None: nobody submitted such a job.
 
--- a/badgerroute/coordination/migration.py
+++ b/badgerroute/coordination/migration.py
@@ -122,7 +122,7 @@
             )
             self._passed_on = {ref: at for ref, at in self._passed_on.items() if now - at < PASS_ON_PAUSE}
             self._passed_on[job.ref] = now
-            moved = msgspec.structs.replace(record, ranges=[TaskRange(target.part, 0, job.spec.tasks)])
+            moved = record.with_ranges([TaskRange(target.part, 0, job.spec.tasks)])
             log.info("event=gang_passed_on job=%s from=%d to=%d", job.ref, self.number, target.part)
             await self._write_steal([(job.ref, moved)], target.part)
 
@@ -241,19 +241,19 @@
             if len(changes) >= min(6, self._state.max_changes):
                 break
             record = self._job_store.active.get(job.ref)
-            if record is None or len(record.ranges) > MAX_RANGES or not job.waiting_bits or job.failing:
+            if record is None or len(record.assigned) > MAX_RANGES or not job.waiting_bits or job.failing:
                 continue
             if job.spec.team in message.short:
                 continue
             taken = self._stealable(job, capacities, message.images, now)
             if taken:
-                ranges = record.ranges
+                ranges = record.assigned
                 while taken:
                     first = lowest(taken)
                     length = records.trailing_ones(taken >> first)
                     taken &= ~records.span(first, first + length)
                     ranges = records.give(ranges, first, first + length, message.thief)
-                changes.append((job.ref, msgspec.structs.replace(record, ranges=ranges)))
+                changes.append((job.ref, record.with_ranges(ranges)))
         if changes:
             await self._write_steal(changes, message.thief)
 
--- a/badgerroute/coordination/owner.py
+++ b/badgerroute/coordination/owner.py
@@ -53,12 +53,18 @@
         self.number = number
         self._settings, self._loop, self._replica = services.settings, services.loop, services.replica
         self._claims, self._job_store, self._catalog = services.claims, services.job_store, services.catalog
-        self._resolved = services.predecessors_resolved
         self._progressed, self._delete = services.progressed, services.delete_machines
         params = self._settings.params
         self.group = Group(self._loop, f"{services.group.name}/part-{number}")
         quotas, now = services.quotas, self._loop.now()
-        self.part = Part(number, claim.term, lambda team: quotas.of(number, team), now, params.workers.lease)
+        self.part = Part(
+            number,
+            claim.term,
+            lambda team: quotas.of(number, team),
+            now,
+            params.workers.lease,
+            self._job_store.undecided,
+        )
         objectives = Objectives(params.objectives)
         self.planner = Planner(self.part, self._settings.operator.scheduling, objectives, params.workers.report)
         self.grace = claim.grace
@@ -87,7 +93,6 @@
     async def _take_over(self) -> None:
         """Rebuild the part from the state service and its machines before anything is placed."""
         await self._replica.caught_up(self.part.term)  # no write of the former owner comes after this
-        await self._resolved()
         while not self._catalog:
             await self._loop.sleep(timedelta(milliseconds=100))
         now = self._loop.now()
--- a/badgerroute/coordination/pipelines.py
+++ b/badgerroute/coordination/pipelines.py
@@ -31,11 +31,10 @@
 log = logging.getLogger("badgerroute.pipelines")
 TICK = timedelta(milliseconds=200)
 ASK_AGAIN = timedelta(seconds=2)
-MAX_LOOKUPS_PER_ROUND = 25  # in one round
+MAX_LOOKUPS_PER_ROUND = 500
 OTHERS_WAIT = timedelta(seconds=3)  # before a controller that owns nothing of a withdrawn job does it too
 TIDY = timedelta(seconds=10)
 FORGOTTEN = timedelta(seconds=60)  # pages are written before their job's record
-RESOLVE_LIMIT = timedelta(seconds=3)
 
 
 class Pipelines:
@@ -67,24 +66,16 @@
             await self._loop.sleep(TICK)
             now = self._loop.now()
             self._asked = {ref: at for ref, at in self._asked.items() if now - at < ASK_AGAIN}
-            unknown = [ref for ref in self._job_store.unknown() if ref not in self._asked]
+            unknown = [ref for ref in self._job_store.unknown() if ref not in self._asked][:MAX_LOOKUPS_PER_ROUND]
+            if not unknown:
+                continue
+            self._asked.update(dict.fromkeys(unknown, now))
             try:
-                for ref in unknown[:MAX_LOOKUPS_PER_ROUND]:
-                    self._asked[ref] = now
-                    await self._job_reader.look_up(ref, Urgency.COMPLETE)
+                await self._job_reader.unaccepted(unknown, Urgency.COMPLETE)
             except StateUnavailableError as error:
                 log.info("event=predecessors_unknown jobs=%d error=%s", len(unknown), error)
                 await self._loop.sleep(5 * TICK)
 
-    async def resolved(self) -> None:
-        """Wait, not for ever, until no predecessor is unknown.
-
-        A part that is taken over before would take the tasks of jobs that were released long ago for strays.
-        """
-        end = self._loop.now() + RESOLVE_LIMIT
-        while self._job_store.unknown() and self._loop.now() < end:
-            await self._loop.sleep(TICK / 4)
-
     # -- what is withdrawn with a predecessor
 
     async def withdraw(self) -> None:
@@ -108,7 +99,7 @@
     def _patience(self, ref: str) -> timedelta:
         """The owner of a job's first tasks comes first, so that the others' writes do not fail for nothing."""
         record = self._job_store.active.get(ref)
-        if record is not None and record.ranges and self._owned(record.ranges[0][0]):
+        if record is not None and record.assigned and self._owned(record.assigned[0].part):
             return ZERO
         return OTHERS_WAIT + self._turn * OTHERS_WAIT / 3
 
--- a/badgerroute/coordination/record_paging.py
+++ b/badgerroute/coordination/record_paging.py
@@ -7,6 +7,7 @@
 import msgspec
 
 from badgerroute.coordination.job_store import JobStore, page_key
+from badgerroute.protocol.users import Submission
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
 from badgerroute.storage.records import DonePage, JobRecord, PredecessorsPage
@@ -22,9 +23,15 @@
 )
 
 log = logging.getLogger("badgerroute.paging")
+MAX_PREDECESSORS = 1000
+CONDITIONS_OF_A_NEW_JOB = 2
 PAGE_REFS = 24  # predecessors on a page: the same at every node, since each may write a page of a repeated submission
 
 
+class RecordTooLargeError(Exception):
+    """A job can never be stored: the text tells its user why."""
+
+
 @dataclass(frozen=True, slots=True)
 class KeyValue:
     """A key and the value that it is to have."""
@@ -56,17 +63,37 @@
         """Whether a record may be written as it is."""
         return len(bytes(records.write(record))) <= self._state.max_value_bytes
 
+    @property
+    def max_predecessors(self) -> int:
+        """How many a job may have: the write of its record is conditional on each of their pages."""
+        return min(MAX_PREDECESSORS, PAGE_REFS * (self._state.max_conditions - CONDITIONS_OF_A_NEW_JOB))
+
     def compact(self, record: JobRecord) -> CompactRecord:
-        """A new job's record, with its predecessors on pages if they do not fit it."""
+        """A new job's record, with its predecessors on pages if they do not fit it.
+
+        RecordTooLargeError: it will never fit. StateUnavailableError: it does not while the service refuses so much.
+        """
         pages: list[KeyValue] = []
-        refs = list(dict.fromkeys(record.job.predecessors or ()))
-        if refs and not self.fits(record):
-            for number, first in enumerate(range(0, len(refs), PAGE_REFS)):
-                page = PredecessorsPage(refs[first : first + PAGE_REFS])
-                pages.append(KeyValue(page_key(PREDECESSORS, record.job.ref, number), records.write(page)))
+        if record.job.predecessors and not self.fits(record):
+            pages = self._predecessor_pages(record.job)
             job = msgspec.structs.replace(record.job, predecessors=None)
             record = msgspec.structs.replace(record, job=job, pages=len(pages))
-        return CompactRecord(self._without_unknown_types(record), pages)
+        record = self._without_unknown_types(record)
+        largest = max([len(bytes(records.write(record))), *(page.size for page in pages)])
+        if largest > self._state.announced_value_bytes:
+            raise RecordTooLargeError(f"its description takes {largest} bytes, too many to be stored")
+        if largest > self._state.max_value_bytes:
+            raise StateUnavailableError("the state service refuses values that large now")
+        return CompactRecord(record, pages)
+
+    @staticmethod
+    def _predecessor_pages(job: Submission) -> list[KeyValue]:
+        refs = list(dict.fromkeys(job.predecessors or ()))
+        batches = [refs[first : first + PAGE_REFS] for first in range(0, len(refs), PAGE_REFS)]
+        return [
+            KeyValue(page_key(PREDECESSORS, job.ref, number), records.write(PredecessorsPage(batch)))
+            for number, batch in enumerate(batches)
+        ]
 
     def _without_unknown_types(self, record: JobRecord) -> JobRecord:
         """Without the machine types that there are not, if the record is too large with them."""
--- a/badgerroute/coordination/services.py
+++ b/badgerroute/coordination/services.py
@@ -1,6 +1,6 @@
 """What the parts of one controller share: its clients, its view of the world, and whom they tell of what."""
 
-from collections.abc import Callable, Coroutine
+from collections.abc import Callable
 from dataclasses import dataclass
 
 from badgerroute.coordination.claims import Claims
@@ -39,4 +39,3 @@
     delete_machines: Callable[[list[str]], None]
     ask_share: Callable[[ShareRequest], None]
     ask_machines: Callable[[MachineLoanRequest], None]
-    predecessors_resolved: Callable[[], Coroutine[object, object, None]]  # waits until it is known how they ended
--- a/badgerroute/coordination/users.py
+++ b/badgerroute/coordination/users.py
@@ -6,6 +6,7 @@
 from badgerroute.coordination.job_reader import JobLookup, JobReader
 from badgerroute.coordination.job_store import JobStore
 from badgerroute.coordination.job_writer import JobWriter
+from badgerroute.coordination.record_paging import RecordPager, RecordTooLargeError
 from badgerroute.coordination.split import split
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.common import MalformedError, encode
@@ -42,6 +43,7 @@
         job_store: JobStore,
         job_reader: JobReader,
         job_writer: JobWriter,
+        pager: RecordPager,
         replica: Replica,
         catalog: dict[str, MachineType],
         summaries: Callable[[], list[PartSummary]],
@@ -50,6 +52,7 @@
         self._size, self._replica, self._catalog = params.size, replica, catalog
         self._job_store, self._job_reader, self._job_writer = job_store, job_reader, job_writer
         self._summaries, self._running = summaries, running
+        self._pager = pager
         self._teams: dict[str, Team] = {team.name: team for team in params.teams}
 
     async def submit(self, request: Request) -> Response:
@@ -68,22 +71,32 @@
                 return come_back("machine types are not known yet")
             problem = self._impossible(job) or await self._unaccepted(job)
             if problem is not None:
-                # Whoever accepted it may have known better: only a job that nobody knows can be refused.
-                found = await self._job_reader.look_up(job.ref, Urgency.SUBMIT)
-                if found is None:
-                    log.info("event=submission_refused job=%s team=%s error=%s", job.ref, job.team, problem)
-                    return error(422, problem)
-                return self._state_answer(200, job.ref, found)
-            if await self._job_writer.accept(job, split(job, self._summaries(), self._size)):
-                # One that names a job which is cancelled by now is accepted all the same, and withdrawn at once.
-                state = await self._job_reader.state_after_acceptance(job.ref) if job.predecessors else "queued"
-                return answer(201, {"ref": job.ref, "condition": state})
-            found = await self._job_reader.look_up(job.ref, Urgency.SUBMIT)
-            return come_back("undecided") if found is None else self._state_answer(200, job.ref, found)
+                return await self._refused(job, problem)
+            return await self._accept(job)
         except (StateUnavailableError, OutcomeUnknownError, LeaseExpiredError) as trouble:
             log.info("event=submission_undecided job=%s error=%s", job.ref, trouble)
             return come_back("the state service can't be reached")
 
+    async def _accept(self, job: Submission) -> Response:
+        try:
+            accepted = await self._job_writer.accept(job, split(job, self._summaries(), self._size))
+        except RecordTooLargeError as too_large:
+            return await self._refused(job, str(too_large))
+        if accepted:
+            # One that names a job which is cancelled by now is accepted all the same, and withdrawn at once.
+            state = await self._job_reader.state_after_acceptance(job.ref) if job.predecessors else "queued"
+            return answer(201, {"ref": job.ref, "condition": state})
+        found = await self._job_reader.look_up(job.ref, Urgency.SUBMIT)
+        return come_back("undecided") if found is None else self._state_answer(200, job.ref, found)
+
+    async def _refused(self, job: Submission, problem: str) -> Response:
+        """Whoever accepted it may have known better: only a job that nobody knows can be refused."""
+        found = await self._job_reader.look_up(job.ref, Urgency.SUBMIT)
+        if found is not None:
+            return self._state_answer(200, job.ref, found)
+        log.info("event=submission_refused job=%s team=%s error=%s", job.ref, job.team, problem)
+        return error(422, problem)
+
     async def _known(self, job: Submission) -> Response | None:
         if not self._job_store.knows(job.ref):
             return None
@@ -95,11 +108,13 @@
 
     async def _unaccepted(self, job: Submission) -> str | None:
         """Users name only jobs that were accepted, by any node, in whatever state they are by now."""
-        missing = await self._job_reader.unaccepted(job.predecessors or ())
+        missing = await self._job_reader.unaccepted(job.predecessors or (), Urgency.SUBMIT)
         return f"follows {', '.join(missing[:3])}, which nobody accepted" if missing else None
 
     def _impossible(self, job: Submission) -> str | None:
         """Why a job can never run, if so."""
+        if len(set(job.predecessors or ())) > self._pager.max_predecessors:
+            return f"it follows more than {self._pager.max_predecessors} jobs"
         team = self._teams.get(job.team)
         if team is None:
             return f"unknown team {job.team}"
--- a/badgerroute/protocol/state.py
+++ b/badgerroute/protocol/state.py
@@ -70,6 +70,24 @@
     changes: list[Change] = field(name="log")
 
 
+class Refusal(Struct):
+    """Why a request is called malformed."""
+
+    error: str = ""
+
+
+NO_SUCH_LEASE = "no such lease"
+
+
+def names_ended_lease(body: bytes) -> bool:
+    """Whether a refused write named a lease that has ended."""
+    try:
+        return refusal_decoder.decode(body).error == NO_SUCH_LEASE
+    except msgspec.DecodeError:
+        return False
+
+
+refusal_decoder = msgspec.json.Decoder(Refusal)
 item_decoder = msgspec.json.Decoder(Item)
 listing_decoder = msgspec.json.Decoder(Listing)
 applied_decoder = msgspec.json.Decoder(Applied)
--- a/badgerroute/protocol/users.py
+++ b/badgerroute/protocol/users.py
@@ -70,8 +70,9 @@
         raise MalformedError("trek_s: must be above 0")
     if job.cpus == 0 and job.accelerators == 0 and job.memory_gb == 0:
         raise MalformedError("cpus: a task must take something of its machine")
-    if any(not REF.match(one) for one in job.predecessors or ()):
-        raise MalformedError("follows: not a job id")
+    for ref in job.predecessors or ():
+        if not REF.match(ref):
+            raise MalformedError(f"follows: not a job id: {ref}")
     return job
 
 
--- a/badgerroute/scheduling/dependencies.py
+++ b/badgerroute/scheduling/dependencies.py
@@ -101,9 +101,17 @@
         """Whether not all of a job's predecessors are known to be done: until then nothing of it is there to plan."""
         return ref in self._left
 
+    def waits_for(self, ref: str) -> Iterable[str]:
+        """The predecessors of a job that are not known to be done."""
+        return self._left.get(ref, ())
+
     def released_at(self, ref: str) -> float:
         return self._after.get(ref, 0.0)
 
+    def predecessors(self) -> list[str]:
+        """The jobs that others wait for."""
+        return list(self._dependents)
+
     def dependents(self, ref: str) -> Iterable[str]:
         return self._dependents.get(ref, ())
 
@@ -123,23 +131,3 @@
                     found.append(one)
                 else:
                     yield one
-
-    def inherited_minimum(self, own: Callable[[str], float], step: Callable[[str], float]) -> dict[str, float]:
-        """For each job with dependents the least of its own value, and of theirs less a step each.
-
-        With levels negated that is the highest level; with due times, and stages' lengths as steps, the earliest time.
-        """
-        found: dict[str, float] = {}
-        for first in self._dependents:
-            stack = [first]
-            while stack:  # a loop, not a recursion: chains may be long
-                one = stack[-1]
-                later = [two for two in self._dependents.get(one, ()) if two not in self.cancelled]
-                missing = [two for two in later if two not in found]
-                if missing and one not in found:
-                    stack.extend(missing)
-                    continue
-                stack.pop()
-                if one not in found:
-                    found[one] = min([own(one), *(found[two] - step(two) for two in later)])
-        return {ref: found[ref] for ref in self._dependents}
--- a/badgerroute/scheduling/model.py
+++ b/badgerroute/scheduling/model.py
@@ -141,6 +141,7 @@
     listed: list[TaskReport] | None = None  # the last task list, if all that it says has been taken in
     exited: set[tuple[str, int, int]] = field(default_factory=set)  # reported as exited, not cleared yet
     strays: set[tuple[str, int, int]] = field(default_factory=set)  # on it, but none of ours: to be halted
+    undecided: set[tuple[str, int, int]] = field(default_factory=set)  # of jobs that may have been released: kept
     images: dict[str, float] = field(default_factory=dict)  # image -> GB, least recently used first
     complete: set[str] = field(default_factory=set)  # those of them that a task was seen to have got
     failed_jobs: dict[str, timedelta] = field(default_factory=dict)  # since anything was done here -> first failure
@@ -151,11 +152,18 @@
 
     @property
     def usable(self) -> bool:
-        return self.alive and self.fenced and not self.draining and not self.unreachable and self.notice is None
+        return (
+            self.alive
+            and self.fenced
+            and not self.draining
+            and not self.unreachable
+            and self.notice is None
+            and not self.undecided
+        )
 
     @property
     def empty(self) -> bool:
-        return not self.placements and not self.exited and not self.strays
+        return not self.placements and not self.exited and not self.strays and not self.undecided
 
     def touch_image(self, image: str, size_gb: float) -> None:
         """Note an image as most recently used, and drop what the cache can no longer hold."""
--- a/badgerroute/scheduling/part.py
+++ b/badgerroute/scheduling/part.py
@@ -6,7 +6,7 @@
 
 import logging
 from collections import defaultdict
-from collections.abc import Callable, Iterable
+from collections.abc import Callable
 from dataclasses import dataclass, field
 from datetime import timedelta
 
@@ -80,9 +80,11 @@
         shares: Callable[[str], tuple[float, float]],
         now: timedelta,
         lease: timedelta = timedelta(seconds=10),
+        undecided: Callable[[str], bool] = lambda ref: False,
     ) -> None:
         self.number, self.term = number, term
         self._lease = lease  # of the workers
+        self._undecided = undecided  # of jobs that are not here: whether they may have been released all the same
         self.fence = term  # machines must have seen at least this before their lists are the last word
         self.shares = shares
         self.claimed_at = now
@@ -120,6 +122,7 @@
             self.release(placement, now)
         machine.listed = None
         machine.exited.clear()
+        machine.undecided.clear()
 
     # -- jobs
 
@@ -321,12 +324,13 @@
             # Another owner's commands may still reach it: the list is true, but it is not the last word.
             machine.fenced = False
             return events
-        if machine.fenced and not machine.strays and machine.listed == report.tasks:
+        if machine.fenced and not machine.strays and not machine.undecided and machine.listed == report.tasks:
             return events  # most reports say what the one before said
         machine.fenced = True
         machine.listed = report.tasks
         machine.exited.clear()
         machine.strays.clear()
+        machine.undecided.clear()
         present: list[tuple[str, int, TaskReport]] = []
         for task in report.tasks:
             ref, index = split_task(task.task)
@@ -411,6 +415,9 @@
     ) -> Placement | None:
         """A task that we did not start: a former owner's. Keep it if it is ours, else it has to go."""
         job = self.jobs.get(ref)
+        if job is None and self._undecided(ref):
+            self._keep_undecided(machine, (ref, index, task.attempt))
+            return None
         if job is None or not job.owned >> index & 1 or index in job.placed:
             log.info("event=stray_task machine=%s task=%s/%d", machine.name, ref, index)
             machine.strays.add((ref, index, task.attempt))
@@ -424,6 +431,15 @@
                 self.stop_gang(job, ZERO)
         return placement
 
+    def _keep_undecided(self, machine: Machine, task: tuple[str, int, int]) -> None:
+        """A task of a job of which we don't know yet whether it was released: left as it is until we do.
+
+        A part that was taken over before its owner had looked up how predecessors ended stopped such tasks as strays.
+        Nothing is placed meanwhile: not this task, which runs already, nor others, since it counts against its team.
+        """
+        machine.undecided.add(task)
+        self.settled = False
+
     def _exited(
         self,
         machine: Machine,
@@ -447,6 +463,8 @@
                 return
         job = self.jobs.get(ref)
         if job is None:
+            if self._undecided(ref):
+                self._keep_undecided(machine, (ref, index, task.attempt))
             return
         cause = task.cause or ""
         if cause in WITH_IMAGE and job.spec.image in machine.images:
@@ -621,7 +639,9 @@
     def _clearable(self, ref: str, index: int) -> bool:
         """A done task is cleared only once that is durable: until then the machine is the only witness."""
         job = self.jobs.get(ref)
-        return job is None or not job.done_here >> index & 1
+        if job is None:
+            return not self._undecided(ref)
+        return not job.done_here >> index & 1
 
     # -- time
 
@@ -642,6 +662,7 @@
             if proved > over and (machine.placements or not machine.fenced or machine.alive):
                 self.lose_tasks(machine, now)
                 machine.strays.clear()
+                machine.undecided.clear()
                 machine.alive = False
                 machine.dead_session = machine.session
                 machine.fenced = True
@@ -652,10 +673,11 @@
     def settle(self) -> bool:
         if not self.settled:
             # A stray's team is unknown, so what it uses can't be counted: wait until it is gone.
-            self.settled = all(machine.fenced and not machine.strays for machine in self.machines.values())
+            self.settled = not self.unsettled()
             if self.settled:
                 log.info("event=part_settled part=%d term=%d machines=%d", self.number, self.term, len(self.machines))
         return self.settled
 
-    def unsettled(self) -> Iterable[Machine]:
-        return [machine for machine in self.machines.values() if not machine.fenced or machine.strays]
+    def unsettled(self) -> list[Machine]:
+        """Machines of which it is not certain what runs on them, or that run what can't be counted."""
+        return [one for one in self.machines.values() if not one.fenced or one.strays or one.undecided]
--- a/badgerroute/storage/records.py
+++ b/badgerroute/storage/records.py
@@ -5,7 +5,7 @@
 from typing import Any, NamedTuple
 
 import msgspec
-from msgspec import Struct
+from msgspec import UNSET, Struct, UnsetType
 
 from badgerroute.protocol.users import Submission
 
@@ -81,7 +81,8 @@
 class JobRecord(Struct):
     """An unfinished job. Tasks below `base` are done; `bits` holds the others, task `base` first.
 
-    `ranges` says which part owns which tasks.
+    `ranges` says which part owns which tasks. While the job waits for others that stands in `planned`, and `ranges` is
+    empty: a version that knows nothing of predecessors must not start it, should one be brought back.
     """
 
     job: Submission
@@ -90,6 +91,16 @@
     base: int = 0
     bits: str = ""
     pages: int = 0  # keys that hold its predecessors, if these did not fit here
+    planned: list[TaskRange] | UnsetType = UNSET
+
+    @property
+    def assigned(self) -> list[TaskRange]:
+        """Which part owns which tasks as soon as the job is released."""
+        return self.ranges if self.planned is UNSET else self.planned
+
+    def with_ranges(self, ranges: list[TaskRange]) -> "JobRecord":
+        """The record of a released job whose tasks belong to other parts."""
+        return msgspec.structs.replace(self, ranges=ranges, planned=UNSET)
 
     def done(self) -> int:
         """The done tasks that are written down here, as a bit set."""
@@ -98,7 +109,8 @@
 
     def with_done(self, done: int) -> "JobRecord":
         base = trailing_ones(done)
-        return msgspec.structs.replace(self, base=base, bits=pack(done >> base))
+        bits = pack(done >> base)
+        return msgspec.structs.replace(self, ranges=self.assigned, planned=UNSET, base=base, bits=bits)
 
     def without_bits(self, done: int) -> "JobRecord":
         """Only how far all is done; the other bits are on pages."""
@@ -107,7 +119,7 @@
     def owned(self, part: int) -> int:
         """The tasks that a part owns, as a bit set."""
         owned = 0
-        for owner, first, end in self.ranges:
+        for owner, first, end in self.assigned:
             if owner == part:
                 owned |= span(first, end)
         return owned
--- a/badgerroute/storage/state.py
+++ b/badgerroute/storage/state.py
@@ -10,8 +10,9 @@
 
 from badgerroute.protocol import state as wire
 from badgerroute.protocol.common import MalformedError, decode, encode
-from badgerroute.settings import StateLimits
+from badgerroute.settings import NextLimits, StateLimits
 from badgerroute.storage.budget import Budget, BudgetExhaustedError, Urgency
+from badgerroute.storage.size_limits import SizeLimits, TransactionSize
 from badgerroute.transport.http import Client, NoAnswerError, Response
 from badgerroute.transport.loop import Loop
 from badgerroute.transport.net import Network
@@ -20,7 +21,8 @@
 ANSWER_LIMIT = timedelta(milliseconds=1500)
 OVER = 3  # answers of 429 so close together show that the service has lowered its limits
 OVER_WITHIN = timedelta(seconds=5)
-LEAST_BYTES = 512
+LIST_PAGE = 500
+CONDITIONS_PER_CHANGE = 4  # that a transaction may have
 SLACK = 0.95  # budgets stay a little below the published limits: clocks differ, and a 429 helps nobody
 
 
@@ -39,7 +41,14 @@
 
 
 class RequestRefusedError(StateUnavailableError):
-    """The service calls the transaction malformed or too large: as it is, it must not be sent again."""
+    """The service calls the transaction malformed or too large: as it is, it must not be sent again.
+
+    `by_size`: its size may have been the reason, so that what is sent from now on is smaller.
+    """
+
+    def __init__(self, text: str, by_size: bool) -> None:
+        super().__init__(text)
+        self.by_size = by_size
 
 
 class LeaseExpiredError(Exception):
@@ -74,8 +83,13 @@
         self._limits = limits
         self._over: list[timedelta] = []  # when the service lately said that we are over its limits
         # Kept to from the first write on, though the service may still take more: nobody says when it no longer does.
-        self.max_changes = limits.max_changes
-        self.max_value_bytes = int(limits.max_value_bytes * SLACK)
+        later = limits.next or NextLimits()
+        self._sizes = SizeLimits(
+            limits.max_changes,
+            int(limits.max_value_bytes * SLACK),
+            later.txn_ops is not None,
+            later.value_kb is not None,
+        )
         self.requests = 0
         self.conflicts = 0
 
@@ -103,15 +117,44 @@
         if len(self._over) >= OVER:
             self._lower("429")
 
-    def _tighten(self, body: bytes, conditions: int, changes: int) -> None:
-        """What was refused must not come again: from now on everything is kept smaller than that was."""
-        self._lower("400")
-        if changes > 2:
-            self.max_changes = max(2, min(self.max_changes, changes) // 2)
-        self.max_value_bytes = max(LEAST_BYTES, min(self.max_value_bytes, len(body) * 3 // 4))
+    @property
+    def max_changes(self) -> int:
+        """In one transaction, now and later: nobody says when a lower limit comes."""
+        self._sizes.recover(self._loop.now())
+        return self._sizes.changes.current
+
+    @property
+    def max_value_bytes(self) -> int:
+        """Of one value, now and later."""
+        self._sizes.recover(self._loop.now())
+        return self._sizes.value_bytes.current
+
+    @property
+    def announced_value_bytes(self) -> int:
+        """The largest value by the settings, whatever the service lately refused."""
+        return int(self._limits.max_value_bytes * SLACK)
+
+    @property
+    def max_conditions(self) -> int:
+        """Of one transaction, by the settings."""
+        return CONDITIONS_PER_CHANGE * self._limits.max_changes
+
+    def _refused(self, transaction: wire.Transaction, body: bytes) -> bool:
+        """What was refused for its size must not come again as it was."""
+        changes = transaction.changes
+        values = (len(encode(change.value)) for change in changes if isinstance(change, wire.Put))
+        size = TransactionSize(len(changes), max(values, default=0))
+        lowered = self._sizes.refused(size, self._loop.now())
         log.warning(
-            "event=state_refused changes=%d conditions=%d bytes=%d body=%s", changes, conditions, len(body), body[:120]
+            "event=state_refused changes=%d conditions=%d bytes=%d largest=%d lowered=%s body=%s",
+            size.changes,
+            len(transaction.conditions),
+            len(body),
+            size.value_bytes,
+            lowered,
+            body[:120],
         )
+        return lowered
 
     async def _call(
         self,
@@ -170,25 +213,29 @@
         except OutcomeUnknownError as error:
             raise StateUnavailableError(str(error)) from None
 
+    async def page(self, prefix: str, since: str, limit: int, urgency: Urgency) -> wire.Listing:
+        """The first items under a prefix whose keys come after `since`, in the order of their keys."""
+        target = f"/kv?under={quote(prefix, safe='/')}&limit={limit}"
+        if since:
+            target += f"&since={quote(since, safe='/')}"
+        try:
+            response = await self._call("GET", target, b"", urgency)
+            if response.status != 200:
+                raise StateUnavailableError(f"status {response.status}")
+            return self._decoded(response, wire.listing_decoder)
+        except OutcomeUnknownError as error:  # a read changes nothing, so whether it happened does not matter
+            raise StateUnavailableError(str(error)) from None
+
     async def list(self, prefix: str) -> tuple[list[wire.Item], int]:
         """All items under a prefix, and a revision that none of the pages is older than."""
-        found: list[wire.Item] = []
+        items: list[wire.Item] = []
         since, revision = "", None
         while True:
-            target = f"/kv?under={quote(prefix, safe='/')}&limit=500"
-            if since:
-                target += f"&since={quote(since, safe='/')}"
-            try:
-                response = await self._call("GET", target, b"", Urgency.CLAIM)
-                if response.status != 200:
-                    raise StateUnavailableError(f"status {response.status}")
-                page = self._decoded(response, wire.listing_decoder)
-            except OutcomeUnknownError as error:
-                raise StateUnavailableError(str(error)) from None
+            page = await self.page(prefix, since, LIST_PAGE, Urgency.CLAIM)
             revision = page.revision if revision is None else min(revision, page.revision)
-            found.extend(page.items)
+            items.extend(page.items)
             if not page.more or not page.items:
-                return found, revision
+                return items, revision
             since = page.items[-1].key
 
     async def transact(
@@ -203,19 +250,19 @@
             await self._writes.take(max(1, len(changes)), urgency, limit)
         except BudgetExhaustedError as error:
             raise StateUnavailableError(str(error)) from None
-        conditions = list(conditions)
-        body = encode(wire.Transaction(conditions, list(changes)))
+        transaction = wire.Transaction(list(conditions), list(changes))
+        body = encode(transaction)
         response = await self._call("POST", "/txn", body, urgency, limit)
         if response.status == 200:
             return self._decoded(response, wire.applied_decoder).revision
         if response.status == 409:
             self.conflicts += 1
             raise ConflictError(self._decoded(response, wire.conflict_decoder).failed)
-        if response.status == 400 and b"lease" in response.body:
+        if response.status == 400 and wire.names_ended_lease(response.body):
             raise LeaseExpiredError("no such lease")
         if response.status == 400:
-            self._tighten(body, len(conditions), len(changes))
-            raise RequestRefusedError(f"refused: {response.body[:100]!r}")
+            by_size = self._refused(transaction, body)
+            raise RequestRefusedError(f"refused: {response.body[:100]!r}", by_size)
         raise StateUnavailableError(f"status {response.status}")
 
     async def grant(self, ttl: timedelta) -> int:
--- a/tests/standins/state.py
+++ b/tests/standins/state.py
@@ -38,6 +38,7 @@
         self.write_rps: float | None = None  # changes beyond this rate get 429
         self.over = 0  # answers of 429
         self._tokens, self._filled = 0.0, timedelta(0)
+        self.refusing = False  # every transaction is called malformed
         self.too_large: list[str] = []  # what was refused for its size
         self.group = group
         self._down_since = timedelta(0)
@@ -159,6 +160,8 @@
         return done
 
     def _carry_out(self, body: dict) -> Response:
+        if self.refusing:
+            return reply(400, {"error": "malformed"})
         failed = [
             one["key"]
             for one in body["if"]
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -671,3 +671,25 @@
     assert one.done_here == 1
     assert one.run_count == learned
     assert (target.estimates.correction("batch") == 1.0) is (learned == 0)
+
+
+def test_nothing_is_placed_while_a_task_of_an_undecided_job_runs() -> None:
+    """It may be released at any moment, and then its tasks would be started elsewhere, beside those that run."""
+    target = part(2)
+    undecided = {"run-1"}
+    target._undecided = undecided.__contains__
+    machine, other = target.machines.values()
+    assert target.on_report(machine, report(1, [RUNNING]), True, 1 * S) is not None
+    assert not target.settled and not machine.usable and not target.settle()
+    assert target.commands(machine, 1 * S, starts=True) == []
+    job = add(target, submission(tasks=1))
+    undecided.clear()
+    planner = Planner(target, Scheduling(), Objectives([]))
+    assert planner.fill(other, 2 * S, never) == 0
+    assert target.on_report(machine, report(2, [RUNNING]), True, 2 * S) is not None
+    assert target.settle() and machine.usable and job.placed[0].machine is machine
+    done = TaskReport(RUNNING.task, RUNNING.attempt, "exited", "done")
+    undecided.add("run-2")
+    other_done = TaskReport("run-2/0", 5, "exited", "done")
+    target.on_report(machine, report(3, [done, other_done]), True, 3 * S)
+    assert [one.task for one in target.commands(machine, 3 * S, starts=True)] == [], "nothing is cleared unseen"
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -8,6 +8,7 @@
 
 from badgerroute.coordination.pipelines import Pipelines
 from badgerroute.scheduling.dependencies import Dependencies, FinalState
+from badgerroute.scheduling.inheritance import LOOKS_BETWEEN_CLOCKS, InheritancePass, Inherited
 from badgerroute.storage import records
 from badgerroute.storage.records import JobState
 from tests.standins.day import HOSTS, SECOND, Day, job
@@ -83,9 +84,46 @@
         graph.graph.add(ref, predecessors)
     due = {"a": 1000.0, "b": 900.0, "c": 800.0, "d": 100.0, "e": 40.0}
     length = {"a": 1.0, "b": 20.0, "c": 5.0, "d": 10.0, "e": 10.0}
-    assert graph.graph.inherited_minimum(due.get, length.get) == {"a": 25.0, "b": 90.0, "c": 30.0}
+    level = {"a": 0, "b": 1, "c": 0, "d": 0, "e": 3}
+
+    def inherited(over: Callable[[], bool] = lambda: False) -> tuple[dict[str, Inherited], int]:
+        work = InheritancePass(graph.graph, lambda ref: Inherited(level[ref], due[ref]), length.__getitem__)
+        slices = 1
+        while not work.advance(over):
+            slices += 1
+        return work.result, slices
+
+    expected = {"a": (3, 25.0), "b": (1, 90.0), "c": (3, 30.0), "d": (0, 100.0), "e": (3, 40.0)}
+    assert inherited()[0] == expected
     graph.end("e", "withdrawn")
-    assert graph.graph.inherited_minimum(due.get, length.get) == {"a": 70.0, "b": 90.0, "c": 90.0}
+    expected = {"a": (1, 70.0), "b": (1, 90.0), "c": (0, 90.0), "d": (0, 100.0)}
+    assert inherited()[0] == expected
+
+
+def test_inheritance_goes_on_where_the_last_slice_stopped() -> None:
+    """Chains of a hundred and fans of a hundred: a slice visits few jobs, and all slices together each job once."""
+    graph = Graph()
+    for number in range(10):
+        for link in range(100):
+            graph.graph.add(f"c{number}-{link + 1}", [f"c{number}-{link}"])
+            graph.graph.add(f"f{number}-{link}", [f"root{number}"])
+    visits, slices = 0, 0
+
+    def own(ref: str) -> Inherited:
+        nonlocal visits
+        visits += 1
+        return Inherited(2 if ref.endswith("-100") else 0, 500.0)
+
+    work = InheritancePass(graph.graph, own, lambda ref: 1.0)
+    while True:
+        before, slices = visits, slices + 1
+        if work.advance(lambda: True):
+            break
+        assert visits - before <= LOOKS_BETWEEN_CLOCKS
+        if slices == 20:
+            graph.graph.add("late", ["c3-100"])  # what comes meanwhile does no harm
+    assert slices > 100 and visits <= 2102
+    assert work.result["c7-0"] == (2, 400.0) and work.result["root4"] == (0, 499.0)
 
 
 def test_long_chains_and_wide_graphs() -> None:
@@ -93,7 +131,8 @@
     for number in range(3000):
         graph.graph.add(f"c{number + 1}", [f"c{number}"])
         graph.graph.add(f"w{number}", ["c0"])
-    assert len(graph.graph.inherited_minimum(lambda ref: 0.0, lambda ref: 0.0)) == 3000
+    work = InheritancePass(graph.graph, lambda ref: Inherited(0, 0.0), lambda ref: 0.0)
+    assert work.advance(lambda: False) and len(work.result) == 6001
     graph.end("c0", "withdrawn")
     assert len(graph.cancelled) == 6000
 
