--- a/badgerroute/coordination/owner.py
+++ b/badgerroute/coordination/owner.py
@@ -13,6 +13,7 @@
 from badgerroute.coordination.machine_commands import MachineCommands
 from badgerroute.coordination.member_registry import MemberRegistry
 from badgerroute.coordination.migration import WorkMigration
+from badgerroute.coordination.processor_use import processor_use
 from badgerroute.coordination.services import Services
 from badgerroute.coordination.share_exchange import ShareExchange
 from badgerroute.protocol import mesh as mesh_wire
@@ -261,6 +262,7 @@
                 sum(job.waiting_bits.bit_count() for job in self.part.jobs.values()),
                 " ".join(f"{phase}={count}" for phase, count in sorted(phases.items())),
             )
+            log.info("event=part_processors part=%d %s", self.number, processor_use(self.part))
 
     def _expire(self, now: timedelta) -> None:
         lost = self.part.expire(now, self._claims.proved, self._settings.machine_lease, self.grace)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -6,6 +6,7 @@
 
 import pytest
 
+from badgerroute.coordination.processor_use import ProcessorUse, processor_use
 from badgerroute.coordination.split import split
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.mesh import FreeCapacity, PartSummary, PendingDemand
@@ -693,3 +694,15 @@
     other_done = TaskReport("run-2/0", 5, "exited", "done")
     target.on_report(machine, report(3, [done, other_done]), True, 3 * S)
     assert [one.task for one in target.commands(machine, 3 * S, starts=True)] == [], "nothing is cleared unseen"
+
+
+def test_processors_are_counted_once_by_what_they_do() -> None:
+    target = part(4)
+    job = add(target, submission(tasks=3))
+    machines = list(target.machines.values())
+    for index, (machine, phase) in enumerate(zip(machines, (Phase.RUNNING, Phase.FETCHING, Phase.SENT), strict=False)):
+        target.place(job, index, 99, machine, 0 * S, phase)
+    machines[1].held_for, machines[2].draining = "run-9", True
+    use = processor_use(target)
+    assert use == ProcessorUse(running=2, fetching=2, starting=2, beside=6, held=6, unusable=6, empty=8)
+    assert str(use).startswith("running=2 starting=2 fetching=2 waiting=0")
