--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -367,12 +367,22 @@
         await self.job_writer.write_progress(batch, self._condition)
 
     async def _forecast_duty(self) -> None:
+        turns_left = 0
         while True:
             await self._loop.sleep(GOSSIP)
-            while not self.forecast.inherit(self._round_over()):
-                await self._loop.sleep(SLICE_PAUSE)
+            if turns_left == 0:
+                turns_left = await self._inherit()
+            turns_left -= 1
             self.forecast.update()
 
+    async def _inherit(self) -> int:
+        """Work out what jobs take over from their dependents; how many slices it took, and turns until the next pass."""
+        slices = 1
+        while not self.forecast.inherit(self._round_over()):
+            slices += 1
+            await self._loop.sleep(SLICE_PAUSE)
+        return slices
+
     def _round_over(self) -> Callable[[], bool]:
         """Tells when the time for a round of decisions that begins now is over."""
         deadline = self._loop.now() + self.settings.operator.scheduling.round
--- a/badgerroute/coordination/forecast.py
+++ b/badgerroute/coordination/forecast.py
@@ -25,7 +25,7 @@
 STARVING_AFTER = timedelta(seconds=160)  # a job that has not begun by then comes first, however late it is
 BETWEEN_REPORTS = 2  # that pass between the end of a stage and the start of the next
 BETWEEN = timedelta(seconds=5)  # and what else does: writing it down, an image to fetch
-LOWEST_LEVEL = 0
+NOTHING = Inherited(0, inf)  # what is taken over from a job that is over
 FIRST = -1  # tier of such a job
 LEAST_SHARE = 0.25  # of the processors that small tasks get at least, beside the gangs
 
@@ -47,6 +47,7 @@
         self._objectives = Objectives(settings.params.objectives)
         self._between = BETWEEN_REPORTS * settings.params.workers.report + BETWEEN
         self._inheritance: InheritancePass | None = None  # under way
+        self._own_values: dict[str, Inherited] = {}
         self._types: dict[str, str] = {}  # member -> machine type, which never changes
 
     def update(self) -> None:
@@ -86,6 +87,7 @@
     def inherit(self, over: Callable[[], bool]) -> bool:
         """Go on working out what jobs take over from their dependents; whether that is complete, and in force."""
         if self._inheritance is None:
+            self._own_values = {ref: own for ref, own in self._own_values.items() if ref in self._job_store.active}
             self._inheritance = InheritancePass(self._job_store.dependencies, self._own, self._stage_duration)
         if not self._inheritance.advance(over):
             return False
@@ -93,13 +95,17 @@
         return True
 
     def _own(self, ref: str) -> Inherited:
-        """What a job would have without dependents."""
+        """What a job would have without dependents, which never changes."""
+        own = self._own_values.get(ref)
+        if own is not None:
+            return own
         record = self._job_store.active.get(ref)
         if record is None:
-            return Inherited(LOWEST_LEVEL, inf)
+            return NOTHING
         deadline = self._objectives.deadline(record.job)
         due = record.accepted + deadline.total_seconds() if deadline else inf
-        return Inherited(record.job.priority.level, due)
+        own = self._own_values[ref] = Inherited(record.job.priority.level, due)
+        return own
 
     def _stage_duration(self, ref: str) -> float:
         """How long a stage is expected to take, with what passes before it starts."""
--- a/badgerroute/scheduling/inheritance.py
+++ b/badgerroute/scheduling/inheritance.py
@@ -6,6 +6,7 @@
 """
 
 from collections.abc import Callable
+from math import inf
 from typing import NamedTuple
 
 from badgerroute.scheduling.dependencies import Dependencies
@@ -54,10 +55,14 @@
             if missing:
                 self._stack.extend(missing)
                 return
-            level, due = self._own(ref)
-            for one in dependents:
-                inherited = result[one]
-                level = max(level, inherited.level)
-                due = min(due, inherited.due - self._duration(one))
-            result[ref] = Inherited(level, due)
+            result[ref] = self._combined(ref, dependents) if dependents else self._own(ref)
         self._stack.pop()
+
+    def _combined(self, ref: str, dependents: list[str]) -> Inherited:
+        level, due = self._own(ref)
+        for one in dependents:
+            inherited = self.result[one]
+            level = max(level, inherited.level)
+            if inherited.due != inf:
+                due = min(due, inherited.due - self._duration(one))
+        return Inherited(level, due)
