--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -376,7 +376,7 @@
             self.forecast.update()
 
     async def _inherit(self) -> int:
-        """Work out what jobs take over from their dependents; how many slices it took, and turns until the next pass."""
+        """Work out what jobs take over from their dependents. The slices it took: as many turns until the next pass."""
         slices = 1
         while not self.forecast.inherit(self._round_over()):
             slices += 1
