--- a/badgerroute/coordination/share_exchange.py
+++ b/badgerroute/coordination/share_exchange.py
@@ -33,8 +33,7 @@
 
     async def seek(self) -> None:
         """Take what the part's teams lack from what nobody holds, or ask the siblings for it."""
-        lacks, self._planner.short_of_share = self._planner.short_of_share, {}
-        for team, lack in lacks.items():
+        for team, lack in self._planner.take_shortages().items():
             if not await self._quotas.raise_own(self._part.number, team, lack):
                 first = self._first_short(team)
                 if first is None:
--- /dev/null
+++ b/badgerroute/scheduling/failures.py
@@ -0,0 +1,104 @@
+"""Who is to blame when tasks fail: machines that fail what runs elsewhere, or jobs that fail wherever they go."""
+
+import logging
+from datetime import timedelta
+from typing import TYPE_CHECKING
+
+from badgerroute.scheduling.events import Events
+from badgerroute.scheduling.model import ZERO, Job, Machine, Placement
+
+if TYPE_CHECKING:
+    from badgerroute.scheduling.part import Part
+
+log = logging.getLogger("badgerroute.part")
+SICK_JOBS = 2  # so many different jobs failing on a machine make it suspect
+SICK_TRIES = 3
+AVOIDED = timedelta(seconds=5)
+FORGIVEN = timedelta(seconds=30)  # after so long a job may go back to a machine on which it failed
+FAILING_AFTER_MACHINES = 3  # a job that fails on so many, and is done on none, is taken to be at fault itself
+REFUSED_PAUSE = timedelta(seconds=2)
+BACKOFF = timedelta(seconds=2)
+MAX_BACKOFF = timedelta(seconds=60)
+
+
+class FailureJudge:
+    """Judges the failures in one part."""
+
+    def __init__(self, part: "Part") -> None:
+        self._part = part
+
+    def failed(
+        self, machine: Machine, job: Job, placement: Placement, cause: str, events: Events, now: timedelta
+    ) -> None:
+        if cause == "error":
+            job.failed_on[machine.name] = job.failed_on.get(machine.name, 0) + 1
+            if self._seems_failing(job):
+                self._blame_job(job, machine, now)
+            else:
+                job.failed_at = now
+                machine.avoid_until = now + AVOIDED
+                again = now - machine.failed_jobs.setdefault(job.ref, now) >= FORGIVEN
+                known_good = job.done | job.done_here and job.failed_on[machine.name] >= SICK_TRIES
+                # Time for the same jobs to fail elsewhere: two mistaken ones may happen to fail here first.
+                judged = now - min(machine.failed_jobs.values()) >= AVOIDED
+                if again or known_good or (judged and self._only_here(machine) >= SICK_JOBS):
+                    self._quarantine(machine, events)
+        elif cause in ("no_room", "in_use"):
+            machine.avoid_until = now + REFUSED_PAUSE
+        elif cause == "no_such":
+            job.blocked_until = now + BACKOFF
+
+    @staticmethod
+    def _seems_failing(job: Job) -> bool:
+        """Whether the job's failures are its own: no task of it was ever done, and it fails wherever it goes.
+
+        Many machines may be sick at once, so it must have failed on more of them than it runs on.
+        """
+        if job.failing or job.done | job.done_here:
+            return job.failing
+        running = {one.machine.name for one in job.placed.values() if one.running_since is not None}
+        return len(job.failed_on) >= FAILING_AFTER_MACHINES and len(job.failed_on) > len(running - job.failed_on.keys())
+
+    def _only_here(self, machine: Machine) -> int:
+        """How many jobs failed on this machine and nowhere else; those that fail elsewhere too may be mistaken."""
+        jobs = [self._part.jobs.get(ref) for ref in machine.failed_jobs]
+        return sum(job is not None and job.failed_on.keys() == {machine.name} for job in jobs)
+
+    def forgive(self, job: Job, now: timedelta) -> None:
+        """Else a job would wait for ever where only machines that it once failed on may run it."""
+        if job.failed_on and not job.failing and now - job.failed_at >= FORGIVEN:
+            job.failed_on = {}
+
+    def _blame_job(self, job: Job, machine: Machine, now: timedelta) -> None:
+        """A mistake in the job: probe it seldom, and hold nothing of it against the machines.
+
+        A few such jobs once had dozens of machines called sick, drained and deleted, with all that ran on them.
+        """
+        if not job.failing:
+            log.info("event=job_mistaken job=%s part=%d machines=%d", job.ref, self._part.number, len(job.failed_on))
+            job.failing = True
+            for name in job.failed_on:
+                one = self._part.machines.get(name)
+                if one is not None and one.failed_jobs.pop(job.ref, None) is not None and not one.failed_jobs:
+                    one.avoid_until = ZERO
+        if now >= job.blocked_until:  # the rest of a wave that was started before says nothing new
+            job.probes += 1
+            job.blocked_until = now + min(MAX_BACKOFF, BACKOFF * 2 ** min(10, job.probes))
+        job.failed_on = {machine.name: 1}  # any other will do for the next probe
+
+    def blame_machines(self, job: Job, machine: Machine, events: Events) -> None:
+        """A task of the job was done, so there is nothing wrong with it: its failures were their machines'."""
+        failed, job.failed_on = job.failed_on, {}
+        job.failing, job.probes, job.blocked_until = False, 0, ZERO
+        for name, tasks in failed.items():
+            one = self._part.machines.get(name)
+            if one is None or one is machine or job.ref not in one.failed_jobs:
+                continue
+            if tasks >= SICK_TRIES or len(one.failed_jobs) >= SICK_JOBS:
+                self._quarantine(one, events)
+
+    def _quarantine(self, machine: Machine, events: Events) -> None:
+        if not machine.draining:
+            machine.draining = True
+            events.quarantined.append(machine)
+            log.info("event=machine_sick machine=%s jobs=%d", machine.name, len(machine.failed_jobs))
--- /dev/null
+++ b/badgerroute/scheduling/placement_rules.py
@@ -0,0 +1,50 @@
+"""What holds for gangs and arrays alike: the ladder with this part's images, zones, and shares that are lacking."""
+
+from datetime import timedelta
+
+from badgerroute.scheduling import ladder
+from badgerroute.scheduling.model import Job, Machine, Room
+from badgerroute.scheduling.objectives import Objectives
+from badgerroute.scheduling.part import Part
+from badgerroute.scheduling.service_order import ServiceOrder
+from badgerroute.settings import Scheduling
+
+FETCH_SPREAD = 1.3  # fetches take up to a third longer than the machine type's rate says
+
+
+class PlacementRules:
+    """`short_of_share` is what teams lacked of their limits since somebody last took it away."""
+
+    def __init__(
+        self, part: Part, order: ServiceOrder, settings: Scheduling, objectives: Objectives, report: timedelta
+    ) -> None:
+        self._part, self._order, self._settings = part, order, settings
+        self._objectives, self._report = objectives, report
+        self.short_of_share: dict[str, Room] = {}
+
+    def allowed(self, job: Job, machine: Machine, wait: timedelta) -> ladder.Rung:
+        """The highest rung that a task which has waited so long may use on a machine."""
+        fetch = ladder.fetch_time(job, machine)
+        correction = self._part.estimates.correction(job.spec.job_class)
+        within = self._latest_choice(job, fetch)
+        return ladder.allowed(job, wait, fetch, self._order.images, correction, self._settings, within)
+
+    def _latest_choice(self, job: Job, fetch: timedelta) -> timedelta:
+        """When a task must stop waiting for its image so that a fetch, which may be slow, is still in time."""
+        return self._objectives.start_within(job) - 2 * self._report - fetch * (FETCH_SPREAD - 1)
+
+    @staticmethod
+    def zone_allowed(job: Job, zone: str, more: int) -> bool:
+        """`together` and `spread`, with all of the job's tasks that may be on machines in view."""
+        spec = job.spec
+        if spec.together and any(other != zone for other in job.zones()):
+            return False
+        if spec.spread and sum(other == zone for other in job.zones()) + more > (spec.tasks + 1) // 2:
+            return False
+        return True
+
+    def lacks(self, job: Job, tasks: int) -> None:
+        """Note what a job's team lacks of its limit for so many tasks."""
+        lack = self.short_of_share.setdefault(job.spec.team, Room())
+        lack.cpus = max(lack.cpus, job.need.cpus * tasks)
+        lack.accelerators = max(lack.accelerators, job.need.accelerators * tasks)
--- /dev/null
+++ b/badgerroute/scheduling/preemption.py
@@ -0,0 +1,217 @@
+"""Making room: which work may be stopped for which, what that costs, and what the room that was made is kept for."""
+
+import logging
+from datetime import timedelta
+
+from badgerroute.scheduling import ladder
+from badgerroute.scheduling.model import EPSILON, ZERO, Job, Machine, Phase, Placement, Room, allows
+from badgerroute.scheduling.objectives import Objectives
+from badgerroute.scheduling.part import Part
+from badgerroute.scheduling.service_order import ServiceOrder
+from badgerroute.storage.records import lowest
+
+log = logging.getLogger("badgerroute.planner")
+HELD = timedelta(seconds=6)  # how long room that was made for an array waits for its tasks
+GANG_HELD = timedelta(seconds=30)  # and for a gang, whose tasks save before they go
+LEAD_REPORTS = 3  # reports that pass between the decision to make room and the start in it
+PATIENCE = 3
+
+
+class Preemption:
+    """Stops work of one part for other work that comes before it in the order of service."""
+
+    def __init__(self, part: Part, order: ServiceOrder, objectives: Objectives, report: timedelta) -> None:
+        self._part, self._order, self._objectives, self._report = part, order, objectives, report
+
+    def candidates(self, job: Job, now: timedelta, free: bool = False) -> list[Machine]:
+        """Machines that may run the job; `free`: only those with room for one of its tasks."""
+        spec, cpus = job.spec, job.need.cpus - EPSILON if free else -1.0
+        return [
+            machine
+            for machine in self._part.machines.values()
+            if machine.free.cpus >= cpus
+            and machine.usable
+            and machine.avoid_until <= now
+            and machine.name not in job.failed_on
+            and allows(spec, machine.kind.name, machine.zone, machine.spot)
+        ]
+
+    def may_stop(self, victim: Job, job: Job) -> bool:
+        """Whether a victim's tasks may be stopped for a job.
+
+        The same order decides who starts first. If two jobs could each stop the other, they would do so in turn,
+        and neither would ever get done.
+        """
+        if self._order.job_class(job) >= self._order.job_class(victim):
+            return False
+        return victim.level < job.level or victim.spec.team != job.spec.team
+
+    @staticmethod
+    def _loss(placement: Placement, now: timedelta) -> float:
+        """What stopping a task throws away, in processor-seconds: useful work, or the fetch so far.
+
+        It weighs more with every time that the job was stopped: else a gang that is always the cheapest to stop, since
+        it is always fetching, never gets to run (seven times in a row, once).
+        """
+        spec = placement.job.spec
+        if placement.running_since is None:
+            lost = (now - placement.since).total_seconds()
+        else:
+            ran = (now - placement.running_since).total_seconds()
+            lost = min(ran, spec.save_s + 1.0) if spec.checkpoint_s else ran
+        size = len(placement.job.placed) if spec.gang else 1
+        return lost * max(spec.cpus, 0.01) * size * (1 + placement.job.stopped)
+
+    def clear_out(self, machine: Machine, job: Job, now: timedelta) -> tuple[float, list[Placement]] | None:
+        """The cheapest set of tasks to stop so that one task of the job fits, and what is lost with them."""
+        # Most machines hold too little that may be stopped: that is seen without a look at each task.
+        if not machine.leaving and not self.room_below(machine, job.level + job.guaranteed).holds(job.need):
+            return None
+        room = machine.free.copy()
+        victims: list[Placement] = []
+        loss = 0.0
+        stoppable = []
+        for placement in machine.placements.values():
+            if placement.stopping:
+                room.add(placement.job.need)  # it is on its way out already
+            elif placement.phase is not Phase.SENT and self.may_stop(placement.job, job):
+                stoppable.append((self._loss(placement, now), placement.key, placement))
+        if room.holds(job.need):
+            return 0.0, victims
+        for lost, _, placement in sorted(stoppable, key=lambda one: one[:2]):
+            victims.append(placement)
+            loss += lost
+            room.add(placement.job.need)
+            if room.holds(job.need):
+                return loss, victims
+        return None
+
+    def patience(self, job: Job) -> timedelta:
+        """How long a job waits before room is made by force: a third of what can be spared.
+
+        What can't: stopping and starting each take until the next report, and then the image is fetched.
+        """
+        spare = self._objectives.start_within(job) - LEAD_REPORTS * self._report - self._part.least_fetch(job)
+        return max(ZERO, spare / PATIENCE)
+
+    def make_room_for_gang(self, job: Job, tasks: int, now: timedelta) -> None:
+        if now - job.since < self.patience(job):
+            return
+        options: list[tuple[float, str, Machine, list[Placement]]] = []
+        for machine in self.candidates(job, now):
+            if machine.held_for not in (None, job.ref):
+                continue
+            found = self.clear_out(machine, job, now)
+            if found is not None:
+                options.append((found[0], machine.name, machine, found[1]))
+        self.clear(job, tasks, options, now)
+
+    def clear(
+        self, job: Job, tasks: int, options: list[tuple[float, str, Machine, list[Placement]]], now: timedelta
+    ) -> bool:
+        """Stop what is cheapest to stop on as many machines as a gang needs; whether there are so many.
+
+        Machines that are held for it already come first: else every round would make room on others, and more than
+        the gang has use for.
+        """
+        options.sort(key=lambda one: (one[2].held_for != job.ref, *one[:2]))
+        if job.spec.together and options:
+            zones: dict[str, list] = {}
+            for one in options:
+                zones.setdefault(one[2].zone, []).append(one)
+            enough = [group[:tasks] for group in zones.values() if len(group) >= tasks]
+            options = min(enough, key=lambda group: sum(one[0] for one in group)) if enough else []
+        if len(options) < tasks:
+            return False
+        for _, _, machine, victims in options[:tasks]:
+            machine.held_for, machine.held_until = job.ref, now + GANG_HELD
+            for victim in victims:
+                self._preempt(victim, job)
+        return True
+
+    def _preempt(self, victim: Placement, job: Job) -> None:
+        spec = victim.job.spec
+        grace = timedelta(seconds=spec.save_s) if spec.checkpoint_s else ZERO
+        log.debug(
+            "event=preempt task=%s/%d machine=%s for=%s", victim.job.ref, victim.index, victim.machine.name, job.ref
+        )
+        if spec.gang:
+            victim.job.stopped += 1
+            self._part.stop_gang(victim.job, grace)
+        else:
+            self._part.stop(victim, grace)
+
+    def make_room_for_arrays(self, now: timedelta, most: int = 64) -> None:
+        """Give a team its guarantee, and higher levels their place, at the cost of work that may be stopped."""
+        if not self._part.settled:
+            return
+        self._order.refresh(now)
+        coming = sum(machine.leaving for machine in self._part.machines.values())  # room on its way already
+        for job in self._order.jobs:
+            if job.gang or job.failing or now - job.since < self.patience(job):
+                continue
+            bits = job.waiting_bits
+            if not bits or now - min(job.requeued.get(lowest(bits), job.since), now) < self.patience(job):
+                continue
+            wanted = min(bits.bit_count(), self._part.fits_share(job, most), most)
+            wanted -= coming
+            wanted -= sum(one.free.times(job.need) for one in self.candidates(job, now, free=True))
+            if wanted > 0:
+                stopped = self._stop_for_array(job, wanted, now)
+                most -= stopped
+                coming += stopped
+            if most <= 0:
+                return
+
+    def _stop_for_array(self, job: Job, wanted: int, now: timedelta) -> int:
+        options = []
+        for machine in self.candidates(job, now):
+            if machine.held_for is None:
+                found = self.clear_out(machine, job, now)
+                if found is not None and found[1]:
+                    uncached = ladder.rung_of(job, machine, self._order.images) is not ladder.Rung.CACHED
+                    options.append((uncached, found[0], machine.name, machine, found[1]))
+        options.sort(key=lambda one: one[:3])
+        for _, _, _, machine, victims in options[:wanted]:
+            machine.held_for = job.ref
+            machine.held_until = now + HELD
+            for victim in victims:
+                self._preempt(victim, job)
+        return min(wanted, len(options))
+
+    def release_holds(self, now: timedelta) -> None:
+        """Give up room that was made for a job which has no use for it any more.
+
+        A gang that was passed on, or fitted elsewhere, once left its machines held for ever: idle, and never returned.
+        """
+        for machine in self._part.machines.values():
+            if machine.held_for is not None:
+                holder = self._part.jobs.get(machine.held_for)
+                late = machine.held_until is not None and now > machine.held_until
+                if late or holder is None or not holder.waiting_bits:
+                    machine.held_for = machine.held_until = None
+
+    def room_without(self, level: int) -> list[tuple[Machine, Room]]:
+        """What each machine could offer a job of a level: its free room and that of work which may be stopped."""
+        found = []
+        for machine in self._part.machines.values():
+            if machine.usable and machine.held_for is None:
+                found.append((machine, self.room_below(machine, level)))
+        return found
+
+    def room_beside_images(self, level: int, most: int) -> dict[str, list[float]]:
+        """For each image, the processors that machines which cache it could offer a job of a level, most first."""
+        found: dict[str, list[float]] = {}
+        for machine, room in self.room_without(level):
+            if 2 * room.cpus >= machine.kind.cpus:
+                for image in machine.images:
+                    found.setdefault(image, []).append(room.cpus)
+        return {image: sorted(rooms, reverse=True)[:most] for image, rooms in found.items()}
+
+    @staticmethod
+    def room_below(machine: Machine, level: int) -> Room:
+        room = machine.free.copy()
+        for other, held in machine.held.items():
+            if other < level:
+                room.add(held)
+        return room
--- /dev/null
+++ b/badgerroute/scheduling/reports.py
@@ -0,0 +1,267 @@
+"""What machines' reports prove of the tasks on them.
+
+The bookkeeping that safety rests on (docs/safety.md): which starts arrived, which tasks are certainly gone, what a
+former owner left behind.
+"""
+
+import logging
+from datetime import timedelta
+from typing import TYPE_CHECKING
+
+from badgerroute.protocol.workers import Report, TaskReport, split_task
+from badgerroute.scheduling.events import Events
+from badgerroute.scheduling.failures import FailureJudge
+from badgerroute.scheduling.model import ZERO, Job, Machine, Phase, Placement
+
+if TYPE_CHECKING:
+    from badgerroute.scheduling.part import Part
+
+log = logging.getLogger("badgerroute.part")
+PHASES = {
+    "fetching": Phase.FETCHING,
+    "waiting": Phase.WAITING,
+    "running": Phase.RUNNING,
+    "flushing": Phase.SAVING,
+}
+WITH_IMAGE = frozenset({"done", "alone"})  # ends of tasks that had got their image
+UNTAKEN = 2  # one answer may be lost on its way
+MAX_REJOINS = 12  # a gang one of whose machines has no image by then is placed anew
+
+
+class ReportReader:
+    """Takes in the task lists of one part's machines."""
+
+    def __init__(self, part: "Part", failures: FailureJudge) -> None:
+        self._part, self._failures = part, failures
+
+    def on_report(self, machine: Machine, report: Report, checkin: bool, now: timedelta) -> Events | None:
+        """Take in a machine's task list. `checkin`: a real report; the answer to `/do` or `/status` is not one.
+
+        None: the message is older than what is known already, and must change nothing.
+        """
+        if report.session <= machine.dead_session or not report.newer_than(machine.session, machine.seq):
+            return None
+        events = Events()
+        if not checkin:
+            machine.unreachable, machine.untaken = False, 0  # it answered a command, so it hears us
+        if report.session > machine.session and machine.session:
+            # The lease expired in between: everything that was on the machine is dead.
+            self._part.lose_tasks(machine, now)
+            events.freed = True
+            if checkin and machine.answered is not None and now - machine.answered < self._part.lease:
+                self._mark_unreachable(machine)  # its lease ran out although we answered: it does not hear us
+        # After a silence, of the machine's or ours, there is no telling when what it says came about.
+        prompt = machine.heard is not None and now - machine.heard <= self._part.lease / 3
+        machine.session, machine.seq = report.session, report.seq
+        machine.token_seen = max(machine.token_seen, report.token)
+        machine.heard = now
+        if checkin:
+            machine.alive = True
+        notice = None if report.notice_s is None else now + timedelta(seconds=max(0.0, report.notice_s))
+        machine.notice = notice
+        if report.token < self._part.fence and not machine.pristine:
+            # Another owner's commands may still reach it: the list is true, but it is not the last word.
+            machine.fenced = False
+            return events
+        if machine.fenced and not machine.strays and not machine.undecided and machine.listed == report.tasks:
+            return events  # most reports say what the one before said
+        machine.fenced = True
+        machine.listed = report.tasks
+        machine.exited.clear()
+        machine.strays.clear()
+        machine.undecided.clear()
+        present: list[tuple[str, int, TaskReport]] = []
+        for task in report.tasks:
+            ref, index = split_task(task.task)
+            if task.state == "exited":
+                # Ends come first: a refused start must not make a task look free that an older attempt runs.
+                self._exited(machine, ref, index, task, events, now, report, checkin, prompt)
+            else:
+                present.append((ref, index, task))
+        seen: set[tuple[str, int]] = set()
+        for ref, index, task in present:
+            seen.add((ref, index))
+            self._present(machine, ref, index, task, now, prompt)
+        untaken = False
+        for key, placement in list(machine.placements.items()):
+            if key in seen or placement.phase is Phase.RESERVED:
+                continue
+            if placement.phase is Phase.SENT:
+                if not self._settles(placement, report, checkin):
+                    machine.listed = None
+                    continue
+                untaken = True
+            self._part.release(placement, now)
+            events.freed = True
+        if untaken:
+            machine.untaken += 1
+            if machine.untaken >= UNTAKEN:
+                self._mark_unreachable(machine)
+        elif machine.placements:
+            machine.untaken = 0
+        if not machine.placements:
+            if machine.idle_since is None:
+                machine.idle_since = now
+        return events
+
+    def _mark_unreachable(self, machine: Machine) -> None:
+        """Nothing more is placed there, or it would be started, found missing and started again for ever."""
+        if not machine.unreachable:
+            log.info("event=machine_deaf machine=%s part=%d", machine.name, self._part.number)
+        machine.unreachable = True
+        for placement in list(machine.placements.values()):
+            if placement.phase is Phase.RESERVED:
+                self._part.forget(placement)
+
+    @staticmethod
+    def _settles(placement: Placement, report: Report, checkin: bool) -> bool:
+        """Whether a start's absence from this message proves that it was not and will not be executed.
+
+        A worker keeps one report in flight and drops late answers, so only a later *report* proves it.
+        """
+        return checkin and placement.sent is not None and report.newer_than(*placement.sent)
+
+    def _present(self, machine: Machine, ref: str, index: int, task: TaskReport, now: timedelta, prompt: bool) -> None:
+        phase = PHASES[task.state]
+        placement = machine.placements.get((ref, index))
+        if placement is None:
+            placement = self._adopt(machine, ref, index, task, phase, now)
+            if placement is None:
+                return
+        elif placement.attempt != task.attempt:
+            if placement.phase is Phase.SENT:
+                return  # the new attempt is refused with `in_use`; that exit will tell
+            placement.attempt = task.attempt
+        if phase is Phase.RUNNING and placement.running_since is None:
+            placement.running_since = now
+            placement.timed = placement.timed and prompt
+            log.debug(
+                "event=running task=%s/%d machine=%s fetched=%.1f age=%.1f",
+                ref,
+                index,
+                machine.name,
+                (now - placement.since).total_seconds(),
+                (now - placement.job.accepted).total_seconds(),
+            )
+        if placement.phase is not phase:
+            placement.phase = phase
+        machine.touch_image(placement.job.spec.image, placement.job.spec.image_gb)
+        if phase is not Phase.FETCHING:
+            machine.complete.add(placement.job.spec.image)
+
+    def _adopt(
+        self, machine: Machine, ref: str, index: int, task: TaskReport, phase: Phase, now: timedelta
+    ) -> Placement | None:
+        """A task that we did not start: a former owner's. Keep it if it is ours, else it has to go."""
+        job = self._part.jobs.get(ref)
+        if job is None and self._part.undecided(ref):
+            self._keep_undecided(machine, (ref, index, task.attempt))
+            return None
+        if job is None or not job.owned >> index & 1 or index in job.placed:
+            log.info("event=stray_task machine=%s task=%s/%d", machine.name, ref, index)
+            machine.strays.add((ref, index, task.attempt))
+            return None
+        placement = self._part.place(job, index, task.attempt, machine, now, phase)
+        placement.timed = False
+        if job.spec.gang:
+            if job.gang_attempt is None:
+                job.gang_attempt = task.attempt
+            elif job.gang_attempt != task.attempt:
+                self._part.stop_gang(job, ZERO)
+        return placement
+
+    def _keep_undecided(self, machine: Machine, task: tuple[str, int, int]) -> None:
+        """A task of a job of which we don't know yet whether it was released: left as it is until we do.
+
+        A part that was taken over before its owner had looked up how predecessors ended stopped such tasks as strays.
+        Nothing is placed meanwhile: not this task, which runs already, nor others, since it counts against its team.
+        """
+        machine.undecided.add(task)
+        self._part.settled = False
+
+    def _exited(
+        self,
+        machine: Machine,
+        ref: str,
+        index: int,
+        task: TaskReport,
+        events: Events,
+        now: timedelta,
+        report: Report,
+        checkin: bool,
+        prompt: bool,
+    ) -> None:
+        machine.exited.add((ref, index, task.attempt))
+        placement = machine.placements.get((ref, index))
+        if placement is not None and (placement.attempt != task.attempt or placement.phase is Phase.RESERVED):
+            placement = None  # an older attempt's end says nothing about this one
+        elif placement is not None and placement.phase is Phase.SENT and placement.rejoined:
+            # It carries the number of the attempt that ended. Only a later report tells the two apart.
+            if not self._settles(placement, report, checkin):
+                machine.listed = None
+                return
+        job = self._part.jobs.get(ref)
+        if job is None:
+            if self._part.undecided(ref):
+                self._keep_undecided(machine, (ref, index, task.attempt))
+            return
+        cause = task.cause or ""
+        if cause in WITH_IMAGE and job.spec.image in machine.images:
+            machine.complete.add(job.spec.image)
+        if cause == "done":
+            self._finished(machine, job, index, placement, events, now, prompt)
+        elif placement is not None and cause == "alone" and self._may_rejoin(placement):
+            # The others may still be fetching the image, which takes longer than a task waits for its gang where images
+            # are large or machines slow. Stopping them all gave those fetches up, and gangs began anew up to 16 times.
+            placement.phase, placement.sent = Phase.RESERVED, None
+            placement.rejoined += 1
+        elif placement is not None:
+            events.freed = True
+            self._failures.failed(machine, job, placement, cause, events, now)
+            self._part.release(placement, now)
+
+    @staticmethod
+    def _may_rejoin(placement: Placement) -> bool:
+        """Whether a gang task that has waited too long may go on waiting: started again, with the same number."""
+        job = placement.job
+        return (
+            job.gang
+            and len(job.placed) == job.spec.tasks  # else it waits for nobody
+            and placement.rejoined < MAX_REJOINS
+            and placement.machine.usable
+            and placement.attempt == job.gang_attempt
+            and not any(one.stopping or one.running_since is not None for one in job.placed.values())
+        )
+
+    def _finished(
+        self,
+        machine: Machine,
+        job: Job,
+        index: int,
+        placement: Placement | None,
+        events: Events,
+        now: timedelta,
+        prompt: bool,
+    ) -> None:
+        indices = range(job.spec.tasks) if job.spec.gang else (index,)
+        fresh = 0
+        for one in indices:  # a gang completes together: one done, all done
+            fresh |= 1 << one
+        fresh &= job.owned & ~(job.done | job.done_here)
+        if fresh:
+            job.done_here |= fresh
+            events.progressed.add(job.ref)
+        if job.failed_on:
+            self._failures.blame_machines(job, machine, events)
+        machine.failed_jobs.clear()
+        if placement is not None:
+            events.freed = True
+            # A controller that stood still once took its own pause for run time: what it expected of the class was far
+            # too long, and jobs that had barely begun were sorted behind all others as late.
+            if placement.running_since is not None and placement.timed and prompt and fresh >> index & 1:
+                run = now - placement.running_since
+                job.run_sum += run
+                job.run_count += 1
+                if not (job.spec.checkpoint_s and job.requeued):
+                    self._part.estimates.learn(job.spec.job_class, timedelta(seconds=job.spec.estimate_s), run)
+            self._part.forget(placement)
--- /dev/null
+++ b/badgerroute/scheduling/service_order.py
@@ -0,0 +1,68 @@
+"""The one order in which a part's jobs are served. It decides who starts first and who may stop whom."""
+
+from datetime import timedelta
+from math import inf
+
+from badgerroute.scheduling import ladder
+from badgerroute.scheduling.model import Job, Room
+from badgerroute.scheduling.objectives import Objectives
+from badgerroute.scheduling.part import Part
+
+ORDER_KEPT = timedelta(milliseconds=250)
+
+
+class ServiceOrder:
+    """Jobs that wait, first come those to be served first; kept for a moment, since every report asks for it."""
+
+    def __init__(self, part: Part, objectives: Objectives) -> None:
+        self._part, self._objectives = part, objectives
+        self.jobs: list[Job] = []
+        self.least_need = Room()  # no array task that waits takes less than this
+        self.images = ladder.ImageLocations([])
+        self._tiers: dict[str, float] = {}
+        self._ordered_at = -timedelta(days=1)
+
+    def refresh(self, now: timedelta) -> None:
+        """Work the order out anew, unless it is recent."""
+        if now - self._ordered_at < ORDER_KEPT:
+            return
+        self._ordered_at = now
+        self.images = ladder.ImageLocations(self._part.machines.values())
+        waiting = [job for job in self._part.jobs.values() if job.waiting_bits and job.blocked_until <= now]
+        for job in waiting:
+            self._part.forgive(job, now)
+        self._tiers = {job.ref: self._tier(job, now) for job in waiting}
+        waiting.sort(key=lambda job: (self.group(job), job.accepted))
+        self.jobs = waiting
+        arrays = [job.need for job in waiting if not job.gang]
+        self.least_need = Room(
+            min((one.cpus for one in arrays), default=inf), 0.0, min((one.memory_gb for one in arrays), default=inf)
+        )
+
+    def _tier(self, job: Job, now: timedelta) -> float:
+        return job.tier if job.tier < 0 else max(job.tier, self._objectives.missed(job, now, self.run_time(job)))
+
+    def run_time(self, job: Job) -> timedelta:
+        """How long a task of the job is expected to run."""
+        return ladder.run_time(job, self._part.estimates.correction(job.spec.job_class))
+
+    def group(self, job: Job) -> tuple[int, bool, float]:
+        """Jobs among which the least held goes first: alike in class, and in how late they must be already.
+
+        What can still be done in time comes before what can't: a late job gains nothing by being less late.
+        """
+        return (*self.job_class(job), self._tiers.get(job.ref, 0))
+
+    def rank(self, job: Job) -> tuple[float, float, float]:
+        """Where a job stands in the order of service, which is the same in all parts: less comes first."""
+        return float(-job.level), float(not job.guaranteed), float(self._tiers.get(job.ref, job.tier))
+
+    @staticmethod
+    def job_class(job: Job) -> tuple[int, bool]:
+        """Level first, then whether the job lies within its team's guarantee."""
+        return (-job.level, not job.guaranteed)
+
+    @staticmethod
+    def held(job: Job) -> float:
+        """How much of the part a job holds."""
+        return len(job.placed) * (job.need.cpus + 8 * job.need.accelerators)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -678,7 +678,7 @@
     """It may be released at any moment, and then its tasks would be started elsewhere, beside those that run."""
     target = part(2)
     undecided = {"run-1"}
-    target._undecided = undecided.__contains__
+    target.undecided = undecided.__contains__
     machine, other = target.machines.values()
     assert target.on_report(machine, report(1, [RUNNING]), True, 1 * S) is not None
     assert not target.settled and not machine.usable and not target.settle()
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -523,7 +523,8 @@
 
 
 def places_anywhere(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("badgerroute.scheduling.planner.allows", lambda *place: True)
+    for module in ("array_placement", "preemption"):
+        monkeypatch.setattr(f"badgerroute.scheduling.{module}.allows", lambda *place: True)
 
 
 def never_drops(monkeypatch: pytest.MonkeyPatch) -> None:
