--- /dev/null
+++ b/badgerroute/coordination/catalog.py
@@ -0,0 +1,76 @@
+"""The machine types there are: asked of the cloud, and kept where a restart in an outage of the cloud finds them."""
+
+import logging
+from datetime import timedelta
+
+import msgspec
+
+from badgerroute.coordination.claims import Claims
+from badgerroute.protocol.cloud import MachineType
+from badgerroute.storage import records
+from badgerroute.storage.budget import Urgency
+from badgerroute.storage.cloud import CloudClient, CloudUnavailableError, NoCapacityError
+from badgerroute.storage.replica import CATALOG, Replica
+from badgerroute.storage.state import ConflictError, OutcomeUnknownError, StateClient, StateUnavailableError, put, when
+from badgerroute.transport.loop import Loop
+
+log = logging.getLogger("badgerroute.controller")
+REFRESH = timedelta(seconds=60)
+RETRY = timedelta(seconds=2)
+
+
+class CatalogRecord(msgspec.Struct):
+    """Machine types as they are stored."""
+
+    types: list[MachineType]
+
+
+class MachineCatalog:
+    """`types` are those known so far, by name; others may hold on to the dictionary, which is only added to."""
+
+    def __init__(self, loop: Loop, cloud: CloudClient, state: StateClient, replica: Replica, claims: Claims) -> None:
+        self._loop, self._cloud, self._state, self._replica, self._claims = loop, cloud, state, replica, claims
+        self.types: dict[str, MachineType] = {}
+        replica.listen(CATALOG, self._changed)
+
+    def _changed(self, key: str, value: bytes | None, revision: int) -> None:
+        if value is not None:
+            self._learn(records.read(value, CatalogRecord).types)
+
+    def _learn(self, types: list[MachineType]) -> None:
+        self.types.update({kind.name: kind for kind in types})
+
+    async def run(self) -> None:
+        """Learn the machine types, and keep them where a restart in an outage of the cloud finds them."""
+        await self._replica.ready
+        while True:
+            pause = REFRESH
+            if self._claims.fleet is not None or not self.types:
+                try:
+                    types = await self._cloud.catalog()
+                except (CloudUnavailableError, NoCapacityError) as trouble:
+                    log.info("event=catalog_failed error=%s", trouble)
+                    pause = RETRY
+                else:
+                    fresh = set(self.types) != {kind.name for kind in types}
+                    self._learn(types)
+                    if fresh or not any(key.startswith(CATALOG) for key in self._replica.items):
+                        await self._store(types)
+            await self._loop.sleep(pause)
+
+    async def _store(self, types: list[MachineType]) -> None:
+        """In one key, or in one for each type where that would be too large: every version reads both."""
+        found = {CATALOG: records.write(CatalogRecord(types))}
+        if len(bytes(found[CATALOG])) > self._state.max_value_bytes:
+            found = {f"{CATALOG}/{kind.name}": records.write(CatalogRecord([kind])) for kind in types}
+        for key, value in found.items():
+            if self._replica.value(key) == bytes(value) or len(bytes(value)) > self._state.max_value_bytes:
+                continue
+            try:
+                at = await self._state.transact(
+                    [when(key, self._replica.revision_of(key))], [put(key, value)], Urgency.PROGRESS
+                )
+            except (StateUnavailableError, OutcomeUnknownError, ConflictError) as trouble:
+                log.debug("event=catalog_not_stored error=%s", trouble)
+            else:
+                self._replica.learn(key, bytes(value), at)
--- /dev/null
+++ b/badgerroute/coordination/idle_machines.py
@@ -0,0 +1,63 @@
+"""Machines that nothing needs are returned, where one can be had again in time."""
+
+import logging
+from collections.abc import Callable
+from datetime import timedelta
+
+from badgerroute.coordination.claims import Claims
+from badgerroute.coordination.fleet import rents_ahead
+from badgerroute.coordination.job_store import JobStore
+from badgerroute.coordination.owner import Owner
+from badgerroute.protocol.cloud import MachineType
+from badgerroute.scheduling.model import Machine
+from badgerroute.settings import Settings
+from badgerroute.transport.loop import Loop
+
+log = logging.getLogger("badgerroute.controller")
+ROUND = timedelta(seconds=2)
+NO_JOBS = 2  # there is nothing that a warm cache could be of use to: it is waited so much less
+
+
+class IdleMachines:
+    """`delete` has machines deleted at the cloud."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        loop: Loop,
+        claims: Claims,
+        job_store: JobStore,
+        catalog: dict[str, MachineType],
+        owners: dict[int, Owner],
+        delete: Callable[[list[str]], None],
+    ) -> None:
+        self._settings, self._loop, self._claims, self._job_store = settings, loop, claims, job_store
+        self._catalog, self._owners, self._delete = catalog, owners, delete
+
+    async def run(self) -> None:
+        """Look for idle machines every other second."""
+        while True:
+            await self._loop.sleep(ROUND)
+            if not self._catalog or rents_ahead(self._settings, self._catalog):
+                continue
+            idle = self._settings.operator.fleet.idle
+            if not self._job_store.active:
+                idle /= NO_JOBS
+            for owner in list(self._owners.values()):
+                if owner.ready and owner.part.settled and self._claims.acting(owner.number):
+                    self._return(owner, idle)
+
+    def _return(self, owner: Owner, idle: timedelta) -> None:
+        machines = [machine for machine in owner.part.machines.values() if self._useless(machine, idle)]
+        for machine in machines:
+            machine.draining = True  # from here on nothing starts on it
+        if machines:
+            names = [machine.name for machine in machines]
+            log.info("event=machines_returned part=%d machines=%s", owner.number, ",".join(names))
+            self._delete(names)
+
+    def _useless(self, machine: Machine, idle: timedelta) -> bool:
+        since = machine.idle_since
+        if since is None or self._loop.now() - since <= idle:
+            return False
+        return machine.alive and machine.empty and not machine.held_for
--- /dev/null
+++ b/badgerroute/coordination/progress_duty.py
@@ -0,0 +1,77 @@
+"""Writes the owners' progress down, in batches."""
+
+import logging
+from datetime import timedelta
+
+from badgerroute.coordination.forecast import JobForecast
+from badgerroute.coordination.job_store import JobStore
+from badgerroute.coordination.job_writer import ClaimOf, JobWriter, Progress
+from badgerroute.coordination.owner import Owner
+from badgerroute.storage.state import LeaseExpiredError, OutcomeUnknownError, StateUnavailableError
+from badgerroute.transport.loop import Future, Loop
+
+log = logging.getLogger("badgerroute.controller")
+FLUSH = timedelta(milliseconds=300)
+
+
+class ProgressDuty:
+    """`claim_of` is the condition under which a part is ours."""
+
+    def __init__(
+        self,
+        loop: Loop,
+        owners: dict[int, Owner],
+        job_store: JobStore,
+        job_writer: JobWriter,
+        forecast: JobForecast,
+        claim_of: ClaimOf,
+    ) -> None:
+        self._loop, self._owners, self._claim_of = loop, owners, claim_of
+        self._job_store, self._job_writer, self._forecast = job_store, job_writer, forecast
+        self._wanted = Future()
+
+    def progressed(self) -> None:
+        """There is progress to be written down."""
+        self._wanted.set()
+
+    async def run(self) -> None:
+        """Write progress down in batches: at once when a job may be complete, else once in a while."""
+        while True:
+            await self._wanted
+            self._wanted = Future()
+            try:
+                await self._write()
+            except (StateUnavailableError, OutcomeUnknownError, LeaseExpiredError) as trouble:
+                log.info("event=progress_delayed error=%s", trouble)
+                self._wanted.set()
+            if any(owner.progress for owner in self._owners.values()):
+                self._wanted.set()
+            await self._loop.sleep(FLUSH)
+
+    async def _write(self) -> None:
+        merged: dict[str, Progress] = {}
+        for owner in self._owners.values():
+            for one in owner.batch():
+                known = merged.get(one.ref)
+                if known is None:
+                    merged[one.ref] = one
+                else:
+                    known.done |= one.done
+                    known.parts |= one.parts
+        if not merged:
+            return
+
+        def order(one: Progress) -> tuple[int, timedelta]:
+            """Jobs that are complete come first, and of these the ones that will soon be late.
+
+            When a thousand small jobs ended together, writing that down took two minutes, and larger ones that had been
+            done in time were told done too late.
+            """
+            record = self._job_store.active.get(one.ref)
+            if record is None:
+                return 0, timedelta.max
+            done = self._job_store.done(one.ref, record) | one.done
+            return record.job.tasks - done.bit_count(), self._forecast.time_left(record)
+
+        batch = sorted(merged.values(), key=order)
+        await self._job_writer.write_progress(batch, self._claim_of)
