--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -4,9 +4,12 @@
 from collections.abc import Callable, Iterator
 from datetime import timedelta
 
+import msgspec
 import pytest
 
+from badgerroute.coordination.job_reader import JobLookup, JobReader
 from badgerroute.coordination.pipelines import Pipelines
+from badgerroute.protocol.users import Submission
 from badgerroute.scheduling.dependencies import Dependencies, FinalState
 from badgerroute.scheduling.inheritance import LOOKS_BETWEEN_CLOCKS, InheritancePass, Inherited
 from badgerroute.storage import records
@@ -471,3 +474,39 @@
 def test_records_of_the_past_tell_when() -> None:
     assert records.read(b'{"state":"done","tasks":3}', records.FinalStateRecord).at == 0.0
     assert timedelta(seconds=0) == 0 * SECOND
+
+
+async def looks_at_the_record_only(self: JobReader, ref: str) -> JobLookup:
+    """A cheat: what a job's predecessors came to is not asked for."""
+    return JobLookup(JobState.ACTIVE, self._store.active.get(ref) or records.JobRecord(submission_of(ref), 0.0, []))
+
+
+def submission_of(ref: str) -> Submission:
+    described = {key: value for key, value in job(ref).items() if value is not None}
+    return msgspec.convert(described, Submission)
+
+
+@pytest.mark.cheats
+@pytest.mark.parametrize(
+    ("target", "cheat", "rule"),
+    [
+        ("badgerroute.coordination.job_store.JobStore.waits", lambda self, ref: False, "too_early"),
+        ("badgerroute.coordination.job_reader.JobReader.current", looks_at_the_record_only, "orphaned"),
+    ],
+    ids=["starts what waits", "forgets dependents"],
+)
+def test_checker_catches_broken_dependencies(
+    target: str, cheat: Callable[..., object], rule: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The checks from outside find a controller that starts jobs before their time, or forgets dependents."""
+    monkeypatch.setattr(target, cheat)
+    day = Day(seed=54)
+    day.run(5)
+    day.submit(job("run-a", heads=1, trek_s=90.0))
+    day.submit(job("run-b", heads=2, follows=["run-a"]))
+    day.run(10)
+    if rule == "orphaned":
+        day.cancel("run-a")
+        day.run(CANCEL + 2)
+        day.poll("run-b")
+    assert any(rule in one for one in day.rules.broken)
