--- a/badgerroute/cli.py
+++ b/badgerroute/cli.py
@@ -12,6 +12,7 @@
 
 
 def parser() -> argparse.ArgumentParser:
+    """The command line."""
     made = argparse.ArgumentParser(prog="badgerroute", description="Run a controller of the badgerroute scheduler.")
     made.add_argument("--config", metavar="FILE", required=True, help="the platform's settings (TOML)")
     made.add_argument(
@@ -25,6 +26,7 @@
 
 
 def set_up_logging() -> None:
+    """Log to standard error, as much as LOG_LEVEL says, one line an event."""
     level = os.environ.get("LOG_LEVEL", "info").lower()
     logging.basicConfig(
         stream=sys.stderr,
@@ -37,6 +39,7 @@
 
 
 def describe(settings: settings_module.Settings) -> str:
+    """What follows from the settings, for `--check`."""
     params = settings.params
     return "\n".join(
         [
@@ -51,6 +54,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
+    """Run the program; its exit code."""
     options = parser().parse_args(arguments)
     set_up_logging()
     try:
--- a/badgerroute/coordination/claims.py
+++ b/badgerroute/coordination/claims.py
@@ -34,11 +34,15 @@
 
 @dataclass(slots=True)
 class Claim:
+    """A part that is ours."""
+
     term: int
     grace: timedelta  # counted from the claim: how long whoever held it before may still act for it
 
 
 class Claims:
+    """The parts that this controller holds, and its right to act for them."""
+
     def __init__(
         self,
         settings: Settings,
--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -53,6 +53,8 @@
 
 
 class Controller:
+    """One controller process: made of its parts here, and running until it is killed."""
+
     def __init__(self, settings: Settings, loop: Loop, network: Network, group: Group) -> None:
         self.settings, self._loop, self._network, self._group = settings, loop, network, group
         params = settings.params
--- a/badgerroute/coordination/fleet.py
+++ b/badgerroute/coordination/fleet.py
@@ -58,6 +58,8 @@
 
 
 class Fleet:
+    """Rents machines, and has them deleted."""
+
     def __init__(
         self,
         settings: Settings,
--- a/badgerroute/coordination/forecast.py
+++ b/badgerroute/coordination/forecast.py
@@ -31,6 +31,8 @@
 
 
 class JobForecast:
+    """Works out for all unfinished jobs what can be expected of them."""
+
     def __init__(
         self,
         settings: Settings,
--- a/badgerroute/coordination/mesh.py
+++ b/badgerroute/coordination/mesh.py
@@ -35,6 +35,8 @@
 
 
 class Mesh:
+    """Connections to and from the other controllers."""
+
     def __init__(
         self, settings: Settings, loop: Loop, network: Network, group: Group, receive: Callable[[wire.Message], None]
     ) -> None:
--- a/badgerroute/coordination/quotas.py
+++ b/badgerroute/coordination/quotas.py
@@ -35,6 +35,8 @@
 
 
 class TeamQuotas:
+    """The shares that parts hold of teams' limits, as they are written down."""
+
     def __init__(
         self,
         settings: Settings,
--- a/badgerroute/coordination/reachability.py
+++ b/badgerroute/coordination/reachability.py
@@ -43,6 +43,8 @@
 
 
 class WorkerReachability:
+    """Whether workers reach this controller."""
+
     def __init__(self, loop: Loop, network: Network, replica: Replica, random: Callable[[list[str], int], list[str]]):
         self._loop, self._network, self._replica, self._sample = loop, network, replica, random
         self._misdirected: dict[int, dict[str, timedelta]] = {}  # part -> machines that knock at our siblings' doors
--- a/badgerroute/coordination/split.py
+++ b/badgerroute/coordination/split.py
@@ -32,6 +32,7 @@
 
 
 def weights(job: Submission, summaries: Sequence[PartSummary], size: int) -> list[float]:
+    """How much of a new job each part should get: by cached images, else by free slots, else by its queue."""
     by_part = {summary.part: summary for summary in summaries}
     parts = [by_part.get(part) for part in range(size)]
     free = [_free_slots(job, one) if one else 0 for one in parts]
--- a/badgerroute/coordination/users.py
+++ b/badgerroute/coordination/users.py
@@ -23,14 +23,17 @@
 
 
 def answer(status: int, message: object, headers: dict[str, str] | None = None) -> Response:
+    """A response with a JSON body."""
     return Response(status, encode(message), headers or {})
 
 
 def error(status: int, text: str) -> Response:
+    """A response that says what is wrong."""
     return answer(status, {"error": text})
 
 
 def come_back(text: str, status: int = 503) -> Response:
+    """A response to what can't be decided now."""
     return answer(status, {"error": text}, {"Retry-After": "1"})
 
 
--- a/badgerroute/daemon.py
+++ b/badgerroute/daemon.py
@@ -13,6 +13,7 @@
 
 
 def run(settings: Settings) -> int:
+    """Run one controller until it is killed; the program's exit code."""
     poller = SelectorPoller()
     loop = Loop(SystemClock(), poller)
     group = Group(loop, settings.platform.host_name)
--- a/badgerroute/protocol/cloud.py
+++ b/badgerroute/protocol/cloud.py
@@ -9,6 +9,8 @@
 
 
 class MachineType(Struct, frozen=True):
+    """A type of machine that can be rented."""
+
     name: str = field(name="label")
     cpus: Amount
     accelerators: Amount
@@ -22,10 +24,14 @@
 
 
 class Catalog(Struct):
+    """The machine types there are."""
+
     types: list[MachineType] = field(name="breeds")
 
 
 class RentalRequest(Struct):
+    """Asks for machines; its name is never used again."""
+
     request: str = field(name="hire")
     type: str = field(name="breed")
     zone: str = field(name="pasture")
@@ -34,14 +40,20 @@
 
 
 class Rented(Struct):
+    """The names of the machines that were rented."""
+
     machines: list[str] = field(name="mounts")
 
 
 class Deletion(Struct):
+    """Machines to be deleted."""
+
     machines: list[str] = field(name="mounts")
 
 
 class ListedMachine(Struct):
+    """A machine as the cloud's list, which lags, has it."""
+
     name: str = field(name="ref")
     address: str
     type: str = field(name="breed")
@@ -52,6 +64,8 @@
 
 
 class MachineList(Struct):
+    """A page of the machine list."""
+
     machines: list[ListedMachine] = field(name="mounts")
     more: bool = False
 
--- a/badgerroute/protocol/mesh.py
+++ b/badgerroute/protocol/mesh.py
@@ -37,6 +37,8 @@
 
 
 class PartSummary(Struct):
+    """What the other parts need to know of one."""
+
     part: int
     term: int
     settled: bool
--- a/badgerroute/protocol/state.py
+++ b/badgerroute/protocol/state.py
@@ -7,6 +7,8 @@
 
 
 class Item(Struct):
+    """A key with its value and the revision at which it last changed."""
+
     key: str
     value: Raw = Raw(b"null")
     revision: int = field(name="mark", default=0)
@@ -14,45 +16,63 @@
 
 
 class Missing(Struct):
+    """The answer for a key that does not exist."""
+
     revision: int = field(name="ledger", default=0)
 
 
 class Listing(Struct):
+    """A page of keys under a prefix."""
+
     items: list[Item] = field(name="rows")
     revision: int = field(name="ledger")
     more: bool = False
 
 
 class Condition(Struct):
+    """The revision that a key must have; 0: it must not exist."""
+
     key: str
     revision: int = field(name="mark")
 
 
 class Put(Struct, omit_defaults=True):
+    """Writes a key, attached to a lease or to none."""
+
     key: str = field(name="write")
     value: Any
     lease: int | UnsetType = field(name="tether", default=UNSET)
 
 
 class Remove(Struct):
+    """Removes a key."""
+
     key: str = field(name="remove")
 
 
 class Transaction(Struct):
+    """Changes that are applied together if all conditions hold."""
+
     conditions: list[Condition] = field(name="if")
     changes: list[Put | Remove] = field(name="apply")  # encoded only, never decoded
 
 
 class Applied(Struct):
+    """The revision at which a transaction was applied."""
+
     revision: int = field(name="ledger")
 
 
 class Conflict(Struct):
+    """The keys whose conditions did not hold."""
+
     failed: list[str]
     revision: int = field(name="ledger", default=0)
 
 
 class Lease(Struct):
+    """A lease that was granted."""
+
     lease: int = field(name="tether")
 
 
@@ -66,6 +86,8 @@
 
 
 class Changes(Struct):
+    """What a watch has seen."""
+
     revision: int = field(name="ledger")
     changes: list[Change] = field(name="log")
 
--- a/badgerroute/protocol/users.py
+++ b/badgerroute/protocol/users.py
@@ -15,6 +15,8 @@
 
 
 class Priority(Enum):
+    """How important a job is to its owner."""
+
     PRODUCTION = "prod"
     URGENT = "urgent"
     NORMAL = "normal"
@@ -63,6 +65,7 @@
 
 
 def parse_submission(body: bytes) -> Submission:
+    """A job from a request's body; MalformedError names the field that is wrong."""
     job = decode(body, _submission)
     if not REF.match(job.ref):
         raise MalformedError("ref: not a job id")
--- a/badgerroute/protocol/workers.py
+++ b/badgerroute/protocol/workers.py
@@ -13,6 +13,8 @@
 
 
 class TaskReport(Struct):
+    """A task as its machine reports it."""
+
     task: TaskId = field(name="head")
     attempt: Count = field(name="try")
     state: Literal["fetching", "waiting", "running", "flushing", "exited"] = field(name="condition")
@@ -21,6 +23,8 @@
 
 
 class Report(Struct):
+    """A machine's report: what is on it, and which messages it has seen."""
+
     machine: Text = field(name="mount")
     address: Text
     type: Text = field(name="breed")
@@ -40,6 +44,7 @@
 
 
 def parse_report(body: bytes) -> Report:
+    """A report from a message's body; MalformedError names the field that is wrong."""
     report = decode(body, _report)
     if max(report.session, report.seq, report.token) >= NO_LIMIT:
         raise MalformedError("a counter is out of range")
@@ -53,11 +58,14 @@
 
 
 def split_task(task: str) -> tuple[str, int]:
+    """A task's job and index."""
     ref, _, index = task.rpartition("/")
     return ref, int(index)
 
 
 class Command(Struct, omit_defaults=True):
+    """What a machine is to do with one task."""
+
     kind: Literal["start", "halt", "clear"] = field(name="call")
     task: str = field(name="head")
     attempt: int = field(name="try")
@@ -65,15 +73,21 @@
 
 
 class ReportAnswer(Struct):
+    """The answer to a report, which renews the machine's lease."""
+
     token: int = field(name="crook")
     commands: list[Command] = field(name="calls", default_factory=list)
 
 
 class DirectCommands(Struct):
+    """Commands sent to a machine's own address."""
+
     token: int = field(name="crook")
     session: int = field(name="ride")
     commands: list[Command] = field(name="calls", default_factory=list)
 
 
 class Redirect(Struct, omit_defaults=True):
+    """Tells a machine to report to another controller."""
+
     owner: str | UnsetType = field(name="trail_boss", default=UNSET)
--- a/badgerroute/scheduling/af.py
+++ b/badgerroute/scheduling/af.py
@@ -35,6 +35,7 @@
 
 
 def end_period(job: Job, now: timedelta, settings: Scheduling) -> None:
+    """Give a job its next desire and begin the next period."""
     if job.samples:
         granted = job.granted / job.samples
         use = job.booked / job.samples / job.desire if job.desire else 1.0
--- a/badgerroute/scheduling/ladder.py
+++ b/badgerroute/scheduling/ladder.py
@@ -14,6 +14,8 @@
 
 
 class Rung(IntEnum):
+    """How far from its image a task is started."""
+
     CACHED = 0
     ZONE = 1
     ANY = 2
@@ -44,6 +46,7 @@
 
 
 def fetch_time(job: Job, machine: Machine) -> timedelta:
+    """How long a machine takes to fetch a job's image, as its type says."""
     return timedelta(seconds=job.spec.image_gb / max(machine.kind.fetch_gb_per_s, 1e-6))
 
 
--- a/badgerroute/scheduling/model.py
+++ b/badgerroute/scheduling/model.py
@@ -16,6 +16,8 @@
 
 
 class Phase(Enum):
+    """What an attempt of a task is at."""
+
     RESERVED = "reserved"  # decided, not yet told to the machine
     SENT = "sent"  # told in the answer to a report; only a later report shows whether it arrived
     FETCHING = "fetching"
@@ -70,10 +72,12 @@
 
 
 def need_of(job: Submission) -> Room:
+    """What each task of a job takes."""
     return Room(job.cpus, job.accelerators, job.memory_gb)
 
 
 def capacity_of(kind: MachineType) -> Room:
+    """What an empty machine of a type has."""
     return Room(kind.cpus, kind.accelerators, kind.memory_gb)
 
 
@@ -114,6 +118,8 @@
 
 @dataclass(slots=True, eq=False)
 class Machine:
+    """A member of a part, as its reports show it."""
+
     name: str
     address: str
     kind: MachineType
--- a/badgerroute/scheduling/objectives.py
+++ b/badgerroute/scheduling/objectives.py
@@ -10,6 +10,8 @@
 
 
 class Objectives:
+    """What users aim at, by job class: times to start and to be complete."""
+
     def __init__(self, objectives: list[Objective]) -> None:
         self._wait: dict[str, timedelta] = {}
         self._guarantee = PATIENT
--- a/badgerroute/scheduling/part.py
+++ b/badgerroute/scheduling/part.py
@@ -51,6 +51,8 @@
 
 
 class Part:
+    """The books of one part."""
+
     def __init__(
         self,
         number: int,
--- a/badgerroute/settings.py
+++ b/badgerroute/settings.py
@@ -23,17 +23,23 @@
 
 
 class Sibling(Struct, frozen=True):
+    """Another controller."""
+
     host_name: Name
     zone: Name
     endpoint: Address
 
 
 class Endpoints(Struct, frozen=True):
+    """Where the outside systems are."""
+
     cloud: Address
     state: Address
 
 
 class Team(Struct, frozen=True):
+    """A team's guarantee and limit."""
+
     name: Name
     cpus: Amount = 0.0
     cpus_max: Amount = 0.0
@@ -50,6 +56,8 @@
 
 
 class Objective(Struct, frozen=True):
+    """An aim of the users."""
+
     kind: str
     share: float = 1.0
     job_class: str | None = field(name="class", default=None)
@@ -58,6 +66,8 @@
 
 
 class WorkerLimits(Struct, frozen=True):
+    """The times that workers keep to."""
+
     report_s: Positive
     lease_s: Positive
     gang_wait_s: Positive
@@ -91,6 +101,8 @@
 
 
 class StateLimits(Struct, frozen=True):
+    """What the state service takes."""
+
     rps: Positive
     write_rps: Positive
     value_kb: Positive
@@ -115,6 +127,8 @@
 
 
 class CloudLimits(Struct, frozen=True):
+    """What the cloud takes, and how far its list lags."""
+
     rps: Positive
     list_lag_s: Amount
 
@@ -124,12 +138,16 @@
 
 
 class Resources(Struct, frozen=True):
+    """What a controller may use of its host."""
+
     cpu: Positive
     mem_mb: Positive
     fd_limit: Annotated[int, Meta(ge=32)]
 
 
 class Params(Struct, frozen=True):
+    """What all controllers of a deployment have in common."""
+
     size: Annotated[int, Meta(ge=1, le=64)]
     zones: list[Name]
     workers: WorkerLimits
@@ -142,6 +160,8 @@
 
 
 class PlatformSettings(Struct, frozen=True):
+    """The platform's settings file."""
+
     host_name: Name
     zone: Name
     public_addr: Address
@@ -187,6 +207,8 @@
 
 
 class Claims(Struct, frozen=True, forbid_unknown_fields=True):
+    """Leases of parts."""
+
     ttl_s: Annotated[float, Meta(ge=1, le=60)] = 4.0
 
     @property
@@ -195,12 +217,16 @@
 
 
 class OperatorSettings(Struct, frozen=True, forbid_unknown_fields=True):
+    """The operators' own settings file."""
+
     scheduling: Scheduling = Scheduling()
     fleet: Fleet = Fleet()
     claims: Claims = Claims()
 
 
 class Settings(Struct, frozen=True):
+    """All settings of a controller, and what follows from them."""
+
     platform: PlatformSettings
     operator: OperatorSettings = OperatorSettings()
 
@@ -269,6 +295,7 @@
 
 
 def load_platform(path: str) -> PlatformSettings:
+    """Read the platform's file; SettingsError names the field that is wrong."""
     try:
         with open(path, "rb") as file:
             data = tomllib.load(file)
@@ -291,6 +318,7 @@
 
 
 def load_operator(path: str) -> OperatorSettings:
+    """Read the operators' file; SettingsError names the field that is wrong."""
     import hcl2  # a parser generator comes with it: too heavy to load where no such file is used
 
     try:
@@ -305,6 +333,7 @@
 
 
 def load(path: str, operator_path: str | None = None) -> Settings:
+    """Read both files."""
     platform = load_platform(path)
     operator = load_operator(operator_path) if operator_path else OperatorSettings()
     return Settings(platform, operator)
--- a/badgerroute/storage/budget.py
+++ b/badgerroute/storage/budget.py
@@ -25,6 +25,8 @@
 
 
 class Budget:
+    """A token bucket whose waiters are served by importance, then in order."""
+
     def __init__(self, loop: Loop, rate: float, burst: float) -> None:
         self._loop = loop
         self._rate, self._burst = rate, max(1.0, burst)
--- a/badgerroute/storage/cloud.py
+++ b/badgerroute/storage/cloud.py
@@ -30,6 +30,8 @@
 
 
 class CloudClient:
+    """Client of the cloud, within its share of the rate."""
+
     def __init__(self, loop: Loop, network: Network, address: str, limits: CloudLimits, size: int) -> None:
         self._client = Client(loop, network, address)
         self._budget = Budget(loop, limits.rps * 0.9 / size, max(1.0, limits.rps / size))
--- a/badgerroute/storage/records.py
+++ b/badgerroute/storage/records.py
@@ -19,10 +19,14 @@
 
 
 class FleetClaim(Struct):
+    """Which controller rents machines."""
+
     owner: str
 
 
 class MachineRecord(Struct):
+    """A member of a part."""
+
     part: int
     address: str
     type: str
@@ -129,10 +133,12 @@
 
 
 def pack(bits: int) -> str:
+    """A bit set as text."""
     return base64.b64encode(bits.to_bytes((bits.bit_length() + 7) // 8, "little")).decode()
 
 
 def unpack(text: str) -> int:
+    """A bit set from its text."""
     return int.from_bytes(base64.b64decode(text), "little")
 
 
@@ -142,14 +148,17 @@
 
 
 def trailing_ones(bits: int) -> int:
+    """How many of the lowest bits are set without a gap."""
     return (~bits & (bits + 1)).bit_length() - 1
 
 
 def span(first: int, end: int) -> int:
+    """The bits from `first` to before `end`."""
     return ((1 << (end - first)) - 1) << first
 
 
 def lowest(bits: int) -> int:
+    """The number of the lowest bit that is set."""
     return (bits & -bits).bit_length() - 1
 
 
@@ -179,6 +188,7 @@
 
 
 def read(value: bytes, kind: type) -> Any:
+    """A record from its stored value."""
     decoder = _decoders.get(kind)
     if decoder is None:
         decoder = _decoders[kind] = msgspec.json.Decoder(kind)
@@ -186,4 +196,5 @@
 
 
 def write(record: Struct) -> msgspec.Raw:
+    """A record's value to be stored."""
     return msgspec.Raw(msgspec.json.encode(record))
--- a/badgerroute/storage/replica.py
+++ b/badgerroute/storage/replica.py
@@ -43,6 +43,8 @@
 
 
 class Replica:
+    """A copy in memory of all keys, with listeners for their changes."""
+
     def __init__(self, loop: Loop, state: StateClient) -> None:
         self._loop, self._state = loop, state
         self.items: dict[str, tuple[bytes, int]] = {}
--- a/badgerroute/storage/state.py
+++ b/badgerroute/storage/state.py
@@ -35,6 +35,8 @@
 
 
 class ConflictError(Exception):
+    """Conditions did not hold, so nothing was applied."""
+
     def __init__(self, failed: list[str]) -> None:
         super().__init__(f"conditions failed: {failed}")
         self.failed = failed
@@ -60,18 +62,23 @@
 
 
 def when(key: str, revision: int) -> wire.Condition:
+    """A condition of a transaction."""
     return wire.Condition(key, revision)
 
 
 def put(key: str, value: Any, lease: int | None = None) -> wire.Put:
+    """A change that writes a key."""
     return wire.Put(key, value) if lease is None else wire.Put(key, value, lease)
 
 
 def remove(key: str) -> wire.Remove:
+    """A change that removes a key."""
     return wire.Remove(key)
 
 
 class StateClient:
+    """Client of the state service, within its share of the limits."""
+
     def __init__(self, loop: Loop, network: Network, address: str, limits: StateLimits, size: int) -> None:
         self._client = Client(loop, network, address, most_idle=6)
         self._watch_client = Client(loop, network, address, most_idle=1)
--- a/badgerroute/transport/clock.py
+++ b/badgerroute/transport/clock.py
@@ -13,6 +13,8 @@
 
 
 class Clock(Protocol):
+    """Where the program gets its times from."""
+
     def now(self) -> timedelta:
         """Steady time: never goes back, may drift."""
 
@@ -21,6 +23,8 @@
 
 
 class SystemClock:
+    """The machine's clocks."""
+
     def now(self) -> timedelta:
         return timedelta(seconds=time.monotonic())
 
--- a/badgerroute/transport/frames.py
+++ b/badgerroute/transport/frames.py
@@ -6,6 +6,8 @@
 
 
 class FrameReader:
+    """Splits a stream into frames."""
+
     __slots__ = ("_stream", "_data")
 
     def __init__(self, stream: Stream) -> None:
@@ -28,4 +30,5 @@
 
 
 def frame(payload: bytes) -> bytes:
+    """A payload with its length before it."""
     return len(payload).to_bytes(4, "big") + payload
--- a/badgerroute/transport/http.py
+++ b/badgerroute/transport/http.py
@@ -39,6 +39,8 @@
 
 @dataclass(slots=True)
 class Request:
+    """An HTTP request that was read whole."""
+
     method: str
     path: str
     query: str
@@ -48,6 +50,8 @@
 
 @dataclass(slots=True)
 class Response:
+    """An HTTP response."""
+
     status: int
     body: bytes = b""
     headers: dict[str, str] = field(default_factory=dict)
@@ -58,6 +62,7 @@
 
 
 def parse_query(query: str) -> dict[str, str]:
+    """The parameters of a query string."""
     pairs = (part.partition("=") for part in query.split("&") if part)
     return {unquote_plus(name): unquote_plus(value) for name, _, value in pairs}
 
@@ -185,6 +190,7 @@
 
 
 def encode_response(response: Response, keep: bool) -> bytes:
+    """A response as it is sent."""
     lines = [f"HTTP/1.1 {response.status} {REASONS.get(response.status, 'Status')}"]
     if response.body:
         lines.append("Content-Type: application/json")
--- a/badgerroute/transport/loop.py
+++ b/badgerroute/transport/loop.py
@@ -27,6 +27,8 @@
 
 
 class Future:
+    """A result that is to come, for any number of waiters."""
+
     __slots__ = ("done", "result", "error", "waiters")
 
     def __init__(self) -> None:
@@ -129,6 +131,8 @@
 
 
 class Timer:
+    """An action at a time, unless it is cancelled before."""
+
     __slots__ = ("action", "cancelled")
 
     def __init__(self, action: Callable[[], None]) -> None:
@@ -145,6 +149,8 @@
 
 
 class Poller(Protocol):
+    """Waits for sockets, or for a time."""
+
     def poll(self, limit: timedelta | None) -> None:
         """Wait up to `limit` (None: no limit) and wake whoever's descriptor became ready."""
 
@@ -231,6 +237,8 @@
 
 
 class Loop:
+    """Runs routines, timers and socket events in one thread."""
+
     def __init__(self, clock: Clock, poller: Poller) -> None:
         self.clock = clock
         self.poller = poller
--- a/badgerroute/transport/net.py
+++ b/badgerroute/transport/net.py
@@ -14,6 +14,8 @@
 
 
 class Stream(Protocol):
+    """A connection."""
+
     async def read(self) -> bytes:
         """Some bytes; empty at the end of the stream."""
 
@@ -23,18 +25,23 @@
 
 
 class Listener(Protocol):
+    """Accepts connections."""
+
     async def accept(self) -> Stream: ...
 
     def close(self) -> None: ...
 
 
 class Network(Protocol):
+    """Opens connections and listeners: the real one, or a stand-in."""
+
     async def connect(self, address: str, limit: timedelta) -> Stream: ...
 
     def listen(self, address: str) -> Listener: ...
 
 
 def split(address: str) -> tuple[str, int]:
+    """Host and port of an address."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
@@ -94,6 +101,8 @@
 
 
 class TcpNetwork:
+    """The network of the machine."""
+
     def __init__(self, loop: Loop, poller: SelectorPoller) -> None:
         self._loop, self._poller = loop, poller
 
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -0,0 +1,1 @@
+"""Tests: tables of cases, and whole days in virtual time."""
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -1,11 +1,13 @@
 """What comes from outside: HTTP messages, submissions, reports, settings, command line."""
 
+import ast
 import json
 from datetime import timedelta
 from pathlib import Path
 
 import pytest
 
+import badgerroute
 from badgerroute import settings
 from badgerroute.cli import main
 from badgerroute.protocol.common import MalformedError
@@ -403,3 +405,25 @@
     else:
         with pytest.raises(pytest.UsageError, match=complaint):
             mark_red(items, known_red(text), whole=True)
+
+
+LAYERS = {
+    "transport": set(),
+    "protocol": set(),
+    "storage": {"transport", "protocol", "settings"},
+    "scheduling": {"protocol", "settings", "storage.records"},
+    "coordination": {"transport", "protocol", "settings", "storage", "scheduling"},
+}
+
+
+@pytest.mark.parametrize("layer", LAYERS)
+def test_dependencies_point_down(layer: str) -> None:
+    """Each layer imports itself and those below only; the pure core of the others nothing but the records."""
+    allowed = tuple(f"badgerroute.{name}" for name in {layer, *LAYERS[layer]})
+    package = Path(badgerroute.__file__).parent
+    for path in sorted((package / layer).glob("*.py")):
+        for node in ast.walk(ast.parse(path.read_text())):
+            names = [node.module or ""] if isinstance(node, ast.ImportFrom) else []
+            names += [alias.name for alias in node.names] if isinstance(node, ast.Import) else []
+            ours = [name for name in names if name.startswith("badgerroute")]
+            assert all(name.startswith(allowed) for name in ours), f"{path.name}: {ours}"
