--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -349,7 +349,7 @@
         return self.reachability.isolated
 
     async def _on_misdirected_report(self, misdirected: mesh_wire.MisdirectedReport) -> None:
-        """Our workers knock at a sibling's door: if they don't reach us, it had better own them."""
+        """Our workers report to a sibling: if they don't reach us, it is to own them."""
         owner = self.owners.get(misdirected.part)
         if owner is None or not owner.ready or not owner.missed(misdirected.machine):
             return  # new machines report anywhere; they say nothing of us
@@ -382,7 +382,7 @@
         elif isinstance(message, mesh_wire.MachineLoanRequest):
             self._lend(message)
         elif isinstance(message, mesh_wire.MisdirectedReport):
-            self._group.spawn(self._on_misdirected_report(message), "knock")
+            self._group.spawn(self._on_misdirected_report(message), "misdirected")
         elif isinstance(message, mesh_wire.CancellationNotice):
             self._on_withdrawn(message)
         elif isinstance(message, mesh_wire.CancellationAck):
--- a/badgerroute/coordination/reachability.py
+++ b/badgerroute/coordination/reachability.py
@@ -2,7 +2,7 @@
 
 A controller may lose its workers alone: state service and siblings still answer it, so its claims stay, and every
 machine it owns would let go of its tasks a lease later. Its workers try the other controllers meanwhile. So these tell
-an owner that has gone without reports who knocks at their doors, and it gives its part to the one that is heard.
+an owner that has gone without reports which machines report to them, and it gives its part to the one that is heard.
 """
 
 import logging
@@ -47,7 +47,7 @@
 
     def __init__(self, loop: Loop, network: Network, replica: Replica, random: Callable[[list[str], int], list[str]]):
         self._loop, self._network, self._replica, self._sample = loop, network, replica, random
-        self._misdirected: dict[int, dict[str, timedelta]] = {}  # part -> machines that knock at our siblings' doors
+        self._misdirected: dict[int, dict[str, timedelta]] = {}  # part -> machines that report to our siblings
         self.isolated = False  # we gave a part away because no worker reached us, and none has since
 
     def note_misdirected(self, misdirected: wire.MisdirectedReport, silent: int) -> bool:
--- a/badgerroute/scheduling/failures.py
+++ b/badgerroute/scheduling/failures.py
@@ -27,9 +27,9 @@
     def __init__(self, part: "Part") -> None:
         self._part = part
 
-    def failed(
-        self, machine: Machine, job: Job, placement: Placement, cause: str, events: Events, now: timedelta
-    ) -> None:
+    def failed(self, job: Job, placement: Placement, cause: str, events: Events, now: timedelta) -> None:
+        """An attempt ended without being done."""
+        machine = placement.machine
         if cause == "error":
             job.failed_on[machine.name] = job.failed_on.get(machine.name, 0) + 1
             if self._seems_failing(job):
@@ -39,7 +39,7 @@
                 machine.avoid_until = now + AVOIDED
                 again = now - machine.failed_jobs.setdefault(job.ref, now) >= FORGIVEN
                 known_good = job.done | job.done_here and job.failed_on[machine.name] >= SICK_TRIES
-                # Time for the same jobs to fail elsewhere: two mistaken ones may happen to fail here first.
+                # Time for the same jobs to fail elsewhere: two failing ones may happen to fail here first.
                 judged = now - min(machine.failed_jobs.values()) >= AVOIDED
                 if again or known_good or (judged and self._only_here(machine) >= SICK_JOBS):
                     self._quarantine(machine, events)
@@ -60,7 +60,7 @@
         return len(job.failed_on) >= FAILING_AFTER_MACHINES and len(job.failed_on) > len(running - job.failed_on.keys())
 
     def _only_here(self, machine: Machine) -> int:
-        """How many jobs failed on this machine and nowhere else; those that fail elsewhere too may be mistaken."""
+        """How many jobs failed on this machine and nowhere else; those that fail elsewhere too may be failing jobs."""
         jobs = [self._part.jobs.get(ref) for ref in machine.failed_jobs]
         return sum(job is not None and job.failed_on.keys() == {machine.name} for job in jobs)
 
--- a/badgerroute/scheduling/reports.py
+++ b/badgerroute/scheduling/reports.py
@@ -5,6 +5,7 @@
 """
 
 import logging
+from dataclasses import dataclass, field
 from datetime import timedelta
 from typing import TYPE_CHECKING
 
@@ -28,6 +29,29 @@
 MAX_REJOINS = 12  # a gang one of whose machines has no image by then is placed anew
 
 
+@dataclass(slots=True)
+class Message:
+    """A task list that is newer than what was known of its machine.
+
+    `checkin`: a real report; the answer to a direct command is not one. `prompt`: it came without a silence before,
+    of the machine's or ours, after which there is no telling when what it says came about.
+    """
+
+    machine: Machine
+    report: Report
+    checkin: bool
+    prompt: bool
+    now: timedelta
+    events: Events = field(default_factory=Events)
+
+    def settles(self, placement: Placement) -> bool:
+        """Whether a start's absence from this message proves that it was not and will not be executed.
+
+        A worker keeps one report in flight and drops late answers, so only a later *report* proves it.
+        """
+        return self.checkin and placement.sent is not None and self.report.newer_than(*placement.sent)
+
+
 class ReportReader:
     """Takes in the task lists of one part's machines."""
 
@@ -35,74 +59,82 @@
         self._part, self._failures = part, failures
 
     def on_report(self, machine: Machine, report: Report, checkin: bool, now: timedelta) -> Events | None:
-        """Take in a machine's task list. `checkin`: a real report; the answer to `/do` or `/status` is not one.
-
-        None: the message is older than what is known already, and must change nothing.
-        """
+        """Take in a machine's task list. None: it is older than what is known already, and must change nothing."""
         if report.session <= machine.dead_session or not report.newer_than(machine.session, machine.seq):
             return None
-        events = Events()
-        if not checkin:
-            machine.unreachable, machine.untaken = False, 0  # it answered a command, so it hears us
-        if report.session > machine.session and machine.session:
-            # The lease expired in between: everything that was on the machine is dead.
-            self._part.lose_tasks(machine, now)
-            events.freed = True
-            if checkin and machine.answered is not None and now - machine.answered < self._part.lease:
-                self._mark_unreachable(machine)  # its lease ran out although we answered: it does not hear us
-        # After a silence, of the machine's or ours, there is no telling when what it says came about.
         prompt = machine.heard is not None and now - machine.heard <= self._part.lease / 3
-        machine.session, machine.seq = report.session, report.seq
-        machine.token_seen = max(machine.token_seen, report.token)
-        machine.heard = now
-        if checkin:
-            machine.alive = True
-        notice = None if report.notice_s is None else now + timedelta(seconds=max(0.0, report.notice_s))
-        machine.notice = notice
+        message = Message(machine, report, checkin, prompt, now)
+        self._note_machine(message)
         if report.token < self._part.fence and not machine.pristine:
             # Another owner's commands may still reach it: the list is true, but it is not the last word.
             machine.fenced = False
-            return events
+            return message.events
         if machine.fenced and not machine.strays and not machine.undecided and machine.listed == report.tasks:
-            return events  # most reports say what the one before said
+            return message.events  # most reports say what the one before said
         machine.fenced = True
         machine.listed = report.tasks
         machine.exited.clear()
         machine.strays.clear()
         machine.undecided.clear()
-        present: list[tuple[str, int, TaskReport]] = []
-        for task in report.tasks:
+        self._release_absent(message, self._read_tasks(message))
+        if not machine.placements and machine.idle_since is None:
+            machine.idle_since = now
+        return message.events
+
+    def _note_machine(self, message: Message) -> None:
+        """What a message says of the machine itself."""
+        machine, report, now = message.machine, message.report, message.now
+        if not message.checkin:
+            machine.unreachable, machine.untaken = False, 0  # it answered a command, so it hears us
+        if report.session > machine.session and machine.session:
+            # The lease expired in between: everything that was on the machine is dead.
+            self._part.lose_tasks(machine, now)
+            message.events.freed = True
+            if message.checkin and machine.answered is not None and now - machine.answered < self._part.lease:
+                self._mark_unreachable(machine)  # its lease ran out although we answered: it does not hear us
+        machine.session, machine.seq = report.session, report.seq
+        machine.token_seen = max(machine.token_seen, report.token)
+        machine.heard = now
+        if message.checkin:
+            machine.alive = True
+        machine.notice = None if report.notice_s is None else now + timedelta(seconds=max(0.0, report.notice_s))
+
+    def _read_tasks(self, message: Message) -> set[tuple[str, int]]:
+        """Take in the tasks that are listed; those that are on the machine.
+
+        Ends come first: a refused start must not make a task look free that an older attempt runs.
+        """
+        present: dict[tuple[str, int], TaskReport] = {}
+        for task in message.report.tasks:
             ref, index = split_task(task.task)
             if task.state == "exited":
-                # Ends come first: a refused start must not make a task look free that an older attempt runs.
-                self._exited(machine, ref, index, task, events, now, report, checkin, prompt)
+                self._exited(message, ref, index, task)
             else:
-                present.append((ref, index, task))
-        seen: set[tuple[str, int]] = set()
-        for ref, index, task in present:
-            seen.add((ref, index))
-            self._present(machine, ref, index, task, now, prompt)
+                present[ref, index] = task
+        for (ref, index), task in present.items():
+            self._present(message, ref, index, task)
+        return set(present)
+
+    def _release_absent(self, message: Message, present: set[tuple[str, int]]) -> None:
+        """What should be on the machine, and is not listed, is gone; or did not arrive."""
+        machine = message.machine
         untaken = False
         for key, placement in list(machine.placements.items()):
-            if key in seen or placement.phase is Phase.RESERVED:
+            if key in present or placement.phase is Phase.RESERVED:
                 continue
             if placement.phase is Phase.SENT:
-                if not self._settles(placement, report, checkin):
+                if not message.settles(placement):
                     machine.listed = None
                     continue
                 untaken = True
-            self._part.release(placement, now)
-            events.freed = True
+            self._part.release(placement, message.now)
+            message.events.freed = True
         if untaken:
             machine.untaken += 1
             if machine.untaken >= UNTAKEN:
                 self._mark_unreachable(machine)
         elif machine.placements:
             machine.untaken = 0
-        if not machine.placements:
-            if machine.idle_since is None:
-                machine.idle_since = now
-        return events
 
     def _mark_unreachable(self, machine: Machine) -> None:
         """Nothing more is placed there, or it would be started, found missing and started again for ever."""
@@ -113,19 +145,12 @@
             if placement.phase is Phase.RESERVED:
                 self._part.forget(placement)
 
-    @staticmethod
-    def _settles(placement: Placement, report: Report, checkin: bool) -> bool:
-        """Whether a start's absence from this message proves that it was not and will not be executed.
-
-        A worker keeps one report in flight and drops late answers, so only a later *report* proves it.
-        """
-        return checkin and placement.sent is not None and report.newer_than(*placement.sent)
-
-    def _present(self, machine: Machine, ref: str, index: int, task: TaskReport, now: timedelta, prompt: bool) -> None:
+    def _present(self, message: Message, ref: str, index: int, task: TaskReport) -> None:
+        machine, now = message.machine, message.now
         phase = PHASES[task.state]
         placement = machine.placements.get((ref, index))
         if placement is None:
-            placement = self._adopt(machine, ref, index, task, phase, now)
+            placement = self._adopt(message, ref, index, task)
             if placement is None:
                 return
         elif placement.attempt != task.attempt:
@@ -134,7 +159,7 @@
             placement.attempt = task.attempt
         if phase is Phase.RUNNING and placement.running_since is None:
             placement.running_since = now
-            placement.timed = placement.timed and prompt
+            placement.timed = placement.timed and message.prompt
             log.debug(
                 "event=running task=%s/%d machine=%s fetched=%.1f age=%.1f",
                 ref,
@@ -149,10 +174,9 @@
         if phase is not Phase.FETCHING:
             machine.complete.add(placement.job.spec.image)
 
-    def _adopt(
-        self, machine: Machine, ref: str, index: int, task: TaskReport, phase: Phase, now: timedelta
-    ) -> Placement | None:
+    def _adopt(self, message: Message, ref: str, index: int, task: TaskReport) -> Placement | None:
         """A task that we did not start: a former owner's. Keep it if it is ours, else it has to go."""
+        machine = message.machine
         job = self._part.jobs.get(ref)
         if job is None and self._part.undecided(ref):
             self._keep_undecided(machine, (ref, index, task.attempt))
@@ -161,7 +185,7 @@
             log.info("event=stray_task machine=%s task=%s/%d", machine.name, ref, index)
             machine.strays.add((ref, index, task.attempt))
             return None
-        placement = self._part.place(job, index, task.attempt, machine, now, phase)
+        placement = self._part.place(job, index, task.attempt, machine, message.now, PHASES[task.state])
         placement.timed = False
         if job.spec.gang:
             if job.gang_attempt is None:
@@ -179,25 +203,15 @@
         machine.undecided.add(task)
         self._part.settled = False
 
-    def _exited(
-        self,
-        machine: Machine,
-        ref: str,
-        index: int,
-        task: TaskReport,
-        events: Events,
-        now: timedelta,
-        report: Report,
-        checkin: bool,
-        prompt: bool,
-    ) -> None:
+    def _exited(self, message: Message, ref: str, index: int, task: TaskReport) -> None:
+        machine = message.machine
         machine.exited.add((ref, index, task.attempt))
         placement = machine.placements.get((ref, index))
         if placement is not None and (placement.attempt != task.attempt or placement.phase is Phase.RESERVED):
             placement = None  # an older attempt's end says nothing about this one
         elif placement is not None and placement.phase is Phase.SENT and placement.rejoined:
             # It carries the number of the attempt that ended. Only a later report tells the two apart.
-            if not self._settles(placement, report, checkin):
+            if not message.settles(placement):
                 machine.listed = None
                 return
         job = self._part.jobs.get(ref)
@@ -209,16 +223,16 @@
         if cause in WITH_IMAGE and job.spec.image in machine.images:
             machine.complete.add(job.spec.image)
         if cause == "done":
-            self._finished(machine, job, index, placement, events, now, prompt)
+            self._finished(message, job, index, placement)
         elif placement is not None and cause == "alone" and self._may_rejoin(placement):
             # The others may still be fetching the image, which takes longer than a task waits for its gang where images
             # are large or machines slow. Stopping them all gave those fetches up, and gangs began anew up to 16 times.
             placement.phase, placement.sent = Phase.RESERVED, None
             placement.rejoined += 1
         elif placement is not None:
-            events.freed = True
-            self._failures.failed(machine, job, placement, cause, events, now)
-            self._part.release(placement, now)
+            message.events.freed = True
+            self._failures.failed(job, placement, cause, message.events, message.now)
+            self._part.release(placement, message.now)
 
     @staticmethod
     def _may_rejoin(placement: Placement) -> bool:
@@ -233,16 +247,7 @@
             and not any(one.stopping or one.running_since is not None for one in job.placed.values())
         )
 
-    def _finished(
-        self,
-        machine: Machine,
-        job: Job,
-        index: int,
-        placement: Placement | None,
-        events: Events,
-        now: timedelta,
-        prompt: bool,
-    ) -> None:
+    def _finished(self, message: Message, job: Job, index: int, placement: Placement | None) -> None:
         indices = range(job.spec.tasks) if job.spec.gang else (index,)
         fresh = 0
         for one in indices:  # a gang completes together: one done, all done
@@ -250,16 +255,16 @@
         fresh &= job.owned & ~(job.done | job.done_here)
         if fresh:
             job.done_here |= fresh
-            events.progressed.add(job.ref)
+            message.events.progressed.add(job.ref)
         if job.failed_on:
-            self._failures.blame_machines(job, machine, events)
-        machine.failed_jobs.clear()
+            self._failures.blame_machines(job, message.machine, message.events)
+        message.machine.failed_jobs.clear()
         if placement is not None:
-            events.freed = True
+            message.events.freed = True
             # A controller that stood still once took its own pause for run time: what it expected of the class was far
             # too long, and jobs that had barely begun were sorted behind all others as late.
-            if placement.running_since is not None and placement.timed and prompt and fresh >> index & 1:
-                run = now - placement.running_since
+            if placement.running_since is not None and placement.timed and message.prompt and fresh >> index & 1:
+                run = message.now - placement.running_since
                 job.run_sum += run
                 job.run_count += 1
                 if not (job.spec.checkpoint_s and job.requeued):
