--- a/badgerroute/scheduling/array_placement.py
+++ b/badgerroute/scheduling/array_placement.py
@@ -138,6 +138,8 @@
         bits = job.waiting_bits
         if not bits or (job.failing and job.placed) or not self._rules.zone_allowed(job, machine.zone, 1):
             return False
+        if self._order.yields_to_gang(job):
+            return False
         if not self._part.fits_share(job):
             self._rules.lacks(job, bits.bit_count())
             return False
--- a/badgerroute/scheduling/preemption.py
+++ b/badgerroute/scheduling/preemption.py
@@ -151,6 +151,8 @@
             if job.gang or job.failing or now - job.since < self.patience(job):
                 continue
             bits = job.waiting_bits
+            if self._order.yields_to_gang(job):
+                continue
             if not bits or now - min(job.requeued.get(lowest(bits), job.since), now) < self.patience(job):
                 continue
             wanted = min(bits.bit_count(), self._part.fits_share(job, most), most)
--- a/badgerroute/scheduling/service_order.py
+++ b/badgerroute/scheduling/service_order.py
@@ -20,6 +20,7 @@
         self.least_need = Room()  # no array task that waits takes less than this
         self.images = ladder.ImageLocations([])
         self._tiers: dict[str, float] = {}
+        self._short_gangs: dict[str, list[Job]] = {}  # team -> gangs that wait for want of a share
         self._ordered_at = -timedelta(days=1)
 
     def refresh(self, now: timedelta) -> None:
@@ -34,6 +35,10 @@
         self._tiers = {job.ref: self._tier(job, now) for job in waiting}
         waiting.sort(key=lambda job: (self.group(job), job.accepted))
         self.jobs = waiting
+        self._short_gangs = {}
+        for job in waiting:
+            if job.gang and not job.placed and not job.failing and self._part.short_of_share(job):
+                self._short_gangs.setdefault(job.spec.team, []).append(job)
         arrays = [job.need for job in waiting if not job.gang]
         self.least_need = Room(
             min((one.cpus for one in arrays), default=inf), 0.0, min((one.memory_gb for one in arrays), default=inf)
@@ -57,6 +62,15 @@
         """Where a job stands in the order of service, which is the same in all parts: less comes first."""
         return float(-job.level), float(not job.guaranteed), float(self._tiers.get(job.ref, job.tier))
 
+    def yields_to_gang(self, job: Job) -> bool:
+        """Whether a gang that comes before a job lacks a share of their team's limit here.
+
+        What becomes free of the share, or comes from other parts, is then kept for the gang. It needs much at once: the
+        team's lesser tasks need little each. They took it piece by piece, and gangs waited for two minutes beside room.
+        """
+        gangs = self._short_gangs.get(job.spec.team)
+        return gangs is not None and any(self.job_class(gang) < self.job_class(job) for gang in gangs)
+
     @staticmethod
     def job_class(job: Job) -> tuple[int, bool]:
         """Level first, then whether the job lies within its team's guarantee."""
--- a/tests/test_left_waiting.py
+++ b/tests/test_left_waiting.py
@@ -221,3 +221,16 @@
             day.accepted.add(described["ref"])
     assert day.finish() == []
     assert day.rules.broken == []
+
+
+@pytest.mark.parametrize("level", ["normal", "urgent"])
+def test_a_gang_comes_before_lesser_tasks_of_a_team_at_its_limit(level: str) -> None:
+    """The team's idle tasks hold its whole limit. What they give back is the gang's, though it needs all at once."""
+    day = Day(seed=91, machines=12, capacity=0)
+    day.run(5)
+    day.submit(job("run-idle", crew="red", rank="idle", heads=400, trek_s=8.0))
+    assert day.until(lambda: running(day, "run-idle") == 24, 20)
+    day.submit(job("run-gang", crew="red", rank=level, gait="group", heads=2, cpus=8.0, trek_s=5.0))
+    assert day.until(lambda: running(day, "run-gang") == 2, 24)
+    assert day.finish() == []
+    assert day.rules.broken == []
