--- /dev/null
+++ b/tests/test_written_names.py
@@ -0,0 +1,215 @@
+"""Every name that is written: messages on the wire, stored values, settings. Recorded before names in the code changed.
+
+The labels on the left are those of that day and stay as they are; the class beside each may get another name, its
+row may not.
+"""
+
+from enum import Enum
+
+import pytest
+from msgspec import Struct
+
+from badgerroute.connectivity.modes import Mode
+from badgerroute.coordination.fleet import catalog
+from badgerroute.protocol import cloud, mesh, state, users, workers
+from badgerroute.settings import operator, platform
+from badgerroute.storage import records, replica
+
+# label, class, tag, whether it is an array, names in their order
+STRUCTS: list[tuple[str, type[Struct], str | None, bool, str]] = [
+    (
+        "protocol.cloud.MachineType",
+        cloud.MachineType,
+        None,
+        False,
+        "label cpus accelerators ram_gb local_gb fetch_gb_per_s price low_price startup_s pastures",
+    ),
+    ("protocol.cloud.Catalog", cloud.Catalog, None, False, "breeds"),
+    ("protocol.cloud.RentalRequest", cloud.RentalRequest, None, False, "hire breed pasture strays number"),
+    ("protocol.cloud.Rented", cloud.Rented, None, False, "mounts"),
+    ("protocol.cloud.Deletion", cloud.Deletion, None, False, "mounts"),
+    (
+        "protocol.cloud.ListedMachine",
+        cloud.ListedMachine,
+        None,
+        False,
+        "ref address breed pasture strays condition held_s",
+    ),
+    ("protocol.cloud.MachineList", cloud.MachineList, None, False, "mounts more"),
+    ("protocol.mesh.FreeCapacity", mesh.FreeCapacity, None, True, "type zone spot cpus accelerators memory_gb count"),
+    (
+        "protocol.mesh.PendingDemand",
+        mesh.PendingDemand,
+        None,
+        True,
+        "ref team cpus accelerators memory_gb count gang level guaranteed waited_s types zone spot",
+    ),
+    ("protocol.mesh.ClassWaits", mesh.ClassWaits, None, True, "team job_class waiting oldest_s histogram"),
+    ("protocol.mesh.PartLoad", mesh.PartLoad, None, False, "waits machines_by_load"),
+    (
+        "protocol.mesh.PartSummary",
+        mesh.PartSummary,
+        None,
+        False,
+        "part term settled machines bins images beside soft wants freeing running used silent load",
+    ),
+    ("protocol.mesh.Gossip", mesh.Gossip, "gossip", False, "host lease ready proved deaf parts mode hears relays"),
+    ("protocol.mesh.Push", mesh.Push, "push", False, "key revision value"),
+    ("protocol.mesh.StealRequest", mesh.StealRequest, "steal", False, "victim thief bins images short"),
+    ("protocol.mesh.ShareRequest", mesh.ShareRequest, "lack", False, "part team cpus accelerators age_s rank used"),
+    ("protocol.mesh.MachineLoanRequest", mesh.MachineLoanRequest, "borrow", False, "part job count"),
+    ("protocol.mesh.MisdirectedReport", mesh.MisdirectedReport, "knock", False, "part machine host"),
+    ("protocol.mesh.ForwardedRequest", mesh.ForwardedRequest, "forward", False, "host number method path body"),
+    ("protocol.mesh.ForwardedResponse", mesh.ForwardedResponse, "forwarded", False, "host number status body"),
+    ("protocol.mesh.CancellationNotice", mesh.CancellationNotice, "withdrawn", False, "host jobs"),
+    ("protocol.mesh.CancellationAck", mesh.CancellationAck, "withdrawn_heard", False, "host refs"),
+    ("protocol.state.Item", state.Item, None, False, "key value mark tether"),
+    ("protocol.state.Missing", state.Missing, None, False, "ledger"),
+    ("protocol.state.Listing", state.Listing, None, False, "rows ledger more"),
+    ("protocol.state.Condition", state.Condition, None, False, "key mark"),
+    ("protocol.state.Put", state.Put, None, False, "write value tether"),
+    ("protocol.state.Remove", state.Remove, None, False, "remove"),
+    ("protocol.state.Transaction", state.Transaction, None, False, "if apply"),
+    ("protocol.state.Applied", state.Applied, None, False, "ledger"),
+    ("protocol.state.Conflict", state.Conflict, None, False, "failed ledger"),
+    ("protocol.state.Lease", state.Lease, None, False, "tether"),
+    ("protocol.state.Change", state.Change, None, False, "mark write remove value"),
+    ("protocol.state.Changes", state.Changes, None, False, "ledger log"),
+    ("protocol.state.Refusal", state.Refusal, None, False, "error"),
+    (
+        "protocol.users.Submission",
+        users.Submission,
+        None,
+        False,
+        "ref herd crew gait rank heads cpus accelerators ram_gb brand image_gb together spread strays trek_s"
+        " waypoint_s pen_s breeds pasture market_s follows",
+    ),
+    ("protocol.users.JobView", users.JobView, None, False, "ref condition done running"),
+    ("protocol.workers.TaskReport", workers.TaskReport, None, False, "head try condition cause kept"),
+    (
+        "protocol.workers.Report",
+        workers.Report,
+        None,
+        False,
+        "mount address breed pasture strays ride tally crook recall_s heads",
+    ),
+    ("protocol.workers.Command", workers.Command, None, False, "call head try settle_s"),
+    ("protocol.workers.ReportAnswer", workers.ReportAnswer, None, False, "crook calls"),
+    ("protocol.workers.DirectCommands", workers.DirectCommands, None, False, "crook ride calls"),
+    ("protocol.workers.Redirect", workers.Redirect, None, False, "trail_boss"),
+    ("storage.records.PartClaim", records.PartClaim, None, False, "owner until handed"),
+    ("storage.records.FleetClaim", records.FleetClaim, None, False, "owner"),
+    ("storage.records.MachineRecord", records.MachineRecord, None, False, "part address type zone spot"),
+    ("storage.records.DeletedMachinesRecord", records.DeletedMachinesRecord, None, False, "names"),
+    ("storage.records.DrainRecord", records.DrainRecord, None, False, "deadline delete"),
+    ("storage.records.ShareRecord", records.ShareRecord, None, False, "shares"),
+    ("storage.records.FinalStateRecord", records.FinalStateRecord, None, False, "state tasks at"),
+    ("storage.records.DonePage", records.DonePage, None, False, "bits"),
+    ("storage.records.PredecessorsPage", records.PredecessorsPage, None, False, "refs"),
+    ("storage.records.JobRecord", records.JobRecord, None, False, "job accepted ranges base bits pages planned"),
+    ("settings.platform.Sibling", platform.Sibling, None, False, "host_name zone endpoint"),
+    ("settings.platform.Endpoints", platform.Endpoints, None, False, "cloud state"),
+    ("settings.platform.Team", platform.Team, None, False, "name cpus cpus_max gpus gpus_max"),
+    ("settings.platform.Objective", platform.Objective, None, False, "kind share class within_s times"),
+    (
+        "settings.platform.WorkerLimits",
+        platform.WorkerLimits,
+        None,
+        False,
+        "report_s lease_s gang_wait_s gang_peer_s cancel_s",
+    ),
+    ("settings.platform.NextLimits", platform.NextLimits, None, False, "rps write_rps value_kb txn_ops"),
+    ("settings.platform.StateLimits", platform.StateLimits, None, False, "rps write_rps value_kb txn_ops next"),
+    ("settings.platform.CloudLimits", platform.CloudLimits, None, False, "rps list_lag_s"),
+    ("settings.platform.Resources", platform.Resources, None, False, "cpu mem_mb fd_limit"),
+    (
+        "settings.platform.Params",
+        platform.Params,
+        None,
+        False,
+        "size zones workers state cloud resources teams objectives time_bound_ms",
+    ),
+    (
+        "settings.platform.PlatformSettings",
+        platform.PlatformSettings,
+        None,
+        False,
+        "host_name zone public_addr mesh_addr endpoints params siblings",
+    ),
+    ("settings.operator.Scheduling", operator.Scheduling, None, False, "tau delta rho period_s wait_cap_s round_ms"),
+    ("settings.operator.Fleet", operator.Fleet, None, False, "return_idle idle_s most_machines"),
+    ("settings.operator.Claims", operator.Claims, None, False, "ttl_s"),
+    (
+        "settings.operator.Rebalancing",
+        operator.Rebalancing,
+        None,
+        False,
+        "window_s stale_s max_wait_ratio moves_per_period move_period_s move_gain move_rest_s",
+    ),
+    (
+        "settings.operator.Connectivity",
+        operator.Connectivity,
+        None,
+        False,
+        "relay relay_s relays_at_once settle_s longest_settle_s penalty_half_life_s",
+    ),
+    (
+        "settings.operator.OperatorSettings",
+        operator.OperatorSettings,
+        None,
+        False,
+        "rebalancing scheduling fleet claims connectivity",
+    ),
+    ("catalog.CatalogRecord", catalog.CatalogRecord, None, False, "types"),
+]
+
+VALUES: list[tuple[str, type[Enum], str]] = [
+    ("connectivity.modes.Mode", Mode, "serving recovering outage unrecorded unheard isolated"),
+    ("storage.records.JobState", records.JobState, "active done withdrawn"),
+    ("protocol.users.Priority", users.Priority, "prod urgent normal idle"),
+]
+
+KEYS = [
+    ("PREFIX", replica.PREFIX, "b/"),
+    ("PARTS", replica.PARTS, "b/parts/"),
+    ("FLEET", replica.FLEET, "b/fleet"),
+    ("JOBS", replica.JOBS, "b/jobs/"),
+    ("FINAL_STATES", replica.FINAL_STATES, "b/past/"),
+    ("MACHINES", replica.MACHINES, "b/machines/"),
+    ("SHARES", replica.SHARES, "b/shares/"),
+    ("CATALOG", replica.CATALOG, "b/catalog"),
+    ("DELETED", replica.DELETED, "b/gone/"),
+    ("DONE", replica.DONE, "b/done/"),
+    ("PREDECESSORS", replica.PREDECESSORS, "b/before/"),
+    ("DRAINS", replica.DRAINS, "b/drains/"),
+]
+
+
+@pytest.mark.parametrize(("label", "struct", "tag", "array", "names"), STRUCTS, ids=[row[0] for row in STRUCTS])
+def test_names_of_a_struct_are_written_as_before(
+    label: str, struct: type[Struct], tag: str | None, array: bool, names: str
+) -> None:
+    assert struct.__struct_config__.tag == tag
+    assert struct.__struct_config__.array_like is array
+    assert list(struct.__struct_encode_fields__) == names.split()
+
+
+@pytest.mark.parametrize(("label", "values", "names"), VALUES, ids=[row[0] for row in VALUES])
+def test_values_of_an_enum_are_written_as_before(label: str, values: type[Enum], names: str) -> None:
+    assert [value.value for value in values] == names.split()
+
+
+@pytest.mark.parametrize(("label", "key", "written"), KEYS, ids=[row[0] for row in KEYS])
+def test_keys_of_the_store_are_written_as_before(label: str, key: str, written: str) -> None:
+    assert key == written
+
+
+def test_every_struct_of_the_edges_is_in_the_table() -> None:
+    modules = (cloud, mesh, state, users, workers, records, platform, operator, catalog)
+    found = {
+        value
+        for module in modules
+        for value in vars(module).values()
+        if isinstance(value, type) and issubclass(value, Struct) and value.__module__ == module.__name__
+    }
+    assert found == {struct for _, struct, *_ in STRUCTS}
