--- a/badgerroute/cli.py
+++ b/badgerroute/cli.py
@@ -44,7 +44,7 @@
     params = settings.params
     return "\n".join(
         [
-            f"controller {settings.platform.host_name}: home part {settings.home} of {params.size}",
+            f"controller {settings.platform.host_name}: home shard {settings.home} of {params.size}",
             f"teams: {', '.join(team.name for team in params.teams) or 'none'}",
             f"acts without proof of its claims for {settings.grace.total_seconds():.1f} s",
             f"takes a silent machine for rid of its tasks after {settings.machine_lease.total_seconds():.1f} s",
--- a/badgerroute/connectivity/damping.py
+++ b/badgerroute/connectivity/damping.py
@@ -1,6 +1,6 @@
 """Damping of flapping links, after BGP's route flap damping (RFC 2439): a penalty that grows and decays.
 
-It delays voluntary moves alone. A part that has no owner is claimed whatever the penalty.
+It delays voluntary moves alone. A shard that has no owner is claimed whatever the penalty.
 """
 
 from dataclasses import dataclass, field
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class FlapDamping:
-    """How long links must have been good before parts come back.
+    """How long links must have been good before shards come back.
 
     `settle` holds without a penalty, and doubles with each point of it up to `longest`. The penalty halves once a
     `half_life`.
--- a/badgerroute/connectivity/hand_over_choice.py
+++ b/badgerroute/connectivity/hand_over_choice.py
@@ -1,21 +1,21 @@
-"""To which sibling an owner that its workers don't reach hands a part."""
+"""To which sibling an owner that its workers don't reach hands a shard."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """A sibling that may own a part."""
+    """A sibling that may own a shard."""
 
     host: str
-    machines_heard: int  # of the part
-    machines_owned: int  # of all its parts
+    machines_heard: int  # of the shard
+    machines_owned: int  # of all its shards
 
 
 def choose_receiver(candidates: list[Candidate], machines: int) -> Candidate | None:
     """The sibling that would own fewest machines, among those that hear at least half as many as the one hearing most.
 
-    `machines`: how many the part has, which its new owner gets on top of what it owns.
+    `machines`: how many the shard has, which its new owner gets on top of what it owns.
     """
     hearing = [candidate for candidate in candidates if candidate.machines_heard > 0]
     if not hearing:
--- a/badgerroute/connectivity/modes.py
+++ b/badgerroute/connectivity/modes.py
@@ -30,9 +30,9 @@
     ANSWER_POLL = "answer_poll"
     STEAL = "steal"
     GIVE_WORK = "give_work"
-    MOVE_SHARE = "move_share"  # of a team's limit, from or to a part
+    MOVE_SHARE = "move_share"  # of a team's limit, from or to a shard
     ADD_MEMBER = "add_member"
-    CLEAN_UP = "clean_up"  # of records that concern no part
+    CLEAN_UP = "clean_up"  # of records that concern no shard
     LEND_MACHINES = "lend_machines"
     RENT = "rent"
     RETURN_IDLE = "return_idle"
@@ -40,7 +40,7 @@
     DELETE = "delete"  # at the cloud, whatever the reason
     CLAIM = "claim"
     HAND_OVER = "hand_over"
-    RECEIVE_PART = "receive_part"
+    RECEIVE_SHARD = "receive_part"
 
 
 class Permission(Enum):
@@ -77,7 +77,7 @@
     Action.DELETE: (_CERTAIN, _CERTAIN, _CERTAIN, _CERTAIN, _CERTAIN, _CERTAIN),
     Action.CLAIM: (_ALLOWED, _ALLOWED, _ALLOWED, _REFUSED, _RELUCTANT, _REFUSED),
     Action.HAND_OVER: (_ALLOWED, _ALLOWED, _REFUSED, _REFUSED, _ALLOWED, _REFUSED),
-    Action.RECEIVE_PART: (_ALLOWED, _REFUSED, _REFUSED, _REFUSED, _REFUSED, _REFUSED),
+    Action.RECEIVE_SHARD: (_ALLOWED, _REFUSED, _REFUSED, _REFUSED, _REFUSED, _REFUSED),
 }
 PERMISSIONS: dict[Mode, dict[Action, Permission]] = {
     mode: {action: row[column] for action, row in _ROWS.items()} for column, mode in enumerate(_MODES)
--- a/badgerroute/connectivity/worker_link.py
+++ b/badgerroute/connectivity/worker_link.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 
 EVIDENCE_TTL = timedelta(seconds=6)
-MIN_EVIDENCE = 2  # machines of a part that report to siblings, at least
+MIN_EVIDENCE = 2  # machines of a shard that report to siblings, at least
 SILENT_PER_EVIDENCE = 8  # silent machines for each that must report to a sibling
 TRIAL = timedelta(seconds=8)  # after a machine answered us, its reports get so long to come back here
 
@@ -23,7 +23,7 @@
     """The link from all workers to this controller."""
 
     def __init__(self) -> None:
-        self._elsewhere: dict[int, dict[str, _Elsewhere]] = {}  # part -> machine -> its last such report
+        self._elsewhere: dict[int, dict[str, _Elsewhere]] = {}  # shard -> machine -> its last such report
         self._lost_at: timedelta | None = None
         self._trial_ends: timedelta | None = None
 
@@ -36,35 +36,35 @@
         """How long that has been so; zero if it is not."""
         return timedelta(0) if self._lost_at is None else now - self._lost_at
 
-    def note_elsewhere(self, part: int, machine: str, host: str, now: timedelta, relayed: bool) -> None:
-        """A member of one of our parts reported to a sibling."""
-        self._elsewhere.setdefault(part, {})[machine] = _Elsewhere(host, now, relayed)
+    def note_elsewhere(self, shard: int, machine: str, host: str, now: timedelta, relayed: bool) -> None:
+        """A member of one of our shards reported to a sibling."""
+        self._elsewhere.setdefault(shard, {})[machine] = _Elsewhere(host, now, relayed)
 
-    def hosts(self, part: int, now: timedelta) -> dict[str, int]:
-        """The siblings that a part's machines report to, with the number of machines."""
-        return dict(Counter(report.host for report in self._reports(part, now)))
+    def hosts(self, shard: int, now: timedelta) -> dict[str, int]:
+        """The siblings that a shard's machines report to, with the number of machines."""
+        return dict(Counter(report.host for report in self._reports(shard, now)))
 
-    def _reports(self, part: int, now: timedelta) -> list[_Elsewhere]:
-        reports = self._elsewhere.get(part, {})
+    def _reports(self, shard: int, now: timedelta) -> list[_Elsewhere]:
+        reports = self._elsewhere.get(shard, {})
         for machine in [name for name, report in reports.items() if now - report.at > EVIDENCE_TTL]:
             del reports[machine]
         return list(reports.values())
 
-    def missing(self, part: int, silent: int, now: timedelta, relayed: bool | None = None) -> bool:
-        """Whether too many of a part's silent machines report to siblings for chance.
+    def missing(self, shard: int, silent: int, now: timedelta, relayed: bool | None = None) -> bool:
+        """Whether too many of a shard's silent machines report to siblings for chance.
 
         `relayed`: count only those whose reports were passed on to us, or only those whose were not.
         """
-        heard = sum(relayed in (None, report.relayed) for report in self._reports(part, now))
+        heard = sum(relayed in (None, report.relayed) for report in self._reports(shard, now))
         return silent > 0 and heard >= max(MIN_EVIDENCE, silent // SILENT_PER_EVIDENCE)
 
-    def update(self, silent_by_part: dict[int, int], now: timedelta) -> None:
-        """Judge anew. `silent_by_part`: of each part that we own, the members whose reports don't come here."""
+    def update(self, silent_by_shard: dict[int, int], now: timedelta) -> None:
+        """Judge anew. `silent_by_shard`: of each shard that we own, the members whose reports don't come here."""
         on_trial = self._trial_ends is not None and now < self._trial_ends
-        if any(self.missing(part, silent, now) for part, silent in silent_by_part.items()):
+        if any(self.missing(shard, silent, now) for shard, silent in silent_by_shard.items()):
             if not self.lost and not on_trial:
                 self._lost_at = now
-        elif silent_by_part and not any(silent_by_part.values()):
+        elif silent_by_shard and not any(silent_by_shard.values()):
             self._lost_at = None
 
     def reached(self, now: timedelta) -> None:
@@ -73,6 +73,6 @@
             self._lost_at = None
             self._trial_ends = now + TRIAL
 
-    def part_given_up(self, part: int) -> None:
-        """A part was handed over because its workers don't reach us."""
-        self._elsewhere.pop(part, None)
+    def shard_given_up(self, shard: int) -> None:
+        """A shard was handed over because its workers don't reach us."""
+        self._elsewhere.pop(shard, None)
--- a/badgerroute/connectivity/worker_silence.py
+++ b/badgerroute/connectivity/worker_silence.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 
 from badgerroute.scheduling.model import Machine
-from badgerroute.scheduling.part_state import PartView
+from badgerroute.scheduling.shard_state import ShardView
 
 MIN_MACHINES = 3  # fewer silent machines say more of themselves than of us
 REPORT_SLACK = 1.5  # times the interval between two reports, which varies by a quarter
@@ -11,22 +11,22 @@
 LEAVING = timedelta(seconds=5)  # in which a worker gives its former owner up: 4 s without an answer, and 1 s of rest
 
 
-def overdue(machine: Machine, part: PartView, report: timedelta, awake_since: timedelta, now: timedelta) -> bool:
+def overdue(machine: Machine, shard: ShardView, report: timedelta, awake_since: timedelta, now: timedelta) -> bool:
     """Whether a report of a member should have come here by now; one that came through a sibling does not count.
 
     `awake_since`: the end of our own last standstill, before which nothing could be heard.
     """
     if machine.reported is None:
-        last = max(machine.joined, part.claimed_at) + LEAVING
+        last = max(machine.joined, shard.claimed_at) + LEAVING
     else:
         last = machine.reported
     return now - max(last, awake_since) > report * REPORT_SLACK + REPORT_DELAY
 
 
-def silent(part: PartView, report: timedelta, awake_since: timedelta, now: timedelta) -> int:
+def silent(shard: ShardView, report: timedelta, awake_since: timedelta, now: timedelta) -> int:
     """How many machines' reports are overdue, if they are half of all or more; those known to be lost don't count."""
     # One that was fenced by a direct command has not reported yet, and is not lost for that: a cut that began right
-    # after a takeover once went unnoticed, and a lease later all tasks of the part were gone (docs/incidents.md).
-    expected = [machine for machine in part.machines.values() if machine.alive or machine.lost_at is None]
-    late = sum(overdue(machine, part, report, awake_since, now) for machine in expected)
+    # after a takeover once went unnoticed, and a lease later all tasks of the shard were gone (docs/incidents.md).
+    expected = [machine for machine in shard.machines.values() if machine.alive or machine.lost_at is None]
+    late = sum(overdue(machine, shard, report, awake_since, now) for machine in expected)
     return late if len(expected) >= MIN_MACHINES and 2 * late >= len(expected) else 0
--- a/badgerroute/coordination/__init__.py
+++ b/badgerroute/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Claims, takeover, parts, stealing, shares, fleet, admission."""
+"""Claims, takeover, shards, stealing, shares, fleet, admission."""
--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -19,21 +19,21 @@
 from badgerroute.coordination.membership.connectivity_monitor import ConnectivityMonitor
 from badgerroute.coordination.membership.forwarding import FIRST_NUMBERS, RequestForwarder
 from badgerroute.coordination.membership.mesh import Mesh
-from badgerroute.coordination.membership.part_hand_over import PartHandOver
+from badgerroute.coordination.membership.shard_hand_over import ShardHandOver
 from badgerroute.coordination.membership.siblings import Siblings
 from badgerroute.coordination.ownership.action_gate import ActionGate
 from badgerroute.coordination.ownership.claims import Claim, Claims
-from badgerroute.coordination.parts.forecast import JobForecast
-from badgerroute.coordination.parts.owner import Owner
-from badgerroute.coordination.parts.progress_duty import ProgressDuty
-from badgerroute.coordination.parts.services import Services
 from badgerroute.coordination.quotas.team_quotas import TeamQuotas
 from badgerroute.coordination.requests.http_api import HttpApi
 from badgerroute.coordination.requests.mesh_messages import MeshMessages
-from badgerroute.coordination.requests.part_requests import PartRequests
 from badgerroute.coordination.requests.report_desk import ReportDesk
+from badgerroute.coordination.requests.shard_requests import ShardRequests
 from badgerroute.coordination.requests.user_desk import UserDesk
 from badgerroute.coordination.requests.users import Users
+from badgerroute.coordination.shards.forecast import JobForecast
+from badgerroute.coordination.shards.owner import Owner
+from badgerroute.coordination.shards.progress_duty import ProgressDuty
+from badgerroute.coordination.shards.services import Services
 from badgerroute.protocol import mesh as mesh_wire
 from badgerroute.protocol.state import Condition
 from badgerroute.scheduling.guidance import NEUTRAL, Guidance
@@ -55,7 +55,7 @@
 
 
 class Controller:
-    """One controller process: made of its parts here, and running until it is killed."""
+    """One controller process: its subsystems are built here, and running until it is killed."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
         loop: Loop,
         network: Network,
         group: Group,
-        guidance: Callable[[int], Guidance] = lambda part: NEUTRAL,
+        guidance: Callable[[int], Guidance] = lambda shard: NEUTRAL,
     ) -> None:
         self.settings, self._loop, self._network, self._group = settings, loop, network, group
         params = settings.params
@@ -100,7 +100,7 @@
             send=self.mesh.send,
             handle=lambda request, relay: self.api.handle_forwarded(request, relay),
         )
-        self.requests = PartRequests(
+        self.requests = ShardRequests(
             loop=loop,
             group=group,
             claims=self.claims,
@@ -109,7 +109,7 @@
             mesh=self.mesh,
             owners=self.owners,
         )
-        self.hand_over = PartHandOver(
+        self.hand_over = ShardHandOver(
             settings=settings,
             loop=loop,
             claims=self.claims,
@@ -129,7 +129,7 @@
             replica=self.replica,
             job_store=self.job_store,
             job_reader=self.job_reader,
-            owned=lambda part: part in self.claims.parts,
+            owned=lambda shard: shard in self.claims.shards,
             tidies=lambda: self.claims.fleet is not None and self.permits.allows(Action.CLEAN_UP),
             turn=settings.home,
         )
@@ -265,20 +265,20 @@
             self._group.duty(make, name, second)
         await Future()
 
-    def _won(self, part: int, claim: Claim) -> None:
-        owner = Owner(part, claim, self._services)
-        self.owners[part] = owner
+    def _won(self, shard: int, claim: Claim) -> None:
+        owner = Owner(shard, claim, self._services)
+        self.owners[shard] = owner
         owner.start()
 
-    def _lost(self, part: int) -> None:
-        owner = self.owners.pop(part, None)
+    def _lost(self, shard: int) -> None:
+        owner = self.owners.pop(shard, None)
         if owner is not None:
-            log.info("event=part_lost part=%d", part)
-            self.fleet.spare(owner.part.machines)
+            log.info("event=shard_lost shard=%d", shard)
+            self.fleet.spare(owner.shard.machines)
             owner.close()
 
-    def _condition(self, part: int) -> Condition | None:
-        return self.claims.condition(part) if part in self.claims.parts else None
+    def _condition(self, shard: int) -> Condition | None:
+        return self.claims.condition(shard) if shard in self.claims.shards else None
 
     # -- what the watch says
 
@@ -304,10 +304,10 @@
 
     def _machines_deleted(self, names: list[str]) -> None:
         self.deleted.add(names)
-        members = {name for owner in self.owners.values() for name in owner.part.machines}
+        members = {name for owner in self.owners.values() for name in owner.shard.machines}
         for number, owner in enumerate(list(self.owners.values())):
-            # One that never was a member is remembered by any of our parts.
-            mine = [name for name in names if name in owner.part.machines or (not number and name not in members)]
+            # One that never was a member is remembered by any of our shards.
+            mine = [name for name in names if name in owner.shard.machines or (not number and name not in members)]
             if mine:
                 self._group.spawn(owner.deleted_machines.forget(mine), "forget")
 
@@ -322,14 +322,14 @@
             self.cancellation_broadcast.repeat()
 
     def _gossip(self) -> mesh_wire.Gossip:
-        parts = [owner.summary() for owner in self.owners.values() if owner.ready]
+        shards = [owner.summary() for owner in self.owners.values() if owner.ready]
         return mesh_wire.Gossip(
             self.settings.platform.host_name,
             self.claims.lease or 0,
             bool(self.catalog) and self.replica.ready.done,
             self.monitor.reaches_state_service(),
-            not self.permits.allows(Action.RECEIVE_PART),
-            parts,
+            not self.permits.allows(Action.RECEIVE_SHARD),
+            shards,
             self.monitor.mode.value,
             list(self.siblings.heard()),
             self.settings.operator.connectivity.relay,
--- a/badgerroute/coordination/fleet/idle_machines.py
+++ b/badgerroute/coordination/fleet/idle_machines.py
@@ -7,7 +7,7 @@
 from badgerroute.connectivity.modes import Action
 from badgerroute.coordination.jobs.job_store import JobStore
 from badgerroute.coordination.ownership.action_gate import ActionGate
-from badgerroute.coordination.parts.owner import Owner
+from badgerroute.coordination.shards.owner import Owner
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.scheduling.model import Machine
 from badgerroute.scheduling.rental_planning import rents_ahead
@@ -45,16 +45,16 @@
             if not self._job_store.active:
                 idle /= NO_JOBS
             for owner in list(self._owners.values()):
-                if owner.ready and owner.part.settled and self._permits.allows_for(owner.number, Action.RETURN_IDLE):
+                if owner.ready and owner.shard.settled and self._permits.allows_for(owner.number, Action.RETURN_IDLE):
                     self._return(owner, idle)
 
     def _return(self, owner: Owner, idle: timedelta) -> None:
-        machines = [machine for machine in owner.part.machines.values() if self._useless(machine, idle)]
+        machines = [machine for machine in owner.shard.machines.values() if self._useless(machine, idle)]
         for machine in machines:
             machine.draining = True  # from here on nothing starts on it
         if machines:
             names = [machine.name for machine in machines]
-            log.info("event=machines_returned part=%d machines=%s", owner.number, ",".join(names))
+            log.info("event=machines_returned shard=%d machines=%s", owner.number, ",".join(names))
             self._delete(names)
 
     def _useless(self, machine: Machine, idle: timedelta) -> bool:
--- a/badgerroute/coordination/fleet/rentals.py
+++ b/badgerroute/coordination/fleet/rentals.py
@@ -9,7 +9,7 @@
 from badgerroute.coordination.ownership.action_gate import ActionGate
 from badgerroute.coordination.ownership.claims import Claims
 from badgerroute.protocol.cloud import ListedMachine, MachineType
-from badgerroute.protocol.mesh import PartSummary
+from badgerroute.protocol.mesh import ShardSummary
 from badgerroute.scheduling.rental_planning import (
     ExpectedMachines,
     RentalPlace,
@@ -65,7 +65,7 @@
         permits: ActionGate,
         replica: Replica,
         catalog: dict[str, MachineType],
-        summaries: Callable[[], list[PartSummary]],
+        summaries: Callable[[], list[ShardSummary]],
         deleted: Callable[[list[str]], None],
     ) -> None:
         self._settings, self._loop, self._group, self._cloud = settings, loop, group, cloud
@@ -82,7 +82,7 @@
         self._list_at: timedelta | None = None
         self._listing_time = timedelta(0)  # that a list of all machines takes at our share of the calls
 
-    # -- deleting: any controller, for the machines of its own parts
+    # -- deleting: any controller, for the machines of its own shards
 
     def delete(self, names: list[str]) -> None:
         """Have machines deleted; asked for again until the cloud confirms it."""
@@ -95,12 +95,12 @@
             self._to_delete.pop(name, None)
 
     def _belongs_to_others(self, name: str) -> bool:
-        """It was thought useless, then came up after all and joined a part of somebody else, who may use it by now."""
+        """It was thought useless, then came up after all and joined a shard of somebody else, who may use it by now."""
         value = self._replica.value(MACHINES + name)
-        return value is not None and records.read(value, MachineRecord).part not in self._claims.parts
+        return value is not None and records.read(value, MachineRecord).shard not in self._claims.shards
 
     async def delete_duty(self) -> None:
-        """Delete what is to be deleted, a batch at a time, while nobody else can hold our parts."""
+        """Delete what is to be deleted, a batch at a time, while nobody else can hold our shards."""
         while True:
             await self._loop.sleep(timedelta(milliseconds=200))
             for name in [name for name in self._to_delete if self._belongs_to_others(name)]:
--- a/badgerroute/coordination/jobs/job_writer.py
+++ b/badgerroute/coordination/jobs/job_writer.py
@@ -41,11 +41,11 @@
 
 @dataclass(slots=True)
 class Progress:
-    """Newly done tasks of one job, as a bit set, with the parts that saw them."""
+    """Newly done tasks of one job, as a bit set, with the shards that saw them."""
 
     ref: str
     done: int
-    parts: set[int]
+    shards: set[int]
 
 
 @dataclass(slots=True)
@@ -193,9 +193,9 @@
             if transaction.size > MAX_TRANSACTION_BYTES or room < CHANGES_OF_AN_END:
                 break  # what is left comes with the next write
             record = self._store.active.get(progress.ref)
-            claims = [claim for part in progress.parts if (claim := claim_of(part)) is not None]
-            if record is None or len(claims) < len(progress.parts):
-                continue  # cancelled meanwhile, or the part is not ours any more
+            claims = [claim for shard in progress.shards if (claim := claim_of(shard)) is not None]
+            if record is None or len(claims) < len(progress.shards):
+                continue  # cancelled meanwhile, or the shard is not ours any more
             key = JOBS + progress.ref
             for condition in (*claims, when(key, self._replica.revision_of(key))):
                 transaction.require(condition)
--- a/badgerroute/coordination/jobs/pipelines.py
+++ b/badgerroute/coordination/jobs/pipelines.py
@@ -38,7 +38,7 @@
 
 
 class Pipelines:
-    """`owned` tells whether a part is ours, `tidies` whether this controller removes what is of no use any more."""
+    """`owned` tells whether a shard is ours, `tidies` whether this controller removes what is of no use any more."""
 
     def __init__(
         self,
@@ -100,7 +100,7 @@
     def _patience(self, ref: str) -> timedelta:
         """The owner of a job's first tasks comes first, so that the others' writes do not fail for nothing."""
         record = self._job_store.active.get(ref)
-        if record is not None and record.assigned and self._owned(record.assigned[0].part):
+        if record is not None and record.assigned and self._owned(record.assigned[0].shard):
             return ZERO
         return OTHERS_WAIT + self._turn * OTHERS_WAIT / 3
 
--- a/badgerroute/coordination/membership/__init__.py
+++ b/badgerroute/coordination/membership/__init__.py
@@ -1,4 +1,4 @@
-"""The other controllers: connections to them, what they said last, and handing parts to them.
+"""The other controllers: connections to them, what they said last, and handing shards to them.
 
-Imports `ownership` and `parts`.
+Imports `ownership` and `shards`.
 """
--- a/badgerroute/coordination/membership/connectivity_monitor.py
+++ b/badgerroute/coordination/membership/connectivity_monitor.py
@@ -12,7 +12,7 @@
 from badgerroute.connectivity.worker_link import WorkerLink
 from badgerroute.coordination.membership.siblings import Siblings
 from badgerroute.coordination.ownership.claims import NEVER, Claims
-from badgerroute.coordination.parts.owner import Owner
+from badgerroute.coordination.shards.owner import Owner
 from badgerroute.settings import Settings
 from badgerroute.storage import records
 from badgerroute.storage.records import MachineRecord
--- a/badgerroute/coordination/membership/part_hand_over.py
+++ b/badgerroute/coordination/membership/shard_hand_over.py
@@ -1,4 +1,4 @@
-"""When a part is handed to another controller: to the one whose home it is, or to one that its workers reach."""
+"""When a shard is handed to another controller: to the one whose home it is, or to one that its workers reach."""
 
 import logging
 from datetime import timedelta
@@ -9,7 +9,7 @@
 from badgerroute.coordination.membership.siblings import Sibling, Siblings
 from badgerroute.coordination.ownership.action_gate import ActionGate
 from badgerroute.coordination.ownership.claims import Claims
-from badgerroute.coordination.parts.owner import Owner
+from badgerroute.coordination.shards.owner import Owner
 from badgerroute.protocol.mesh import MisdirectedReport
 from badgerroute.settings import Settings
 from badgerroute.transport.loop import Loop
@@ -18,8 +18,8 @@
 ROUND = timedelta(seconds=2)
 
 
-class PartHandOver:
-    """Only parts that are ours are handed over, by `Claims.hand_over`."""
+class ShardHandOver:
+    """Only shards that are ours are handed over, by `Claims.hand_over`."""
 
     def __init__(
         self,
@@ -37,45 +37,45 @@
         self._relay_for = settings.operator.connectivity.relay_for
 
     async def run(self) -> None:
-        """Hand over one part a round: first what its workers can't report here, else what has its home elsewhere."""
+        """Hand over one shard a round: first what its workers can't report here, else what has its home elsewhere."""
         while True:
             await self._loop.sleep(ROUND)
             if self._permits.allows(Action.HAND_OVER) and not await self._hand_unheard():
                 await self._send_home()
 
-    # -- parts whose home controller is there again
+    # -- shards whose home controller is there again
 
     async def _send_home(self) -> None:
-        for part in list(self._claims.parts):
-            host = self._home(part)
+        for shard in list(self._claims.shards):
+            host = self._home(shard)
             sibling = self._siblings.get(host)
-            owner = self._owners.get(part)
-            # A sibling that has lost the state service still names the lease it once had. Its part was handed to it
+            owner = self._owners.get(shard)
+            # A sibling that has lost the state service still names the lease it once had. Its shard was handed to it
             # again and again, each time given up first and claimed anew, and stood still for as long as the cut.
-            if sibling is not None and sibling.fit() and owner is not None and owner.part.settled:
-                await self._claims.hand_over(part, host, sibling.gossip.lease)
+            if sibling is not None and sibling.fit() and owner is not None and owner.shard.settled:
+                await self._claims.hand_over(shard, host, sibling.gossip.lease)
                 return
 
-    def _home(self, part: int) -> str:
+    def _home(self, shard: int) -> str:
         hosts = self._settings.hosts
-        return hosts[part] if part < len(hosts) else ""
+        return hosts[shard] if shard < len(hosts) else ""
 
-    # -- parts whose workers don't reach us
+    # -- shards whose workers don't reach us
 
     async def on_misdirected_report(self, misdirected: MisdirectedReport) -> None:
-        """A machine of ours reported to a sibling that did not relay the report: if many do, the part goes there."""
-        owner = self._owners.get(misdirected.part)
+        """A machine of ours reported to a sibling that did not relay the report: if many do, the shard goes there."""
+        owner = self._owners.get(misdirected.shard)
         if owner is None or not owner.ready or not owner.missed(misdirected.machine):
             return  # new machines report anywhere; they say nothing of us
         self._worker_link.note_elsewhere(
-            misdirected.part, misdirected.machine, misdirected.host, self._loop.now(), relayed=False
+            misdirected.shard, misdirected.machine, misdirected.host, self._loop.now(), relayed=False
         )
         self._monitor.update()
         if self._permits.allows(Action.HAND_OVER):
             await self._hand_unheard()
 
     async def _hand_unheard(self) -> bool:
-        """Hand a part over that relaying does not serve, or has served for long enough; whether there was one."""
+        """Hand a shard over that relaying does not serve, or has served for long enough; whether there was one."""
         now = self._loop.now()
         long_enough = self._worker_link.lost_for(now) >= self._relay_for
         for owner in list(self._owners.values()):
@@ -93,15 +93,15 @@
         fit = {host: sibling for host, sibling in self._siblings.heard().items() if sibling.fit()}
         hosts = self._worker_link.hosts(owner.number, now)
         candidates = [
-            Candidate(host, heard, sum(part.machines for part in fit[host].gossip.parts))
+            Candidate(host, heard, sum(shard.machines for shard in fit[host].gossip.shards))
             for host, heard in hosts.items()
             if host in fit
         ]
-        chosen = choose_receiver(candidates, len(owner.part.machines))
+        chosen = choose_receiver(candidates, len(owner.shard.machines))
         return None if chosen is None else fit[chosen.host]
 
     async def _hand(self, owner: Owner, receiver: Sibling) -> None:
         host = receiver.gossip.host
-        log.warning("event=workers_unheard part=%d to=%s", owner.number, host)
-        self._worker_link.part_given_up(owner.number)
+        log.warning("event=workers_unheard shard=%d to=%s", owner.number, host)
+        self._worker_link.shard_given_up(owner.number)
         await self._claims.hand_over(owner.number, host, receiver.gossip.lease)
--- a/badgerroute/coordination/membership/siblings.py
+++ b/badgerroute/coordination/membership/siblings.py
@@ -1,4 +1,4 @@
-"""What is known of the other controllers, and with them of all parts."""
+"""What is known of the other controllers, and with them of all shards."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -8,7 +8,7 @@
 from badgerroute.connectivity.links import SIBLING, Link
 from badgerroute.connectivity.modes import Mode
 from badgerroute.coordination.ownership.claims import Claims
-from badgerroute.coordination.parts.owner import Owner
+from badgerroute.coordination.shards.owner import Owner
 from badgerroute.protocol import mesh as mesh_wire
 from badgerroute.settings import Settings
 from badgerroute.transport.loop import Loop
@@ -27,7 +27,7 @@
         self.mode = names.get(self.gossip.mode) if isinstance(self.gossip.mode, str) else None
 
     def fit(self) -> bool:
-        """Whether a part may be given to it."""
+        """Whether a shard may be given to it."""
         gossip = self.gossip
         return gossip.ready and gossip.proved and gossip.lease > 0 and not gossip.isolated
 
@@ -37,7 +37,7 @@
 
 
 class Siblings:
-    """The other controllers as they were last heard, and our own parts beside theirs."""
+    """The other controllers as they were last heard, and our own shards beside theirs."""
 
     def __init__(self, settings: Settings, loop: Loop, claims: Claims, owners: dict[int, Owner]) -> None:
         self._settings, self._loop, self._claims, self._owners = settings, loop, claims, owners
@@ -61,28 +61,30 @@
         """All controllers that are heard, by host."""
         return {host: sibling for host in self._known if (sibling := self.get(host)) is not None}
 
-    def summaries(self) -> list[mesh_wire.PartSummary]:
-        """Of all parts that are known of: our own as they are, the others' as last heard."""
+    def summaries(self) -> list[mesh_wire.ShardSummary]:
+        """Of all shards that are known of: our own as they are, the others' as last heard."""
         summaries = {owner.number: owner.summary() for owner in self._owners.values() if owner.ready}
         for sibling in self.heard().values():
-            for summary in sibling.gossip.parts:
-                summaries.setdefault(summary.part, summary)
+            for summary in sibling.gossip.shards:
+                summaries.setdefault(summary.shard, summary)
         return list(summaries.values())
 
-    def last_heard_parts(self) -> list[tuple[mesh_wire.PartSummary, timedelta]]:
-        """The other controllers' parts as they were told last, and how long ago that was."""
+    def last_heard_shards(self) -> list[tuple[mesh_wire.ShardSummary, timedelta]]:
+        """The other controllers' shards as they were told last, and how long ago that was."""
         now = self._loop.now()
-        return [(part, sibling.link.silence(now)) for sibling in self._known.values() for part in sibling.gossip.parts]
+        return [
+            (shard, sibling.link.silence(now)) for sibling in self._known.values() for shard in sibling.gossip.shards
+        ]
 
-    def owner(self, part: int) -> str | None:
-        """The host that holds a part: by the claim as it is known here, or by a sibling that names a higher term.
+    def owner(self, shard: int) -> str | None:
+        """The host that holds a shard: by the claim as it is known here, or by a sibling that names a higher term.
 
         A controller that has lost the state service learns only from the siblings who came after it.
         """
-        host, term = self._claims.owner(part), self._claims.known_term(part)
+        host, term = self._claims.owner(shard), self._claims.known_term(shard)
         for name, sibling in self.heard().items():
-            for summary in sibling.gossip.parts:
-                if summary.part == part and summary.term > term:
+            for summary in sibling.gossip.shards:
+                if summary.shard == shard and summary.term > term:
                     host, term = name, summary.term
         return host
 
@@ -92,7 +94,7 @@
         Right after the start nobody has been heard yet, so none is counted out then.
         """
         now = self._loop.now()
-        claimed = {self._claims.owner(part) for part in range(self._settings.params.size)}
+        claimed = {self._claims.owner(shard) for shard in range(self._settings.params.size)}
         return 1 + sum(host in claimed or not link.gone(now) for host, link in self.links.items())
 
     def running(self, ref: str) -> int:
@@ -100,13 +102,13 @@
         here = sum(
             placement.running_since is not None
             for owner in self._owners.values()
-            if ref in owner.part.jobs
-            for placement in owner.part.jobs[ref].placed.values()
+            if ref in owner.shard.jobs
+            for placement in owner.shard.jobs[ref].placed.values()
         )
         there = sum(
             summary.running.get(ref, 0)
             for sibling in self.heard().values()
-            for summary in sibling.gossip.parts
-            if summary.part not in self._owners
+            for summary in sibling.gossip.shards
+            if summary.shard not in self._owners
         )
         return here + there
--- a/badgerroute/coordination/ownership/__init__.py
+++ b/badgerroute/coordination/ownership/__init__.py
@@ -1,4 +1,4 @@
-"""Who holds which part: leased claims and the right to act for a part.
+"""Who holds which shard: leased claims and the right to act for a shard.
 
-Owns the keys under `parts` and `fleet`. Imports nothing of the other coordination packages.
+Owns the keys under `shards` and `fleet`. Imports nothing of the other coordination packages.
 """
--- a/badgerroute/coordination/ownership/action_gate.py
+++ b/badgerroute/coordination/ownership/action_gate.py
@@ -17,7 +17,7 @@
         return PERMISSIONS[self._mode()][action]
 
     def allows(self, action: Action) -> bool:
-        """Whether the action may be taken, as far as it concerns no part in particular."""
+        """Whether the action may be taken, as far as it concerns no shard in particular."""
         match self.permission(action):
             case Permission.ALLOWED | Permission.RELUCTANT:
                 return True
@@ -27,6 +27,6 @@
                 return self._claims.certain()
         return False
 
-    def allows_for(self, part: int, action: Action) -> bool:
-        """Whether the action may be taken for a part, which must be ours."""
-        return part in self._claims.parts and self.allows(action)
+    def allows_for(self, shard: int, action: Action) -> bool:
+        """Whether the action may be taken for a shard, which must be ours."""
+        return shard in self._claims.shards and self.allows(action)
--- a/badgerroute/coordination/ownership/claims.py
+++ b/badgerroute/coordination/ownership/claims.py
@@ -1,6 +1,6 @@
-"""Leased claims: who owns a part, since when, and until when a controller may act on what it knows.
+"""Leased claims: who owns a shard, since when, and until when a controller may act on what it knows.
 
-A claim's key lives on the controller's lease. Its revision is the part's term, and the workers' token.
+A claim's key lives on the controller's lease. Its revision is the shard's term, and the workers' token.
 """
 
 import logging
@@ -13,7 +13,7 @@
 from badgerroute.settings import Settings
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
-from badgerroute.storage.replica import FLEET, PARTS, Replica
+from badgerroute.storage.replica import FLEET, SHARD_LEADERS, Replica
 from badgerroute.storage.state import (
     ConflictError,
     LeaseExpiredError,
@@ -28,21 +28,21 @@
 
 log = logging.getLogger("badgerroute.claims")
 NEVER = -timedelta(days=1)
-FIRST_WAIT = timedelta(seconds=3)  # a part that nobody ever held is left to its home controller for so long
+FIRST_WAIT = timedelta(seconds=3)  # a shard that nobody ever held is left to its home controller for so long
 RETRY = timedelta(milliseconds=250)
 RELUCTANCE = timedelta(seconds=1)
 
 
 @dataclass(slots=True)
 class Claim:
-    """A part that is ours."""
+    """A shard that is ours."""
 
     term: int
     grace: timedelta  # counted from the claim: how long whoever held it before may still act for it
 
 
 class Claims:
-    """The parts that this controller holds, and its right to act for them."""
+    """The shards that this controller holds, and its right to act for them."""
 
     def __init__(
         self,
@@ -56,30 +56,30 @@
     ) -> None:
         self._settings, self._loop, self._state, self._replica = settings, loop, state, replica
         self._won, self._lost = won, lost
-        self._permission = permission  # to claim parts
-        self._freed = Future()  # a part has no owner any more
+        self._permission = permission  # to claim shards
+        self._freed = Future()  # a shard has no owner any more
         self._me = settings.platform.host_name
         self._grace = settings.grace  # asked for with every report
         self.lease: int | None = None
-        self.parts: dict[int, Claim] = {}
+        self.shards: dict[int, Claim] = {}
         self.fleet: int | None = None
         self._proved = NEVER
         self._started = loop.now()
-        self._seen: set[int] = set()  # parts that were held by somebody once
-        self._busy: set[int] = set()  # parts with a write of ours on its way
-        self._above: dict[int, int] = {}  # the highest terms in which siblings said that they hold a part
-        replica.listen(PARTS, self._part_changed)
+        self._seen: set[int] = set()  # shards that were held by somebody once
+        self._busy: set[int] = set()  # shards with a write of ours on its way
+        self._above: dict[int, int] = {}  # the highest terms in which siblings said that they hold a shard
+        replica.listen(SHARD_LEADERS, self._shard_changed)
         replica.listen(FLEET, self._fleet_changed)
 
     # -- what others ask
 
-    def key(self, part: int) -> str:
-        """The state service's key of a part's claim."""
-        return f"{PARTS}{part}"
+    def key(self, shard: int) -> str:
+        """The state service's key of a shard's claim."""
+        return f"{SHARD_LEADERS}{shard}"
 
-    def condition(self, part: int) -> Condition:
-        """What every write for a part is conditional on."""
-        return when(self.key(part), self.parts[part].term)
+    def condition(self, shard: int) -> Condition:
+        """What every write for a shard is conditional on."""
+        return when(self.key(shard), self.shards[shard].term)
 
     @property
     def proved(self) -> timedelta:
@@ -97,28 +97,28 @@
         """
         return self._loop.now() - self.proved < self._settings.operator.claims.ttl
 
-    def outranked(self, part: int, term: int) -> None:
-        """A sibling says that it holds a part, in a higher term than ours: there is no need to wait for G."""
-        self._above[part] = max(term, self._above.get(part, 0))
-        claim = self.parts.get(part)
+    def outranked(self, shard: int, term: int) -> None:
+        """A sibling says that it holds a shard, in a higher term than ours: there is no need to wait for G."""
+        self._above[shard] = max(term, self._above.get(shard, 0))
+        claim = self.shards.get(shard)
         # Also while a write of ours is on its way: a higher term that we ask for is conditional on the one we had, so
         # it came before the sibling's, or never. An owner that can't reach the state service is always just asking.
         if claim is not None and term > claim.term:
-            log.warning("event=stood_down part=%d term=%d by=%d", part, claim.term, term)
-            self._drop(part)
+            log.warning("event=stood_down shard=%d term=%d by=%d", shard, claim.term, term)
+            self._drop(shard)
 
-    def acting(self, part: int) -> bool:
-        """Whether this controller holds a part and may act for it now."""
-        return part in self.parts and self.fresh()
+    def acting(self, shard: int) -> bool:
+        """Whether this controller holds a shard and may act for it now."""
+        return shard in self.shards and self.fresh()
 
-    def known_term(self, part: int) -> int:
-        """The term of the last claim to a part that is known here; 0 if there is none."""
-        return self._replica.revision_of(self.key(part))
+    def known_term(self, shard: int) -> int:
+        """The term of the last claim to a shard that is known here; 0 if there is none."""
+        return self._replica.revision_of(self.key(shard))
 
-    def owner(self, part: int) -> str | None:
-        """The host that holds a part, as far as is known here."""
-        value = self._replica.value(self.key(part))
-        return records.read(value, records.PartClaim).owner if value else None
+    def owner(self, shard: int) -> str | None:
+        """The host that holds a shard, as far as is known here."""
+        value = self._replica.value(self.key(shard))
+        return records.read(value, records.ShardLeaderRecord).owner if value else None
 
     # -- duty
 
@@ -138,8 +138,8 @@
             except LeaseExpiredError:
                 self._lease_ended()
                 continue
-            # Woken by the watch, all who are left come at once; then who has fewest parts goes first. When they came as
-            # their pauses ended, a controller with two parts took a third while an idle one slept.
+            # Woken by the watch, all who are left come at once; then who has fewest shards goes first. When they came
+            # as their pauses ended, a controller with two shards took a third while an idle one slept.
             await self._loop.first(self._freed, min(pause, RETRY) if self._wanting() else pause)
             self._freed = Future()
 
@@ -156,128 +156,128 @@
         self._proved = sent
 
     def _lease_ended(self) -> None:
-        log.warning("event=lease_lost parts=%s", sorted(self.parts))
+        log.warning("event=lease_lost shards=%s", sorted(self.shards))
         self.lease = None
         self._proved = NEVER
         self.fleet = None
-        for part in list(self.parts):
-            self._drop(part)
+        for shard in list(self.shards):
+            self._drop(shard)
 
-    def _drop(self, part: int) -> None:
-        if self.parts.pop(part, None) is not None:
-            self._lost(part)
+    def _drop(self, shard: int) -> None:
+        if self.shards.pop(shard, None) is not None:
+            self._lost(shard)
 
     def _wanting(self) -> bool:
-        return any(self._claimable(part) for part in range(self._settings.params.size))
+        return any(self._claimable(shard) for shard in range(self._settings.params.size))
 
-    def _claimable(self, part: int) -> bool:
-        if part in self.parts or part in self._busy:
+    def _claimable(self, shard: int) -> bool:
+        if shard in self.shards or shard in self._busy:
             return False
-        owner = self.owner(part)
+        owner = self.owner(shard)
         if owner is not None:
             return owner == self._me
-        if part == self._settings.home or part in self._seen:
+        if shard == self._settings.home or shard in self._seen:
             return True
         return self._loop.now() - self._started > FIRST_WAIT
 
     async def _claim_all(self) -> None:
         size = self._settings.params.size
         home = self._settings.home
-        for offset in range(size):  # the home part first
-            part = (home + offset) % size
-            if self._claimable(part):
-                if part != home and self.owner(part) is None:
-                    # Whoever has fewest parts should come first; a short pause settles most races.
-                    await self._loop.sleep(timedelta(milliseconds=80) * len(self.parts) + self._reluctance())
-                if self._claimable(part):
-                    await self._claim(part)
+        for offset in range(size):  # the home shard first
+            shard = (home + offset) % size
+            if self._claimable(shard):
+                if shard != home and self.owner(shard) is None:
+                    # Whoever has fewest shards should come first; a short pause settles most races.
+                    await self._loop.sleep(timedelta(milliseconds=80) * len(self.shards) + self._reluctance())
+                if self._claimable(shard):
+                    await self._claim(shard)
         if self.fleet is None:
             await self._claim_fleet()
 
     def _reluctance(self) -> timedelta:
-        """One that no worker reaches leaves a free part to others, if there are any."""
+        """One that no worker reaches leaves a free shard to others, if there are any."""
         return RELUCTANCE if self._permission() is Permission.RELUCTANT else ZERO
 
-    async def _claim(self, part: int) -> None:
-        value = self._replica.value(self.key(part))
-        held = records.read(value, records.PartClaim) if value else None
+    async def _claim(self, shard: int) -> None:
+        value = self._replica.value(self.key(shard))
+        held = records.read(value, records.ShardLeaderRecord) if value else None
         if held is not None and held.owner != self._me:
             return
         # Under our own name it is an earlier life of ours, which is over, or it was handed to us by an owner that
         # had stopped before. But an owner before that may have been cut off, so its time limit is kept. Where nobody
         # handed it over that is not enough: a claim of ours for the absent key may have been carried out seconds late,
-        # after somebody else had held the part and been cut off, and then the time limit in it is too early.
+        # after somebody else had held the shard and been cut off, and then the time limit in it is too early.
         until = held.until if held is not None else 0.0
         if held is None or not held.handed:
             until = max(until, self._now_of_day() + self._settings.grace.total_seconds())
-        await self._write(part, self._replica.revision_of(self.key(part)), until)
+        await self._write(shard, self._replica.revision_of(self.key(shard)), until)
 
     def _now_of_day(self) -> float:
         return self._loop.clock.today().timestamp()
 
-    async def _write(self, part: int, mark: int, until: float) -> int | None:
-        key, lease = self.key(part), self.lease
+    async def _write(self, shard: int, mark: int, until: float) -> int | None:
+        key, lease = self.key(shard), self.lease
         if lease is None:
             return None
-        self._busy.add(part)
+        self._busy.add(shard)
         try:
-            record = records.PartClaim(self._me, until)
+            record = records.ShardLeaderRecord(self._me, until)
             term = await self._state.transact(
                 [when(key, mark)], [put(key, records.write(record), lease)], Urgency.CLAIM
             )
         except ConflictError:
-            log.info("event=claim_missed part=%d", part)
+            log.info("event=claim_missed shard=%d", shard)
             item = await self._state.get(key, Urgency.CLAIM)
             if item is not None:
                 self._replica.learn(key, bytes(item.value), item.revision)
             return None
         finally:
-            self._busy.discard(part)
+            self._busy.discard(shard)
         if lease != self.lease:  # the lease ended while we waited: so did the claim
             return None
         if (
-            max(self._above.get(part, 0), self._replica.revision_of(key)) > term
+            max(self._above.get(shard, 0), self._replica.revision_of(key)) > term
         ):  # so it has, and somebody else came after us
             return None
         bound = 2 * self._settings.params.time_bound_ms / 1000  # two controllers' times of day
         claim = Claim(term, max(ZERO, timedelta(seconds=until - self._now_of_day() + bound)))
-        known = self.parts.get(part)
-        self.parts[part] = claim
+        known = self.shards.get(shard)
+        self.shards[shard] = claim
         self._replica.learn(key, bytes(records.write(record)), term)
         if known is None:
-            log.info("event=part_claimed part=%d term=%d grace=%.1f", part, term, claim.grace.total_seconds())
-            self._won(part, claim)
+            log.info("event=shard_claimed shard=%d term=%d grace=%.1f", shard, term, claim.grace.total_seconds())
+            self._won(shard, claim)
         return term
 
-    async def raise_term(self, part: int) -> int | None:
-        """A higher term for a part that is held already, for a machine that has seen a higher token."""
-        claim = self.parts.get(part)
-        if claim is None or part in self._busy:
+    async def raise_term(self, shard: int) -> int | None:
+        """A higher term for a shard that is held already, for a machine that has seen a higher token."""
+        claim = self.shards.get(shard)
+        if claim is None or shard in self._busy:
             return None
-        log.info("event=term_raised part=%d from=%d", part, claim.term)
-        return await self._write(part, claim.term, self._until(part))
+        log.info("event=term_raised shard=%d from=%d", shard, claim.term)
+        return await self._write(shard, claim.term, self._until(shard))
 
-    def _until(self, part: int) -> float:
-        value = self._replica.value(self.key(part))
-        return records.read(value, records.PartClaim).until if value else 0.0
+    def _until(self, shard: int) -> float:
+        value = self._replica.value(self.key(shard))
+        return records.read(value, records.ShardLeaderRecord).until if value else 0.0
 
-    async def hand_over(self, part: int, host: str, lease: int) -> None:
-        """Give a part to the controller whose home it is. We stop acting for it before we write."""
-        claim = self.parts.get(part)
-        if claim is None or part in self._busy:
+    async def hand_over(self, shard: int, host: str, lease: int) -> None:
+        """Give a shard to the controller whose home it is. We stop acting for it before we write."""
+        claim = self.shards.get(shard)
+        if claim is None or shard in self._busy:
             return
-        self._busy.add(part)
-        self._drop(part)
+        self._busy.add(shard)
+        self._drop(shard)
         try:
-            key = self.key(part)
-            value = records.write(records.PartClaim(host, self._until(part), handed=True))
+            key = self.key(shard)
+            value = records.write(records.ShardLeaderRecord(host, self._until(shard), handed=True))
             mark = await self._state.transact([when(key, claim.term)], [put(key, value, lease)], Urgency.CLAIM)
             self._replica.learn(key, bytes(value), mark)
-            log.info("event=part_handed_over part=%d to=%s", part, host)
+            log.info("event=shard_handed_over shard=%d to=%s", shard, host)
         except (StateUnavailableError, OutcomeUnknownError, ConflictError, LeaseExpiredError) as error:
-            log.info("event=hand_over_failed part=%d error=%s", part, error)
+            log.info("event=hand_over_failed shard=%d error=%s", shard, error)
         finally:
-            self._busy.discard(part)
+            self._busy.discard(shard)
 
     async def _claim_fleet(self) -> None:
         value = self._replica.value(FLEET)
@@ -298,15 +298,15 @@
 
     # -- what the watch says
 
-    def _part_changed(self, key: str, value: bytes | None, revision: int) -> None:
-        part = int(key.removeprefix(PARTS))
-        self._seen.add(part)
+    def _shard_changed(self, key: str, value: bytes | None, revision: int) -> None:
+        shard = int(key.removeprefix(SHARD_LEADERS))
+        self._seen.add(shard)
         if value is None:
             self._freed.set()
-        claim = self.parts.get(part)
-        if claim is not None and part not in self._busy and revision > claim.term:
-            log.warning("event=deposed part=%d term=%d", part, claim.term)
-            self._drop(part)
+        claim = self.shards.get(shard)
+        if claim is not None and shard not in self._busy and revision > claim.term:
+            log.warning("event=deposed shard=%d term=%d", shard, claim.term)
+            self._drop(shard)
 
     def _fleet_changed(self, key: str, value: bytes | None, revision: int) -> None:
         if self.fleet is not None and revision > self.fleet:
--- a/badgerroute/coordination/quotas/__init__.py
+++ b/badgerroute/coordination/quotas/__init__.py
@@ -1,4 +1,4 @@
-"""The parts' shares of each team's limit.
+"""The shards' shares of each team's limit.
 
 Owns the share records. Imports nothing of the other coordination packages.
 """
--- a/badgerroute/coordination/quotas/team_quotas.py
+++ b/badgerroute/coordination/quotas/team_quotas.py
@@ -1,7 +1,7 @@
-"""Teams' limits, divided among the parts as shares.
+"""Teams' limits, divided among the shards as shares.
 
-One key per team holds every part's share, and their sum never exceeds the limit. A part's owner starts tasks only
-within its share, raises its own from what nobody holds, and lowers its own, or gives it to another part, only by
+One key per team holds every shard's share, and their sum never exceeds the limit. A shard's owner starts tasks only
+within its share, raises its own from what nobody holds, and lowers its own, or gives it to another shard, only by
 what is unused.
 """
 
@@ -35,7 +35,7 @@
 
 
 class TeamQuotas:
-    """The shares that parts hold of teams' limits, as they are written down."""
+    """The shares that shards hold of teams' limits, as they are written down."""
 
     def __init__(
         self,
@@ -65,22 +65,22 @@
     def _record(self, team: str) -> ShareRecord:
         return self._records.get(team) or ShareRecord({})
 
-    def of(self, part: int, team: str) -> tuple[float, float]:
-        """What a part may use of a team's limit; what has none needs no shares."""
-        share = self._held(part, team)
+    def of(self, shard: int, team: str) -> tuple[float, float]:
+        """What a shard may use of a team's limit; what has none needs no shares."""
+        share = self._held(shard, team)
         if team not in self.teams:
             return share
         cpus, gpus = self.teams[team].limits
         return inf if cpus == inf else share[0], inf if gpus == inf else share[1]
 
-    def _held(self, part: int, team: str) -> tuple[float, float]:
-        """A part's share as it is written down. While we give some away, it counts as given already."""
-        share = self._record(team).shares.get(str(part), NONE)
-        low = self._committed.get((part, team))
+    def _held(self, shard: int, team: str) -> tuple[float, float]:
+        """A shard's share as it is written down. While we give some away, it counts as given already."""
+        share = self._record(team).shares.get(str(shard), NONE)
+        low = self._committed.get((shard, team))
         return share if low is None else (min(share[0], low[0]), min(share[1], low[1]))
 
     def unheld(self, team: str) -> Room:
-        """What of a team's limit no part holds."""
+        """What of a team's limit no shard holds."""
         cpus, gpus = self.teams[team].limits
         held = self._record(team).shares.values()
         return Room(cpus - sum(share[0] for share in held), gpus - sum(share[1] for share in held))
@@ -90,7 +90,7 @@
         cpus, gpus = self.teams[team].limits
         return Room(0.0 if cpus == inf else lack.cpus, 0.0 if gpus == inf else lack.accelerators)
 
-    async def raise_own(self, part: int, team: str, lack: Room) -> bool:
+    async def raise_own(self, shard: int, team: str, lack: Room) -> bool:
         """Take what is lacking from what nobody holds; whether all of it was there."""
         if team not in self.teams or team in self._writing:
             return False
@@ -98,22 +98,22 @@
         cpus = max(0.0, min(lack.cpus, free.cpus))
         gpus = max(0.0, min(lack.accelerators, free.accelerators))
         if cpus > EPSILON or gpus > EPSILON:
-            share = self._held(part, team)
-            await self._write(team, part, {part: (share[0] + cpus, share[1] + gpus)})
+            share = self._held(shard, team)
+            await self._write(team, shard, {shard: (share[0] + cpus, share[1] + gpus)})
         return cpus >= lack.cpus - EPSILON and gpus >= lack.accelerators - EPSILON
 
     def ask(
-        self, part: int, team: str, lack: Room, age: timedelta, rank: tuple[float, float, float] | None, used: float
+        self, shard: int, team: str, lack: Room, age: timedelta, rank: tuple[float, float, float] | None, used: float
     ) -> ShareRequest | None:
         """The question to the siblings, not more than once in a while."""
         now = self._loop.now()
-        if now - self._asked.get((part, team), -ASK_AGAIN) < ASK_AGAIN:
+        if now - self._asked.get((shard, team), -ASK_AGAIN) < ASK_AGAIN:
             return None
-        self._asked[part, team] = now
-        return ShareRequest(part, team, lack.cpus, lack.accelerators, age.total_seconds(), rank, used)
+        self._asked[shard, team] = now
+        return ShareRequest(shard, team, lack.cpus, lack.accelerators, age.total_seconds(), rank, used)
 
     async def give(self, giver: int, taker: int, team: str, lack: Room, spare: Room) -> None:
-        """Move some of a part's unused share to another part."""
+        """Move some of a shard's unused share to another shard."""
         if team not in self.teams or team in self._writing or giver == taker:
             return
         lack = self._limited(team, lack)
@@ -137,8 +137,8 @@
         if condition is None:
             return False
         shares = dict(self._record(team).shares)
-        for part, share in changed.items():
-            shares[str(part)] = (round(share[0], 6), round(share[1], 6))
+        for shard, share in changed.items():
+            shares[str(shard)] = (round(share[0], 6), round(share[1], 6))
         cpus, gpus = self.teams[team].limits
         if (
             sum(share[0] for share in shares.values()) > cpus + EPSILON
--- a/badgerroute/coordination/requests/__init__.py
+++ b/badgerroute/coordination/requests/__init__.py
@@ -1,4 +1,4 @@
-"""What users, workers and other parts ask for, and who answers it.
+"""What users, workers and other shards ask for, and who answers it.
 
 Imports every other coordination package.
 """
--- a/badgerroute/coordination/requests/mesh_messages.py
+++ b/badgerroute/coordination/requests/mesh_messages.py
@@ -4,10 +4,10 @@
 from badgerroute.coordination.jobs.job_store import JobStore
 from badgerroute.coordination.membership.forwarding import RequestForwarder
 from badgerroute.coordination.membership.mesh import Mesh
-from badgerroute.coordination.membership.part_hand_over import PartHandOver
+from badgerroute.coordination.membership.shard_hand_over import ShardHandOver
 from badgerroute.coordination.membership.siblings import Siblings
 from badgerroute.coordination.ownership.claims import Claims
-from badgerroute.coordination.requests.part_requests import PartRequests
+from badgerroute.coordination.requests.shard_requests import ShardRequests
 from badgerroute.protocol import mesh as wire
 from badgerroute.settings import Settings
 from badgerroute.storage.replica import Replica
@@ -25,8 +25,8 @@
         replica: Replica,
         claims: Claims,
         siblings: Siblings,
-        requests: PartRequests,
-        hand_over: PartHandOver,
+        requests: ShardRequests,
+        hand_over: ShardHandOver,
         forwarder: RequestForwarder,
         job_store: JobStore,
         cancellation_broadcast: CancellationBroadcast,
@@ -63,8 +63,8 @@
 
     def _on_gossip(self, message: wire.Gossip) -> None:
         self._siblings.hear(message)
-        for summary in message.parts:
-            self._claims.outranked(summary.part, summary.term)
+        for summary in message.shards:
+            self._claims.outranked(summary.shard, summary.term)
 
     def _on_push(self, message: wire.Push) -> None:
         if self._replica.ready.done:
--- a/badgerroute/coordination/requests/report_desk.py
+++ b/badgerroute/coordination/requests/report_desk.py
@@ -1,4 +1,4 @@
-"""Reports of workers: answered for machines of our parts, relayed or redirected for those of others."""
+"""Reports of workers: answered for machines of our shards, relayed or redirected for those of others."""
 
 import zlib
 from datetime import timedelta
@@ -11,8 +11,8 @@
 from badgerroute.coordination.membership.mesh import Mesh
 from badgerroute.coordination.membership.siblings import Sibling, Siblings
 from badgerroute.coordination.ownership.action_gate import ActionGate
-from badgerroute.coordination.parts.owner import Owner
 from badgerroute.coordination.requests.responses import answer, come_back, error
+from badgerroute.coordination.shards.owner import Owner
 from badgerroute.protocol.common import MalformedError
 from badgerroute.protocol.mesh import MisdirectedReport
 from badgerroute.protocol.workers import Redirect, Report, parse_report
@@ -61,13 +61,13 @@
             self._worker_link.reached(self._loop.now())
         if report.machine in self._deleted:
             return come_back("this machine was deleted")  # a late copy, whatever it says
-        part = self._part_of(report.machine)
-        owner = self._owners.get(part)
+        shard = self._shard_of(report.machine)
+        owner = self._owners.get(shard)
         if owner is not None:
             return await self._answer(owner, report, relay)
         if relay is not None:
             return come_back("not the owner")  # what was passed on once is not passed on again
-        return await self._not_ours(request, report, part)
+        return await self._not_ours(request, report, shard)
 
     async def _answer(self, owner: Owner, report: Report, relay: str | None) -> Response:
         if not owner.ready or not self._permits.allows_for(owner.number, Action.ANSWER_REPORT):
@@ -77,18 +77,18 @@
         result = await owner.checkin(report, relay is not None)
         return come_back("can't act on this report now") if result is None else answer(200, result)
 
-    async def _not_ours(self, request: Request, report: Report, part: int) -> Response:
-        host = self._siblings.owner(part)
+    async def _not_ours(self, request: Request, report: Report, shard: int) -> Response:
+        host = self._siblings.owner(shard)
         if host is None or host == self._host:
             return answer(421, Redirect())
         sibling = self._siblings.get(host)
-        lacks_workers = self._lacks_workers(sibling, part)
+        lacks_workers = self._lacks_workers(sibling, shard)
         relayed = await self._relay(request, report, sibling, lacks_workers)
         if relayed is not None:
             return relayed
         if lacks_workers:
             # Sent back there, it would wait in vain once more, and by then its lease is over.
-            self._mesh.send(host, MisdirectedReport(part, report.machine, self._host))
+            self._mesh.send(host, MisdirectedReport(shard, report.machine, self._host))
             return come_back("its owner does not hear its workers")
         return answer(421, Redirect(host))
 
@@ -112,18 +112,18 @@
         self.relayed += 1
         return response
 
-    def _lacks_workers(self, sibling: Sibling | None, part: int) -> bool:
+    def _lacks_workers(self, sibling: Sibling | None, shard: int) -> bool:
         """Whether machines would go to their owner in vain. One that hears workers again says so by its mode."""
         mode = None if sibling is None else sibling.mode
         if mode in (Mode.UNHEARD, Mode.RECOVERING):
             return mode is Mode.UNHEARD
-        return any(summary.part == part and summary.silent for summary in self._siblings.summaries())
+        return any(summary.shard == shard and summary.silent for summary in self._siblings.summaries())
 
-    def _part_of(self, name: str) -> int:
+    def _shard_of(self, name: str) -> int:
         value = self._replica.value(MACHINES + name)
         if value is not None:
-            return records.read(value, records.MachineRecord).part
-        # Not a member yet: names in a row go to different parts, so each gets its mix of types and zones.
+            return records.read(value, records.MachineRecord).shard
+        # Not a member yet: names in a row go to different shards, so each gets its mix of types and zones.
         digits = name[len(name.rstrip("0123456789")) :]
         number = int(digits) if digits else zlib.crc32(name.encode())
         return number % self._settings.params.size
--- a/badgerroute/coordination/requests/part_requests.py
+++ b/badgerroute/coordination/requests/shard_requests.py
@@ -1,4 +1,4 @@
-"""Requests between parts: for waiting work, for share of a team's limit, for machines.
+"""Requests between shards: for waiting work, for share of a team's limit, for machines.
 
 Each goes to the owner of what is asked for, ours or a sibling's, who decides and writes. One that is lost costs time.
 """
@@ -10,16 +10,16 @@
 from badgerroute.coordination.membership.siblings import Siblings
 from badgerroute.coordination.ownership.action_gate import ActionGate
 from badgerroute.coordination.ownership.claims import Claims
-from badgerroute.coordination.parts.owner import Owner
-from badgerroute.protocol.mesh import FreeCapacity, MachineLoanRequest, PartSummary, ShareRequest, StealRequest
+from badgerroute.coordination.shards.owner import Owner
+from badgerroute.protocol.mesh import FreeCapacity, MachineLoanRequest, ShardSummary, ShareRequest, StealRequest
 from badgerroute.scheduling.capacities import fits_capacity
 from badgerroute.transport.loop import Group, Loop
 
 STEAL_ROUND = timedelta(milliseconds=500)
 
 
-class PartRequests:
-    """Sends the requests of our parts, and has those that reach us carried out."""
+class ShardRequests:
+    """Sends the requests of our shards, and has those that reach us carried out."""
 
     def __init__(
         self,
@@ -35,11 +35,11 @@
         self._siblings, self._mesh, self._owners = siblings, mesh, owners
 
     async def steal_duty(self) -> None:
-        """Idle parts ask busy ones for waiting tasks, one request per part and period."""
+        """Idle shards ask busy ones for waiting tasks, one request per shard and period."""
         while True:
             await self._loop.sleep(STEAL_ROUND)
             for owner in list(self._owners.values()):
-                if not owner.ready or not owner.part.settled:
+                if not owner.ready or not owner.shard.settled:
                     continue
                 if self._permits.allows_for(owner.number, Action.GIVE_WORK):
                     await owner.migration.pass_on_gangs(self._siblings.summaries())
@@ -53,12 +53,12 @@
         short = owner.migration.short_teams()
         if owner.migration.has_work_for(capacities, short):
             return
-        victim = busiest_part(self._siblings.summaries(), owner.number, capacities, short)
+        victim = busiest_shard(self._siblings.summaries(), owner.number, capacities, short)
         if victim is not None:
             self.steal_from(victim, StealRequest(victim, owner.number, capacities, images, sorted(short)))
 
     def steal_from(self, victim: int, message: StealRequest) -> None:
-        """Ask a part, ours or a sibling's, for waiting tasks."""
+        """Ask a shard, ours or a sibling's, for waiting tasks."""
         if victim in self._owners:
             self._group.spawn(self._owners[victim].migration.on_steal(message), "steal")
         else:
@@ -67,50 +67,50 @@
                 self._mesh.send(host, message)
 
     def on_steal(self, message: StealRequest) -> None:
-        """A sibling's part asks one of ours for waiting tasks."""
+        """A sibling's shard asks one of ours for waiting tasks."""
         owner = self._owners.get(message.victim)
         if owner is not None and owner.ready:
             self._group.spawn(owner.migration.on_steal(message), "steal")
 
     def ask_machines(self, message: MachineLoanRequest) -> None:
-        """Ask every other part for empty machines."""
+        """Ask every other shard for empty machines."""
         self._mesh.broadcast(message)
         self.lend(message)
 
     def lend(self, message: MachineLoanRequest) -> None:
-        """Have our other parts lend what they can."""
-        for owner in self._others(message.part):
+        """Have our other shards lend what they can."""
+        for owner in self._others(message.shard):
             self._group.spawn(owner.loans.lend(message), "lend")
 
     def ask_share(self, message: ShareRequest) -> None:
-        """Ask every other part for share of a team's limit."""
+        """Ask every other shard for share of a team's limit."""
         self._mesh.broadcast(message)
         self.give_share(message)
 
     def give_share(self, message: ShareRequest) -> None:
-        """Have our other parts give what they can spare."""
-        for owner in self._others(message.part):
+        """Have our other shards give what they can spare."""
+        for owner in self._others(message.shard):
             self._group.spawn(owner.shares.give(message), "give-share")
 
-    def _others(self, part: int) -> list[Owner]:
-        return [owner for owner in self._owners.values() if owner.ready and owner.number != part]
+    def _others(self, shard: int) -> list[Owner]:
+        return [owner for owner in self._owners.values() if owner.ready and owner.number != shard]
 
 
-def busiest_part(
-    summaries: list[PartSummary], thief: int, capacities: list[FreeCapacity], short: set[str]
+def busiest_shard(
+    summaries: list[ShardSummary], thief: int, capacities: list[FreeCapacity], short: set[str]
 ) -> int | None:
-    """The part where most waits that would fit the thief's room.
+    """The shard where most waits that would fit the thief's room.
 
-    What fits nowhere there once drew every request to itself, while a third part's work waited beside room for it.
+    What fits nowhere there once drew every request to itself, while a third shard's work waited beside room for it.
     """
     waiting = {
-        summary.part: sum(
+        summary.shard: sum(
             demand.count * max(demand.cpus, demand.accelerators)
             for demand in summary.demands
             if demand.team not in short and any(fits_capacity(demand, capacity) for capacity in capacities)
         )
         for summary in summaries
-        if summary.part != thief and summary.settled
+        if summary.shard != thief and summary.settled
     }
-    busiest = max(waiting, key=lambda part: waiting[part], default=None)
+    busiest = max(waiting, key=lambda shard: waiting[shard], default=None)
     return busiest if busiest is not None and waiting[busiest] > 0 else None
--- a/badgerroute/coordination/requests/user_desk.py
+++ b/badgerroute/coordination/requests/user_desk.py
@@ -88,6 +88,6 @@
         ]
         if not able:
             return None
-        target = min(able, key=lambda sibling: (sibling.gossip.isolated, len(sibling.gossip.parts)))
+        target = min(able, key=lambda sibling: (sibling.gossip.isolated, len(sibling.gossip.shards)))
         response = await self._forwarder.forward(target.gossip.host, request, FORWARD_LIMIT)
         return response if response is not None and response.status != UNAVAILABLE else None
--- a/badgerroute/coordination/requests/users.py
+++ b/badgerroute/coordination/requests/users.py
@@ -11,7 +11,7 @@
 from badgerroute.coordination.requests.split import split
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.common import MalformedError
-from badgerroute.protocol.mesh import PartSummary
+from badgerroute.protocol.mesh import ShardSummary
 from badgerroute.protocol.users import REF, Submission, parse_submission
 from badgerroute.scheduling.model import Room, capacity_of, need_of
 from badgerroute.settings import Params, Team
@@ -35,7 +35,7 @@
         pager: RecordPager,
         replica: Replica,
         catalog: dict[str, MachineType],
-        summaries: Callable[[], list[PartSummary]],
+        summaries: Callable[[], list[ShardSummary]],
         running: Callable[[str], int],
     ) -> None:
         self._size, self._replica, self._catalog = params.size, replica, catalog
--- a/badgerroute/coordination/parts/deleted_machines.py
+++ b/badgerroute/coordination/shards/deleted_machines.py
@@ -3,9 +3,9 @@
 import logging
 from datetime import timedelta
 
-from badgerroute.coordination.parts.services import Services
+from badgerroute.coordination.shards.services import Services
 from badgerroute.protocol.state import Put, Remove
-from badgerroute.scheduling.part import Part
+from badgerroute.scheduling.shard import Shard
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
 from badgerroute.storage.records import DeletedMachinesRecord
@@ -29,10 +29,10 @@
 
 
 class DeletedMachines:
-    """One part's deleted machines, in pages of its own."""
+    """One shard's deleted machines, in pages of its own."""
 
-    def __init__(self, part: Part, services: Services) -> None:
-        self._part, self._publish = part, services.publish
+    def __init__(self, shard: Shard, services: Services) -> None:
+        self._shard, self._publish = shard, services.publish
         self._loop, self._state, self._replica = services.loop, services.state, services.replica
         self._claims = services.claims
         self._most_members = 0
@@ -45,16 +45,16 @@
         """
         now = self._loop.now()
         for name in names:
-            self._part.remove_machine(name, now)
-        self._part.settle()
-        while names and self._part.number in self._claims.parts:
+            self._shard.remove_machine(name, now)
+        self._shard.settle()
+        while names and self._shard.number in self._claims.shards:
             key, known = self._page()
             batch = names[: min(self._state.max_changes - 1, self._names_per_page - len(known), MAX_MACHINES_PER_WRITE)]
             gone = records.write(DeletedMachinesRecord([*known, *(name for name in batch if name not in known)]))
             members = [MACHINES + name for name in batch if self._replica.revision_of(MACHINES + name)]
             changes: list[Put | Remove] = [put(key, gone), *(remove(key) for key in members)]
             # On the page as we know it: carried out late, an older write of it would strike newer names off.
-            conditions = [self._claims.condition(self._part.number), when(key, self._replica.revision_of(key))]
+            conditions = [self._claims.condition(self._shard.number), when(key, self._replica.revision_of(key))]
             try:
                 at = await self._state.transact(conditions, changes, Urgency.PROGRESS)
             except (StateUnavailableError, OutcomeUnknownError, ConflictError, LeaseExpiredError) as error:
@@ -72,9 +72,9 @@
         A page is small, since each deletion writes one anew; there are pages for twice as many machines as we have ever
         had at once, and when all are full the oldest begins anew.
         """
-        prefix = f"{DELETED}{self._part.number}/"
+        prefix = f"{DELETED}{self._shard.number}/"
         pages = sorted(self._replica.under(prefix), key=self._replica.revision_of)
-        self._most_members = max(self._most_members, len(self._part.machines))
+        self._most_members = max(self._most_members, len(self._shard.machines))
         if pages:
             known = records.read(self._replica.stored(pages[-1]), DeletedMachinesRecord).names
             if len(known) < self._names_per_page:
--- a/badgerroute/coordination/parts/fencing.py
+++ b/badgerroute/coordination/shards/fencing.py
@@ -1,13 +1,13 @@
-"""Fencing: machines of a part are told of its term, so that no former owner can command them any more."""
+"""Fencing: machines of a shard are told of its term, so that no former owner can command them any more."""
 
 import logging
 from datetime import timedelta
 
 from badgerroute.connectivity.modes import Action
-from badgerroute.coordination.parts.machine_commands import MachineCommands
-from badgerroute.coordination.parts.services import Services
+from badgerroute.coordination.shards.machine_commands import MachineCommands
+from badgerroute.coordination.shards.services import Services
 from badgerroute.scheduling.model import Machine
-from badgerroute.scheduling.part import Part
+from badgerroute.scheduling.shard import Shard
 from badgerroute.transport.loop import Group
 
 log = logging.getLogger("badgerroute.owner")
@@ -19,8 +19,8 @@
 class Fencing:
     """Repeats an empty command to each machine until its task list is known in our term, or it is gone."""
 
-    def __init__(self, part: Part, services: Services, group: Group, commands: MachineCommands) -> None:
-        self._part, self._group, self._commands = part, group, commands
+    def __init__(self, shard: Shard, services: Services, group: Group, commands: MachineCommands) -> None:
+        self._shard, self._group, self._commands = shard, group, commands
         self._loop, self._delete, self._permits = services.loop, services.delete_machines, services.permits
         self._fencing: set[str] = set()
         self._asked: dict[str, timedelta] = {}  # when the first command to a machine left
@@ -35,7 +35,7 @@
     async def _fence_one(self, machine: Machine) -> None:
         """Tell a member of the new term until its list is known and it hears us, or it is gone."""
         try:
-            while self._part.machines.get(machine.name) is machine and (not machine.fenced or machine.unreachable):
+            while self._shard.machines.get(machine.name) is machine and (not machine.fenced or machine.unreachable):
                 # A command may wait seconds for its turn where there are thousands: that is no silence of the machine.
                 if not await self._commands.send(machine, [], leaves=lambda: self._note_asked(machine)):
                     self._give_up_if_silent(machine)
@@ -59,7 +59,7 @@
     def _give_up(self, machine: Machine) -> None:
         if machine.name not in self._given_up:
             self._given_up.add(machine.name)
-            log.info("event=silent_member machine=%s part=%d", machine.name, self._part.number)
+            log.info("event=silent_member machine=%s shard=%d", machine.name, self._shard.number)
             self._delete([machine.name])
 
     def given_up(self, machine: Machine) -> bool:
@@ -68,4 +68,4 @@
 
     def _patience(self) -> timedelta:
         """If most members are silent, the fault is more likely on our side: don't have them all deleted at once."""
-        return GIVE_UP if 2 * len(self._fencing) <= len(self._part.machines) + 3 else LONG_GIVE_UP
+        return GIVE_UP if 2 * len(self._fencing) <= len(self._shard.machines) + 3 else LONG_GIVE_UP
--- a/badgerroute/coordination/parts/forecast.py
+++ b/badgerroute/coordination/shards/forecast.py
@@ -1,6 +1,6 @@
 """What can be expected of each unfinished job: does it lie within its team's guarantee, can it be in time?
 
-Every controller works this out for all jobs, from what all of them know, so that the parts of one job agree on it.
+Every controller works this out for all jobs, from what all of them know, so that the shards of one job agree on it.
 """
 
 from collections.abc import Callable
@@ -8,9 +8,9 @@
 from math import inf
 
 from badgerroute.coordination.jobs.job_store import JobStore
-from badgerroute.coordination.parts.owner import Owner
+from badgerroute.coordination.shards.owner import Owner
 from badgerroute.protocol.cloud import MachineType
-from badgerroute.protocol.mesh import PartSummary
+from badgerroute.protocol.mesh import ShardSummary
 from badgerroute.scheduling import ladder
 from badgerroute.scheduling.feasible import Load, tiers
 from badgerroute.scheduling.inheritance import InheritancePass, Inherited
@@ -41,7 +41,7 @@
         replica: Replica,
         catalog: dict[str, MachineType],
         owners: dict[int, Owner],
-        summaries: Callable[[], list[PartSummary]],
+        summaries: Callable[[], list[ShardSummary]],
     ) -> None:
         self._loop, self._job_store, self._replica, self._catalog = loop, job_store, replica, catalog
         self._owners, self._summaries = owners, summaries
@@ -73,13 +73,13 @@
         ranks = self._tiers(left, within, needed)
         now, today = self._loop.now(), self._today()
         for owner in self._owners.values():
-            for job in owner.part.jobs.values():
+            for job in owner.shard.jobs.values():
                 job.guaranteed = within.get(job.ref, False)
                 job.tier = ranks.get(job.ref, 0)
                 active = self._job_store.active.get(job.ref)
                 if active is None:
                     continue
-                owner.part.set_level(job, self._job_store.level(job.ref))
+                owner.shard.set_level(job, self._job_store.level(job.ref))
                 due = needed.get(job.ref)
                 job.start_by = None if due is None else now + timedelta(seconds=due - today) - self._run_time(active)
 
@@ -121,7 +121,7 @@
             for ref, count in summary.running.items():
                 running[ref] = running.get(ref, 0) + count
         today = self._today()
-        failing = {job.ref for owner in self._owners.values() for job in owner.part.jobs.values() if job.failing}
+        failing = {job.ref for owner in self._owners.values() for job in owner.shard.jobs.values() if job.failing}
         groups: dict[tuple[int, bool], list[Load]] = {}
         starving: set[str] = set()
         for ref, count in left.items():
@@ -159,8 +159,8 @@
     def _run_time(self, record: JobRecord) -> timedelta:
         correction = 1.0
         for owner in self._owners.values():
-            correction = owner.part.estimates.correction(record.job.job_class)
-            job = owner.part.jobs.get(record.job.ref)
+            correction = owner.shard.estimates.correction(record.job.job_class)
+            job = owner.shard.jobs.get(record.job.ref)
             if job is not None:
                 return ladder.run_time(job, correction)
         return timedelta(seconds=record.job.estimate_s * correction)
--- a/badgerroute/coordination/parts/machine_commands.py
+++ b/badgerroute/coordination/shards/machine_commands.py
@@ -4,11 +4,11 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from badgerroute.coordination.parts.services import Services
+from badgerroute.coordination.shards.services import Services
 from badgerroute.protocol.common import MalformedError, encode
 from badgerroute.protocol.workers import Command, DirectCommands, Report, parse_report
 from badgerroute.scheduling.model import Machine
-from badgerroute.scheduling.part import Part
+from badgerroute.scheduling.shard import Shard
 from badgerroute.storage.state import LeaseExpiredError, OutcomeUnknownError, StateUnavailableError
 from badgerroute.transport.http import Client, NoAnswerError
 from badgerroute.transport.loop import Future
@@ -23,8 +23,8 @@
 class MachineCommands:
     """`received` takes in the task list that a machine answers with."""
 
-    def __init__(self, part: Part, services: Services, received: Callable[[Machine, Report], None]) -> None:
-        self._part, self._received = part, received
+    def __init__(self, shard: Shard, services: Services, received: Callable[[Machine, Report], None]) -> None:
+        self._shard, self._received = shard, received
         self._loop, self._network, self._gate = services.loop, services.network, services.gate
         self._claims = services.claims
         self._raising: Future | None = None
@@ -49,7 +49,7 @@
     async def _send(self, client: Client, machine: Machine, commands: list[Command]) -> bool:
         commands = [command for command in commands if command.kind != "start"]
         for _ in range(MAX_SENDS):
-            body = encode(DirectCommands(self._part.term, machine.session, commands))
+            body = encode(DirectCommands(self._shard.term, machine.session, commands))
             try:
                 response = await client.request("POST", "/do", body, DIRECT_LIMIT)
             except NoAnswerError:
@@ -61,12 +61,12 @@
             except MalformedError as error:
                 log.warning("event=bad_direct_answer machine=%s error=%s", machine.name, error)
                 return False
-            if self._part.machines.get(machine.name) is not machine or report.machine != machine.name:
+            if self._shard.machines.get(machine.name) is not machine or report.machine != machine.name:
                 return False
             self._received(machine, report)
             if response.status == 200:
                 return True
-            if report.token > self._part.term and not await self.raise_term():
+            if report.token > self._shard.term and not await self.raise_term():
                 return False
         return False
 
@@ -81,12 +81,12 @@
         self._raising = Future()
         raised = False
         try:
-            term = await self._claims.raise_term(self._part.number)
+            term = await self._claims.raise_term(self._shard.number)
         except (StateUnavailableError, OutcomeUnknownError, LeaseExpiredError) as error:
-            log.info("event=raise_failed part=%d error=%s", self._part.number, error)
+            log.info("event=raise_failed shard=%d error=%s", self._shard.number, error)
         else:
             if term is not None:
-                self._part.term = term
+                self._shard.term = term
                 raised = True
         finally:
             self._raising.set(raised)
--- a/badgerroute/coordination/parts/machine_loans.py
+++ b/badgerroute/coordination/shards/machine_loans.py
@@ -1,15 +1,15 @@
-"""Machine loans: the owner of empty machines gives them to a part that is too small for a gang, in one write."""
+"""Machine loans: the owner of empty machines gives them to a shard that is too small for a gang, in one write."""
 
 import logging
 from collections.abc import Callable
 from datetime import timedelta
 
 from badgerroute.connectivity.modes import Action
-from badgerroute.coordination.parts.services import Services
+from badgerroute.coordination.shards.services import Services
 from badgerroute.protocol.mesh import MachineLoanRequest
 from badgerroute.protocol.state import Put
 from badgerroute.scheduling.model import Machine, allows, need_of
-from badgerroute.scheduling.part import Part
+from badgerroute.scheduling.shard import Shard
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
 from badgerroute.storage.records import MachineRecord
@@ -28,36 +28,36 @@
 
 
 class MachineLoans:
-    """`active` tells whether the part's owner is still the one it was."""
+    """`active` tells whether the shard's owner is still the one it was."""
 
-    def __init__(self, part: Part, services: Services, group: Group, active: Callable[[], bool]) -> None:
-        self._part, self._loop, self._group, self._active = part, services.loop, group, active
+    def __init__(self, shard: Shard, services: Services, group: Group, active: Callable[[], bool]) -> None:
+        self._shard, self._loop, self._group, self._active = shard, services.loop, group, active
         self._state, self._replica, self._claims = services.state, services.replica, services.claims
         self._permits = services.permits
         self._publish = services.publish
 
     def _acting(self) -> bool:
-        """An owner that has ended must give nothing away, even if this controller holds the part again."""
-        return self._active() and self._permits.allows_for(self._part.number, Action.LEND_MACHINES)
+        """An owner that has ended must give nothing away, even if this controller holds the shard again."""
+        return self._active() and self._permits.allows_for(self._shard.number, Action.LEND_MACHINES)
 
     async def lend(self, message: MachineLoanRequest) -> None:
-        """Give empty machines to a part that is too small for a gang, in one conditional write.
+        """Give empty machines to a shard that is too small for a gang, in one conditional write.
 
         Only a machine with nothing on it and no start on its way is given, and from before the write on nothing
         starts on it here.
         """
-        if not self._part.settled or not self._acting():
+        if not self._shard.settled or not self._acting():
             return
         given = self._lendable(message)
         if not given:
             return
-        puts = [self._transfer(machine, message.part) for machine in given]
-        conditions = [self._claims.condition(self._part.number)]
+        puts = [self._transfer(machine, message.shard) for machine in given]
+        conditions = [self._claims.condition(self._shard.number)]
         conditions += [when(change.key, self._replica.revision_of(change.key)) for change in puts]
         try:
             at = await self._state.transact(conditions, puts, Urgency.PROGRESS)
         except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
-            log.debug("event=lend_failed part=%d error=%s", self._part.number, error)
+            log.debug("event=lend_failed shard=%d error=%s", self._shard.number, error)
             for machine in given:
                 machine.draining = False
         except OutcomeUnknownError:
@@ -66,9 +66,9 @@
                 self._group.spawn(self._settle_machine(machine), "settle-lend")
         else:
             log.info(
-                "event=machines_lent part=%d to=%d machines=%s",
-                self._part.number,
-                message.part,
+                "event=machines_lent shard=%d to=%d machines=%s",
+                self._shard.number,
+                message.shard,
                 ",".join(machine.name for machine in given),
             )
             for change in puts:
@@ -80,7 +80,7 @@
         need = need_of(message.job)
         lendable: list[Machine] = []
         slots = 0
-        for machine in self._part.machines.values():
+        for machine in self._shard.machines.values():
             if slots >= message.count or len(lendable) >= self._state.max_changes:
                 break
             fits = machine.usable and machine.empty and machine.held_for is None and machine.free.holds(need)
@@ -90,20 +90,20 @@
         return lendable
 
     @staticmethod
-    def _transfer(machine: Machine, part: int) -> Put:
-        """The record that makes a machine another part's; from here on nothing starts on it here."""
+    def _transfer(machine: Machine, shard: int) -> Put:
+        """The record that makes a machine another shard's; from here on nothing starts on it here."""
         machine.draining = True
-        record = MachineRecord(part, machine.address, machine.kind.name, machine.zone, machine.spot)
+        record = MachineRecord(shard, machine.address, machine.kind.name, machine.zone, machine.spot)
         return put(MACHINES + machine.name, records.write(record))
 
     async def _settle_machine(self, machine: Machine) -> None:
         key = MACHINES + machine.name
-        while self._part.machines.get(machine.name) is machine:
+        while self._shard.machines.get(machine.name) is machine:
             try:
                 item = await self._state.get(key, Urgency.COMPLETE)
-                if item is None or records.read(bytes(item.value), MachineRecord).part != self._part.number:
+                if item is None or records.read(bytes(item.value), MachineRecord).shard != self._shard.number:
                     return  # the watch brings it
-                conditions = [self._claims.condition(self._part.number), when(key, item.revision)]
+                conditions = [self._claims.condition(self._shard.number), when(key, item.revision)]
                 at = await self._state.transact(conditions, [put(key, item.value)], Urgency.COMPLETE)
                 self._replica.learn(key, bytes(item.value), at)
                 machine.draining = False
--- a/badgerroute/coordination/parts/member_registry.py
+++ b/badgerroute/coordination/shards/member_registry.py
@@ -1,9 +1,9 @@
-"""New members of a part, written down before the first start is sent to them."""
+"""New members of a shard, written down before the first start is sent to them."""
 
 import logging
 from datetime import timedelta
 
-from badgerroute.coordination.parts.services import Services
+from badgerroute.coordination.shards.services import Services
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
 from badgerroute.storage.records import MachineRecord
@@ -64,11 +64,11 @@
         batch = {
             name: record
             for name, record in batch.items()
-            if record.part in self._claims.parts and not self._replica.revision_of(MACHINES + name)
+            if record.shard in self._claims.shards and not self._replica.revision_of(MACHINES + name)
         }
         if not batch:
             return set()
-        conditions = [self._claims.condition(part) for part in {record.part for record in batch.values()}]
+        conditions = [self._claims.condition(shard) for shard in {record.shard for record in batch.values()}]
         conditions += [when(MACHINES + name, 0) for name in batch]
         values = {MACHINES + name: records.write(record) for name, record in batch.items()}
         try:
--- a/badgerroute/coordination/parts/migration.py
+++ b/badgerroute/coordination/shards/migration.py
@@ -1,4 +1,4 @@
-"""What a part trades with the others: gangs passed on, waiting tasks stolen from it, machines asked for.
+"""What a shard trades with the others: gangs passed on, waiting tasks stolen from it, machines asked for.
 
 Only the owner of a thing gives it away, in one conditional write; a lost request costs time, never safety.
 """
@@ -12,13 +12,13 @@
 import msgspec
 
 from badgerroute.connectivity.modes import Action
-from badgerroute.coordination.parts.services import Services
+from badgerroute.coordination.shards.services import Services
 from badgerroute.protocol import mesh as mesh_wire
 from badgerroute.protocol.state import Condition, Put
 from badgerroute.scheduling.capacities import ANY_ZONE, holds_whole_job, slots_by_zone
 from badgerroute.scheduling.model import Job, allows
-from badgerroute.scheduling.part import Part
 from badgerroute.scheduling.planner import Planner
+from badgerroute.scheduling.shard import Shard
 from badgerroute.scheduling.stealing import StealSelection, given_ranges
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _OwnershipWrite:
-    """A job's record that gives `given` of its tasks to another part, and the condition of its write."""
+    """A job's record that gives `given` of its tasks to another shard, and the condition of its write."""
 
     job: Job
     given: int
@@ -52,18 +52,18 @@
 
 
 class WorkMigration:
-    """`active` tells whether the part's owner is still the one it was; `changed` is told of jobs to read again."""
+    """`active` tells whether the shard's owner is still the one it was; `changed` is told of jobs to read again."""
 
     def __init__(
         self,
-        part: Part,
+        shard: Shard,
         planner: Planner,
         services: Services,
         group: Group,
         active: Callable[[], bool],
         changed: Callable[[str], None],
     ) -> None:
-        self.number, self.part, self.planner = part.number, part, planner
+        self.number, self.shard, self.planner = shard.number, shard, planner
         self._loop, self._group = services.loop, group
         self._state, self._replica, self._claims = services.state, services.replica, services.claims
         self._permits = services.permits
@@ -81,17 +81,17 @@
 
     def short_teams(self) -> set[str]:
         """Teams of which work waits here for want of a share: more of it would wait just as long."""
-        return {job.spec.team for job in self.part.jobs.values() if self.part.short_of_share(job)}
+        return {job.spec.team for job in self.shard.jobs.values() if self.shard.short_of_share(job)}
 
     def has_work_for(self, capacities: list[mesh_wire.FreeCapacity], short: set[str]) -> bool:
         """Whether something waits here that the free room could soon be used for.
 
         Any waiting job once counted, also one that no machine here may run, that its team's limit holds back, or that
-        fails everywhere: beside it a part's room lay idle, while other parts' tasks waited for room.
+        fails everywhere: beside it a shard's room lay idle, while other shards' tasks waited for room.
         """
         now = self._loop.now()
         seen: set[tuple] = set()  # jobs come in few shapes
-        for job in self.part.jobs.values():
+        for job in self.shard.jobs.values():
             spec = job.spec
             if job.failing or job.failed_on or spec.team in short or not job.startable or job.blocked_until > now:
                 continue
@@ -105,16 +105,16 @@
         return False
 
     def _acting(self) -> bool:
-        """An owner that has ended must give nothing away, even if this controller holds the part again."""
+        """An owner that has ended must give nothing away, even if this controller holds the shard again."""
         return self._active() and self._permits.allows_for(self.number, Action.GIVE_WORK)
 
-    async def pass_on_gangs(self, summaries: list[mesh_wire.PartSummary]) -> None:
-        """Give gangs for which there is no room here to a part that has some, or could make some."""
+    async def pass_on_gangs(self, summaries: list[mesh_wire.ShardSummary]) -> None:
+        """Give gangs for which there is no room here to a shard that has some, or could make some."""
         now = self._loop.now()
         for job in self.planner.unplaceable_gangs(now):
             if now - self._passed_on.get(job.ref, -PASS_ON_PAUSE) < PASS_ON_PAUSE:
                 continue
-            others = [summary for summary in summaries if summary.part != self.number and summary.settled]
+            others = [summary for summary in summaries if summary.shard != self.number and summary.settled]
             options = [summary for summary in others if holds_whole_job(job, summary.capacities)] or [
                 summary for summary in others if holds_whole_job(job, summary.soft.get(job.level, []))
             ]
@@ -129,22 +129,22 @@
                 key=lambda summary: (
                     -self._beside(job, summary),
                     sum(want.gang for want in summary.demands),
-                    summary.part,
+                    summary.shard,
                 ),
             )
             self._passed_on = {ref: at for ref, at in self._passed_on.items() if now - at < PASS_ON_PAUSE}
             self._passed_on[job.ref] = now
-            moved = record.with_ranges([TaskRange(target.part, 0, job.spec.tasks)])
-            log.info("event=gang_passed_on job=%s from=%d to=%d", job.ref, self.number, target.part)
-            await self._write_steal([(job.ref, moved)], target.part)
+            moved = record.with_ranges([TaskRange(target.shard, 0, job.spec.tasks)])
+            log.info("event=gang_passed_on job=%s from=%d to=%d", job.ref, self.number, target.shard)
+            await self._write_steal([(job.ref, moved)], target.shard)
 
-    def _request_loan(self, job: Job, now: timedelta, others: list[mesh_wire.PartSummary]) -> None:
-        """No part could hold the gang: gather empty machines here until it fits."""
+    def _request_loan(self, job: Job, now: timedelta, others: list[mesh_wire.ShardSummary]) -> None:
+        """No shard could hold the gang: gather empty machines here until it fits."""
         here: Counter[str] = Counter()  # by zone, if it must lie in one
         for machine, room in self.planner.room_without(job.level):
             if allows(job.spec, machine.kind.name, machine.zone, machine.spot):
                 here[machine.zone if job.spec.together else ANY_ZONE] += room.times(job.need)
-        for machine in self.part.machines.values():
+        for machine in self.shard.machines.values():
             if machine.held_for == job.ref:
                 here[machine.zone if job.spec.together else ANY_ZONE] += 1
         whole = here + sum((slots_by_zone(job, summary.capacities) for summary in others), Counter())
@@ -153,26 +153,26 @@
         # Room in two zones is no room for a gang that must lie in one: such a gang once waited for ever.
         zone = max(sorted(whole), key=lambda one: (min(job.spec.tasks, whole[one]), here[one]))
         lacking = job.spec.tasks - here[zone]
-        if lacking > 0 and self.part.fits_share(job, job.spec.tasks) >= job.spec.tasks:
+        if lacking > 0 and self.shard.fits_share(job, job.spec.tasks) >= job.spec.tasks:
             self._loan_request = (job.ref, now)
             self._passed_on[job.ref] = now
             spec = msgspec.structs.replace(job.spec, zone=zone) if zone else job.spec
             self._ask_machines(mesh_wire.MachineLoanRequest(self.number, spec, lacking))
 
     @staticmethod
-    def _beside(job: Job, one: mesh_wire.PartSummary) -> int:
-        """How many of a gang's tasks could find their image in a part."""
+    def _beside(job: Job, one: mesh_wire.ShardSummary) -> int:
+        """How many of a gang's tasks could find their image in a shard."""
         return min(job.spec.tasks, sum(room >= job.need.cpus for room in one.beside.get(job.spec.image, ())))
 
     async def on_steal(self, message: mesh_wire.StealRequest) -> None:
-        """An idle part wants work: give it tasks that wait here and fit there, in one conditional write."""
-        if not self.part.settled or not self._acting():
+        """An idle shard wants work: give it tasks that wait here and fit there, in one conditional write."""
+        if not self.shard.settled or not self._acting():
             return
-        selection = StealSelection(self.part, message.capacities, message.images, self._loop.now())
+        selection = StealSelection(self.shard, message.capacities, message.images, self._loop.now())
         changes: list[tuple[str, records.JobRecord]] = []
-        precedence = self.part.guidance.precedence
+        precedence = self.shard.guidance.precedence
         jobs = sorted(
-            self.part.jobs.values(), key=lambda job: (not job.guaranteed, -job.level, precedence(job), job.accepted)
+            self.shard.jobs.values(), key=lambda job: (not job.guaranteed, -job.level, precedence(job), job.accepted)
         )
         for job in jobs:
             if len(changes) >= min(MAX_JOBS_PER_STEAL, self._state.max_changes):
@@ -201,7 +201,7 @@
         try:
             at = await self._state.transact(conditions, puts, Urgency.PROGRESS)
         except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
-            log.debug("event=steal_failed part=%d error=%s", self.number, error)
+            log.debug("event=steal_failed shard=%d error=%s", self.number, error)
             if isinstance(error, ConflictError):
                 await self._refresh([write.put.key for write in writes])
         except OutcomeUnknownError:
@@ -210,7 +210,7 @@
                 self._group.spawn(self._settle(write.job, write.given), "settle-steal")
             return
         else:
-            log.info("event=steal part=%d thief=%d jobs=%d", self.number, thief, len(puts))
+            log.info("event=steal shard=%d thief=%d jobs=%d", self.number, thief, len(puts))
             for change in puts:
                 self._replica.learn(change.key, bytes(change.value), at)
                 self._publish(change.key, bytes(change.value), at)
@@ -219,7 +219,7 @@
 
     def _reserve(self, ref: str, record: records.JobRecord) -> _OwnershipWrite | None:
         """Put a job's tasks out of reach for the write that gives them away; None: they can't be given now."""
-        job = self.part.jobs.get(ref)
+        job = self.shard.jobs.get(ref)
         if job is None:
             return None
         if not self._pager.fits(record):
@@ -229,7 +229,7 @@
         given = job.owned & ~record.owned(self.number)
         if given & (job.placed_bits | job.giving):
             # Between the choice and this write a task of it was placed: once, a gang was passed on while the
-            # write for the gang before it took its time, and ran in both parts.
+            # write for the gang before it took its time, and ran in both shards.
             return None
         # Nothing of it starts here while the write is on its way. What we own may be read from the record again
         # meanwhile, by the settling of an earlier write for instance, so it is not enough to own it no more.
--- a/badgerroute/coordination/parts/owner.py
+++ b/badgerroute/coordination/shards/owner.py
@@ -1,4 +1,4 @@
-"""One owned part at work: taking it over, its members, its reports, its rounds of decisions."""
+"""One owned shard at work: taking it over, its members, its reports, its rounds of decisions."""
 
 import logging
 from dataclasses import dataclass
@@ -8,25 +8,25 @@
 from badgerroute.connectivity.modes import Action
 from badgerroute.coordination.jobs.job_writer import Progress
 from badgerroute.coordination.ownership.claims import Claim
-from badgerroute.coordination.parts import summary
-from badgerroute.coordination.parts.deleted_machines import DeletedMachines
-from badgerroute.coordination.parts.fencing import Fencing
-from badgerroute.coordination.parts.machine_commands import MachineCommands
-from badgerroute.coordination.parts.machine_loans import MachineLoans
-from badgerroute.coordination.parts.member_registry import MemberRegistry
-from badgerroute.coordination.parts.migration import WorkMigration
-from badgerroute.coordination.parts.part_log import log_state
-from badgerroute.coordination.parts.services import Services
-from badgerroute.coordination.parts.share_exchange import ShareExchange
-from badgerroute.coordination.parts.urgent_halts import UrgentHalts
+from badgerroute.coordination.shards import summary
+from badgerroute.coordination.shards.deleted_machines import DeletedMachines
+from badgerroute.coordination.shards.fencing import Fencing
+from badgerroute.coordination.shards.machine_commands import MachineCommands
+from badgerroute.coordination.shards.machine_loans import MachineLoans
+from badgerroute.coordination.shards.member_registry import MemberRegistry
+from badgerroute.coordination.shards.migration import WorkMigration
+from badgerroute.coordination.shards.services import Services
+from badgerroute.coordination.shards.shard_log import log_state
+from badgerroute.coordination.shards.share_exchange import ShareExchange
+from badgerroute.coordination.shards.urgent_halts import UrgentHalts
 from badgerroute.protocol import mesh as mesh_wire
 from badgerroute.protocol.workers import Report, ReportAnswer
 from badgerroute.scheduling import draining
 from badgerroute.scheduling.model import ZERO, Machine
 from badgerroute.scheduling.objectives import Objectives
-from badgerroute.scheduling.part import Part
 from badgerroute.scheduling.planner import Planner
 from badgerroute.scheduling.rental_planning import rents_ahead
+from badgerroute.scheduling.shard import Shard
 from badgerroute.storage import records
 from badgerroute.storage.records import MachineRecord
 from badgerroute.storage.replica import MACHINES
@@ -51,7 +51,7 @@
 
 
 class Owner:
-    """Everything a controller does for one part it owns. Ended by `close` when the claim is lost."""
+    """Everything a controller does for one shard it owns. Ended by `close` when the claim is lost."""
 
     def __init__(self, number: int, claim: Claim, services: Services) -> None:
         self.number = number
@@ -60,9 +60,9 @@
         self._permits, self._awake_since = services.permits, services.awake_since
         self._progressed, self._delete = services.progressed, services.delete_machines
         params = self._settings.params
-        self.group = Group(self._loop, f"{services.group.name}/part-{number}")
+        self.group = Group(self._loop, f"{services.group.name}/shard-{number}")
         quotas, now = services.quotas, self._loop.now()
-        self.part = Part(
+        self.shard = Shard(
             number,
             claim.term,
             lambda team: quotas.of(number, team),
@@ -72,38 +72,38 @@
             services.guidance(number),
         )
         objectives = Objectives(params.objectives)
-        self.planner = Planner(self.part, self._settings.operator.scheduling, objectives, params.workers.report)
+        self.planner = Planner(self.shard, self._settings.operator.scheduling, objectives, params.workers.report)
         self.grace = claim.grace
         self.ready = False
         self._window = records.window(services.state.max_value_bytes)
-        self.commands = MachineCommands(self.part, services, self._answered_directly)
-        self._fencing = Fencing(self.part, services, self.group, self.commands)
-        self._urgent_halts = UrgentHalts(self.part, self._loop, self.group, self.commands)
+        self.commands = MachineCommands(self.shard, services, self._answered_directly)
+        self._fencing = Fencing(self.shard, services, self.group, self.commands)
+        self._urgent_halts = UrgentHalts(self.shard, self._loop, self.group, self.commands)
         self.member_registry = MemberRegistry(services, self.group)
         self.migration = WorkMigration(
-            self.part, self.planner, services, self.group, lambda: self.ready, self.job_changed
+            self.shard, self.planner, services, self.group, lambda: self.ready, self.job_changed
         )
-        self.loans = MachineLoans(self.part, services, self.group, lambda: self.ready)
-        self.shares = ShareExchange(self.part, self.planner, services)
-        self.deleted_machines = DeletedMachines(self.part, services)
+        self.loans = MachineLoans(self.shard, services, self.group, lambda: self.ready)
+        self.shares = ShareExchange(self.shard, self.planner, services)
+        self.deleted_machines = DeletedMachines(self.shard, services)
         self.progress: set[str] = set()
-        self._summary: tuple[timedelta, mesh_wire.PartSummary] | None = None
+        self._summary: tuple[timedelta, mesh_wire.ShardSummary] | None = None
         self._silence: SilenceReading | None = None
 
     def start(self) -> None:
-        """Begin to take the part over."""
+        """Begin to take the shard over."""
         self.group.spawn(self._take_over(), "takeover")
 
     def close(self) -> None:
-        """End everything that is done for the part; the claim is lost."""
+        """End everything that is done for the shard; the claim is lost."""
         self.ready = False
         self.group.cancel()
 
     # -- takeover
 
     async def _take_over(self) -> None:
-        """Rebuild the part from the state service and its machines before anything is placed."""
-        await self._replica.caught_up(self.part.term)  # no write of the former owner comes after this
+        """Rebuild the shard from the state service and its machines before anything is placed."""
+        await self._replica.caught_up(self.shard.term)  # no write of the former owner comes after this
         while not self._catalog:
             await self._loop.sleep(timedelta(milliseconds=100))
         now = self._loop.now()
@@ -113,15 +113,15 @@
             self.job_changed(ref)
         self.ready = True
         log.info(
-            "event=takeover part=%d term=%d machines=%d jobs=%d",
+            "event=takeover shard=%d term=%d machines=%d jobs=%d",
             self.number,
-            self.part.term,
-            len(self.part.machines),
-            len(self.part.jobs),
+            self.shard.term,
+            len(self.shard.machines),
+            len(self.shard.jobs),
         )
-        for machine in list(self.part.machines.values()):
+        for machine in list(self.shard.machines.values()):
             self._fencing.fence(machine)
-        self.part.claimed_at = min(self.part.claimed_at, now)
+        self.shard.claimed_at = min(self.shard.claimed_at, now)
         self.group.duty(self._rounds, "rounds", ROUND)
         self.group.duty(self._log_state, "tell", STATE_LOGGED)
 
@@ -131,21 +131,21 @@
         """A member's record is new, changed or gone."""
         now = self._loop.now()
         record = records.read(value, MachineRecord) if value else None
-        known = self.part.machines.get(name)
-        if record is None or record.part != self.number:
+        known = self.shard.machines.get(name)
+        if record is None or record.shard != self.number:
             if known is not None:
-                self.part.remove_machine(name, now)
+                self.shard.remove_machine(name, now)
             return
         kind = self._catalog.get(record.type)
         if known is None and kind is not None:
-            machine = self.part.add_machine(name, record, kind, now)
+            machine = self.shard.add_machine(name, record, kind, now)
             machine.held_for = self.migration.gathering(now)
 
     def job_changed(self, ref: str) -> None:
         """A job's record is new, changed or gone."""
         record = self._job_store.active.get(ref)
         if record is None:
-            self.part.drop_job(ref)
+            self.shard.drop_job(ref)
             return
         if self._job_store.waits(ref):
             return  # until we ourselves have seen it released, nothing of it is there
@@ -153,9 +153,9 @@
         age = timedelta(seconds=self._loop.clock.today().timestamp() - self._job_store.effective_arrival(ref, record))
         held_back = timedelta(seconds=self._job_store.effective_arrival(ref, record) - record.accepted)
         done = self._job_store.done(ref, record)
-        job = self.part.add_job(record, now - max(ZERO, age), self._window, now, done, held_back)
+        job = self.shard.add_job(record, now - max(ZERO, age), self._window, now, done, held_back)
         if job is not None:
-            self.part.set_level(job, self._job_store.level(ref))
+            self.shard.set_level(job, self._job_store.level(ref))
 
     # -- reports
 
@@ -164,17 +164,17 @@
 
         `relayed`: it came through a sibling, which hands our answer to the worker.
         """
-        machine = self.part.machines.get(report.machine)
+        machine = self.shard.machines.get(report.machine)
         if machine is None:
             machine = await self._register(report)
             if machine is None:
                 return None
-        if report.token > self.part.term and not await self.commands.raise_term():
+        if report.token > self.shard.term and not await self.commands.raise_term():
             return None
-        if report.token > self.part.term:
+        if report.token > self.shard.term:
             return None  # it would drop the answer, and stay here while its lease runs out
         acting = self._permits.allows_for(self.number, Action.ANSWER_REPORT)
-        if not acting or self.part.machines.get(report.machine) is not machine:
+        if not acting or self.shard.machines.get(report.machine) is not machine:
             return None
         if machine.unreachable or self._fencing.given_up(machine):
             # Each answer of ours would put off the time from which on it is certainly rid of its tasks.
@@ -194,11 +194,11 @@
             # Gangs first, and now: placed in the next round of their own, they would wait for one more report.
             self.planner.gangs_on(machine, now, over)
             self.planner.fill(machine, now, over)
-        commands = self.part.commands(machine, now, starts=starts) if fresh else []
+        commands = self.shard.commands(machine, now, starts=starts) if fresh else []
         machine.answered = now
         if not machine.fenced or machine.unreachable:
             self._fencing.fence(machine)
-        return ReportAnswer(self.part.term, commands)
+        return ReportAnswer(self.shard.term, commands)
 
     async def _register(self, report: Report) -> Machine | None:
         if report.type not in self._catalog or not self._permits.allows_for(self.number, Action.ADD_MEMBER):
@@ -207,7 +207,7 @@
         written = self.member_registry.add(report.machine, record)
         self.member_registry.start()
         await self._loop.first(written, REGISTER_LIMIT)
-        machine = self.part.machines.get(report.machine)
+        machine = self.shard.machines.get(report.machine)
         if machine is not None and written.done and written.result and not report.tasks and report.token == 0:
             # We made it a member, in this term, so nobody has ever been entitled to start anything on it:
             # there is no one to fence off.
@@ -220,14 +220,14 @@
     def apply_report(self, machine: Machine, report: Report, checkin: bool) -> bool:
         """Take in a machine's task list; whether it said anything new."""
         now = self._loop.now()
-        events = self.part.on_report(machine, report, checkin, now)
+        events = self.shard.on_report(machine, report, checkin, now)
         if events is None:
             return False
         if events.progressed:
             self.progress |= events.progressed
             self._progressed()
-        if not self.part.settled:
-            self.part.settle()
+        if not self.shard.settled:
+            self.shard.settle()
         for machine in events.quarantined:
             self.group.spawn(self._retire_quarantined(machine), "retire")
         return True
@@ -235,7 +235,7 @@
     async def _retire_quarantined(self, machine: Machine) -> None:
         """A machine that fails everything is worth nothing: drain it, then have it deleted."""
         for placement in list(machine.placements.values()):
-            self.part.stop(placement, draining.save_time(placement.job))
+            self.shard.stop(placement, draining.save_time(placement.job))
         await self._loop.sleep(timedelta(seconds=3))
         self._delete([machine.name])
 
@@ -254,8 +254,8 @@
 
             self._expire(now)
             self._notices(now)
-            self.part.expire_reservations(now)
-            self.part.settle()
+            self.shard.expire_reservations(now)
+            self.shard.settle()
             self.planner.release_holds(now)
             if self._permits.allows_for(self.number, Action.START):
                 self.planner.gangs(now, over)
@@ -269,66 +269,68 @@
     async def _log_state(self) -> None:
         while True:
             await self._loop.sleep(STATE_LOGGED)
-            log_state(self.part)
+            log_state(self.shard)
 
     def _expire(self, now: timedelta) -> None:
-        lost = self.part.expire(now, self._claims.proved, self._settings.machine_lease, self.grace)
+        lost = self.shard.expire(now, self._claims.proved, self._settings.machine_lease, self.grace)
         for machine in lost:
             machine.lost_at = now
         if lost:
-            log.info("event=machines_lost part=%d machines=%s", self.number, ",".join(machine.name for machine in lost))
+            log.info(
+                "event=machines_lost shard=%d machines=%s", self.number, ",".join(machine.name for machine in lost)
+            )
         # Deleted only if it stays silent: when we could not answer for a while, all come back by themselves.
         silent = {
             machine.name: machine.lost_at
-            for machine in self.part.machines.values()
+            for machine in self.shard.machines.values()
             if not machine.alive and machine.lost_at is not None
         }
-        patience = LOST_PATIENCE if 3 * len(silent) <= len(self.part.machines) + 3 else 5 * LOST_PATIENCE
+        patience = LOST_PATIENCE if 3 * len(silent) <= len(self.shard.machines) + 3 else 5 * LOST_PATIENCE
         names = [name for name, lost_at in silent.items() if now - lost_at > patience]
         if names and self._permits.allows_for(self.number, Action.GIVE_UP_MACHINE):
             self._delete(names)
 
     def _notices(self, now: timedelta) -> None:
         """Use what is left of a machine that the cloud takes back."""
-        for machine in self.part.machines.values():
+        for machine in self.shard.machines.values():
             if machine.notice is not None:
                 plan = draining.Evacuation(machine.notice, 2 * self._settings.params.workers.report, patient=False)
-                draining.evacuate(self.part, machine, plan, now, self.planner.run_time, self.part.guidance.fetch_time)
+                draining.evacuate(self.shard, machine, plan, now, self.planner.run_time, self.shard.guidance.fetch_time)
 
     # -- what others are told
 
     def idle_capacities(self) -> tuple[list[mesh_wire.FreeCapacity], dict[str, tuple[float, float]]]:
-        """The part's free room, and where images lie beside it."""
-        return summary.idle_capacities(self.part)
+        """The shard's free room, and where images lie beside it."""
+        return summary.idle_capacities(self.shard)
 
-    def summary(self) -> mesh_wire.PartSummary:
+    def summary(self) -> mesh_wire.ShardSummary:
         """What others need to know. Made anew a few times a second at most: it looks at everything there is."""
         now = self._loop.now()
         if self._summary is None or now - self._summary[0] >= self._kept():
             ahead = rents_ahead(self._settings, self._catalog)
             levels = {self._job_store.level(ref) for ref, record in self._job_store.schedulable() if record.job.gang}
             silent = self.silent() > 0
-            self._summary = (now, summary.summarize(self.part, self.planner, levels, ahead, now, silent))
+            self._summary = (now, summary.summarize(self.shard, self.planner, levels, ahead, now, silent))
         return self._summary[1]
 
     def missed(self, name: str) -> bool:
         """Whether a machine is a member whose report should have come by now."""
-        machine = self.part.machines.get(name)
+        machine = self.shard.machines.get(name)
         report, now = self._settings.params.workers.report, self._loop.now()
-        return machine is not None and worker_silence.overdue(machine, self.part, report, self._awake_since(), now)
+        return machine is not None and worker_silence.overdue(machine, self.shard, report, self._awake_since(), now)
 
     def silent(self) -> int:
         """How many machines' reports are overdue, if they are half of all or more. As seldom made anew as a summary."""
         now = self._loop.now()
         if self._silence is None or now - self._silence.at >= self._kept():
             report = self._settings.params.workers.report
-            silent = worker_silence.silent(self.part, report, self._awake_since(), now)
+            silent = worker_silence.silent(self.shard, report, self._awake_since(), now)
             self._silence = SilenceReading(now, silent)
         return self._silence.machines
 
     def _kept(self) -> timedelta:
         """For how long what was found by looking at every machine is kept."""
-        return max(SUMMARY_KEPT, SUMMARY_KEPT_PER_MACHINE * len(self.part.machines))
+        return max(SUMMARY_KEPT, SUMMARY_KEPT_PER_MACHINE * len(self.shard.machines))
 
     # -- progress
 
@@ -337,7 +339,7 @@
         batch = []
         now = self._loop.now()
         for ref in list(self.progress):
-            job = self.part.jobs.get(ref)
+            job = self.shard.jobs.get(ref)
             if job is None or not job.done_here:
                 self.progress.discard(ref)
                 continue
--- a/badgerroute/coordination/parts/processor_use.py
+++ b/badgerroute/coordination/shards/processor_use.py
@@ -1,9 +1,9 @@
-"""What a part's processors are used for, by cause: what people on call, and whoever accounts for the money, look at."""
+"""What a shard's processors are used for, by cause, for people on call and for accounting."""
 
 from dataclasses import asdict, dataclass
 
 from badgerroute.scheduling.model import Phase
-from badgerroute.scheduling.part import Part
+from badgerroute.scheduling.shard import Shard
 
 PHASES = {
     Phase.RESERVED: "starting",
@@ -33,10 +33,10 @@
         return " ".join(f"{cause}={processors:.0f}" for cause, processors in asdict(self).items())
 
 
-def processor_use(part: Part) -> ProcessorUse:
-    """The processors of a part's machines, each counted once."""
+def processor_use(shard: Shard) -> ProcessorUse:
+    """The processors of a shard's machines, each counted once."""
     use = ProcessorUse()
-    for machine in part.machines.values():
+    for machine in shard.machines.values():
         for placement in machine.placements.values():
             cause = PHASES[placement.phase]
             setattr(use, cause, getattr(use, cause) + placement.job.need.cpus)
--- a/badgerroute/coordination/parts/progress_duty.py
+++ b/badgerroute/coordination/shards/progress_duty.py
@@ -5,8 +5,8 @@
 
 from badgerroute.coordination.jobs.job_store import JobStore
 from badgerroute.coordination.jobs.job_writer import ClaimOf, JobWriter, Progress
-from badgerroute.coordination.parts.forecast import JobForecast
-from badgerroute.coordination.parts.owner import Owner
+from badgerroute.coordination.shards.forecast import JobForecast
+from badgerroute.coordination.shards.owner import Owner
 from badgerroute.storage.state import LeaseExpiredError, OutcomeUnknownError, StateUnavailableError
 from badgerroute.transport.loop import Future, Loop
 
@@ -15,7 +15,7 @@
 
 
 class ProgressDuty:
-    """`claim_of` is the condition under which a part is ours."""
+    """`claim_of` is the condition under which a shard is ours."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
                     merged[progress.ref] = progress
                 else:
                     known.done |= progress.done
-                    known.parts |= progress.parts
+                    known.shards |= progress.shards
         if not merged:
             return
 
--- a/badgerroute/coordination/parts/services.py
+++ b/badgerroute/coordination/shards/services.py
@@ -1,4 +1,4 @@
-"""What the parts of one controller share: its clients, its view of the world, and whom they tell of what."""
+"""What the shards of one controller share: its clients, its view of the world, and whom they tell of what."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -42,6 +42,6 @@
     publish: Publish  # tells the siblings of a change of ours
     progressed: Callable[[], None]  # there is progress to be written down
     delete_machines: Callable[[list[str]], None]
-    guidance: Callable[[int], Guidance]  # for a part, by its number
+    guidance: Callable[[int], Guidance]  # for a shard, by its number
     ask_share: Callable[[ShareRequest], None]
     ask_machines: Callable[[MachineLoanRequest], None]
--- /dev/null
+++ b/badgerroute/coordination/shards/shard_log.py
@@ -0,0 +1,28 @@
+"""Where a shard stands, for people on call."""
+
+import logging
+from collections import Counter
+
+from badgerroute.coordination.shards.processor_use import processor_use
+from badgerroute.scheduling.shard import Shard
+
+log = logging.getLogger("badgerroute.owner")
+
+
+def log_state(shard: Shard) -> None:
+    """One line on the shard's machines and tasks, and one on what its processors do."""
+    machines = list(shard.machines.values())
+    phases = Counter(placement.phase.value for machine in machines for placement in machine.placements.values())
+    log.info(
+        "event=shard_state shard=%d machines=%d unusable=%d empty=%d held=%d free=%.0f jobs=%d wanting=%d %s",
+        shard.number,
+        len(machines),
+        sum(not machine.usable for machine in machines),
+        sum(machine.empty for machine in machines),
+        sum(machine.held_for is not None for machine in machines),
+        sum(machine.free.cpus for machine in machines),
+        len(shard.jobs),
+        sum(job.waiting_bits.bit_count() for job in shard.jobs.values()),
+        " ".join(f"{phase}={count}" for phase, count in sorted(phases.items())),
+    )
+    log.info("event=shard_processors shard=%d %s", shard.number, processor_use(shard))
--- a/badgerroute/coordination/parts/summary.py
+++ b/badgerroute/coordination/shards/summary.py
@@ -1,27 +1,27 @@
-"""What a part tells the others: its free room, where images lie, what waits in it."""
+"""What a shard tells the others: its free room, where images lie, what waits in it."""
 
 from collections import Counter
 from collections.abc import Callable
 from datetime import timedelta
 
-from badgerroute.protocol.mesh import FreeCapacity, PartSummary, PendingDemand
+from badgerroute.protocol.mesh import FreeCapacity, PendingDemand, ShardSummary
 from badgerroute.protocol.users import Priority
 from badgerroute.scheduling.model import Machine, Room
-from badgerroute.scheduling.part import Part
 from badgerroute.scheduling.planner import Planner
+from badgerroute.scheduling.shard import Shard
 
-MIN_DEMANDS = 200  # that are told of, however small a part is
+MIN_DEMANDS = 200  # that are told of, however small a shard is
 MACHINES_PER_DEMAND = 2
 MAX_CAPACITY_GROUPS = 500  # kinds of free room that are told apart
 ROUNDING_STEPS = (0.25, 1.0, 4.0, 16.0)  # of processors and GB, tried in turn where there are more
 MAX_IMAGE_MACHINES = 16  # machines that cache an image, of which the others are told
 
 
-def idle_capacities(part: Part) -> tuple[list[FreeCapacity], dict[str, tuple[float, float]]]:
-    """The free room of a part's machines, and where images lie in it."""
+def idle_capacities(shard: Shard) -> tuple[list[FreeCapacity], dict[str, tuple[float, float]]]:
+    """The free room of a shard's machines, and where images lie in it."""
     images: dict[str, tuple[float, float]] = {}
     rooms: list[tuple[Machine, Room]] = []
-    for machine in part.machines.values():
+    for machine in shard.machines.values():
         if not machine.usable or machine.held_for is not None or machine.free.cpus < 1e-6:
             continue
         free = machine.free
@@ -88,25 +88,25 @@
             demand.job.spec.zone,
             demand.job.spec.spot,
         )
-        for demand in planner.shapes(now)[: max_demands(len(planner.part.machines))]
+        for demand in planner.shapes(now)[: max_demands(len(planner.shard.machines))]
     ]
 
 
 def summarize(
-    part: Part, planner: Planner, levels: set[int], rents_ahead: bool, now: timedelta, silent: bool = False
-) -> PartSummary:
+    shard: Shard, planner: Planner, levels: set[int], rents_ahead: bool, now: timedelta, silent: bool = False
+) -> ShardSummary:
     """`levels`: those of the gangs there are, which others may want to make room for here."""
-    capacities, images = idle_capacities(part)
+    capacities, images = idle_capacities(shard)
     running = {
         job.ref: count
-        for job in part.jobs.values()
+        for job in shard.jobs.values()
         if (count := sum(placement.running_since is not None for placement in job.placed.values()))
     }
-    return PartSummary(
-        part=part.number,
-        term=part.term,
-        settled=part.settled,
-        machines=len(part.machines),
+    return ShardSummary(
+        shard=shard.number,
+        term=shard.term,
+        settled=shard.settled,
+        machines=len(shard.machines),
         capacities=capacities,
         images=images,
         beside=planner.room_beside_images(max(levels, default=Priority.URGENT.level), MAX_IMAGE_MACHINES),
@@ -114,7 +114,7 @@
         demands=_demands(planner, now),
         freeing=0.0 if rents_ahead else planner.freeing(now),  # only renting by need looks at it
         running=running,
-        used={team: (usage.cpus, usage.accelerators) for team, usage in part.usage.items() if usage.tasks},
+        used={team: (usage.cpus, usage.accelerators) for team, usage in shard.usage.items() if usage.tasks},
         silent=silent,
-        load=part.guidance.load(part, now),
+        load=shard.guidance.load(shard, now),
     )
--- a/badgerroute/coordination/parts/urgent_halts.py
+++ b/badgerroute/coordination/shards/urgent_halts.py
@@ -1,8 +1,8 @@
 """Halts that don't wait for a machine's next report to carry them."""
 
-from badgerroute.coordination.parts.machine_commands import MachineCommands
+from badgerroute.coordination.shards.machine_commands import MachineCommands
 from badgerroute.scheduling.model import Machine, Phase
-from badgerroute.scheduling.part import Part
+from badgerroute.scheduling.shard import Shard
 from badgerroute.transport.loop import Group, Loop
 
 MAX_DIRECT_CANCELLATIONS = 16  # machines that are told of withdrawn jobs in one round; the others hear by their reports
@@ -15,14 +15,14 @@
     and the others are of no use to anybody.
     """
 
-    def __init__(self, part: Part, loop: Loop, group: Group, commands: MachineCommands) -> None:
-        self._part, self._loop, self._group, self._commands = part, loop, group, commands
+    def __init__(self, shard: Shard, loop: Loop, group: Group, commands: MachineCommands) -> None:
+        self._shard, self._loop, self._group, self._commands = shard, loop, group, commands
 
     def send(self) -> None:
         """Send the halts that are due by direct commands."""
         gangs: dict[Machine, None] = {}
         begun_on: dict[Machine, bool] = {}  # of withdrawn jobs: whether all their tasks there have begun
-        for job in self._part.jobs.values():
+        for job in self._shard.jobs.values():
             if not job.gang and job.owned:
                 continue
             for placement in job.placed.values():
@@ -36,5 +36,5 @@
         withdrawn = sorted(begun_on, key=lambda machine: begun_on[machine])
         direct = [machine for machine in withdrawn if machine not in gangs]
         for machine in (*gangs, *direct[:MAX_DIRECT_CANCELLATIONS]):
-            commands = self._part.commands(machine, self._loop.now(), starts=False)
+            commands = self._shard.commands(machine, self._loop.now(), starts=False)
             self._group.spawn(self._commands.send(machine, commands, urgent=True), "halt")
--- a/badgerroute/protocol/mesh.py
+++ b/badgerroute/protocol/mesh.py
@@ -19,7 +19,7 @@
 
 
 class PendingDemand(Struct, array_like=True):
-    """Waiting tasks of one job in one part."""
+    """Waiting tasks of one job in one shard."""
 
     ref: str
     team: str
@@ -37,7 +37,7 @@
 
 
 class ClassWaits(Struct, array_like=True):
-    """How long a team's tasks of one job class wait in one part."""
+    """How long a team's tasks of one job class wait in one shard."""
 
     team: str
     job_class: str
@@ -46,17 +46,17 @@
     histogram: str  # of the milliseconds that they waited, started lately or still waiting, as its library encodes it
 
 
-class PartLoad(Struct):
-    """How evenly a part's work is spread. Versions that know nothing of it leave it out."""
+class ShardLoad(Struct):
+    """How evenly a shard's work is spread. Versions that know nothing of it leave it out."""
 
     waits: list[ClassWaits]
     machines_by_load: list[int]  # how many machines are up to a tenth used, up to two tenths, and so on
 
 
-class PartSummary(Struct):
-    """What the other parts need to know of one."""
+class ShardSummary(Struct):
+    """What the other shards need to know of one."""
 
-    part: int
+    shard: int = field(name="part")
     term: int
     settled: bool
     machines: int
@@ -69,7 +69,7 @@
     running: dict[str, int]
     used: dict[str, tuple[float, float]]
     silent: bool = False  # its owner has had no report in time of at least half of its machines
-    load: PartLoad | UnsetType = UNSET
+    load: ShardLoad | UnsetType = UNSET
 
 
 class Gossip(Struct, tag="gossip"):
@@ -79,8 +79,8 @@
     lease: int
     ready: bool
     proved: bool  # the state service answered it within the last seconds
-    isolated: bool = field(name="deaf")  # it wants no part: workers don't reach it, or links have just come back
-    parts: list[PartSummary]
+    isolated: bool = field(name="deaf")  # it wants no shard: workers don't reach it, or links have just come back
+    shards: list[ShardSummary] = field(name="parts")
     mode: str | UnsetType = UNSET  # of `connectivity.modes`; older versions leave out this and what follows
     hears: list[str] | UnsetType = UNSET  # the controllers that it hears
     relays: bool | UnsetType = UNSET  # it passes requests on, and takes those that are passed on
@@ -95,7 +95,7 @@
 
 
 class StealRequest(Struct, tag="steal"):
-    """An idle part asks a busy one for waiting tasks; the busy one's owner decides and writes."""
+    """An idle shard asks a busy one for waiting tasks; the busy one's owner decides and writes."""
 
     victim: int
     thief: int
@@ -105,29 +105,29 @@
 
 
 class ShareRequest(Struct, tag="lack"):
-    """A part lacks a share of a team's limit; who has it unused may give it."""
+    """A shard lacks a share of a team's limit; who has it unused may give it."""
 
-    part: int
+    shard: int = field(name="part")
     team: str
     cpus: float
     accelerators: float
     age_s: float = 0.0  # of the oldest job that lacks it
     rank: tuple[float, float, float] | None = None  # of the first of them in the order of service: less comes first
-    used: float = 0.0  # processors that the part uses of the team's limit
+    used: float = 0.0  # processors that the shard uses of the team's limit
 
 
 class MachineLoanRequest(Struct, tag="borrow"):
-    """A part too small for a gang asks the others for empty machines."""
+    """A shard too small for a gang asks the others for empty machines."""
 
-    part: int
+    shard: int = field(name="part")
     job: Submission
     count: int
 
 
 class MisdirectedReport(Struct, tag="knock"):
-    """A machine of a silent part reported to a controller that does not own it."""
+    """A machine of a silent shard reported to a controller that does not own it."""
 
-    part: int
+    shard: int = field(name="part")
     machine: str
     host: str
 
--- a/badgerroute/rebalancing/drains.py
+++ b/badgerroute/rebalancing/drains.py
@@ -74,22 +74,22 @@
 
 
 class DrainProgress:
-    """Which of a part's drained machines are empty, told once each."""
+    """Which of a shard's drained machines are empty, told once each."""
 
-    def __init__(self, part: int) -> None:
-        self._part = part
+    def __init__(self, shard: int) -> None:
+        self._shard = shard
         self._empty: set[str] = set()
 
     def apply(self, machine: Machine, drain: Drain | None) -> None:
         """Take note of a drain that is new, changed or taken back."""
         if drain is None:
             if machine.drain_deadline is not None:
-                log.info("event=drain_ended machine=%s part=%d", machine.name, self._part)
+                log.info("event=drain_ended machine=%s shard=%d", machine.name, self._shard)
             machine.drain_deadline = None
             self._empty.discard(machine.name)
             return
         if machine.drain_deadline is None:
-            log.info("event=machine_draining machine=%s part=%d", machine.name, self._part)
+            log.info("event=machine_draining machine=%s shard=%d", machine.name, self._shard)
         machine.drain_deadline = drain.deadline
 
     def emptied(self, machine: Machine) -> bool:
@@ -100,5 +100,5 @@
         if machine.name in self._empty:
             return False
         self._empty.add(machine.name)
-        log.info("event=machine_drained machine=%s part=%d", machine.name, self._part)
+        log.info("event=machine_drained machine=%s shard=%d", machine.name, self._shard)
         return True
--- a/badgerroute/rebalancing/local_waits.py
+++ b/badgerroute/rebalancing/local_waits.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 from badgerroute.scheduling.model import ZERO, Job, Machine
-from badgerroute.scheduling.part import Part
+from badgerroute.scheduling.shard import Shard
 
 MAX_ENDS = 512  # ends of tasks that are kept for an image: those that wait beyond have to look elsewhere anyway
 FOREVER = timedelta(days=1)
@@ -12,10 +12,10 @@
 
 
 class LocalWaits:
-    """One part's images. A pass over its machines is done in slices, within the time of a round."""
+    """One shard's images. A pass over its machines is done in slices, within the time of a round."""
 
-    def __init__(self, part: Part, run_time: Callable[[Job], timedelta], valid_for: timedelta) -> None:
-        self._part, self._run_time, self._valid_for = part, run_time, valid_for
+    def __init__(self, shard: Shard, run_time: Callable[[Job], timedelta], valid_for: timedelta) -> None:
+        self._shard, self._run_time, self._valid_for = shard, run_time, valid_for
         self._ends: dict[str, list[timedelta]] = {}  # image -> when tasks beside it should end, soonest first
         self._waiting: dict[str, int] = {}  # image -> tasks that wait for it
         self._made_at: timedelta | None = None
@@ -25,7 +25,7 @@
     def advance(self, now: timedelta, over: Callable[[], bool]) -> bool:
         """Go on with the pass until the time is over; whether it came to its end."""
         if self._left is None:
-            self._left = list(self._part.machines.values())
+            self._left = list(self._shard.machines.values())
             self._found = {}
         seen = 0
         while self._left:
@@ -51,7 +51,7 @@
         self._left = None
         self._ends = {image: sorted(ends)[:MAX_ENDS] for image, ends in self._found.items()}
         self._waiting = {}
-        for job in self._part.jobs.values():
+        for job in self._shard.jobs.values():
             if job.startable and not job.gang:
                 self._waiting[job.spec.image] = self._waiting.get(job.spec.image, 0) + job.startable
         self._made_at = now
--- a/badgerroute/rebalancing/moves.py
+++ b/badgerroute/rebalancing/moves.py
@@ -13,9 +13,9 @@
 from badgerroute.scheduling.draining import save_time
 from badgerroute.scheduling.guidance import Guidance
 from badgerroute.scheduling.model import EPSILON, ZERO, Job, Machine, Placement, Room, allows
-from badgerroute.scheduling.part import Part
 from badgerroute.scheduling.placement_rules import PlacementRules
 from badgerroute.scheduling.planner import Planner
+from badgerroute.scheduling.shard import Shard
 from badgerroute.settings import Rebalancing
 
 log = logging.getLogger("badgerroute.rebalancing")
@@ -48,7 +48,7 @@
     most: int  # moves in a period
     moved: dict[TaskKey, timedelta] = field(default_factory=dict)
     _recent: list[timedelta] = field(default_factory=list)
-    count: int = 0  # since the part was taken over
+    count: int = 0  # since the shard was taken over
     cost: float = 0.0  # processor-seconds that the moves were expected to cost
 
     def left(self, now: timedelta) -> int:
@@ -74,19 +74,19 @@
 
 
 class MovePlanner:
-    """Chooses and begins moves within one part."""
+    """Chooses and begins moves within one shard."""
 
     def __init__(
-        self, part: Part, planner: Planner, settings: Rebalancing, report: timedelta, guidance: Guidance
+        self, shard: Shard, planner: Planner, settings: Rebalancing, report: timedelta, guidance: Guidance
     ) -> None:
-        self._part, self._planner, self._settings, self._report = part, planner, settings, report
+        self._shard, self._planner, self._settings, self._report = shard, planner, settings, report
         self._guidance = guidance
         self.ledger = MoveLedger(settings.move_period, settings.move_rest, settings.moves_per_period)
 
     def round(self, now: timedelta, over: Callable[[], bool]) -> int:
         """Begin moves for jobs that wait, in the order of service; how many tasks are moved."""
         moved = looked = 0
-        if not self._part.settled:
+        if not self._shard.settled:
             return 0
         for job in self._planner.waiting_jobs(now):
             if over() or looked >= MAX_JOBS_LOOKED_AT or self.ledger.left(now) <= 0:
@@ -99,12 +99,12 @@
 
     def _may_gain(self, job: Job, now: timedelta) -> bool:
         """Whether a job has waited long enough for want of room, and of nothing else."""
-        if job.failing or now - job.since < REPORTS_BEFORE_MOVE * self._report or self._part.short_of_share(job):
+        if job.failing or now - job.since < REPORTS_BEFORE_MOVE * self._report or self._shard.short_of_share(job):
             return False
         needed = self._tasks_at_once(job)
         if job.placed and job.gang:
             return False
-        if any(machine.held_for == job.ref for machine in self._part.machines.values()):
+        if any(machine.held_for == job.ref for machine in self._shard.machines.values()):
             return False  # room is on its way
         free = sum(machine.free.times(job.need) for machine in self._planner.candidates(job, now, free=True))
         return needed > 0 and free < needed
@@ -135,7 +135,7 @@
         """Each pair of machines can't be looked at where there are thousands: those with most free room come first."""
         free = [
             machine
-            for machine in self._part.machines.values()
+            for machine in self._shard.machines.values()
             if machine.usable
             and machine.held_for is None
             and machine.avoid_until <= now
@@ -196,7 +196,7 @@
         job = placement.job
         best: Machine | None = None
         for name, room in rooms.items():
-            other = self._part.machines[name]
+            other = self._shard.machines[name]
             if other is machine or not room.holds(job.need):
                 continue
             if name in job.failed_on or job.moved_from.get(name, ZERO) > now:
@@ -253,10 +253,10 @@
         machine.held_until = now + longest_save + REPORTS_PER_MOVE * self._report + HELD_AFTER_SAVE
         for victim in option.victims:
             self.ledger.record(victim, option.loss / len(option.victims), now)
-            self._part.stop(victim, save_time(victim.job))
+            self._shard.stop(victim, save_time(victim.job))
             log.info(
-                "event=task_moved part=%d task=%s/%d machine=%s for=%s loss=%.0f",
-                self._part.number,
+                "event=task_moved shard=%d task=%s/%d machine=%s for=%s loss=%.0f",
+                self._shard.number,
                 victim.job.ref,
                 victim.index,
                 machine.name,
--- a/badgerroute/rebalancing/service.py
+++ b/badgerroute/rebalancing/service.py
@@ -1,4 +1,4 @@
-"""The rebalancing duty of one controller: keeps the view, advises its parts, moves work and drains machines."""
+"""The rebalancing duty of one controller: keeps the view, advises its shards, moves work and drains machines."""
 
 import logging
 from collections.abc import Callable
@@ -7,14 +7,14 @@
 
 from badgerroute.connectivity.modes import Action
 from badgerroute.coordination.controller import Controller
-from badgerroute.coordination.parts.owner import Owner
+from badgerroute.coordination.shards.owner import Owner
 from badgerroute.protocol.mesh import StealRequest
 from badgerroute.rebalancing.drains import DrainProgress, DrainRegistry
 from badgerroute.rebalancing.local_waits import LocalWaits
 from badgerroute.rebalancing.moves import MovePlanner
-from badgerroute.rebalancing.part_guidance import PartGuidance
+from badgerroute.rebalancing.shard_guidance import ShardGuidance
 from badgerroute.rebalancing.spreading import offered_capacity, work_lacking
-from badgerroute.rebalancing.view import FleetView, PartReading
+from badgerroute.rebalancing.view import FleetView, ShardReading
 from badgerroute.scheduling.draining import Evacuation, evacuate
 from badgerroute.scheduling.model import ZERO
 from badgerroute.settings import Rebalancing, Settings
@@ -35,11 +35,11 @@
 
 
 @dataclass(slots=True)
-class _PartDuty:
-    """What is kept for one owned part."""
+class _ShardRebalancing:
+    """What is kept for one owned shard."""
 
     owner: Owner
-    guidance: PartGuidance
+    guidance: ShardGuidance
     local: LocalWaits
     moves: MovePlanner
     drains: DrainProgress
@@ -51,8 +51,8 @@
     def __init__(self, settings: Settings, rebalancing: Rebalancing, loop: Loop) -> None:
         self._settings, self._rebalancing, self._loop = settings, rebalancing, loop
         self._report = settings.params.workers.report
-        self._guidances: dict[int, PartGuidance] = {}
-        self._duties: dict[int, _PartDuty] = {}
+        self._guidances: dict[int, ShardGuidance] = {}
+        self._duties: dict[int, _ShardRebalancing] = {}
         self._controller: Controller | None = None
         self._drains: DrainRegistry | None = None
         self._view_at: timedelta | None = None
@@ -66,12 +66,12 @@
 
     # -- what the controller asks
 
-    def guidance(self, part: int) -> PartGuidance:
-        """New advice for a part that this controller begins to own."""
-        guidance = PartGuidance(
+    def guidance(self, shard: int) -> ShardGuidance:
+        """New advice for a shard that this controller begins to own."""
+        guidance = ShardGuidance(
             self._loop, self._rebalancing.window, self._entitlement, self.urgency, self._drain_deadline
         )
-        self._guidances[part] = guidance
+        self._guidances[shard] = guidance
         return guidance
 
     def _entitlement(self, team: str) -> float:
@@ -116,8 +116,8 @@
             for duty in self._refresh_duties():
                 self._round(duty, now, over)
 
-    def _refresh_duties(self) -> list[_PartDuty]:
-        """Of the parts that are owned and may be acted for; what belonged to former owners is dropped."""
+    def _refresh_duties(self) -> list[_ShardRebalancing]:
+        """Of the shards that are owned and may be acted for; what belonged to former owners is dropped."""
         assert self._controller is not None
         owners = self._controller.owners
         self._duties = {number: duty for number, duty in self._duties.items() if owners.get(number) is duty.owner}
@@ -128,20 +128,20 @@
         return [duty for number, duty in self._duties.items() if permits.allows_for(number, Action.START)]
 
     def _may_ask(self, owner: Owner) -> bool:
-        """Whether a part may ask others for work."""
+        """Whether a shard may ask others for work."""
         permits = self._controller.permits if self._controller is not None else None
-        return owner.part.settled and permits is not None and permits.allows_for(owner.number, Action.STEAL)
+        return owner.shard.settled and permits is not None and permits.allows_for(owner.number, Action.STEAL)
 
-    def _new_duty(self, number: int, owner: Owner) -> _PartDuty:
+    def _new_duty(self, number: int, owner: Owner) -> _ShardRebalancing:
         guidance = self._guidances[number]
-        local = LocalWaits(owner.part, owner.planner.run_time, self._rebalancing.stale)
-        guidance.attach(owner.part.usage, local)
-        moves = MovePlanner(owner.part, owner.planner, self._rebalancing, self._report, guidance)
-        return _PartDuty(owner, guidance, local, moves, DrainProgress(number))
+        local = LocalWaits(owner.shard, owner.planner.run_time, self._rebalancing.stale)
+        guidance.attach(owner.shard.usage, local)
+        moves = MovePlanner(owner.shard, owner.planner, self._rebalancing, self._report, guidance)
+        return _ShardRebalancing(owner, guidance, local, moves, DrainProgress(number))
 
-    def _round(self, duty: _PartDuty, now: timedelta, over: Callable[[], bool]) -> None:
+    def _round(self, duty: _ShardRebalancing, now: timedelta, over: Callable[[], bool]) -> None:
         self._drain_machines(duty, now)
-        if duty.owner.part.settled:
+        if duty.owner.shard.settled:
             duty.local.advance(now, over)
             duty.moves.round(now, over)
 
@@ -154,16 +154,16 @@
         self._view_at = now
         siblings = self._controller.siblings
         own = {owner.number: owner.summary() for owner in self._controller.owners.values() if owner.ready}
-        readings = [PartReading(summary, ZERO) for summary in own.values()]
+        readings = [ShardReading(summary, ZERO) for summary in own.values()]
         readings += [
-            PartReading(summary, age) for summary, age in siblings.last_heard_parts() if summary.part not in own
+            ShardReading(summary, age) for summary, age in siblings.last_heard_shards() if summary.shard not in own
         ]
         self.view = FleetView(readings, self._rebalancing.stale)
         # Asked for at every turn of every job, so worked out once: a percentile looks at all that is counted.
         self._urgencies = {team: self._urgency_of(team) for team in self.view.teams}
 
     def _spread(self, now: timedelta) -> None:
-        """Ask for waiting work of hastened teams that lies in few parts; now and then, so that an answer can come."""
+        """Ask for waiting work of hastened teams that lies in few shards; now and then, so that an answer can come."""
         assert self._controller is not None
         if now - self._spread_at < SPREAD_PAUSE:
             return
@@ -171,18 +171,18 @@
         teams = [team for team, urgency in self._urgencies.items() if urgency > 1.0]
         for duty in self._duties.values():
             own = duty.owner.summary()
-            others = [summary for summary in self.view.summaries if summary.part != own.part and summary.settled]
+            others = [summary for summary in self.view.summaries if summary.shard != own.shard and summary.settled]
             if not others or not self._may_ask(duty.owner):
                 continue
             for request in work_lacking(own, others, teams):
                 message = StealRequest(
                     request.victim,
-                    own.part,
-                    offered_capacity(duty.owner.part, request),
+                    own.shard,
+                    offered_capacity(duty.owner.shard, request),
                     own.images,
-                    sorted({demand.team for part in others for demand in part.demands} - {request.team}),
+                    sorted({demand.team for shard in others for demand in shard.demands} - {request.team}),
                 )
-                log.info("event=work_asked_for part=%d from=%d team=%s", own.part, request.victim, request.team)
+                log.info("event=work_asked_for shard=%d from=%d team=%s", own.shard, request.victim, request.team)
                 self._controller.requests.steal_from(request.victim, message)
 
     async def _log_view(self) -> None:
@@ -192,13 +192,13 @@
             log.info(
                 "event=rebalancing_view median=%.1f stale=%s silent=%s moves=%d load=%s",
                 self.view.fleet.median.total_seconds(),
-                self.view.stale_parts,
-                self.view.silent_parts,
+                self.view.stale_shards,
+                self.view.silent_shards,
                 moves,
                 ",".join(map(str, self.view.machines_by_load)),
             )
-            for part, waits in sorted(self.view.parts.items()):
-                log.info("event=part_waits part=%d %s", part, waits.describe())
+            for shard, waits in sorted(self.view.shards.items()):
+                log.info("event=shard_waits shard=%d %s", shard, waits.describe())
             for team, waits in sorted(self.view.teams.items()):
                 log.info("event=team_waits team=%s urgency=%.1f %s", team, self.urgency(team), waits.describe())
             for (team, job_class), waits in sorted(self.view.classes.items()):
@@ -211,21 +211,21 @@
         assert self._controller is not None and self._drains is not None
         name = key.removeprefix(DRAINS)
         for duty in self._duties.values():
-            machine = duty.owner.part.machines.get(name)
+            machine = duty.owner.shard.machines.get(name)
             if machine is not None:
                 duty.drains.apply(machine, self._drains.get(name))
 
-    def _drain_machines(self, duty: _PartDuty, now: timedelta) -> None:
+    def _drain_machines(self, duty: _ShardRebalancing, now: timedelta) -> None:
         assert self._controller is not None and self._drains is not None
-        part = duty.owner.part
-        drained = {name for name, machine in part.machines.items() if machine.drain_deadline is not None}
-        for name in drained.union(name for name in self._drains.names() if name in part.machines):
-            machine, drain = part.machines[name], self._drains.get(name)
+        shard = duty.owner.shard
+        drained = {name for name, machine in shard.machines.items() if machine.drain_deadline is not None}
+        for name in drained.union(name for name in self._drains.names() if name in shard.machines):
+            machine, drain = shard.machines[name], self._drains.get(name)
             duty.drains.apply(machine, drain)
             if drain is None:
                 continue
             plan = Evacuation(drain.deadline, REPORTS_OF_MARGIN * self._report, patient=True)
-            evacuate(part, machine, plan, now, duty.owner.planner.run_time, duty.guidance.fetch_time)
+            evacuate(shard, machine, plan, now, duty.owner.planner.run_time, duty.guidance.fetch_time)
             if duty.drains.emptied(machine) and drain.delete:
                 self._controller.fleet.delete([name])
 
--- a/badgerroute/rebalancing/part_guidance.py
+++ b/badgerroute/rebalancing/shard_guidance.py
@@ -1,24 +1,24 @@
-"""What rebalancing advises one part: see scheduling/guidance.py for where it is asked."""
+"""What rebalancing advises one shard: see scheduling/guidance.py for where it is asked."""
 
 from collections.abc import Callable
 from datetime import timedelta
 
-from badgerroute.protocol.mesh import PartLoad
+from badgerroute.protocol.mesh import ShardLoad
 from badgerroute.rebalancing.fetch_rates import FetchRates
 from badgerroute.rebalancing.local_waits import LocalWaits
 from badgerroute.rebalancing.waits import RecentWaits, busy_machines
 from badgerroute.scheduling.guidance import Guidance
 from badgerroute.scheduling.model import Job, Machine, Placement
-from badgerroute.scheduling.part import Usage
-from badgerroute.scheduling.part_state import PartView
+from badgerroute.scheduling.shard import Usage
+from badgerroute.scheduling.shard_state import ShardView
 from badgerroute.transport.loop import Loop
 
 MEAN_KEPT = timedelta(milliseconds=100)
 ACCELERATOR_WEIGHT = 8  # processors that an accelerator counts as, as in the order of service
 
 
-class PartGuidance(Guidance):
-    """Advice for one part. `urgency` is how much sooner a team's work is to come for its waits: 1 is as it is."""
+class ShardGuidance(Guidance):
+    """Advice for one shard. `urgency` is how much sooner a team's work is to come for its waits: 1 is as it is."""
 
     def __init__(
         self,
@@ -32,12 +32,12 @@
         self._drain_deadline = drain_deadline
         self.waits = RecentWaits(window, loop.now())
         self.rates = FetchRates()
-        self.usage: dict[str, Usage] = {}  # the part's own books
+        self.usage: dict[str, Usage] = {}  # the shard's own books
         self.local: LocalWaits | None = None
         self._mean, self._mean_at = 0.0, -timedelta(days=1)
 
     def attach(self, usage: dict[str, Usage], local: LocalWaits) -> None:
-        """The part that is advised is there."""
+        """The shard that is advised is there."""
         self.usage, self.local = usage, local
 
     def task_placed(self, job: Job, waited: timedelta, now: timedelta) -> None:
@@ -49,7 +49,7 @@
         self.rates.learn(placement, took)
 
     def precedence(self, job: Job) -> float:
-        """The team that holds least of the part for what it is entitled to comes first, sooner if its tasks wait long.
+        """The team that holds least of the shard for what it is entitled to comes first, sooner if its tasks wait long.
 
         Counted by jobs, a team with many small ones always held least, and an array of another team never had its turn.
         """
@@ -60,7 +60,7 @@
         return (self._held(team) + one_more) / (self._entitlement(team) * self._urgency(team))
 
     def may_exceed_desire(self, job: Job) -> bool:
-        """A team that holds less of the part than the others, for what it is entitled to, need not wait for desires.
+        """A team that holds less of the shard than the others, for what it is entitled to, need not wait for desires.
 
         A job that comes while nothing is free begins with a desire of one slot: beside a team that sends jobs of one
         task, whose desires are always filled first, an array then got one slot more only every ten seconds.
@@ -73,7 +73,7 @@
         return used.cpus + ACCELERATOR_WEIGHT * used.accelerators if used is not None else 0.0
 
     def _mean_held(self) -> float:
-        """What the teams hold of the part, for what all of them together are entitled to."""
+        """What the teams hold of the shard, for what all of them together are entitled to."""
         now = self._loop.now()
         if now - self._mean_at >= MEAN_KEPT:
             self._mean_at = now
@@ -94,6 +94,6 @@
         """See Guidance."""
         return self._drain_deadline(machine)
 
-    def load(self, part: PartView, now: timedelta) -> PartLoad:
+    def load(self, shard: ShardView, now: timedelta) -> ShardLoad:
         """See Guidance."""
-        return PartLoad(self.waits.snapshot(part, now), busy_machines(part))
+        return ShardLoad(self.waits.snapshot(shard, now), busy_machines(shard))
--- a/badgerroute/rebalancing/spreading.py
+++ b/badgerroute/rebalancing/spreading.py
@@ -1,20 +1,20 @@
-"""Spreading a team's waiting work over the parts: who lacks how much of it, and whom to ask.
+"""Spreading a team's waiting work over the shards: who lacks how much of it, and whom to ask.
 
 Asked for as an ordinary steal request, so the owner of the work decides and writes, whatever its version.
 """
 
 from dataclasses import dataclass
 
-from badgerroute.protocol.mesh import FreeCapacity, PartLoad, PartSummary
-from badgerroute.scheduling.part import Part
+from badgerroute.protocol.mesh import FreeCapacity, ShardLoad, ShardSummary
+from badgerroute.scheduling.shard import Shard
 
-LACKING = 0.5  # a part with less of its portion asks for the rest; both then have enough, so nobody asks back
+LACKING = 0.5  # a shard with less of its portion asks for the rest; both then have enough, so nobody asks back
 LEAST_TASKS = 2  # what is not worth a write
 
 
 @dataclass(frozen=True, slots=True)
 class WorkRequest:
-    """Waiting tasks of a team that one part should get from another."""
+    """Waiting tasks of a team that one shard should get from another."""
 
     team: str
     victim: int
@@ -22,36 +22,36 @@
     cpus_per_task: float
 
 
-def _waiting(summary: PartSummary, team: str) -> int:
-    if not isinstance(summary.load, PartLoad):
+def _waiting(summary: ShardSummary, team: str) -> int:
+    if not isinstance(summary.load, ShardLoad):
         return 0
     return sum(waits.waiting for waits in summary.load.waits if waits.team == team)
 
 
-def work_lacking(own: PartSummary, others: list[PartSummary], teams: list[str]) -> list[WorkRequest]:
-    """What a part lacks of teams' waiting work for its portion of the machines, and of whom to ask it."""
+def work_lacking(own: ShardSummary, others: list[ShardSummary], teams: list[str]) -> list[WorkRequest]:
+    """What a shard lacks of teams' waiting work for its portion of the machines, and of whom to ask it."""
     found: list[WorkRequest] = []
-    parts = [own, *others]
-    machines = sum(part.machines for part in parts)
+    shards = [own, *others]
+    machines = sum(shard.machines for shard in shards)
     if not machines:
         return found
     for team in teams:
-        total = sum(_waiting(part, team) for part in parts)
+        total = sum(_waiting(shard, team) for shard in shards)
         portion = total * own.machines / machines
         here = _waiting(own, team)
         tasks = int(portion - here)
         if here >= LACKING * portion or tasks < LEAST_TASKS:
             continue
-        victim = max(others, key=lambda part: _waiting(part, team) / max(1, part.machines))
+        victim = max(others, key=lambda shard: _waiting(shard, team) / max(1, shard.machines))
         spare = _waiting(victim, team) - total * victim.machines / machines
         tasks = min(tasks, int(spare))
         if tasks >= LEAST_TASKS:
-            found.append(WorkRequest(team, victim.part, tasks, _cpus_per_task(victim, team)))
+            found.append(WorkRequest(team, victim.shard, tasks, _cpus_per_task(victim, team)))
     return found
 
 
-def _cpus_per_task(summary: PartSummary, team: str) -> float:
-    """Of the team's tasks that wait in a part, on average."""
+def _cpus_per_task(summary: ShardSummary, team: str) -> float:
+    """Of the team's tasks that wait in a shard, on average."""
     demands = [demand for demand in summary.demands if demand.team == team]
     tasks = sum(demand.count for demand in demands)
     if not tasks:
@@ -59,11 +59,11 @@
     return max(0.01, sum(demand.cpus * demand.count for demand in demands) / tasks)
 
 
-def offered_capacity(part: Part, request: WorkRequest) -> list[FreeCapacity]:
-    """Machines of a part for so many tasks, as if they were free: some of their room soon will be."""
+def offered_capacity(shard: Shard, request: WorkRequest) -> list[FreeCapacity]:
+    """Machines of a shard for so many tasks, as if they were free: some of their room soon will be."""
     cpus_left = request.tasks * request.cpus_per_task
     offered: list[FreeCapacity] = []
-    for machine in part.machines.values():
+    for machine in shard.machines.values():
         if cpus_left <= 0:
             break
         if not machine.usable or machine.held_for is not None:
--- a/badgerroute/rebalancing/view.py
+++ b/badgerroute/rebalancing/view.py
@@ -1,4 +1,4 @@
-"""The view of imbalance: how long each team's tasks wait in the whole fleet, from what the parts tell."""
+"""The view of imbalance: how long each team's tasks wait in the whole fleet, from what the shards tell."""
 
 import logging
 import zlib
@@ -8,7 +8,7 @@
 from hdrh.codec import HdrCookieException, HdrHistogramSettingsException, HdrLengthException
 from hdrh.histogram import HdrHistogram
 
-from badgerroute.protocol.mesh import ClassWaits, PartLoad, PartSummary
+from badgerroute.protocol.mesh import ClassWaits, ShardLoad, ShardSummary
 from badgerroute.rebalancing.waits import new_histogram, percentile
 from badgerroute.scheduling.model import ZERO
 
@@ -21,10 +21,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PartReading:
-    """What a part told last, and how long ago."""
+class ShardReading:
+    """What a shard told last, and how long ago."""
 
-    summary: PartSummary
+    summary: ShardSummary
     age: timedelta
 
 
@@ -37,7 +37,7 @@
     oldest: timedelta = ZERO
 
     def add(self, waits: ClassWaits) -> None:
-        """Take in one part's waits; what can't be read counts for nothing."""
+        """Take in one shard's waits; what can't be read counts for nothing."""
         if len(waits.histogram) <= MAX_HISTOGRAM_TEXT:
             try:
                 self.histogram.decode_and_add(waits.histogram.encode())
@@ -70,36 +70,36 @@
 
 
 class FleetView:
-    """Made of fresh readings only; parts whose reading is stale, or that tell nothing of it, are named."""
+    """Made of fresh readings only; shards whose reading is stale, or that tell nothing of it, are named."""
 
-    def __init__(self, readings: list[PartReading], stale_after: timedelta) -> None:
+    def __init__(self, readings: list[ShardReading], stale_after: timedelta) -> None:
         self.fleet = WaitStatistics()
         self._fleet_median: timedelta | None = None
         self.teams: dict[str, WaitStatistics] = {}
         self.classes: dict[tuple[str, str], WaitStatistics] = {}
-        self.parts: dict[int, WaitStatistics] = {}
+        self.shards: dict[int, WaitStatistics] = {}
         self.machines_by_load = [0] * 10
-        self.summaries: list[PartSummary] = []  # the fresh ones
-        self.stale_parts: list[int] = []
-        self.silent_parts: list[int] = []  # of versions that tell nothing of their load
-        latest: dict[int, PartReading] = {}  # two controllers may name a part for a moment
+        self.summaries: list[ShardSummary] = []  # the fresh ones
+        self.stale_shards: list[int] = []
+        self.silent_shards: list[int] = []  # of versions that tell nothing of their load
+        latest: dict[int, ShardReading] = {}  # two controllers may name a shard for a moment
         for reading in sorted(readings, key=lambda reading: reading.age, reverse=True):
-            latest[reading.summary.part] = reading
+            latest[reading.summary.shard] = reading
         for reading in latest.values():
             load = reading.summary.load
             if reading.age > stale_after:
-                self.stale_parts.append(reading.summary.part)
-            elif not isinstance(load, PartLoad):
-                self.silent_parts.append(reading.summary.part)
+                self.stale_shards.append(reading.summary.shard)
+            elif not isinstance(load, ShardLoad):
+                self.silent_shards.append(reading.summary.shard)
             else:
                 self.summaries.append(reading.summary)
-                self._add(reading.summary.part, load)
+                self._add(reading.summary.shard, load)
 
-    def _add(self, part: int, load: PartLoad) -> None:
-        self.parts[part] = WaitStatistics()
+    def _add(self, shard: int, load: ShardLoad) -> None:
+        self.shards[shard] = WaitStatistics()
         for waits in load.waits:
             self.fleet.add(waits)
-            self.parts[part].add(waits)
+            self.shards[shard].add(waits)
             self.teams.setdefault(waits.team, WaitStatistics()).add(waits)
             self.classes.setdefault((waits.team, waits.job_class), WaitStatistics()).add(waits)
         for decile, count in enumerate(load.machines_by_load[: len(self.machines_by_load)]):
--- a/badgerroute/rebalancing/waits.py
+++ b/badgerroute/rebalancing/waits.py
@@ -1,4 +1,4 @@
-"""Queue waits of one part by team and job class, in histograms of bounded size."""
+"""Queue waits of one shard by team and job class, in histograms of bounded size."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -7,7 +7,7 @@
 
 from badgerroute.protocol.mesh import ClassWaits
 from badgerroute.scheduling.model import ZERO, Job
-from badgerroute.scheduling.part_state import PartView
+from badgerroute.scheduling.shard_state import ShardView
 
 MIN_MS = 1
 MAX_MS = 3_600_000  # an hour: longer waits count as this
@@ -81,10 +81,10 @@
             return key
         return job.spec.team, OTHER_CLASSES
 
-    def snapshot(self, part: PartView, now: timedelta) -> list[ClassWaits]:
+    def snapshot(self, shard: ShardView, now: timedelta) -> list[ClassWaits]:
         """The waits as the other controllers are told of them."""
         self._rotate(now)
-        pending = self._pending(part, now)
+        pending = self._pending(shard, now)
         snapshot = []
         for key in {**self._previous, **self._current, **pending}:
             histogram = new_histogram()
@@ -98,12 +98,12 @@
             snapshot.append(ClassWaits(*key, tasks, oldest.total_seconds(), histogram.encode().decode()))
         return snapshot
 
-    def _pending(self, part: PartView, now: timedelta) -> dict[ClassKey, _Pending]:
+    def _pending(self, shard: ShardView, now: timedelta) -> dict[ClassKey, _Pending]:
         """Tasks that wait for a place. What waits for its team's limit waits for nobody else's work."""
         found: dict[ClassKey, _Pending] = {}
-        for job in part.jobs.values():
+        for job in shard.jobs.values():
             count = job.startable
-            if not count or job.failing or job.blocked_until > now or part.short_of_share(job):
+            if not count or job.failing or job.blocked_until > now or shard.short_of_share(job):
                 continue
             pending = found.setdefault(self._key(job), _Pending(new_histogram()))
             pending.tasks += count
@@ -116,10 +116,10 @@
         return found
 
 
-def busy_machines(part: PartView) -> list[int]:
+def busy_machines(shard: ShardView) -> list[int]:
     """How many machines are up to a tenth used, up to two tenths, and so on."""
     counts = [0] * 10
-    for machine in part.machines.values():
+    for machine in shard.machines.values():
         used = 1.0 - machine.free.cpus / machine.kind.cpus if machine.kind.cpus else 0.0
         counts[min(9, max(0, int(used * 10)))] += 1
     return counts
--- a/badgerroute/scheduling/af.py
+++ b/badgerroute/scheduling/af.py
@@ -1,4 +1,4 @@
-"""Adaptive feedback (Af): how many slots a job wishes for in a part during the next period.
+"""Adaptive feedback (Af): how many slots a job wishes for in a shard during the next period.
 
 After algorithm 1 of the paper (see docs/design.md): an inefficient period divides the desire by rho, an
 efficient and deprived one keeps it, an efficient and satisfied one multiplies it.
--- a/badgerroute/scheduling/array_placement.py
+++ b/badgerroute/scheduling/array_placement.py
@@ -8,10 +8,10 @@
 
 from badgerroute.scheduling import af, ladder
 from badgerroute.scheduling.model import Job, Machine, Phase, allows
-from badgerroute.scheduling.part import Part
 from badgerroute.scheduling.placement_rules import PlacementRules
 from badgerroute.scheduling.preemption import Preemption
 from badgerroute.scheduling.service_order import ServiceOrder
+from badgerroute.scheduling.shard import Shard
 from badgerroute.storage.records import lowest
 
 log = logging.getLogger("badgerroute.planner")
@@ -19,17 +19,17 @@
 
 
 class ArrayPlacement:
-    """Fills machines of one part with array tasks."""
+    """Fills machines of one shard with array tasks."""
 
-    def __init__(self, part: Part, order: ServiceOrder, rules: PlacementRules, preemption: Preemption) -> None:
-        self._part, self._order, self._rules, self._preemption = part, order, rules, preemption
+    def __init__(self, shard: Shard, order: ServiceOrder, rules: PlacementRules, preemption: Preemption) -> None:
+        self._shard, self._order, self._rules, self._preemption = shard, order, rules, preemption
         self._cursor = 0
         self.cut_short = 0  # rounds that ran out of time
 
     def fill(self, machine: Machine, now: timedelta, over: Callable[[], bool]) -> int:
         """Start array tasks in a machine's free room. `over` tells when the round's time is up."""
-        part = self._part
-        if not part.settled or not machine.usable or machine.avoid_until > now:
+        shard = self._shard
+        if not shard.settled or not machine.usable or machine.avoid_until > now:
             return 0
         self._order.refresh(now)
         if not machine.free.holds(self._order.least_need):
@@ -62,7 +62,7 @@
         """Machines in use with room left. Small tasks go there first, so that whole machines stay free for gangs."""
         return [
             other
-            for other in self._part.machines.values()
+            for other in self._shard.machines.values()
             if other.placements and other.usable and other.held_for is None and other.zone == machine.zone
         ]
 
@@ -85,7 +85,7 @@
 
         Else the room would go back to the work that was just stopped, and be made again, for ever.
         """
-        holder = self._part.jobs.get(machine.held_for or "")
+        holder = self._shard.jobs.get(machine.held_for or "")
         if holder is None or not holder.waiting_bits:
             return jobs
         return [job for job in jobs if job is holder or not self._preemption.may_stop(job, holder)]
@@ -132,10 +132,10 @@
         return beyond or self._below_desire(job)
 
     def _below_desire(self, job: Job) -> bool:
-        return len(job.placed) < job.desire or self._part.guidance.may_exceed_desire(job)
+        return len(job.placed) < job.desire or self._shard.guidance.may_exceed_desire(job)
 
     def _begin_desire(self, job: Job, now: timedelta) -> None:
-        af.begin(job, now, job.waiting_bits.bit_count(), self._part.room_for(job))
+        af.begin(job, now, job.waiting_bits.bit_count(), self._shard.room_for(job))
 
     def _start_one(self, job: Job, machine: Machine, now: timedelta, beyond: bool) -> bool:
         if not machine.free.holds(job.need) or not (beyond or self._below_desire(job)):
@@ -145,7 +145,7 @@
             return False
         if self._order.yields_to_gang(job):
             return False
-        if not self._part.fits_share(job):
+        if not self._shard.fits_share(job):
             self._rules.lacks(job, bits.bit_count())
             return False
         index = lowest(bits)
@@ -156,5 +156,5 @@
             machine.name,
             job.waited(index, now).total_seconds(),
         )
-        self._part.place(job, index, self._part.next_attempt(), machine, now, Phase.RESERVED)
+        self._shard.place(job, index, self._shard.next_attempt(), machine, now, Phase.RESERVED)
         return True
--- a/badgerroute/scheduling/capacities.py
+++ b/badgerroute/scheduling/capacities.py
@@ -1,4 +1,4 @@
-"""What fits where, judged by the free capacity that parts tell each other of."""
+"""What fits where, judged by the free capacity that shards tell each other of."""
 
 from collections import Counter
 from collections.abc import Iterable
--- a/badgerroute/scheduling/draining.py
+++ b/badgerroute/scheduling/draining.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 
 from badgerroute.scheduling.model import ZERO, Job, Machine, Phase, Placement
-from badgerroute.scheduling.part import Part
+from badgerroute.scheduling.shard import Shard
 
 RunTime = Callable[[Job], timedelta]
 FetchTime = Callable[[Job, Machine], timedelta]
@@ -40,7 +40,7 @@
 
 
 def evacuate(
-    part: Part, machine: Machine, plan: Evacuation, now: timedelta, run_time: RunTime, fetch_time: FetchTime
+    shard: Shard, machine: Machine, plan: Evacuation, now: timedelta, run_time: RunTime, fetch_time: FetchTime
 ) -> int:
     """Stop what has to leave a machine by now; how many tasks were told to. A gang stops whole, wherever it is."""
     stopped = 0
@@ -51,9 +51,9 @@
         if grace is None or (placement.grace is not None and placement.grace <= grace):
             continue
         if placement.job.gang:
-            part.stop_gang(placement.job, grace)
+            shard.stop_gang(placement.job, grace)
         else:
-            part.stop(placement, grace)
+            shard.stop(placement, grace)
         stopped += 1
     return stopped
 
--- a/badgerroute/scheduling/failures.py
+++ b/badgerroute/scheduling/failures.py
@@ -5,9 +5,9 @@
 
 from badgerroute.scheduling.events import Events
 from badgerroute.scheduling.model import ZERO, Job, Machine, Placement
-from badgerroute.scheduling.part_state import PartState
+from badgerroute.scheduling.shard_state import ShardState
 
-log = logging.getLogger("badgerroute.part")
+log = logging.getLogger("badgerroute.shard")
 SICK_JOBS = 2  # so many different jobs failing on a machine make it suspect
 SICK_TRIES = 3
 AVOIDED = timedelta(seconds=5)
@@ -19,10 +19,10 @@
 
 
 class FailureJudge:
-    """Judges the failures in one part."""
+    """Judges the failures in one shard."""
 
-    def __init__(self, part: PartState) -> None:
-        self._part = part
+    def __init__(self, shard: ShardState) -> None:
+        self._shard = shard
 
     def failed(self, job: Job, placement: Placement, cause: str, events: Events, now: timedelta) -> None:
         """An attempt ended without being done."""
@@ -58,7 +58,7 @@
 
     def _only_here(self, machine: Machine) -> int:
         """How many jobs failed on this machine and nowhere else; those that fail elsewhere too may be failing jobs."""
-        jobs = [self._part.jobs.get(ref) for ref in machine.failed_jobs]
+        jobs = [self._shard.jobs.get(ref) for ref in machine.failed_jobs]
         return sum(job is not None and job.failed_on.keys() == {machine.name} for job in jobs)
 
     def forgive(self, job: Job, now: timedelta) -> None:
@@ -72,10 +72,10 @@
         A few such jobs once had dozens of machines called sick, drained and deleted, with all that ran on them.
         """
         if not job.failing:
-            log.info("event=job_mistaken job=%s part=%d machines=%d", job.ref, self._part.number, len(job.failed_on))
+            log.info("event=job_mistaken job=%s shard=%d machines=%d", job.ref, self._shard.number, len(job.failed_on))
             job.failing = True
             for name in job.failed_on:
-                one = self._part.machines.get(name)
+                one = self._shard.machines.get(name)
                 if one is not None and one.failed_jobs.pop(job.ref, None) is not None and not one.failed_jobs:
                     one.avoid_until = ZERO
         if now >= job.blocked_until:  # the rest of a wave that was started before says nothing new
@@ -88,7 +88,7 @@
         failed, job.failed_on = job.failed_on, {}
         job.failing, job.probes, job.blocked_until = False, 0, ZERO
         for name, tasks in failed.items():
-            one = self._part.machines.get(name)
+            one = self._shard.machines.get(name)
             if one is None or one is machine or job.ref not in one.failed_jobs:
                 continue
             if tasks >= SICK_TRIES or len(one.failed_jobs) >= SICK_JOBS:
--- a/badgerroute/scheduling/gang_placement.py
+++ b/badgerroute/scheduling/gang_placement.py
@@ -7,10 +7,10 @@
 from badgerroute.scheduling import ladder
 from badgerroute.scheduling.model import ZERO, Job, Machine, Phase
 from badgerroute.scheduling.objectives import Objectives
-from badgerroute.scheduling.part import Part
 from badgerroute.scheduling.placement_rules import FETCH_SPREAD, PlacementRules
 from badgerroute.scheduling.preemption import Preemption
 from badgerroute.scheduling.service_order import ServiceOrder
+from badgerroute.scheduling.shard import Shard
 from badgerroute.storage.records import lowest
 
 log = logging.getLogger("badgerroute.planner")
@@ -18,25 +18,25 @@
 
 
 class GangPlacement:
-    """Places the gangs of one part, on reports and in rounds of their own."""
+    """Places the gangs of one shard, on reports and in rounds of their own."""
 
     def __init__(
         self,
-        part: Part,
+        shard: Shard,
         order: ServiceOrder,
         rules: PlacementRules,
         preemption: Preemption,
         objectives: Objectives,
         report: timedelta,
     ) -> None:
-        self._part, self._order, self._rules, self._preemption = part, order, rules, preemption
+        self._shard, self._order, self._rules, self._preemption = shard, order, rules, preemption
         self._objectives, self._report = objectives, report
         self._cursor = 0
         self.cut_short = 0  # rounds that ran out of time
 
     def place_on(self, machine: Machine, now: timedelta, over: Callable[[], bool]) -> int:
         """Place the gangs for which a machine that reports may have been missing. Room is made in rounds only."""
-        if not self._part.settled or not machine.usable:
+        if not self._shard.settled or not machine.usable:
             return 0
         self._order.refresh(now)
         placed = 0
@@ -52,7 +52,7 @@
 
     def place(self, now: timedelta, over: Callable[[], bool]) -> int:
         """Place waiting gangs, each whole or not at all."""
-        if not self._part.settled:
+        if not self._shard.settled:
             return 0
         self._order.refresh(now)
         waiting = [job for job in self._order.jobs if job.gang and not job.placed and job.waiting_bits]
@@ -70,7 +70,7 @@
 
     def _place_gang(self, job: Job, now: timedelta, make_room: bool) -> bool:
         tasks = job.waiting_bits.bit_count()
-        if self._part.fits_share(job, tasks) < tasks:
+        if self._shard.fits_share(job, tasks) < tasks:
             self._rules.lacks(job, tasks)
             return False
         wait = now - job.since
@@ -98,7 +98,7 @@
             return False
         if not job.failing and self._better_beside_image(job, tasks, chosen, wait, now):  # it waits for room there
             return False
-        attempt = self._part.next_attempt()
+        attempt = self._shard.next_attempt()
         log.debug(
             "event=place_gang job=%s machines=%s waited=%.1f cached=%d",
             job.ref,
@@ -111,8 +111,8 @@
         for machine in chosen:
             index = lowest(bits)
             bits &= bits - 1
-            self._part.place(job, index, attempt, machine, now, Phase.RESERVED)
-        for machine in self._part.machines.values():
+            self._shard.place(job, index, attempt, machine, now, Phase.RESERVED)
+        for machine in self._shard.machines.values():
             if machine.held_for == job.ref:
                 machine.held_for = None
         return True
@@ -166,8 +166,8 @@
         return self._preemption.clear(job, tasks, options, now)
 
     def unplaceable_gangs(self, now: timedelta) -> list[Job]:
-        """Gangs that have waited long and for which no room could be made in this part."""
-        holders = {machine.held_for for machine in self._part.machines.values()}
+        """Gangs that have waited long and for which no room could be made in this shard."""
+        holders = {machine.held_for for machine in self._shard.machines.values()}
         return [
             job
             for job in self._order.jobs
@@ -177,8 +177,8 @@
             and job.ref not in holders
             and job.waiting_bits
             and now - job.since >= self._preemption.patience(job)
-            and not self._lacks_share(job)  # else no other part could place it either
+            and not self._lacks_share(job)  # else no other shard could place it either
         ]
 
     def _lacks_share(self, job: Job) -> bool:
-        return self._part.fits_share(job, job.spec.tasks) < job.spec.tasks
+        return self._shard.fits_share(job, job.spec.tasks) < job.spec.tasks
--- a/badgerroute/scheduling/guidance.py
+++ b/badgerroute/scheduling/guidance.py
@@ -1,18 +1,18 @@
-"""Advice that a part's decisions take from outside the scheduling core.
+"""Advice that a shard's decisions take from outside the scheduling core.
 
 The planner asks at a few places where the rules leave it a choice: which of equals comes first, how long waiting for
 a cached image pays, which machines are to be emptied. The neutral advice here leaves every decision as it is without
-it. What advises is handed to the part; it never starts or stops anything by itself.
+it. What advises is handed to the shard; it never starts or stops anything by itself.
 """
 
 from datetime import timedelta
 
 from msgspec import UNSET, UnsetType
 
-from badgerroute.protocol.mesh import PartLoad
+from badgerroute.protocol.mesh import ShardLoad
 from badgerroute.scheduling import ladder
 from badgerroute.scheduling.model import Job, Machine, Placement
-from badgerroute.scheduling.part_state import PartView
+from badgerroute.scheduling.shard_state import ShardView
 
 
 class Guidance:
@@ -44,8 +44,8 @@
         """When a machine is to be empty, on the steady clock; None: it is not to be drained."""
         return None
 
-    def load(self, part: PartView, now: timedelta) -> PartLoad | UnsetType:
-        """What the other controllers are told of the part's waits and load."""
+    def load(self, shard: ShardView, now: timedelta) -> ShardLoad | UnsetType:
+        """What the other controllers are told of the shard's waits and load."""
         return UNSET
 
 
--- a/badgerroute/scheduling/ladder.py
+++ b/badgerroute/scheduling/ladder.py
@@ -2,7 +2,7 @@
 
 After algorithm 2 of the paper: a machine that caches the image at once; one in a zone that caches it after
 tau * p; any after 2 * tau * p. No wait is longer than fetching the image would take, and a task whose image
-nothing in the part caches has nothing to wait for.
+nothing in the shard caches has nothing to wait for.
 """
 
 from collections.abc import Iterable
@@ -22,7 +22,7 @@
 
 
 class ImageLocations:
-    """Where images are cached in a part, gathered once for a round of decisions."""
+    """Where images are cached in a shard, gathered once for a round of decisions."""
 
     def __init__(self, machines: Iterable[Machine]) -> None:
         self.zones: dict[str, set[str]] = {}
@@ -32,7 +32,7 @@
                     self.zones.setdefault(image, set()).add(machine.zone)
 
     def cached(self, image: str) -> bool:
-        """Whether any machine of the part caches an image."""
+        """Whether any machine of the shard caches an image."""
         return image in self.zones
 
     def in_zone(self, image: str, zone: str) -> bool:
--- a/badgerroute/scheduling/model.py
+++ b/badgerroute/scheduling/model.py
@@ -1,4 +1,4 @@
-"""Machines, jobs and attempts as one part sees them. Plain records: what decides lies in the modules beside."""
+"""Machines, jobs and attempts as one shard sees them. Plain records: what decides lies in the modules beside."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -124,7 +124,7 @@
 
 @dataclass(slots=True, eq=False)
 class Machine:
-    """A member of a part, as its reports show it."""
+    """A member of a shard, as its reports show it."""
 
     name: str
     address: str
@@ -216,13 +216,13 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A job's tasks in this part."""
+    """A job's tasks in this shard."""
 
     ref: str
     spec: Submission
     accepted: timedelta  # its acceptance, or its release if it waited for others, on this process's steady clock
     owned: int  # bit sets of task numbers
-    done: int  # durable, all parts
+    done: int  # durable, all shards
     window: int
     need: Room
     since: timedelta  # when its tasks here began to wait
@@ -253,7 +253,7 @@
     start_by: timedelta | None = None  # later, and a job that needs it will be late
     level: int = 0  # of its priority, or a dependent's; both are asked for at every turn, so they are kept ready
     gang: bool = False
-    giving: int = 0  # on their way to another part, by a write whose outcome we don't know yet: out of reach
+    giving: int = 0  # on their way to another shard, by a write whose outcome we don't know yet: out of reach
     _waiting: tuple[tuple[int, ...], int] = ((), 0)
 
     def __post_init__(self) -> None:
--- a/badgerroute/scheduling/placement_rules.py
+++ b/badgerroute/scheduling/placement_rules.py
@@ -1,12 +1,12 @@
-"""What holds for gangs and arrays alike: the ladder with this part's images, zones, and shares that are lacking."""
+"""What holds for gangs and arrays alike: the ladder with this shard's images, zones, and shares that are lacking."""
 
 from datetime import timedelta
 
 from badgerroute.scheduling import ladder
 from badgerroute.scheduling.model import Job, Machine, Room
 from badgerroute.scheduling.objectives import Objectives
-from badgerroute.scheduling.part import Part
 from badgerroute.scheduling.service_order import ServiceOrder
+from badgerroute.scheduling.shard import Shard
 from badgerroute.settings import Scheduling
 
 FETCH_SPREAD = 1.3  # fetches take up to a third longer than the machine type's rate says
@@ -16,19 +16,19 @@
     """`short_of_share` is what teams lacked of their limits since somebody last took it away."""
 
     def __init__(
-        self, part: Part, order: ServiceOrder, settings: Scheduling, objectives: Objectives, report: timedelta
+        self, shard: Shard, order: ServiceOrder, settings: Scheduling, objectives: Objectives, report: timedelta
     ) -> None:
-        self._part, self._order, self._settings = part, order, settings
+        self._shard, self._order, self._settings = shard, order, settings
         self._objectives, self._report = objectives, report
         self.short_of_share: dict[str, Room] = {}
 
     def allowed(self, job: Job, machine: Machine, wait: timedelta) -> ladder.Rung:
         """The highest rung that a task which has waited so long may use on a machine."""
-        fetch = self._part.guidance.fetch_time(job, machine)
-        local_wait = self._part.guidance.local_wait(job)
+        fetch = self._shard.guidance.fetch_time(job, machine)
+        local_wait = self._shard.guidance.local_wait(job)
         if local_wait is not None and local_wait > fetch:
             return ladder.Rung.ANY  # it would wait longer for its image than the fetch takes
-        correction = self._part.estimates.correction(job.spec.job_class)
+        correction = self._shard.estimates.correction(job.spec.job_class)
         within = self._latest_choice(job, fetch)
         return ladder.allowed(job, wait, fetch, self._order.images, correction, self._settings, within)
 
