--- a/badgerroute/scheduling/planner.py
+++ b/badgerroute/scheduling/planner.py
@@ -1,4 +1,4 @@
-"""Rounds of decisions for one part: fill a machine that reports, place gangs, make room, apply feedback."""
+"""Rounds of decisions for one shard: fill a machine that reports, place gangs, make room, apply feedback."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,16 +9,16 @@
 from badgerroute.scheduling.gang_placement import GangPlacement
 from badgerroute.scheduling.model import Job, Machine, Room
 from badgerroute.scheduling.objectives import Objectives
-from badgerroute.scheduling.part import Part
 from badgerroute.scheduling.placement_rules import PlacementRules
 from badgerroute.scheduling.preemption import Preemption
 from badgerroute.scheduling.service_order import ServiceOrder
+from badgerroute.scheduling.shard import Shard
 from badgerroute.settings import Scheduling
 
 
 @dataclass(slots=True)
 class Shape:
-    """Waiting tasks of one kind: what the fleet and the other parts need to know of them."""
+    """Waiting tasks of one kind: what the fleet and the other shards need to know of them."""
 
     ref: str
     team: str
@@ -32,18 +32,18 @@
 
 
 class Planner:
-    """What an owner asks of its part: see the modules that it is made of."""
+    """What an owner asks of its shard: see the modules that it is made of."""
 
     def __init__(
-        self, part: Part, settings: Scheduling, objectives: Objectives, report: timedelta = timedelta(seconds=1)
+        self, shard: Shard, settings: Scheduling, objectives: Objectives, report: timedelta = timedelta(seconds=1)
     ) -> None:
-        self.part = part
+        self.shard = shard
         self._settings = settings
-        self._order = ServiceOrder(part, objectives)
-        self._rules = PlacementRules(part, self._order, settings, objectives, report)
-        self._preemption = Preemption(part, self._order, objectives, report)
-        self._gangs = GangPlacement(part, self._order, self._rules, self._preemption, objectives, report)
-        self._arrays = ArrayPlacement(part, self._order, self._rules, self._preemption)
+        self._order = ServiceOrder(shard, objectives)
+        self._rules = PlacementRules(shard, self._order, settings, objectives, report)
+        self._preemption = Preemption(shard, self._order, objectives, report)
+        self._gangs = GangPlacement(shard, self._order, self._rules, self._preemption, objectives, report)
+        self._arrays = ArrayPlacement(shard, self._order, self._rules, self._preemption)
 
     def rank(self, job: Job) -> tuple[float, float, float]:
         """See ServiceOrder."""
@@ -110,7 +110,7 @@
 
     def feedback(self, now: timedelta) -> None:
         """Sample every job, and give those whose period is over their next desire."""
-        for job in self.part.jobs.values():
+        for job in self.shard.jobs.values():
             if job.period_began is None:
                 continue
             af.sample(job, job.waiting_bits.bit_count())
@@ -120,7 +120,7 @@
     def shapes(self, now: timedelta) -> list[Shape]:
         """The waiting tasks by job."""
         shapes = []
-        for job in self.part.jobs.values():
+        for job in self.shard.jobs.values():
             count = job.startable
             if count and job.blocked_until <= now:
                 shapes.append(
@@ -141,10 +141,10 @@
     def freeing(self, now: timedelta) -> float:
         """Processors of array tasks that should end before a new machine could boot and fetch an image."""
         total = 0.0
-        for job in self.part.jobs.values():
+        for job in self.shard.jobs.values():
             if job.gang or not job.placed:
                 continue
-            run = ladder.run_time(job, self.part.estimates.correction(job.spec.job_class))
+            run = ladder.run_time(job, self.shard.estimates.correction(job.spec.job_class))
             before: dict[str, timedelta] = {}  # machine type -> what runs since then will have ended
             for placement in job.placed.values():
                 since = placement.running_since
--- a/badgerroute/scheduling/preemption.py
+++ b/badgerroute/scheduling/preemption.py
@@ -7,8 +7,8 @@
 from badgerroute.scheduling import ladder
 from badgerroute.scheduling.model import EPSILON, ZERO, Job, Machine, Phase, Placement, Room, allows
 from badgerroute.scheduling.objectives import Objectives
-from badgerroute.scheduling.part import Part
 from badgerroute.scheduling.service_order import ServiceOrder
+from badgerroute.scheduling.shard import Shard
 from badgerroute.storage.records import lowest
 
 log = logging.getLogger("badgerroute.planner")
@@ -20,10 +20,10 @@
 
 
 class Preemption:
-    """Stops work of one part for other work that comes before it in the order of service."""
+    """Stops work of one shard for other work that comes before it in the order of service."""
 
-    def __init__(self, part: Part, order: ServiceOrder, objectives: Objectives, report: timedelta) -> None:
-        self._part, self._order, self._objectives, self._report = part, order, objectives, report
+    def __init__(self, shard: Shard, order: ServiceOrder, objectives: Objectives, report: timedelta) -> None:
+        self._shard, self._order, self._objectives, self._report = shard, order, objectives, report
         self._cursor = 0  # the job with which making room goes on
         self.cut_short = 0  # rounds that ran out of time
 
@@ -32,7 +32,7 @@
         spec, cpus = job.spec, job.need.cpus - EPSILON if free else -1.0
         return [
             machine
-            for machine in self._part.machines.values()
+            for machine in self._shard.machines.values()
             if machine.free.cpus >= cpus
             and machine.usable
             and machine.avoid_until <= now
@@ -96,7 +96,7 @@
 
         What can't: stopping and starting each take until the next report, and then the image is fetched.
         """
-        spare = self._objectives.start_within(job) - LEAD_REPORTS * self._report - self._part.least_fetch(job)
+        spare = self._objectives.start_within(job) - LEAD_REPORTS * self._report - self._shard.least_fetch(job)
         return max(ZERO, spare / PATIENCE)
 
     def make_room_for_gang(self, job: Job, tasks: int, now: timedelta) -> None:
@@ -143,9 +143,9 @@
         )
         if spec.gang:
             victim.job.stopped += 1
-            self._part.stop_gang(victim.job, grace)
+            self._shard.stop_gang(victim.job, grace)
         else:
-            self._part.stop(victim, grace)
+            self._shard.stop(victim, grace)
 
     def make_room_for_arrays(self, now: timedelta, over: Callable[[], bool]) -> None:
         """Give a team its guarantee, and higher levels their place, at the cost of work that may be stopped.
@@ -153,10 +153,10 @@
         A round that runs out of time goes on with the next job: with 2,000 waiting jobs on 4,000 machines one pass
         took almost four seconds, in which no report was answered.
         """
-        if not self._part.settled:
+        if not self._shard.settled:
             return
         self._order.refresh(now)
-        coming = sum(machine.leaving for machine in self._part.machines.values())  # room on its way already
+        coming = sum(machine.leaving for machine in self._shard.machines.values())  # room on its way already
         stops_left = MAX_STOPS_PER_ROUND
         jobs = self._order.jobs
         for position in range(min(self._cursor, len(jobs)), len(jobs)):
@@ -181,7 +181,7 @@
         bits = job.waiting_bits
         if not bits or now - min(job.requeued.get(lowest(bits), job.since), now) < patience:
             return 0
-        wanted = min(bits.bit_count(), self._part.fits_share(job, most), most)
+        wanted = min(bits.bit_count(), self._shard.fits_share(job, most), most)
         for machine in self.candidates(job, now, free=True):
             if wanted <= 0:
                 break
@@ -209,9 +209,9 @@
 
         A gang that was passed on, or fitted elsewhere, once left its machines held for ever: idle, and never returned.
         """
-        for machine in self._part.machines.values():
+        for machine in self._shard.machines.values():
             if machine.held_for is not None:
-                holder = self._part.jobs.get(machine.held_for)
+                holder = self._shard.jobs.get(machine.held_for)
                 late = machine.held_until is not None and now > machine.held_until
                 if late or holder is None or not holder.waiting_bits:
                     machine.held_for = machine.held_until = None
@@ -219,7 +219,7 @@
     def room_without(self, level: int) -> list[tuple[Machine, Room]]:
         """What each machine could offer a job of a level: its free room and that of work which may be stopped."""
         machines = []
-        for machine in self._part.machines.values():
+        for machine in self._shard.machines.values():
             if machine.usable and machine.held_for is None:
                 machines.append((machine, self.room_below(machine, level)))
         return machines
--- a/badgerroute/scheduling/rental_planning.py
+++ b/badgerroute/scheduling/rental_planning.py
@@ -1,6 +1,6 @@
 """Which machines to rent: what waits beyond the free room that there is, and that is on its way.
 
-Pure: it is told what the parts say, what is on its way and which places may be asked, and keeps nothing.
+Pure: it is told what the shards say, what is on its way and which places may be asked, and keeps nothing.
 """
 
 from collections.abc import Callable
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from badgerroute.protocol.cloud import MachineType
-from badgerroute.protocol.mesh import PartSummary, PendingDemand
+from badgerroute.protocol.mesh import PendingDemand, ShardSummary
 from badgerroute.scheduling.capacities import room_of
 from badgerroute.scheduling.model import Room, capacity_of
 from badgerroute.scheduling.objectives import Objectives
@@ -97,11 +97,13 @@
         self._used: dict[str, Room] = {}
         self._wanted: dict[RentalPlace, int] = {}
 
-    def machines_wanted(self, summaries: list[PartSummary], expected: list[ExpectedMachines]) -> dict[RentalPlace, int]:
+    def machines_wanted(
+        self, summaries: list[ShardSummary], expected: list[ExpectedMachines]
+    ) -> dict[RentalPlace, int]:
         """Machines that the waiting tasks need beyond the free room there is and is coming."""
         self._count_room(summaries, expected)
-        freeing_cpus = sum(part.freeing for part in summaries)
-        demands = [demand for part in summaries for demand in part.demands]
+        freeing_cpus = sum(shard.freeing for shard in summaries)
+        demands = [demand for shard in summaries for demand in shard.demands]
         self._least_need = Room(
             min((demand.cpus for demand in demands), default=0.0),
             min((demand.accelerators for demand in demands), default=0.0),
@@ -119,12 +121,12 @@
                 self._fit(demand, count)
         return self._wanted
 
-    def _count_room(self, summaries: list[PartSummary], expected: list[ExpectedMachines]) -> None:
-        for part in summaries:
-            for capacity in part.capacities:
+    def _count_room(self, summaries: list[ShardSummary], expected: list[ExpectedMachines]) -> None:
+        for shard in summaries:
+            for capacity in shard.capacities:
                 place = RentalPlace(capacity.type, capacity.zone, capacity.spot)
                 self._groups.append(_RoomGroup(place, room_of(capacity), capacity.count))
-            for team, (cpus, accelerators) in part.used.items():
+            for team, (cpus, accelerators) in shard.used.items():
                 self._used.setdefault(team, Room()).add(Room(cpus, accelerators))
         for machines in expected:
             machine_type = self._catalog.get(machines.place.type)
--- a/badgerroute/scheduling/reports.py
+++ b/badgerroute/scheduling/reports.py
@@ -12,9 +12,9 @@
 from badgerroute.scheduling.events import Events
 from badgerroute.scheduling.failures import FailureJudge
 from badgerroute.scheduling.model import ZERO, Job, Machine, Phase, Placement
-from badgerroute.scheduling.part_state import PartState
+from badgerroute.scheduling.shard_state import ShardState
 
-log = logging.getLogger("badgerroute.part")
+log = logging.getLogger("badgerroute.shard")
 PHASES = {
     "fetching": Phase.FETCHING,
     "waiting": Phase.WAITING,
@@ -50,19 +50,19 @@
 
 
 class ReportReader:
-    """Takes in the task lists of one part's machines."""
+    """Takes in the task lists of one shard's machines."""
 
-    def __init__(self, part: PartState, failures: FailureJudge) -> None:
-        self._part, self._failures = part, failures
+    def __init__(self, shard: ShardState, failures: FailureJudge) -> None:
+        self._shard, self._failures = shard, failures
 
     def on_report(self, machine: Machine, report: Report, checkin: bool, now: timedelta) -> Events | None:
         """Take in a machine's task list. None: it is older than what is known already, and must change nothing."""
         if report.session <= machine.dead_session or not report.newer_than(machine.session, machine.seq):
             return None
-        prompt = machine.heard is not None and now - machine.heard <= self._part.lease / 3
+        prompt = machine.heard is not None and now - machine.heard <= self._shard.lease / 3
         message = Message(machine, report, checkin, prompt, now)
         self._note_machine(message)
-        if report.token < self._part.fence and not machine.pristine:
+        if report.token < self._shard.fence and not machine.pristine:
             # Another owner's commands may still reach it: the list is true, but it is not the last word.
             machine.fenced = False
             return message.events
@@ -85,9 +85,9 @@
             machine.unreachable, machine.untaken = False, 0  # it answered a command, so it hears us
         if report.session > machine.session and machine.session:
             # The lease expired in between: everything that was on the machine is dead.
-            self._part.lose_tasks(machine, now)
+            self._shard.lose_tasks(machine, now)
             message.events.freed = True
-            if message.checkin and machine.answered is not None and now - machine.answered < self._part.lease:
+            if message.checkin and machine.answered is not None and now - machine.answered < self._shard.lease:
                 self._mark_unreachable(machine)  # its lease ran out although we answered: it does not hear us
         machine.session, machine.seq = report.session, report.seq
         machine.token_seen = max(machine.token_seen, report.token)
@@ -124,7 +124,7 @@
                     machine.listed = None
                     continue
                 untaken = True
-            self._part.release(placement, message.now)
+            self._shard.release(placement, message.now)
             message.events.freed = True
         if untaken:
             machine.untaken += 1
@@ -136,11 +136,11 @@
     def _mark_unreachable(self, machine: Machine) -> None:
         """Nothing more is placed there, or it would be started, found missing and started again for ever."""
         if not machine.unreachable:
-            log.info("event=machine_deaf machine=%s part=%d", machine.name, self._part.number)
+            log.info("event=machine_deaf machine=%s shard=%d", machine.name, self._shard.number)
         machine.unreachable = True
         for placement in list(machine.placements.values()):
             if placement.phase is Phase.RESERVED:
-                self._part.forget(placement)
+                self._shard.forget(placement)
 
     def _present(self, message: Message, ref: str, index: int, task: TaskReport) -> None:
         machine, now = message.machine, message.now
@@ -179,36 +179,36 @@
         if image in machine.complete or not placement.timed:
             return
         asked = [placement.since for placement in machine.placements.values() if placement.job.spec.image == image]
-        self._part.image_fetched(placement, now - min(asked))
+        self._shard.image_fetched(placement, now - min(asked))
 
     def _adopt(self, message: Message, ref: str, index: int, task: TaskReport) -> Placement | None:
         """A task that we did not start: a former owner's. Keep it if it is ours, else it has to go."""
         machine = message.machine
-        job = self._part.jobs.get(ref)
-        if job is None and self._part.undecided(ref):
+        job = self._shard.jobs.get(ref)
+        if job is None and self._shard.undecided(ref):
             self._keep_undecided(machine, (ref, index, task.attempt))
             return None
         if job is None or not job.owned >> index & 1 or index in job.placed:
             log.info("event=stray_task machine=%s task=%s/%d", machine.name, ref, index)
             machine.strays.add((ref, index, task.attempt))
             return None
-        placement = self._part.place(job, index, task.attempt, machine, message.now, PHASES[task.state])
+        placement = self._shard.place(job, index, task.attempt, machine, message.now, PHASES[task.state])
         placement.timed = False
         if job.spec.gang:
             if job.gang_attempt is None:
                 job.gang_attempt = task.attempt
             elif job.gang_attempt != task.attempt:
-                self._part.stop_gang(job, ZERO)
+                self._shard.stop_gang(job, ZERO)
         return placement
 
     def _keep_undecided(self, machine: Machine, task: tuple[str, int, int]) -> None:
         """A task of a job of which we don't know yet whether it was released: left as it is until we do.
 
-        A part that was taken over before its owner had looked up how predecessors ended stopped such tasks as strays.
+        A shard that was taken over before its owner had looked up how predecessors ended stopped such tasks as strays.
         Nothing is placed meanwhile: not this task, which runs already, nor others, since it counts against its team.
         """
         machine.undecided.add(task)
-        self._part.settled = False
+        self._shard.settled = False
 
     def _exited(self, message: Message, ref: str, index: int, task: TaskReport) -> None:
         machine = message.machine
@@ -221,9 +221,9 @@
             if not message.settles(placement):
                 machine.listed = None
                 return
-        job = self._part.jobs.get(ref)
+        job = self._shard.jobs.get(ref)
         if job is None:
-            if self._part.undecided(ref):
+            if self._shard.undecided(ref):
                 self._keep_undecided(machine, (ref, index, task.attempt))
             return
         cause = task.cause or ""
@@ -239,7 +239,7 @@
         elif placement is not None:
             message.events.freed = True
             self._failures.failed(job, placement, cause, message.events, message.now)
-            self._part.release(placement, message.now)
+            self._shard.release(placement, message.now)
 
     @staticmethod
     def _may_rejoin(placement: Placement) -> bool:
@@ -275,5 +275,5 @@
                 job.run_sum += run
                 job.run_count += 1
                 if not (job.spec.checkpoint_s and job.requeued):
-                    self._part.estimates.learn(job.spec.job_class, timedelta(seconds=job.spec.estimate_s), run)
-            self._part.forget(placement)
+                    self._shard.estimates.learn(job.spec.job_class, timedelta(seconds=job.spec.estimate_s), run)
+            self._shard.forget(placement)
--- a/badgerroute/scheduling/service_order.py
+++ b/badgerroute/scheduling/service_order.py
@@ -1,4 +1,4 @@
-"""The one order in which a part's jobs are served. It decides who starts first and who may stop whom."""
+"""The one order in which a shard's jobs are served. It decides who starts first and who may stop whom."""
 
 from datetime import timedelta
 from math import inf
@@ -6,7 +6,7 @@
 from badgerroute.scheduling import ladder
 from badgerroute.scheduling.model import Job, Room
 from badgerroute.scheduling.objectives import Objectives
-from badgerroute.scheduling.part import Part
+from badgerroute.scheduling.shard import Shard
 
 ORDER_KEPT = timedelta(milliseconds=250)
 
@@ -14,8 +14,8 @@
 class ServiceOrder:
     """Jobs that wait, first come those to be served first; kept for a moment, since every report asks for it."""
 
-    def __init__(self, part: Part, objectives: Objectives) -> None:
-        self._part, self._objectives = part, objectives
+    def __init__(self, shard: Shard, objectives: Objectives) -> None:
+        self._shard, self._objectives = shard, objectives
         self.jobs: list[Job] = []
         self.least_need = Room()  # no array task that waits takes less than this
         self.images = ladder.ImageLocations([])
@@ -28,16 +28,16 @@
         if now - self._ordered_at < ORDER_KEPT:
             return
         self._ordered_at = now
-        self.images = ladder.ImageLocations(self._part.machines.values())
-        waiting = [job for job in self._part.jobs.values() if job.waiting_bits and job.blocked_until <= now]
+        self.images = ladder.ImageLocations(self._shard.machines.values())
+        waiting = [job for job in self._shard.jobs.values() if job.waiting_bits and job.blocked_until <= now]
         for job in waiting:
-            self._part.forgive(job, now)
+            self._shard.forgive(job, now)
         self._tiers = {job.ref: self._tier(job, now) for job in waiting}
-        waiting.sort(key=lambda job: (self.group(job), self._part.guidance.precedence(job), job.accepted))
+        waiting.sort(key=lambda job: (self.group(job), self._shard.guidance.precedence(job), job.accepted))
         self.jobs = waiting
         self._short_gangs = {}
         for job in waiting:
-            if job.gang and not job.placed and not job.failing and self._part.short_of_share(job):
+            if job.gang and not job.placed and not job.failing and self._shard.short_of_share(job):
                 self._short_gangs.setdefault(job.spec.team, []).append(job)
         arrays = [job.need for job in waiting if not job.gang]
         self.least_need = Room(
@@ -49,7 +49,7 @@
 
     def run_time(self, job: Job) -> timedelta:
         """How long a task of the job is expected to run."""
-        return ladder.run_time(job, self._part.estimates.correction(job.spec.job_class))
+        return ladder.run_time(job, self._shard.estimates.correction(job.spec.job_class))
 
     def group(self, job: Job) -> tuple[int, bool, float]:
         """Jobs among which the least held goes first: alike in class, and in how late they must be already.
@@ -59,14 +59,15 @@
         return (*self.job_class(job), self._tiers.get(job.ref, 0))
 
     def rank(self, job: Job) -> tuple[float, float, float]:
-        """Where a job stands in the order of service, which is the same in all parts: less comes first."""
+        """Where a job stands in the order of service, which is the same in all shards: less comes first."""
         return float(-job.level), float(not job.guaranteed), float(self._tiers.get(job.ref, job.tier))
 
     def yields_to_gang(self, job: Job) -> bool:
         """Whether a gang that comes before a job lacks a share of their team's limit here.
 
-        What becomes free of the share, or comes from other parts, is then kept for the gang. It needs much at once: the
-        team's lesser tasks need little each. They took it piece by piece, and gangs waited for two minutes beside room.
+        What becomes free of the share, or comes from other shards, is then kept for the gang. It needs much at once:
+        the team's lesser tasks need little each. They took it piece by piece, and gangs waited for two minutes beside
+        room.
         """
         gangs = self._short_gangs.get(job.spec.team)
         return gangs is not None and any(self.job_class(gang) < self.job_class(job) for gang in gangs)
@@ -77,6 +78,6 @@
         return (-job.level, not job.guaranteed)
 
     def turn(self, job: Job) -> tuple[float, float]:
-        """Among equals, less comes first: by what is advised of their teams, then by how much of the part they hold."""
+        """Among equals, less comes first: by what is advised of their teams, then by what they hold of the shard."""
         held = len(job.placed) * (job.need.cpus + 8 * job.need.accelerators)
-        return self._part.guidance.precedence(job), held
+        return self._shard.guidance.precedence(job), held
--- a/badgerroute/scheduling/part.py
+++ b/badgerroute/scheduling/shard.py
@@ -1,4 +1,4 @@
-"""One part: its machines, and its share of the jobs.
+"""One shard: its machines, and its share of the jobs.
 
 This is the bookkeeping that safety rests on (docs/safety.md). It is deterministic: state, message and time in,
 commands out. It has no sockets and no clock of its own.
@@ -19,7 +19,7 @@
 from badgerroute.scheduling.reports import ReportReader
 from badgerroute.storage.records import JobRecord, MachineRecord
 
-log = logging.getLogger("badgerroute.part")
+log = logging.getLogger("badgerroute.shard")
 
 ATTEMPT_BITS = 24
 
@@ -53,8 +53,8 @@
         return total / weight
 
 
-class Part:
-    """The books of one part."""
+class Shard:
+    """The books of one shard."""
 
     def __init__(
         self,
@@ -80,7 +80,7 @@
         self.settled = False  # every member fenced or provably rid of its tasks: until then nothing is placed
         self.reserved_for_siblings: dict[
             str, tuple[Room, timedelta]
-        ] = {}  # team -> of its share, what is kept for another part
+        ] = {}  # team -> of its share, what is kept for another shard
         self._failures = FailureJudge(self)
         self._reports = ReportReader(self, self._failures)
         self._counter = 0
@@ -144,7 +144,7 @@
                 return None
             spec = record.job
             need = Room(spec.cpus, spec.accelerators, spec.memory_gb)
-            # A gang that comes from another part has waited there already.
+            # A gang that comes from another shard has waited there already.
             since = min(now, accepted) if spec.gang else now
             job = Job(ref, spec, accepted, owned, done, window, need, since, held_back=held_back)
             self.jobs[ref] = job
@@ -205,14 +205,14 @@
         return max(0, min(tasks, fitting))
 
     def reserve_for_sibling(self, team: str, room: Room, until: timedelta) -> None:
-        """As the team's tasks end here, start nothing in so much of its share: another part is to have it."""
+        """As the team's tasks end here, start nothing in so much of its share: another shard is to have it."""
         if room.cpus > EPSILON or room.accelerators > EPSILON:
             self.reserved_for_siblings[team] = (room, until)
         else:
             self.reserved_for_siblings.pop(team, None)
 
     def expire_reservations(self, now: timedelta) -> None:
-        """Let go of share that was kept for other parts and not called for."""
+        """Let go of share that was kept for other shards and not called for."""
         for team in [team for team, (_, until) in self.reserved_for_siblings.items() if until < now]:
             del self.reserved_for_siblings[team]
 
@@ -377,7 +377,7 @@
             # A stray's team is unknown, so what it uses can't be counted: wait until it is gone.
             self.settled = not self.unsettled()
             if self.settled:
-                log.info("event=part_settled part=%d term=%d machines=%d", self.number, self.term, len(self.machines))
+                log.info("event=shard_settled shard=%d term=%d machines=%d", self.number, self.term, len(self.machines))
         return self.settled
 
     def unsettled(self) -> list[Machine]:
--- a/badgerroute/scheduling/part_state.py
+++ b/badgerroute/scheduling/shard_state.py
@@ -1,4 +1,4 @@
-"""What of a part's state the modules may use that `part` itself is built of."""
+"""What of a shard's state the modules may use that `shard` itself is built of."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -14,8 +14,8 @@
         """Take in the run time of a finished task."""
 
 
-class PartView(Protocol):
-    """A part's members and jobs, to be looked at."""
+class ShardView(Protocol):
+    """A shard's members and jobs, to be looked at."""
 
     number: int
     lease: timedelta
@@ -27,8 +27,8 @@
         """Whether a job waits only for a share of its team's limit."""
 
 
-class PartState(PartView, Protocol):
-    """A part as those see it that read reports and judge failures for it."""
+class ShardState(ShardView, Protocol):
+    """A shard as those see it that read reports and judge failures for it."""
 
     fence: int
     settled: bool
--- a/badgerroute/scheduling/stealing.py
+++ b/badgerroute/scheduling/stealing.py
@@ -1,4 +1,4 @@
-"""Which waiting tasks a part gives to an idle one. Pure: what is chosen is written and given elsewhere."""
+"""Which waiting tasks a shard gives to an idle one. Pure: what is chosen is written and given elsewhere."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -6,15 +6,15 @@
 from badgerroute.protocol.mesh import FreeCapacity
 from badgerroute.scheduling.capacities import room_of
 from badgerroute.scheduling.model import Job, allows
-from badgerroute.scheduling.part import Part
+from badgerroute.scheduling.shard import Shard
 from badgerroute.storage.records import TaskRange, give, lowest, span, trailing_ones
 
-UNCACHED_WAIT = timedelta(seconds=1)  # a task whose image the idle part lacks is left here for so long
+UNCACHED_WAIT = timedelta(seconds=1)  # a task whose image the idle shard lacks is left here for so long
 
 
 @dataclass(slots=True)
 class _Offer:
-    """Machines of the idle part with the same free room, and how many of them are not spoken for."""
+    """Machines of the idle shard with the same free room, and how many of them are not spoken for."""
 
     capacity: FreeCapacity
     left: int
@@ -24,27 +24,27 @@
     """Chooses for one steal request; each choice uses up some of the room that was offered."""
 
     def __init__(
-        self, part: Part, capacities: list[FreeCapacity], images: dict[str, tuple[float, float]], now: timedelta
+        self, shard: Shard, capacities: list[FreeCapacity], images: dict[str, tuple[float, float]], now: timedelta
     ) -> None:
-        self._part, self._images, self._now = part, images, now
+        self._shard, self._images, self._now = shard, images, now
         self._offers = [_Offer(capacity, capacity.count) for capacity in capacities]
 
     def choose(self, job: Job) -> int:
-        """The waiting tasks of a job that the other part could start, as a bit set."""
+        """The waiting tasks of a job that the other shard could start, as a bit set."""
         whole = job.gang or job.spec.together or job.spec.spread
         if whole and job.placed:
-            return 0  # placement rules look at all of the job's tasks: they stay in one part
+            return 0  # placement rules look at all of the job's tasks: they stay in one shard
         # Only machines that the job may use count: else its tasks would stay where none of them can ever run.
         waiting = job.waiting_bits
-        room_here = self._part.room_for(job)
+        room_here = self._shard.room_for(job)
         wanted = waiting.bit_count() - (0 if whole else min(room_here, waiting.bit_count()))
         if whole and room_here >= wanted:
             return 0
         if job.spec.image not in self._images and self._now - job.since < UNCACHED_WAIT:
             return 0
         fitting, used = self._find_room(job, wanted)
-        # An array that must stay in one part may run there a few at a time. Where none of its tasks has any room, it
-        # once waited for a part that could hold all of them, beside one with room for some.
+        # An array that must stay in one shard may run there a few at a time. Where none of its tasks has any room, it
+        # once waited for a shard that could hold all of them, beside one with room for some.
         few = whole and not job.gang and not room_here
         count = min(fitting, wanted)
         if count <= 0 or (whole and fitting < wanted and not few):
@@ -82,11 +82,11 @@
     return taken
 
 
-def given_ranges(ranges: list[TaskRange], tasks: int, part: int) -> list[TaskRange]:
-    """The ranges after a bit set of tasks has gone to a part."""
+def given_ranges(ranges: list[TaskRange], tasks: int, shard: int) -> list[TaskRange]:
+    """The ranges after a bit set of tasks has gone to a shard."""
     while tasks:
         first = lowest(tasks)
         length = trailing_ones(tasks >> first)
         tasks &= ~span(first, first + length)
-        ranges = give(ranges, first, first + length, part)
+        ranges = give(ranges, first, first + length, shard)
     return ranges
--- a/badgerroute/settings/derived.py
+++ b/badgerroute/settings/derived.py
@@ -21,12 +21,12 @@
 
     @property
     def hosts(self) -> list[str]:
-        """All controllers in one order that every one of them computes alike; its index is a home part."""
+        """All controllers in one order that every one of them computes alike; its index is a home shard."""
         return sorted([self.platform.host_name, *(sibling.host_name for sibling in self.platform.siblings)])
 
     @property
     def home(self) -> int:
-        """The number of this controller's home part."""
+        """The number of this controller's home shard."""
         return self.hosts.index(self.platform.host_name)
 
     @property
--- a/badgerroute/settings/operator.py
+++ b/badgerroute/settings/operator.py
@@ -46,7 +46,7 @@
 
 
 class Claims(Struct, frozen=True, forbid_unknown_fields=True):
-    """Leases of parts."""
+    """Leases of shards."""
 
     ttl_s: Annotated[float, Meta(ge=1, le=60)] = 4.0
 
@@ -100,12 +100,12 @@
 
     @property
     def relay_for(self) -> timedelta:
-        """How long reports are relayed before the parts are handed over."""
+        """How long reports are relayed before the shards are handed over."""
         return timedelta(seconds=self.relay_s)
 
     @property
     def settle(self) -> timedelta:
-        """How long links must be good before parts come back."""
+        """How long links must be good before shards come back."""
         return timedelta(seconds=self.settle_s)
 
     @property
--- a/badgerroute/storage/records.py
+++ b/badgerroute/storage/records.py
@@ -5,12 +5,12 @@
 from typing import Any, NamedTuple
 
 import msgspec
-from msgspec import UNSET, Struct, UnsetType
+from msgspec import UNSET, Struct, UnsetType, field
 
 from badgerroute.protocol.users import Submission
 
 
-class PartClaim(Struct):
+class ShardLeaderRecord(Struct):
     """Until the time of day `until` (seconds since 1970), an owner before this one may still act."""
 
     owner: str
@@ -25,9 +25,9 @@
 
 
 class MachineRecord(Struct):
-    """A member of a part."""
+    """A member of a shard."""
 
-    part: int
+    shard: int = field(name="part")
     address: str
     type: str
     zone: str
@@ -35,7 +35,7 @@
 
 
 class DeletedMachinesRecord(Struct):
-    """Machines of a part that were deleted lately."""
+    """Machines of a shard that were deleted lately."""
 
     names: list[str]
 
@@ -48,7 +48,7 @@
 
 
 class ShareRecord(Struct):
-    """How much of a team's limit each part may use: part number -> [cpus, accelerators]."""
+    """How much of a team's limit each shard may use: shard number -> [cpus, accelerators]."""
 
     shares: dict[str, tuple[float, float]]
 
@@ -82,9 +82,9 @@
 
 
 class TaskRange(NamedTuple):
-    """The tasks from `first` to before `end` belong to `part`. Stored as a list of three numbers."""
+    """The tasks from `first` to before `end` belong to `shard`. Stored as a list of three numbers."""
 
-    part: int
+    shard: int
     first: int
     end: int
 
@@ -92,7 +92,7 @@
 class JobRecord(Struct):
     """An unfinished job. Tasks below `base` are done; `bits` holds the others, task `base` first.
 
-    `ranges` says which part owns which tasks. While the job waits for others that stands in `planned`, and `ranges` is
+    `ranges` says which shard owns which tasks. While the job waits for others that stands in `planned`, and `ranges` is
     empty: a version that knows nothing of predecessors must not start it, should one be brought back.
     """
 
@@ -106,11 +106,11 @@
 
     @property
     def assigned(self) -> list[TaskRange]:
-        """Which part owns which tasks as soon as the job is released."""
+        """Which shard owns which tasks as soon as the job is released."""
         return self.ranges if self.planned is UNSET else self.planned
 
     def with_ranges(self, ranges: list[TaskRange]) -> "JobRecord":
-        """The record of a released job whose tasks belong to other parts."""
+        """The record of a released job whose tasks belong to other shards."""
         return msgspec.structs.replace(self, ranges=ranges, planned=UNSET)
 
     def done(self) -> int:
@@ -128,11 +128,11 @@
         """Only how far all is done; the other bits are on pages."""
         return msgspec.structs.replace(self, base=trailing_ones(done), bits="")
 
-    def owned(self, part: int) -> int:
-        """The tasks that a part owns, as a bit set."""
+    def owned(self, shard: int) -> int:
+        """The tasks that a shard owns, as a bit set."""
         owned = 0
         for owner, first, end in self.assigned:
-            if owner == part:
+            if owner == shard:
                 owned |= span(first, end)
         return owned
 
@@ -170,9 +170,9 @@
     return (bits & -bits).bit_length() - 1
 
 
-def give(ranges: list[TaskRange], first: int, end: int, part: int) -> list[TaskRange]:
-    """The ranges after the tasks from `first` to before `end` have gone to `part`, neighbours joined."""
-    pieces = [TaskRange(part, first, end)]
+def give(ranges: list[TaskRange], first: int, end: int, shard: int) -> list[TaskRange]:
+    """The ranges after the tasks from `first` to before `end` have gone to `shard`, neighbours joined."""
+    pieces = [TaskRange(shard, first, end)]
     for known in ranges:
         before = known._replace(end=min(known.end, first))
         after = known._replace(first=max(known.first, end))
@@ -180,7 +180,7 @@
     pieces.sort(key=lambda piece: piece.first)
     joined: list[TaskRange] = []
     for piece in pieces:
-        if joined and joined[-1].part == piece.part and joined[-1].end == piece.first:
+        if joined and joined[-1].shard == piece.shard and joined[-1].end == piece.first:
             joined[-1] = joined[-1]._replace(end=piece.end)
         else:
             joined.append(piece)
--- a/badgerroute/storage/replica.py
+++ b/badgerroute/storage/replica.py
@@ -14,7 +14,7 @@
 
 log = logging.getLogger("badgerroute.replica")
 PREFIX = "b/"
-PARTS, FLEET, JOBS, FINAL_STATES, MACHINES, SHARES, CATALOG, DELETED, DONE, PREDECESSORS, DRAINS = (
+SHARD_LEADERS, FLEET, JOBS, FINAL_STATES, MACHINES, SHARES, CATALOG, DELETED, DONE, PREDECESSORS, DRAINS = (
     "b/parts/",
     "b/fleet",
     "b/jobs/",
@@ -29,7 +29,7 @@
 )
 # What jobs need beside their records is listed first, so that it is there when they are. Finished jobs are for ever,
 # and too many to hold.
-LISTED = (DONE, PREDECESSORS, PARTS, FLEET, JOBS, MACHINES, SHARES, CATALOG, DELETED)
+LISTED = (DONE, PREDECESSORS, SHARD_LEADERS, FLEET, JOBS, MACHINES, SHARES, CATALOG, DELETED)
 NOWHERE = PREFIX + "nowhere"  # a key that never exists
 BLOCK = timedelta(seconds=1)
 PAUSE = timedelta(milliseconds=150)  # between two watches: each one counts as a request
--- a/tests/standins/production.py
+++ b/tests/standins/production.py
@@ -20,6 +20,21 @@
 NAME = "badgerroute_production"
 OURS = re.compile(r"^(\s*(?:from|import) )badgerroute(?!\.transport)\b", re.MULTILINE)
 
+# Attributes that tests read of controllers of both versions: name here -> name in the version in production.
+ATTRIBUTES = {"shard": "part", "shards": "parts"}
+CLASSES = (
+    ("coordination.controller", "Controller"),
+    ("coordination.owner", "Owner"),
+    ("coordination.claims", "Claims"),
+)
+
+
+def _attribute(instance: object, name: str) -> object:
+    """Called for attributes that an instance lacks."""
+    if name not in ATTRIBUTES:
+        raise AttributeError(f"{type(instance).__name__} has no attribute {name}")
+    return getattr(instance, ATTRIBUTES[name])
+
 
 def module(name: str) -> ModuleType:
     """A module of the version in production."""
@@ -28,6 +43,8 @@
         # What it calls these errors of the transport layer, which have other names by now.
         http.Unanswered = http.NoAnswerError
         loop.TimeLimit = loop.TimeLimitError
+        for path, kind in CLASSES:
+            getattr(importlib.import_module(f"{NAME}.{path}"), kind).__getattr__ = _attribute
     return importlib.import_module(f"{NAME}.{name}")
 
 
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -168,7 +168,7 @@
 
 WRITES = {
     *(Action.ACCEPT, Action.CANCEL, Action.STEAL, Action.GIVE_WORK, Action.MOVE_SHARE, Action.LEND_MACHINES),
-    *(Action.ADD_MEMBER, Action.CLEAN_UP, Action.HAND_OVER, Action.RECEIVE_PART),
+    *(Action.ADD_MEMBER, Action.CLEAN_UP, Action.HAND_OVER, Action.RECEIVE_SHARD),
 }
 
 
@@ -179,7 +179,7 @@
 
 @pytest.mark.parametrize("mode", Mode)
 def test_nothing_that_safety_bounds_is_unbounded(mode: Mode) -> None:
-    """Of what acts for a part or destroys machines, none is allowed without a time limit in any mode."""
+    """Of what acts for a shard or destroys machines, none is allowed without a time limit in any mode."""
     bounded = {
         Action.ANSWER_REPORT: {Permission.WITHIN_GRACE},
         Action.START: {Permission.WITHIN_GRACE, Permission.REFUSED},
@@ -195,7 +195,7 @@
 
 class _Claims:
     def __init__(self, fresh: bool, certain: bool) -> None:
-        self.parts = {1: None}
+        self.shards = {1: None}
         self._fresh, self._certain = fresh, certain
 
     def fresh(self) -> bool:
@@ -218,7 +218,7 @@
             Permission.REFUSED: False,
         }[PERMISSIONS[mode][action]]
         assert gate.allows(action) == gate.allows_for(1, action) == expected
-        assert not gate.allows_for(0, action), "not our part"
+        assert not gate.allows_for(0, action), "not our shard"
 
 
 def attribute_uses(names: set[str]) -> dict[str, set[str]]:
@@ -276,7 +276,7 @@
     note(2 * SECOND + TRIAL)
     assert link.lost, "and did not come"
     link.update({}, 20 * SECOND)
-    assert link.lost, "without a part nothing is heard either way"
+    assert link.lost, "without a shard nothing is heard either way"
 
 
 # -- routes
@@ -345,7 +345,7 @@
         ([Candidate("c", 4, 10), Candidate("b", 4, 10)], "b"),
     ],
 )
-def test_receiver_of_a_part(candidates: list[Candidate], chosen: str | None) -> None:
+def test_receiver_of_a_shard(candidates: list[Candidate], chosen: str | None) -> None:
     receiver = choose_receiver(candidates, 20)
     assert (receiver.host if receiver else None) == chosen
 
--- a/tests/test_connectivity_days.py
+++ b/tests/test_connectivity_days.py
@@ -59,11 +59,11 @@
 
 @pytest.mark.parametrize(("seconds", "seed"), FLAPS)
 @pytest.mark.parametrize("mode", ["reset", "hold", "one_way"])
-def test_flapping_worker_links_move_no_part_about(seconds: float, mode: str, seed: int) -> None:
+def test_flapping_worker_links_move_no_shard_about(seconds: float, mode: str, seed: int) -> None:
     counts = play(cluster(seed), flapping_workers(seconds, mode))
     assert counts.hand_overs <= 2, "in all, not for each cut"
     assert counts.killed_by_lease == []
-    assert counts.part_seconds_without_owner <= 2
+    assert counts.shard_seconds_without_owner <= 2
 
 
 @pytest.mark.parametrize(("seconds", "seed"), FLAPS)
@@ -75,8 +75,8 @@
     assert 20 * counts.users_503 <= counts.users_asked, "a sibling answers in its place"
 
 
-def test_damping_delays_the_return_of_a_part_more_from_cut_to_cut() -> None:
-    """Without relays each cut passes the part away; it comes back later each time, and without a cut soon again."""
+def test_damping_delays_the_return_of_a_shard_more_from_cut_to_cut() -> None:
+    """Without relays each cut passes the shard away; it comes back later each time, and without a cut soon again."""
     day = cluster(3, OperatorSettings())
     day.run(5)
     host = HOSTS[0]
@@ -84,10 +84,10 @@
     away = []
     for _ in range(4):
         cut()
-        assert day.until(lambda: not day.controllers[host][0].claims.parts, 30)
+        assert day.until(lambda: not day.controllers[host][0].claims.shards, 30)
         heal()
         began = day.loop.now()
-        assert day.until(lambda: bool(day.controllers[host][0].claims.parts), 120)
+        assert day.until(lambda: bool(day.controllers[host][0].claims.shards), 120)
         away.append((day.loop.now() - began) / SECOND)
     assert away[0] < 16 and away[-1] > 1.2 * away[0] and away[-1] < 90, away
     assert day.finish(300) == [] and day.rules.broken == []
@@ -105,37 +105,37 @@
 
 
 def heals_when(reached: Callable[[Day, str, int], bool], mode: str) -> Fault:
-    """The link heals in the very step in which a sibling has come so far with the part."""
+    """The link heals in the very step in which a sibling has come so far with the shard."""
 
     def fault(day: Day) -> None:
         host = pick(day)
-        part = HOSTS.index(host)
+        shard = HOSTS.index(host)
         cut, heal = from_state(day, [host], mode)
         cut()
         end = day.loop.now() + 30 * SECOND
-        while not reached(day, host, part) and day.loop.now() < end:
+        while not reached(day, host, shard) and day.loop.now() < end:
             day.run(0.02)
-        assert reached(day, host, part)
+        assert reached(day, host, shard)
         heal()
         day.run(12)
 
     return fault
 
 
-def heirs(day: Day, host: str, part: int) -> Iterator[Controller]:
-    return (one for name, (one, _) in day.controllers.items() if name != host and part in one.claims.parts)
+def heirs(day: Day, host: str, shard: int) -> Iterator[Controller]:
+    return (one for name, (one, _) in day.controllers.items() if name != host and shard in one.claims.shards)
 
 
-def claimed(day: Day, host: str, part: int) -> bool:
-    return any(True for _ in heirs(day, host, part))
+def claimed(day: Day, host: str, shard: int) -> bool:
+    return any(True for _ in heirs(day, host, shard))
 
 
-def ready(day: Day, host: str, part: int) -> bool:
-    return any(part in one.owners and one.owners[part].ready for one in heirs(day, host, part))
+def ready(day: Day, host: str, shard: int) -> bool:
+    return any(shard in one.owners and one.owners[shard].ready for one in heirs(day, host, shard))
 
 
-def settled(day: Day, host: str, part: int) -> bool:
-    return any(part in one.owners and one.owners[part].part.settled for one in heirs(day, host, part))
+def settled(day: Day, host: str, shard: int) -> bool:
+    return any(shard in one.owners and one.owners[shard].shard.settled for one in heirs(day, host, shard))
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -238,7 +238,7 @@
 
 
 def paused_owner(day: Day) -> None:
-    """The owner stands still while its reports are relayed, and wakes when its part is somebody else's."""
+    """The owner stands still while its reports are relayed, and wakes when its shard is somebody else's."""
     host = pick(day)
     cut, heal = from_workers(day, [host], "hold")
     cut()
@@ -260,7 +260,7 @@
 
 
 def late_hand_over(day: Day) -> None:
-    """Transactions get no answer and are carried out late, while parts are handed over."""
+    """Transactions get no answer and are carried out late, while shards are handed over."""
     day.state.late_writes = 0.5
     hold(day, from_workers(day, [pick(day)], "reset"), 20)
     day.state.late_writes = 0.0
@@ -278,7 +278,7 @@
 
 
 def receiver_ends(day: Day) -> None:
-    """Whoever was handed the part ends in mid-hand-over."""
+    """Whoever was handed the shard ends in mid-hand-over."""
     host = pick(day)
     cut, heal = from_workers(day, [host], "reset")
     cut()
@@ -348,7 +348,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("older", [HOSTS[:1], HOSTS[1:], HOSTS[2:]], ids=["owner", "relays", "one_relay"])
 def test_beside_the_version_in_production(older: list[str], seed: int) -> None:
-    """An older sibling neither relays nor takes what is relayed: the part goes where its workers report."""
+    """An older sibling neither relays nor takes what is relayed: the shard goes where its workers report."""
     day = cluster(seed, old=older)
 
     def fault(day: Day) -> None:
@@ -359,27 +359,27 @@
     play(day, fault)
 
 
-# -- Relaying long enough: the part is handed to a sibling that its workers reach
+# -- Relaying long enough: the shard is handed to a sibling that its workers reach
 
 
-def test_a_cut_that_lasts_hands_the_part_over_once() -> None:
+def test_a_cut_that_lasts_hands_the_shard_over_once() -> None:
     operator = OperatorSettings(connectivity=Connectivity(relay=True, relay_s=15))
     day = cluster(5, operator)
     counts = play(day, lambda day: hold(day, from_workers(day, HOSTS[:1], "hold"), 60))
     assert counts.hand_overs == 1 and counts.relayed > 30 and counts.killed_by_lease == []
-    assert day.until(lambda: day.controllers[HOSTS[0]][0].claims.parts != {}, 60), "and home again afterwards"
+    assert day.until(lambda: day.controllers[HOSTS[0]][0].claims.shards != {}, 60), "and home again afterwards"
 
 
-def test_parts_of_an_unheard_controller_go_to_different_siblings() -> None:
-    """By load: a controller with two parts does not give both to the same sibling."""
+def test_shards_of_an_unheard_controller_go_to_different_siblings() -> None:
+    """By load: a controller with two shards does not give both to the same sibling."""
     day = cluster(6, NO_RELAY_SERVES)
     day.restart(HOSTS[1], 30 * SECOND)
-    assert day.until(lambda: sum(len(one.claims.parts) for one, _ in day.controllers.values()) == 3, 20)
-    busy = max(day.controllers, key=lambda host: len(day.controllers[host][0].claims.parts))
+    assert day.until(lambda: sum(len(one.claims.shards) for one, _ in day.controllers.values()) == 3, 20)
+    busy = max(day.controllers, key=lambda host: len(day.controllers[host][0].claims.shards))
     idle = next(host for host in day.controllers if host != busy)
     day.run(12)
     hold(day, from_workers(day, [busy], "reset"), 14)
-    assert day.controllers[idle][0].claims.parts, idle
+    assert day.controllers[idle][0].claims.shards, idle
     day.run(30)
     assert day.finish(300) == [] and day.rules.broken == []
 
@@ -484,7 +484,7 @@
     report = day.site.workers["host-000001"].report()
     body = str(report).replace("'", '"').replace("None", "null").replace("True", "true").replace("False", "false")
     desk_of = {host: one.report_desk for host, (one, _) in day.controllers.items()}
-    owner = next(host for host, desk in desk_of.items() if desk._part_of("host-000001") in desk._owners)
+    owner = next(host for host, desk in desk_of.items() if desk._shard_of("host-000001") in desk._owners)
     sent: list[str] = []
     for one, _ in day.controllers.values():
         monkeypatch.setattr(one.forwarder, "_send", lambda target, message: sent.append(target))
@@ -567,20 +567,20 @@
 
 
 def test_an_unrecorded_controller_starts_nothing_and_keeps_what_runs() -> None:
-    """It lacks the state service and its siblings, so that nobody tells it that its part is taken."""
+    """It lacks the state service and its siblings, so that nobody tells it that its shard is taken."""
     day = cluster(7)
     host = HOSTS[0]
-    part = HOSTS.index(host)
+    shard = HOSTS.index(host)
     day.run(6)
-    mine = {name for name in day.controllers[host][0].owners[part].part.machines}
+    mine = {name for name in day.controllers[host][0].owners[shard].shard.machines}
     cut, heal = between(day, [host], [*others(host), f"state-{host}"], "hold")
     cut()
     day.run(4)
     assert day.controllers[host][0].monitor.mode.value == "unrecorded"
     controller = day.controllers[host][0]
-    sent = [placement for one in controller.owners[part].part.machines.values() for placement in one.placements]
+    sent = [placement for one in controller.owners[shard].shard.machines.values() for placement in one.placements]
     day.run(4)
-    now = [placement for one in controller.owners[part].part.machines.values() for placement in one.placements]
+    now = [placement for one in controller.owners[shard].shard.machines.values() for placement in one.placements]
     assert set(now) <= set(sent), "nothing new is placed"
     assert day.site.killed_by_lease == [] and mine
     heal()
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -6,18 +6,18 @@
 
 import pytest
 
-from badgerroute.coordination.parts.processor_use import ProcessorUse, processor_use
 from badgerroute.coordination.requests.split import split
+from badgerroute.coordination.shards.processor_use import ProcessorUse, processor_use
 from badgerroute.protocol.cloud import MachineType
-from badgerroute.protocol.mesh import FreeCapacity, PartSummary, PendingDemand
+from badgerroute.protocol.mesh import FreeCapacity, PendingDemand, ShardSummary
 from badgerroute.protocol.users import Priority, Submission
 from badgerroute.protocol.workers import Report, TaskReport
 from badgerroute.scheduling import af, ladder
 from badgerroute.scheduling.feasible import Load, tiers
 from badgerroute.scheduling.model import Job, Phase, Room
 from badgerroute.scheduling.objectives import Objectives
-from badgerroute.scheduling.part import Part
 from badgerroute.scheduling.planner import Planner
+from badgerroute.scheduling.shard import Shard
 from badgerroute.settings import Scheduling
 from badgerroute.storage.records import JobRecord, MachineRecord, TaskRange, give, lowest, span, trailing_ones
 
@@ -48,8 +48,8 @@
     return Submission(**(described | changes))
 
 
-def part(machines: int = 2, share: float = 100.0, term: int = 7) -> Part:
-    made = Part(0, term, lambda team: (share, 0.0), timedelta(0))
+def shard(machines: int = 2, share: float = 100.0, term: int = 7) -> Shard:
+    made = Shard(0, term, lambda team: (share, 0.0), timedelta(0))
     for number in range(machines):
         record = MachineRecord(0, "m:1", "k8", "ab"[number % 2], False)
         machine = made.add_machine(f"host-{number}", record, KIND, timedelta(0))
@@ -59,7 +59,7 @@
     return made
 
 
-def add(target: Part, job: Submission) -> Job:
+def add(target: Shard, job: Submission) -> Job:
     return target.add_job(JobRecord(job, 0.0, [(0, 0, job.tasks)]), timedelta(0), 1000, timedelta(0))
 
 
@@ -104,7 +104,7 @@
     ],
 )
 def test_ladder(where: str, wait: float, image_gb: float, expected: ladder.Rung) -> None:
-    target = part()
+    target = shard()
     estimate = 10.0 if image_gb < 100 else 1000.0
     job = add(target, submission(image_gb=image_gb, estimate_s=estimate))
     if where != "nowhere":
@@ -115,20 +115,20 @@
 
 
 def test_cached_image_goes_first_and_least_held_next() -> None:
-    target = part(1)
+    target = shard(1)
     near, far = add(target, submission("run-near")), add(target, submission("run-far", image="img-2"))
     target.machines["host-0"].touch_image("img-1", 5.0)
     planner = Planner(target, Scheduling(), Objectives([]))
     assert planner.fill(target.machines["host-0"], 1 * S, never) == 4
     assert (len(near.placed), len(far.placed)) == (4, 0)
-    target = part(1)
+    target = shard(1)
     one, two = add(target, submission("run-one")), add(target, submission("run-two"))
     Planner(target, Scheduling(), Objectives([])).fill(target.machines["host-0"], 1 * S, never)
     assert (len(one.placed), len(two.placed)) == (2, 2)
 
 
 def test_round_out_of_time_goes_on_where_it_stopped() -> None:
-    target = part(1)
+    target = shard(1)
     for number, priority in enumerate((Priority.URGENT, Priority.NORMAL, Priority.IDLE)):
         add(target, submission(f"run-{number}", priority=priority, tasks=1))
     planner = Planner(target, Scheduling(), Objectives([]))
@@ -159,7 +159,7 @@
     ],
 )
 def test_gangs(changes: dict, share: float, placed: int) -> None:
-    target = part(2, share)
+    target = shard(2, share)
     job = add(target, submission(kind="group", **changes))
     Planner(target, Scheduling(), Objectives([])).gangs(1 * S, never)
     assert len(job.placed) == placed
@@ -181,7 +181,7 @@
     ],
 )
 def test_preemption(victim: Priority, guaranteed: bool, stopped: bool) -> None:
-    target = part(1)
+    target = shard(1)
     machine = target.machines["host-0"]
     running = add(target, submission("run-v", team="red", priority=victim, tasks=1, cpus=8.0))
     target.place(running, 0, 1, machine, timedelta(0), Phase.RUNNING)
@@ -193,7 +193,7 @@
 
 def test_room_for_a_gang_is_made_once() -> None:
     """Work that would be cheaper to stop turns up later: the machines chosen before stay the ones."""
-    target = part(4)
+    target = shard(4)
     lesser = add(target, submission("run-v", priority=Priority.IDLE, tasks=4, cpus=8.0))
     for number in range(2):
         placement = target.place(lesser, number, 1, target.machines[f"host-{number + 2}"], 0 * S, Phase.RUNNING)
@@ -212,7 +212,7 @@
 
 
 def test_gang_that_was_stopped_is_dearer_to_stop() -> None:
-    target = part(2)
+    target = shard(2)
     gangs = [add(target, submission(f"run-{number}", kind="group", team="red", tasks=1, cpus=8.0)) for number in "ab"]
     for gang, machine in zip(gangs, target.machines.values(), strict=True):
         target.place(gang, 0, 1, machine, timedelta(0), Phase.FETCHING)
@@ -223,22 +223,22 @@
     assert [gang.placed[0].stopping for gang in gangs] == [False, True]
 
 
-# -- which part gets what
+# -- which shard gets what
 
 
-def summary(number: int, free: int, beside: list[float], queued: float = 0.0) -> PartSummary:
-    """A part with so many empty machines, some that cache the image, and processors that tasks wait for."""
+def summary(number: int, free: int, beside: list[float], queued: float = 0.0) -> ShardSummary:
+    """A shard with so many empty machines, some that cache the image, and processors that tasks wait for."""
     capacities = [FreeCapacity("k8", "a", False, 8.0, 0.0, 32.0, free)] if free else []
     demands = (
         [PendingDemand("run-w", "blue", queued, 0.0, 1.0, 1, False, 1, False, 0.0, None, None, True)] if queued else []
     )
-    return PartSummary(number, 7, True, 9, capacities, {}, {"img-1": beside}, {}, demands, 0.0, {}, {})
+    return ShardSummary(number, 7, True, 9, capacities, {}, {"img-1": beside}, {}, demands, 0.0, {}, {})
 
 
 @pytest.mark.parametrize(
-    ("parts", "expected"),
+    ("shards", "expected"),
     [
-        ([(4, []), (2, [8.0, 8.0])], 1),  # beside its image, though another part has more room
+        ([(4, []), (2, [8.0, 8.0])], 1),  # beside its image, though another shard has more room
         ([(4, []), (0, [8.0, 8.0])], 1),  # even if lesser work must make room there
         ([(4, []), (0, [8.0])], 0),  # but not where it would not fit
         ([(4, [8.0]), (9, [])], 0),  # what is fetched now is beside what is there
@@ -246,15 +246,15 @@
         ([(4, []), (9, [])], 1),
     ],
 )
-def test_gangs_go_where_their_image_is(parts: list[tuple[int, list[float]]], expected: int) -> None:
-    summaries = [summary(number, *one) for number, one in enumerate(parts)]
-    assert split(submission(kind="group", tasks=2, cpus=8.0), summaries, len(parts)) == [(expected, 0, 2)]
+def test_gangs_go_where_their_image_is(shards: list[tuple[int, list[float]]], expected: int) -> None:
+    summaries = [summary(number, *one) for number, one in enumerate(shards)]
+    assert split(submission(kind="group", tasks=2, cpus=8.0), summaries, len(shards)) == [(expected, 0, 2)]
 
 
 @pytest.mark.parametrize(
-    ("parts", "expected"),
+    ("shards", "expected"),
     [
-        ([(4, [], 0), (4, [], 0), (4, [], 0)], 2),  # nobody caches it: to the part of the image
+        ([(4, [], 0), (4, [], 0), (4, [], 0)], 2),  # nobody caches it: to the shard of the image
         ([(9, [], 0), (4, [], 0), (4, [], 0)], 2),  # though another has more room
         ([(0, [], 0), (0, [], 0), (0, [], 0)], 2),  # or nobody has any yet
         ([(9, [], 0), (4, [], 0), (1, [], 0)], 0),  # but not where it does not fit
@@ -262,14 +262,14 @@
         ([(4, [], 0), (4, [8.0], 0), (4, [], 0)], 1),  # nor if anybody caches it
     ],
 )
-def test_gangs_of_an_image_gather(parts: list[tuple[int, list[float], float]], expected: int) -> None:
+def test_gangs_of_an_image_gather(shards: list[tuple[int, list[float], float]], expected: int) -> None:
     assert zlib.crc32(b"img-1") % 3 == 2
-    summaries = [summary(number, *one) for number, one in enumerate(parts)]
+    summaries = [summary(number, *one) for number, one in enumerate(shards)]
     assert split(submission(kind="group", tasks=2, cpus=8.0), summaries, 3) == [(expected, 0, 2)]
 
 
 @pytest.mark.parametrize(
-    ("parts", "expected"),
+    ("shards", "expected"),
     [
         ([(4, [8.0], 0), (4, [], 0), (4, [], 0)], [1 / 3] * 3),  # not all of them beside the image
         ([(8, [], 0), (4, [], 0), (0, [], 0)], [2 / 3, 1 / 3, 0]),
@@ -277,14 +277,14 @@
     ],
 )
 def test_one_task_jobs_are_spread_like_a_large_array(
-    parts: list[tuple[int, list[float], float]], expected: list[float]
+    shards: list[tuple[int, list[float], float]], expected: list[float]
 ) -> None:
-    summaries = [summary(number, *one) for number, one in enumerate(parts)]
-    counts = [0] * len(parts)
+    summaries = [summary(number, *one) for number, one in enumerate(shards)]
+    counts = [0] * len(shards)
     for number in range(1200):
-        [(part, first, end)] = split(submission(f"run-{number}", tasks=1, cpus=8.0), summaries, len(parts))
+        [(shard, first, end)] = split(submission(f"run-{number}", tasks=1, cpus=8.0), summaries, len(shards))
         assert (first, end) == (0, 1)
-        counts[part] += 1
+        counts[shard] += 1
     assert [count / 1200 for count in counts] == pytest.approx(expected, abs=0.05)
 
 
@@ -315,7 +315,7 @@
 
 @pytest.mark.parametrize(("tier", "first"), [(1, "run-near"), (-1, "run-far")])
 def test_late_jobs_come_last_unless_they_have_waited_too_long(tier: int, first: str) -> None:
-    target = part(1)
+    target = shard(1)
     near, far = add(target, submission("run-near", image="img-1")), add(target, submission("run-far", image="img-2"))
     far.tier = tier
     target.machines["host-0"].touch_image("img-2", 5.0)  # its image is here, and still it waits
@@ -327,7 +327,7 @@
 # -- what messages prove
 
 
-def started(target: Part) -> Job:
+def started(target: Shard) -> Job:
     job = add(target, submission(tasks=1))
     machine = target.machines["host-0"]
     target.on_report(machine, report(1), True, 1 * S)
@@ -361,7 +361,7 @@
     ],
 )
 def test_start_in_flight(seq: int, session: int, tasks: list, checkin: bool, still_placed: bool) -> None:
-    target = part(1)
+    target = shard(1)
     job = started(target)
     target.on_report(target.machines["host-0"], report(seq, tasks, session=session), checkin, 2 * S)
     assert (0 in job.placed) is still_placed
@@ -378,7 +378,7 @@
     ],
 )
 def test_no_second_fetch_beside_a_gangs(phase: Phase, image: str, started: int) -> None:
-    target = part(1)
+    target = shard(1)
     machine = target.machines["host-0"]
     gang = add(target, submission("run-g", kind="group", tasks=1, cpus=4.0, image=image))
     target.place(gang, 0, 99, machine, timedelta(0), phase).running_since = S if phase is Phase.RUNNING else None
@@ -388,7 +388,7 @@
     assert len(machine.placements) == 1 + started
 
 
-def waiting_gang(target: Part, placed: int = 2) -> Job:
+def waiting_gang(target: Shard, placed: int = 2) -> Job:
     """The first task waits beside its image, the second still fetches it."""
     gang = add(target, submission("run-g", kind="group", tasks=2))
     gang.gang_attempt = 99
@@ -428,7 +428,7 @@
     ],
 )
 def test_a_gang_task_that_waited_too_long_waits_on(placed: int, change: Callable, commands: list[str]) -> None:
-    target = part(2)
+    target = shard(2)
     gang = waiting_gang(target, placed)
     change(gang)
     machine = target.machines["host-0"]
@@ -455,7 +455,7 @@
 )
 def test_the_end_of_a_task_that_was_started_again(seq: int, checkin: bool, task: TaskReport, commands: list) -> None:
     """Both attempts have one number: what ended must not be taken for what was started since."""
-    target = part(2)
+    target = shard(2)
     gang = waiting_gang(target)
     machine = target.machines["host-0"]
     target.on_report(machine, report(1, [ALONE]), True, 30 * S)
@@ -476,7 +476,7 @@
     ],
 )
 def test_an_image_is_cached_once_a_task_has_it(seen: list[TaskReport], mate: bool, cached: bool) -> None:
-    target = part(1)
+    target = shard(1)
     started(target)
     machine = target.machines["host-0"]
     if mate:
@@ -489,7 +489,7 @@
 
 
 def test_done_is_cleared_only_when_durable() -> None:
-    target = part(1)
+    target = shard(1)
     job = started(target)
     machine = target.machines["host-0"]
     events = target.on_report(machine, report(2, [TaskReport("run-1/0", 99, "exited", "done")]), True, 2 * S)
@@ -500,7 +500,7 @@
 
 
 def test_refused_start_does_not_free_a_task_that_an_older_attempt_runs() -> None:
-    target = part(1)
+    target = shard(1)
     job = started(target)
     tasks = [TaskReport("run-1/0", 5, "running"), TaskReport("run-1/0", 99, "exited", "in_use")]
     target.on_report(target.machines["host-0"], report(2, tasks), True, 2 * S)
@@ -508,7 +508,7 @@
 
 
 def test_lower_token_is_no_last_word() -> None:
-    target = part(1, term=9)
+    target = shard(1, term=9)
     machine = target.machines["host-0"]
     target.settled = False
     target.on_report(machine, report(1, token=8), True, 1 * S)
@@ -528,7 +528,7 @@
     ],
 )
 def test_silent_machines(answered: float | None, fenced: bool, grace: float, now: float, lost: bool) -> None:
-    target = part(1)
+    target = shard(1)
     machine = target.machines["host-0"]
     machine.answered = None if answered is None else answered * S
     machine.fenced = fenced
@@ -556,7 +556,7 @@
 )
 def test_sick_machines_and_failing_jobs(events: list[str], drained: set[str], failing: bool) -> None:
     """A job that fails wherever it goes is at fault itself; a machine, if it fails what is done elsewhere."""
-    target = part(4)
+    target = shard(4)
     now = S
     for ref in ("run-1", "run-2", "run-3"):
         add(target, submission(ref, tasks=8))
@@ -591,7 +591,7 @@
     ],
 )
 def test_late_copies_change_nothing(seq: int, session: int, token: int, tasks: list[TaskReport]) -> None:
-    target = part(1)
+    target = shard(1)
     machine = target.machines["host-0"]
     job = started(target)
     target.on_report(machine, report(2, [RUNNING]), True, 2 * S)
@@ -602,7 +602,7 @@
 
 def test_a_copy_does_not_bring_a_lost_machine_back() -> None:
     """Its lease is over, so its session is: a report of that session, newer than any we saw, is late all the same."""
-    target = part(1)
+    target = shard(1)
     machine = target.machines["host-0"]
     job = started(target)
     target.on_report(machine, report(2, [RUNNING]), True, 2 * S)
@@ -624,7 +624,7 @@
     ],
 )
 def test_machines_that_do_not_hear(reports: list[tuple[int, int, list]], unreachable: bool) -> None:
-    target = part(1)
+    target = shard(1)
     machine = target.machines["host-0"]
     job = started(target)
     machine.answered = 1 * S
@@ -649,7 +649,7 @@
 
 
 @pytest.mark.parametrize(
-    ("ranges", "first", "end", "part_number", "expected"),
+    ("ranges", "first", "end", "shard_number", "expected"),
     [
         ([(0, 0, 10)], 6, 10, 1, [(0, 0, 6), (1, 6, 10)]),
         ([(0, 0, 10)], 3, 5, 1, [(0, 0, 3), (1, 3, 5), (0, 5, 10)]),
@@ -657,8 +657,8 @@
         ([(0, 0, 6), (1, 6, 10)], 0, 10, 2, [(2, 0, 10)]),
     ],
 )
-def test_ranges(ranges: list, first: int, end: int, part_number: int, expected: list) -> None:
-    assert give([TaskRange(*one) for one in ranges], first, end, part_number) == expected
+def test_ranges(ranges: list, first: int, end: int, shard_number: int, expected: list) -> None:
+    assert give([TaskRange(*one) for one in ranges], first, end, shard_number) == expected
 
 
 def test_bits() -> None:
@@ -678,7 +678,7 @@
 )
 def test_runs_across_a_silence(times: tuple[int, ...], learned: int) -> None:
     """A controller that stood still must not take its own pause for run time."""
-    target = part(1)
+    target = shard(1)
     machine = target.machines["host-0"]
     machine.heard = timedelta(0)
     one = add(target, submission())
@@ -696,7 +696,7 @@
 
 def test_nothing_is_placed_while_a_task_of_an_undecided_job_runs() -> None:
     """It may be released at any moment, and then its tasks would be started elsewhere, beside those that run."""
-    target = part(2)
+    target = shard(2)
     undecided = {"run-1"}
     target.undecided = undecided.__contains__
     machine, other = target.machines.values()
@@ -717,7 +717,7 @@
 
 
 def test_processors_are_counted_once_by_what_they_do() -> None:
-    target = part(4)
+    target = shard(4)
     job = add(target, submission(tasks=3))
     machines = list(target.machines.values())
     for index, (machine, phase) in enumerate(zip(machines, (Phase.RUNNING, Phase.FETCHING, Phase.SENT), strict=False)):
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -6,10 +6,10 @@
 import msgspec
 import pytest
 
-from badgerroute.coordination.parts import forecast
-from badgerroute.coordination.parts.machine_commands import MachineCommands
 from badgerroute.coordination.quotas.team_quotas import TeamQuotas
 from badgerroute.coordination.requests.users import Users, answer
+from badgerroute.coordination.shards import forecast
+from badgerroute.coordination.shards.machine_commands import MachineCommands
 from badgerroute.settings import Objective
 from badgerroute.storage import records
 from badgerroute.transport.http import Response
@@ -28,8 +28,8 @@
     day.submit(job("run-z", heads=4, pasture="b", strays=False))
 
 
-def owner_host(day: Day, part: int) -> str | None:
-    return next((host for host, (one, _) in day.controllers.items() if part in one.owners), None)
+def owner_host(day: Day, shard: int) -> str | None:
+    return next((host for host, (one, _) in day.controllers.items() if shard in one.owners), None)
 
 
 def crash_one(day: Day) -> None:
@@ -202,22 +202,22 @@
 
 
 def deaf_in_takeover(day: Day) -> None:
-    """A part whose new owner can't fence one of its machines, while the cloud deletes nothing either."""
-    part = day.random.randrange(3)
-    host = owner_host(day, part)
-    unreachable = next(one for one in day.site.workers.values() if int(one.name[-6:]) % 3 == part)
+    """A shard whose new owner can't fence one of its machines, while the cloud deletes nothing either."""
+    shard = day.random.randrange(3)
+    host = owner_host(day, shard)
+    unreachable = next(one for one in day.site.workers.values() if int(one.name[-6:]) % 3 == shard)
     unreachable.unreachable = day.site.cloud_down = True
     day.restart(host, 30 * SECOND)
 
     def settled() -> bool:
         return any(
-            owner.part.settled
+            owner.shard.settled
             for one, _ in day.controllers.values()
             for owner in one.owners.values()
-            if owner.number == part
+            if owner.number == shard
         )
 
-    assert day.until(settled, 60), "one machine must not block its part"
+    assert day.until(settled, 60), "one machine must not block its shard"
     unreachable.unreachable = day.site.cloud_down = False
 
 
@@ -252,7 +252,7 @@
         assert up is not None and up.status == 503, "the load balancer is told"
         day.run(22)
         controller = day.controllers[host][0]
-        assert not any(controller.claims.acting(part) for part in range(3)), "it stops in time"
+        assert not any(controller.claims.acting(shard) for shard in range(3)), "it stops in time"
         for others in (siblings, state) if workers_first else (state, siblings):
             for other in others:
                 day.world.heal(host, other)
@@ -278,7 +278,7 @@
 
 
 def crash_in_election(day: Day) -> None:
-    """Back within a fraction of a second, while its part is being claimed or handed back."""
+    """Back within a fraction of a second, while its shard is being claimed or handed back."""
     host = day.random.choice(HOSTS)
     day.restart(host, timedelta(seconds=4.2))
     for pause in (4.1, 0.3, 0.2, 2.1, 0.4):
@@ -298,7 +298,7 @@
 
 
 def frozen_in_takeover(day: Day) -> None:
-    """The new owner of a dead controller's part stands still in the midst of it."""
+    """The new owner of a dead controller's shard stands still in the midst of it."""
     dead, heir = day.random.sample(HOSTS, 2)
     day.restart(dead, 30 * SECOND)
     for _ in range(3):
@@ -457,13 +457,15 @@
 
 def skip_fencing(day: Day, monkeypatch: pytest.MonkeyPatch) -> None:
     """An owner that places before its members are fenced."""
-    monkeypatch.setattr("badgerroute.scheduling.part.Part.settle", lambda self: setattr(self, "settled", True) or True)
+    monkeypatch.setattr(
+        "badgerroute.scheduling.shard.Shard.settle", lambda self: setattr(self, "settled", True) or True
+    )
     monkeypatch.setattr("badgerroute.scheduling.model.Machine.usable", property(lambda self: True))
 
 
 def share_given_while_used(day: Day, monkeypatch: pytest.MonkeyPatch) -> None:
     """Owners that ignore what they use when they count what fits their share."""
-    monkeypatch.setattr("badgerroute.scheduling.part.Part.fits_share", lambda self, job, tasks=1: tasks)
+    monkeypatch.setattr("badgerroute.scheduling.shard.Shard.fits_share", lambda self, job, tasks=1: tasks)
 
 
 def start_in_do(day: Day, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -473,7 +475,7 @@
     async def send(self: MachineCommands, machine: object, commands: list, urgent: bool = False) -> bool:
         for placement in machine.placements.values():
             placement.phase = placement.phase.RESERVED
-        return await real(self, machine, Sneaky(self._part.commands(machine, self._loop.now(), starts=True)))
+        return await real(self, machine, Sneaky(self._shard.commands(machine, self._loop.now(), starts=True)))
 
     class Sneaky(list):
         def __iter__(self):  # hides from the filter that keeps starts out
@@ -482,7 +484,7 @@
 
     monkeypatch.setattr(MachineCommands, "send", send)
     monkeypatch.setattr(
-        "badgerroute.coordination.parts.machine_commands.encode",
+        "badgerroute.coordination.shards.machine_commands.encode",
         lambda message: __import__("msgspec").json.encode(
             type(message)(message.token, message.session, [getattr(one, "inner", one) for one in message.commands])
             if hasattr(message, "session")
@@ -528,7 +530,7 @@
 
 
 def never_drops(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("badgerroute.scheduling.part.Part.drop_job", lambda self, ref: None)
+    monkeypatch.setattr("badgerroute.scheduling.shard.Shard.drop_job", lambda self, ref: None)
 
 
 @pytest.mark.cheats
@@ -560,8 +562,8 @@
 
 
 @pytest.mark.parametrize("fault", [nothing, lost_answers, crash_one], ids=["quiet", "lost_answers", "crash_one"])
-def test_gang_too_large_for_any_part(fault: Callable[[Day], None]) -> None:
-    """Machines are lent until one part holds all of it; the workers' higher tokens raise that part's term."""
+def test_gang_too_large_for_any_shard(fault: Callable[[Day], None]) -> None:
+    """Machines are lent until one shard holds all of it; the workers' higher tokens raise that shard's term."""
     day = Day(seed=3)
     day.run(4)
     day.submit(job("run-wide", gait="group", heads=5, cpus=7.0, trek_s=4.0))
@@ -607,7 +609,7 @@
     tried = 0
     for controller, _ in day.controllers.values():
         for owner in controller.owners.values():
-            for one in list(owner.part.jobs.values()):
+            for one in list(owner.shard.jobs.values()):
                 record = controller.job_store.active[one.ref]
                 thief = (owner.number + 1) % 3
                 moved = msgspec.structs.replace(record, ranges=[records.TaskRange(thief, 0, one.spec.tasks)])
@@ -628,7 +630,7 @@
     looked = 0
     for controller, _ in day.controllers.values():
         for owner in controller.owners.values():
-            one = owner.part.jobs["run-many"]
+            one = owner.shard.jobs["run-many"]
             top = one.waiting_bits.bit_length()
             record = controller.job_store.active["run-many"]
             thief = (owner.number + 1) % 3
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -423,17 +423,17 @@
     "coordination/jobs": {"transport", "protocol", "settings", "storage", "scheduling"},
     "coordination/ownership": {"transport", "protocol", "settings", "storage", "connectivity"},
     "coordination/quotas": {"transport", "protocol", "settings", "storage", "scheduling"},
-    "coordination/parts": {
+    "coordination/shards": {
         *("transport", "protocol", "settings", "storage", "scheduling", "connectivity"),
         *("coordination.jobs", "coordination.ownership", "coordination.quotas"),
     },
     "coordination/fleet": {
         *("transport", "protocol", "settings", "storage", "scheduling", "connectivity"),
-        *("coordination.jobs", "coordination.ownership", "coordination.parts"),
+        *("coordination.jobs", "coordination.ownership", "coordination.shards"),
     },
     "coordination/membership": {
         *("transport", "protocol", "settings", "storage", "scheduling", "connectivity"),
-        *("coordination.ownership", "coordination.parts"),
+        *("coordination.ownership", "coordination.shards"),
     },
     "coordination/requests": {
         "transport",
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""What shows only where there are many machines: sockets, memory of what is gone, whole parts changing hands."""
+"""What shows only where there are many machines: sockets, memory of what is gone, whole shards changing hands."""
 
 import gc
 import json
@@ -11,16 +11,16 @@
 import pytest
 
 from badgerroute.coordination import controller as controller_module
-from badgerroute.coordination.parts import deleted_machines as deleted_machines_module
-from badgerroute.coordination.parts.owner import Owner
-from badgerroute.coordination.parts.summary import summarize
+from badgerroute.coordination.shards import deleted_machines as deleted_machines_module
+from badgerroute.coordination.shards.owner import Owner
+from badgerroute.coordination.shards.summary import summarize
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.users import parse_submission
 from badgerroute.protocol.workers import Report, ReportAnswer, TaskReport
 from badgerroute.scheduling.model import Phase
 from badgerroute.scheduling.objectives import Objectives
-from badgerroute.scheduling.part import Part
 from badgerroute.scheduling.planner import Planner
+from badgerroute.scheduling.shard import Shard
 from badgerroute.settings import Scheduling
 from badgerroute.storage import records
 from badgerroute.transport.clock import VirtualClock
@@ -33,11 +33,11 @@
     day.world.cut(host, f"state-{host}", "hold")
 
 
-def owners(day: Day, part: int) -> list[str]:
-    return [host for host, (one, _) in day.controllers.items() if part in one.owners]
+def owners(day: Day, shard: int) -> list[str]:
+    return [host for host, (one, _) in day.controllers.items() if shard in one.owners]
 
 
-def test_a_part_is_not_handed_to_a_sibling_without_the_state_service() -> None:
+def test_a_shard_is_not_handed_to_a_sibling_without_the_state_service() -> None:
     """It still speaks to its siblings, and names the lease that it had."""
     day = Day(seed=1)
     day.run(5)
@@ -48,7 +48,7 @@
         day.run(0.5)
         key = day.state.items.get("b/parts/1")
         terms.add(key[1] if key else 0)
-    assert len(terms - {0}) == 2, "the part changes hands once"
+    assert len(terms - {0}) == 2, "the shard changes hands once"
     day.world.heal(host, f"state-{host}")
     day.run(15)
     assert owners(day, 1) == [host], "and goes home when its controller is back"
@@ -83,12 +83,12 @@
     day = Day(seed=3)
     day.run(5)
     claims = day.controllers[HOSTS[0]][0].claims
-    term = claims.parts[0].term
+    term = claims.shards[0].term
     claims._busy.add(0)
     claims.outranked(0, term)
-    assert 0 in claims.parts, "its own term is no news"
+    assert 0 in claims.shards, "its own term is no news"
     claims.outranked(0, term + 5)
-    assert 0 not in claims.parts
+    assert 0 not in claims.shards
 
 
 def test_an_owner_that_lost_its_claim_gives_nothing_away(caplog: pytest.LogCaptureFixture) -> None:
@@ -103,7 +103,7 @@
 
     def give() -> None:
         record = controller.job_store.active["run-a"]
-        top = owner.part.jobs["run-a"].waiting_bits.bit_length()
+        top = owner.shard.jobs["run-a"].waiting_bits.bit_length()
         moved = msgspec.structs.replace(record, ranges=records.give(record.ranges, top - 3, top, 1))
         assert moved.ranges != record.ranges
         day.loop.run(day.loop.spawn(owner.migration._write_steal([("run-a", moved)], 1), "give"))
@@ -111,7 +111,7 @@
 
     give()
     day.run(3)
-    assert controller.owners[0] is not owner, "the part is ours again, with another owner"
+    assert controller.owners[0] is not owner, "the shard is ours again, with another owner"
     give()
     assert day.finish() == []
 
@@ -123,7 +123,7 @@
     day.run(5)
     host = HOSTS[0]
     controller = day.controllers[host][0]
-    name = next(iter(controller.owners[0].part.machines))
+    name = next(iter(controller.owners[0].shard.machines))
     if trouble == "cut":
         others = [f"state-{host}", *HOSTS[1:]]
         for other in others:
@@ -147,7 +147,7 @@
 
 
 def test_commands_to_machines_share_few_sockets(monkeypatch: pytest.MonkeyPatch) -> None:
-    """One controller takes over all parts: a connection to each member at once would leave none for anybody else."""
+    """One controller takes over all shards: a connection to each member at once would leave none for anybody else."""
     monkeypatch.setattr(controller_module, "MAX_DIRECT_COMMANDS", 8)
     monkeypatch.setattr(controller_module, "SOCKETS_PER_DIRECT_COMMAND", 1000)  # so that eight it is at 600 sockets
     day = Day(seed=5, machines=60)
@@ -166,7 +166,7 @@
     monkeypatch.setattr(HostNetwork, "connect", connect)
     day.run(8)
     heir = day.controllers[HOSTS[0]][0]
-    assert all(one.part.settled for one in heir.owners.values()) and len(heir.owners) == 3
+    assert all(one.shard.settled for one in heir.owners.values()) and len(heir.owners) == 3
     assert 4 < max(seen) <= 8
     assert day.sockets(HOSTS[0]) <= 60 + 20, "and none is kept"
 
@@ -239,37 +239,37 @@
     return count
 
 
-def busy_part(machines: int) -> tuple[Part, Planner]:
+def busy_shard(machines: int) -> tuple[Shard, Planner]:
     """Every machine is full of running tasks, and other tasks wait."""
-    part = Part(0, 7, lambda team: (1e9, 0.0), timedelta(0))
+    shard = Shard(0, 7, lambda team: (1e9, 0.0), timedelta(0))
     kind = MachineType("k8", 8.0, 0.0, 32.0, 10.0, 0.5, 1.0, 0.3, 20.0, ["a"])
     for number in range(machines):
-        machine = part.add_machine(f"host-{number}", records.MachineRecord(0, "m:1", "k8", "a", False), kind, SECOND)
+        machine = shard.add_machine(f"host-{number}", records.MachineRecord(0, "m:1", "k8", "a", False), kind, SECOND)
         machine.alive = machine.fenced = True
         machine.session, machine.answered = 1, SECOND
-    part.settled = True
+    shard.settled = True
     for ref, count in (("run-on", 8 * machines), ("run-waits", 50)):
         spec = parse_submission(json.dumps(job(ref, heads=count)).encode())
-        part.add_job(records.JobRecord(spec, 0.0, [(0, 0, count)]), timedelta(0), 10**6, timedelta(0))
-    for number, machine in enumerate(part.machines.values()):
+        shard.add_job(records.JobRecord(spec, 0.0, [(0, 0, count)]), timedelta(0), 10**6, timedelta(0))
+    for number, machine in enumerate(shard.machines.values()):
         for index in range(8 * number, 8 * number + 8):
-            part.place(part.jobs["run-on"], index, 99, machine, SECOND, Phase.RUNNING).running_since = SECOND
-    return part, Planner(part, Scheduling(), Objectives([]))
+            shard.place(shard.jobs["run-on"], index, 99, machine, SECOND, Phase.RUNNING).running_since = SECOND
+    return shard, Planner(shard, Scheduling(), Objectives([]))
 
 
 def test_what_a_report_costs_does_not_grow_with_the_fleet() -> None:
     costs = []
     for machines in (30, 300, 900):
-        part, planner = busy_part(machines)
-        machine = part.machines["host-7"]
+        shard, planner = busy_shard(machines)
+        machine = shard.machines["host-7"]
         tasks = [TaskReport(f"run-on/{index}", 99, "running") for index in range(56, 64)]
 
-        def report(seq: int, part=part, planner=planner, machine=machine, tasks=tasks) -> None:
+        def report(seq: int, shard=shard, planner=planner, machine=machine, tasks=tasks) -> None:
             one = Report(machine.name, "m:1", "k8", "a", False, 1, seq, 7, None, list(tasks))
-            assert part.on_report(machine, one, True, 2 * SECOND) is not None
+            assert shard.on_report(machine, one, True, 2 * SECOND) is not None
             planner.gangs_on(machine, 2 * SECOND, lambda: False)
             planner.fill(machine, 2 * SECOND, lambda: False)
-            assert part.commands(machine, 2 * SECOND, starts=True) == []
+            assert shard.commands(machine, 2 * SECOND, starts=True) == []
 
         report(1)  # the order of jobs, and where images lie, are found anew a few times a second
         costs.append(calls_in(lambda report=report: report(2)))
@@ -279,8 +279,8 @@
 def test_what_a_summary_costs_grows_no_faster_than_the_fleet() -> None:
     costs = []
     for machines in (100, 200, 400):
-        part, planner = busy_part(machines)
-        costs.append(calls_in(lambda part=part, planner=planner: summarize(part, planner, {2}, False, 2 * SECOND)))
+        shard, planner = busy_shard(machines)
+        costs.append(calls_in(lambda shard=shard, planner=planner: summarize(shard, planner, {2}, False, 2 * SECOND)))
     assert costs[2] - costs[1] < 2.2 * (costs[1] - costs[0])
     assert costs[2] < 40 * 400, "a few steps a machine"
 
--- a/tests/test_left_waiting.py
+++ b/tests/test_left_waiting.py
@@ -8,16 +8,16 @@
 
 from badgerroute.coordination.requests import users as users_module
 from badgerroute.protocol.common import MalformedError
-from badgerroute.protocol.mesh import PartSummary
+from badgerroute.protocol.mesh import ShardSummary
 from badgerroute.protocol.users import Submission, parse_submission
 from tests.standins.day import HOSTS, SECOND, Day, job
 
 
-def split_to(monkeypatch: pytest.MonkeyPatch, parts: dict[str, int]) -> None:
-    """New jobs belong to the parts named here."""
+def split_to(monkeypatch: pytest.MonkeyPatch, shards: dict[str, int]) -> None:
+    """New jobs belong to the shards named here."""
 
-    def whole(one: Submission, summaries: list[PartSummary], size: int) -> list[tuple[int, int, int]]:
-        return [(parts[one.ref], 0, one.tasks)]
+    def whole(one: Submission, summaries: list[ShardSummary], size: int) -> list[tuple[int, int, int]]:
+        return [(shards[one.ref], 0, one.tasks)]
 
     monkeypatch.setattr(users_module, "split", whole)
 
@@ -26,36 +26,36 @@
     return sum(name.rpartition("/")[0] == ref for name in day.rules.on)
 
 
-def decoy(day: Day, parts: dict[str, int]) -> list[dict]:
-    """Most waits for a zone that is full. It drew all requests to its part, past the third part's work."""
-    parts |= {"run-decoy": 0, "run-q": 1}
+def decoy(day: Day, shards: dict[str, int]) -> list[dict]:
+    """Most waits for a zone that is full. It drew all requests to its shard, past the third shard's work."""
+    shards |= {"run-decoy": 0, "run-q": 1}
     return [
         job("run-decoy", heads=200, crew="guests", pasture="b", strays=False, trek_s=100.0),
         job("run-q", heads=4, cpus=8.0, crew="guests", pasture="a", trek_s=60.0, rank="idle"),
     ]
 
 
-def limited(day: Day, parts: dict[str, int]) -> list[dict]:
+def limited(day: Day, shards: dict[str, int]) -> list[dict]:
     """Work of a team that is at its limit waits everywhere; others' work must reach the room beside it."""
-    parts |= {"run-red": 0, "run-q": 1}
+    shards |= {"run-red": 0, "run-q": 1}
     return [
         job("run-red", heads=300, crew="red", rank="urgent", trek_s=100.0),
         job("run-q", heads=40, crew="guests", trek_s=60.0),
     ]
 
 
-def few_at_a_time(day: Day, parts: dict[str, int]) -> list[dict]:
-    """An array that must stay in one part waits in one without a machine for it; no part could hold all of it."""
+def few_at_a_time(day: Day, shards: dict[str, int]) -> list[dict]:
+    """An array that must stay in one shard waits in one without a machine for it; no shard could hold all of it."""
     for worker in list(day.site.workers.values()):
         if worker.zone == "b" and int(worker.name[-6:]) % 3 == 0:
             day.site.remove_worker(worker.name)
-    parts |= {"run-q": 0}
+    shards |= {"run-q": 0}
     return [job("run-q", heads=20, cpus=4.0, crew="guests", pasture="b", together=True, trek_s=20.0)]
 
 
-def failing(day: Day, parts: dict[str, int]) -> list[dict]:
-    """Jobs that fail everywhere wait beside the room of the idle parts."""
-    parts |= {"run-bad0": 0, "run-bad2": 2, "run-q": 1}
+def failing(day: Day, shards: dict[str, int]) -> list[dict]:
+    """Jobs that fail everywhere wait beside the room of the idle shards."""
+    shards |= {"run-bad0": 0, "run-bad2": 2, "run-q": 1}
     day.site.failing |= {"run-bad0", "run-bad2"}
     return [
         job("run-bad0", heads=6, cpus=2.0, crew="guests"),
@@ -66,11 +66,11 @@
 
 @pytest.mark.parametrize(("jobs", "least"), [(decoy, 4), (limited, 38), (few_at_a_time, 2), (failing, 36)])
 def test_waiting_work_reaches_the_room_there_is(jobs: Callable, least: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Two machines of eight processors in each part, one in each zone, and two spot machines; no more to be had."""
+    """Two machines of eight processors in each shard, one in each zone, and two spot machines; no more to be had."""
     day = Day(seed=31, machines=6, capacity=0)
-    parts: dict[str, int] = {}
-    described = jobs(day, parts)
-    split_to(monkeypatch, parts)
+    shards: dict[str, int] = {}
+    described = jobs(day, shards)
+    split_to(monkeypatch, shards)
     day.run(5)
     for one in described:
         day.submit(one)
@@ -81,7 +81,7 @@
 
 
 def test_pieces_of_a_limit_go_to_the_older_gang(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each of two parts holds half of a team's limit, and a gang that needs more than that."""
+    """Each of two shards holds half of a team's limit, and a gang that needs more than that."""
     day = Day(seed=32, machines=9, capacity=0)
     day.state.ledger = 1
     day.state.items["b/shares/red"] = ({"shares": {"0": [12.0, 0.0], "1": [12.0, 0.0]}}, 1, None)
@@ -98,10 +98,10 @@
     ("ranks", "number", "reached"),
     [(("idle", "urgent"), 20, True), (("urgent", "urgent"), 4, True), (("urgent", "idle"), 4, False)],
 )
-def test_a_limit_does_not_stay_with_the_part_that_has_it(
+def test_a_limit_does_not_stay_with_the_shard_that_has_it(
     ranks: tuple[str, str], number: int, reached: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """One part has all of a team's limit, and work for it without end; then jobs of the team come to another part."""
+    """One shard has all of a team's limit, and work for it without end; then jobs of the team come to another shard."""
     day = Day(seed=37, machines=12, capacity=0)
     split_to(monkeypatch, {"run-first": 0, "run-q": 1, "run-fill": 2})
     day.run(5)
@@ -117,7 +117,7 @@
 
 
 def test_the_checker_sees_work_left_waiting(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The days' check is worth something only if it catches a part that places nothing."""
+    """The days' check is worth something only if it catches a shard that places nothing."""
     monkeypatch.setattr("badgerroute.scheduling.planner.Planner.fill", lambda self, *args: 0)
     day = Day(seed=33, machines=3)
     day.run(5)
@@ -127,7 +127,7 @@
 
 
 def test_a_claim_of_ours_that_was_carried_out_late() -> None:
-    """Somebody else may have held the part in between and been cut off: the time limit in our claim is too early."""
+    """Somebody else may have held the shard in between and been cut off: the time limit in our claim is too early."""
     day = Day(seed=34)
     day.run(5)
     host = HOSTS[0]
@@ -138,7 +138,7 @@
     day.state.log.append({"write": "b/parts/0", "value": early, "mark": day.state.ledger})
     day.state._notify()
     day.run(3)
-    claim = controller.claims.parts[0]
+    claim = controller.claims.shards[0]
     assert claim.term > day.state.ledger - 20
     assert claim.grace >= controller.settings.grace - SECOND / 10
 
@@ -148,7 +148,7 @@
     day = Day(seed=35, machines=9)
     day.run(5)
     owner = day.controllers[HOSTS[0]][0].owners[0]
-    first, second = list(owner.part.machines)[:2]
+    first, second = list(owner.shard.machines)[:2]
 
     def forget(name: str) -> None:
         day.site.remove_worker(name)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -18,14 +18,14 @@
     return [one for one in HOSTS if one != host]
 
 
-def owner_of(day: Day, part: int) -> str:
-    return next(host for host, (one, _) in day.controllers.items() if part in one.owners)
+def owner_of(day: Day, shard: int) -> str:
+    return next(host for host, (one, _) in day.controllers.items() if shard in one.owners)
 
 
 def workers_of(day: Day, host: str) -> list[Worker]:
-    """The machines of the parts that a controller owns."""
+    """The machines of the shards that a controller owns."""
     owners = day.controllers[host][0].owners.values()
-    return [day.site.workers[name] for owner in owners for name in owner.part.machines if name in day.site.workers]
+    return [day.site.workers[name] for owner in owners for name in owner.shard.machines if name in day.site.workers]
 
 
 def on_machines(day: Day, ref: str) -> list[str]:
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("resets", [True, False])
-def test_a_controller_that_stood_still_gets_its_part_back(resets: bool) -> None:
+def test_a_controller_that_stood_still_gets_its_shard_back(resets: bool) -> None:
     """Its siblings gave up its connections meanwhile. Whether a write tells it so depends on the network between."""
     day = Day(seed=11)
     day.world.resets = resets
@@ -22,7 +22,7 @@
     day.run(26)
     owners = day.controllers[HOSTS[0]][0].owners
     assert day.until(lambda: 0 not in owners, 2), "it learns that its claim went"
-    assert day.until(lambda: 0 in owners, 15), "its part comes home"
+    assert day.until(lambda: 0 in owners, 15), "its shard comes home"
     day.submit(job("run-a", heads=12))
     assert day.finish() == []
     assert day.rules.broken == []
@@ -117,7 +117,7 @@
 
 @pytest.mark.parametrize("mode", ["reset", "hold"])
 @pytest.mark.parametrize("seed", [16, 17, 18])
-def test_a_controller_cut_from_its_workers_gives_its_part_away(seed: int, mode: str) -> None:
+def test_a_controller_cut_from_its_workers_gives_its_shard_away(seed: int, mode: str) -> None:
     """Else it keeps its claim, since the state service answers it, and all its machines let go of their tasks."""
     day = Day(seed=seed, machines=24, capacity=0)
     day.run(5)
@@ -132,24 +132,24 @@
     assert len(ended) <= 1, "hardly a lease ran out"
     heal()
     owners = day.controllers[host][0].owners
-    assert day.until(lambda: len(owners) == 1, 20), "its part comes home"
+    assert day.until(lambda: len(owners) == 1, 20), "its shard comes home"
     assert day.finish() == []
     assert day.rules.broken == []
 
 
-def test_silent_machines_alone_move_no_part() -> None:
-    """Half of a part's machines lose the network: that is their trouble, not their owner's."""
+def test_silent_machines_alone_move_no_shard() -> None:
+    """Half of a shard's machines lose the network: that is their trouble, not their owner's."""
     day = Day(seed=19, machines=24, capacity=0)
     day.run(5)
-    part = day.controllers[HOSTS[0]][0].owners[0].part
-    terms = {part.number: part.term}
-    names = list(part.machines)[: len(part.machines) * 2 // 3]
+    shard = day.controllers[HOSTS[0]][0].owners[0].shard
+    terms = {shard.number: shard.term}
+    names = list(shard.machines)[: len(shard.machines) * 2 // 3]
     for name in names:
         for host in HOSTS:
             day.world.cut(host, name, "hold")
     day.run(9)
     owners = day.controllers[HOSTS[0]][0].owners
-    assert {number: owner.part.term for number, owner in owners.items()} == terms
+    assert {number: owner.shard.term for number, owner in owners.items()} == terms
     for name in names:
         for host in HOSTS:
             day.world.heal(host, name)
@@ -205,8 +205,8 @@
     day = Day(seed=23)
     day.run(5)
     mine, other = (day.controllers[host][0] for host in HOSTS[:2])
-    theirs = next(iter(other.owners[1].part.machines))
-    own = next(iter(mine.owners[0].part.machines))
+    theirs = next(iter(other.owners[1].shard.machines))
+    own = next(iter(mine.owners[0].shard.machines))
     mine.fleet.delete([theirs, own])
     day.run(3)
     assert theirs in day.site.workers and own not in day.site.workers
@@ -259,7 +259,7 @@
 
 
 def hand_overs(day: Day) -> None:
-    """Cut from its workers, its parts go; then it ends, and is back within a fraction of a second."""
+    """Cut from its workers, its shards go; then it ends, and is back within a fraction of a second."""
     host = day.random.choice(HOSTS)
     heal = cut_from_workers(day, host, "hold")
     day.loop.later(9 * SECOND, lambda: day.restart(host, SECOND / 5))
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -161,7 +161,7 @@
     day.run(1)
     assert [day.poll(ref) for ref in refs[1:]] == ["queued"] * 3
     assert all(
-        ref not in owner.part.jobs
+        ref not in owner.shard.jobs
         for one, _ in day.controllers.values()
         for owner in one.owners.values()
         for ref in refs[1:]
@@ -371,7 +371,7 @@
 
     def levels() -> set[int]:
         owners = [owner for one, _ in day.controllers.values() for owner in one.owners.values()]
-        return {owner.part.jobs["run-stage"].level for owner in owners if "run-stage" in owner.part.jobs}
+        return {owner.shard.jobs["run-stage"].level for owner in owners if "run-stage" in owner.shard.jobs}
 
     assert not placed()
     day.submit(job("run-end", heads=1, rank="urgent", market_s=60.0, follows=["run-stage"]))
@@ -382,7 +382,7 @@
     assert levels() == {0}
     for one, _ in day.controllers.values():
         for owner in one.owners.values():
-            for machine in owner.part.machines.values():
+            for machine in owner.shard.machines.values():
                 assert all(abs(room.cpus) < 1e-6 for level, room in machine.held.items() if level == 2)
     day.cancel("run-fill")
     assert day.finish() == []
@@ -402,10 +402,10 @@
         day.restart(host, SECOND)
     day.run(10)
     found = [
-        owner.part.jobs["run-b"]
+        owner.shard.jobs["run-b"]
         for one, _ in day.controllers.values()
         for owner in one.owners.values()
-        if "run-b" in owner.part.jobs
+        if "run-b" in owner.shard.jobs
     ]
     assert found and all(abs((one.accepted - done_at) / SECOND) < 4 for one in found)
 
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -10,25 +10,25 @@
 import pytest
 
 from badgerroute import cli
-from badgerroute.protocol.mesh import ClassWaits, PartLoad, PartSummary, PendingDemand
+from badgerroute.protocol.mesh import ClassWaits, PendingDemand, ShardLoad, ShardSummary
 from badgerroute.protocol.users import Priority, Submission
 from badgerroute.rebalancing.fetch_rates import FetchRates
 from badgerroute.rebalancing.local_waits import FOREVER, LocalWaits
 from badgerroute.rebalancing.moves import MovePlanner
-from badgerroute.rebalancing.part_guidance import PartGuidance
+from badgerroute.rebalancing.shard_guidance import ShardGuidance
 from badgerroute.rebalancing.spreading import WorkRequest, offered_capacity, work_lacking
-from badgerroute.rebalancing.view import FleetView, PartReading
+from badgerroute.rebalancing.view import FleetView, ShardReading
 from badgerroute.rebalancing.waits import MAX_CLASSES, RecentWaits
 from badgerroute.scheduling.draining import Evacuation, evacuate
 from badgerroute.scheduling.guidance import Guidance
 from badgerroute.scheduling.model import Job, Phase, Placement
 from badgerroute.scheduling.objectives import Objectives
-from badgerroute.scheduling.part import Part
 from badgerroute.scheduling.planner import Planner
+from badgerroute.scheduling.shard import Shard
 from badgerroute.settings import Rebalancing, Scheduling, SettingsError, load_operator
 from badgerroute.transport.clock import VirtualClock
 from badgerroute.transport.loop import Loop, VirtualPoller
-from tests.test_core import S, add, never, part, submission
+from tests.test_core import S, add, never, shard, submission
 from tests.test_edges import PLATFORM
 
 ROOT = Path(__file__).parent.parent
@@ -97,13 +97,13 @@
 # -- waits and the view
 
 
-def waiting_part(**changes: object) -> tuple[Part, Job]:
-    one = part(machines=1)
+def waiting_shard(**changes: object) -> tuple[Shard, Job]:
+    one = shard(machines=1)
     return one, add(one, submission(**changes))
 
 
 def test_waits_count_what_was_started_lately_and_what_waits() -> None:
-    one, job = waiting_part(tasks=4)
+    one, job = waiting_shard(tasks=4)
     waits = RecentWaits(20 * S, 0 * S)
     for _ in range(9):
         waits.record(job, 3 * S, 1 * S)
@@ -119,13 +119,13 @@
 
 
 def test_a_team_at_its_limit_waits_for_nobody_else() -> None:
-    one = part(machines=1, share=0.0)
+    one = shard(machines=1, share=0.0)
     add(one, submission())
     assert RecentWaits(20 * S, 0 * S).snapshot(one, 50 * S) == []
 
 
 def test_classes_that_are_told_apart_are_bounded() -> None:
-    one = part(machines=0)
+    one = shard(machines=0)
     waits = RecentWaits(20 * S, 0 * S)
     for number in range(3 * MAX_CLASSES):
         job = add(one, submission(f"run-{number}", job_class=f"class-{number}"))
@@ -134,13 +134,13 @@
     assert len(waits.snapshot(one, 2 * S)) == MAX_CLASSES + 1
 
 
-def reading(one: Part, waits: list, age: timedelta = 0 * S, number: int = 0) -> PartReading:
-    summary = PartSummary(number, 1, True, 1, [], {}, {}, {}, [], 0.0, {}, {}, load=PartLoad(waits, [1] * 10))
-    return PartReading(summary, age)
+def reading(one: Shard, waits: list, age: timedelta = 0 * S, number: int = 0) -> ShardReading:
+    summary = ShardSummary(number, 1, True, 1, [], {}, {}, {}, [], 0.0, {}, {}, load=ShardLoad(waits, [1] * 10))
+    return ShardReading(summary, age)
 
 
-def waits_of(seconds: float, team: str = "blue", tasks: int = 10) -> tuple[Part, list]:
-    one = part(machines=0)
+def waits_of(seconds: float, team: str = "blue", tasks: int = 10) -> tuple[Shard, list]:
+    one = shard(machines=0)
     waits = RecentWaits(600 * S, 0 * S)
     job = add(one, submission(team=team))
     for _ in range(tasks):
@@ -149,23 +149,23 @@
     return one, waits.snapshot(one, 1 * S)
 
 
-def test_the_view_merges_parts_and_leaves_out_what_is_stale_or_silent() -> None:
+def test_the_view_merges_shards_and_leaves_out_what_is_stale_or_silent() -> None:
     one, short = waits_of(1.0)
     _, long = waits_of(9.0, "red")
-    old_version = PartReading(PartSummary(3, 1, True, 1, [], {}, {}, {}, [], 0.0, {}, {}), 0 * S)
+    old_version = ShardReading(ShardSummary(3, 1, True, 1, [], {}, {}, {}, [], 0.0, {}, {}), 0 * S)
     _, late = waits_of(500.0)
     readings = [reading(one, short), reading(one, long, number=1), reading(one, late, 6 * S, 2), old_version]
     view = FleetView(readings, 5 * S)
-    assert view.stale_parts == [2] and view.silent_parts == [3]
+    assert view.stale_shards == [2] and view.silent_shards == [3]
     assert view.fleet.tasks == 20 and view.machines_by_load == [2] * 10
     assert view.wait_ratio("red", S / 2) == pytest.approx(9.0, rel=0.05)
     assert view.wait_ratio("red", 20 * S) == 1.0, "too short to matter"
-    assert [view.parts[part].median > 5 * S for part in sorted(view.parts)] == [False, True]
+    assert [view.shards[shard].median > 5 * S for shard in sorted(view.shards)] == [False, True]
     assert view.classes["red", "batch"].describe().startswith("waiting=0 median=9.")
     assert view.wait_ratio("nobody", S) == 1.0
 
 
-def test_of_two_readings_of_a_part_the_younger_counts() -> None:
+def test_of_two_readings_of_a_shard_the_younger_counts() -> None:
     one, short = waits_of(1.0)
     _, long = waits_of(9.0)
     view = FleetView([reading(one, short, 1 * S), reading(one, long, 3 * S)], 5 * S)
@@ -194,7 +194,7 @@
     ],
 )
 def test_fetch_times_are_measured(fetches: list[float], expected: float) -> None:
-    one, job = waiting_part(tasks=1)
+    one, job = waiting_shard(tasks=1)
     machine = one.machines["host-0"]
     placement = Placement(job, 0, 1, machine, Phase.RUNNING, 0 * S)
     rates = FetchRates()
@@ -203,7 +203,7 @@
     assert rates.fetch_time(job, machine) / S == pytest.approx(expected, rel=0.05)
 
 
-def running(one: Part, ref: str, machine: str, since: timedelta, tasks: int = 1, **changes: object) -> Job:
+def running(one: Shard, ref: str, machine: str, since: timedelta, tasks: int = 1, **changes: object) -> Job:
     """A job whose tasks run on a machine since then, beside its image."""
     job = add(one, submission(ref, **({"tasks": tasks, "cpus": 1.0} | changes)))
     for index in range(tasks):
@@ -214,7 +214,7 @@
     return job
 
 
-def planner_of(one: Part) -> Planner:
+def planner_of(one: Shard) -> Planner:
     return Planner(one, Scheduling(), Objectives([]))
 
 
@@ -227,7 +227,7 @@
     ],
 )
 def test_the_wait_beside_an_image_follows_what_runs_and_what_waits_there(waiting: int, expected: float | None) -> None:
-    one = part(machines=2)
+    one = shard(machines=2)
     for number, since in enumerate((0, 1, 2, 4)):
         running(one, f"run-{number}", "host-0", since * S, estimate_s=10.0)
     job = add(one, submission("run-w", tasks=waiting, cpus=1.0))
@@ -239,7 +239,7 @@
 
 
 def test_a_pass_over_many_machines_goes_on_where_its_time_ran_out() -> None:
-    one = part(machines=200)
+    one = shard(machines=200)
     local = LocalWaits(one, planner_of(one).run_time, 5 * S)
     slices = 1
     while not local.advance(1 * S, lambda: True):
@@ -248,9 +248,9 @@
 
 
 def test_gangs_come_in_the_order_of_arrival() -> None:
-    guidance = advice(part(machines=1))
+    guidance = advice(shard(machines=1))
     gang = submission("run-g", kind="group", tasks=2)
-    assert guidance.precedence(add(part(machines=1), gang)) == 0.0
+    assert guidance.precedence(add(shard(machines=1), gang)) == 0.0
 
 
 @pytest.mark.parametrize(
@@ -263,7 +263,7 @@
     ],
 )
 def test_teams_take_turns(held: tuple[int, int], urgency: tuple[float, float], first: str) -> None:
-    one = part(machines=2)
+    one = shard(machines=2)
     guidance = advice(one, dict(zip(("blue", "red"), urgency, strict=True)))
     for team, tasks in zip(("blue", "red"), held, strict=True):
         running(one, f"run-on-{team}", "host-0" if team == "blue" else "host-1", 0 * S, tasks=tasks, team=team)
@@ -271,10 +271,10 @@
     assert min(jobs, key=lambda team: guidance.precedence(jobs[team])) == first
 
 
-def advice(one: Part, urgency: dict[str, float] | None = None) -> PartGuidance:
+def advice(one: Shard, urgency: dict[str, float] | None = None) -> ShardGuidance:
     loop = Loop(VirtualClock(), VirtualPoller(VirtualClock()))
     asked = urgency or {}
-    guidance = PartGuidance(loop, 60 * S, lambda team: 10.0, lambda team: asked.get(team, 1.0), lambda machine: None)
+    guidance = ShardGuidance(loop, 60 * S, lambda team: 10.0, lambda team: asked.get(team, 1.0), lambda machine: None)
     guidance.attach(one.usage, LocalWaits(one, planner_of(one).run_time, 5 * S))
     return guidance
 
@@ -293,24 +293,24 @@
 def test_work_stays_near_its_image_only_while_that_costs_less_than_the_fetch(
     wait: timedelta | None, starts: int
 ) -> None:
-    one = part(machines=2)
+    one = shard(machines=2)
     one.guidance = LocalAdvice(wait)
     running(one, "run-on", "host-0", 0 * S, tasks=8, estimate_s=60.0)
     add(one, submission("run-w", tasks=1, estimate_s=60.0))
     assert planner_of(one).fill(one.machines["host-1"], 1 * S, never) == starts
 
 
-# -- spreading waiting work over the parts
+# -- spreading waiting work over the shards
 
 
-def told(number: int, machines: int, waiting: dict[str, int]) -> PartSummary:
+def told(number: int, machines: int, waiting: dict[str, int]) -> ShardSummary:
     waits = [ClassWaits(team, "batch", count, 1.0, "") for team, count in waiting.items()]
     demands = [
         PendingDemand(f"run-{team}", team, 2.0, 0.0, 1.0, count, False, 1, False, 1.0, None, None, True)
         for team, count in waiting.items()
     ]
-    load = PartLoad(waits, [0] * 10)
-    return PartSummary(number, 1, True, machines, [], {}, {}, {}, demands, 0.0, {}, {}, load=load)
+    load = ShardLoad(waits, [0] * 10)
+    return ShardSummary(number, 1, True, machines, [], {}, {}, {}, demands, 0.0, {}, {}, load=load)
 
 
 @pytest.mark.parametrize(
@@ -326,7 +326,7 @@
         ((10, 30), [(10, 0)], None),
     ],
 )
-def test_a_part_asks_for_its_portion(
+def test_a_shard_asks_for_its_portion(
     own: tuple[int, int], others: list[tuple[int, int]], expected: tuple[int, int] | None
 ) -> None:
     summaries = [told(number + 1, machines, {"red": count}) for number, (machines, count) in enumerate(others)]
@@ -346,7 +346,7 @@
 
 
 def test_offered_capacity_is_what_was_asked_for() -> None:
-    one = part(machines=4)
+    one = shard(machines=4)
     one.machines["host-0"].draining = True
     offered = offered_capacity(one, WorkRequest("red", 1, 6, 2.0))
     assert [(capacity.cpus, capacity.count) for capacity in offered] == [(8.0, 1), (4.0, 1)]
@@ -356,9 +356,9 @@
 # -- moves
 
 
-def crowded_part() -> tuple[Part, Job]:
+def crowded_shard() -> tuple[Shard, Job]:
     """host-0 (zone a) is full of work that saves; host-1 (zone b) is empty; an urgent job must run in zone a."""
-    one = part(machines=2)
+    one = shard(machines=2)
     victim = running(one, "run-v", "host-0", 0 * S, tasks=8, checkpoint_s=5.0, save_s=1.0, estimate_s=300.0)
     one.machines["host-1"].complete.add(victim.spec.image)
     add(one, urgent())
@@ -370,59 +370,59 @@
     return submission(**(wanted | changes))
 
 
-def mover(one: Part, **changes: object) -> MovePlanner:
+def mover(one: Shard, **changes: object) -> MovePlanner:
     return MovePlanner(one, planner_of(one), Rebalancing(**changes), S, one.guidance)
 
 
-def stopping(one: Part) -> list[Placement]:
+def stopping(one: Shard) -> list[Placement]:
     return [each for machine in one.machines.values() for each in machine.placements.values() if each.stopping]
 
 
 def test_a_move_stops_with_time_to_save_and_keeps_the_room() -> None:
-    one, victim = crowded_part()
+    one, victim = crowded_shard()
     assert mover(one).round(10 * S, never) == 2
     assert [placement.grace for placement in stopping(one)] == [S, S]
     assert one.machines["host-0"].held_for == "run-u"
     assert victim.moved_from["host-0"] > 10 * S, "and it does not go back"
 
 
-def no_landing(one: Part) -> None:
+def no_landing(one: Shard) -> None:
     one.machines["host-1"].draining = True
 
 
-def nearly_done(one: Part) -> None:
+def nearly_done(one: Shard) -> None:
     for placement in one.jobs["run-v"].placed.values():
         placement.running_since = -297 * S
 
 
-def never_saves(one: Part) -> None:
+def never_saves(one: Shard) -> None:
     replace(one, checkpoint_s=0.0)
 
 
-def equals(one: Part) -> None:
+def equals(one: Shard) -> None:
     del one.jobs["run-u"]
     add(one, urgent(priority=Priority.NORMAL))
 
 
-def just_came(one: Part) -> None:
+def just_came(one: Shard) -> None:
     one.jobs["run-u"].since = 9 * S
 
 
-def fits_already(one: Part) -> None:
+def fits_already(one: Shard) -> None:
     del one.jobs["run-u"]
     add(one, urgent(zone=None))
 
 
-def at_its_limit(one: Part) -> None:
+def at_its_limit(one: Shard) -> None:
     one.shares = lambda team: (0.0, 0.0) if team == "red" else (100.0, 0.0)
 
 
-def dear_image(one: Part) -> None:
+def dear_image(one: Shard) -> None:
     one.machines["host-1"].complete.clear()
     replace(one, image_gb=100.0)
 
 
-def replace(one: Part, **changes: object) -> None:
+def replace(one: Shard, **changes: object) -> None:
     one.jobs["run-v"].spec = msgspec.structs.replace(one.jobs["run-v"].spec, **changes)
 
 
@@ -430,22 +430,22 @@
     "change",
     [no_landing, nearly_done, never_saves, equals, just_came, fits_already, at_its_limit, dear_image],
 )
-def test_nothing_is_moved(change: Callable[[Part], None]) -> None:
-    one, _ = crowded_part()
+def test_nothing_is_moved(change: Callable[[Shard], None]) -> None:
+    one, _ = crowded_shard()
     change(one)
     assert mover(one).round(10 * S, never) == 0
     assert stopping(one) == []
 
 
 def test_gangs_are_never_moved_for_others() -> None:
-    one = part(machines=2)
+    one = shard(machines=2)
     running(one, "run-v", "host-0", 0 * S, tasks=4, cpus=2.0, kind="group", checkpoint_s=5.0, estimate_s=300.0)
     add(one, urgent())
     assert mover(one).round(10 * S, never) == 0
 
 
 def test_moves_are_few_and_what_was_moved_rests() -> None:
-    one, victim = crowded_part()
+    one, victim = crowded_shard()
     moves = mover(one, moves_per_period=3, move_period_s=30.0, move_rest_s=90.0)
     assert moves.round(10 * S, never) == 2
     for placement in stopping(one):
@@ -479,7 +479,7 @@
 def test_evacuate(
     changes: dict[str, object], ran: float | None, left: float, patient: bool, grace: float | None
 ) -> None:
-    one = part(machines=2)
+    one = shard(machines=2)
     job = running(one, "run-v", "host-0", 0 * S, tasks=2, **changes)
     now = (ran or 0) * S
     for placement in job.placed.values():
@@ -495,7 +495,7 @@
 
 
 def test_a_gang_leaves_whole_wherever_its_tasks_are() -> None:
-    one = part(machines=2)
+    one = shard(machines=2)
     job = add(one, submission("run-g", kind="group", tasks=2, estimate_s=100.0, checkpoint_s=5.0, save_s=1.0))
     for index in range(2):
         placement = one.place(job, index, 1, one.machines[f"host-{index}"], 0 * S, Phase.RUNNING)
--- a/tests/test_rebalancing_days.py
+++ b/tests/test_rebalancing_days.py
@@ -55,7 +55,7 @@
 
 
 def test_an_older_version_beside_it_knows_nothing_of_it() -> None:
-    """It neither sends nor understands loads, and its part is served as it always was."""
+    """It neither sends nor understands loads, and its shard is served as it always was."""
     day = hot_day(4, ON, upgrade=True)
     assert day.old and day.rules.broken == [] and day.history_problems() == []
 
@@ -99,16 +99,16 @@
     day.submit(job("run-a", heads=60, crew="red", trek_s=5.0))
     day.run(8)
     alone = rebalancers(day)[0]
-    assert alone.view.stale_parts == [] and len(alone.view.teams) == 1
+    assert alone.view.stale_shards == [] and len(alone.view.teams) == 1
     for host in HOSTS[1:]:
         day.world.cut(HOSTS[0], host, "hold")
     day.run(120)
-    assert len(alone.view.stale_parts) == 2
+    assert len(alone.view.stale_shards) == 2
     assert alone.urgency("red") == 1.0
     for host in HOSTS[1:]:
         day.world.heal(HOSTS[0], host)
     day.run(10)
-    assert rebalancers(day)[0].view.stale_parts == []
+    assert rebalancers(day)[0].view.stale_shards == []
     assert day.finish() == [] and day.rules.broken == []
 
 
@@ -135,12 +135,12 @@
     day = Day(seed, machines=machines, capacity=0, operator=ON, teams=EQUALS)
     day.run(5)
     tasks = 4 * machines
-    for part in range(3):
+    for shard in range(3):
         saves = {"waypoint_s": 5.0, "pen_s": 1.0, "trek_s": 60.0}
-        day.submit(job(f"run-v{part}", heads=tasks // 3, crew="blue", pasture="a", **saves))
+        day.submit(job(f"run-v{shard}", heads=tasks // 3, crew="blue", pasture="a", **saves))
     assert day.until(lambda: len(day.rules.on) == tasks, 30), "all of zone a is in use"
-    for part in range(3):  # what may run anywhere is moved; this could not be
-        day.site.jobs[f"run-v{part}"]["pasture"] = None
+    for shard in range(3):  # what may run anywhere is moved; this could not be
+        day.site.jobs[f"run-v{shard}"]["pasture"] = None
     widen(day)
     return day
 
@@ -151,7 +151,7 @@
 
     for controller, _ in day.controllers.values():
         for owner in controller.owners.values():
-            for one in owner.part.jobs.values():
+            for one in owner.shard.jobs.values():
                 one.spec = msgspec.structs.replace(one.spec, zone=None)
 
 
@@ -181,8 +181,8 @@
 
 
 def cancel(day: Day) -> None:
-    for part in range(3):
-        assert day.cancel(f"run-v{part}") == "withdrawn"
+    for shard in range(3):
+        assert day.cancel(f"run-v{shard}") == "withdrawn"
 
 
 def lose_half(day: Day) -> None:
@@ -230,7 +230,7 @@
     assert problems == []
 
 
-def test_two_parts_that_see_each_other_as_colder_do_not_pass_work_to_and_fro() -> None:
+def test_two_shards_that_see_each_other_as_colder_do_not_pass_work_to_and_fro() -> None:
     """Both have room for the other's work, by turns. Work that waits may go over once; nothing that runs does."""
     day = Day(9, machines=6, capacity=0, operator=ON, teams=EQUALS)
     day.run(5)
@@ -316,7 +316,7 @@
     assert ask_undrain(day, second).answer is DrainAnswer.NOT_DRAINING
     assert ask_drain(day, "host-999999").answer is DrainAnswer.UNKNOWN
     controller = next(
-        one for one, _ in day.controllers.values() if second in next(iter(one.owners.values())).part.machines
+        one for one, _ in day.controllers.values() if second in next(iter(one.owners.values())).shard.machines
     )
     controller.fleet.delete([second])
     assert day.until(lambda: "b/machines/" + second not in day.state.items, 20)
@@ -333,7 +333,7 @@
     """The owner crashes just after it has begun to stop the work of a hot machine."""
     day = busy_day(seed, waypoint_s=5.0, pen_s=2.0)
     worker = hottest(day)
-    owner = owner_of(day, next(iter(part_of(day, worker.name))))
+    owner = owner_of(day, next(iter(shard_of(day, worker.name))))
     asked = day.loop.now()
     ask_drain(day, worker.name, within=30)
     assert day.until(lambda: any(task.state == "flushing" for task in worker.tasks.values()), 10)
@@ -349,12 +349,12 @@
     assert day.finish(300) == [] and day.rules.broken == [] and day.history_problems() == []
 
 
-def part_of(day: Day, machine: str) -> list[int]:
+def shard_of(day: Day, machine: str) -> list[int]:
     return [
         number
         for controller, _ in day.controllers.values()
         for number, owner in controller.owners.items()
-        if machine in owner.part.machines
+        if machine in owner.shard.machines
     ]
 
 
@@ -387,7 +387,7 @@
     """It may no longer act; whoever comes after it finds the record."""
     day = busy_day(39, waypoint_s=5.0, pen_s=1.0)
     worker = hottest(day)
-    host = owner_of(day, next(iter(part_of(day, worker.name))))
+    host = owner_of(day, next(iter(shard_of(day, worker.name))))
     for other in [f"state-{host}", *(one for one in HOSTS if one != host)]:
         day.world.cut(host, other, "hold")
     ask_drain_elsewhere(day, host, worker.name)
@@ -457,16 +457,16 @@
 @pytest.mark.cheats
 def test_the_history_checker_catches_an_owner_that_does_not_wait_for_proof(monkeypatch: pytest.MonkeyPatch) -> None:
     """A move that starts the task elsewhere at once, while it still saves where it was."""
-    from badgerroute.scheduling.part import Part
+    from badgerroute.scheduling.shard import Shard
 
-    real = Part.stop
+    real = Shard.stop
 
-    def stop(self: Part, placement: object, grace: timedelta) -> None:
+    def stop(self: Shard, placement: object, grace: timedelta) -> None:
         real(self, placement, grace)
         if grace > timedelta(0):
             self.release(placement, timedelta(0))
 
-    monkeypatch.setattr(Part, "stop", stop)
+    monkeypatch.setattr(Shard, "stop", stop)
     day = busy_day(40, waypoint_s=5.0, pen_s=3.0)
     ask_drain(day, hottest(day).name, within=25)
     day.run(25)
--- a/tests/test_rebalancing_loopback.py
+++ b/tests/test_rebalancing_loopback.py
@@ -51,7 +51,7 @@
             machine.name
             for controller, _ in day.controllers.values()
             for owner in controller.owners.values()
-            for machine in owner.part.machines.values()
+            for machine in owner.shard.machines.values()
             if machine.drain_deadline is not None
         ]
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""What binds at 4,000 machines: each thing is counted there and at 1,000, also with all machines in one part."""
+"""What binds at 4,000 machines: each thing is counted there and at 1,000, also with all machines in one shard."""
 
 import json
 from datetime import timedelta
@@ -10,30 +10,30 @@
 from badgerroute.connectivity.worker_silence import silent
 from badgerroute.coordination.membership.forwarding import RequestForwarder
 from badgerroute.coordination.membership.mesh import MAX_QUEUED_BYTES, _Link
-from badgerroute.coordination.parts import summary as summary_module
-from badgerroute.coordination.parts.fencing import Fencing
-from badgerroute.coordination.parts.owner import SUMMARY_KEPT_PER_MACHINE
-from badgerroute.coordination.parts.summary import summarize
+from badgerroute.coordination.shards import summary as summary_module
+from badgerroute.coordination.shards.fencing import Fencing
+from badgerroute.coordination.shards.owner import SUMMARY_KEPT_PER_MACHINE
+from badgerroute.coordination.shards.summary import summarize
 from badgerroute.protocol import mesh
 from badgerroute.protocol.cloud import MachineType
-from badgerroute.protocol.mesh import FreeCapacity, PartLoad, PartSummary, PendingDemand
+from badgerroute.protocol.mesh import FreeCapacity, PendingDemand, ShardLoad, ShardSummary
 from badgerroute.protocol.users import parse_submission
 from badgerroute.protocol.workers import Report, TaskReport
 from badgerroute.rebalancing.local_waits import LocalWaits
 from badgerroute.rebalancing.moves import MovePlanner
-from badgerroute.rebalancing.part_guidance import PartGuidance
+from badgerroute.rebalancing.shard_guidance import ShardGuidance
 from badgerroute.rebalancing.waits import RecentWaits, busy_machines
-from badgerroute.scheduling.part import Part
 from badgerroute.scheduling.planner import Planner
 from badgerroute.scheduling.rental_planning import RentalPlan
 from badgerroute.scheduling.reports import ReportReader
+from badgerroute.scheduling.shard import Shard
 from badgerroute.settings import CloudLimits, Connectivity, OperatorSettings, Rebalancing, Team
 from badgerroute.storage.cloud import CloudClient
 from badgerroute.storage.records import JobRecord, TaskRange
 from badgerroute.transport.frames import MAX_FRAME
 from badgerroute.transport.http import Request, Response
 from tests.standins.day import HOSTS, SECOND, Day, job
-from tests.test_fleet import busy_part, calls_in
+from tests.test_fleet import busy_shard, calls_in
 
 FEW, MANY = 1000, 4000
 
@@ -42,62 +42,62 @@
     return False
 
 
-def varied_part(machines: int, jobs: int) -> tuple[Part, Planner]:
+def varied_shard(machines: int, jobs: int) -> tuple[Shard, Planner]:
     """No two machines have the same free room, and many jobs wait."""
-    part, planner = busy_part(machines)
-    for number, machine in enumerate(part.machines.values()):
+    shard, planner = busy_shard(machines)
+    for number, machine in enumerate(shard.machines.values()):
         machine.free.cpus = 0.1 + number * 0.0019
         machine.free.memory_gb = 0.1 + (7 * number % machines) * 0.007
         machine.images = {f"img-{(number + offset) % 200}": 1.0 for offset in range(4)}
     for number in range(jobs):
         spec = parse_submission(json.dumps(job(f"run-w{number}", heads=3, rank="urgent", crew="red")).encode())
         record = JobRecord(spec, 0.0, [TaskRange(0, 0, 3)])
-        part.add_job(record, timedelta(0), 10**6, timedelta(0))
-    return part, planner
+        shard.add_job(record, timedelta(0), 10**6, timedelta(0))
+    return shard, planner
 
 
-def test_a_report_costs_the_same_with_all_machines_in_one_part() -> None:
+def test_a_report_costs_the_same_with_all_machines_in_one_shard() -> None:
     costs = []
     for machines in (FEW, MANY):
-        part, planner = busy_part(machines)
-        machine = part.machines["host-7"]
+        shard, planner = busy_shard(machines)
+        machine = shard.machines["host-7"]
         tasks = [TaskReport(f"run-on/{index}", 99, "running") for index in range(56, 64)]
 
-        def report(seq: int, part=part, planner=planner, machine=machine, tasks=tasks) -> None:
+        def report(seq: int, shard=shard, planner=planner, machine=machine, tasks=tasks) -> None:
             message = Report(machine.name, "m:1", "k8", "a", False, 1, seq, 7, None, list(tasks))
-            assert part.on_report(machine, message, True, 2 * SECOND) is not None
+            assert shard.on_report(machine, message, True, 2 * SECOND) is not None
             planner.gangs_on(machine, 2 * SECOND, never)
             planner.fill(machine, 2 * SECOND, never)
-            part.commands(machine, 2 * SECOND, starts=True)
+            shard.commands(machine, 2 * SECOND, starts=True)
 
         report(1)
         costs.append(calls_in(lambda report=report: report(2)))
     assert costs[0] == costs[1]
 
 
-def advised_part(machines: int) -> tuple[Part, Planner]:
-    """A busy part with rebalancing's advice for it."""
-    part, planner = busy_part(machines)
+def advised_shard(machines: int) -> tuple[Shard, Planner]:
+    """A busy shard with rebalancing's advice for it."""
+    shard, planner = busy_shard(machines)
     day = Day(seed=1, machines=0)
     day.run(0.1)
-    guidance = PartGuidance(day.loop, 60 * SECOND, lambda team: 10.0, lambda team: 2.0, lambda machine: None)
-    local = LocalWaits(part, planner.run_time, 60 * SECOND)
+    guidance = ShardGuidance(day.loop, 60 * SECOND, lambda team: 10.0, lambda team: 2.0, lambda machine: None)
+    local = LocalWaits(shard, planner.run_time, 60 * SECOND)
     local.advance(2 * SECOND, never)
-    guidance.attach(part.usage, local)
-    part.guidance = guidance
-    return part, planner
+    guidance.attach(shard.usage, local)
+    shard.guidance = guidance
+    return shard, planner
 
 
-def test_advice_costs_the_same_for_each_report_with_all_machines_in_one_part() -> None:
+def test_advice_costs_the_same_for_each_report_with_all_machines_in_one_shard() -> None:
     costs = []
     for machines in (FEW, MANY):
-        part, planner = advised_part(machines)
+        shard, planner = advised_shard(machines)
         for name in ("host-7", "host-9"):
-            for placement in list(part.machines[name].placements.values())[:2]:
-                part.forget(placement)  # so that something starts
+            for placement in list(shard.machines[name].placements.values())[:2]:
+                shard.forget(placement)  # so that something starts
 
-        def fill(name: str, part=part, planner=planner) -> None:
-            assert planner.fill(part.machines[name], 2 * SECOND, never) == 2
+        def fill(name: str, shard=shard, planner=planner) -> None:
+            assert planner.fill(shard.machines[name], 2 * SECOND, never) == 2
 
         fill("host-9")  # the order of jobs, and a job's first desire, are found once
         costs.append(calls_in(lambda fill=fill: fill("host-7")))
@@ -107,14 +107,16 @@
 def test_a_summary_of_all_machines_fits_a_frame_of_every_version() -> None:
     sizes, costs = [], []
     for machines in (FEW, MANY):
-        part, planner = varied_part(machines, jobs=machines)
-        told = [summarize(part, planner, {1, 2}, False, 2 * SECOND)]
-        costs.append(calls_in(lambda part=part, planner=planner: summarize(part, planner, {1, 2}, False, 2 * SECOND)))
+        shard, planner = varied_shard(machines, jobs=machines)
+        told = [summarize(shard, planner, {1, 2}, False, 2 * SECOND)]
+        costs.append(
+            calls_in(lambda shard=shard, planner=planner: summarize(shard, planner, {1, 2}, False, 2 * SECOND))
+        )
         sizes.append(len(mesh.encoder.encode(mesh.Gossip("a", 1, True, True, False, told))))
         assert len(told[0].capacities) <= summary_module.MAX_CAPACITY_GROUPS
         assert sum(capacity.count for capacity in told[0].capacities) == machines, "each machine is told of"
         assert len(told[0].demands) >= machines // 2
-        exact = sum(machine.free.cpus for machine in part.machines.values())
+        exact = sum(machine.free.cpus for machine in shard.machines.values())
         assert 0.5 * exact < sum(capacity.cpus * capacity.count for capacity in told[0].capacities) <= exact + 1
     assert sizes[1] < MAX_FRAME / 2
     assert costs[1] < 5.5 * costs[0], "a few steps a machine, and once more for each coarser rounding"
@@ -122,7 +124,7 @@
 
 def test_making_room_for_arrays_goes_on_where_its_time_ran_out() -> None:
     """One pass over 2,000 waiting jobs and 4,000 machines once took almost four seconds."""
-    part, planner = varied_part(FEW, jobs=60)
+    shard, planner = varied_shard(FEW, jobs=60)
     looked: list[str] = []
     preemption = planner._preemption
     real = preemption._array_tasks_lacking_room
@@ -138,30 +140,30 @@
         return next(turns) % 8 == 7  # seven jobs a round
 
     rounds = 0
-    while rounds < 40 and len(set(looked)) < len(part.jobs):
+    while rounds < 40 and len(set(looked)) < len(shard.jobs):
         planner.make_room_for_arrays(300 * SECOND, over)
         rounds += 1
     assert rounds > 5 and planner.cut_short >= 5
     assert set(looked) >= {f"run-w{number}" for number in range(60)}, "every job has its turn"
 
 
-def gaining_part(machines: int) -> tuple[Part, MovePlanner]:
+def gaining_shard(machines: int) -> tuple[Shard, MovePlanner]:
     """Half of the machines are full of work that saves, the others hold two more tasks each; urgent work lacks room."""
-    part, planner = busy_part(machines)
-    for number, machine in enumerate(part.machines.values()):
+    shard, planner = busy_shard(machines)
+    for number, machine in enumerate(shard.machines.values()):
         for placement in list(machine.placements.values())[: 2 * (number % 2)]:
-            part.forget(placement)
-    part.jobs["run-on"].spec = msgspec.structs.replace(part.jobs["run-on"].spec, checkpoint_s=1.0, estimate_s=1e4)
+            shard.forget(placement)
+    shard.jobs["run-on"].spec = msgspec.structs.replace(shard.jobs["run-on"].spec, checkpoint_s=1.0, estimate_s=1e4)
     wanted = job("run-u", heads=1, cpus=4.0, rank="urgent", crew="red")
     spec = parse_submission(json.dumps(wanted).encode())
-    part.add_job(JobRecord(spec, 0.0, [TaskRange(0, 0, 1)]), timedelta(0), 10**6, timedelta(0))
-    return part, MovePlanner(part, planner, Rebalancing(), SECOND, part.guidance)
+    shard.add_job(JobRecord(spec, 0.0, [TaskRange(0, 0, 1)]), timedelta(0), 10**6, timedelta(0))
+    return shard, MovePlanner(shard, planner, Rebalancing(), SECOND, shard.guidance)
 
 
 def test_choosing_moves_costs_no_more_than_the_machines_there_are() -> None:
     costs = []
     for machines in (FEW, MANY):
-        part, moves = gaining_part(machines)
+        shard, moves = gaining_shard(machines)
         costs.append(calls_in(lambda moves=moves: moves.round(100 * SECOND, never)))
         assert moves.ledger.count > 0
     assert costs[1] < 4.5 * costs[0]
@@ -170,11 +172,11 @@
 def test_what_is_told_of_waits_does_not_grow_with_the_fleet() -> None:
     sizes = []
     for machines in (FEW, MANY):
-        part, _ = varied_part(machines, jobs=machines)
+        shard, _ = varied_shard(machines, jobs=machines)
         waits = RecentWaits(60 * SECOND, timedelta(0))
         for number in range(machines):
-            waits.record(part.jobs["run-waits"], number * timedelta(milliseconds=10), SECOND)
-        sizes.append(len(mesh.encoder.encode(PartLoad(waits.snapshot(part, 2 * SECOND), busy_machines(part)))))
+            waits.record(shard.jobs["run-waits"], number * timedelta(milliseconds=10), SECOND)
+        sizes.append(len(mesh.encoder.encode(ShardLoad(waits.snapshot(shard, 2 * SECOND), busy_machines(shard)))))
     assert sizes[1] < 2 * sizes[0] < 20_000
 
 
@@ -185,10 +187,10 @@
         PendingDemand(f"run-{n}", "blue", 1.0, 0.0, 1.0, 20, False, 1, False, 5.0, None, None, True)
         for n in range(machines // 2)
     ]
-    parts = [PartSummary(0, 1, True, machines, capacities, {}, {}, {}, demands, 0.0, {}, {})]
+    shards = [ShardSummary(0, 1, True, machines, capacities, {}, {}, {}, demands, 0.0, {}, {})]
 
     def plan() -> None:
-        wanted = RentalPlan({"k8": machine_type}, [Team("blue")], lambda place: True, 50).machines_wanted(parts, [])
+        wanted = RentalPlan({"k8": machine_type}, [Team("blue")], lambda place: True, 50).machines_wanted(shards, [])
         assert sum(wanted.values()) == 50, "twenty tasks for every two machines of eight processors"
 
     return calls_in(plan)
@@ -222,13 +224,13 @@
 
 
 def settled(day: Day) -> bool:
-    parts = [owner.part for controller, _ in day.controllers.values() for owner in controller.owners.values()]
-    return len(parts) == len(HOSTS) and all(part.settled for part in parts)
+    shards = [owner.shard for controller, _ in day.controllers.values() for owner in controller.owners.values()]
+    return len(shards) == len(HOSTS) and all(shard.settled for shard in shards)
 
 
 @pytest.mark.parametrize("machines", [FEW, MANY])
 def test_takeover_and_restart_of_all(machines: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """One controller takes all parts over, then all restart: no lease runs out, and nobody is taken for silent."""
+    """One controller takes all shards over, then all restart: no lease runs out, and nobody is taken for silent."""
     called_silent: list[str] = []
     monkeypatch.setattr(Fencing, "_give_up", lambda self, machine: called_silent.append(machine.name))
     monkeypatch.setattr(ReportReader, "_mark_unreachable", lambda self, machine: called_silent.append(machine.name))
@@ -260,8 +262,8 @@
 def test_judging_silence_looks_at_each_machine_once_in_seconds() -> None:
     costs = []
     for machines in (FEW, MANY):
-        part, _ = busy_part(machines)
-        costs.append(calls_in(lambda part=part: silent(part, SECOND, 0 * SECOND, 2 * SECOND)))
+        shard, _ = busy_shard(machines)
+        costs.append(calls_in(lambda shard=shard: silent(shard, SECOND, 0 * SECOND, 2 * SECOND)))
     assert costs[1] < 5 * costs[0]
     assert SUMMARY_KEPT_PER_MACHINE * MANY == 2 * SECOND, "an owner keeps a reading for so long"
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -27,7 +27,7 @@
 WRITTEN = json.loads((Path(__file__).parent / "data" / "written-samples.json").read_text())
 # Names in the samples -> what these records and messages are called here.
 RECORDS = {
-    "PartClaim": records.PartClaim,
+    "PartClaim": records.ShardLeaderRecord,
     "FleetClaim": records.FleetClaim,
     "MachineRecord": records.MachineRecord,
     "GoneRecord": records.DeletedMachinesRecord,
--- a/tests/test_written_names.py
+++ b/tests/test_written_names.py
@@ -45,10 +45,10 @@
         "ref team cpus accelerators memory_gb count gang level guaranteed waited_s types zone spot",
     ),
     ("protocol.mesh.ClassWaits", mesh.ClassWaits, None, True, "team job_class waiting oldest_s histogram"),
-    ("protocol.mesh.PartLoad", mesh.PartLoad, None, False, "waits machines_by_load"),
+    ("protocol.mesh.PartLoad", mesh.ShardLoad, None, False, "waits machines_by_load"),
     (
         "protocol.mesh.PartSummary",
-        mesh.PartSummary,
+        mesh.ShardSummary,
         None,
         False,
         "part term settled machines bins images beside soft wants freeing running used silent load",
@@ -97,7 +97,7 @@
     ("protocol.workers.ReportAnswer", workers.ReportAnswer, None, False, "crook calls"),
     ("protocol.workers.DirectCommands", workers.DirectCommands, None, False, "crook ride calls"),
     ("protocol.workers.Redirect", workers.Redirect, None, False, "trail_boss"),
-    ("storage.records.PartClaim", records.PartClaim, None, False, "owner until handed"),
+    ("storage.records.PartClaim", records.ShardLeaderRecord, None, False, "owner until handed"),
     ("storage.records.FleetClaim", records.FleetClaim, None, False, "owner"),
     ("storage.records.MachineRecord", records.MachineRecord, None, False, "part address type zone spot"),
     ("storage.records.DeletedMachinesRecord", records.DeletedMachinesRecord, None, False, "names"),
@@ -171,7 +171,7 @@
 
 KEYS = [
     ("PREFIX", replica.PREFIX, "b/"),
-    ("PARTS", replica.PARTS, "b/parts/"),
+    ("PARTS", replica.SHARD_LEADERS, "b/parts/"),
     ("FLEET", replica.FLEET, "b/fleet"),
     ("JOBS", replica.JOBS, "b/jobs/"),
     ("FINAL_STATES", replica.FINAL_STATES, "b/past/"),
--- a/tools/connectivity_results.py
+++ b/tools/connectivity_results.py
@@ -14,7 +14,7 @@
     hand_overs: int
     claims: int
     killed_by_lease: int
-    without_owner_s: float  # summed over the parts
+    without_owner_s: float  # summed over the shards
     refused: int  # answers of 503 to a user who asks twice a second
     asked: int
     relayed: int
@@ -43,7 +43,7 @@
     "hand_overs": "hand-overs",
     "claims": "claims",
     "killed_by_lease": "tasks killed by their lease",
-    "without_owner_s": "part seconds without an owner",
+    "without_owner_s": "shard seconds without an owner",
     "refused": "users' 503s",
     "relayed": "reports relayed",
     "makespan_s": "makespan, s",
