--- a/badgerroute/connectivity/damping.py
+++ b/badgerroute/connectivity/damping.py
@@ -1,6 +1,6 @@
 """Damping of flapping links, after BGP's route flap damping (RFC 2439): a penalty that grows and decays.
 
-It delays voluntary moves alone. A shard that has no owner is claimed whatever the penalty.
+It delays voluntary moves alone. A shard that has no leader is claimed whatever the penalty.
 """
 
 from dataclasses import dataclass, field
--- a/badgerroute/connectivity/hand_over_choice.py
+++ b/badgerroute/connectivity/hand_over_choice.py
@@ -1,4 +1,4 @@
-"""To which sibling an owner that its workers don't reach hands a shard."""
+"""To which sibling a leader that its workers don't reach hands a shard."""
 
 from dataclasses import dataclass
 
@@ -15,7 +15,7 @@
 def choose_receiver(candidates: list[Candidate], machines: int) -> Candidate | None:
     """The sibling that would own fewest machines, among those that hear at least half as many as the one hearing most.
 
-    `machines`: how many the shard has, which its new owner gets on top of what it owns.
+    `machines`: how many the shard has, which its new leader gets on top of what it owns.
     """
     hearing = [candidate for candidate in candidates if candidate.machines_heard > 0]
     if not hearing:
--- a/badgerroute/connectivity/relay_routes.py
+++ b/badgerroute/connectivity/relay_routes.py
@@ -1,6 +1,6 @@
-"""At a controller that does not own a machine: whether to send its report on to the owner, or the machine there.
+"""At a controller that does not own a machine: whether to send its report on to the leader, or the machine there.
 
-A machine that comes back soon after it was told to report to its owner can't reach it. Its reports are relayed from
+A machine that comes back soon after it was told to report to its leader can't reach it. Its reports are relayed from
 then on. Now and then it is told once more, with a pause that doubles, to find out whether the cut is over.
 """
 
@@ -12,7 +12,7 @@
 FIRST_TRIAL = timedelta(seconds=10)
 LONGEST_TRIAL = timedelta(seconds=80)
 FORGOTTEN = timedelta(seconds=120)
-RETURN_SPREAD = timedelta(seconds=4)  # over which machines go back to an owner that hears its workers again
+RETURN_SPREAD = timedelta(seconds=4)  # over which machines go back to a leader that hears its workers again
 SPREAD_BUCKETS = 16
 NEVER = timedelta(0)
 
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class _MachineRoute:
-    owner: str
+    leader: str
     asked: timedelta  # when the machine reported here last
     relayed: bool
     next_trial: timedelta
@@ -41,23 +41,23 @@
     def __init__(self) -> None:
         self._routes: dict[str, _MachineRoute] = {}
         self._swept = NEVER
-        self._unheard: set[str] = set()  # owners that lacked their workers when last looked at
+        self._unheard: set[str] = set()  # leaders that lacked their workers when last looked at
         self._heard_again: dict[str, timedelta] = {}
 
     def __len__(self) -> int:
         return len(self._routes)
 
-    def decide(self, machine: str, owner: str, unheard: bool, busy: bool, now: timedelta) -> Route:
-        """What to do with a report. `unheard`: its owner says that it lacks its workers; `busy`: it names tasks.
+    def decide(self, machine: str, leader: str, unheard: bool, busy: bool, now: timedelta) -> Route:
+        """What to do with a report. `unheard`: its leader says that it lacks its workers; `busy`: it names tasks.
 
-        The first report of a busy machine is relayed: if it can't reach its owner, to find that out may take it more
+        The first report of a busy machine is relayed: if it can't reach its leader, to find that out may take it more
         than is left of its lease.
         """
         self._sweep(now)
-        self._note_owner(owner, unheard, now)
+        self._note_leader(leader, unheard, now)
         route = self._routes.get(machine)
-        if route is None or route.owner != owner:
-            route = self._routes[machine] = _MachineRoute(owner, now, relayed=busy, next_trial=now)
+        if route is None or route.leader != leader:
+            route = self._routes[machine] = _MachineRoute(leader, now, relayed=busy, next_trial=now)
             if busy:
                 return Route.RELAY
         route.asked = now
@@ -69,16 +69,16 @@
         route.redirected = now
         return Route.REDIRECT
 
-    def _note_owner(self, owner: str, unheard: bool, now: timedelta) -> None:
+    def _note_leader(self, leader: str, unheard: bool, now: timedelta) -> None:
         if unheard:
-            self._unheard.add(owner)
-        elif owner in self._unheard:
-            self._unheard.discard(owner)
-            self._heard_again[owner] = now
+            self._unheard.add(leader)
+        elif leader in self._unheard:
+            self._unheard.discard(leader)
+            self._heard_again[leader] = now
 
     @staticmethod
     def _came_back(route: _MachineRoute, now: timedelta) -> None:
-        """A machine is here again that was told to report to its owner: soon after that, it can't reach the owner."""
+        """A machine is here again that was told to report to its leader: soon after that, it can't reach the leader."""
         if route.redirected is not None and now - route.redirected < BOUNCED_WITHIN:
             if route.bounced != NEVER:
                 route.pause = min(LONGEST_TRIAL, 2 * route.pause)
@@ -88,10 +88,10 @@
         route.redirected = None
 
     def _may_try(self, route: _MachineRoute, machine: str, now: timedelta) -> bool:
-        """Whether a machine may be told to go to its owner: a few at a time once the owner hears workers again."""
+        """Whether a machine may be told to go to its leader: a few at a time once the leader hears workers again."""
         if not route.relayed:
             return True
-        heard_again = self._heard_again.get(route.owner, NEVER)
+        heard_again = self._heard_again.get(route.leader, NEVER)
         if route.bounced >= heard_again:
             return now >= route.next_trial
         bucket = sum(machine.encode()) % SPREAD_BUCKETS
--- a/badgerroute/connectivity/worker_silence.py
+++ b/badgerroute/connectivity/worker_silence.py
@@ -8,7 +8,7 @@
 MIN_MACHINES = 3  # fewer silent machines say more of themselves than of us
 REPORT_SLACK = 1.5  # times the interval between two reports, which varies by a quarter
 REPORT_DELAY = timedelta(seconds=1)  # for the way of a report
-LEAVING = timedelta(seconds=5)  # in which a worker gives its former owner up: 4 s without an answer, and 1 s of rest
+LEAVING = timedelta(seconds=5)  # in which a worker gives its former leader up: 4 s without an answer, and 1 s of rest
 
 
 def overdue(machine: Machine, shard: ShardView, report: timedelta, awake_since: timedelta, now: timedelta) -> bool:
--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -16,13 +16,13 @@
 from badgerroute.coordination.jobs.job_writer import JobWriter
 from badgerroute.coordination.jobs.pipelines import Pipelines
 from badgerroute.coordination.jobs.record_paging import RecordPager
+from badgerroute.coordination.leadership.action_gate import ActionGate
+from badgerroute.coordination.leadership.claims import Claim, Claims
 from badgerroute.coordination.membership.connectivity_monitor import ConnectivityMonitor
 from badgerroute.coordination.membership.forwarding import FIRST_NUMBERS, RequestForwarder
 from badgerroute.coordination.membership.mesh import Mesh
 from badgerroute.coordination.membership.shard_hand_over import ShardHandOver
 from badgerroute.coordination.membership.siblings import Siblings
-from badgerroute.coordination.ownership.action_gate import ActionGate
-from badgerroute.coordination.ownership.claims import Claim, Claims
 from badgerroute.coordination.quotas.team_quotas import TeamQuotas
 from badgerroute.coordination.requests.http_api import HttpApi
 from badgerroute.coordination.requests.mesh_messages import MeshMessages
@@ -31,9 +31,9 @@
 from badgerroute.coordination.requests.user_desk import UserDesk
 from badgerroute.coordination.requests.users import Users
 from badgerroute.coordination.shards.forecast import JobForecast
-from badgerroute.coordination.shards.owner import Owner
 from badgerroute.coordination.shards.progress_duty import ProgressDuty
 from badgerroute.coordination.shards.services import Services
+from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.protocol import mesh as mesh_wire
 from badgerroute.protocol.state import Condition
 from badgerroute.scheduling.guidance import NEUTRAL, Guidance
@@ -79,8 +79,8 @@
         )
         self.machine_catalog = MachineCatalog(loop, self.cloud, self.state, self.replica, self.claims)
         self.catalog = self.machine_catalog.types
-        self.owners: dict[int, Owner] = {}
-        self.siblings = Siblings(settings, loop, self.claims, self.owners)
+        self.leaders: dict[int, ShardLeader] = {}
+        self.siblings = Siblings(settings, loop, self.claims, self.leaders)
         self.monitor = ConnectivityMonitor(
             settings=settings,
             loop=loop,
@@ -88,7 +88,7 @@
             replica=self.replica,
             claims=self.claims,
             siblings=self.siblings,
-            owners=self.owners,
+            leaders=self.leaders,
             sample=random.Random(settings.platform.host_name).sample,
         )
         self.forwarder = RequestForwarder(
@@ -107,7 +107,7 @@
             permits=self.permits,
             siblings=self.siblings,
             mesh=self.mesh,
-            owners=self.owners,
+            leaders=self.leaders,
         )
         self.hand_over = ShardHandOver(
             settings=settings,
@@ -116,9 +116,9 @@
             permits=self.permits,
             siblings=self.siblings,
             monitor=self.monitor,
-            owners=self.owners,
+            leaders=self.leaders,
         )
-        self.job_store = JobStore(self.replica, self._push, self._notify_owners, self.cancellation_broadcast.learned)
+        self.job_store = JobStore(self.replica, self._push, self._notify_leaders, self.cancellation_broadcast.learned)
         self.job_reader = JobReader(loop, self.state, self.replica, self.job_store)
         self.pager = RecordPager(self.state, self.replica, self.job_store, self.catalog)
         self.job_writer = JobWriter(loop, self.state, self.replica, self.job_store, self.job_reader, self.pager)
@@ -146,13 +146,13 @@
             deleted=self._machines_deleted,
         )
         self.forecast = JobForecast(
-            settings, loop, self.job_store, self.replica, self.catalog, self.owners, self.siblings.summaries
+            settings, loop, self.job_store, self.replica, self.catalog, self.leaders, self.siblings.summaries
         )
         self.progress_duty = ProgressDuty(
-            loop, self.owners, self.job_store, self.job_writer, self.forecast, self._condition
+            loop, self.leaders, self.job_store, self.job_writer, self.forecast, self._condition
         )
         self.idle_machines = IdleMachines(
-            settings, loop, self.permits, self.job_store, self.catalog, self.owners, self.fleet.delete
+            settings, loop, self.permits, self.job_store, self.catalog, self.leaders, self.fleet.delete
         )
         self.users = Users(
             params=params,
@@ -171,7 +171,7 @@
             loop=loop,
             replica=self.replica,
             permits=self.permits,
-            owners=self.owners,
+            leaders=self.leaders,
             siblings=self.siblings,
             mesh=self.mesh,
             monitor=self.monitor,
@@ -266,16 +266,16 @@
         await Future()
 
     def _won(self, shard: int, claim: Claim) -> None:
-        owner = Owner(shard, claim, self._services)
-        self.owners[shard] = owner
-        owner.start()
+        leader = ShardLeader(shard, claim, self._services)
+        self.leaders[shard] = leader
+        leader.start()
 
     def _lost(self, shard: int) -> None:
-        owner = self.owners.pop(shard, None)
-        if owner is not None:
+        leader = self.leaders.pop(shard, None)
+        if leader is not None:
             log.info("event=shard_lost shard=%d", shard)
-            self.fleet.spare(owner.shard.machines)
-            owner.close()
+            self.fleet.spare(leader.shard.machines)
+            leader.close()
 
     def _condition(self, shard: int) -> Condition | None:
         return self.claims.condition(shard) if shard in self.claims.shards else None
@@ -283,20 +283,20 @@
     # -- what the watch says
 
     def _job_changed(self, key: str, value: bytes | None, revision: int) -> None:
-        self._notify_owners(key.removeprefix(JOBS))
+        self._notify_leaders(key.removeprefix(JOBS))
 
     def _page_changed(self, key: str, value: bytes | None, revision: int) -> None:
-        self._notify_owners(key.removeprefix(DONE).rpartition("/")[0])
+        self._notify_leaders(key.removeprefix(DONE).rpartition("/")[0])
 
-    def _notify_owners(self, ref: str) -> None:
-        for owner in self.owners.values():
-            if owner.ready:
-                owner.job_changed(ref)
+    def _notify_leaders(self, ref: str) -> None:
+        for leader in self.leaders.values():
+            if leader.ready:
+                leader.job_changed(ref)
 
     def _machine_changed(self, key: str, value: bytes | None, revision: int) -> None:
-        for owner in self.owners.values():
-            if owner.ready:
-                owner.machine_changed(key.removeprefix(MACHINES), value)
+        for leader in self.leaders.values():
+            if leader.ready:
+                leader.machine_changed(key.removeprefix(MACHINES), value)
 
     def _deleted_changed(self, key: str, value: bytes | None, revision: int) -> None:
         if value is not None:
@@ -304,12 +304,12 @@
 
     def _machines_deleted(self, names: list[str]) -> None:
         self.deleted.add(names)
-        members = {name for owner in self.owners.values() for name in owner.shard.machines}
-        for number, owner in enumerate(list(self.owners.values())):
+        members = {name for leader in self.leaders.values() for name in leader.shard.machines}
+        for number, leader in enumerate(list(self.leaders.values())):
             # One that never was a member is remembered by any of our shards.
-            mine = [name for name in names if name in owner.shard.machines or (not number and name not in members)]
+            mine = [name for name in names if name in leader.shard.machines or (not number and name not in members)]
             if mine:
-                self._group.spawn(owner.deleted_machines.forget(mine), "forget")
+                self._group.spawn(leader.deleted_machines.forget(mine), "forget")
 
     # -- duties
 
@@ -322,7 +322,7 @@
             self.cancellation_broadcast.repeat()
 
     def _gossip(self) -> mesh_wire.Gossip:
-        shards = [owner.summary() for owner in self.owners.values() if owner.ready]
+        shards = [leader.summary() for leader in self.leaders.values() if leader.ready]
         return mesh_wire.Gossip(
             self.settings.platform.host_name,
             self.claims.lease or 0,
--- a/badgerroute/coordination/fleet/catalog.py
+++ b/badgerroute/coordination/fleet/catalog.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from badgerroute.coordination.ownership.claims import Claims
+from badgerroute.coordination.leadership.claims import Claims
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
--- a/badgerroute/coordination/fleet/idle_machines.py
+++ b/badgerroute/coordination/fleet/idle_machines.py
@@ -6,8 +6,8 @@
 
 from badgerroute.connectivity.modes import Action
 from badgerroute.coordination.jobs.job_store import JobStore
-from badgerroute.coordination.ownership.action_gate import ActionGate
-from badgerroute.coordination.shards.owner import Owner
+from badgerroute.coordination.leadership.action_gate import ActionGate
+from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.scheduling.model import Machine
 from badgerroute.scheduling.rental_planning import rents_ahead
@@ -29,11 +29,11 @@
         permits: ActionGate,
         job_store: JobStore,
         catalog: dict[str, MachineType],
-        owners: dict[int, Owner],
+        leaders: dict[int, ShardLeader],
         delete: Callable[[list[str]], None],
     ) -> None:
         self._settings, self._loop, self._permits, self._job_store = settings, loop, permits, job_store
-        self._catalog, self._owners, self._delete = catalog, owners, delete
+        self._catalog, self._leaders, self._delete = catalog, leaders, delete
 
     async def run(self) -> None:
         """Look for idle machines every other second."""
@@ -44,17 +44,21 @@
             idle = self._settings.operator.fleet.idle
             if not self._job_store.active:
                 idle /= NO_JOBS
-            for owner in list(self._owners.values()):
-                if owner.ready and owner.shard.settled and self._permits.allows_for(owner.number, Action.RETURN_IDLE):
-                    self._return(owner, idle)
+            for leader in list(self._leaders.values()):
+                if (
+                    leader.ready
+                    and leader.shard.settled
+                    and self._permits.allows_for(leader.number, Action.RETURN_IDLE)
+                ):
+                    self._return(leader, idle)
 
-    def _return(self, owner: Owner, idle: timedelta) -> None:
-        machines = [machine for machine in owner.shard.machines.values() if self._useless(machine, idle)]
+    def _return(self, leader: ShardLeader, idle: timedelta) -> None:
+        machines = [machine for machine in leader.shard.machines.values() if self._useless(machine, idle)]
         for machine in machines:
             machine.draining = True  # from here on nothing starts on it
         if machines:
             names = [machine.name for machine in machines]
-            log.info("event=machines_returned shard=%d machines=%s", owner.number, ",".join(names))
+            log.info("event=machines_returned shard=%d machines=%s", leader.number, ",".join(names))
             self._delete(names)
 
     def _useless(self, machine: Machine, idle: timedelta) -> bool:
--- a/badgerroute/coordination/fleet/rentals.py
+++ b/badgerroute/coordination/fleet/rentals.py
@@ -1,4 +1,4 @@
-"""The fleet: renting what is needed, deleting what is not. One controller rents; each owner deletes its members."""
+"""The fleet: renting what is needed, deleting what is not. One controller rents; each leader deletes its members."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -6,8 +6,8 @@
 from datetime import timedelta
 
 from badgerroute.connectivity.modes import Action
-from badgerroute.coordination.ownership.action_gate import ActionGate
-from badgerroute.coordination.ownership.claims import Claims
+from badgerroute.coordination.leadership.action_gate import ActionGate
+from badgerroute.coordination.leadership.claims import Claims
 from badgerroute.protocol.cloud import ListedMachine, MachineType
 from badgerroute.protocol.mesh import ShardSummary
 from badgerroute.scheduling.rental_planning import (
@@ -106,7 +106,7 @@
             for name in [name for name in self._to_delete if self._belongs_to_others(name)]:
                 del self._to_delete[name]
             names = list(self._to_delete)[:MAX_MACHINES_PER_DELETION]
-            # A controller that stood still, or was cut off, once deleted machines that a new owner used by then.
+            # A controller that stood still, or was cut off, once deleted machines that a new leader used by then.
             if not names or not self._permits.allows(Action.DELETE):
                 continue
             try:
@@ -159,7 +159,7 @@
     def _is_useless(self, machine: ListedMachine, members: set[str], now: timedelta) -> bool:
         """Whether a machine that is listed costs money and will most likely never serve."""
         if machine.state == "failed":
-            return not self._belongs_to_others(machine.name)  # else its owner finds out sooner
+            return not self._belongs_to_others(machine.name)  # else its leader finds out sooner
         if machine.name in members:
             self._came_up(machine.name)
             return False
--- a/badgerroute/coordination/jobs/pipelines.py
+++ b/badgerroute/coordination/jobs/pipelines.py
@@ -98,7 +98,7 @@
         return [ref for ref, since in self._seen.items() if now - since >= self._patience(ref)]
 
     def _patience(self, ref: str) -> timedelta:
-        """The owner of a job's first tasks comes first, so that the others' writes do not fail for nothing."""
+        """The leader of a job's first tasks comes first, so that the others' writes do not fail for nothing."""
         record = self._job_store.active.get(ref)
         if record is not None and record.assigned and self._owned(record.assigned[0].shard):
             return ZERO
--- a/badgerroute/coordination/ownership/action_gate.py
+++ b/badgerroute/coordination/leadership/action_gate.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from badgerroute.connectivity.modes import PERMISSIONS, Action, Mode, Permission
-from badgerroute.coordination.ownership.claims import Claims
+from badgerroute.coordination.leadership.claims import Claims
 
 
 class ActionGate:
--- a/badgerroute/coordination/ownership/claims.py
+++ b/badgerroute/coordination/leadership/claims.py
@@ -57,7 +57,7 @@
         self._settings, self._loop, self._state, self._replica = settings, loop, state, replica
         self._won, self._lost = won, lost
         self._permission = permission  # to claim shards
-        self._freed = Future()  # a shard has no owner any more
+        self._freed = Future()  # a shard has no leader any more
         self._me = settings.platform.host_name
         self._grace = settings.grace  # asked for with every report
         self.lease: int | None = None
@@ -102,7 +102,7 @@
         self._above[shard] = max(term, self._above.get(shard, 0))
         claim = self.shards.get(shard)
         # Also while a write of ours is on its way: a higher term that we ask for is conditional on the one we had, so
-        # it came before the sibling's, or never. An owner that can't reach the state service is always just asking.
+        # it came before the sibling's, or never. A leader that can't reach the state service is always just asking.
         if claim is not None and term > claim.term:
             log.warning("event=stood_down shard=%d term=%d by=%d", shard, claim.term, term)
             self._drop(shard)
@@ -115,10 +115,10 @@
         """The term of the last claim to a shard that is known here; 0 if there is none."""
         return self._replica.revision_of(self.key(shard))
 
-    def owner(self, shard: int) -> str | None:
+    def leader(self, shard: int) -> str | None:
         """The host that holds a shard, as far as is known here."""
         value = self._replica.value(self.key(shard))
-        return records.read(value, records.ShardLeaderRecord).owner if value else None
+        return records.read(value, records.ShardLeaderRecord).leader if value else None
 
     # -- duty
 
@@ -173,9 +173,9 @@
     def _claimable(self, shard: int) -> bool:
         if shard in self.shards or shard in self._busy:
             return False
-        owner = self.owner(shard)
-        if owner is not None:
-            return owner == self._me
+        leader = self.leader(shard)
+        if leader is not None:
+            return leader == self._me
         if shard == self._settings.home or shard in self._seen:
             return True
         return self._loop.now() - self._started > FIRST_WAIT
@@ -186,7 +186,7 @@
         for offset in range(size):  # the home shard first
             shard = (home + offset) % size
             if self._claimable(shard):
-                if shard != home and self.owner(shard) is None:
+                if shard != home and self.leader(shard) is None:
                     # Whoever has fewest shards should come first; a short pause settles most races.
                     await self._loop.sleep(timedelta(milliseconds=80) * len(self.shards) + self._reluctance())
                 if self._claimable(shard):
@@ -201,10 +201,10 @@
     async def _claim(self, shard: int) -> None:
         value = self._replica.value(self.key(shard))
         held = records.read(value, records.ShardLeaderRecord) if value else None
-        if held is not None and held.owner != self._me:
+        if held is not None and held.leader != self._me:
             return
-        # Under our own name it is an earlier life of ours, which is over, or it was handed to us by an owner that
-        # had stopped before. But an owner before that may have been cut off, so its time limit is kept. Where nobody
+        # Under our own name it is an earlier life of ours, which is over, or it was handed to us by a leader that
+        # had stopped before. But a leader before that may have been cut off, so its time limit is kept. Where nobody
         # handed it over that is not enough: a claim of ours for the absent key may have been carried out seconds late,
         # after somebody else had held the shard and been cut off, and then the time limit in it is too early.
         until = held.until if held is not None else 0.0
@@ -281,7 +281,7 @@
 
     async def _claim_fleet(self) -> None:
         value = self._replica.value(FLEET)
-        if value is not None and records.read(value, records.FleetClaim).owner != self._me:
+        if value is not None and records.read(value, records.FleetClaim).leader != self._me:
             return
         record = records.write(records.FleetClaim(self._me))
         lease = self.lease
--- a/badgerroute/coordination/membership/connectivity_monitor.py
+++ b/badgerroute/coordination/membership/connectivity_monitor.py
@@ -10,9 +10,9 @@
 from badgerroute.connectivity.modes import Mode, Reachable
 from badgerroute.connectivity.standstill import StandstillDetector
 from badgerroute.connectivity.worker_link import WorkerLink
+from badgerroute.coordination.leadership.claims import NEVER, Claims
 from badgerroute.coordination.membership.siblings import Siblings
-from badgerroute.coordination.ownership.claims import NEVER, Claims
-from badgerroute.coordination.shards.owner import Owner
+from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.settings import Settings
 from badgerroute.storage import records
 from badgerroute.storage.records import MachineRecord
@@ -39,11 +39,11 @@
         replica: Replica,
         claims: Claims,
         siblings: Siblings,
-        owners: dict[int, Owner],
+        leaders: dict[int, ShardLeader],
         sample: Callable[[list[str], int], list[str]],
     ) -> None:
         self._loop, self._network, self._replica, self._claims = loop, network, replica, claims
-        self._siblings, self._owners, self._sample = siblings, owners, sample
+        self._siblings, self._leaders, self._sample = siblings, leaders, sample
         self._has_siblings = settings.params.size > 1
         self._host = settings.platform.host_name
         connectivity = settings.operator.connectivity
@@ -87,7 +87,9 @@
             log.info("event=stood_still host=%s seconds=%.1f", self._host, standstill.total_seconds())
             for link in (self._state_link, *self._siblings.links.values()):
                 link.excuse(standstill, now)
-        self.worker_link.update({owner.number: owner.silent() for owner in self._owners.values() if owner.ready}, now)
+        self.worker_link.update(
+            {leader.number: leader.silent() for leader in self._leaders.values() if leader.ready}, now
+        )
         change = self._machine.update(self._reachable(), now)
         if change is not None:
             log.info(
--- a/badgerroute/coordination/membership/shard_hand_over.py
+++ b/badgerroute/coordination/membership/shard_hand_over.py
@@ -5,11 +5,11 @@
 
 from badgerroute.connectivity.hand_over_choice import Candidate, choose_receiver
 from badgerroute.connectivity.modes import Action
+from badgerroute.coordination.leadership.action_gate import ActionGate
+from badgerroute.coordination.leadership.claims import Claims
 from badgerroute.coordination.membership.connectivity_monitor import ConnectivityMonitor
 from badgerroute.coordination.membership.siblings import Sibling, Siblings
-from badgerroute.coordination.ownership.action_gate import ActionGate
-from badgerroute.coordination.ownership.claims import Claims
-from badgerroute.coordination.shards.owner import Owner
+from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.protocol.mesh import MisdirectedReport
 from badgerroute.settings import Settings
 from badgerroute.transport.loop import Loop
@@ -29,10 +29,10 @@
         permits: ActionGate,
         siblings: Siblings,
         monitor: ConnectivityMonitor,
-        owners: dict[int, Owner],
+        leaders: dict[int, ShardLeader],
     ) -> None:
         self._settings, self._loop, self._claims, self._permits = settings, loop, claims, permits
-        self._siblings, self._monitor, self._owners = siblings, monitor, owners
+        self._siblings, self._monitor, self._leaders = siblings, monitor, leaders
         self._worker_link = monitor.worker_link
         self._relay_for = settings.operator.connectivity.relay_for
 
@@ -49,10 +49,10 @@
         for shard in list(self._claims.shards):
             host = self._home(shard)
             sibling = self._siblings.get(host)
-            owner = self._owners.get(shard)
+            leader = self._leaders.get(shard)
             # A sibling that has lost the state service still names the lease it once had. Its shard was handed to it
             # again and again, each time given up first and claimed anew, and stood still for as long as the cut.
-            if sibling is not None and sibling.fit() and owner is not None and owner.shard.settled:
+            if sibling is not None and sibling.fit() and leader is not None and leader.shard.settled:
                 await self._claims.hand_over(shard, host, sibling.gossip.lease)
                 return
 
@@ -64,8 +64,8 @@
 
     async def on_misdirected_report(self, misdirected: MisdirectedReport) -> None:
         """A machine of ours reported to a sibling that did not relay the report: if many do, the shard goes there."""
-        owner = self._owners.get(misdirected.shard)
-        if owner is None or not owner.ready or not owner.missed(misdirected.machine):
+        leader = self._leaders.get(misdirected.shard)
+        if leader is None or not leader.ready or not leader.missed(misdirected.machine):
             return  # new machines report anywhere; they say nothing of us
         self._worker_link.note_elsewhere(
             misdirected.shard, misdirected.machine, misdirected.host, self._loop.now(), relayed=False
@@ -78,30 +78,30 @@
         """Hand a shard over that relaying does not serve, or has served for long enough; whether there was one."""
         now = self._loop.now()
         long_enough = self._worker_link.lost_for(now) >= self._relay_for
-        for owner in list(self._owners.values()):
-            silent = owner.silent() if owner.ready else 0
+        for leader in list(self._leaders.values()):
+            silent = leader.silent() if leader.ready else 0
             relayed = None if long_enough else False
-            if not self._worker_link.lost or not self._worker_link.missing(owner.number, silent, now, relayed):
+            if not self._worker_link.lost or not self._worker_link.missing(leader.number, silent, now, relayed):
                 continue
-            receiver = self._receiver(owner, now)
+            receiver = self._receiver(leader, now)
             if receiver is not None:
-                await self._hand(owner, receiver)
+                await self._hand(leader, receiver)
                 return True
         return False
 
-    def _receiver(self, owner: Owner, now: timedelta) -> Sibling | None:
+    def _receiver(self, leader: ShardLeader, now: timedelta) -> Sibling | None:
         fit = {host: sibling for host, sibling in self._siblings.heard().items() if sibling.fit()}
-        hosts = self._worker_link.hosts(owner.number, now)
+        hosts = self._worker_link.hosts(leader.number, now)
         candidates = [
             Candidate(host, heard, sum(shard.machines for shard in fit[host].gossip.shards))
             for host, heard in hosts.items()
             if host in fit
         ]
-        chosen = choose_receiver(candidates, len(owner.shard.machines))
+        chosen = choose_receiver(candidates, len(leader.shard.machines))
         return None if chosen is None else fit[chosen.host]
 
-    async def _hand(self, owner: Owner, receiver: Sibling) -> None:
+    async def _hand(self, leader: ShardLeader, receiver: Sibling) -> None:
         host = receiver.gossip.host
-        log.warning("event=workers_unheard shard=%d to=%s", owner.number, host)
-        self._worker_link.shard_given_up(owner.number)
-        await self._claims.hand_over(owner.number, host, receiver.gossip.lease)
+        log.warning("event=workers_unheard shard=%d to=%s", leader.number, host)
+        self._worker_link.shard_given_up(leader.number)
+        await self._claims.hand_over(leader.number, host, receiver.gossip.lease)
--- a/badgerroute/coordination/membership/siblings.py
+++ b/badgerroute/coordination/membership/siblings.py
@@ -7,8 +7,8 @@
 
 from badgerroute.connectivity.links import SIBLING, Link
 from badgerroute.connectivity.modes import Mode
-from badgerroute.coordination.ownership.claims import Claims
-from badgerroute.coordination.shards.owner import Owner
+from badgerroute.coordination.leadership.claims import Claims
+from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.protocol import mesh as mesh_wire
 from badgerroute.settings import Settings
 from badgerroute.transport.loop import Loop
@@ -39,8 +39,8 @@
 class Siblings:
     """The other controllers as they were last heard, and our own shards beside theirs."""
 
-    def __init__(self, settings: Settings, loop: Loop, claims: Claims, owners: dict[int, Owner]) -> None:
-        self._settings, self._loop, self._claims, self._owners = settings, loop, claims, owners
+    def __init__(self, settings: Settings, loop: Loop, claims: Claims, leaders: dict[int, ShardLeader]) -> None:
+        self._settings, self._loop, self._claims, self._leaders = settings, loop, claims, leaders
         hosts = [sibling.host_name for sibling in settings.platform.siblings]
         self.links = {host: Link(SIBLING, loop.now()) for host in hosts}
         self._known: dict[str, Sibling] = {}
@@ -63,7 +63,7 @@
 
     def summaries(self) -> list[mesh_wire.ShardSummary]:
         """Of all shards that are known of: our own as they are, the others' as last heard."""
-        summaries = {owner.number: owner.summary() for owner in self._owners.values() if owner.ready}
+        summaries = {leader.number: leader.summary() for leader in self._leaders.values() if leader.ready}
         for sibling in self.heard().values():
             for summary in sibling.gossip.shards:
                 summaries.setdefault(summary.shard, summary)
@@ -76,12 +76,12 @@
             (shard, sibling.link.silence(now)) for sibling in self._known.values() for shard in sibling.gossip.shards
         ]
 
-    def owner(self, shard: int) -> str | None:
+    def leader(self, shard: int) -> str | None:
         """The host that holds a shard: by the claim as it is known here, or by a sibling that names a higher term.
 
         A controller that has lost the state service learns only from the siblings who came after it.
         """
-        host, term = self._claims.owner(shard), self._claims.known_term(shard)
+        host, term = self._claims.leader(shard), self._claims.known_term(shard)
         for name, sibling in self.heard().items():
             for summary in sibling.gossip.shards:
                 if summary.shard == shard and summary.term > term:
@@ -94,21 +94,21 @@
         Right after the start nobody has been heard yet, so none is counted out then.
         """
         now = self._loop.now()
-        claimed = {self._claims.owner(shard) for shard in range(self._settings.params.size)}
+        claimed = {self._claims.leader(shard) for shard in range(self._settings.params.size)}
         return 1 + sum(host in claimed or not link.gone(now) for host, link in self.links.items())
 
     def running(self, ref: str) -> int:
         """How many of a job's tasks run, for display."""
         here = sum(
             placement.running_since is not None
-            for owner in self._owners.values()
-            if ref in owner.shard.jobs
-            for placement in owner.shard.jobs[ref].placed.values()
+            for leader in self._leaders.values()
+            if ref in leader.shard.jobs
+            for placement in leader.shard.jobs[ref].placed.values()
         )
         there = sum(
             summary.running.get(ref, 0)
             for sibling in self.heard().values()
             for summary in sibling.gossip.shards
-            if summary.shard not in self._owners
+            if summary.shard not in self._leaders
         )
         return here + there
--- a/badgerroute/coordination/quotas/team_quotas.py
+++ b/badgerroute/coordination/quotas/team_quotas.py
@@ -1,6 +1,6 @@
 """Teams' limits, divided among the shards as shares.
 
-One key per team holds every shard's share, and their sum never exceeds the limit. A shard's owner starts tasks only
+One key per team holds every shard's share, and their sum never exceeds the limit. A shard's leader starts tasks only
 within its share, raises its own from what nobody holds, and lowers its own, or gives it to another shard, only by
 what is unused.
 """
--- a/badgerroute/coordination/requests/mesh_messages.py
+++ b/badgerroute/coordination/requests/mesh_messages.py
@@ -2,11 +2,11 @@
 
 from badgerroute.coordination.jobs.cancellation_broadcast import CancellationBroadcast
 from badgerroute.coordination.jobs.job_store import JobStore
+from badgerroute.coordination.leadership.claims import Claims
 from badgerroute.coordination.membership.forwarding import RequestForwarder
 from badgerroute.coordination.membership.mesh import Mesh
 from badgerroute.coordination.membership.shard_hand_over import ShardHandOver
 from badgerroute.coordination.membership.siblings import Siblings
-from badgerroute.coordination.ownership.claims import Claims
 from badgerroute.coordination.requests.shard_requests import ShardRequests
 from badgerroute.protocol import mesh as wire
 from badgerroute.settings import Settings
--- a/badgerroute/coordination/requests/report_desk.py
+++ b/badgerroute/coordination/requests/report_desk.py
@@ -6,13 +6,13 @@
 from badgerroute.connectivity.modes import Action, Mode
 from badgerroute.connectivity.relay_routes import RelayRoutes, Route
 from badgerroute.coordination.fleet.deleted_names import DeletedNames
+from badgerroute.coordination.leadership.action_gate import ActionGate
 from badgerroute.coordination.membership.connectivity_monitor import ConnectivityMonitor
 from badgerroute.coordination.membership.forwarding import RequestForwarder
 from badgerroute.coordination.membership.mesh import Mesh
 from badgerroute.coordination.membership.siblings import Sibling, Siblings
-from badgerroute.coordination.ownership.action_gate import ActionGate
 from badgerroute.coordination.requests.responses import answer, come_back, error
-from badgerroute.coordination.shards.owner import Owner
+from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.protocol.common import MalformedError
 from badgerroute.protocol.mesh import MisdirectedReport
 from badgerroute.protocol.workers import Redirect, Report, parse_report
@@ -35,7 +35,7 @@
         loop: Loop,
         replica: Replica,
         permits: ActionGate,
-        owners: dict[int, Owner],
+        leaders: dict[int, ShardLeader],
         siblings: Siblings,
         mesh: Mesh,
         monitor: ConnectivityMonitor,
@@ -43,13 +43,13 @@
         deleted: DeletedNames,
     ) -> None:
         self._settings, self._loop, self._replica, self._permits = settings, loop, replica, permits
-        self._owners, self._siblings, self._mesh = owners, siblings, mesh
+        self._leaders, self._siblings, self._mesh = leaders, siblings, mesh
         self._monitor, self._worker_link, self._forwarder = monitor, monitor.worker_link, forwarder
         self._deleted = deleted
         self._host = settings.platform.host_name
         self._relays = settings.operator.connectivity.relay
         self.routes = RelayRoutes()
-        self.relayed = 0  # reports whose answer came from their owner
+        self.relayed = 0  # reports whose answer came from their leader
 
     async def checkin(self, request: Request, relay: str | None = None) -> Response:
         """Answer a report; `relay`: the sibling that passed it on."""
@@ -57,28 +57,28 @@
             report = parse_report(request.body)
         except MalformedError as problem:
             return error(400, str(problem))
-        if relay is None and not self._owners:
+        if relay is None and not self._leaders:
             self._worker_link.reached(self._loop.now())
         if report.machine in self._deleted:
             return come_back("this machine was deleted")  # a late copy, whatever it says
         shard = self._shard_of(report.machine)
-        owner = self._owners.get(shard)
-        if owner is not None:
-            return await self._answer(owner, report, relay)
+        leader = self._leaders.get(shard)
+        if leader is not None:
+            return await self._answer(leader, report, relay)
         if relay is not None:
             return come_back("not the owner")  # what was passed on once is not passed on again
         return await self._not_ours(request, report, shard)
 
-    async def _answer(self, owner: Owner, report: Report, relay: str | None) -> Response:
-        if not owner.ready or not self._permits.allows_for(owner.number, Action.ANSWER_REPORT):
+    async def _answer(self, leader: ShardLeader, report: Report, relay: str | None) -> Response:
+        if not leader.ready or not self._permits.allows_for(leader.number, Action.ANSWER_REPORT):
             return come_back("not acting for this machine now")
-        if relay is not None and owner.missed(report.machine):
-            self._worker_link.note_elsewhere(owner.number, report.machine, relay, self._loop.now(), relayed=True)
-        result = await owner.checkin(report, relay is not None)
+        if relay is not None and leader.missed(report.machine):
+            self._worker_link.note_elsewhere(leader.number, report.machine, relay, self._loop.now(), relayed=True)
+        result = await leader.checkin(report, relay is not None)
         return come_back("can't act on this report now") if result is None else answer(200, result)
 
     async def _not_ours(self, request: Request, report: Report, shard: int) -> Response:
-        host = self._siblings.owner(shard)
+        host = self._siblings.leader(shard)
         if host is None or host == self._host:
             return answer(421, Redirect())
         sibling = self._siblings.get(host)
@@ -95,9 +95,9 @@
     async def _relay(
         self, request: Request, report: Report, sibling: Sibling | None, lacks_workers: bool
     ) -> Response | None:
-        """The owner's own answer to a report that can't reach it; None if the report is not to be relayed, or in vain.
+        """The leader's own answer to a report that can't reach it; None if the report is not to be relayed, or in vain.
 
-        The owner decides, in its own term. Its answer reaches the worker as the answer to this very report, within the
+        The leader decides, in its own term. Its answer reaches the worker as the answer to this very report, within the
         time that the worker waits, or not at all: docs/safety.md.
         """
         if not self._relays or sibling is None or not sibling.takes_forwarded(self._host):
@@ -113,7 +113,7 @@
         return response
 
     def _lacks_workers(self, sibling: Sibling | None, shard: int) -> bool:
-        """Whether machines would go to their owner in vain. One that hears workers again says so by its mode."""
+        """Whether machines would go to their leader in vain. One that hears workers again says so by its mode."""
         mode = None if sibling is None else sibling.mode
         if mode in (Mode.UNHEARD, Mode.RECOVERING):
             return mode is Mode.UNHEARD
--- a/badgerroute/coordination/requests/user_desk.py
+++ b/badgerroute/coordination/requests/user_desk.py
@@ -4,9 +4,9 @@
 from datetime import timedelta
 
 from badgerroute.connectivity.modes import Action, Permission
+from badgerroute.coordination.leadership.action_gate import ActionGate
 from badgerroute.coordination.membership.forwarding import RequestForwarder
 from badgerroute.coordination.membership.siblings import Siblings
-from badgerroute.coordination.ownership.action_gate import ActionGate
 from badgerroute.coordination.requests.responses import come_back, error
 from badgerroute.coordination.requests.users import Users
 from badgerroute.settings import Settings
--- a/badgerroute/coordination/shards/deleted_machines.py
+++ b/badgerroute/coordination/shards/deleted_machines.py
@@ -20,7 +20,7 @@
     when,
 )
 
-log = logging.getLogger("badgerroute.owner")
+log = logging.getLogger("badgerroute.leader")
 RETRY_PAUSE = timedelta(seconds=1)
 MAX_MACHINES_PER_WRITE = 8  # a transaction as large as the budget's burst has to wait until nobody else writes
 NAMES_PER_PAGE = 100  # deleted machines on a page, which may be written anew for each of them
--- a/badgerroute/coordination/shards/fencing.py
+++ b/badgerroute/coordination/shards/fencing.py
@@ -1,4 +1,4 @@
-"""Fencing: machines of a shard are told of its term, so that no former owner can command them any more."""
+"""Fencing: machines of a shard are told of its term, so that no former leader can command them any more."""
 
 import logging
 from datetime import timedelta
@@ -10,7 +10,7 @@
 from badgerroute.scheduling.shard import Shard
 from badgerroute.transport.loop import Group
 
-log = logging.getLogger("badgerroute.owner")
+log = logging.getLogger("badgerroute.leader")
 FENCE_RETRY = timedelta(milliseconds=700)
 GIVE_UP = timedelta(seconds=3.5)  # a member that is silent for so long after a takeover is deleted at the cloud
 LONG_GIVE_UP = 5 * GIVE_UP
@@ -50,7 +50,7 @@
 
     def _give_up_if_silent(self, machine: Machine) -> None:
         if not self._permits.allows(Action.GIVE_UP_MACHINE):
-            # An owner that its workers don't reach learns nothing of a machine by its silence. What it was silent for
+            # A leader that its workers don't reach learns nothing of a machine by its silence. What it was silent for
             # until now doesn't count later either.
             self._asked[machine.name] = self._loop.now()
         elif self._loop.now() - self._asked[machine.name] > self._patience():
--- a/badgerroute/coordination/shards/forecast.py
+++ b/badgerroute/coordination/shards/forecast.py
@@ -8,7 +8,7 @@
 from math import inf
 
 from badgerroute.coordination.jobs.job_store import JobStore
-from badgerroute.coordination.shards.owner import Owner
+from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.mesh import ShardSummary
 from badgerroute.scheduling import ladder
@@ -40,11 +40,11 @@
         job_store: JobStore,
         replica: Replica,
         catalog: dict[str, MachineType],
-        owners: dict[int, Owner],
+        leaders: dict[int, ShardLeader],
         summaries: Callable[[], list[ShardSummary]],
     ) -> None:
         self._loop, self._job_store, self._replica, self._catalog = loop, job_store, replica, catalog
-        self._owners, self._summaries = owners, summaries
+        self._leaders, self._summaries = leaders, summaries
         self._teams: dict[str, Team] = {team.name: team for team in settings.params.teams}
         self._objectives = Objectives(settings.params.objectives)
         self._between = BETWEEN_REPORTS * settings.params.workers.report + BETWEEN
@@ -53,8 +53,8 @@
         self._types: dict[str, str] = {}  # member -> machine type, which never changes
 
     def update(self) -> None:
-        """Tell the owners' jobs what can be expected of them."""
-        if not self._owners:
+        """Tell the leaders' jobs what can be expected of them."""
+        if not self._leaders:
             return
         within: dict[str, bool] = {}
         left: dict[str, int] = {}
@@ -72,14 +72,14 @@
         needed = {ref: one.due for ref, one in self._job_store.inherited.items() if one.due != inf}
         ranks = self._tiers(left, within, needed)
         now, today = self._loop.now(), self._today()
-        for owner in self._owners.values():
-            for job in owner.shard.jobs.values():
+        for leader in self._leaders.values():
+            for job in leader.shard.jobs.values():
                 job.guaranteed = within.get(job.ref, False)
                 job.tier = ranks.get(job.ref, 0)
                 active = self._job_store.active.get(job.ref)
                 if active is None:
                     continue
-                owner.shard.set_level(job, self._job_store.level(job.ref))
+                leader.shard.set_level(job, self._job_store.level(job.ref))
                 due = needed.get(job.ref)
                 job.start_by = None if due is None else now + timedelta(seconds=due - today) - self._run_time(active)
 
@@ -121,7 +121,7 @@
             for ref, count in summary.running.items():
                 running[ref] = running.get(ref, 0) + count
         today = self._today()
-        failing = {job.ref for owner in self._owners.values() for job in owner.shard.jobs.values() if job.failing}
+        failing = {job.ref for leader in self._leaders.values() for job in leader.shard.jobs.values() if job.failing}
         groups: dict[tuple[int, bool], list[Load]] = {}
         starving: set[str] = set()
         for ref, count in left.items():
@@ -158,9 +158,9 @@
 
     def _run_time(self, record: JobRecord) -> timedelta:
         correction = 1.0
-        for owner in self._owners.values():
-            correction = owner.shard.estimates.correction(record.job.job_class)
-            job = owner.shard.jobs.get(record.job.ref)
+        for leader in self._leaders.values():
+            correction = leader.shard.estimates.correction(record.job.job_class)
+            job = leader.shard.jobs.get(record.job.ref)
             if job is not None:
                 return ladder.run_time(job, correction)
         return timedelta(seconds=record.job.estimate_s * correction)
--- a/badgerroute/coordination/shards/machine_commands.py
+++ b/badgerroute/coordination/shards/machine_commands.py
@@ -13,7 +13,7 @@
 from badgerroute.transport.http import Client, NoAnswerError
 from badgerroute.transport.loop import Future
 
-log = logging.getLogger("badgerroute.owner")
+log = logging.getLogger("badgerroute.leader")
 DIRECT_LIMIT = timedelta(seconds=2)
 DIRECT_CONNECT = timedelta(seconds=1)
 RAISE_LIMIT = timedelta(seconds=1)
@@ -34,7 +34,7 @@
     ) -> bool:
         """Send commands to a machine's own address; never starts, since these may be carried out minutes late.
 
-        Only so many at a time, and nothing stays open: an owner of everything has a thousand members, and every one of
+        Only so many at a time, and nothing stays open: a leader of everything has a thousand members, and every one of
         them holds a connection to us already. `leaves` is called when the turn has come.
         """
         async with self._gate.place(urgent):
@@ -73,7 +73,7 @@
     async def raise_term(self) -> bool:
         """Get a term above the token that some machine has seen elsewhere."""
         if self._raising is not None:
-            # Whoever waits with others must learn how it went. Once they took it for granted, and an owner cut off from
+            # Whoever waits with others must learn how it went. Once they took it for granted, and a leader cut off from
             # the state service answered hundreds of machines in its old term: they dropped the answers, stayed there
             # all the same, and their leases ran out.
             raising = self._raising
--- a/badgerroute/coordination/shards/machine_loans.py
+++ b/badgerroute/coordination/shards/machine_loans.py
@@ -1,4 +1,4 @@
-"""Machine loans: the owner of empty machines gives them to a shard that is too small for a gang, in one write."""
+"""Machine loans: the leader of empty machines gives them to a shard that is too small for a gang, in one write."""
 
 import logging
 from collections.abc import Callable
@@ -28,7 +28,7 @@
 
 
 class MachineLoans:
-    """`active` tells whether the shard's owner is still the one it was."""
+    """`active` tells whether the shard's leader is still the one it was."""
 
     def __init__(self, shard: Shard, services: Services, group: Group, active: Callable[[], bool]) -> None:
         self._shard, self._loop, self._group, self._active = shard, services.loop, group, active
@@ -37,7 +37,7 @@
         self._publish = services.publish
 
     def _acting(self) -> bool:
-        """An owner that has ended must give nothing away, even if this controller holds the shard again."""
+        """A leader that has ended must give nothing away, even if this controller holds the shard again."""
         return self._active() and self._permits.allows_for(self._shard.number, Action.LEND_MACHINES)
 
     async def lend(self, message: MachineLoanRequest) -> None:
--- a/badgerroute/coordination/shards/migration.py
+++ b/badgerroute/coordination/shards/migration.py
@@ -1,6 +1,6 @@
 """What a shard trades with the others: gangs passed on, waiting tasks stolen from it, machines asked for.
 
-Only the owner of a thing gives it away, in one conditional write; a lost request costs time, never safety.
+Only the leader of a thing gives it away, in one conditional write; a lost request costs time, never safety.
 """
 
 import logging
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _OwnershipWrite:
+class _AssignmentWrite:
     """A job's record that gives `given` of its tasks to another shard, and the condition of its write."""
 
     job: Job
@@ -52,7 +52,7 @@
 
 
 class WorkMigration:
-    """`active` tells whether the shard's owner is still the one it was; `changed` is told of jobs to read again."""
+    """`active` tells whether the shard's leader is still the one it was; `changed` is told of jobs to read again."""
 
     def __init__(
         self,
@@ -105,7 +105,7 @@
         return False
 
     def _acting(self) -> bool:
-        """An owner that has ended must give nothing away, even if this controller holds the shard again."""
+        """A leader that has ended must give nothing away, even if this controller holds the shard again."""
         return self._active() and self._permits.allows_for(self.number, Action.GIVE_WORK)
 
     async def pass_on_gangs(self, summaries: list[mesh_wire.ShardSummary]) -> None:
@@ -217,7 +217,7 @@
         for write in writes:
             self._given(write.job, write.given)
 
-    def _reserve(self, ref: str, record: records.JobRecord) -> _OwnershipWrite | None:
+    def _reserve(self, ref: str, record: records.JobRecord) -> _AssignmentWrite | None:
         """Put a job's tasks out of reach for the write that gives them away; None: they can't be given now."""
         job = self.shard.jobs.get(ref)
         if job is None:
@@ -235,7 +235,7 @@
         # meanwhile, by the settling of an earlier write for instance, so it is not enough to own it no more.
         job.giving |= given
         key = JOBS + ref
-        return _OwnershipWrite(job, given, when(key, self._replica.revision_of(key)), put(key, records.write(record)))
+        return _AssignmentWrite(job, given, when(key, self._replica.revision_of(key)), put(key, records.write(record)))
 
     def _given(self, job: Job, given: int) -> None:
         """The outcome is known, and so is what we own."""
--- a/badgerroute/coordination/shards/progress_duty.py
+++ b/badgerroute/coordination/shards/progress_duty.py
@@ -1,4 +1,4 @@
-"""Writes the owners' progress down, in batches."""
+"""Writes the leaders' progress down, in batches."""
 
 import logging
 from datetime import timedelta
@@ -6,7 +6,7 @@
 from badgerroute.coordination.jobs.job_store import JobStore
 from badgerroute.coordination.jobs.job_writer import ClaimOf, JobWriter, Progress
 from badgerroute.coordination.shards.forecast import JobForecast
-from badgerroute.coordination.shards.owner import Owner
+from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.storage.state import LeaseExpiredError, OutcomeUnknownError, StateUnavailableError
 from badgerroute.transport.loop import Future, Loop
 
@@ -20,13 +20,13 @@
     def __init__(
         self,
         loop: Loop,
-        owners: dict[int, Owner],
+        leaders: dict[int, ShardLeader],
         job_store: JobStore,
         job_writer: JobWriter,
         forecast: JobForecast,
         claim_of: ClaimOf,
     ) -> None:
-        self._loop, self._owners, self._claim_of = loop, owners, claim_of
+        self._loop, self._leaders, self._claim_of = loop, leaders, claim_of
         self._job_store, self._job_writer, self._forecast = job_store, job_writer, forecast
         self._wanted = Future()
 
@@ -44,14 +44,14 @@
             except (StateUnavailableError, OutcomeUnknownError, LeaseExpiredError) as trouble:
                 log.info("event=progress_delayed error=%s", trouble)
                 self._wanted.set()
-            if any(owner.progress for owner in self._owners.values()):
+            if any(leader.progress for leader in self._leaders.values()):
                 self._wanted.set()
             await self._loop.sleep(FLUSH)
 
     async def _write(self) -> None:
         merged: dict[str, Progress] = {}
-        for owner in self._owners.values():
-            for progress in owner.batch():
+        for leader in self._leaders.values():
+            for progress in leader.batch():
                 known = merged.get(progress.ref)
                 if known is None:
                     merged[progress.ref] = progress
--- a/badgerroute/coordination/shards/services.py
+++ b/badgerroute/coordination/shards/services.py
@@ -7,8 +7,8 @@
 from badgerroute.coordination.jobs.job_reader import JobReader
 from badgerroute.coordination.jobs.job_store import JobStore, Publish
 from badgerroute.coordination.jobs.record_paging import RecordPager
-from badgerroute.coordination.ownership.action_gate import ActionGate
-from badgerroute.coordination.ownership.claims import Claims
+from badgerroute.coordination.leadership.action_gate import ActionGate
+from badgerroute.coordination.leadership.claims import Claims
 from badgerroute.coordination.quotas.team_quotas import TeamQuotas
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.mesh import MachineLoanRequest, ShareRequest
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Services:
-    """Collaborators of every owner."""
+    """Collaborators of every leader."""
 
     settings: Settings
     loop: Loop
--- a/badgerroute/coordination/shards/owner.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -7,7 +7,7 @@
 from badgerroute.connectivity import worker_silence
 from badgerroute.connectivity.modes import Action
 from badgerroute.coordination.jobs.job_writer import Progress
-from badgerroute.coordination.ownership.claims import Claim
+from badgerroute.coordination.leadership.claims import Claim
 from badgerroute.coordination.shards import summary
 from badgerroute.coordination.shards.deleted_machines import DeletedMachines
 from badgerroute.coordination.shards.fencing import Fencing
@@ -32,7 +32,7 @@
 from badgerroute.storage.replica import MACHINES
 from badgerroute.transport.loop import Group
 
-log = logging.getLogger("badgerroute.owner")
+log = logging.getLogger("badgerroute.leader")
 LOST_PATIENCE = timedelta(seconds=4)
 ROUND = timedelta(milliseconds=250)
 STATE_LOGGED = timedelta(seconds=10)
@@ -50,7 +50,7 @@
     machines: int
 
 
-class Owner:
+class ShardLeader:
     """Everything a controller does for one shard it owns. Ended by `close` when the claim is lost."""
 
     def __init__(self, number: int, claim: Claim, services: Services) -> None:
@@ -103,7 +103,7 @@
 
     async def _take_over(self) -> None:
         """Rebuild the shard from the state service and its machines before anything is placed."""
-        await self._replica.caught_up(self.shard.term)  # no write of the former owner comes after this
+        await self._replica.caught_up(self.shard.term)  # no write of the former leader comes after this
         while not self._catalog:
             await self._loop.sleep(timedelta(milliseconds=100))
         now = self._loop.now()
--- a/badgerroute/coordination/shards/shard_log.py
+++ b/badgerroute/coordination/shards/shard_log.py
@@ -6,7 +6,7 @@
 from badgerroute.coordination.shards.processor_use import processor_use
 from badgerroute.scheduling.shard import Shard
 
-log = logging.getLogger("badgerroute.owner")
+log = logging.getLogger("badgerroute.leader")
 
 
 def log_state(shard: Shard) -> None:
--- a/badgerroute/protocol/mesh.py
+++ b/badgerroute/protocol/mesh.py
@@ -68,7 +68,7 @@
     freeing: float  # processors of small tasks that should end before a new machine could serve
     running: dict[str, int]
     used: dict[str, tuple[float, float]]
-    silent: bool = False  # its owner has had no report in time of at least half of its machines
+    silent: bool = False  # its leader has had no report in time of at least half of its machines
     load: ShardLoad | UnsetType = UNSET
 
 
@@ -95,7 +95,7 @@
 
 
 class StealRequest(Struct, tag="steal"):
-    """An idle shard asks a busy one for waiting tasks; the busy one's owner decides and writes."""
+    """An idle shard asks a busy one for waiting tasks; the busy one's leader decides and writes."""
 
     victim: int
     thief: int
--- a/badgerroute/protocol/users.py
+++ b/badgerroute/protocol/users.py
@@ -15,7 +15,7 @@
 
 
 class Priority(Enum):
-    """How important a job is to its owner."""
+    """How important a job is to its user."""
 
     PRODUCTION = "prod"
     URGENT = "urgent"
--- a/badgerroute/protocol/workers.py
+++ b/badgerroute/protocol/workers.py
@@ -91,4 +91,4 @@
 class Redirect(Struct, omit_defaults=True):
     """Tells a machine to report to another controller."""
 
-    owner: str | UnsetType = field(name="trail_boss", default=UNSET)
+    leader: str | UnsetType = field(name="trail_boss", default=UNSET)
--- a/badgerroute/rebalancing/drains.py
+++ b/badgerroute/rebalancing/drains.py
@@ -1,4 +1,4 @@
-"""Machines to be drained: the operators' records, and what the owner of such a machine does by them."""
+"""Machines to be drained: the operators' records, and what the leader of such a machine does by them."""
 
 import logging
 from dataclasses import dataclass
@@ -32,7 +32,7 @@
 
 
 class DrainRegistry:
-    """The drains on record, as the replica has them. They belong to no owner, so they outlive every one."""
+    """The drains on record, as the replica has them. They belong to no leader, so they outlive every one."""
 
     def __init__(self, loop: Loop, replica: Replica, state: StateClient) -> None:
         self._loop, self._replica, self._state = loop, replica, state
--- a/badgerroute/rebalancing/service.py
+++ b/badgerroute/rebalancing/service.py
@@ -7,7 +7,7 @@
 
 from badgerroute.connectivity.modes import Action
 from badgerroute.coordination.controller import Controller
-from badgerroute.coordination.shards.owner import Owner
+from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.protocol.mesh import StealRequest
 from badgerroute.rebalancing.drains import DrainProgress, DrainRegistry
 from badgerroute.rebalancing.local_waits import LocalWaits
@@ -38,7 +38,7 @@
 class _ShardRebalancing:
     """What is kept for one owned shard."""
 
-    owner: Owner
+    leader: ShardLeader
     guidance: ShardGuidance
     local: LocalWaits
     moves: MovePlanner
@@ -117,31 +117,31 @@
                 self._round(duty, now, over)
 
     def _refresh_duties(self) -> list[_ShardRebalancing]:
-        """Of the shards that are owned and may be acted for; what belonged to former owners is dropped."""
+        """Of the shards that are owned and may be acted for; what belonged to former leaders is dropped."""
         assert self._controller is not None
-        owners = self._controller.owners
-        self._duties = {number: duty for number, duty in self._duties.items() if owners.get(number) is duty.owner}
-        for number, owner in owners.items():
-            if owner.ready and number not in self._duties:
-                self._duties[number] = self._new_duty(number, owner)
+        leaders = self._controller.leaders
+        self._duties = {number: duty for number, duty in self._duties.items() if leaders.get(number) is duty.leader}
+        for number, leader in leaders.items():
+            if leader.ready and number not in self._duties:
+                self._duties[number] = self._new_duty(number, leader)
         permits = self._controller.permits
         return [duty for number, duty in self._duties.items() if permits.allows_for(number, Action.START)]
 
-    def _may_ask(self, owner: Owner) -> bool:
+    def _may_ask(self, leader: ShardLeader) -> bool:
         """Whether a shard may ask others for work."""
         permits = self._controller.permits if self._controller is not None else None
-        return owner.shard.settled and permits is not None and permits.allows_for(owner.number, Action.STEAL)
+        return leader.shard.settled and permits is not None and permits.allows_for(leader.number, Action.STEAL)
 
-    def _new_duty(self, number: int, owner: Owner) -> _ShardRebalancing:
+    def _new_duty(self, number: int, leader: ShardLeader) -> _ShardRebalancing:
         guidance = self._guidances[number]
-        local = LocalWaits(owner.shard, owner.planner.run_time, self._rebalancing.stale)
-        guidance.attach(owner.shard.usage, local)
-        moves = MovePlanner(owner.shard, owner.planner, self._rebalancing, self._report, guidance)
-        return _ShardRebalancing(owner, guidance, local, moves, DrainProgress(number))
+        local = LocalWaits(leader.shard, leader.planner.run_time, self._rebalancing.stale)
+        guidance.attach(leader.shard.usage, local)
+        moves = MovePlanner(leader.shard, leader.planner, self._rebalancing, self._report, guidance)
+        return _ShardRebalancing(leader, guidance, local, moves, DrainProgress(number))
 
     def _round(self, duty: _ShardRebalancing, now: timedelta, over: Callable[[], bool]) -> None:
         self._drain_machines(duty, now)
-        if duty.owner.shard.settled:
+        if duty.leader.shard.settled:
             duty.local.advance(now, over)
             duty.moves.round(now, over)
 
@@ -153,7 +153,7 @@
             return
         self._view_at = now
         siblings = self._controller.siblings
-        own = {owner.number: owner.summary() for owner in self._controller.owners.values() if owner.ready}
+        own = {leader.number: leader.summary() for leader in self._controller.leaders.values() if leader.ready}
         readings = [ShardReading(summary, ZERO) for summary in own.values()]
         readings += [
             ShardReading(summary, age) for summary, age in siblings.last_heard_shards() if summary.shard not in own
@@ -170,15 +170,15 @@
         self._spread_at = now
         teams = [team for team, urgency in self._urgencies.items() if urgency > 1.0]
         for duty in self._duties.values():
-            own = duty.owner.summary()
+            own = duty.leader.summary()
             others = [summary for summary in self.view.summaries if summary.shard != own.shard and summary.settled]
-            if not others or not self._may_ask(duty.owner):
+            if not others or not self._may_ask(duty.leader):
                 continue
             for request in work_lacking(own, others, teams):
                 message = StealRequest(
                     request.victim,
                     own.shard,
-                    offered_capacity(duty.owner.shard, request),
+                    offered_capacity(duty.leader.shard, request),
                     own.images,
                     sorted({demand.team for shard in others for demand in shard.demands} - {request.team}),
                 )
@@ -211,13 +211,13 @@
         assert self._controller is not None and self._drains is not None
         name = key.removeprefix(DRAINS)
         for duty in self._duties.values():
-            machine = duty.owner.shard.machines.get(name)
+            machine = duty.leader.shard.machines.get(name)
             if machine is not None:
                 duty.drains.apply(machine, self._drains.get(name))
 
     def _drain_machines(self, duty: _ShardRebalancing, now: timedelta) -> None:
         assert self._controller is not None and self._drains is not None
-        shard = duty.owner.shard
+        shard = duty.leader.shard
         drained = {name for name, machine in shard.machines.items() if machine.drain_deadline is not None}
         for name in drained.union(name for name in self._drains.names() if name in shard.machines):
             machine, drain = shard.machines[name], self._drains.get(name)
@@ -225,7 +225,7 @@
             if drain is None:
                 continue
             plan = Evacuation(drain.deadline, REPORTS_OF_MARGIN * self._report, patient=True)
-            evacuate(shard, machine, plan, now, duty.owner.planner.run_time, duty.guidance.fetch_time)
+            evacuate(shard, machine, plan, now, duty.leader.planner.run_time, duty.guidance.fetch_time)
             if duty.drains.emptied(machine) and drain.delete:
                 self._controller.fleet.delete([name])
 
--- a/badgerroute/rebalancing/spreading.py
+++ b/badgerroute/rebalancing/spreading.py
@@ -1,6 +1,6 @@
 """Spreading a team's waiting work over the shards: who lacks how much of it, and whom to ask.
 
-Asked for as an ordinary steal request, so the owner of the work decides and writes, whatever its version.
+Asked for as an ordinary steal request, so the leader of the work decides and writes, whatever its version.
 """
 
 from dataclasses import dataclass
--- a/badgerroute/scheduling/ladder.py
+++ b/badgerroute/scheduling/ladder.py
@@ -41,7 +41,7 @@
 
 
 def run_time(job: Job, correction: float) -> timedelta:
-    """p: the mean run of the job's finished tasks, seeded by its owner's (corrected) estimate."""
+    """p: the mean run of the job's finished tasks, seeded by its user's (corrected) estimate."""
     if job.run_count:
         return job.run_sum / job.run_count
     return timedelta(seconds=job.spec.estimate_s * correction)
--- a/badgerroute/scheduling/objectives.py
+++ b/badgerroute/scheduling/objectives.py
@@ -49,7 +49,7 @@
         return due
 
     def deadline(self, spec: Submission) -> timedelta | None:
-        """The first deadline after its acceptance, the owner's own."""
+        """The first deadline after its acceptance, its user's own."""
         if spec.deadline_s is None or spec.job_class not in self._times:
             return None
         return timedelta(seconds=spec.deadline_s) * min(self._times[spec.job_class])
--- a/badgerroute/scheduling/planner.py
+++ b/badgerroute/scheduling/planner.py
@@ -32,7 +32,7 @@
 
 
 class Planner:
-    """What an owner asks of its shard: see the modules that it is made of."""
+    """What a leader asks of its shard: see the modules that it is made of."""
 
     def __init__(
         self, shard: Shard, settings: Scheduling, objectives: Objectives, report: timedelta = timedelta(seconds=1)
--- a/badgerroute/scheduling/reports.py
+++ b/badgerroute/scheduling/reports.py
@@ -1,7 +1,7 @@
 """What machines' reports prove of the tasks on them.
 
 The bookkeeping that safety rests on (docs/safety.md): which starts arrived, which tasks are certainly gone, what a
-former owner left behind.
+former leader left behind.
 """
 
 import logging
@@ -63,7 +63,7 @@
         message = Message(machine, report, checkin, prompt, now)
         self._note_machine(message)
         if report.token < self._shard.fence and not machine.pristine:
-            # Another owner's commands may still reach it: the list is true, but it is not the last word.
+            # Another leader's commands may still reach it: the list is true, but it is not the last word.
             machine.fenced = False
             return message.events
         if machine.fenced and not machine.strays and not machine.undecided and machine.listed == report.tasks:
@@ -182,7 +182,7 @@
         self._shard.image_fetched(placement, now - min(asked))
 
     def _adopt(self, message: Message, ref: str, index: int, task: TaskReport) -> Placement | None:
-        """A task that we did not start: a former owner's. Keep it if it is ours, else it has to go."""
+        """A task that we did not start: a former leader's. Keep it if it is ours, else it has to go."""
         machine = message.machine
         job = self._shard.jobs.get(ref)
         if job is None and self._shard.undecided(ref):
@@ -204,7 +204,7 @@
     def _keep_undecided(self, machine: Machine, task: tuple[str, int, int]) -> None:
         """A task of a job of which we don't know yet whether it was released: left as it is until we do.
 
-        A shard that was taken over before its owner had looked up how predecessors ended stopped such tasks as strays.
+        A shard that was taken over before its leader had looked up how predecessors ended stopped such tasks as strays.
         Nothing is placed meanwhile: not this task, which runs already, nor others, since it counts against its team.
         """
         machine.undecided.add(task)
--- a/badgerroute/scheduling/shard.py
+++ b/badgerroute/scheduling/shard.py
@@ -34,7 +34,7 @@
 
 
 class Estimates:
-    """By job class, how actual run times compare to the owners' estimates; corrected as runs finish."""
+    """By job class, how actual run times compare to the users' estimates; corrected as runs finish."""
 
     def __init__(self) -> None:
         self._ratio: dict[str, tuple[float, float]] = {}  # sum of ratios, weight
@@ -188,7 +188,7 @@
     # -- placements
 
     def next_attempt(self) -> int:
-        """Term and counter together, so that no two owners ever produce the same number."""
+        """Term and counter together, so that no two leaders ever produce the same number."""
         self._counter += 1
         return (self.term << ATTEMPT_BITS) | self._counter
 
@@ -350,15 +350,15 @@
         """Machines whose lease is certainly over: their tasks are dead and wait again.
 
         `proved` is when we last knew the claim to be ours, not the time now. Our own silence towards a machine
-        ends its lease only as long as nobody else may answer it, and from `proved` on a new owner may. An owner
-        that was cut off, but still within G, once took the machines that a new owner had taken over for dead, and
+        ends its lease only as long as nobody else may answer it, and from `proved` on a new leader may. A leader
+        that was cut off, but still within G, once took the machines that a new leader had taken over for dead, and
         started their tasks again beside it.
         """
         lost = []
         for machine in self.machines.values():
             if machine.fenced and machine.answered is not None:
                 over = machine.answered + lease
-            else:  # a former owner may have answered it until its own grace ran out
+            else:  # a former leader may have answered it until its own grace ran out
                 over = max(self.claimed_at + grace, machine.answered or ZERO, machine.joined) + lease
             if proved > over and (machine.placements or not machine.fenced or machine.alive):
                 self.lose_tasks(machine, now)
--- a/badgerroute/scheduling/shard_state.py
+++ b/badgerroute/scheduling/shard_state.py
@@ -8,7 +8,7 @@
 
 
 class DurationEstimates(Protocol):
-    """Learns how much longer jobs of a class run than their owners say."""
+    """Learns how much longer jobs of a class run than their users say."""
 
     def learn(self, job_class: str, estimate: timedelta, actual: timedelta) -> None:
         """Take in the run time of a finished task."""
--- a/badgerroute/storage/records.py
+++ b/badgerroute/storage/records.py
@@ -11,17 +11,17 @@
 
 
 class ShardLeaderRecord(Struct):
-    """Until the time of day `until` (seconds since 1970), an owner before this one may still act."""
+    """Until the time of day `until` (seconds since 1970), a leader before this one may still act."""
 
-    owner: str
+    leader: str = field(name="owner")
     until: float = 0.0
-    handed: bool = False  # written for its owner by the one before, which had stopped
+    handed: bool = False  # written for its leader by the one before, which had stopped
 
 
 class FleetClaim(Struct):
     """Which controller rents machines."""
 
-    owner: str
+    leader: str = field(name="owner")
 
 
 class MachineRecord(Struct):
@@ -131,8 +131,8 @@
     def owned(self, shard: int) -> int:
         """The tasks that a shard owns, as a bit set."""
         owned = 0
-        for owner, first, end in self.assigned:
-            if owner == shard:
+        for holder, first, end in self.assigned:
+            if holder == shard:
                 owned |= span(first, end)
         return owned
 
--- a/tests/standins/cuts.py
+++ b/tests/standins/cuts.py
@@ -13,7 +13,7 @@
 class CutCounts:
     """What was seen while links were cut."""
 
-    shard_seconds_without_owner: float = 0.0
+    shard_seconds_without_leader: float = 0.0
     hand_overs: int = 0
     claims: int = 0
     killed_by_lease: list[float] = field(default_factory=list)  # seconds after the watch began
@@ -53,14 +53,14 @@
             controllers = {host: one for host, (one, _) in self.day.controllers.items()}
             for shard in range(len(HOSTS)):
                 if not any(self._acts(one, shard) for one in controllers.values()):
-                    self.counts.shard_seconds_without_owner += self.EVERY / SECOND
+                    self.counts.shard_seconds_without_leader += self.EVERY / SECOND
             for host, one in controllers.items():
                 self._note(host, one)
 
     @staticmethod
     def _acts(controller: Controller, shard: int) -> bool:
-        owner = controller.owners.get(shard)
-        return owner is not None and owner.ready and controller.claims.acting(shard)
+        leader = controller.leaders.get(shard)
+        return leader is not None and leader.ready and controller.claims.acting(shard)
 
     def _note(self, host: str, controller: Controller) -> None:
         if not hasattr(controller, "monitor"):
--- a/tests/standins/day.py
+++ b/tests/standins/day.py
@@ -198,8 +198,8 @@
         if host not in self.controllers:
             return  # it is down already
         controller, group = self.controllers.pop(host)
-        for owner in controller.owners.values():
-            owner.group.cancel()
+        for leader in controller.leaders.values():
+            leader.group.cancel()
         group.cancel()
         self.world.crash(host)
 
--- a/tests/standins/loopback.py
+++ b/tests/standins/loopback.py
@@ -58,8 +58,8 @@
     def close(self) -> None:
         """Let go of every socket."""
         for controller, group in self.controllers.values():
-            for owner in controller.owners.values():
-                owner.group.cancel()
+            for leader in controller.leaders.values():
+                leader.group.cancel()
             group.cancel()
         for worker in self.site.workers.values():
             worker.group.cancel()
--- a/tests/standins/production.py
+++ b/tests/standins/production.py
@@ -21,7 +21,7 @@
 OURS = re.compile(r"^(\s*(?:from|import) )badgerroute(?!\.transport)\b", re.MULTILINE)
 
 # Attributes that tests read of controllers of both versions: name here -> name in the version in production.
-ATTRIBUTES = {"shard": "part", "shards": "parts"}
+ATTRIBUTES = {"shard": "part", "shards": "parts", "leader": "owner", "leaders": "owners"}
 CLASSES = (
     ("coordination.controller", "Controller"),
     ("coordination.owner", "Owner"),
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -17,8 +17,8 @@
 from badgerroute.connectivity.relay_routes import BOUNCED_WITHIN, FORGOTTEN, RelayRoutes, Route
 from badgerroute.connectivity.standstill import StandstillDetector
 from badgerroute.connectivity.worker_link import TRIAL, WorkerLink
+from badgerroute.coordination.leadership.action_gate import ActionGate
 from badgerroute.coordination.membership.forwarding import RequestForwarder
-from badgerroute.coordination.ownership.action_gate import ActionGate
 from badgerroute.protocol.mesh import ForwardedRequest, ForwardedResponse
 from badgerroute.settings import load_operator
 from badgerroute.transport.clock import VirtualClock
@@ -233,7 +233,7 @@
 
 def test_no_action_goes_round_the_gate() -> None:
     """The proofs behind the permissions are asked for by the gate alone, and every action is asked for somewhere."""
-    gate, claims = "coordination/ownership/action_gate.py", "coordination/ownership/claims.py"
+    gate, claims = "coordination/leadership/action_gate.py", "coordination/leadership/claims.py"
     proofs = attribute_uses({"fresh", "certain", "acting"})
     assert set().union(*proofs.values()) <= {gate, claims}
     assert set(attribute_uses({action.name for action in Action})) == {action.name for action in Action}
@@ -287,16 +287,16 @@
 @pytest.mark.parametrize(
     "steps",
     [
-        # (at, owner lacks its workers, the report names tasks, what follows)
+        # (at, leader lacks its workers, the report names tasks, what follows)
         [(0, False, False, REDIRECT)],
         [(0, False, True, RELAY), (1, False, True, REDIRECT)],  # a busy machine is answered before it is sent away
         [(0, True, True, RELAY), (1, True, True, RELAY), (500, True, True, RELAY)],
-        # It comes back, so it can't reach its owner: tried again after pauses that double.
+        # It comes back, so it can't reach its leader: tried again after pauses that double.
         [(0, False, False, REDIRECT), (6, False, True, RELAY), (15, False, True, RELAY), (16, False, True, REDIRECT),
          (22, False, True, RELAY), (41, False, True, RELAY), (42, False, True, REDIRECT)],
         # After long it is no longer the same stay.
         [(0, False, False, REDIRECT), (BOUNCED_WITHIN / SECOND, False, False, REDIRECT)],
-        # Once the owner hears workers again, every machine is sent there within the spread.
+        # Once the leader hears workers again, every machine is sent there within the spread.
         [(0, True, True, RELAY), (5, False, True, None), (9, False, True, REDIRECT), (14, False, True, RELAY),
          (15, False, True, RELAY)],
     ],
--- a/tests/test_connectivity_days.py
+++ b/tests/test_connectivity_days.py
@@ -63,7 +63,7 @@
     counts = play(cluster(seed), flapping_workers(seconds, mode))
     assert counts.hand_overs <= 2, "in all, not for each cut"
     assert counts.killed_by_lease == []
-    assert counts.shard_seconds_without_owner <= 2
+    assert counts.shard_seconds_without_leader <= 2
 
 
 @pytest.mark.parametrize(("seconds", "seed"), FLAPS)
@@ -131,11 +131,11 @@
 
 
 def ready(day: Day, host: str, shard: int) -> bool:
-    return any(shard in one.owners and one.owners[shard].ready for one in heirs(day, host, shard))
+    return any(shard in one.leaders and one.leaders[shard].ready for one in heirs(day, host, shard))
 
 
 def settled(day: Day, host: str, shard: int) -> bool:
-    return any(shard in one.owners and one.owners[shard].shard.settled for one in heirs(day, host, shard))
+    return any(shard in one.leaders and one.leaders[shard].shard.settled for one in heirs(day, host, shard))
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -226,7 +226,7 @@
 
 
 def relay_ends_in_mid_answer(day: Day) -> None:
-    """Whoever relays is killed again and again, the answers of the owner on their way through it."""
+    """Whoever relays is killed again and again, the answers of the leader on their way through it."""
     host = pick(day)
     cut, heal = from_workers(day, [host], "hold")
     cut()
@@ -237,8 +237,8 @@
     heal()
 
 
-def paused_owner(day: Day) -> None:
-    """The owner stands still while its reports are relayed, and wakes when its shard is somebody else's."""
+def paused_leader(day: Day) -> None:
+    """The leader stands still while its reports are relayed, and wakes when its shard is somebody else's."""
     host = pick(day)
     cut, heal = from_workers(day, [host], "hold")
     cut()
@@ -328,7 +328,7 @@
     (zone_cut_off, RELAYING),
     (isolated, RELAYING),
     (relay_ends_in_mid_answer, RELAYING),
-    (paused_owner, RELAYING),
+    (paused_leader, RELAYING),
     (paused_relay, RELAYING),
     (late_hand_over, NO_RELAY_SERVES),
     (lost_hand_over, NO_RELAY_SERVES),
@@ -386,8 +386,8 @@
 
 @pytest.mark.parametrize("seed", [*SEEDS, 3])
 @pytest.mark.parametrize("fault", ["refused", "crashed", "frozen"])
-def test_a_new_owner_whose_machines_have_yet_to_come_is_not_unheard(fault: str, seed: int) -> None:
-    """They report to the former owner, or are relayed by it, for some seconds after a takeover."""
+def test_a_new_leader_whose_machines_have_yet_to_come_is_not_unheard(fault: str, seed: int) -> None:
+    """They report to the former leader, or are relayed by it, for some seconds after a takeover."""
     day = cluster(seed)
     host = pick(day)
 
@@ -407,7 +407,7 @@
 # -- What docs/safety.md says of relays, sentence by sentence
 
 
-def test_the_relay_hands_on_the_owners_own_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_relay_hands_on_the_leaders_own_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     made: list[bytes] = []
     handed: list[bytes] = []
     answer, relay = ReportDesk._answer, ReportDesk._relay
@@ -448,7 +448,7 @@
 
 
 def late_copies(day: Day, controller: Controller, message: ForwardedRequest) -> None:
-    """Each comes again, at once and late, out of order, and at others who may have become owners."""
+    """Each comes again, at once and late, out of order, and at others who may have become leaders."""
     for delay in (0.0, day.random.uniform(0.1, 3), day.random.uniform(3, 30)):
         host = day.random.choice(HOSTS)
 
@@ -478,24 +478,24 @@
 
 
 def test_what_was_passed_on_once_is_not_passed_on_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Also if the owner changed meanwhile: then nobody answers, and the worker reports anew."""
+    """Also if the leader changed meanwhile: then nobody answers, and the worker reports anew."""
     day = cluster(2)
     day.run(5)
     report = day.site.workers["host-000001"].report()
     body = str(report).replace("'", '"').replace("None", "null").replace("True", "true").replace("False", "false")
     desk_of = {host: one.report_desk for host, (one, _) in day.controllers.items()}
-    owner = next(host for host, desk in desk_of.items() if desk._shard_of("host-000001") in desk._owners)
+    leader = next(host for host, desk in desk_of.items() if desk._shard_of("host-000001") in desk._leaders)
     sent: list[str] = []
     for one, _ in day.controllers.values():
         monkeypatch.setattr(one.forwarder, "_send", lambda target, message: sent.append(target))
-    for host in others(owner):
-        routine = day.loop.spawn(desk_of[host].checkin(Request("POST", "/checkin", "", body.encode()), owner), "r")
+    for host in others(leader):
+        routine = day.loop.spawn(desk_of[host].checkin(Request("POST", "/checkin", "", body.encode()), leader), "r")
         assert day.loop.run(routine).status == 503
     assert sent == []
 
 
 def test_a_start_lost_with_its_relay_counts_until_a_later_report(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The owner's answers vanish on their way through the relay for a while: no task runs twice, and all run."""
+    """The leader's answers vanish on their way through the relay for a while: no task runs twice, and all run."""
     day = cluster(3)
     lost = 0
     for one, _ in day.controllers.values():
@@ -572,15 +572,15 @@
     host = HOSTS[0]
     shard = HOSTS.index(host)
     day.run(6)
-    mine = {name for name in day.controllers[host][0].owners[shard].shard.machines}
+    mine = {name for name in day.controllers[host][0].leaders[shard].shard.machines}
     cut, heal = between(day, [host], [*others(host), f"state-{host}"], "hold")
     cut()
     day.run(4)
     assert day.controllers[host][0].monitor.mode.value == "unrecorded"
     controller = day.controllers[host][0]
-    sent = [placement for one in controller.owners[shard].shard.machines.values() for placement in one.placements]
+    sent = [placement for one in controller.leaders[shard].shard.machines.values() for placement in one.placements]
     day.run(4)
-    now = [placement for one in controller.owners[shard].shard.machines.values() for placement in one.placements]
+    now = [placement for one in controller.leaders[shard].shard.machines.values() for placement in one.placements]
     assert set(now) <= set(sent), "nothing new is placed"
     assert day.site.killed_by_lease == [] and mine
     heal()
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -522,7 +522,7 @@
     [
         (10, True, 20, 22, True),
         (10, True, 20, 20, False),
-        (None, False, 20, 30, False),  # a former owner may still have answered it
+        (None, False, 20, 30, False),  # a former leader may still have answered it
         (None, False, 20, 32, True),
         (25, False, 20, 35, False),  # our own answer renewed its lease before it was fenced
     ],
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -28,8 +28,8 @@
     day.submit(job("run-z", heads=4, pasture="b", strays=False))
 
 
-def owner_host(day: Day, shard: int) -> str | None:
-    return next((host for host, (one, _) in day.controllers.items() if shard in one.owners), None)
+def leader_host(day: Day, shard: int) -> str | None:
+    return next((host for host, (one, _) in day.controllers.items() if shard in one.leaders), None)
 
 
 def crash_one(day: Day) -> None:
@@ -143,7 +143,7 @@
 
 
 def takeover_with_hung_machine(day: Day) -> None:
-    """A machine hangs, its owner dies, and the machine goes on within its lease."""
+    """A machine hangs, its leader dies, and the machine goes on within its lease."""
     worker = day.random.choice(list(day.site.workers.values()))
     worker.hung = True
     crash_one(day)
@@ -202,19 +202,19 @@
 
 
 def deaf_in_takeover(day: Day) -> None:
-    """A shard whose new owner can't fence one of its machines, while the cloud deletes nothing either."""
+    """A shard whose new leader can't fence one of its machines, while the cloud deletes nothing either."""
     shard = day.random.randrange(3)
-    host = owner_host(day, shard)
+    host = leader_host(day, shard)
     unreachable = next(one for one in day.site.workers.values() if int(one.name[-6:]) % 3 == shard)
     unreachable.unreachable = day.site.cloud_down = True
     day.restart(host, 30 * SECOND)
 
     def settled() -> bool:
         return any(
-            owner.shard.settled
+            leader.shard.settled
             for one, _ in day.controllers.values()
-            for owner in one.owners.values()
-            if owner.number == shard
+            for leader in one.leaders.values()
+            if leader.number == shard
         )
 
     assert day.until(settled, 60), "one machine must not block its shard"
@@ -298,7 +298,7 @@
 
 
 def frozen_in_takeover(day: Day) -> None:
-    """The new owner of a dead controller's shard stands still in the midst of it."""
+    """The new leader of a dead controller's shard stands still in the midst of it."""
     dead, heir = day.random.sample(HOSTS, 2)
     day.restart(dead, 30 * SECOND)
     for _ in range(3):
@@ -435,7 +435,7 @@
 
 @pytest.mark.parametrize("mode", ["reset", "hold"])
 @pytest.mark.parametrize("seed", range(3))
-def test_cut_off_owner_takes_no_machine_for_dead(seed: int, mode: str) -> None:
+def test_cut_off_leader_takes_no_machine_for_dead(seed: int, mode: str) -> None:
     """Two controllers are cut off with a zone and act on for G; the third answers the other zone's machines.
 
     Their silence towards the two says nothing: their tasks run on, and must not be started inside the zone.
@@ -444,7 +444,7 @@
     day.run(4)
     day.submit(job("run-long", heads=20, trek_s=60.0))
     day.run(4)
-    day.site.cloud_down = True  # else the third owner soon has the cut-off machines deleted
+    day.site.cloud_down = True  # else the third leader soon has the cut-off machines deleted
     zone_cut(mode, 2)(day)
     day.site.cloud_down = False
     assert day.rules.broken == []
@@ -452,11 +452,11 @@
     assert day.rules.broken == []
 
 
-# The checker is worth something only if it catches owners that cheat.
+# The checker is worth something only if it catches leaders that cheat.
 
 
 def skip_fencing(day: Day, monkeypatch: pytest.MonkeyPatch) -> None:
-    """An owner that places before its members are fenced."""
+    """A leader that places before its members are fenced."""
     monkeypatch.setattr(
         "badgerroute.scheduling.shard.Shard.settle", lambda self: setattr(self, "settled", True) or True
     )
@@ -464,12 +464,12 @@
 
 
 def share_given_while_used(day: Day, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Owners that ignore what they use when they count what fits their share."""
+    """Leaders that ignore what they use when they count what fits their share."""
     monkeypatch.setattr("badgerroute.scheduling.shard.Shard.fits_share", lambda self, job, tasks=1: tasks)
 
 
 def start_in_do(day: Day, monkeypatch: pytest.MonkeyPatch) -> None:
-    """An owner that sends starts to a machine's own address."""
+    """A leader that sends starts to a machine's own address."""
     real = MachineCommands.send
 
     async def send(self: MachineCommands, machine: object, commands: list, urgent: bool = False) -> bool:
@@ -608,12 +608,12 @@
     day.run(6)
     tried = 0
     for controller, _ in day.controllers.values():
-        for owner in controller.owners.values():
-            for one in list(owner.shard.jobs.values()):
+        for leader in controller.leaders.values():
+            for one in list(leader.shard.jobs.values()):
                 record = controller.job_store.active[one.ref]
-                thief = (owner.number + 1) % 3
+                thief = (leader.number + 1) % 3
                 moved = msgspec.structs.replace(record, ranges=[records.TaskRange(thief, 0, one.spec.tasks)])
-                day.loop.run(day.loop.spawn(owner.migration._write_steal([(one.ref, moved)], thief), "give"))
+                day.loop.run(day.loop.spawn(leader.migration._write_steal([(one.ref, moved)], thief), "give"))
                 assert controller.job_store.active[one.ref].ranges == record.ranges
                 tried += bool(one.placed)
     assert tried
@@ -629,24 +629,24 @@
     day.run(4)
     looked = 0
     for controller, _ in day.controllers.values():
-        for owner in controller.owners.values():
-            one = owner.shard.jobs["run-many"]
+        for leader in controller.leaders.values():
+            one = leader.shard.jobs["run-many"]
             top = one.waiting_bits.bit_length()
             record = controller.job_store.active["run-many"]
-            thief = (owner.number + 1) % 3
+            thief = (leader.number + 1) % 3
             moved = msgspec.structs.replace(record, ranges=records.give(record.ranges, top - 3, top, thief))
-            real = owner.migration._state.transact
+            real = leader.migration._state.transact
 
-            async def transact(*args: object, owner=owner, one=one, real=real, top=top) -> int:
+            async def transact(*args: object, leader=leader, one=one, real=real, top=top) -> int:
                 nonlocal looked
-                owner.job_changed("run-many")
+                leader.job_changed("run-many")
                 looked += 1
                 assert not one.waiting_bits >> (top - 3)
                 return await real(*args)
 
             with monkeypatch.context() as patch:
-                patch.setattr(owner.migration._state, "transact", transact)
-                day.loop.run(day.loop.spawn(owner.migration._write_steal([("run-many", moved)], thief), "give"))
+                patch.setattr(leader.migration._state, "transact", transact)
+                day.loop.run(day.loop.spawn(leader.migration._write_steal([("run-many", moved)], thief), "give"))
             assert one.giving == 0
     assert looked == 3
     assert day.finish(400) == []
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -421,19 +421,19 @@
     "scheduling": {"protocol", "settings", "storage.records"},
     "connectivity": {"protocol", "settings", "scheduling"},
     "coordination/jobs": {"transport", "protocol", "settings", "storage", "scheduling"},
-    "coordination/ownership": {"transport", "protocol", "settings", "storage", "connectivity"},
+    "coordination/leadership": {"transport", "protocol", "settings", "storage", "connectivity"},
     "coordination/quotas": {"transport", "protocol", "settings", "storage", "scheduling"},
     "coordination/shards": {
         *("transport", "protocol", "settings", "storage", "scheduling", "connectivity"),
-        *("coordination.jobs", "coordination.ownership", "coordination.quotas"),
+        *("coordination.jobs", "coordination.leadership", "coordination.quotas"),
     },
     "coordination/fleet": {
         *("transport", "protocol", "settings", "storage", "scheduling", "connectivity"),
-        *("coordination.jobs", "coordination.ownership", "coordination.shards"),
+        *("coordination.jobs", "coordination.leadership", "coordination.shards"),
     },
     "coordination/membership": {
         *("transport", "protocol", "settings", "storage", "scheduling", "connectivity"),
-        *("coordination.ownership", "coordination.shards"),
+        *("coordination.leadership", "coordination.shards"),
     },
     "coordination/requests": {
         "transport",
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,7 +12,7 @@
 
 from badgerroute.coordination import controller as controller_module
 from badgerroute.coordination.shards import deleted_machines as deleted_machines_module
-from badgerroute.coordination.shards.owner import Owner
+from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.coordination.shards.summary import summarize
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.users import parse_submission
@@ -33,8 +33,8 @@
     day.world.cut(host, f"state-{host}", "hold")
 
 
-def owners(day: Day, shard: int) -> list[str]:
-    return [host for host, (one, _) in day.controllers.items() if shard in one.owners]
+def leaders(day: Day, shard: int) -> list[str]:
+    return [host for host, (one, _) in day.controllers.items() if shard in one.leaders]
 
 
 def test_a_shard_is_not_handed_to_a_sibling_without_the_state_service() -> None:
@@ -51,21 +51,21 @@
     assert len(terms - {0}) == 2, "the shard changes hands once"
     day.world.heal(host, f"state-{host}")
     day.run(15)
-    assert owners(day, 1) == [host], "and goes home when its controller is back"
+    assert leaders(day, 1) == [host], "and goes home when its controller is back"
 
 
 def test_no_answer_that_a_machine_must_drop(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An owner that can't raise its term says so: a 200 would hold the machine there while its lease runs out."""
+    """A leader that can't raise its term says so: a 200 would hold the machine there while its lease runs out."""
     answered: list[bool] = []
-    real = Owner.checkin
+    real = ShardLeader.checkin
 
-    async def checkin(self: Owner, report: Report, relayed: bool = False) -> ReportAnswer | None:
+    async def checkin(self: ShardLeader, report: Report, relayed: bool = False) -> ReportAnswer | None:
         answer = await real(self, report, relayed)
         if answer is not None:
             answered.append(answer.token >= report.token)
         return answer
 
-    monkeypatch.setattr(Owner, "checkin", checkin)
+    monkeypatch.setattr(ShardLeader, "checkin", checkin)
     day = Day(seed=2, machines=24)
     day.run(5)
     for host in HOSTS[:2]:
@@ -79,7 +79,7 @@
     assert day.rules.broken == []
 
 
-def test_an_outranked_owner_stands_down_while_it_asks_for_a_higher_term() -> None:
+def test_an_outranked_leader_stands_down_while_it_asks_for_a_higher_term() -> None:
     day = Day(seed=3)
     day.run(5)
     claims = day.controllers[HOSTS[0]][0].claims
@@ -91,45 +91,45 @@
     assert 0 not in claims.shards
 
 
-def test_an_owner_that_lost_its_claim_gives_nothing_away(caplog: pytest.LogCaptureFixture) -> None:
+def test_an_leader_that_lost_its_claim_gives_nothing_away(caplog: pytest.LogCaptureFixture) -> None:
     """The claim may go while an earlier write of the same round is on its way."""
     day = Day(seed=4)
     day.run(5)
     day.submit(job("run-a", heads=150, trek_s=10.0))
     day.run(2)
     controller = day.controllers[HOSTS[0]][0]
-    owner = controller.owners[0]
+    leader = controller.leaders[0]
     controller.claims._drop(0)
 
     def give() -> None:
         record = controller.job_store.active["run-a"]
-        top = owner.shard.jobs["run-a"].waiting_bits.bit_length()
+        top = leader.shard.jobs["run-a"].waiting_bits.bit_length()
         moved = msgspec.structs.replace(record, ranges=records.give(record.ranges, top - 3, top, 1))
         assert moved.ranges != record.ranges
-        day.loop.run(day.loop.spawn(owner.migration._write_steal([("run-a", moved)], 1), "give"))
+        day.loop.run(day.loop.spawn(leader.migration._write_steal([("run-a", moved)], 1), "give"))
         assert controller.job_store.active["run-a"].ranges != moved.ranges
 
     give()
     day.run(3)
-    assert controller.owners[0] is not owner, "the shard is ours again, with another owner"
+    assert controller.leaders[0] is not leader, "the shard is ours again, with another owner"
     give()
     assert day.finish() == []
 
 
 @pytest.mark.parametrize("trouble", ["cut", "frozen"])
-def test_only_an_owner_that_is_certain_deletes_machines(trouble: str) -> None:
-    """It decided before it stood still or was cut off; by now the machine may be a new owner's."""
+def test_only_an_leader_that_is_certain_deletes_machines(trouble: str) -> None:
+    """It decided before it stood still or was cut off; by now the machine may be a new leader's."""
     day = Day(seed=10)
     day.run(5)
     host = HOSTS[0]
     controller = day.controllers[host][0]
-    name = next(iter(controller.owners[0].shard.machines))
+    name = next(iter(controller.leaders[0].shard.machines))
     if trouble == "cut":
         others = [f"state-{host}", *HOSTS[1:]]
         for other in others:
             day.world.cut(host, other, "hold")
         day.run(6)
-        assert 0 in controller.owners, "it acts on for G"
+        assert 0 in controller.leaders, "it acts on for G"
         controller.fleet.delete([name])
         day.run(5)
         assert name in day.site.workers
@@ -166,7 +166,7 @@
     monkeypatch.setattr(HostNetwork, "connect", connect)
     day.run(8)
     heir = day.controllers[HOSTS[0]][0]
-    assert all(one.shard.settled for one in heir.owners.values()) and len(heir.owners) == 3
+    assert all(one.shard.settled for one in heir.leaders.values()) and len(heir.leaders) == 3
     assert 4 < max(seen) <= 8
     assert day.sockets(HOSTS[0]) <= 60 + 20, "and none is kept"
 
@@ -205,9 +205,9 @@
     monkeypatch.setattr(deleted_machines_module, "NAMES_PER_PAGE", 10)
     day = Day(seed=6, machines=3 * members, capacity=0)
     day.run(8)
-    owner = day.controllers[HOSTS[0]][0].owners[0]
+    leader = day.controllers[HOSTS[0]][0].leaders[0]
     names = [f"host-9{number:05d}" for number in range(deleted)]
-    day.loop.run(day.loop.spawn(owner.deleted_machines.forget(names), "forget"))
+    day.loop.run(day.loop.spawn(leader.deleted_machines.forget(names), "forget"))
     day.run(2)
     pages = {key: value[0] for key, value in day.state.items.items() if key.startswith("b/gone/0/")}
     kept = {name for page in pages.values() for name in page["names"]}
--- a/tests/test_left_waiting.py
+++ b/tests/test_left_waiting.py
@@ -147,12 +147,12 @@
     """A write of a page of deleted machines is carried out seconds late, after a newer one."""
     day = Day(seed=35, machines=9)
     day.run(5)
-    owner = day.controllers[HOSTS[0]][0].owners[0]
-    first, second = list(owner.shard.machines)[:2]
+    leader = day.controllers[HOSTS[0]][0].leaders[0]
+    first, second = list(leader.shard.machines)[:2]
 
     def forget(name: str) -> None:
         day.site.remove_worker(name)
-        day.group.spawn(owner.deleted_machines.forget([name]), "forget")
+        day.group.spawn(leader.deleted_machines.forget([name]), "forget")
 
     day.state.late_writes, day.state.late_by = 1.0, (8.0, 9.0)
     day.loop.later(SECOND / 2, lambda: setattr(day.state, "late_writes", 0.0))
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -18,14 +18,14 @@
     return [one for one in HOSTS if one != host]
 
 
-def owner_of(day: Day, shard: int) -> str:
-    return next(host for host, (one, _) in day.controllers.items() if shard in one.owners)
+def leader_of(day: Day, shard: int) -> str:
+    return next(host for host, (one, _) in day.controllers.items() if shard in one.leaders)
 
 
 def workers_of(day: Day, host: str) -> list[Worker]:
     """The machines of the shards that a controller owns."""
-    owners = day.controllers[host][0].owners.values()
-    return [day.site.workers[name] for owner in owners for name in owner.shard.machines if name in day.site.workers]
+    leaders = day.controllers[host][0].leaders.values()
+    return [day.site.workers[name] for leader in leaders for name in leader.shard.machines if name in day.site.workers]
 
 
 def on_machines(day: Day, ref: str) -> list[str]:
@@ -47,7 +47,7 @@
 
 
 def hung(day: Day, worker: Worker) -> None:
-    """It hangs before its owner is refused, and goes on just within its lease."""
+    """It hangs before its leader is refused, and goes on just within its lease."""
     worker.hung = True
     day.loop.later(10 * SECOND, lambda: setattr(worker, "hung", False))
 
@@ -128,7 +128,7 @@
         monkeypatch.setattr("badgerroute.settings.Settings.grace", property(lambda self: 60 * SECOND))
     else:
         monkeypatch.setattr(
-            "badgerroute.coordination.ownership.claims.Claims.proved", property(lambda self: self._loop.now())
+            "badgerroute.coordination.leadership.claims.Claims.proved", property(lambda self: self._loop.now())
         )
     day = gap(0.0, 14, 58, "cut", well)
     assert any("ran_cancelled" in text for text in day.rules.broken)
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -20,9 +20,9 @@
     day.run(5)
     day.loop.freeze(HOSTS[0], 26)
     day.run(26)
-    owners = day.controllers[HOSTS[0]][0].owners
-    assert day.until(lambda: 0 not in owners, 2), "it learns that its claim went"
-    assert day.until(lambda: 0 in owners, 15), "its shard comes home"
+    leaders = day.controllers[HOSTS[0]][0].leaders
+    assert day.until(lambda: 0 not in leaders, 2), "it learns that its claim went"
+    assert day.until(lambda: 0 in leaders, 15), "its shard comes home"
     day.submit(job("run-a", heads=12))
     assert day.finish() == []
     assert day.rules.broken == []
@@ -127,29 +127,29 @@
     host = HOSTS[seed % 3]
     heal = cut_from_workers(day, host, mode)
     day.run(20)
-    assert day.controllers[host][0].owners == {}, "nor is it given back before it reaches a worker"
+    assert day.controllers[host][0].leaders == {}, "nor is it given back before it reaches a worker"
     ended = [name for name, worker in day.site.workers.items() if worker.session != sessions.get(name)]
     assert len(ended) <= 1, "hardly a lease ran out"
     heal()
-    owners = day.controllers[host][0].owners
-    assert day.until(lambda: len(owners) == 1, 20), "its shard comes home"
+    leaders = day.controllers[host][0].leaders
+    assert day.until(lambda: len(leaders) == 1, 20), "its shard comes home"
     assert day.finish() == []
     assert day.rules.broken == []
 
 
 def test_silent_machines_alone_move_no_shard() -> None:
-    """Half of a shard's machines lose the network: that is their trouble, not their owner's."""
+    """Half of a shard's machines lose the network: that is their trouble, not their leader's."""
     day = Day(seed=19, machines=24, capacity=0)
     day.run(5)
-    shard = day.controllers[HOSTS[0]][0].owners[0].shard
+    shard = day.controllers[HOSTS[0]][0].leaders[0].shard
     terms = {shard.number: shard.term}
     names = list(shard.machines)[: len(shard.machines) * 2 // 3]
     for name in names:
         for host in HOSTS:
             day.world.cut(host, name, "hold")
     day.run(9)
-    owners = day.controllers[HOSTS[0]][0].owners
-    assert {number: owner.shard.term for number, owner in owners.items()} == terms
+    leaders = day.controllers[HOSTS[0]][0].leaders
+    assert {number: leader.shard.term for number, leader in leaders.items()} == terms
     for name in names:
         for host in HOSTS:
             day.world.heal(host, name)
@@ -205,8 +205,8 @@
     day = Day(seed=23)
     day.run(5)
     mine, other = (day.controllers[host][0] for host in HOSTS[:2])
-    theirs = next(iter(other.owners[1].shard.machines))
-    own = next(iter(mine.owners[0].shard.machines))
+    theirs = next(iter(other.leaders[1].shard.machines))
+    own = next(iter(mine.leaders[0].shard.machines))
     mine.fleet.delete([theirs, own])
     day.run(3)
     assert theirs in day.site.workers and own not in day.site.workers
@@ -271,7 +271,7 @@
 
 
 def deaf_and_hung(day: Day) -> None:
-    """Machines that don't hear, and machines that don't move, when their owner ends."""
+    """Machines that don't hear, and machines that don't move, when their leader ends."""
     workers = day.random.sample(list(day.site.workers.values()), 3)
     workers[0].unreachable = workers[1].hung = workers[2].hung = True
 
--- a/tests/test_pipeline_edges.py
+++ b/tests/test_pipeline_edges.py
@@ -282,7 +282,7 @@
     assert graph.released_at("c") == 0.0 and graph.released_at("d") == 70.0
 
 
-def test_a_fan_of_hundreds_is_withdrawn_at_the_lower_rate_beside_a_dead_owner() -> None:
+def test_a_fan_of_hundreds_is_withdrawn_at_the_lower_rate_beside_a_dead_leader() -> None:
     day = Day(seed=81, machines=3, later=LOWER)
     day.run(5)
     day.submit(job("run-first", heads=1, trek_s=300.0))
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -161,9 +161,9 @@
     day.run(1)
     assert [day.poll(ref) for ref in refs[1:]] == ["queued"] * 3
     assert all(
-        ref not in owner.shard.jobs
+        ref not in leader.shard.jobs
         for one, _ in day.controllers.values()
-        for owner in one.owners.values()
+        for leader in one.leaders.values()
         for ref in refs[1:]
     )
     assert day.finish(90) == []
@@ -370,8 +370,8 @@
         return sum(name.startswith("run-stage/") for name in day.rules.on)
 
     def levels() -> set[int]:
-        owners = [owner for one, _ in day.controllers.values() for owner in one.owners.values()]
-        return {owner.shard.jobs["run-stage"].level for owner in owners if "run-stage" in owner.shard.jobs}
+        leaders = [leader for one, _ in day.controllers.values() for leader in one.leaders.values()]
+        return {leader.shard.jobs["run-stage"].level for leader in leaders if "run-stage" in leader.shard.jobs}
 
     assert not placed()
     day.submit(job("run-end", heads=1, rank="urgent", market_s=60.0, follows=["run-stage"]))
@@ -381,8 +381,8 @@
     day.run(1.5)
     assert levels() == {0}
     for one, _ in day.controllers.values():
-        for owner in one.owners.values():
-            for machine in owner.shard.machines.values():
+        for leader in one.leaders.values():
+            for machine in leader.shard.machines.values():
                 assert all(abs(room.cpus) < 1e-6 for level, room in machine.held.items() if level == 2)
     day.cancel("run-fill")
     assert day.finish() == []
@@ -402,10 +402,10 @@
         day.restart(host, SECOND)
     day.run(10)
     found = [
-        owner.shard.jobs["run-b"]
+        leader.shard.jobs["run-b"]
         for one, _ in day.controllers.values()
-        for owner in one.owners.values()
-        if "run-b" in owner.shard.jobs
+        for leader in one.leaders.values()
+        if "run-b" in leader.shard.jobs
     ]
     assert found and all(abs((one.accepted - done_at) / SECOND) < 4 for one in found)
 
--- a/tests/test_rebalancing_days.py
+++ b/tests/test_rebalancing_days.py
@@ -13,7 +13,7 @@
 from tests.standins.history import History, wait_ratios
 from tests.standins.loads import hot_team
 from tests.standins.workers import Worker
-from tests.test_meetings import on_machines, owner_of
+from tests.test_meetings import leader_of, on_machines
 
 ON = OperatorSettings(rebalancing=Rebalancing())
 OFF = OperatorSettings()
@@ -150,8 +150,8 @@
     import msgspec
 
     for controller, _ in day.controllers.values():
-        for owner in controller.owners.values():
-            for one in owner.shard.jobs.values():
+        for leader in controller.leaders.values():
+            for one in leader.shard.jobs.values():
                 one.spec = msgspec.structs.replace(one.spec, zone=None)
 
 
@@ -190,7 +190,7 @@
         day.site.remove_worker(name)
 
 
-def crash_owners(day: Day) -> None:
+def crash_leaders(day: Day) -> None:
     for host in HOSTS[:2]:
         day.restart(host)
 
@@ -214,7 +214,7 @@
 @pytest.mark.parametrize("seed", [21, 22])
 @pytest.mark.parametrize(
     "trouble",
-    [end_at_the_halt, cancel, lose_half, crash_owners, hang, deafen, late_copies],
+    [end_at_the_halt, cancel, lose_half, crash_leaders, hang, deafen, late_copies],
     ids=lambda one: one.__name__,
 )
 def test_a_task_is_on_one_machine_whatever_meets_its_move(trouble: Callable[[Day], None], seed: int) -> None:
@@ -316,7 +316,7 @@
     assert ask_undrain(day, second).answer is DrainAnswer.NOT_DRAINING
     assert ask_drain(day, "host-999999").answer is DrainAnswer.UNKNOWN
     controller = next(
-        one for one, _ in day.controllers.values() if second in next(iter(one.owners.values())).shard.machines
+        one for one, _ in day.controllers.values() if second in next(iter(one.leaders.values())).shard.machines
     )
     controller.fleet.delete([second])
     assert day.until(lambda: "b/machines/" + second not in day.state.items, 20)
@@ -329,20 +329,20 @@
 
 
 @pytest.mark.parametrize("seed", [34, 35, 36])
-def test_a_drain_survives_its_owner(seed: int) -> None:
-    """The owner crashes just after it has begun to stop the work of a hot machine."""
+def test_a_drain_survives_its_leader(seed: int) -> None:
+    """The leader crashes just after it has begun to stop the work of a hot machine."""
     day = busy_day(seed, waypoint_s=5.0, pen_s=2.0)
     worker = hottest(day)
-    owner = owner_of(day, next(iter(shard_of(day, worker.name))))
+    leader = leader_of(day, next(iter(shard_of(day, worker.name))))
     asked = day.loop.now()
     ask_drain(day, worker.name, within=30)
     assert day.until(lambda: any(task.state == "flushing" for task in worker.tasks.values()), 10)
-    day.crash(owner)
+    day.crash(leader)
     day.submit(job("run-b", heads=30, crew="red", trek_s=5.0))
     day.run(30)
     assert [name for name, machine in day.rules.on.items() if machine is worker] == []
     assert starts_on(day, worker.name, asked + SECOND) == 0
-    day.start(owner)
+    day.start(leader)
     day.run(15)
     assert starts_on(day, worker.name, asked + SECOND) == 0, "also once its controller is back"
     ask_undrain(day, worker.name)
@@ -353,8 +353,8 @@
     return [
         number
         for controller, _ in day.controllers.values()
-        for number, owner in controller.owners.items()
-        if machine in owner.shard.machines
+        for number, leader in controller.leaders.items()
+        if machine in leader.shard.machines
     ]
 
 
@@ -383,11 +383,11 @@
     assert day.finish(300) == [] and day.rules.broken == [] and day.history_problems() == []
 
 
-def test_the_owner_that_drains_is_cut_off() -> None:
+def test_the_leader_that_drains_is_cut_off() -> None:
     """It may no longer act; whoever comes after it finds the record."""
     day = busy_day(39, waypoint_s=5.0, pen_s=1.0)
     worker = hottest(day)
-    host = owner_of(day, next(iter(shard_of(day, worker.name))))
+    host = leader_of(day, next(iter(shard_of(day, worker.name))))
     for other in [f"state-{host}", *(one for one in HOSTS if one != host)]:
         day.world.cut(host, other, "hold")
     ask_drain_elsewhere(day, host, worker.name)
@@ -455,7 +455,7 @@
 
 
 @pytest.mark.cheats
-def test_the_history_checker_catches_an_owner_that_does_not_wait_for_proof(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_history_checker_catches_an_leader_that_does_not_wait_for_proof(monkeypatch: pytest.MonkeyPatch) -> None:
     """A move that starts the task elsewhere at once, while it still saves where it was."""
     from badgerroute.scheduling.shard import Shard
 
--- a/tests/test_rebalancing_loopback.py
+++ b/tests/test_rebalancing_loopback.py
@@ -50,8 +50,8 @@
         return [
             machine.name
             for controller, _ in day.controllers.values()
-            for owner in controller.owners.values()
-            for machine in owner.shard.machines.values()
+            for leader in controller.leaders.values()
+            for machine in leader.shard.machines.values()
             if machine.drain_deadline is not None
         ]
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -12,7 +12,7 @@
 from badgerroute.coordination.membership.mesh import MAX_QUEUED_BYTES, _Link
 from badgerroute.coordination.shards import summary as summary_module
 from badgerroute.coordination.shards.fencing import Fencing
-from badgerroute.coordination.shards.owner import SUMMARY_KEPT_PER_MACHINE
+from badgerroute.coordination.shards.shard_leader import SUMMARY_KEPT_PER_MACHINE
 from badgerroute.coordination.shards.summary import summarize
 from badgerroute.protocol import mesh
 from badgerroute.protocol.cloud import MachineType
@@ -224,7 +224,7 @@
 
 
 def settled(day: Day) -> bool:
-    shards = [owner.shard for controller, _ in day.controllers.values() for owner in controller.owners.values()]
+    shards = [leader.shard for controller, _ in day.controllers.values() for leader in controller.leaders.values()]
     return len(shards) == len(HOSTS) and all(shard.settled for shard in shards)
 
 
@@ -242,7 +242,7 @@
     for host in HOSTS[1:]:
         day.crash(host)
     heir = day.controllers[HOSTS[0]][0]
-    assert day.until(lambda: len(heir.owners) == len(HOSTS) and settled(day), 15), "one holds everything"
+    assert day.until(lambda: len(heir.leaders) == len(HOSTS) and settled(day), 15), "one holds everything"
     requests = heir.state.requests
     day.run(3)
     assert heir.state.requests - requests < 150, "its requests do not follow its machines"
--- a/tools/connectivity_measurement.py
+++ b/tools/connectivity_measurement.py
@@ -81,7 +81,7 @@
         hand_overs=counts.hand_overs,
         claims=counts.claims,
         killed_by_lease=len(counts.killed_by_lease),
-        without_owner_s=counts.shard_seconds_without_owner,
+        without_leader_s=counts.shard_seconds_without_leader,
         refused=counts.users_503,
         asked=counts.users_asked,
         relayed=counts.relayed,
--- a/tools/connectivity_results.py
+++ b/tools/connectivity_results.py
@@ -14,7 +14,7 @@
     hand_overs: int
     claims: int
     killed_by_lease: int
-    without_owner_s: float  # summed over the shards
+    without_leader_s: float  # summed over the shards
     refused: int  # answers of 503 to a user who asks twice a second
     asked: int
     relayed: int
