--- a/badgerroute/connectivity/modes.py
+++ b/badgerroute/connectivity/modes.py
@@ -38,8 +38,8 @@
     RETURN_IDLE = "return_idle"
     GIVE_UP_MACHINE = "give_up_machine"  # have a machine deleted because it is silent
     DELETE = "delete"  # at the cloud, whatever the reason
-    CLAIM = "claim"
-    HAND_OVER = "hand_over"
+    CAMPAIGN = "claim"
+    TRANSFER_SHARD = "hand_over"
     RECEIVE_SHARD = "receive_part"
 
 
@@ -47,7 +47,7 @@
     """Whether an action is allowed, and until when."""
 
     ALLOWED = "allowed"
-    WITHIN_GRACE = "within_grace"  # until the last proof of our claims is G old
+    WITHIN_GRACE = "within_grace"  # until the last confirmation of our leadership is G old
     WHILE_CERTAIN = "while_certain"  # until our lease may have ended since the last proof
     RELUCTANT = "reluctant"  # after those had the chance who reach more
     FROM_MEMORY = "from_memory"  # only as far as nothing has to be read
@@ -75,8 +75,8 @@
     Action.RETURN_IDLE: (_GRACE, _GRACE, _GRACE, _REFUSED, _REFUSED, _REFUSED),
     Action.GIVE_UP_MACHINE: (_ALLOWED, _ALLOWED, _ALLOWED, _REFUSED, _REFUSED, _REFUSED),
     Action.DELETE: (_CERTAIN, _CERTAIN, _CERTAIN, _CERTAIN, _CERTAIN, _CERTAIN),
-    Action.CLAIM: (_ALLOWED, _ALLOWED, _ALLOWED, _REFUSED, _RELUCTANT, _REFUSED),
-    Action.HAND_OVER: (_ALLOWED, _ALLOWED, _REFUSED, _REFUSED, _ALLOWED, _REFUSED),
+    Action.CAMPAIGN: (_ALLOWED, _ALLOWED, _ALLOWED, _REFUSED, _RELUCTANT, _REFUSED),
+    Action.TRANSFER_SHARD: (_ALLOWED, _ALLOWED, _REFUSED, _REFUSED, _ALLOWED, _REFUSED),
     Action.RECEIVE_SHARD: (_ALLOWED, _REFUSED, _REFUSED, _REFUSED, _REFUSED, _REFUSED),
 }
 PERMISSIONS: dict[Mode, dict[Action, Permission]] = {
--- a/badgerroute/connectivity/worker_silence.py
+++ b/badgerroute/connectivity/worker_silence.py
@@ -17,7 +17,7 @@
     `awake_since`: the end of our own last standstill, before which nothing could be heard.
     """
     if machine.reported is None:
-        last = max(machine.joined, shard.claimed_at) + LEAVING
+        last = max(machine.joined, shard.led_since) + LEAVING
     else:
         last = machine.reported
     return now - max(last, awake_since) > report * REPORT_SLACK + REPORT_DELAY
--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -16,12 +16,12 @@
 from badgerroute.coordination.jobs.job_writer import JobWriter
 from badgerroute.coordination.jobs.pipelines import Pipelines
 from badgerroute.coordination.jobs.record_paging import RecordPager
-from badgerroute.coordination.leadership.action_gate import ActionGate
-from badgerroute.coordination.leadership.claims import Claim, Claims
+from badgerroute.coordination.leadership.action_policy import ActionPolicy
+from badgerroute.coordination.leadership.leader_election import LeaderElection, Leadership
 from badgerroute.coordination.membership.connectivity_monitor import ConnectivityMonitor
 from badgerroute.coordination.membership.forwarding import FIRST_NUMBERS, RequestForwarder
+from badgerroute.coordination.membership.leadership_transfer import LeadershipTransfer
 from badgerroute.coordination.membership.mesh import Mesh
-from badgerroute.coordination.membership.shard_hand_over import ShardHandOver
 from badgerroute.coordination.membership.siblings import Siblings
 from badgerroute.coordination.quotas.team_quotas import TeamQuotas
 from badgerroute.coordination.requests.http_api import HttpApi
@@ -71,22 +71,24 @@
         self.cloud = CloudClient(loop, network, settings.platform.endpoints.cloud, params.cloud, params.size)
         self.replica = Replica(loop, self.state)
         self.mesh = Mesh(settings, loop, network, group, lambda message: self.messages.receive(message))
-        self.claims = Claims(settings, loop, self.state, self.replica, self._won, self._lost, self._claim_permission)
-        self.permits = ActionGate(self.claims, lambda: self.monitor.mode)
+        self.election = LeaderElection(
+            settings, loop, self.state, self.replica, self._on_elected, self._on_deposed, self._campaign_permission
+        )
+        self.policy = ActionPolicy(self.election, lambda: self.monitor.mode)
         hosts = [sibling.host_name for sibling in settings.platform.siblings]
         self.cancellation_broadcast = CancellationBroadcast(
             loop, settings.platform.host_name, hosts, self.mesh.send, params.workers.cancel
         )
-        self.machine_catalog = MachineCatalog(loop, self.cloud, self.state, self.replica, self.claims)
+        self.machine_catalog = MachineCatalog(loop, self.cloud, self.state, self.replica, self.election)
         self.catalog = self.machine_catalog.types
         self.leaders: dict[int, ShardLeader] = {}
-        self.siblings = Siblings(settings, loop, self.claims, self.leaders)
+        self.siblings = Siblings(settings, loop, self.election, self.leaders)
         self.monitor = ConnectivityMonitor(
             settings=settings,
             loop=loop,
             network=network,
             replica=self.replica,
-            claims=self.claims,
+            election=self.election,
             siblings=self.siblings,
             leaders=self.leaders,
             sample=random.Random(settings.platform.host_name).sample,
@@ -103,17 +105,17 @@
         self.requests = ShardRequests(
             loop=loop,
             group=group,
-            claims=self.claims,
-            permits=self.permits,
+            election=self.election,
+            policy=self.policy,
             siblings=self.siblings,
             mesh=self.mesh,
             leaders=self.leaders,
         )
-        self.hand_over = ShardHandOver(
+        self.leadership_transfer = LeadershipTransfer(
             settings=settings,
             loop=loop,
-            claims=self.claims,
-            permits=self.permits,
+            election=self.election,
+            policy=self.policy,
             siblings=self.siblings,
             monitor=self.monitor,
             leaders=self.leaders,
@@ -129,8 +131,8 @@
             replica=self.replica,
             job_store=self.job_store,
             job_reader=self.job_reader,
-            owned=lambda shard: shard in self.claims.shards,
-            tidies=lambda: self.claims.fleet is not None and self.permits.allows(Action.CLEAN_UP),
+            owned=lambda shard: shard in self.election.leaderships,
+            tidies=lambda: self.election.autoscaler_term is not None and self.policy.allows(Action.CLEAN_UP),
             turn=settings.home,
         )
         self.fleet = Fleet(
@@ -138,8 +140,8 @@
             loop=loop,
             group=group,
             cloud=self.cloud,
-            claims=self.claims,
-            permits=self.permits,
+            election=self.election,
+            policy=self.policy,
             replica=self.replica,
             catalog=self.catalog,
             summaries=self.siblings.summaries,
@@ -152,7 +154,7 @@
             loop, self.leaders, self.job_store, self.job_writer, self.forecast, self._condition
         )
         self.idle_machines = IdleMachines(
-            settings, loop, self.permits, self.job_store, self.catalog, self.leaders, self.fleet.delete
+            settings, loop, self.policy, self.job_store, self.catalog, self.leaders, self.fleet.delete
         )
         self.users = Users(
             params=params,
@@ -170,7 +172,7 @@
             settings=settings,
             loop=loop,
             replica=self.replica,
-            permits=self.permits,
+            policy=self.policy,
             leaders=self.leaders,
             siblings=self.siblings,
             mesh=self.mesh,
@@ -182,10 +184,10 @@
             settings=settings,
             group=group,
             replica=self.replica,
-            claims=self.claims,
+            election=self.election,
             siblings=self.siblings,
             requests=self.requests,
-            hand_over=self.hand_over,
+            leadership_transfer=self.leadership_transfer,
             forwarder=self.forwarder,
             job_store=self.job_store,
             cancellation_broadcast=self.cancellation_broadcast,
@@ -193,7 +195,7 @@
         )
         user_desk = UserDesk(
             settings=settings,
-            permits=self.permits,
+            policy=self.policy,
             state=self.state,
             siblings=self.siblings,
             users=self.users,
@@ -214,8 +216,8 @@
             gate=self._gate,
             state=self.state,
             replica=self.replica,
-            claims=self.claims,
-            permits=self.permits,
+            election=self.election,
+            policy=self.policy,
             awake_since=self.monitor.awake_since,
             job_store=self.job_store,
             job_reader=self.job_reader,
@@ -246,13 +248,13 @@
         for make, name in (
             (self.replica.run, "replica"),
             (self.replica.answer_readers, "reads"),
-            (self.claims.run, "claims"),
+            (self.election.run, "claims"),
             (self.machine_catalog.run, "catalog"),
             (self._gossip_duty, "gossip"),
             (self.progress_duty.run, "flush"),
             (self._forecast_duty, "forecast"),
             (self.requests.steal_duty, "steal"),
-            (self.hand_over.run, "hand-over"),
+            (self.leadership_transfer.run, "hand-over"),
             (self.fleet.rent_duty, "rent"),
             (self.fleet.delete_duty, "delete"),
             (self.idle_machines.run, "idle"),
@@ -265,12 +267,12 @@
             self._group.duty(make, name, second)
         await Future()
 
-    def _won(self, shard: int, claim: Claim) -> None:
-        leader = ShardLeader(shard, claim, self._services)
+    def _on_elected(self, shard: int, leadership: Leadership) -> None:
+        leader = ShardLeader(shard, leadership, self._services)
         self.leaders[shard] = leader
         leader.start()
 
-    def _lost(self, shard: int) -> None:
+    def _on_deposed(self, shard: int) -> None:
         leader = self.leaders.pop(shard, None)
         if leader is not None:
             log.info("event=shard_lost shard=%d", shard)
@@ -278,7 +280,7 @@
             leader.close()
 
     def _condition(self, shard: int) -> Condition | None:
-        return self.claims.condition(shard) if shard in self.claims.shards else None
+        return self.election.condition(shard) if shard in self.election.leaderships else None
 
     # -- what the watch says
 
@@ -317,7 +319,7 @@
         while True:
             await self._loop.sleep(GOSSIP)
             self.state.share(self.siblings.in_use())
-            if self.claims.lease is not None:
+            if self.election.lease is not None:
                 self.mesh.broadcast(self._gossip())
             self.cancellation_broadcast.repeat()
 
@@ -325,10 +327,10 @@
         shards = [leader.summary() for leader in self.leaders.values() if leader.ready]
         return mesh_wire.Gossip(
             self.settings.platform.host_name,
-            self.claims.lease or 0,
+            self.election.lease or 0,
             bool(self.catalog) and self.replica.ready.done,
             self.monitor.reaches_state_service(),
-            not self.permits.allows(Action.RECEIVE_SHARD),
+            not self.policy.allows(Action.RECEIVE_SHARD),
             shards,
             self.monitor.mode.value,
             list(self.siblings.heard()),
@@ -357,8 +359,8 @@
         deadline = self._loop.now() + self.settings.operator.scheduling.round
         return lambda: self._loop.now() > deadline
 
-    def _claim_permission(self) -> Permission:
-        return self.permits.permission(Action.CLAIM)
+    def _campaign_permission(self) -> Permission:
+        return self.policy.permission(Action.CAMPAIGN)
 
     # -- mesh
 
--- a/badgerroute/coordination/fleet/catalog.py
+++ b/badgerroute/coordination/fleet/catalog.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from badgerroute.coordination.leadership.claims import Claims
+from badgerroute.coordination.leadership.leader_election import LeaderElection
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
@@ -28,8 +28,10 @@
 class MachineCatalog:
     """`types` are those known so far, by name; others may hold on to the dictionary, which is only added to."""
 
-    def __init__(self, loop: Loop, cloud: CloudClient, state: StateClient, replica: Replica, claims: Claims) -> None:
-        self._loop, self._cloud, self._state, self._replica, self._claims = loop, cloud, state, replica, claims
+    def __init__(
+        self, loop: Loop, cloud: CloudClient, state: StateClient, replica: Replica, election: LeaderElection
+    ) -> None:
+        self._loop, self._cloud, self._state, self._replica, self._election = loop, cloud, state, replica, election
         self.types: dict[str, MachineType] = {}
         replica.listen(CATALOG, self._changed)
 
@@ -45,7 +47,7 @@
         await self._replica.ready
         while True:
             pause = REFRESH
-            if self._claims.fleet is not None or not self.types:
+            if self._election.autoscaler_term is not None or not self.types:
                 try:
                     types = await self._cloud.catalog()
                 except (CloudUnavailableError, NoCapacityError) as trouble:
--- a/badgerroute/coordination/fleet/idle_machines.py
+++ b/badgerroute/coordination/fleet/idle_machines.py
@@ -6,7 +6,7 @@
 
 from badgerroute.connectivity.modes import Action
 from badgerroute.coordination.jobs.job_store import JobStore
-from badgerroute.coordination.leadership.action_gate import ActionGate
+from badgerroute.coordination.leadership.action_policy import ActionPolicy
 from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.scheduling.model import Machine
@@ -26,13 +26,13 @@
         self,
         settings: Settings,
         loop: Loop,
-        permits: ActionGate,
+        policy: ActionPolicy,
         job_store: JobStore,
         catalog: dict[str, MachineType],
         leaders: dict[int, ShardLeader],
         delete: Callable[[list[str]], None],
     ) -> None:
-        self._settings, self._loop, self._permits, self._job_store = settings, loop, permits, job_store
+        self._settings, self._loop, self._policy, self._job_store = settings, loop, policy, job_store
         self._catalog, self._leaders, self._delete = catalog, leaders, delete
 
     async def run(self) -> None:
@@ -45,11 +45,7 @@
             if not self._job_store.active:
                 idle /= NO_JOBS
             for leader in list(self._leaders.values()):
-                if (
-                    leader.ready
-                    and leader.shard.settled
-                    and self._permits.allows_for(leader.number, Action.RETURN_IDLE)
-                ):
+                if leader.ready and leader.shard.settled and self._policy.allows_for(leader.number, Action.RETURN_IDLE):
                     self._return(leader, idle)
 
     def _return(self, leader: ShardLeader, idle: timedelta) -> None:
--- a/badgerroute/coordination/fleet/rentals.py
+++ b/badgerroute/coordination/fleet/rentals.py
@@ -6,8 +6,8 @@
 from datetime import timedelta
 
 from badgerroute.connectivity.modes import Action
-from badgerroute.coordination.leadership.action_gate import ActionGate
-from badgerroute.coordination.leadership.claims import Claims
+from badgerroute.coordination.leadership.action_policy import ActionPolicy
+from badgerroute.coordination.leadership.leader_election import LeaderElection
 from badgerroute.protocol.cloud import ListedMachine, MachineType
 from badgerroute.protocol.mesh import ShardSummary
 from badgerroute.scheduling.rental_planning import (
@@ -61,23 +61,23 @@
         loop: Loop,
         group: Group,
         cloud: CloudClient,
-        claims: Claims,
-        permits: ActionGate,
+        election: LeaderElection,
+        policy: ActionPolicy,
         replica: Replica,
         catalog: dict[str, MachineType],
         summaries: Callable[[], list[ShardSummary]],
         deleted: Callable[[list[str]], None],
     ) -> None:
         self._settings, self._loop, self._group, self._cloud = settings, loop, group, cloud
-        self._claims, self._replica, self._catalog = claims, replica, catalog
-        self._permits = permits
+        self._election, self._replica, self._catalog = election, replica, catalog
+        self._policy = policy
         self._summaries, self._deleted = summaries, deleted
         self._counter = 0
         self._refused: dict[RentalPlace, tuple[timedelta, timedelta]] = {}  # not before, pause
         self._pending: dict[str, Pending] = {}  # machine name, or request name while unanswered
         self._to_delete: dict[str, timedelta] = {}
         self._listed: dict[str, tuple[ListedMachine, timedelta]] = {}
-        self._unclaimed: dict[str, timedelta] = {}
+        self._unassigned: dict[str, timedelta] = {}
         self._latest_up: timedelta | None = None  # when the machine that came up, and was rented last, had been rented
         self._list_at: timedelta | None = None
         self._listing_time = timedelta(0)  # that a list of all machines takes at our share of the calls
@@ -97,7 +97,7 @@
     def _belongs_to_others(self, name: str) -> bool:
         """It was thought useless, then came up after all and joined a shard of somebody else, who may use it by now."""
         value = self._replica.value(MACHINES + name)
-        return value is not None and records.read(value, MachineRecord).shard not in self._claims.shards
+        return value is not None and records.read(value, MachineRecord).shard not in self._election.leaderships
 
     async def delete_duty(self) -> None:
         """Delete what is to be deleted, a batch at a time, while nobody else can hold our shards."""
@@ -107,7 +107,7 @@
                 del self._to_delete[name]
             names = list(self._to_delete)[:MAX_MACHINES_PER_DELETION]
             # A controller that stood still, or was cut off, once deleted machines that a new leader used by then.
-            if not names or not self._permits.allows(Action.DELETE):
+            if not names or not self._policy.allows(Action.DELETE):
                 continue
             try:
                 await self._cloud.delete(names)
@@ -121,13 +121,13 @@
                 self._pending.pop(name, None)
             self._deleted(names)
 
-    # -- renting: who holds the fleet claim
+    # -- renting: who holds the autoscaler leadership
 
     async def rent_duty(self) -> None:
-        """Rent what is needed, while this controller holds the fleet claim."""
+        """Rent what is needed, while this controller holds the autoscaler leadership."""
         while True:
             await self._loop.sleep(ROUND)
-            if self._claims.fleet is None or not self._permits.allows(Action.RENT) or not self._catalog:
+            if self._election.autoscaler_term is None or not self._policy.allows(Action.RENT) or not self._catalog:
                 self._list_at = None
                 continue
             try:
@@ -148,8 +148,8 @@
         members = {key.removeprefix(MACHINES) for key in self._replica.under(MACHINES)}
         listed = {machine.name for machine in machines}
         useless = [machine.name for machine in machines if self._is_useless(machine, members, now)]
-        self._unclaimed = {
-            name: since for name, since in self._unclaimed.items() if name in listed and name not in members
+        self._unassigned = {
+            name: since for name, since in self._unassigned.items() if name in listed and name not in members
         }
         useless += self._give_up_pending(members, listed, now)
         if useless:
@@ -174,7 +174,7 @@
         if machine.name in self._pending and self._due(self._pending[machine.name]):
             return False
         # Up, but it never reported to anybody. Its worker may be cut off; it must not cost for ever.
-        since = self._unclaimed.setdefault(machine.name, now)
+        since = self._unassigned.setdefault(machine.name, now)
         return now - since > 2 * self._list_lag() + self._settings.params.workers.lease
 
     def _give_up_pending(self, members: set[str], listed: set[str], now: timedelta) -> list[str]:
@@ -249,10 +249,10 @@
     async def _rent_at(self, place: RentalPlace, count: int) -> int:
         """Rent some machines; how many are on their way. A lost answer is asked for again by the same name."""
         self._counter += 1
-        request = f"r-{self._claims.fleet}-{self._counter}"
+        request = f"r-{self._election.autoscaler_term}-{self._counter}"
         count = min(count, MAX_MACHINES_PER_RENTAL)
         for _ in range(3):
-            if self._claims.fleet is None:
+            if self._election.autoscaler_term is None:
                 return count
             try:
                 names = await self._cloud.rent(request, *place, count)
--- a/badgerroute/coordination/jobs/job_writer.py
+++ b/badgerroute/coordination/jobs/job_writer.py
@@ -36,7 +36,7 @@
 CHANGES_OF_AN_END = 2  # a record removed, a final state put
 ANSWER_LIMIT = timedelta(milliseconds=1500)
 
-ClaimOf = Callable[[int], Condition | None]
+LeadershipCheck = Callable[[int], Condition | None]
 
 
 @dataclass(slots=True)
@@ -167,10 +167,10 @@
 
     # -- progress
 
-    async def write_progress(self, batch: list[Progress], claim_of: ClaimOf) -> None:
+    async def write_progress(self, batch: list[Progress], leadership_check: LeadershipCheck) -> None:
         """Make done tasks durable, all in one transaction; jobs that are complete move to their final state."""
         for _ in range(MAX_PROGRESS_TRIES):
-            transaction = self._progress_transaction(batch, claim_of)
+            transaction = self._progress_transaction(batch, leadership_check)
             if not transaction.changes:
                 return
             try:
@@ -186,18 +186,18 @@
                 self._progress_written(transaction, applied)
                 return
 
-    def _progress_transaction(self, batch: list[Progress], claim_of: ClaimOf) -> ProgressTransaction:
+    def _progress_transaction(self, batch: list[Progress], leadership_check: LeadershipCheck) -> ProgressTransaction:
         transaction = ProgressTransaction()
         for progress in batch:
             room = self._state.max_changes - len(transaction.changes)
             if transaction.size > MAX_TRANSACTION_BYTES or room < CHANGES_OF_AN_END:
                 break  # what is left comes with the next write
             record = self._store.active.get(progress.ref)
-            claims = [claim for shard in progress.shards if (claim := claim_of(shard)) is not None]
-            if record is None or len(claims) < len(progress.shards):
+            compares = [compare for shard in progress.shards if (compare := leadership_check(shard)) is not None]
+            if record is None or len(compares) < len(progress.shards):
                 continue  # cancelled meanwhile, or the shard is not ours any more
             key = JOBS + progress.ref
-            for condition in (*claims, when(key, self._replica.revision_of(key))):
+            for condition in (*compares, when(key, self._replica.revision_of(key))):
                 transaction.require(condition)
             self._add_progress(transaction, progress, record, room)
         return transaction
--- a/badgerroute/coordination/leadership/claims.py
+++ b/badgerroute/coordination/leadership/leader_election.py
@@ -13,7 +13,7 @@
 from badgerroute.settings import Settings
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
-from badgerroute.storage.replica import FLEET, SHARD_LEADERS, Replica
+from badgerroute.storage.replica import AUTOSCALER_LEADER, SHARD_LEADERS, Replica
 from badgerroute.storage.state import (
     ConflictError,
     LeaseExpiredError,
@@ -26,22 +26,22 @@
 from badgerroute.transport.clock import ZERO
 from badgerroute.transport.loop import Future, Loop
 
-log = logging.getLogger("badgerroute.claims")
+log = logging.getLogger("badgerroute.election")
 NEVER = -timedelta(days=1)
-FIRST_WAIT = timedelta(seconds=3)  # a shard that nobody ever held is left to its home controller for so long
+HOME_PRIORITY_PERIOD = timedelta(seconds=3)  # a shard that nobody ever held is left to its home controller for so long
 RETRY = timedelta(milliseconds=250)
-RELUCTANCE = timedelta(seconds=1)
+RELUCTANT_DELAY = timedelta(seconds=1)
 
 
 @dataclass(slots=True)
-class Claim:
+class Leadership:
     """A shard that is ours."""
 
     term: int
-    grace: timedelta  # counted from the claim: how long whoever held it before may still act for it
+    grace: timedelta  # counted from the leadership: how long whoever held it before may still act for it
 
 
-class Claims:
+class LeaderElection:
     """The shards that this controller holds, and its right to act for them."""
 
     def __init__(
@@ -50,26 +50,26 @@
         loop: Loop,
         state: StateClient,
         replica: Replica,
-        won: Callable[[int, Claim], None],
-        lost: Callable[[int], None],
+        on_elected: Callable[[int, Leadership], None],
+        on_deposed: Callable[[int], None],
         permission: Callable[[], Permission] = lambda: Permission.ALLOWED,
     ) -> None:
         self._settings, self._loop, self._state, self._replica = settings, loop, state, replica
-        self._won, self._lost = won, lost
+        self._on_elected, self._on_deposed = on_elected, on_deposed
         self._permission = permission  # to claim shards
-        self._freed = Future()  # a shard has no leader any more
-        self._me = settings.platform.host_name
+        self._shard_freed = Future()  # a shard has no leader any more
+        self._host = settings.platform.host_name
         self._grace = settings.grace  # asked for with every report
         self.lease: int | None = None
-        self.shards: dict[int, Claim] = {}
-        self.fleet: int | None = None
-        self._proved = NEVER
+        self.leaderships: dict[int, Leadership] = {}
+        self.autoscaler_term: int | None = None
+        self._last_confirmed = NEVER
         self._started = loop.now()
-        self._seen: set[int] = set()  # shards that were held by somebody once
-        self._busy: set[int] = set()  # shards with a write of ours on its way
-        self._above: dict[int, int] = {}  # the highest terms in which siblings said that they hold a shard
+        self._ever_led: set[int] = set()  # shards that were held by somebody once
+        self._writing: set[int] = set()  # shards with a write of ours on its way
+        self._peer_terms: dict[int, int] = {}  # the highest terms in which siblings said that they hold a shard
         replica.listen(SHARD_LEADERS, self._shard_changed)
-        replica.listen(FLEET, self._fleet_changed)
+        replica.listen(AUTOSCALER_LEADER, self._autoscaler_leader_changed)
 
     # -- what others ask
 
@@ -79,37 +79,37 @@
 
     def condition(self, shard: int) -> Condition:
         """What every write for a shard is conditional on."""
-        return when(self.key(shard), self.shards[shard].term)
+        return when(self.key(shard), self.leaderships[shard].term)
 
     @property
-    def proved(self) -> timedelta:
+    def last_confirmed(self) -> timedelta:
         """Until when nobody else can have held what we hold."""
-        return min(self._proved, self._replica.proved)
+        return min(self._last_confirmed, self._replica.last_confirmed)
 
-    def fresh(self) -> bool:
+    def within_grace(self) -> bool:
         """Whether what we know of the state service is recent enough to act on: docs/safety.md, G."""
-        return self._loop.now() - self.proved < self._grace
+        return self._loop.now() - self.last_confirmed < self._grace
 
-    def certain(self) -> bool:
+    def lease_surely_valid(self) -> bool:
         """Whether nobody else can hold what we hold even now: our lease can't have ended since the last proof.
 
         Within G we may still act, since whoever comes after us waits for it; but not destroy what may be theirs by now.
         """
-        return self._loop.now() - self.proved < self._settings.operator.claims.ttl
+        return self._loop.now() - self.last_confirmed < self._settings.operator.election.ttl
 
-    def outranked(self, shard: int, term: int) -> None:
+    def step_down_if_outranked(self, shard: int, term: int) -> None:
         """A sibling says that it holds a shard, in a higher term than ours: there is no need to wait for G."""
-        self._above[shard] = max(term, self._above.get(shard, 0))
-        claim = self.shards.get(shard)
+        self._peer_terms[shard] = max(term, self._peer_terms.get(shard, 0))
+        leadership = self.leaderships.get(shard)
         # Also while a write of ours is on its way: a higher term that we ask for is conditional on the one we had, so
         # it came before the sibling's, or never. A leader that can't reach the state service is always just asking.
-        if claim is not None and term > claim.term:
-            log.warning("event=stood_down shard=%d term=%d by=%d", shard, claim.term, term)
-            self._drop(shard)
+        if leadership is not None and term > leadership.term:
+            log.warning("event=stood_down shard=%d term=%d by=%d", shard, leadership.term, term)
+            self._step_down(shard)
 
-    def acting(self, shard: int) -> bool:
+    def may_lead(self, shard: int) -> bool:
         """Whether this controller holds a shard and may act for it now."""
-        return shard in self.shards and self.fresh()
+        return shard in self.leaderships and self.within_grace()
 
     def known_term(self, shard: int) -> int:
         """The term of the last claim to a shard that is known here; 0 if there is none."""
@@ -125,12 +125,12 @@
     async def run(self) -> None:
         """Keep the lease and claim what is free, for as long as the controller runs."""
         await self._replica.ready
-        pause = self._settings.operator.claims.ttl / 4
+        pause = self._settings.operator.election.ttl / 4
         while True:
             try:
                 await self._keep_lease()
                 if self._permission() is not Permission.REFUSED:
-                    await self._claim_all()
+                    await self._campaign_for_all()
             except (StateUnavailableError, OutcomeUnknownError) as error:
                 log.info("event=claims_delayed error=%s", error)
                 await self._loop.sleep(RETRY)
@@ -140,174 +140,178 @@
                 continue
             # Woken by the watch, all who are left come at once; then who has fewest shards goes first. When they came
             # as their pauses ended, a controller with two shards took a third while an idle one slept.
-            await self._loop.first(self._freed, min(pause, RETRY) if self._wanting() else pause)
-            self._freed = Future()
+            await self._loop.first(self._shard_freed, min(pause, RETRY) if self._any_shard_free() else pause)
+            self._shard_freed = Future()
 
     async def _keep_lease(self) -> None:
         sent = self._loop.now()
-        ttl = self._settings.operator.claims.ttl
+        ttl = self._settings.operator.election.ttl
         if self.lease is None:
             self.lease = await self._state.grant(ttl)
             log.info("event=lease_granted lease=%d", self.lease)
         else:
-            if sent - self._proved < ttl / 5:
+            if sent - self._last_confirmed < ttl / 5:
                 return
             await self._state.touch(self.lease, min(ttl / 2, timedelta(seconds=1.5)))
-        self._proved = sent
+        self._last_confirmed = sent
 
     def _lease_ended(self) -> None:
-        log.warning("event=lease_lost shards=%s", sorted(self.shards))
+        log.warning("event=lease_lost shards=%s", sorted(self.leaderships))
         self.lease = None
-        self._proved = NEVER
-        self.fleet = None
-        for shard in list(self.shards):
-            self._drop(shard)
+        self._last_confirmed = NEVER
+        self.autoscaler_term = None
+        for shard in list(self.leaderships):
+            self._step_down(shard)
 
-    def _drop(self, shard: int) -> None:
-        if self.shards.pop(shard, None) is not None:
-            self._lost(shard)
+    def _step_down(self, shard: int) -> None:
+        if self.leaderships.pop(shard, None) is not None:
+            self._on_deposed(shard)
 
-    def _wanting(self) -> bool:
-        return any(self._claimable(shard) for shard in range(self._settings.params.size))
+    def _any_shard_free(self) -> bool:
+        return any(self._may_campaign(shard) for shard in range(self._settings.params.size))
 
-    def _claimable(self, shard: int) -> bool:
-        if shard in self.shards or shard in self._busy:
+    def _may_campaign(self, shard: int) -> bool:
+        if shard in self.leaderships or shard in self._writing:
             return False
         leader = self.leader(shard)
         if leader is not None:
-            return leader == self._me
-        if shard == self._settings.home or shard in self._seen:
+            return leader == self._host
+        if shard == self._settings.home or shard in self._ever_led:
             return True
-        return self._loop.now() - self._started > FIRST_WAIT
+        return self._loop.now() - self._started > HOME_PRIORITY_PERIOD
 
-    async def _claim_all(self) -> None:
+    async def _campaign_for_all(self) -> None:
         size = self._settings.params.size
         home = self._settings.home
         for offset in range(size):  # the home shard first
             shard = (home + offset) % size
-            if self._claimable(shard):
+            if self._may_campaign(shard):
                 if shard != home and self.leader(shard) is None:
                     # Whoever has fewest shards should come first; a short pause settles most races.
-                    await self._loop.sleep(timedelta(milliseconds=80) * len(self.shards) + self._reluctance())
-                if self._claimable(shard):
-                    await self._claim(shard)
-        if self.fleet is None:
-            await self._claim_fleet()
+                    await self._loop.sleep(timedelta(milliseconds=80) * len(self.leaderships) + self._campaign_delay())
+                if self._may_campaign(shard):
+                    await self._campaign(shard)
+        if self.autoscaler_term is None:
+            await self._campaign_for_autoscaler()
 
-    def _reluctance(self) -> timedelta:
+    def _campaign_delay(self) -> timedelta:
         """One that no worker reaches leaves a free shard to others, if there are any."""
-        return RELUCTANCE if self._permission() is Permission.RELUCTANT else ZERO
+        return RELUCTANT_DELAY if self._permission() is Permission.RELUCTANT else ZERO
 
-    async def _claim(self, shard: int) -> None:
+    async def _campaign(self, shard: int) -> None:
         value = self._replica.value(self.key(shard))
         held = records.read(value, records.ShardLeaderRecord) if value else None
-        if held is not None and held.leader != self._me:
+        if held is not None and held.leader != self._host:
             return
         # Under our own name it is an earlier life of ours, which is over, or it was handed to us by a leader that
         # had stopped before. But a leader before that may have been cut off, so its time limit is kept. Where nobody
         # handed it over that is not enough: a claim of ours for the absent key may have been carried out seconds late,
         # after somebody else had held the shard and been cut off, and then the time limit in it is too early.
         until = held.until if held is not None else 0.0
-        if held is None or not held.handed:
+        if held is None or not held.transferred:
             until = max(until, self._now_of_day() + self._settings.grace.total_seconds())
         await self._write(shard, self._replica.revision_of(self.key(shard)), until)
 
     def _now_of_day(self) -> float:
         return self._loop.clock.today().timestamp()
 
-    async def _write(self, shard: int, mark: int, until: float) -> int | None:
+    async def _write(self, shard: int, revision: int, until: float) -> int | None:
         key, lease = self.key(shard), self.lease
         if lease is None:
             return None
-        self._busy.add(shard)
+        self._writing.add(shard)
         try:
-            record = records.ShardLeaderRecord(self._me, until)
+            record = records.ShardLeaderRecord(self._host, until)
             term = await self._state.transact(
-                [when(key, mark)], [put(key, records.write(record), lease)], Urgency.CLAIM
+                [when(key, revision)], [put(key, records.write(record), lease)], Urgency.LEADERSHIP
             )
         except ConflictError:
             log.info("event=claim_missed shard=%d", shard)
-            item = await self._state.get(key, Urgency.CLAIM)
+            item = await self._state.get(key, Urgency.LEADERSHIP)
             if item is not None:
                 self._replica.learn(key, bytes(item.value), item.revision)
             return None
         finally:
-            self._busy.discard(shard)
-        if lease != self.lease:  # the lease ended while we waited: so did the claim
+            self._writing.discard(shard)
+        if lease != self.lease:  # the lease ended while we waited: so did the leadership
             return None
         if (
-            max(self._above.get(shard, 0), self._replica.revision_of(key)) > term
+            max(self._peer_terms.get(shard, 0), self._replica.revision_of(key)) > term
         ):  # so it has, and somebody else came after us
             return None
         bound = 2 * self._settings.params.time_bound_ms / 1000  # two controllers' times of day
-        claim = Claim(term, max(ZERO, timedelta(seconds=until - self._now_of_day() + bound)))
-        known = self.shards.get(shard)
-        self.shards[shard] = claim
+        leadership = Leadership(term, max(ZERO, timedelta(seconds=until - self._now_of_day() + bound)))
+        previous = self.leaderships.get(shard)
+        self.leaderships[shard] = leadership
         self._replica.learn(key, bytes(records.write(record)), term)
-        if known is None:
-            log.info("event=shard_claimed shard=%d term=%d grace=%.1f", shard, term, claim.grace.total_seconds())
-            self._won(shard, claim)
+        if previous is None:
+            log.info("event=shard_claimed shard=%d term=%d grace=%.1f", shard, term, leadership.grace.total_seconds())
+            self._on_elected(shard, leadership)
         return term
 
     async def raise_term(self, shard: int) -> int | None:
         """A higher term for a shard that is held already, for a machine that has seen a higher token."""
-        claim = self.shards.get(shard)
-        if claim is None or shard in self._busy:
+        leadership = self.leaderships.get(shard)
+        if leadership is None or shard in self._writing:
             return None
-        log.info("event=term_raised shard=%d from=%d", shard, claim.term)
-        return await self._write(shard, claim.term, self._until(shard))
+        log.info("event=term_raised shard=%d from=%d", shard, leadership.term)
+        return await self._write(shard, leadership.term, self._grace_end(shard))
 
-    def _until(self, shard: int) -> float:
+    def _grace_end(self, shard: int) -> float:
         value = self._replica.value(self.key(shard))
         return records.read(value, records.ShardLeaderRecord).until if value else 0.0
 
-    async def hand_over(self, shard: int, host: str, lease: int) -> None:
+    async def transfer(self, shard: int, host: str, lease: int) -> None:
         """Give a shard to the controller whose home it is. We stop acting for it before we write."""
-        claim = self.shards.get(shard)
-        if claim is None or shard in self._busy:
+        leadership = self.leaderships.get(shard)
+        if leadership is None or shard in self._writing:
             return
-        self._busy.add(shard)
-        self._drop(shard)
+        self._writing.add(shard)
+        self._step_down(shard)
         try:
             key = self.key(shard)
-            value = records.write(records.ShardLeaderRecord(host, self._until(shard), handed=True))
-            mark = await self._state.transact([when(key, claim.term)], [put(key, value, lease)], Urgency.CLAIM)
-            self._replica.learn(key, bytes(value), mark)
+            value = records.write(records.ShardLeaderRecord(host, self._grace_end(shard), transferred=True))
+            revision = await self._state.transact(
+                [when(key, leadership.term)], [put(key, value, lease)], Urgency.LEADERSHIP
+            )
+            self._replica.learn(key, bytes(value), revision)
             log.info("event=shard_handed_over shard=%d to=%s", shard, host)
         except (StateUnavailableError, OutcomeUnknownError, ConflictError, LeaseExpiredError) as error:
             log.info("event=hand_over_failed shard=%d error=%s", shard, error)
         finally:
-            self._busy.discard(shard)
+            self._writing.discard(shard)
 
-    async def _claim_fleet(self) -> None:
-        value = self._replica.value(FLEET)
-        if value is not None and records.read(value, records.FleetClaim).leader != self._me:
+    async def _campaign_for_autoscaler(self) -> None:
+        value = self._replica.value(AUTOSCALER_LEADER)
+        if value is not None and records.read(value, records.AutoscalerLeaderRecord).leader != self._host:
             return
-        record = records.write(records.FleetClaim(self._me))
+        record = records.write(records.AutoscalerLeaderRecord(self._host))
         lease = self.lease
         try:
-            mark = await self._state.transact(
-                [when(FLEET, self._replica.revision_of(FLEET))], [put(FLEET, record, lease)], Urgency.CLAIM
+            revision = await self._state.transact(
+                [when(AUTOSCALER_LEADER, self._replica.revision_of(AUTOSCALER_LEADER))],
+                [put(AUTOSCALER_LEADER, record, lease)],
+                Urgency.LEADERSHIP,
             )
         except ConflictError:
             return
         if lease == self.lease:
-            self.fleet = mark
-            self._replica.learn(FLEET, bytes(record), mark)
-            log.info("event=fleet_claimed term=%d", mark)
+            self.autoscaler_term = revision
+            self._replica.learn(AUTOSCALER_LEADER, bytes(record), revision)
+            log.info("event=fleet_claimed term=%d", revision)
 
     # -- what the watch says
 
     def _shard_changed(self, key: str, value: bytes | None, revision: int) -> None:
         shard = int(key.removeprefix(SHARD_LEADERS))
-        self._seen.add(shard)
+        self._ever_led.add(shard)
         if value is None:
-            self._freed.set()
-        claim = self.shards.get(shard)
-        if claim is not None and shard not in self._busy and revision > claim.term:
-            log.warning("event=deposed shard=%d term=%d", shard, claim.term)
-            self._drop(shard)
-
-    def _fleet_changed(self, key: str, value: bytes | None, revision: int) -> None:
-        if self.fleet is not None and revision > self.fleet:
-            self.fleet = None
+            self._shard_freed.set()
+        leadership = self.leaderships.get(shard)
+        if leadership is not None and shard not in self._writing and revision > leadership.term:
+            log.warning("event=deposed shard=%d term=%d", shard, leadership.term)
+            self._step_down(shard)
+
+    def _autoscaler_leader_changed(self, key: str, value: bytes | None, revision: int) -> None:
+        if self.autoscaler_term is not None and revision > self.autoscaler_term:
+            self.autoscaler_term = None
--- a/badgerroute/coordination/membership/connectivity_monitor.py
+++ b/badgerroute/coordination/membership/connectivity_monitor.py
@@ -10,7 +10,7 @@
 from badgerroute.connectivity.modes import Mode, Reachable
 from badgerroute.connectivity.standstill import StandstillDetector
 from badgerroute.connectivity.worker_link import WorkerLink
-from badgerroute.coordination.leadership.claims import NEVER, Claims
+from badgerroute.coordination.leadership.leader_election import NEVER, LeaderElection
 from badgerroute.coordination.membership.siblings import Siblings
 from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.settings import Settings
@@ -37,12 +37,12 @@
         loop: Loop,
         network: Network,
         replica: Replica,
-        claims: Claims,
+        election: LeaderElection,
         siblings: Siblings,
         leaders: dict[int, ShardLeader],
         sample: Callable[[list[str], int], list[str]],
     ) -> None:
-        self._loop, self._network, self._replica, self._claims = loop, network, replica, claims
+        self._loop, self._network, self._replica, self._election = loop, network, replica, election
         self._siblings, self._leaders, self._sample = siblings, leaders, sample
         self._has_siblings = settings.params.size > 1
         self._host = settings.platform.host_name
@@ -64,9 +64,9 @@
 
     def reaches_state_service(self) -> bool:
         """Whether the state service has answered a renewal and a watch lately."""
-        proved = self._claims.proved
-        if proved > NEVER:
-            self._state_link.heard(proved)
+        last_confirmed = self._election.last_confirmed
+        if last_confirmed > NEVER:
+            self._state_link.heard(last_confirmed)
         return not self._state_link.suspected(self._loop.now())
 
     def alone(self) -> bool:
@@ -107,7 +107,7 @@
             state_service=self.reaches_state_service(),
             workers=not self.worker_link.lost,
             siblings=bool(heard) or not self._has_siblings,
-            recorded_sibling=any(sibling.gossip.proved for sibling in heard),
+            recorded_sibling=any(sibling.gossip.store_reachable for sibling in heard),
         )
 
     async def probe(self) -> None:
--- a/badgerroute/coordination/membership/shard_hand_over.py
+++ b/badgerroute/coordination/membership/leadership_transfer.py
@@ -3,10 +3,10 @@
 import logging
 from datetime import timedelta
 
-from badgerroute.connectivity.hand_over_choice import Candidate, choose_receiver
 from badgerroute.connectivity.modes import Action
-from badgerroute.coordination.leadership.action_gate import ActionGate
-from badgerroute.coordination.leadership.claims import Claims
+from badgerroute.connectivity.transfer_target import Candidate, choose_receiver
+from badgerroute.coordination.leadership.action_policy import ActionPolicy
+from badgerroute.coordination.leadership.leader_election import LeaderElection
 from badgerroute.coordination.membership.connectivity_monitor import ConnectivityMonitor
 from badgerroute.coordination.membership.siblings import Sibling, Siblings
 from badgerroute.coordination.shards.shard_leader import ShardLeader
@@ -18,20 +18,20 @@
 ROUND = timedelta(seconds=2)
 
 
-class ShardHandOver:
-    """Only shards that are ours are handed over, by `Claims.hand_over`."""
+class LeadershipTransfer:
+    """Only shards that are ours are handed over, by `LeaderElection.leadership_transfer`."""
 
     def __init__(
         self,
         settings: Settings,
         loop: Loop,
-        claims: Claims,
-        permits: ActionGate,
+        election: LeaderElection,
+        policy: ActionPolicy,
         siblings: Siblings,
         monitor: ConnectivityMonitor,
         leaders: dict[int, ShardLeader],
     ) -> None:
-        self._settings, self._loop, self._claims, self._permits = settings, loop, claims, permits
+        self._settings, self._loop, self._election, self._policy = settings, loop, election, policy
         self._siblings, self._monitor, self._leaders = siblings, monitor, leaders
         self._worker_link = monitor.worker_link
         self._relay_for = settings.operator.connectivity.relay_for
@@ -40,20 +40,20 @@
         """Hand over one shard a round: first what its workers can't report here, else what has its home elsewhere."""
         while True:
             await self._loop.sleep(ROUND)
-            if self._permits.allows(Action.HAND_OVER) and not await self._hand_unheard():
-                await self._send_home()
+            if self._policy.allows(Action.TRANSFER_SHARD) and not await self._transfer_unheard():
+                await self._return_to_home()
 
     # -- shards whose home controller is there again
 
-    async def _send_home(self) -> None:
-        for shard in list(self._claims.shards):
+    async def _return_to_home(self) -> None:
+        for shard in list(self._election.leaderships):
             host = self._home(shard)
             sibling = self._siblings.get(host)
             leader = self._leaders.get(shard)
             # A sibling that has lost the state service still names the lease it once had. Its shard was handed to it
             # again and again, each time given up first and claimed anew, and stood still for as long as the cut.
             if sibling is not None and sibling.fit() and leader is not None and leader.shard.settled:
-                await self._claims.hand_over(shard, host, sibling.gossip.lease)
+                await self._election.transfer(shard, host, sibling.gossip.lease)
                 return
 
     def _home(self, shard: int) -> str:
@@ -71,10 +71,10 @@
             misdirected.shard, misdirected.machine, misdirected.host, self._loop.now(), relayed=False
         )
         self._monitor.update()
-        if self._permits.allows(Action.HAND_OVER):
-            await self._hand_unheard()
+        if self._policy.allows(Action.TRANSFER_SHARD):
+            await self._transfer_unheard()
 
-    async def _hand_unheard(self) -> bool:
+    async def _transfer_unheard(self) -> bool:
         """Hand a shard over that relaying does not serve, or has served for long enough; whether there was one."""
         now = self._loop.now()
         long_enough = self._worker_link.lost_for(now) >= self._relay_for
@@ -85,7 +85,7 @@
                 continue
             receiver = self._receiver(leader, now)
             if receiver is not None:
-                await self._hand(leader, receiver)
+                await self._transfer(leader, receiver)
                 return True
         return False
 
@@ -100,8 +100,8 @@
         chosen = choose_receiver(candidates, len(leader.shard.machines))
         return None if chosen is None else fit[chosen.host]
 
-    async def _hand(self, leader: ShardLeader, receiver: Sibling) -> None:
+    async def _transfer(self, leader: ShardLeader, receiver: Sibling) -> None:
         host = receiver.gossip.host
         log.warning("event=workers_unheard shard=%d to=%s", leader.number, host)
         self._worker_link.shard_given_up(leader.number)
-        await self._claims.hand_over(leader.number, host, receiver.gossip.lease)
+        await self._election.transfer(leader.number, host, receiver.gossip.lease)
--- a/badgerroute/coordination/membership/siblings.py
+++ b/badgerroute/coordination/membership/siblings.py
@@ -7,7 +7,7 @@
 
 from badgerroute.connectivity.links import SIBLING, Link
 from badgerroute.connectivity.modes import Mode
-from badgerroute.coordination.leadership.claims import Claims
+from badgerroute.coordination.leadership.leader_election import LeaderElection
 from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.protocol import mesh as mesh_wire
 from badgerroute.settings import Settings
@@ -29,7 +29,7 @@
     def fit(self) -> bool:
         """Whether a shard may be given to it."""
         gossip = self.gossip
-        return gossip.ready and gossip.proved and gossip.lease > 0 and not gossip.isolated
+        return gossip.ready and gossip.store_reachable and gossip.lease > 0 and not gossip.isolated
 
     def takes_forwarded(self, host: str) -> bool:
         """Whether it answers requests that this host passes on."""
@@ -39,8 +39,10 @@
 class Siblings:
     """The other controllers as they were last heard, and our own shards beside theirs."""
 
-    def __init__(self, settings: Settings, loop: Loop, claims: Claims, leaders: dict[int, ShardLeader]) -> None:
-        self._settings, self._loop, self._claims, self._leaders = settings, loop, claims, leaders
+    def __init__(
+        self, settings: Settings, loop: Loop, election: LeaderElection, leaders: dict[int, ShardLeader]
+    ) -> None:
+        self._settings, self._loop, self._election, self._leaders = settings, loop, election, leaders
         hosts = [sibling.host_name for sibling in settings.platform.siblings]
         self.links = {host: Link(SIBLING, loop.now()) for host in hosts}
         self._known: dict[str, Sibling] = {}
@@ -77,11 +79,11 @@
         ]
 
     def leader(self, shard: int) -> str | None:
-        """The host that holds a shard: by the claim as it is known here, or by a sibling that names a higher term.
+        """The host that holds a shard: by the leadership as it is known here, or by a sibling that names a higher term.
 
         A controller that has lost the state service learns only from the siblings who came after it.
         """
-        host, term = self._claims.leader(shard), self._claims.known_term(shard)
+        host, term = self._election.leader(shard), self._election.known_term(shard)
         for name, sibling in self.heard().items():
             for summary in sibling.gossip.shards:
                 if summary.shard == shard and summary.term > term:
@@ -94,8 +96,8 @@
         Right after the start nobody has been heard yet, so none is counted out then.
         """
         now = self._loop.now()
-        claimed = {self._claims.leader(shard) for shard in range(self._settings.params.size)}
-        return 1 + sum(host in claimed or not link.gone(now) for host, link in self.links.items())
+        led = {self._election.leader(shard) for shard in range(self._settings.params.size)}
+        return 1 + sum(host in led or not link.gone(now) for host, link in self.links.items())
 
     def running(self, ref: str) -> int:
         """How many of a job's tasks run, for display."""
--- a/badgerroute/coordination/requests/mesh_messages.py
+++ b/badgerroute/coordination/requests/mesh_messages.py
@@ -2,10 +2,10 @@
 
 from badgerroute.coordination.jobs.cancellation_broadcast import CancellationBroadcast
 from badgerroute.coordination.jobs.job_store import JobStore
-from badgerroute.coordination.leadership.claims import Claims
+from badgerroute.coordination.leadership.leader_election import LeaderElection
 from badgerroute.coordination.membership.forwarding import RequestForwarder
+from badgerroute.coordination.membership.leadership_transfer import LeadershipTransfer
 from badgerroute.coordination.membership.mesh import Mesh
-from badgerroute.coordination.membership.shard_hand_over import ShardHandOver
 from badgerroute.coordination.membership.siblings import Siblings
 from badgerroute.coordination.requests.shard_requests import ShardRequests
 from badgerroute.protocol import mesh as wire
@@ -23,18 +23,18 @@
         settings: Settings,
         group: Group,
         replica: Replica,
-        claims: Claims,
+        election: LeaderElection,
         siblings: Siblings,
         requests: ShardRequests,
-        hand_over: ShardHandOver,
+        leadership_transfer: LeadershipTransfer,
         forwarder: RequestForwarder,
         job_store: JobStore,
         cancellation_broadcast: CancellationBroadcast,
         mesh: Mesh,
     ) -> None:
         self._host, self._group, self._mesh = settings.platform.host_name, group, mesh
-        self._replica, self._claims, self._siblings = replica, claims, siblings
-        self._requests, self._hand_over, self._forwarder = requests, hand_over, forwarder
+        self._replica, self._election, self._siblings = replica, election, siblings
+        self._requests, self._leadership_transfer, self._forwarder = requests, leadership_transfer, forwarder
         self._job_store, self._cancellation_broadcast = job_store, cancellation_broadcast
 
     def receive(self, message: wire.Message) -> None:
@@ -51,7 +51,7 @@
             case wire.MachineLoanRequest():
                 self._requests.lend(message)
             case wire.MisdirectedReport():
-                self._group.spawn(self._hand_over.on_misdirected_report(message), "misdirected")
+                self._group.spawn(self._leadership_transfer.on_misdirected_report(message), "misdirected")
             case wire.ForwardedRequest():
                 self._forwarder.on_request(message)
             case wire.ForwardedResponse():
@@ -64,7 +64,7 @@
     def _on_gossip(self, message: wire.Gossip) -> None:
         self._siblings.hear(message)
         for summary in message.shards:
-            self._claims.outranked(summary.shard, summary.term)
+            self._election.step_down_if_outranked(summary.shard, summary.term)
 
     def _on_push(self, message: wire.Push) -> None:
         if self._replica.ready.done:
--- a/badgerroute/coordination/requests/report_desk.py
+++ b/badgerroute/coordination/requests/report_desk.py
@@ -6,7 +6,7 @@
 from badgerroute.connectivity.modes import Action, Mode
 from badgerroute.connectivity.relay_routes import RelayRoutes, Route
 from badgerroute.coordination.fleet.deleted_names import DeletedNames
-from badgerroute.coordination.leadership.action_gate import ActionGate
+from badgerroute.coordination.leadership.action_policy import ActionPolicy
 from badgerroute.coordination.membership.connectivity_monitor import ConnectivityMonitor
 from badgerroute.coordination.membership.forwarding import RequestForwarder
 from badgerroute.coordination.membership.mesh import Mesh
@@ -34,7 +34,7 @@
         settings: Settings,
         loop: Loop,
         replica: Replica,
-        permits: ActionGate,
+        policy: ActionPolicy,
         leaders: dict[int, ShardLeader],
         siblings: Siblings,
         mesh: Mesh,
@@ -42,7 +42,7 @@
         forwarder: RequestForwarder,
         deleted: DeletedNames,
     ) -> None:
-        self._settings, self._loop, self._replica, self._permits = settings, loop, replica, permits
+        self._settings, self._loop, self._replica, self._policy = settings, loop, replica, policy
         self._leaders, self._siblings, self._mesh = leaders, siblings, mesh
         self._monitor, self._worker_link, self._forwarder = monitor, monitor.worker_link, forwarder
         self._deleted = deleted
@@ -70,7 +70,7 @@
         return await self._not_ours(request, report, shard)
 
     async def _answer(self, leader: ShardLeader, report: Report, relay: str | None) -> Response:
-        if not leader.ready or not self._permits.allows_for(leader.number, Action.ANSWER_REPORT):
+        if not leader.ready or not self._policy.allows_for(leader.number, Action.ANSWER_REPORT):
             return come_back("not acting for this machine now")
         if relay is not None and leader.missed(report.machine):
             self._worker_link.note_elsewhere(leader.number, report.machine, relay, self._loop.now(), relayed=True)
--- a/badgerroute/coordination/requests/shard_requests.py
+++ b/badgerroute/coordination/requests/shard_requests.py
@@ -6,8 +6,8 @@
 from datetime import timedelta
 
 from badgerroute.connectivity.modes import Action
-from badgerroute.coordination.leadership.action_gate import ActionGate
-from badgerroute.coordination.leadership.claims import Claims
+from badgerroute.coordination.leadership.action_policy import ActionPolicy
+from badgerroute.coordination.leadership.leader_election import LeaderElection
 from badgerroute.coordination.membership.mesh import Mesh
 from badgerroute.coordination.membership.siblings import Siblings
 from badgerroute.coordination.shards.shard_leader import ShardLeader
@@ -25,13 +25,13 @@
         self,
         loop: Loop,
         group: Group,
-        claims: Claims,
-        permits: ActionGate,
+        election: LeaderElection,
+        policy: ActionPolicy,
         siblings: Siblings,
         mesh: Mesh,
         leaders: dict[int, ShardLeader],
     ) -> None:
-        self._loop, self._group, self._claims, self._permits = loop, group, claims, permits
+        self._loop, self._group, self._election, self._policy = loop, group, election, policy
         self._siblings, self._mesh, self._leaders = siblings, mesh, leaders
 
     async def steal_duty(self) -> None:
@@ -41,9 +41,9 @@
             for leader in list(self._leaders.values()):
                 if not leader.ready or not leader.shard.settled:
                     continue
-                if self._permits.allows_for(leader.number, Action.GIVE_WORK):
+                if self._policy.allows_for(leader.number, Action.GIVE_WORK):
                     await leader.migration.pass_on_gangs(self._siblings.summaries())
-                if self._permits.allows_for(leader.number, Action.STEAL):
+                if self._policy.allows_for(leader.number, Action.STEAL):
                     self._steal_for(leader)
 
     def _steal_for(self, leader: ShardLeader) -> None:
@@ -62,7 +62,7 @@
         if victim in self._leaders:
             self._group.spawn(self._leaders[victim].migration.on_steal(message), "steal")
         else:
-            host = self._claims.leader(victim)
+            host = self._election.leader(victim)
             if host is not None:
                 self._mesh.send(host, message)
 
--- a/badgerroute/coordination/requests/user_desk.py
+++ b/badgerroute/coordination/requests/user_desk.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 from badgerroute.connectivity.modes import Action, Permission
-from badgerroute.coordination.leadership.action_gate import ActionGate
+from badgerroute.coordination.leadership.action_policy import ActionPolicy
 from badgerroute.coordination.membership.forwarding import RequestForwarder
 from badgerroute.coordination.membership.siblings import Siblings
 from badgerroute.coordination.requests.responses import come_back, error
@@ -32,13 +32,13 @@
     def __init__(
         self,
         settings: Settings,
-        permits: ActionGate,
+        policy: ActionPolicy,
         state: StateClient,
         siblings: Siblings,
         users: Users,
         forwarder: RequestForwarder,
     ) -> None:
-        self._permits, self._state, self._siblings = permits, state, siblings
+        self._policy, self._state, self._siblings = policy, state, siblings
         self._users, self._forwarder = users, forwarder
         self._host = settings.platform.host_name
         self._forwards = settings.operator.connectivity.relay
@@ -50,7 +50,7 @@
         if request.method != operation.method:
             return error(405, "method not allowed")
         action = operation.action
-        permission = self._permits.permission(action)
+        permission = self._policy.permission(action)
         if permission is Permission.ALLOWED:
             response = await self._answer(request, ref, action)
             if response.status == UNAVAILABLE and self._state.troubled() and relay is None:
@@ -84,7 +84,7 @@
         able = [
             sibling
             for sibling in self._siblings.heard().values()
-            if sibling.gossip.ready and sibling.gossip.proved and sibling.takes_forwarded(self._host)
+            if sibling.gossip.ready and sibling.gossip.store_reachable and sibling.takes_forwarded(self._host)
         ]
         if not able:
             return None
--- a/badgerroute/coordination/shards/deleted_machines.py
+++ b/badgerroute/coordination/shards/deleted_machines.py
@@ -34,7 +34,7 @@
     def __init__(self, shard: Shard, services: Services) -> None:
         self._shard, self._publish = shard, services.publish
         self._loop, self._state, self._replica = services.loop, services.state, services.replica
-        self._claims = services.claims
+        self._election = services.election
         self._most_members = 0
         self._names_per_page = max(1, min(NAMES_PER_PAGE, self._state.max_value_bytes // MACHINE_NAME_BYTES))
 
@@ -47,14 +47,14 @@
         for name in names:
             self._shard.remove_machine(name, now)
         self._shard.settle()
-        while names and self._shard.number in self._claims.shards:
+        while names and self._shard.number in self._election.leaderships:
             key, known = self._page()
             batch = names[: min(self._state.max_changes - 1, self._names_per_page - len(known), MAX_MACHINES_PER_WRITE)]
             gone = records.write(DeletedMachinesRecord([*known, *(name for name in batch if name not in known)]))
             members = [MACHINES + name for name in batch if self._replica.revision_of(MACHINES + name)]
             changes: list[Put | Remove] = [put(key, gone), *(remove(key) for key in members)]
             # On the page as we know it: carried out late, an older write of it would strike newer names off.
-            conditions = [self._claims.condition(self._shard.number), when(key, self._replica.revision_of(key))]
+            conditions = [self._election.condition(self._shard.number), when(key, self._replica.revision_of(key))]
             try:
                 at = await self._state.transact(conditions, changes, Urgency.PROGRESS)
             except (StateUnavailableError, OutcomeUnknownError, ConflictError, LeaseExpiredError) as error:
--- a/badgerroute/coordination/shards/fencing.py
+++ b/badgerroute/coordination/shards/fencing.py
@@ -21,7 +21,7 @@
 
     def __init__(self, shard: Shard, services: Services, group: Group, commands: MachineCommands) -> None:
         self._shard, self._group, self._commands = shard, group, commands
-        self._loop, self._delete, self._permits = services.loop, services.delete_machines, services.permits
+        self._loop, self._delete, self._policy = services.loop, services.delete_machines, services.policy
         self._fencing: set[str] = set()
         self._asked: dict[str, timedelta] = {}  # when the first command to a machine left
         self._given_up: set[str] = set()
@@ -49,7 +49,7 @@
         self._asked.setdefault(machine.name, self._loop.now())
 
     def _give_up_if_silent(self, machine: Machine) -> None:
-        if not self._permits.allows(Action.GIVE_UP_MACHINE):
+        if not self._policy.allows(Action.GIVE_UP_MACHINE):
             # A leader that its workers don't reach learns nothing of a machine by its silence. What it was silent for
             # until now doesn't count later either.
             self._asked[machine.name] = self._loop.now()
--- a/badgerroute/coordination/shards/machine_commands.py
+++ b/badgerroute/coordination/shards/machine_commands.py
@@ -26,7 +26,7 @@
     def __init__(self, shard: Shard, services: Services, received: Callable[[Machine, Report], None]) -> None:
         self._shard, self._received = shard, received
         self._loop, self._network, self._gate = services.loop, services.network, services.gate
-        self._claims = services.claims
+        self._election = services.election
         self._raising: Future | None = None
 
     async def send(
@@ -81,7 +81,7 @@
         self._raising = Future()
         raised = False
         try:
-            term = await self._claims.raise_term(self._shard.number)
+            term = await self._election.raise_term(self._shard.number)
         except (StateUnavailableError, OutcomeUnknownError, LeaseExpiredError) as error:
             log.info("event=raise_failed shard=%d error=%s", self._shard.number, error)
         else:
--- a/badgerroute/coordination/shards/machine_loans.py
+++ b/badgerroute/coordination/shards/machine_loans.py
@@ -32,13 +32,13 @@
 
     def __init__(self, shard: Shard, services: Services, group: Group, active: Callable[[], bool]) -> None:
         self._shard, self._loop, self._group, self._active = shard, services.loop, group, active
-        self._state, self._replica, self._claims = services.state, services.replica, services.claims
-        self._permits = services.permits
+        self._state, self._replica, self._election = services.state, services.replica, services.election
+        self._policy = services.policy
         self._publish = services.publish
 
     def _acting(self) -> bool:
         """A leader that has ended must give nothing away, even if this controller holds the shard again."""
-        return self._active() and self._permits.allows_for(self._shard.number, Action.LEND_MACHINES)
+        return self._active() and self._policy.allows_for(self._shard.number, Action.LEND_MACHINES)
 
     async def lend(self, message: MachineLoanRequest) -> None:
         """Give empty machines to a shard that is too small for a gang, in one conditional write.
@@ -52,7 +52,7 @@
         if not given:
             return
         puts = [self._transfer(machine, message.shard) for machine in given]
-        conditions = [self._claims.condition(self._shard.number)]
+        conditions = [self._election.condition(self._shard.number)]
         conditions += [when(change.key, self._replica.revision_of(change.key)) for change in puts]
         try:
             at = await self._state.transact(conditions, puts, Urgency.PROGRESS)
@@ -103,7 +103,7 @@
                 item = await self._state.get(key, Urgency.COMPLETE)
                 if item is None or records.read(bytes(item.value), MachineRecord).shard != self._shard.number:
                     return  # the watch brings it
-                conditions = [self._claims.condition(self._shard.number), when(key, item.revision)]
+                conditions = [self._election.condition(self._shard.number), when(key, item.revision)]
                 at = await self._state.transact(conditions, [put(key, item.value)], Urgency.COMPLETE)
                 self._replica.learn(key, bytes(item.value), at)
                 machine.draining = False
--- a/badgerroute/coordination/shards/member_registry.py
+++ b/badgerroute/coordination/shards/member_registry.py
@@ -25,7 +25,7 @@
     """Writes new members down, several in one transaction."""
 
     def __init__(self, services: Services, group: Group) -> None:
-        self._loop, self._group, self._claims = services.loop, group, services.claims
+        self._loop, self._group, self._election = services.loop, group, services.election
         self._state, self._replica, self._publish = services.state, services.replica, services.publish
         self._waiting: dict[str, tuple[MachineRecord, Future]] = {}
         self._running = False
@@ -64,11 +64,11 @@
         batch = {
             name: record
             for name, record in batch.items()
-            if record.shard in self._claims.shards and not self._replica.revision_of(MACHINES + name)
+            if record.shard in self._election.leaderships and not self._replica.revision_of(MACHINES + name)
         }
         if not batch:
             return set()
-        conditions = [self._claims.condition(shard) for shard in {record.shard for record in batch.values()}]
+        conditions = [self._election.condition(shard) for shard in {record.shard for record in batch.values()}]
         conditions += [when(MACHINES + name, 0) for name in batch]
         values = {MACHINES + name: records.write(record) for name, record in batch.items()}
         try:
--- a/badgerroute/coordination/shards/migration.py
+++ b/badgerroute/coordination/shards/migration.py
@@ -65,8 +65,8 @@
     ) -> None:
         self.number, self.shard, self.planner = shard.number, shard, planner
         self._loop, self._group = services.loop, group
-        self._state, self._replica, self._claims = services.state, services.replica, services.claims
-        self._permits = services.permits
+        self._state, self._replica, self._election = services.state, services.replica, services.election
+        self._policy = services.policy
         self._job_store, self._job_reader, self._pager = services.job_store, services.job_reader, services.pager
         self._publish, self._ask_machines = services.publish, services.ask_machines
         self._active, self._changed = active, changed
@@ -106,7 +106,7 @@
 
     def _acting(self) -> bool:
         """A leader that has ended must give nothing away, even if this controller holds the shard again."""
-        return self._active() and self._permits.allows_for(self.number, Action.GIVE_WORK)
+        return self._active() and self._policy.allows_for(self.number, Action.GIVE_WORK)
 
     async def pass_on_gangs(self, summaries: list[mesh_wire.ShardSummary]) -> None:
         """Give gangs for which there is no room here to a shard that has some, or could make some."""
@@ -192,11 +192,11 @@
 
     async def _write_steal(self, changes: list[tuple[str, records.JobRecord]], thief: int) -> None:
         if not self._acting():
-            return  # the claim went while an earlier write of the same round was on its way
+            return  # the leadership went while an earlier write of the same round was on its way
         writes = [write for ref, record in changes if (write := self._reserve(ref, record)) is not None]
         if not writes:
             return
-        conditions = [self._claims.condition(self.number), *(write.condition for write in writes)]
+        conditions = [self._election.condition(self.number), *(write.condition for write in writes)]
         puts = [write.put for write in writes]
         try:
             at = await self._state.transact(conditions, puts, Urgency.PROGRESS)
--- a/badgerroute/coordination/shards/progress_duty.py
+++ b/badgerroute/coordination/shards/progress_duty.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 from badgerroute.coordination.jobs.job_store import JobStore
-from badgerroute.coordination.jobs.job_writer import ClaimOf, JobWriter, Progress
+from badgerroute.coordination.jobs.job_writer import JobWriter, LeadershipCheck, Progress
 from badgerroute.coordination.shards.forecast import JobForecast
 from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.storage.state import LeaseExpiredError, OutcomeUnknownError, StateUnavailableError
@@ -15,7 +15,7 @@
 
 
 class ProgressDuty:
-    """`claim_of` is the condition under which a shard is ours."""
+    """`leadership_check` is the condition under which a shard is ours."""
 
     def __init__(
         self,
@@ -24,9 +24,9 @@
         job_store: JobStore,
         job_writer: JobWriter,
         forecast: JobForecast,
-        claim_of: ClaimOf,
+        leadership_check: LeadershipCheck,
     ) -> None:
-        self._loop, self._leaders, self._claim_of = loop, leaders, claim_of
+        self._loop, self._leaders, self._leadership_check = loop, leaders, leadership_check
         self._job_store, self._job_writer, self._forecast = job_store, job_writer, forecast
         self._wanted = Future()
 
@@ -74,4 +74,4 @@
             return record.job.tasks - done.bit_count(), self._forecast.time_left(record)
 
         batch = sorted(merged.values(), key=order)
-        await self._job_writer.write_progress(batch, self._claim_of)
+        await self._job_writer.write_progress(batch, self._leadership_check)
--- a/badgerroute/coordination/shards/services.py
+++ b/badgerroute/coordination/shards/services.py
@@ -7,8 +7,8 @@
 from badgerroute.coordination.jobs.job_reader import JobReader
 from badgerroute.coordination.jobs.job_store import JobStore, Publish
 from badgerroute.coordination.jobs.record_paging import RecordPager
-from badgerroute.coordination.leadership.action_gate import ActionGate
-from badgerroute.coordination.leadership.claims import Claims
+from badgerroute.coordination.leadership.action_policy import ActionPolicy
+from badgerroute.coordination.leadership.leader_election import LeaderElection
 from badgerroute.coordination.quotas.team_quotas import TeamQuotas
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.mesh import MachineLoanRequest, ShareRequest
@@ -31,8 +31,8 @@
     gate: Gate  # how many commands may be on their way to machines at once
     state: StateClient
     replica: Replica
-    claims: Claims
-    permits: ActionGate
+    election: LeaderElection
+    policy: ActionPolicy
     awake_since: Callable[[], timedelta]  # the end of this process's last standstill
     job_store: JobStore
     job_reader: JobReader
--- a/badgerroute/coordination/shards/shard_leader.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -7,7 +7,7 @@
 from badgerroute.connectivity import worker_silence
 from badgerroute.connectivity.modes import Action
 from badgerroute.coordination.jobs.job_writer import Progress
-from badgerroute.coordination.leadership.claims import Claim
+from badgerroute.coordination.leadership.leader_election import Leadership
 from badgerroute.coordination.shards import summary
 from badgerroute.coordination.shards.deleted_machines import DeletedMachines
 from badgerroute.coordination.shards.fencing import Fencing
@@ -51,20 +51,20 @@
 
 
 class ShardLeader:
-    """Everything a controller does for one shard it owns. Ended by `close` when the claim is lost."""
+    """Everything a controller does for one shard it owns. Ended by `close` when leadership is lost."""
 
-    def __init__(self, number: int, claim: Claim, services: Services) -> None:
+    def __init__(self, number: int, leadership: Leadership, services: Services) -> None:
         self.number = number
         self._settings, self._loop, self._replica = services.settings, services.loop, services.replica
-        self._claims, self._job_store, self._catalog = services.claims, services.job_store, services.catalog
-        self._permits, self._awake_since = services.permits, services.awake_since
+        self._election, self._job_store, self._catalog = services.election, services.job_store, services.catalog
+        self._policy, self._awake_since = services.policy, services.awake_since
         self._progressed, self._delete = services.progressed, services.delete_machines
         params = self._settings.params
         self.group = Group(self._loop, f"{services.group.name}/shard-{number}")
         quotas, now = services.quotas, self._loop.now()
         self.shard = Shard(
             number,
-            claim.term,
+            leadership.term,
             lambda team: quotas.of(number, team),
             now,
             params.workers.lease,
@@ -73,7 +73,7 @@
         )
         objectives = Objectives(params.objectives)
         self.planner = Planner(self.shard, self._settings.operator.scheduling, objectives, params.workers.report)
-        self.grace = claim.grace
+        self.grace = leadership.grace
         self.ready = False
         self._window = records.window(services.state.max_value_bytes)
         self.commands = MachineCommands(self.shard, services, self._answered_directly)
@@ -95,7 +95,7 @@
         self.group.spawn(self._take_over(), "takeover")
 
     def close(self) -> None:
-        """End everything that is done for the shard; the claim is lost."""
+        """End everything that is done for the shard; leadership is lost."""
         self.ready = False
         self.group.cancel()
 
@@ -121,7 +121,7 @@
         )
         for machine in list(self.shard.machines.values()):
             self._fencing.fence(machine)
-        self.shard.claimed_at = min(self.shard.claimed_at, now)
+        self.shard.led_since = min(self.shard.led_since, now)
         self.group.duty(self._rounds, "rounds", ROUND)
         self.group.duty(self._log_state, "tell", STATE_LOGGED)
 
@@ -173,7 +173,7 @@
             return None
         if report.token > self.shard.term:
             return None  # it would drop the answer, and stay here while its lease runs out
-        acting = self._permits.allows_for(self.number, Action.ANSWER_REPORT)
+        acting = self._policy.allows_for(self.number, Action.ANSWER_REPORT)
         if not acting or self.shard.machines.get(report.machine) is not machine:
             return None
         if machine.unreachable or self._fencing.given_up(machine):
@@ -182,7 +182,7 @@
             return None
         fresh = self.apply_report(machine, report, checkin=True)
         now = self._loop.now()
-        starts = fresh and self._permits.allows_for(self.number, Action.START)
+        starts = fresh and self._policy.allows_for(self.number, Action.START)
         if fresh and not relayed:
             machine.reported = now
         if starts:
@@ -201,7 +201,7 @@
         return ReportAnswer(self.shard.term, commands)
 
     async def _register(self, report: Report) -> Machine | None:
-        if report.type not in self._catalog or not self._permits.allows_for(self.number, Action.ADD_MEMBER):
+        if report.type not in self._catalog or not self._policy.allows_for(self.number, Action.ADD_MEMBER):
             return None
         record = MachineRecord(self.number, report.address, report.type, report.zone, report.spot)
         written = self.member_registry.add(report.machine, record)
@@ -244,7 +244,7 @@
     async def _rounds(self) -> None:
         while True:
             await self._loop.sleep(ROUND)
-            if not self._permits.allows_for(self.number, Action.STOP):
+            if not self._policy.allows_for(self.number, Action.STOP):
                 continue
             now = self._loop.now()
             deadline = now + self._settings.operator.scheduling.round
@@ -257,13 +257,13 @@
             self.shard.expire_reservations(now)
             self.shard.settle()
             self.planner.release_holds(now)
-            if self._permits.allows_for(self.number, Action.START):
+            if self._policy.allows_for(self.number, Action.START):
                 self.planner.gangs(now, over)
                 if not over():
                     self.planner.make_room_for_arrays(now, over)
             self.planner.feedback(now)
             self._urgent_halts.send()
-            if self._permits.allows_for(self.number, Action.MOVE_SHARE):
+            if self._policy.allows_for(self.number, Action.MOVE_SHARE):
                 await self.shares.seek()
 
     async def _log_state(self) -> None:
@@ -272,7 +272,7 @@
             log_state(self.shard)
 
     def _expire(self, now: timedelta) -> None:
-        lost = self.shard.expire(now, self._claims.proved, self._settings.machine_lease, self.grace)
+        lost = self.shard.expire(now, self._election.last_confirmed, self._settings.machine_lease, self.grace)
         for machine in lost:
             machine.lost_at = now
         if lost:
@@ -287,7 +287,7 @@
         }
         patience = LOST_PATIENCE if 3 * len(silent) <= len(self.shard.machines) + 3 else 5 * LOST_PATIENCE
         names = [name for name, lost_at in silent.items() if now - lost_at > patience]
-        if names and self._permits.allows_for(self.number, Action.GIVE_UP_MACHINE):
+        if names and self._policy.allows_for(self.number, Action.GIVE_UP_MACHINE):
             self._delete(names)
 
     def _notices(self, now: timedelta) -> None:
--- a/badgerroute/coordination/shards/share_exchange.py
+++ b/badgerroute/coordination/shards/share_exchange.py
@@ -29,7 +29,7 @@
 
     def __init__(self, shard: Shard, planner: Planner, services: Services) -> None:
         self._shard, self._planner = shard, planner
-        self._loop, self._permits, self._quotas = services.loop, services.permits, services.quotas
+        self._loop, self._policy, self._quotas = services.loop, services.policy, services.quotas
         self._ask: Callable[[mesh_wire.ShareRequest], None] = services.ask_share
 
     async def seek(self) -> None:
@@ -60,7 +60,7 @@
     async def give(self, message: mesh_wire.ShareRequest) -> None:
         """Another shard lacks a share: give what we neither use nor can use soon, or what it has the better use for."""
         team = message.team
-        if not self._shard.settled or not self._permits.allows_for(self._shard.number, Action.MOVE_SHARE):
+        if not self._shard.settled or not self._policy.allows_for(self._shard.number, Action.MOVE_SHARE):
             return
         cpus, gpus = self._quotas.of(self._shard.number, team)
         used = self._shard.usage[team]
--- a/badgerroute/rebalancing/drains.py
+++ b/badgerroute/rebalancing/drains.py
@@ -52,7 +52,9 @@
         return Drain(self._loop.now() + timedelta(seconds=left), record.delete)
 
     async def remove_orphans(self) -> None:
-        """Remove the drains of machines that have gone; called now and then, by the holder of the fleet claim."""
+        """Remove the drains of machines that have gone; called now and then, by the holder of the autoscaler
+        leadership.
+        """
         now = self._loop.now()
         gone = {name for name in self.names() if self._replica.value(MACHINES + name) is None}
         self._orphaned = {name: self._orphaned.get(name, now) for name in gone}
--- a/badgerroute/rebalancing/service.py
+++ b/badgerroute/rebalancing/service.py
@@ -124,13 +124,13 @@
         for number, leader in leaders.items():
             if leader.ready and number not in self._duties:
                 self._duties[number] = self._new_duty(number, leader)
-        permits = self._controller.permits
-        return [duty for number, duty in self._duties.items() if permits.allows_for(number, Action.START)]
+        policy = self._controller.policy
+        return [duty for number, duty in self._duties.items() if policy.allows_for(number, Action.START)]
 
     def _may_ask(self, leader: ShardLeader) -> bool:
         """Whether a shard may ask others for work."""
-        permits = self._controller.permits if self._controller is not None else None
-        return leader.shard.settled and permits is not None and permits.allows_for(leader.number, Action.STEAL)
+        policy = self._controller.policy if self._controller is not None else None
+        return leader.shard.settled and policy is not None and policy.allows_for(leader.number, Action.STEAL)
 
     def _new_duty(self, number: int, leader: ShardLeader) -> _ShardRebalancing:
         guidance = self._guidances[number]
@@ -233,5 +233,7 @@
         assert self._controller is not None and self._drains is not None
         while True:
             await self._loop.sleep(ORPHANS_LOOKED_FOR)
-            if self._controller.claims.fleet is not None and self._controller.permits.allows(Action.CLEAN_UP):
+            if self._controller.election.autoscaler_term is not None and self._controller.policy.allows(
+                Action.CLEAN_UP
+            ):
                 await self._drains.remove_orphans()
--- a/badgerroute/scheduling/shard.py
+++ b/badgerroute/scheduling/shard.py
@@ -72,7 +72,7 @@
         self.undecided = undecided  # of jobs that are not here: whether they may have been released all the same
         self.fence = term  # machines must have seen at least this before their lists are the last word
         self.shares = shares
-        self.claimed_at = now
+        self.led_since = now
         self.machines: dict[str, Machine] = {}
         self.jobs: dict[str, Job] = {}
         self.usage: defaultdict[str, Usage] = defaultdict(Usage)
@@ -346,21 +346,21 @@
 
     # -- time
 
-    def expire(self, now: timedelta, proved: timedelta, lease: timedelta, grace: timedelta) -> list[Machine]:
+    def expire(self, now: timedelta, last_confirmed: timedelta, lease: timedelta, grace: timedelta) -> list[Machine]:
         """Machines whose lease is certainly over: their tasks are dead and wait again.
 
-        `proved` is when we last knew the claim to be ours, not the time now. Our own silence towards a machine
-        ends its lease only as long as nobody else may answer it, and from `proved` on a new leader may. A leader
-        that was cut off, but still within G, once took the machines that a new leader had taken over for dead, and
-        started their tasks again beside it.
+        `last_confirmed` is when we last knew the leadership to be ours, not the time now. Our own silence towards a
+        machine ends its lease only as long as nobody else may answer it, and from `last_confirmed` on a new leader may.
+        A leader that was cut off, but still within G, once took the machines that a new leader had taken over for dead,
+        and started their tasks again beside it.
         """
         lost = []
         for machine in self.machines.values():
             if machine.fenced and machine.answered is not None:
                 over = machine.answered + lease
             else:  # a former leader may have answered it until its own grace ran out
-                over = max(self.claimed_at + grace, machine.answered or ZERO, machine.joined) + lease
-            if proved > over and (machine.placements or not machine.fenced or machine.alive):
+                over = max(self.led_since + grace, machine.answered or ZERO, machine.joined) + lease
+            if last_confirmed > over and (machine.placements or not machine.fenced or machine.alive):
                 self.lose_tasks(machine, now)
                 machine.strays.clear()
                 machine.undecided.clear()
--- a/badgerroute/scheduling/shard_state.py
+++ b/badgerroute/scheduling/shard_state.py
@@ -19,7 +19,7 @@
 
     number: int
     lease: timedelta
-    claimed_at: timedelta
+    led_since: timedelta
     machines: dict[str, Machine]
     jobs: dict[str, Job]
 
--- a/badgerroute/settings/__init__.py
+++ b/badgerroute/settings/__init__.py
@@ -2,7 +2,7 @@
 
 from badgerroute.settings.derived import Settings
 from badgerroute.settings.loading import SettingsError, load, load_operator, load_platform
-from badgerroute.settings.operator import Claims, Connectivity, Fleet, OperatorSettings, Rebalancing, Scheduling
+from badgerroute.settings.operator import Connectivity, Fleet, LeaderElection, OperatorSettings, Rebalancing, Scheduling
 from badgerroute.settings.platform import (
     CloudLimits,
     Endpoints,
@@ -18,7 +18,7 @@
 )
 
 __all__ = [
-    "Claims",
+    "LeaderElection",
     "CloudLimits",
     "Connectivity",
     "Endpoints",
--- a/badgerroute/settings/derived.py
+++ b/badgerroute/settings/derived.py
@@ -36,7 +36,7 @@
 
     @property
     def grace(self) -> timedelta:
-        """How long a leader may act without a proof of its claim: G of docs/safety.md.
+        """How long a leader may act without a confirmation of its leadership: G of docs/safety.md.
 
         G + lease + drift must stay well inside `cancel_s`, or a controller that is cut off could keep a
         cancelled job's task alive for too long.
--- a/badgerroute/settings/operator.py
+++ b/badgerroute/settings/operator.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 from typing import Annotated
 
-from msgspec import Meta, Struct
+from msgspec import Meta, Struct, field
 
 
 class Scheduling(Struct, frozen=True, forbid_unknown_fields=True):
@@ -45,7 +45,7 @@
         return timedelta(seconds=self.idle_s)
 
 
-class Claims(Struct, frozen=True, forbid_unknown_fields=True):
+class LeaderElection(Struct, frozen=True, forbid_unknown_fields=True):
     """Leases of shards."""
 
     ttl_s: Annotated[float, Meta(ge=1, le=60)] = 4.0
@@ -126,5 +126,5 @@
 
     scheduling: Scheduling = Scheduling()
     fleet: Fleet = Fleet()
-    claims: Claims = Claims()
+    election: LeaderElection = field(name="claims", default=LeaderElection())
     connectivity: Connectivity = Connectivity()
--- a/badgerroute/storage/budget.py
+++ b/badgerroute/storage/budget.py
@@ -12,7 +12,7 @@
 class Urgency(IntEnum):
     """What is served first when there is not enough for all."""
 
-    CLAIM = 0
+    LEADERSHIP = 0
     CANCEL = 1
     SUBMIT = 2
     COMPLETE = 3
--- a/badgerroute/storage/cloud.py
+++ b/badgerroute/storage/cloud.py
@@ -69,7 +69,7 @@
     async def delete(self, names: list[str]) -> None:
         """When this returns, the machines and everything on them are gone."""
         body = encode(wire.Deletion(names[:MAX_MACHINES_PER_DELETION]))
-        await self._call("POST", "/rentals/delete", body, Urgency.CLAIM)
+        await self._call("POST", "/rentals/delete", body, Urgency.LEADERSHIP)
 
     def listing_time(self, machines: int) -> timedelta:
         """How long it takes to list so many machines at the rate that this controller may use."""
--- a/badgerroute/storage/records.py
+++ b/badgerroute/storage/records.py
@@ -15,10 +15,11 @@
 
     leader: str = field(name="owner")
     until: float = 0.0
-    handed: bool = False  # written for its leader by the one before, which had stopped
+    # written for its leader by the one before, which had stopped
+    transferred: bool = field(name="handed", default=False)
 
 
-class FleetClaim(Struct):
+class AutoscalerLeaderRecord(Struct):
     """Which controller rents machines."""
 
     leader: str = field(name="owner")
--- a/badgerroute/storage/replica.py
+++ b/badgerroute/storage/replica.py
@@ -14,7 +14,7 @@
 
 log = logging.getLogger("badgerroute.replica")
 PREFIX = "b/"
-SHARD_LEADERS, FLEET, JOBS, FINAL_STATES, MACHINES, SHARES, CATALOG, DELETED, DONE, PREDECESSORS, DRAINS = (
+SHARD_LEADERS, AUTOSCALER_LEADER, JOBS, FINAL_STATES, MACHINES, SHARES, CATALOG, DELETED, DONE, PREDECESSORS, DRAINS = (
     "b/parts/",
     "b/fleet",
     "b/jobs/",
@@ -29,7 +29,7 @@
 )
 # What jobs need beside their records is listed first, so that it is there when they are. Finished jobs are for ever,
 # and too many to hold.
-LISTED = (DONE, PREDECESSORS, SHARD_LEADERS, FLEET, JOBS, MACHINES, SHARES, CATALOG, DELETED)
+LISTED = (DONE, PREDECESSORS, SHARD_LEADERS, AUTOSCALER_LEADER, JOBS, MACHINES, SHARES, CATALOG, DELETED)
 NOWHERE = PREFIX + "nowhere"  # a key that never exists
 BLOCK = timedelta(seconds=1)
 PAUSE = timedelta(milliseconds=150)  # between two watches: each one counts as a request
@@ -53,7 +53,7 @@
         self._deleted: dict[str, int] = {}  # removals that the watch has not covered yet
         self.revision = 0
         self.ready = Future()
-        self.proved = -timedelta(days=1)  # when the last watch that was answered had been sent
+        self.last_confirmed = -timedelta(days=1)  # when the last watch that was answered had been sent
         self._listeners: list[tuple[str, Listener]] = []
         self._advanced: list[tuple[int, Future]] = []
         self._readers: list[Future] = []
@@ -186,7 +186,7 @@
         for key, (value, mark) in fresh.items():
             self._apply(key, value, mark)
         self._covered(revision)
-        self.proved = started
+        self.last_confirmed = started
         self.ready.set()
         log.info("event=replica_loaded revision=%d keys=%d", revision, len(self.items))
 
@@ -217,7 +217,7 @@
                 elif isinstance(change.removed, str):
                     self._apply(change.removed, None, change.revision)
             self._covered(changes.revision)
-            self.proved = started
+            self.last_confirmed = started
             rest = PAUSE - (self._loop.now() - started)
             if rest > ZERO:
                 await self._loop.sleep(rest)
--- a/badgerroute/storage/state.py
+++ b/badgerroute/storage/state.py
@@ -83,7 +83,7 @@
     def __init__(self, loop: Loop, network: Network, address: str, limits: StateLimits, size: int) -> None:
         self._client = Client(loop, network, address, most_idle=6)
         self._watch_client = Client(loop, network, address, most_idle=1)
-        self._claim_client = Client(loop, network, address, most_idle=1)
+        self._leadership_client = Client(loop, network, address, most_idle=1)
         self._rps, self._write_rps, self._size = limits.rps, limits.write_rps, size
         self._reads = Budget(loop, *self._rates(self._rps, size))
         self._writes = Budget(loop, *self._rates(self._write_rps, size))
@@ -248,7 +248,7 @@
         items: list[wire.Item] = []
         since, revision = "", None
         while True:
-            page = await self.page(prefix, since, LIST_PAGE, Urgency.CLAIM)
+            page = await self.page(prefix, since, LIST_PAGE, Urgency.LEADERSHIP)
             revision = page.revision if revision is None else min(revision, page.revision)
             items.extend(page.items)
             if not page.more or not page.items:
@@ -285,7 +285,7 @@
     async def grant(self, ttl: timedelta) -> int:
         """A new lease."""
         body = encode({"ttl_ms": int(ttl / timedelta(milliseconds=1))})
-        response = await self._call("POST", "/grants", body, Urgency.CLAIM, client=self._claim_client)
+        response = await self._call("POST", "/grants", body, Urgency.LEADERSHIP, client=self._leadership_client)
         if response.status not in (200, 201):
             raise StateUnavailableError(f"status {response.status}")
         return self._decoded(response, wire.lease_decoder).lease
@@ -293,7 +293,7 @@
     async def touch(self, lease: int, limit: timedelta) -> None:
         """Renew a lease; LeaseExpiredError if it has ended."""
         target = f"/grants/{lease}/touch"
-        response = await self._call("POST", target, b"", Urgency.CLAIM, limit, client=self._claim_client)
+        response = await self._call("POST", target, b"", Urgency.LEADERSHIP, limit, client=self._leadership_client)
         if response.status == 404:
             raise LeaseExpiredError("lease ended")
         if response.status != 200:
@@ -306,7 +306,7 @@
         )
         try:
             response = await self._call(
-                "GET", target, b"", Urgency.CLAIM, block + timedelta(seconds=3), client=self._watch_client
+                "GET", target, b"", Urgency.LEADERSHIP, block + timedelta(seconds=3), client=self._watch_client
             )
             if response.status == 410:
                 raise WatchExpiredError
--- a/tests/standins/production.py
+++ b/tests/standins/production.py
@@ -21,7 +21,15 @@
 OURS = re.compile(r"^(\s*(?:from|import) )badgerroute(?!\.transport)\b", re.MULTILINE)
 
 # Attributes that tests read of controllers of both versions: name here -> name in the version in production.
-ATTRIBUTES = {"shard": "part", "shards": "parts", "leader": "owner", "leaders": "owners"}
+ATTRIBUTES = {
+    "shard": "part",
+    "shards": "parts",
+    "leader": "owner",
+    "leaders": "owners",
+    "election": "claims",
+    "leaderships": "parts",
+    "may_lead": "acting",
+}
 CLASSES = (
     ("coordination.controller", "Controller"),
     ("coordination.owner", "Owner"),
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -10,14 +10,14 @@
 
 import badgerroute
 from badgerroute.connectivity.damping import FlapDamping
-from badgerroute.connectivity.hand_over_choice import Candidate, choose_receiver
 from badgerroute.connectivity.links import SIBLING, STATE_SERVICE, Link
 from badgerroute.connectivity.mode_machine import ModeMachine
 from badgerroute.connectivity.modes import PERMISSIONS, Action, Mode, Permission, Reachable, mode_of
 from badgerroute.connectivity.relay_routes import BOUNCED_WITHIN, FORGOTTEN, RelayRoutes, Route
 from badgerroute.connectivity.standstill import StandstillDetector
+from badgerroute.connectivity.transfer_target import Candidate, choose_receiver
 from badgerroute.connectivity.worker_link import TRIAL, WorkerLink
-from badgerroute.coordination.leadership.action_gate import ActionGate
+from badgerroute.coordination.leadership.action_policy import ActionPolicy
 from badgerroute.coordination.membership.forwarding import RequestForwarder
 from badgerroute.protocol.mesh import ForwardedRequest, ForwardedResponse
 from badgerroute.settings import load_operator
@@ -168,7 +168,7 @@
 
 WRITES = {
     *(Action.ACCEPT, Action.CANCEL, Action.STEAL, Action.GIVE_WORK, Action.MOVE_SHARE, Action.LEND_MACHINES),
-    *(Action.ADD_MEMBER, Action.CLEAN_UP, Action.HAND_OVER, Action.RECEIVE_SHARD),
+    *(Action.ADD_MEMBER, Action.CLEAN_UP, Action.TRANSFER_SHARD, Action.RECEIVE_SHARD),
 }
 
 
@@ -193,27 +193,27 @@
         assert PERMISSIONS[mode][action] in permissions, action
 
 
-class _Claims:
-    def __init__(self, fresh: bool, certain: bool) -> None:
-        self.shards = {1: None}
-        self._fresh, self._certain = fresh, certain
+class _Election:
+    def __init__(self, within_grace: bool, lease_surely_valid: bool) -> None:
+        self.leaderships = {1: None}
+        self._within_grace, self._lease_surely_valid = within_grace, lease_surely_valid
 
-    def fresh(self) -> bool:
-        return self._fresh
+    def within_grace(self) -> bool:
+        return self._within_grace
 
-    def certain(self) -> bool:
-        return self._certain
+    def lease_surely_valid(self) -> bool:
+        return self._lease_surely_valid
 
 
-@pytest.mark.parametrize(("fresh", "certain"), [(True, True), (True, False), (False, False)])
-def test_the_gate_reads_the_table(fresh: bool, certain: bool) -> None:
+@pytest.mark.parametrize(("within_grace", "lease_surely_valid"), [(True, True), (True, False), (False, False)])
+def test_the_gate_reads_the_table(within_grace: bool, lease_surely_valid: bool) -> None:
     for mode, action in itertools.product(Mode, Action):
-        gate = ActionGate(_Claims(fresh, certain), lambda mode=mode: mode)  # type: ignore[arg-type]
+        gate = ActionPolicy(_Election(within_grace, lease_surely_valid), lambda mode=mode: mode)  # type: ignore[arg-type]
         expected = {
             Permission.ALLOWED: True,
             Permission.RELUCTANT: True,
-            Permission.WITHIN_GRACE: fresh,
-            Permission.WHILE_CERTAIN: certain,
+            Permission.WITHIN_GRACE: within_grace,
+            Permission.WHILE_CERTAIN: lease_surely_valid,
             Permission.FROM_MEMORY: False,
             Permission.REFUSED: False,
         }[PERMISSIONS[mode][action]]
@@ -233,9 +233,9 @@
 
 def test_no_action_goes_round_the_gate() -> None:
     """The proofs behind the permissions are asked for by the gate alone, and every action is asked for somewhere."""
-    gate, claims = "coordination/leadership/action_gate.py", "coordination/leadership/claims.py"
-    proofs = attribute_uses({"fresh", "certain", "acting"})
-    assert set().union(*proofs.values()) <= {gate, claims}
+    gate, election = "coordination/leadership/action_policy.py", "coordination/leadership/leader_election.py"
+    proofs = attribute_uses({"within_grace", "lease_surely_valid", "may_lead"})
+    assert set().union(*proofs.values()) <= {gate, election}
     assert set(attribute_uses({action.name for action in Action})) == {action.name for action in Action}
 
 
@@ -331,7 +331,7 @@
     assert len(routes) == 1
 
 
-# -- hand-over
+# -- leadership transfer
 
 
 @pytest.mark.parametrize(
--- a/tests/test_connectivity_days.py
+++ b/tests/test_connectivity_days.py
@@ -84,10 +84,10 @@
     away = []
     for _ in range(4):
         cut()
-        assert day.until(lambda: not day.controllers[host][0].claims.shards, 30)
+        assert day.until(lambda: not day.controllers[host][0].election.leaderships, 30)
         heal()
         began = day.loop.now()
-        assert day.until(lambda: bool(day.controllers[host][0].claims.shards), 120)
+        assert day.until(lambda: bool(day.controllers[host][0].election.leaderships), 120)
         away.append((day.loop.now() - began) / SECOND)
     assert away[0] < 16 and away[-1] > 1.2 * away[0] and away[-1] < 90, away
     assert day.finish(300) == [] and day.rules.broken == []
@@ -96,7 +96,7 @@
 # -- A cut that heals exactly as a peer takes over
 
 
-def heals_at_claim(seconds: float, mode: str) -> Fault:
+def heals_at_election(seconds: float, mode: str) -> Fault:
     def fault(day: Day) -> None:
         hold(day, from_state(day, [pick(day)], mode), seconds)
         day.run(12)
@@ -123,10 +123,10 @@
 
 
 def heirs(day: Day, host: str, shard: int) -> Iterator[Controller]:
-    return (one for name, (one, _) in day.controllers.items() if name != host and shard in one.claims.shards)
+    return (one for name, (one, _) in day.controllers.items() if name != host and shard in one.election.leaderships)
 
 
-def claimed(day: Day, host: str, shard: int) -> bool:
+def led(day: Day, host: str, shard: int) -> bool:
     return any(True for _ in heirs(day, host, shard))
 
 
@@ -142,10 +142,10 @@
 @pytest.mark.parametrize(
     "fault",
     [
-        *(pytest.param(heals_at_claim(at, "hold"), id=f"after-{at}") for at in (3.6, 3.9, 4.1, 4.4, 5.0)),
+        *(pytest.param(heals_at_election(at, "hold"), id=f"after-{at}") for at in (3.6, 3.9, 4.1, 4.4, 5.0)),
         *(
             pytest.param(heals_when(reached, mode), id=f"{reached.__name__}-{mode}")
-            for reached in (claimed, ready, settled)
+            for reached in (led, ready, settled)
             for mode in ("hold", "refuse")
         ),
     ],
@@ -267,7 +267,7 @@
 
 
 def lost_hand_over(day: Day) -> None:
-    """The answer to a hand-over is lost."""
+    """The answer to a leadership transfer is lost."""
     cut, heal = from_workers(day, [pick(day)], "reset")
     cut()
     for _ in range(6):
@@ -278,7 +278,7 @@
 
 
 def receiver_ends(day: Day) -> None:
-    """Whoever was handed the shard ends in mid-hand-over."""
+    """Whoever was handed the shard ends in mid-leadership transfer."""
     host = pick(day)
     cut, heal = from_workers(day, [host], "reset")
     cut()
@@ -362,24 +362,24 @@
 # -- Relaying long enough: the shard is handed to a sibling that its workers reach
 
 
-def test_a_cut_that_lasts_hands_the_shard_over_once() -> None:
+def test_a_cut_that_lasts_transfers_the_shard_once() -> None:
     operator = OperatorSettings(connectivity=Connectivity(relay=True, relay_s=15))
     day = cluster(5, operator)
     counts = play(day, lambda day: hold(day, from_workers(day, HOSTS[:1], "hold"), 60))
     assert counts.hand_overs == 1 and counts.relayed > 30 and counts.killed_by_lease == []
-    assert day.until(lambda: day.controllers[HOSTS[0]][0].claims.shards != {}, 60), "and home again afterwards"
+    assert day.until(lambda: day.controllers[HOSTS[0]][0].election.leaderships != {}, 60), "and home again afterwards"
 
 
 def test_shards_of_an_unheard_controller_go_to_different_siblings() -> None:
     """By load: a controller with two shards does not give both to the same sibling."""
     day = cluster(6, NO_RELAY_SERVES)
     day.restart(HOSTS[1], 30 * SECOND)
-    assert day.until(lambda: sum(len(one.claims.shards) for one, _ in day.controllers.values()) == 3, 20)
-    busy = max(day.controllers, key=lambda host: len(day.controllers[host][0].claims.shards))
+    assert day.until(lambda: sum(len(one.election.leaderships) for one, _ in day.controllers.values()) == 3, 20)
+    busy = max(day.controllers, key=lambda host: len(day.controllers[host][0].election.leaderships))
     idle = next(host for host in day.controllers if host != busy)
     day.run(12)
     hold(day, from_workers(day, [busy], "reset"), 14)
-    assert day.controllers[idle][0].claims.shards, idle
+    assert day.controllers[idle][0].election.leaderships, idle
     day.run(30)
     assert day.finish(300) == [] and day.rules.broken == []
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -82,16 +82,16 @@
 def test_an_outranked_leader_stands_down_while_it_asks_for_a_higher_term() -> None:
     day = Day(seed=3)
     day.run(5)
-    claims = day.controllers[HOSTS[0]][0].claims
-    term = claims.shards[0].term
-    claims._busy.add(0)
-    claims.outranked(0, term)
-    assert 0 in claims.shards, "its own term is no news"
-    claims.outranked(0, term + 5)
-    assert 0 not in claims.shards
+    election = day.controllers[HOSTS[0]][0].election
+    term = election.leaderships[0].term
+    election._writing.add(0)
+    election.step_down_if_outranked(0, term)
+    assert 0 in election.leaderships, "its own term is no news"
+    election.step_down_if_outranked(0, term + 5)
+    assert 0 not in election.leaderships
 
 
-def test_an_leader_that_lost_its_claim_gives_nothing_away(caplog: pytest.LogCaptureFixture) -> None:
+def test_a_leader_that_lost_its_leadership_gives_nothing_away(caplog: pytest.LogCaptureFixture) -> None:
     """The claim may go while an earlier write of the same round is on its way."""
     day = Day(seed=4)
     day.run(5)
@@ -99,7 +99,7 @@
     day.run(2)
     controller = day.controllers[HOSTS[0]][0]
     leader = controller.leaders[0]
-    controller.claims._drop(0)
+    controller.election._step_down(0)
 
     def give() -> None:
         record = controller.job_store.active["run-a"]
--- a/tests/test_left_waiting.py
+++ b/tests/test_left_waiting.py
@@ -126,21 +126,21 @@
     assert [text.split()[1] for text in day.rules.broken] == ["left_waiting:"]
 
 
-def test_a_claim_of_ours_that_was_carried_out_late() -> None:
-    """Somebody else may have held the shard in between and been cut off: the time limit in our claim is too early."""
+def test_an_election_of_ours_that_was_carried_out_late() -> None:
+    """Somebody else may have led the shard in between and been cut off: the time limit in our record is too early."""
     day = Day(seed=34)
     day.run(5)
     host = HOSTS[0]
     controller = day.controllers[host][0]
     day.state.ledger += 1
     early = {"owner": host, "until": day.clock.today().timestamp() - 50}
-    day.state.items["b/parts/0"] = (early, day.state.ledger, controller.claims.lease)
+    day.state.items["b/parts/0"] = (early, day.state.ledger, controller.election.lease)
     day.state.log.append({"write": "b/parts/0", "value": early, "mark": day.state.ledger})
     day.state._notify()
     day.run(3)
-    claim = controller.claims.shards[0]
-    assert claim.term > day.state.ledger - 20
-    assert claim.grace >= controller.settings.grace - SECOND / 10
+    leadership = controller.election.leaderships[0]
+    assert leadership.term > day.state.ledger - 20
+    assert leadership.grace >= controller.settings.grace - SECOND / 10
 
 
 def test_a_late_page_strikes_no_deleted_machine_off() -> None:
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -128,7 +128,8 @@
         monkeypatch.setattr("badgerroute.settings.Settings.grace", property(lambda self: 60 * SECOND))
     else:
         monkeypatch.setattr(
-            "badgerroute.coordination.leadership.claims.Claims.proved", property(lambda self: self._loop.now())
+            "badgerroute.coordination.leadership.leader_election.LeaderElection.last_confirmed",
+            property(lambda self: self._loop.now()),
         )
     day = gap(0.0, 14, 58, "cut", well)
     assert any("ran_cancelled" in text for text in day.rules.broken)
@@ -144,12 +145,12 @@
     controller = day.controllers[leader][0]
     day.state.unwatched.add(leader)
     heal = cut(day, leader, others(leader), "reset")
-    asked = controller.replica.proved
+    asked = controller.replica.last_confirmed
     day.run(0.3)
     assert day.cancel("run-a", host=others(leader)[0]) == "withdrawn"
     day.run(12)
-    assert controller.claims.lease is not None and day.loop.now() - controller.claims._proved < 2 * SECOND
-    assert controller.claims.proved <= asked + SECOND, "the proof is as old as the last answered watch"
+    assert controller.election.lease is not None and day.loop.now() - controller.election._last_confirmed < 2 * SECOND
+    assert controller.election.last_confirmed <= asked + SECOND, "the proof is as old as the last answered watch"
     day.run(CANCEL)
     assert not on_machines(day, "run-a")
     day.state.unwatched.clear()
@@ -164,10 +165,10 @@
     replica = day.controllers[HOSTS[0]][0].replica
     ages = []  # of the proof, at the moment at which the watch that gives it is answered
     for _ in range(300):
-        known = replica.proved
+        known = replica.last_confirmed
         day.run(0.01)
-        if replica.proved != known:
-            ages.append((day.loop.now() - replica.proved) / SECOND)
+        if replica.last_confirmed != known:
+            ages.append((day.loop.now() - replica.last_confirmed) / SECOND)
     assert len(ages) >= 2
     assert min(ages) >= 0.98, "it blocked for a second, since nothing changed: what it proves is as old as that"
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -118,7 +118,7 @@
 @pytest.mark.parametrize("mode", ["reset", "hold"])
 @pytest.mark.parametrize("seed", [16, 17, 18])
 def test_a_controller_cut_from_its_workers_gives_its_shard_away(seed: int, mode: str) -> None:
-    """Else it keeps its claim, since the state service answers it, and all its machines let go of their tasks."""
+    """Else it keeps its leadership, since the state service answers it, and all its machines let go of their tasks."""
     day = Day(seed=seed, machines=24, capacity=0)
     day.run(5)
     day.submit(job("run-long", heads=30, trek_s=50.0))
@@ -193,7 +193,7 @@
     assert day.until(lambda: states[HOSTS[0]]._writes._rate == 1.5 * full, 15)
     day.start(HOSTS[2])
     assert day.until(lambda: states[HOSTS[0]]._writes._rate == full, 3), "and shares again"
-    for number, host in enumerate(HOSTS):  # only unheard: each holds its claim
+    for number, host in enumerate(HOSTS):  # only unheard: each holds its leadership
         for other in HOSTS[:number]:
             day.world.cut(host, other, "reset")
     day.run(20)
@@ -219,10 +219,10 @@
     batches: list[list[str]] = []
     real = JobWriter.write_progress
 
-    async def write(self: JobWriter, batch: list[Progress], claims: object) -> None:
+    async def write(self: JobWriter, batch: list[Progress], election: object) -> None:
         complete = [one.ref for one in batch if one.done.bit_count() == 1]
         batches.append(complete)
-        await real(self, batch, claims)
+        await real(self, batch, election)
 
     monkeypatch.setattr(JobWriter, "write_progress", write)
     for number in range(24):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -28,7 +28,7 @@
 # Names in the samples -> what these records and messages are called here.
 RECORDS = {
     "PartClaim": records.ShardLeaderRecord,
-    "FleetClaim": records.FleetClaim,
+    "FleetClaim": records.AutoscalerLeaderRecord,
     "MachineRecord": records.MachineRecord,
     "GoneRecord": records.DeletedMachinesRecord,
     "ShareRecord": records.ShareRecord,
@@ -115,7 +115,7 @@
     theirs = old.Settings(msgspec.convert(msgspec.to_builtins(platform), old.PlatformSettings))
     mine = new_settings.Settings(platform)
     assert (mine.grace, mine.machine_lease, mine.drift) == (theirs.grace, theirs.machine_lease, theirs.drift)
-    assert mine.operator.claims.ttl == theirs.operator.claims.ttl
+    assert mine.operator.election.ttl == theirs.operator.claims.ttl
     assert mine.hosts == theirs.hosts and mine.home == theirs.home
 
 
--- a/tests/test_written_names.py
+++ b/tests/test_written_names.py
@@ -98,7 +98,7 @@
     ("protocol.workers.DirectCommands", workers.DirectCommands, None, False, "crook ride calls"),
     ("protocol.workers.Redirect", workers.Redirect, None, False, "trail_boss"),
     ("storage.records.PartClaim", records.ShardLeaderRecord, None, False, "owner until handed"),
-    ("storage.records.FleetClaim", records.FleetClaim, None, False, "owner"),
+    ("storage.records.FleetClaim", records.AutoscalerLeaderRecord, None, False, "owner"),
     ("storage.records.MachineRecord", records.MachineRecord, None, False, "part address type zone spot"),
     ("storage.records.DeletedMachinesRecord", records.DeletedMachinesRecord, None, False, "names"),
     ("storage.records.DrainRecord", records.DrainRecord, None, False, "deadline delete"),
@@ -138,7 +138,7 @@
     ),
     ("settings.operator.Scheduling", operator.Scheduling, None, False, "tau delta rho period_s wait_cap_s round_ms"),
     ("settings.operator.Fleet", operator.Fleet, None, False, "return_idle idle_s most_machines"),
-    ("settings.operator.Claims", operator.Claims, None, False, "ttl_s"),
+    ("settings.operator.Claims", operator.LeaderElection, None, False, "ttl_s"),
     (
         "settings.operator.Rebalancing",
         operator.Rebalancing,
@@ -172,7 +172,7 @@
 KEYS = [
     ("PREFIX", replica.PREFIX, "b/"),
     ("PARTS", replica.SHARD_LEADERS, "b/parts/"),
-    ("FLEET", replica.FLEET, "b/fleet"),
+    ("FLEET", replica.AUTOSCALER_LEADER, "b/fleet"),
     ("JOBS", replica.JOBS, "b/jobs/"),
     ("FINAL_STATES", replica.FINAL_STATES, "b/past/"),
     ("MACHINES", replica.MACHINES, "b/machines/"),
