--- a/badgerroute/connectivity/modes.py
+++ b/badgerroute/connectivity/modes.py
@@ -11,11 +11,11 @@
 class Mode(Enum):
     """What a controller can reach."""
 
-    SERVING = "serving"  # state service and workers
+    SERVING = "serving"  # key-value store and workers
     RECOVERING = "recovering"  # both again, but not for long enough yet
-    OUTAGE = "outage"  # no state service, as for every sibling that is heard
-    UNRECORDED = "unrecorded"  # no state service, while a sibling has it or none is heard
-    UNHEARD = "unheard"  # state service, but no workers
+    OUTAGE = "outage"  # no key-value store, as for every sibling that is heard
+    UNRECORDED = "unrecorded"  # no key-value store, while a sibling has it or none is heard
+    UNHEARD = "unheard"  # key-value store, but no workers
     ISOLATED = "isolated"  # neither
 
 
@@ -88,20 +88,20 @@
 class Reachable:
     """What a controller can reach at a moment."""
 
-    state_service: bool
+    store: bool
     workers: bool
     siblings: bool  # one at least is heard, or there are none
-    recorded_sibling: bool  # one that is heard reaches the state service
+    sibling_with_store: bool  # one that is heard reaches the key-value store
 
     @property
     def alone(self) -> bool:
-        """Whether the state service is missing here and, as far as can be known, not everywhere."""
-        return not self.state_service and (self.recorded_sibling or not self.siblings)
+        """Whether the key-value store is missing here and, as far as can be known, not everywhere."""
+        return not self.store and (self.sibling_with_store or not self.siblings)
 
 
 def mode_of(reachable: Reachable, settled: bool) -> Mode:
     """The mode that follows; `settled`: the links have been good for long enough."""
-    if not reachable.state_service:
+    if not reachable.store:
         if not reachable.alone:
             return Mode.OUTAGE
         return Mode.UNRECORDED if reachable.workers else Mode.ISOLATED
--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -35,13 +35,13 @@
 from badgerroute.coordination.shards.services import Services
 from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.protocol import mesh as mesh_wire
-from badgerroute.protocol.state import Condition
+from badgerroute.protocol.key_value import Compare
 from badgerroute.scheduling.guidance import NEUTRAL, Guidance
 from badgerroute.settings import Settings
 from badgerroute.storage import records
-from badgerroute.storage.cloud import CloudClient
+from badgerroute.storage.cloud_client import CloudClient
+from badgerroute.storage.key_value_client import KeyValueClient
 from badgerroute.storage.replica import DELETED, DONE, JOBS, MACHINES, Replica
-from badgerroute.storage.state import StateClient
 from badgerroute.transport.http import Server
 from badgerroute.transport.loop import Future, Gate, Group, Loop
 from badgerroute.transport.net import Network
@@ -49,7 +49,7 @@
 log = logging.getLogger("badgerroute.controller")
 GOSSIP = timedelta(milliseconds=500)
 SLICE_PAUSE = timedelta(milliseconds=25)  # between two slices of what takes more than a round
-RESERVED_SOCKETS = 48  # for the state service, the cloud and the mesh
+RESERVED_SOCKETS = 48  # for the key-value store, the cloud and the mesh
 MAX_DIRECT_COMMANDS = 128  # commands on their way to workers, each with a connection of its own
 SOCKETS_PER_DIRECT_COMMAND = 32  # where there are sockets for thousands of machines, more go out at once
 
@@ -67,19 +67,19 @@
     ) -> None:
         self.settings, self._loop, self._network, self._group = settings, loop, network, group
         params = settings.params
-        self.state = StateClient(loop, network, settings.platform.endpoints.state, params.state, params.size)
+        self.store = KeyValueClient(loop, network, settings.platform.endpoints.state, params.state, params.size)
         self.cloud = CloudClient(loop, network, settings.platform.endpoints.cloud, params.cloud, params.size)
-        self.replica = Replica(loop, self.state)
+        self.replica = Replica(loop, self.store)
         self.mesh = Mesh(settings, loop, network, group, lambda message: self.messages.receive(message))
         self.election = LeaderElection(
-            settings, loop, self.state, self.replica, self._on_elected, self._on_deposed, self._campaign_permission
+            settings, loop, self.store, self.replica, self._on_elected, self._on_deposed, self._campaign_permission
         )
         self.policy = ActionPolicy(self.election, lambda: self.monitor.mode)
         hosts = [sibling.host_name for sibling in settings.platform.siblings]
         self.cancellation_broadcast = CancellationBroadcast(
             loop, settings.platform.host_name, hosts, self.mesh.send, params.workers.cancel
         )
-        self.machine_catalog = MachineCatalog(loop, self.cloud, self.state, self.replica, self.election)
+        self.machine_catalog = MachineCatalog(loop, self.cloud, self.store, self.replica, self.election)
         self.catalog = self.machine_catalog.types
         self.leaders: dict[int, ShardLeader] = {}
         self.siblings = Siblings(settings, loop, self.election, self.leaders)
@@ -121,13 +121,13 @@
             leaders=self.leaders,
         )
         self.job_store = JobStore(self.replica, self._push, self._notify_leaders, self.cancellation_broadcast.learned)
-        self.job_reader = JobReader(loop, self.state, self.replica, self.job_store)
-        self.pager = RecordPager(self.state, self.replica, self.job_store, self.catalog)
-        self.job_writer = JobWriter(loop, self.state, self.replica, self.job_store, self.job_reader, self.pager)
-        self.quotas = TeamQuotas(settings, loop, self.state, self.replica, self._push, self._condition)
+        self.job_reader = JobReader(loop, self.store, self.replica, self.job_store)
+        self.pager = RecordPager(self.store, self.replica, self.job_store, self.catalog)
+        self.job_writer = JobWriter(loop, self.store, self.replica, self.job_store, self.job_reader, self.pager)
+        self.quotas = TeamQuotas(settings, loop, self.store, self.replica, self._push, self._leadership_condition)
         self.pipelines = Pipelines(
             loop=loop,
-            state=self.state,
+            store=self.store,
             replica=self.replica,
             job_store=self.job_store,
             job_reader=self.job_reader,
@@ -151,7 +151,7 @@
             settings, loop, self.job_store, self.replica, self.catalog, self.leaders, self.siblings.summaries
         )
         self.progress_duty = ProgressDuty(
-            loop, self.leaders, self.job_store, self.job_writer, self.forecast, self._condition
+            loop, self.leaders, self.job_store, self.job_writer, self.forecast, self._leadership_condition
         )
         self.idle_machines = IdleMachines(
             settings, loop, self.policy, self.job_store, self.catalog, self.leaders, self.fleet.delete
@@ -196,7 +196,7 @@
         user_desk = UserDesk(
             settings=settings,
             policy=self.policy,
-            state=self.state,
+            store=self.store,
             siblings=self.siblings,
             users=self.users,
             forwarder=self.forwarder,
@@ -214,7 +214,7 @@
             network=network,
             group=group,
             gate=self._gate,
-            state=self.state,
+            store=self.store,
             replica=self.replica,
             election=self.election,
             policy=self.policy,
@@ -279,7 +279,7 @@
             self.fleet.spare(leader.shard.machines)
             leader.close()
 
-    def _condition(self, shard: int) -> Condition | None:
+    def _leadership_condition(self, shard: int) -> Compare | None:
         return self.election.condition(shard) if shard in self.election.leaderships else None
 
     # -- what the watch says
@@ -318,7 +318,7 @@
     async def _gossip_duty(self) -> None:
         while True:
             await self._loop.sleep(GOSSIP)
-            self.state.share(self.siblings.in_use())
+            self.store.share(self.siblings.in_use())
             if self.election.lease is not None:
                 self.mesh.broadcast(self._gossip())
             self.cancellation_broadcast.repeat()
@@ -329,7 +329,7 @@
             self.settings.platform.host_name,
             self.election.lease or 0,
             bool(self.catalog) and self.replica.ready.done,
-            self.monitor.reaches_state_service(),
+            self.monitor.reaches_store(),
             not self.policy.allows(Action.RECEIVE_SHARD),
             shards,
             self.monitor.mode.value,
--- a/badgerroute/coordination/fleet/catalog.py
+++ b/badgerroute/coordination/fleet/catalog.py
@@ -9,9 +9,16 @@
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
-from badgerroute.storage.cloud import CloudClient, CloudUnavailableError, NoCapacityError
+from badgerroute.storage.cloud_client import CloudClient, CloudUnavailableError, NoCapacityError
+from badgerroute.storage.key_value_client import (
+    CompareFailedError,
+    KeyValueClient,
+    OutcomeUnknownError,
+    StoreUnavailableError,
+    compare,
+    put,
+)
 from badgerroute.storage.replica import CATALOG, Replica
-from badgerroute.storage.state import ConflictError, OutcomeUnknownError, StateClient, StateUnavailableError, put, when
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger("badgerroute.controller")
@@ -29,9 +36,9 @@
     """`types` are those known so far, by name; others may hold on to the dictionary, which is only added to."""
 
     def __init__(
-        self, loop: Loop, cloud: CloudClient, state: StateClient, replica: Replica, election: LeaderElection
+        self, loop: Loop, cloud: CloudClient, store: KeyValueClient, replica: Replica, election: LeaderElection
     ) -> None:
-        self._loop, self._cloud, self._state, self._replica, self._election = loop, cloud, state, replica, election
+        self._loop, self._cloud, self._store, self._replica, self._election = loop, cloud, store, replica, election
         self.types: dict[str, MachineType] = {}
         replica.listen(CATALOG, self._changed)
 
@@ -56,23 +63,23 @@
                 else:
                     fresh = set(self.types) != {kind.name for kind in types}
                     self._learn(types)
-                    if fresh or not any(key.startswith(CATALOG) for key in self._replica.items):
-                        await self._store(types)
+                    if fresh or not any(key.startswith(CATALOG) for key in self._replica.entries):
+                        await self._persist(types)
             await self._loop.sleep(pause)
 
-    async def _store(self, types: list[MachineType]) -> None:
+    async def _persist(self, types: list[MachineType]) -> None:
         """In one key, or in one for each type where that would be too large: every version reads both."""
         values = {CATALOG: records.write(CatalogRecord(types))}
-        if len(bytes(values[CATALOG])) > self._state.max_value_bytes:
+        if len(bytes(values[CATALOG])) > self._store.max_value_bytes:
             values = {f"{CATALOG}/{kind.name}": records.write(CatalogRecord([kind])) for kind in types}
         for key, value in values.items():
-            if self._replica.value(key) == bytes(value) or len(bytes(value)) > self._state.max_value_bytes:
+            if self._replica.value(key) == bytes(value) or len(bytes(value)) > self._store.max_value_bytes:
                 continue
             try:
-                at = await self._state.transact(
-                    [when(key, self._replica.revision_of(key))], [put(key, value)], Urgency.PROGRESS
+                at = await self._store.transact(
+                    [compare(key, self._replica.revision_of(key))], [put(key, value)], Urgency.PROGRESS
                 )
-            except (StateUnavailableError, OutcomeUnknownError, ConflictError) as trouble:
+            except (StoreUnavailableError, OutcomeUnknownError, CompareFailedError) as trouble:
                 log.debug("event=catalog_not_stored error=%s", trouble)
             else:
                 self._replica.learn(key, bytes(value), at)
--- a/badgerroute/coordination/fleet/rentals.py
+++ b/badgerroute/coordination/fleet/rentals.py
@@ -20,7 +20,7 @@
 )
 from badgerroute.settings import Settings
 from badgerroute.storage import records
-from badgerroute.storage.cloud import (
+from badgerroute.storage.cloud_client import (
     MAX_MACHINES_PER_DELETION,
     MAX_MACHINES_PER_RENTAL,
     CloudClient,
--- a/badgerroute/coordination/jobs/cancellation_broadcast.py
+++ b/badgerroute/coordination/jobs/cancellation_broadcast.py
@@ -1,6 +1,6 @@
 """Confirmed cancellations, told to every sibling until it says that it has heard.
 
-A leader that the state service refuses alone learns of no cancellation by its watch, and a push may be lost with its
+A leader that the key-value store refuses alone learns of no cancellation by its watch, and a push may be lost with its
 link. So whoever comes to know that a job is withdrawn tells each sibling again and again, also when a link returns:
 not only the controller that told the user, since that one may end right after its answer.
 """
--- a/badgerroute/coordination/jobs/job_store.py
+++ b/badgerroute/coordination/jobs/job_store.py
@@ -1,6 +1,6 @@
 """What this controller knows of all jobs: their records, final states and dependencies, kept fresh by the replica.
 
-Nothing here talks to the state service: see `job_reader` for look-ups and `job_writer` for changes.
+Nothing here talks to the key-value store: see `job_reader` for look-ups and `job_writer` for changes.
 """
 
 import logging
--- a/badgerroute/coordination/jobs/job_writer.py
+++ b/badgerroute/coordination/jobs/job_writer.py
@@ -10,23 +10,23 @@
 from badgerroute.coordination.jobs.job_reader import JobReader
 from badgerroute.coordination.jobs.job_store import JobStore
 from badgerroute.coordination.jobs.record_paging import KeyValue, RecordPager, RecordTooLargeError
-from badgerroute.protocol.state import Condition, Put, Remove
+from badgerroute.protocol.key_value import Compare, Put, Remove
 from badgerroute.protocol.users import Submission
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
-from badgerroute.storage.records import FinalStateRecord, JobRecord, JobState, TaskRange
-from badgerroute.storage.replica import FINAL_STATES, JOBS, Replica
-from badgerroute.storage.state import (
-    ConflictError,
+from badgerroute.storage.key_value_client import (
+    CompareFailedError,
+    KeyValueClient,
     LeaseExpiredError,
     OutcomeUnknownError,
     RequestRefusedError,
-    StateClient,
-    StateUnavailableError,
+    StoreUnavailableError,
+    compare,
     put,
     remove,
-    when,
 )
+from badgerroute.storage.records import FinalStateRecord, JobRecord, JobState, TaskRange
+from badgerroute.storage.replica import FINAL_STATES, JOBS, Replica
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger("badgerroute.jobs")
@@ -36,7 +36,7 @@
 CHANGES_OF_AN_END = 2  # a record removed, a final state put
 ANSWER_LIMIT = timedelta(milliseconds=1500)
 
-LeadershipCheck = Callable[[int], Condition | None]
+LeadershipCheck = Callable[[int], Compare | None]
 
 
 @dataclass(slots=True)
@@ -52,13 +52,13 @@
 class ProgressTransaction:
     """One transaction of progress in the making."""
 
-    conditions: dict[str, Condition] = field(default_factory=dict)
+    conditions: dict[str, Compare] = field(default_factory=dict)
     changes: list[Put | Remove] = field(default_factory=list)
     results: list[tuple[str, bytes | None]] = field(default_factory=list)  # keys and what they hold afterwards
     completed: list[JobRecord] = field(default_factory=list)
     size: int = 0
 
-    def require(self, condition: Condition) -> None:
+    def require(self, condition: Compare) -> None:
         """Make the transaction conditional on a key."""
         self.conditions[condition.key] = condition
 
@@ -80,14 +80,14 @@
     def __init__(
         self,
         loop: Loop,
-        state: StateClient,
+        store: KeyValueClient,
         replica: Replica,
-        store: JobStore,
+        job_store: JobStore,
         reader: JobReader,
         pager: RecordPager,
     ) -> None:
-        self._loop, self._state, self._replica = loop, state, replica
-        self._store, self._reader, self._pager = store, reader, pager
+        self._loop, self._store, self._replica = loop, store, replica
+        self._job_store, self._reader, self._pager = job_store, reader, pager
 
     def _today(self) -> float:
         return self._loop.clock.today().timestamp()
@@ -100,12 +100,12 @@
         record = JobRecord(job, today, [], planned=ranges) if job.predecessors else JobRecord(job, today, ranges)
         compact = self._pager.compact(record)
         value = records.write(compact.record)
-        absent = [when(key, 0), when(FINAL_STATES + job.ref, 0)]
+        absent = [compare(key, 0), compare(FINAL_STATES + job.ref, 0)]
         try:
             pages = await self._write_pages(compact.pages, absent)
             conditions = absent + pages
-            applied = await self._state.transact(conditions, [put(key, value)], Urgency.SUBMIT, ANSWER_LIMIT)
-        except ConflictError:
+            applied = await self._store.transact(conditions, [put(key, value)], Urgency.SUBMIT, ANSWER_LIMIT)
+        except CompareFailedError:
             return False
         except OutcomeUnknownError:
             if await self._reader.look_up(job.ref, Urgency.SUBMIT) is None:
@@ -115,24 +115,24 @@
             if error.by_size:
                 raise  # what is sent the next time is smaller
             raise RecordTooLargeError(f"the state service does not take it: {error}") from None
-        self._store.published(key, bytes(value), applied)
+        self._job_store.published(key, bytes(value), applied)
         return True
 
-    async def _write_pages(self, pages: list[KeyValue], absent: list[Condition]) -> list[Condition]:
+    async def _write_pages(self, pages: list[KeyValue], absent: list[Compare]) -> list[Compare]:
         """Write a new job's pages before its record, so that whoever sees that has them; conditions on these pages.
 
         Only as long as there is no such job: a page carried out late would change the predecessors of an accepted one.
         And the record is written only if the pages are still those: another node may have written others, for a
         repeat with another list, or have tidied them up.
         """
-        conditions: list[Condition] = []
-        for first in range(0, len(pages), self._state.max_changes):
-            batch = pages[first : first + self._state.max_changes]
+        conditions: list[Compare] = []
+        for first in range(0, len(pages), self._store.max_changes):
+            batch = pages[first : first + self._store.max_changes]
             puts = [put(page.key, page.value) for page in batch]
-            applied = await self._state.transact(absent, puts, Urgency.SUBMIT, ANSWER_LIMIT)
+            applied = await self._store.transact(absent, puts, Urgency.SUBMIT, ANSWER_LIMIT)
             for page in batch:
-                self._store.published(page.key, bytes(page.value), applied)
-                conditions.append(when(page.key, applied))
+                self._job_store.published(page.key, bytes(page.value), applied)
+                conditions.append(compare(page.key, applied))
         return conditions
 
     async def cancel(self, ref: str) -> JobState | None:
@@ -140,11 +140,11 @@
 
         After an unknown outcome the user asks again, and what is read back then tells what stands.
         """
-        self._store.confirming(ref, True)
+        self._job_store.confirming(ref, True)
         try:
             return await self._cancel(ref)
         finally:
-            self._store.confirming(ref, False)
+            self._job_store.confirming(ref, False)
 
     async def _cancel(self, ref: str) -> JobState | None:
         for _ in range(MAX_CANCEL_TRIES):
@@ -154,16 +154,16 @@
             if lookup.record is None:
                 return lookup.state
             final = records.write(FinalStateRecord(JobState.WITHDRAWN, lookup.record.job.tasks, self._today()))
-            unchanged = [when(JOBS + ref, lookup.revision)]
+            unchanged = [compare(JOBS + ref, lookup.revision)]
             changes: list[Put | Remove] = [remove(JOBS + ref), put(FINAL_STATES + ref, final)]
             try:
-                applied = await self._state.transact(unchanged, changes, Urgency.CANCEL, ANSWER_LIMIT)
-            except ConflictError:
+                applied = await self._store.transact(unchanged, changes, Urgency.CANCEL, ANSWER_LIMIT)
+            except CompareFailedError:
                 continue  # progress was written in between
-            self._store.finished(ref, bytes(final), applied)
+            self._job_store.finished(ref, bytes(final), applied)
             log.info("event=job_withdrawn job=%s", ref)
             return JobState.WITHDRAWN
-        raise StateUnavailableError("too much changes at once")
+        raise StoreUnavailableError("too much changes at once")
 
     # -- progress
 
@@ -175,8 +175,8 @@
                 return
             try:
                 conditions = list(transaction.conditions.values())
-                applied = await self._state.transact(conditions, transaction.changes, Urgency.COMPLETE)
-            except ConflictError as error:
+                applied = await self._store.transact(conditions, transaction.changes, Urgency.COMPLETE)
+            except CompareFailedError as error:
                 await self._reader.refresh(error.failed)
             except OutcomeUnknownError:
                 await self._reader.refresh([key for key, _ in transaction.results])
@@ -189,22 +189,24 @@
     def _progress_transaction(self, batch: list[Progress], leadership_check: LeadershipCheck) -> ProgressTransaction:
         transaction = ProgressTransaction()
         for progress in batch:
-            room = self._state.max_changes - len(transaction.changes)
+            room = self._store.max_changes - len(transaction.changes)
             if transaction.size > MAX_TRANSACTION_BYTES or room < CHANGES_OF_AN_END:
                 break  # what is left comes with the next write
-            record = self._store.active.get(progress.ref)
-            compares = [compare for shard in progress.shards if (compare := leadership_check(shard)) is not None]
-            if record is None or len(compares) < len(progress.shards):
+            record = self._job_store.active.get(progress.ref)
+            leaderships = [
+                leadership for shard in progress.shards if (leadership := leadership_check(shard)) is not None
+            ]
+            if record is None or len(leaderships) < len(progress.shards):
                 continue  # cancelled meanwhile, or the shard is not ours any more
             key = JOBS + progress.ref
-            for condition in (*compares, when(key, self._replica.revision_of(key))):
+            for condition in (*leaderships, compare(key, self._replica.revision_of(key))):
                 transaction.require(condition)
             self._add_progress(transaction, progress, record, room)
         return transaction
 
     def _add_progress(self, transaction: ProgressTransaction, progress: Progress, record: JobRecord, room: int) -> None:
         key = JOBS + progress.ref
-        known = self._store.done(progress.ref, record)
+        known = self._job_store.done(progress.ref, record)
         done = known | progress.done
         if done.bit_count() >= record.job.tasks:
             final = records.write(FinalStateRecord(JobState.DONE, record.job.tasks, self._today()))
@@ -214,7 +216,7 @@
         elif done != known:
             for change in self._pager.progress(progress.ref, record, known, done)[:room]:
                 if change.key != key:
-                    transaction.require(when(change.key, self._replica.revision_of(change.key)))
+                    transaction.require(compare(change.key, self._replica.revision_of(change.key)))
                 transaction.put(change.key, bytes(change.value))
 
     def _progress_written(self, transaction: ProgressTransaction, revision: int) -> None:
@@ -222,4 +224,4 @@
             took = self._today() - record.accepted
             log.info("event=job_done job=%s class=%s took=%.1f", record.job.ref, record.job.job_class, took)
         for key, value in transaction.results:
-            self._store.published(key, value, revision)
+            self._job_store.published(key, value, revision)
--- a/badgerroute/coordination/jobs/pipelines.py
+++ b/badgerroute/coordination/jobs/pipelines.py
@@ -10,21 +10,21 @@
 
 from badgerroute.coordination.jobs.job_reader import JobReader
 from badgerroute.coordination.jobs.job_store import JobStore
-from badgerroute.protocol.state import Put, Remove
+from badgerroute.protocol.key_value import Put, Remove
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
-from badgerroute.storage.records import FinalStateRecord, JobRecord, JobState
-from badgerroute.storage.replica import FINAL_STATES, JOBS, Replica
-from badgerroute.storage.state import (
-    ConflictError,
+from badgerroute.storage.key_value_client import (
+    CompareFailedError,
+    KeyValueClient,
     LeaseExpiredError,
     OutcomeUnknownError,
-    StateClient,
-    StateUnavailableError,
+    StoreUnavailableError,
+    compare,
     put,
     remove,
-    when,
 )
+from badgerroute.storage.records import FinalStateRecord, JobRecord, JobState
+from badgerroute.storage.replica import FINAL_STATES, JOBS, Replica
 from badgerroute.transport.clock import ZERO
 from badgerroute.transport.loop import Loop
 
@@ -43,7 +43,7 @@
     def __init__(
         self,
         loop: Loop,
-        state: StateClient,
+        store: KeyValueClient,
         replica: Replica,
         job_store: JobStore,
         job_reader: JobReader,
@@ -51,7 +51,7 @@
         tidies: Callable[[], bool],
         turn: int,
     ) -> None:
-        self._loop, self._state, self._replica = loop, state, replica
+        self._loop, self._store, self._replica = loop, store, replica
         self._job_store, self._job_reader = job_store, job_reader
         self._owned, self._tidies, self._turn = owned, tidies, turn
         self._asked: dict[str, timedelta] = {}
@@ -72,7 +72,7 @@
             self._asked.update(dict.fromkeys(unknown, now))
             try:
                 await self._job_reader.unaccepted(unknown, Urgency.COMPLETE)
-            except StateUnavailableError as error:
+            except StoreUnavailableError as error:
                 log.info("event=predecessors_unknown jobs=%d error=%s", len(unknown), error)
                 await self._loop.sleep(5 * TICK)
 
@@ -84,10 +84,10 @@
             await self._loop.sleep(TICK)
             due = self._due()
             while due:
-                batch, due = due[: max(1, self._state.max_changes // 2)], due[max(1, self._state.max_changes // 2) :]
+                batch, due = due[: max(1, self._store.max_changes // 2)], due[max(1, self._store.max_changes // 2) :]
                 try:
                     await self._withdraw(batch)
-                except (StateUnavailableError, OutcomeUnknownError, ConflictError, LeaseExpiredError) as error:
+                except (StoreUnavailableError, OutcomeUnknownError, CompareFailedError, LeaseExpiredError) as error:
                     log.info("event=withdrawal_delayed jobs=%d error=%s", len(batch), error)
                     await self._loop.sleep(2 * TICK)
                     break
@@ -119,8 +119,8 @@
         changes: list[Put | Remove] = []
         for ref, past in pasts.items():
             changes += [remove(JOBS + ref), put(FINAL_STATES + ref, past)]
-        conditions = [when(JOBS + ref, self._replica.revision_of(JOBS + ref)) for ref in pasts]
-        at = await self._state.transact(conditions, changes, Urgency.COMPLETE)
+        conditions = [compare(JOBS + ref, self._replica.revision_of(JOBS + ref)) for ref in pasts]
+        at = await self._store.transact(conditions, changes, Urgency.COMPLETE)
         for ref, past in pasts.items():
             self._job_store.finished(ref, bytes(past), at)
         log.info("event=withdrawn_with_predecessor jobs=%s", ",".join(pasts))
@@ -140,16 +140,16 @@
             try:
                 for ref in [ref for ref, since in self._idle.items() if now - since >= FORGOTTEN]:
                     await self._tidy(ref)
-            except (StateUnavailableError, OutcomeUnknownError, ConflictError, LeaseExpiredError) as error:
+            except (StoreUnavailableError, OutcomeUnknownError, CompareFailedError, LeaseExpiredError) as error:
                 log.info("event=tidying_delayed error=%s", error)
 
     async def _tidy(self, ref: str) -> None:
         lookup = await self._job_reader.look_up(ref, Urgency.PROGRESS)
         if lookup is not None and lookup.record is not None:
             return  # it is not over
-        keys = sorted(self._job_store.pages.get(ref, ()))[: self._state.max_changes]
-        conditions = [when(key, self._replica.revision_of(key)) for key in keys]
+        keys = sorted(self._job_store.pages.get(ref, ()))[: self._store.max_changes]
+        conditions = [compare(key, self._replica.revision_of(key)) for key in keys]
         if keys:
-            at = await self._state.transact(conditions, [remove(key) for key in keys], Urgency.PROGRESS)
+            at = await self._store.transact(conditions, [remove(key) for key in keys], Urgency.PROGRESS)
             for key in keys:
                 self._replica.learn(key, None, at)
--- a/badgerroute/coordination/jobs/record_paging.py
+++ b/badgerroute/coordination/jobs/record_paging.py
@@ -10,17 +10,17 @@
 from badgerroute.protocol.users import Submission
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
-from badgerroute.storage.records import DonePage, JobRecord, PredecessorsPage
-from badgerroute.storage.replica import DONE, JOBS, PREDECESSORS, Replica
-from badgerroute.storage.state import (
-    ConflictError,
+from badgerroute.storage.key_value_client import (
+    CompareFailedError,
+    KeyValueClient,
     LeaseExpiredError,
     OutcomeUnknownError,
-    StateClient,
-    StateUnavailableError,
+    StoreUnavailableError,
+    compare,
     put,
-    when,
 )
+from badgerroute.storage.records import DonePage, JobRecord, PredecessorsPage
+from badgerroute.storage.replica import DONE, JOBS, PREDECESSORS, Replica
 
 log = logging.getLogger("badgerroute.paging")
 MAX_PREDECESSORS = 1000
@@ -56,17 +56,19 @@
 class RecordPager:
     """`known_types` are the machine types there are."""
 
-    def __init__(self, state: StateClient, replica: Replica, store: JobStore, known_types: Container[str]) -> None:
-        self._state, self._replica, self._store, self._known_types = state, replica, store, known_types
+    def __init__(
+        self, store: KeyValueClient, replica: Replica, job_store: JobStore, known_types: Container[str]
+    ) -> None:
+        self._store, self._replica, self._job_store, self._known_types = store, replica, job_store, known_types
 
     def fits(self, record: JobRecord) -> bool:
         """Whether a record may be written as it is."""
-        return len(bytes(records.write(record))) <= self._state.max_value_bytes
+        return len(bytes(records.write(record))) <= self._store.max_value_bytes
 
     @property
     def max_predecessors(self) -> int:
         """How many a job may have: the write of its record is conditional on each of their pages."""
-        return min(MAX_PREDECESSORS, PAGE_REFS * (self._state.max_conditions - CONDITIONS_OF_A_NEW_JOB))
+        return min(MAX_PREDECESSORS, PAGE_REFS * (self._store.max_conditions - CONDITIONS_OF_A_NEW_JOB))
 
     def compact(self, record: JobRecord) -> CompactRecord:
         """A new job's record, with its predecessors on pages if they do not fit it.
@@ -80,10 +82,10 @@
             record = msgspec.structs.replace(record, job=job, pages=len(pages))
         record = self._without_unknown_types(record)
         largest = max([len(bytes(records.write(record))), *(page.size for page in pages)])
-        if largest > self._state.announced_value_bytes:
+        if largest > self._store.announced_value_bytes:
             raise RecordTooLargeError(f"its description takes {largest} bytes, too many to be stored")
-        if largest > self._state.max_value_bytes:
-            raise StateUnavailableError("the state service refuses values that large now")
+        if largest > self._store.max_value_bytes:
+            raise StoreUnavailableError("the state service refuses values that large now")
         return CompactRecord(record, pages)
 
     @staticmethod
@@ -107,7 +109,7 @@
         whole = record.with_done(done)
         if self.fits(whole):
             return [KeyValue(JOBS + ref, records.write(whole))]
-        fresh, paged = done & ~known, self._store.paged(ref)
+        fresh, paged = done & ~known, self._job_store.paged(ref)
         pages = []
         for number in range(-(-record.job.tasks // records.PAGE_TASKS)):
             bits = records.page_of(fresh, number)
@@ -125,24 +127,24 @@
         The bits of done tasks go to pages, in as many writes as it takes, and the record itself last. Until then it
         holds them too, and from then on the pages do, so none is lost wherever this stops. It may be done by anybody.
         """
-        record, revision = self._store.active.get(ref), self._replica.revision_of(JOBS + ref)
+        record, revision = self._job_store.active.get(ref), self._replica.revision_of(JOBS + ref)
         if record is None:
             return
-        done = self._store.done(ref, record)
+        done = self._job_store.done(ref, record)
         small = self._without_unknown_types(record.without_bits(done))
         if not self.fits(small):
             log.info("event=record_too_large job=%s", ref)
             return
         pages = self._missing_pages(ref, record, done)
         changes = [*pages, KeyValue(JOBS + ref, records.write(small))]
-        for first in range(0, len(changes), self._state.max_changes):
-            if not await self._write(ref, revision, changes[first : first + self._state.max_changes]):
+        for first in range(0, len(changes), self._store.max_changes):
+            if not await self._write(ref, revision, changes[first : first + self._store.max_changes]):
                 return
         log.info("event=record_spilled job=%s pages=%d", ref, len(pages))
 
     def _missing_pages(self, ref: str, record: JobRecord, done: int) -> list[KeyValue]:
         """Pages with done tasks that no page says yet."""
-        known = self._store.paged(ref)
+        known = self._job_store.paged(ref)
         first = records.trailing_ones(done) // records.PAGE_TASKS
         numbers = range(first, -(-record.job.tasks // records.PAGE_TASKS))
         return [
@@ -153,16 +155,16 @@
 
     async def _write(self, ref: str, revision: int, changes: list[KeyValue]) -> bool:
         """Write some of a record's pages, or at last the record; whether they are written."""
-        conditions = [when(JOBS + ref, revision)]
+        conditions = [compare(JOBS + ref, revision)]
         conditions += [
-            when(change.key, self._replica.revision_of(change.key)) for change in changes if change.key != JOBS + ref
+            compare(change.key, self._replica.revision_of(change.key)) for change in changes if change.key != JOBS + ref
         ]
         puts = [put(change.key, change.value) for change in changes]
         try:
-            applied = await self._state.transact(conditions, puts, Urgency.PROGRESS)
-        except (ConflictError, StateUnavailableError, OutcomeUnknownError, LeaseExpiredError) as error:
+            applied = await self._store.transact(conditions, puts, Urgency.PROGRESS)
+        except (CompareFailedError, StoreUnavailableError, OutcomeUnknownError, LeaseExpiredError) as error:
             log.info("event=spill_delayed job=%s error=%s", ref, error)
             return False
         for change in changes:
-            self._store.published(change.key, bytes(change.value), applied)
+            self._job_store.published(change.key, bytes(change.value), applied)
         return True
--- a/badgerroute/coordination/leadership/leader_election.py
+++ b/badgerroute/coordination/leadership/leader_election.py
@@ -9,20 +9,20 @@
 from datetime import timedelta
 
 from badgerroute.connectivity.modes import Permission
-from badgerroute.protocol.state import Condition
+from badgerroute.protocol.key_value import Compare
 from badgerroute.settings import Settings
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
-from badgerroute.storage.replica import AUTOSCALER_LEADER, SHARD_LEADERS, Replica
-from badgerroute.storage.state import (
-    ConflictError,
+from badgerroute.storage.key_value_client import (
+    CompareFailedError,
+    KeyValueClient,
     LeaseExpiredError,
     OutcomeUnknownError,
-    StateClient,
-    StateUnavailableError,
+    StoreUnavailableError,
+    compare,
     put,
-    when,
 )
+from badgerroute.storage.replica import AUTOSCALER_LEADER, SHARD_LEADERS, Replica
 from badgerroute.transport.clock import ZERO
 from badgerroute.transport.loop import Future, Loop
 
@@ -48,13 +48,13 @@
         self,
         settings: Settings,
         loop: Loop,
-        state: StateClient,
+        store: KeyValueClient,
         replica: Replica,
         on_elected: Callable[[int, Leadership], None],
         on_deposed: Callable[[int], None],
         permission: Callable[[], Permission] = lambda: Permission.ALLOWED,
     ) -> None:
-        self._settings, self._loop, self._state, self._replica = settings, loop, state, replica
+        self._settings, self._loop, self._store, self._replica = settings, loop, store, replica
         self._on_elected, self._on_deposed = on_elected, on_deposed
         self._permission = permission  # to claim shards
         self._shard_freed = Future()  # a shard has no leader any more
@@ -74,12 +74,12 @@
     # -- what others ask
 
     def key(self, shard: int) -> str:
-        """The state service's key of a shard's claim."""
+        """The key-value store's key of a shard's claim."""
         return f"{SHARD_LEADERS}{shard}"
 
-    def condition(self, shard: int) -> Condition:
+    def condition(self, shard: int) -> Compare:
         """What every write for a shard is conditional on."""
-        return when(self.key(shard), self.leaderships[shard].term)
+        return compare(self.key(shard), self.leaderships[shard].term)
 
     @property
     def last_confirmed(self) -> timedelta:
@@ -87,7 +87,7 @@
         return min(self._last_confirmed, self._replica.last_confirmed)
 
     def within_grace(self) -> bool:
-        """Whether what we know of the state service is recent enough to act on: docs/safety.md, G."""
+        """Whether what we know of the key-value store is recent enough to act on: docs/safety.md, G."""
         return self._loop.now() - self.last_confirmed < self._grace
 
     def lease_surely_valid(self) -> bool:
@@ -102,7 +102,7 @@
         self._peer_terms[shard] = max(term, self._peer_terms.get(shard, 0))
         leadership = self.leaderships.get(shard)
         # Also while a write of ours is on its way: a higher term that we ask for is conditional on the one we had, so
-        # it came before the sibling's, or never. A leader that can't reach the state service is always just asking.
+        # it came before the sibling's, or never. A leader that can't reach the key-value store is always just asking.
         if leadership is not None and term > leadership.term:
             log.warning("event=stood_down shard=%d term=%d by=%d", shard, leadership.term, term)
             self._step_down(shard)
@@ -131,7 +131,7 @@
                 await self._keep_lease()
                 if self._permission() is not Permission.REFUSED:
                     await self._campaign_for_all()
-            except (StateUnavailableError, OutcomeUnknownError) as error:
+            except (StoreUnavailableError, OutcomeUnknownError) as error:
                 log.info("event=claims_delayed error=%s", error)
                 await self._loop.sleep(RETRY)
                 continue
@@ -147,12 +147,12 @@
         sent = self._loop.now()
         ttl = self._settings.operator.election.ttl
         if self.lease is None:
-            self.lease = await self._state.grant(ttl)
+            self.lease = await self._store.grant(ttl)
             log.info("event=lease_granted lease=%d", self.lease)
         else:
             if sent - self._last_confirmed < ttl / 5:
                 return
-            await self._state.touch(self.lease, min(ttl / 2, timedelta(seconds=1.5)))
+            await self._store.touch(self.lease, min(ttl / 2, timedelta(seconds=1.5)))
         self._last_confirmed = sent
 
     def _lease_ended(self) -> None:
@@ -222,12 +222,12 @@
         self._writing.add(shard)
         try:
             record = records.ShardLeaderRecord(self._host, until)
-            term = await self._state.transact(
-                [when(key, revision)], [put(key, records.write(record), lease)], Urgency.LEADERSHIP
+            term = await self._store.transact(
+                [compare(key, revision)], [put(key, records.write(record), lease)], Urgency.LEADERSHIP
             )
-        except ConflictError:
+        except CompareFailedError:
             log.info("event=claim_missed shard=%d", shard)
-            item = await self._state.get(key, Urgency.LEADERSHIP)
+            item = await self._store.get(key, Urgency.LEADERSHIP)
             if item is not None:
                 self._replica.learn(key, bytes(item.value), item.revision)
             return None
@@ -271,12 +271,12 @@
         try:
             key = self.key(shard)
             value = records.write(records.ShardLeaderRecord(host, self._grace_end(shard), transferred=True))
-            revision = await self._state.transact(
-                [when(key, leadership.term)], [put(key, value, lease)], Urgency.LEADERSHIP
+            revision = await self._store.transact(
+                [compare(key, leadership.term)], [put(key, value, lease)], Urgency.LEADERSHIP
             )
             self._replica.learn(key, bytes(value), revision)
             log.info("event=shard_handed_over shard=%d to=%s", shard, host)
-        except (StateUnavailableError, OutcomeUnknownError, ConflictError, LeaseExpiredError) as error:
+        except (StoreUnavailableError, OutcomeUnknownError, CompareFailedError, LeaseExpiredError) as error:
             log.info("event=hand_over_failed shard=%d error=%s", shard, error)
         finally:
             self._writing.discard(shard)
@@ -288,12 +288,12 @@
         record = records.write(records.AutoscalerLeaderRecord(self._host))
         lease = self.lease
         try:
-            revision = await self._state.transact(
-                [when(AUTOSCALER_LEADER, self._replica.revision_of(AUTOSCALER_LEADER))],
+            revision = await self._store.transact(
+                [compare(AUTOSCALER_LEADER, self._replica.revision_of(AUTOSCALER_LEADER))],
                 [put(AUTOSCALER_LEADER, record, lease)],
                 Urgency.LEADERSHIP,
             )
-        except ConflictError:
+        except CompareFailedError:
             return
         if lease == self.lease:
             self.autoscaler_term = revision
--- a/badgerroute/coordination/membership/connectivity_monitor.py
+++ b/badgerroute/coordination/membership/connectivity_monitor.py
@@ -50,7 +50,7 @@
         self._damping = FlapDamping(connectivity.settle, connectivity.longest_settle, connectivity.penalty_half_life)
         self._machine = ModeMachine(self._damping)
         self._standstill = StandstillDetector(TICK, loop.now())
-        self._state_link = Link(STATE_SERVICE, loop.now())
+        self._store_link = Link(STATE_SERVICE, loop.now())
         self.worker_link = WorkerLink()
 
     @property
@@ -62,15 +62,15 @@
         """The end of this process's last standstill, or its start."""
         return self._standstill.awake_since
 
-    def reaches_state_service(self) -> bool:
-        """Whether the state service has answered a renewal and a watch lately."""
+    def reaches_store(self) -> bool:
+        """Whether the key-value store has answered a renewal and a watch lately."""
         last_confirmed = self._election.last_confirmed
         if last_confirmed > NEVER:
-            self._state_link.heard(last_confirmed)
-        return not self._state_link.suspected(self._loop.now())
+            self._store_link.heard(last_confirmed)
+        return not self._store_link.suspected(self._loop.now())
 
     def alone(self) -> bool:
-        """Whether users are served better elsewhere: only this controller lacks the state service."""
+        """Whether users are served better elsewhere: only this controller lacks the key-value store."""
         return self._reachable().alone
 
     async def run(self) -> None:
@@ -85,7 +85,7 @@
         standstill = self._standstill.turn(now)
         if standstill:
             log.info("event=stood_still host=%s seconds=%.1f", self._host, standstill.total_seconds())
-            for link in (self._state_link, *self._siblings.links.values()):
+            for link in (self._store_link, *self._siblings.links.values()):
                 link.excuse(standstill, now)
         self.worker_link.update(
             {leader.number: leader.silent() for leader in self._leaders.values() if leader.ready}, now
@@ -104,10 +104,10 @@
     def _reachable(self) -> Reachable:
         heard = self._siblings.heard().values()
         return Reachable(
-            state_service=self.reaches_state_service(),
+            store=self.reaches_store(),
             workers=not self.worker_link.lost,
             siblings=bool(heard) or not self._has_siblings,
-            recorded_sibling=any(sibling.gossip.store_reachable for sibling in heard),
+            sibling_with_store=any(sibling.gossip.store_reachable for sibling in heard),
         )
 
     async def probe(self) -> None:
--- a/badgerroute/coordination/membership/forwarding.py
+++ b/badgerroute/coordination/membership/forwarding.py
@@ -1,7 +1,7 @@
 """Requests that this controller can't answer itself, passed over the mesh to one that can.
 
-Nothing is decided on the way. Whoever answers does so by its own claims and its own reading of the state service, and a
-request that was passed on once is not passed on again. A message that is lost costs time.
+Nothing is decided on the way. Whoever answers does so by its own claims and its own reading of the key-value store, and
+a request that was passed on once is not passed on again. A message that is lost costs time.
 """
 
 import logging
--- a/badgerroute/coordination/membership/leadership_transfer.py
+++ b/badgerroute/coordination/membership/leadership_transfer.py
@@ -50,7 +50,7 @@
             host = self._home(shard)
             sibling = self._siblings.get(host)
             leader = self._leaders.get(shard)
-            # A sibling that has lost the state service still names the lease it once had. Its shard was handed to it
+            # A sibling that has lost the key-value store still names the lease it once had. Its shard was handed to it
             # again and again, each time given up first and claimed anew, and stood still for as long as the cut.
             if sibling is not None and sibling.fit() and leader is not None and leader.shard.settled:
                 await self._election.transfer(shard, host, sibling.gossip.lease)
--- a/badgerroute/coordination/membership/siblings.py
+++ b/badgerroute/coordination/membership/siblings.py
@@ -81,7 +81,7 @@
     def leader(self, shard: int) -> str | None:
         """The host that holds a shard: by the leadership as it is known here, or by a sibling that names a higher term.
 
-        A controller that has lost the state service learns only from the siblings who came after it.
+        A controller that has lost the key-value store learns only from the siblings who came after it.
         """
         host, term = self._election.leader(shard), self._election.known_term(shard)
         for name, sibling in self.heard().items():
@@ -91,7 +91,7 @@
         return host
 
     def in_use(self) -> int:
-        """How many controllers may be using the state service: this one, and all that are heard or hold a claim.
+        """How many controllers may be using the key-value store: this one, and all that are heard or hold a claim.
 
         Right after the start nobody has been heard yet, so none is counted out then.
         """
--- a/badgerroute/coordination/quotas/team_quotas.py
+++ b/badgerroute/coordination/quotas/team_quotas.py
@@ -10,23 +10,23 @@
 from datetime import timedelta
 from math import inf
 
+from badgerroute.protocol.key_value import Compare
 from badgerroute.protocol.mesh import ShareRequest
-from badgerroute.protocol.state import Condition
 from badgerroute.scheduling.model import EPSILON, Room
 from badgerroute.settings import Settings, Team
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
-from badgerroute.storage.records import ShareRecord
-from badgerroute.storage.replica import SHARES, Replica
-from badgerroute.storage.state import (
-    ConflictError,
+from badgerroute.storage.key_value_client import (
+    CompareFailedError,
+    KeyValueClient,
     LeaseExpiredError,
     OutcomeUnknownError,
-    StateClient,
-    StateUnavailableError,
+    StoreUnavailableError,
+    compare,
     put,
-    when,
 )
+from badgerroute.storage.records import ShareRecord
+from badgerroute.storage.replica import SHARES, Replica
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger("badgerroute.shares")
@@ -41,13 +41,13 @@
         self,
         settings: Settings,
         loop: Loop,
-        state: StateClient,
+        store: KeyValueClient,
         replica: Replica,
         pushed: Callable[[str, bytes | None, int], None],
-        condition: Callable[[int], Condition | None],
+        condition: Callable[[int], Compare | None],
     ) -> None:
-        self._loop, self._state, self._replica = loop, state, replica
-        self._pushed, self._condition = pushed, condition
+        self._loop, self._store, self._replica = loop, store, replica
+        self._pushed, self._leadership_condition = pushed, condition
         self.teams: dict[str, Team] = {team.name: team for team in settings.params.teams}
         self._records: dict[str, ShareRecord] = {}
         self._asked: dict[tuple[int, str], timedelta] = {}
@@ -133,7 +133,7 @@
             self._committed.pop((giver, team), None)
 
     async def _write(self, team: str, writer: int, changed: dict[int, tuple[float, float]]) -> bool:
-        condition = self._condition(writer)
+        condition = self._leadership_condition(writer)
         if condition is None:
             return False
         shares = dict(self._record(team).shares)
@@ -147,15 +147,15 @@
             return False
         key = SHARES + team
         value = records.write(ShareRecord(shares))
-        mark = self._replica.revision_of(key)
+        revision = self._replica.revision_of(key)
         self._writing.add(team)
         try:
-            at = await self._state.transact([condition, when(key, mark)], [put(key, value)], Urgency.COMPLETE)
-        except (ConflictError, OutcomeUnknownError) as error:
+            at = await self._store.transact([condition, compare(key, revision)], [put(key, value)], Urgency.COMPLETE)
+        except (CompareFailedError, OutcomeUnknownError) as error:
             log.debug("event=share_unsettled team=%s error=%s", team, error)
-            await self._settle(key, mark, unknown=isinstance(error, OutcomeUnknownError))
+            await self._settle(key, revision, unknown=isinstance(error, OutcomeUnknownError))
             return False
-        except (StateUnavailableError, LeaseExpiredError):
+        except (StoreUnavailableError, LeaseExpiredError):
             return False
         finally:
             self._writing.discard(team)
@@ -163,18 +163,18 @@
         self._pushed(key, bytes(value), at)
         return True
 
-    async def _settle(self, key: str, mark: int, unknown: bool) -> None:
+    async def _settle(self, key: str, revision: int, unknown: bool) -> None:
         """Read the key back. While a lost transaction may still be applied, rewriting the key rules that out."""
         while True:
             try:
-                item = await self._state.get(key, Urgency.COMPLETE)
+                item = await self._store.get(key, Urgency.COMPLETE)
                 if item is not None:
                     self._replica.learn(key, bytes(item.value), item.revision)
-                if not unknown or (item.revision if item else 0) != mark:
+                if not unknown or (item.revision if item else 0) != revision:
                     return
                 value = item.value if item else records.write(ShareRecord({}))
-                at = await self._state.transact([when(key, mark)], [put(key, value)], Urgency.COMPLETE)
+                at = await self._store.transact([compare(key, revision)], [put(key, value)], Urgency.COMPLETE)
                 self._replica.learn(key, bytes(value), at)
                 return
-            except (ConflictError, OutcomeUnknownError, StateUnavailableError):
+            except (CompareFailedError, OutcomeUnknownError, StoreUnavailableError):
                 await self._loop.sleep(timedelta(milliseconds=300))
--- a/badgerroute/coordination/requests/mesh_messages.py
+++ b/badgerroute/coordination/requests/mesh_messages.py
@@ -71,7 +71,7 @@
             self._replica.learn(message.key, message.value, message.revision)
 
     def _on_cancellation(self, message: wire.CancellationNotice) -> None:
-        """Act on it in this very step, though the state service may not answer us; then say that we have heard."""
+        """Act on it in this very step, though the key-value store may not answer us; then say that we have heard."""
         refs = [ref for ref, _ in message.jobs]
         self._cancellation_broadcast.known_to(message.host, refs)
         if not self._replica.ready.done:
--- a/badgerroute/coordination/requests/user_desk.py
+++ b/badgerroute/coordination/requests/user_desk.py
@@ -1,4 +1,4 @@
-"""Requests of users: answered here as far as the state service is reached, else by a sibling that reaches it."""
+"""Requests of users: answered here as far as the key-value store is reached, else by a sibling that reaches it."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -10,7 +10,7 @@
 from badgerroute.coordination.requests.responses import come_back, error
 from badgerroute.coordination.requests.users import Users
 from badgerroute.settings import Settings
-from badgerroute.storage.state import StateClient
+from badgerroute.storage.key_value_client import KeyValueClient
 from badgerroute.transport.http import Request, Response
 
 JOBS_PATH = "/v1/jobs"
@@ -33,12 +33,12 @@
         self,
         settings: Settings,
         policy: ActionPolicy,
-        state: StateClient,
+        store: KeyValueClient,
         siblings: Siblings,
         users: Users,
         forwarder: RequestForwarder,
     ) -> None:
-        self._policy, self._state, self._siblings = policy, state, siblings
+        self._policy, self._store, self._siblings = policy, store, siblings
         self._users, self._forwarder = users, forwarder
         self._host = settings.platform.host_name
         self._forwards = settings.operator.connectivity.relay
@@ -53,7 +53,7 @@
         permission = self._policy.permission(action)
         if permission is Permission.ALLOWED:
             response = await self._answer(request, ref, action)
-            if response.status == UNAVAILABLE and self._state.troubled() and relay is None:
+            if response.status == UNAVAILABLE and self._store.troubled() and relay is None:
                 return await self._forward(request) or response
             return response
         if permission is Permission.FROM_MEMORY:
@@ -78,7 +78,7 @@
         return await self._users.poll(ref)
 
     async def _forward(self, request: Request) -> Response | None:
-        """The answer of a sibling that reaches the state service; None if there is none, or it can't decide either."""
+        """The answer of a sibling that reaches the key-value store; None if there is none that can decide."""
         if not self._forwards:
             return None
         able = [
--- a/badgerroute/coordination/requests/users.py
+++ b/badgerroute/coordination/requests/users.py
@@ -16,8 +16,8 @@
 from badgerroute.scheduling.model import Room, capacity_of, need_of
 from badgerroute.settings import Params, Team
 from badgerroute.storage.budget import Urgency
+from badgerroute.storage.key_value_client import LeaseExpiredError, OutcomeUnknownError, StoreUnavailableError
 from badgerroute.storage.replica import Replica
-from badgerroute.storage.state import LeaseExpiredError, OutcomeUnknownError, StateUnavailableError
 from badgerroute.transport.http import Request, Response
 
 log = logging.getLogger("badgerroute.users")
@@ -63,7 +63,7 @@
             if problem is not None:
                 return await self._refused(job, problem)
             return await self._accept(job)
-        except (StateUnavailableError, OutcomeUnknownError, LeaseExpiredError) as trouble:
+        except (StoreUnavailableError, OutcomeUnknownError, LeaseExpiredError) as trouble:
             log.info("event=submission_undecided job=%s error=%s", job.ref, trouble)
             return come_back("the state service can't be reached")
 
@@ -134,7 +134,7 @@
             return come_back("starting")
         try:
             lookup = await self._job_reader.current(ref)
-        except (StateUnavailableError, OutcomeUnknownError) as trouble:
+        except (StoreUnavailableError, OutcomeUnknownError) as trouble:
             log.debug("event=poll_undecided job=%s error=%s", ref, trouble)
             return come_back("the state service can't be reached")
         return error(404, "no such job") if lookup is None else self._state_answer(200, ref, lookup)
@@ -152,7 +152,7 @@
             return error(404, "no such job")
         try:
             state = await self._job_writer.cancel(ref)
-        except (StateUnavailableError, OutcomeUnknownError, LeaseExpiredError) as trouble:
+        except (StoreUnavailableError, OutcomeUnknownError, LeaseExpiredError) as trouble:
             log.info("event=cancellation_undecided job=%s error=%s", ref, trouble)
             return come_back("the state service can't be reached")
         return error(404, "no such job") if state is None else answer(200, {"ref": ref, "condition": state})
--- a/badgerroute/coordination/shards/deleted_machines.py
+++ b/badgerroute/coordination/shards/deleted_machines.py
@@ -4,21 +4,21 @@
 from datetime import timedelta
 
 from badgerroute.coordination.shards.services import Services
-from badgerroute.protocol.state import Put, Remove
+from badgerroute.protocol.key_value import Put, Remove
 from badgerroute.scheduling.shard import Shard
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
-from badgerroute.storage.records import DeletedMachinesRecord
-from badgerroute.storage.replica import DELETED, MACHINES
-from badgerroute.storage.state import (
-    ConflictError,
+from badgerroute.storage.key_value_client import (
+    CompareFailedError,
     LeaseExpiredError,
     OutcomeUnknownError,
-    StateUnavailableError,
+    StoreUnavailableError,
+    compare,
     put,
     remove,
-    when,
 )
+from badgerroute.storage.records import DeletedMachinesRecord
+from badgerroute.storage.replica import DELETED, MACHINES
 
 log = logging.getLogger("badgerroute.leader")
 RETRY_PAUSE = timedelta(seconds=1)
@@ -33,10 +33,10 @@
 
     def __init__(self, shard: Shard, services: Services) -> None:
         self._shard, self._publish = shard, services.publish
-        self._loop, self._state, self._replica = services.loop, services.state, services.replica
+        self._loop, self._store, self._replica = services.loop, services.store, services.replica
         self._election = services.election
         self._most_members = 0
-        self._names_per_page = max(1, min(NAMES_PER_PAGE, self._state.max_value_bytes // MACHINE_NAME_BYTES))
+        self._names_per_page = max(1, min(NAMES_PER_PAGE, self._store.max_value_bytes // MACHINE_NAME_BYTES))
 
     async def forget(self, names: list[str]) -> None:
         """Machines that the cloud says are gone: their tasks are too.
@@ -49,15 +49,15 @@
         self._shard.settle()
         while names and self._shard.number in self._election.leaderships:
             key, known = self._page()
-            batch = names[: min(self._state.max_changes - 1, self._names_per_page - len(known), MAX_MACHINES_PER_WRITE)]
+            batch = names[: min(self._store.max_changes - 1, self._names_per_page - len(known), MAX_MACHINES_PER_WRITE)]
             gone = records.write(DeletedMachinesRecord([*known, *(name for name in batch if name not in known)]))
             members = [MACHINES + name for name in batch if self._replica.revision_of(MACHINES + name)]
             changes: list[Put | Remove] = [put(key, gone), *(remove(key) for key in members)]
             # On the page as we know it: carried out late, an older write of it would strike newer names off.
-            conditions = [self._election.condition(self._shard.number), when(key, self._replica.revision_of(key))]
+            conditions = [self._election.condition(self._shard.number), compare(key, self._replica.revision_of(key))]
             try:
-                at = await self._state.transact(conditions, changes, Urgency.PROGRESS)
-            except (StateUnavailableError, OutcomeUnknownError, ConflictError, LeaseExpiredError) as error:
+                at = await self._store.transact(conditions, changes, Urgency.PROGRESS)
+            except (StoreUnavailableError, OutcomeUnknownError, CompareFailedError, LeaseExpiredError) as error:
                 log.info("event=forget_failed machines=%d error=%s", len(batch), error)
                 await self._loop.sleep(RETRY_PAUSE)
                 continue
--- a/badgerroute/coordination/shards/machine_commands.py
+++ b/badgerroute/coordination/shards/machine_commands.py
@@ -9,7 +9,7 @@
 from badgerroute.protocol.workers import Command, DirectCommands, Report, parse_report
 from badgerroute.scheduling.model import Machine
 from badgerroute.scheduling.shard import Shard
-from badgerroute.storage.state import LeaseExpiredError, OutcomeUnknownError, StateUnavailableError
+from badgerroute.storage.key_value_client import LeaseExpiredError, OutcomeUnknownError, StoreUnavailableError
 from badgerroute.transport.http import Client, NoAnswerError
 from badgerroute.transport.loop import Future
 
@@ -74,7 +74,7 @@
         """Get a term above the token that some machine has seen elsewhere."""
         if self._raising is not None:
             # Whoever waits with others must learn how it went. Once they took it for granted, and a leader cut off from
-            # the state service answered hundreds of machines in its old term: they dropped the answers, stayed there
+            # the key-value store answered hundreds of machines in its old term: they dropped the answers, stayed there
             # all the same, and their leases ran out.
             raising = self._raising
             return await self._loop.first(raising, RAISE_LIMIT) and raising.result
@@ -82,7 +82,7 @@
         raised = False
         try:
             term = await self._election.raise_term(self._shard.number)
-        except (StateUnavailableError, OutcomeUnknownError, LeaseExpiredError) as error:
+        except (StoreUnavailableError, OutcomeUnknownError, LeaseExpiredError) as error:
             log.info("event=raise_failed shard=%d error=%s", self._shard.number, error)
         else:
             if term is not None:
--- a/badgerroute/coordination/shards/machine_loans.py
+++ b/badgerroute/coordination/shards/machine_loans.py
@@ -6,22 +6,22 @@
 
 from badgerroute.connectivity.modes import Action
 from badgerroute.coordination.shards.services import Services
+from badgerroute.protocol.key_value import Put
 from badgerroute.protocol.mesh import MachineLoanRequest
-from badgerroute.protocol.state import Put
 from badgerroute.scheduling.model import Machine, allows, need_of
 from badgerroute.scheduling.shard import Shard
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
-from badgerroute.storage.records import MachineRecord
-from badgerroute.storage.replica import MACHINES
-from badgerroute.storage.state import (
-    ConflictError,
+from badgerroute.storage.key_value_client import (
+    CompareFailedError,
     LeaseExpiredError,
     OutcomeUnknownError,
-    StateUnavailableError,
+    StoreUnavailableError,
+    compare,
     put,
-    when,
 )
+from badgerroute.storage.records import MachineRecord
+from badgerroute.storage.replica import MACHINES
 from badgerroute.transport.loop import Group
 
 log = logging.getLogger("badgerroute.migration")
@@ -32,7 +32,7 @@
 
     def __init__(self, shard: Shard, services: Services, group: Group, active: Callable[[], bool]) -> None:
         self._shard, self._loop, self._group, self._active = shard, services.loop, group, active
-        self._state, self._replica, self._election = services.state, services.replica, services.election
+        self._store, self._replica, self._election = services.store, services.replica, services.election
         self._policy = services.policy
         self._publish = services.publish
 
@@ -53,10 +53,10 @@
             return
         puts = [self._transfer(machine, message.shard) for machine in given]
         conditions = [self._election.condition(self._shard.number)]
-        conditions += [when(change.key, self._replica.revision_of(change.key)) for change in puts]
+        conditions += [compare(change.key, self._replica.revision_of(change.key)) for change in puts]
         try:
-            at = await self._state.transact(conditions, puts, Urgency.PROGRESS)
-        except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
+            at = await self._store.transact(conditions, puts, Urgency.PROGRESS)
+        except (CompareFailedError, StoreUnavailableError, LeaseExpiredError) as error:
             log.debug("event=lend_failed shard=%d error=%s", self._shard.number, error)
             for machine in given:
                 machine.draining = False
@@ -81,7 +81,7 @@
         lendable: list[Machine] = []
         slots = 0
         for machine in self._shard.machines.values():
-            if slots >= message.count or len(lendable) >= self._state.max_changes:
+            if slots >= message.count or len(lendable) >= self._store.max_changes:
                 break
             fits = machine.usable and machine.empty and machine.held_for is None and machine.free.holds(need)
             if fits and allows(message.job, machine.kind.name, machine.zone, machine.spot):
@@ -100,13 +100,13 @@
         key = MACHINES + machine.name
         while self._shard.machines.get(machine.name) is machine:
             try:
-                item = await self._state.get(key, Urgency.COMPLETE)
+                item = await self._store.get(key, Urgency.COMPLETE)
                 if item is None or records.read(bytes(item.value), MachineRecord).shard != self._shard.number:
                     return  # the watch brings it
-                conditions = [self._election.condition(self._shard.number), when(key, item.revision)]
-                at = await self._state.transact(conditions, [put(key, item.value)], Urgency.COMPLETE)
+                conditions = [self._election.condition(self._shard.number), compare(key, item.revision)]
+                at = await self._store.transact(conditions, [put(key, item.value)], Urgency.COMPLETE)
                 self._replica.learn(key, bytes(item.value), at)
                 machine.draining = False
                 return
-            except (StateUnavailableError, OutcomeUnknownError, ConflictError, LeaseExpiredError):
+            except (StoreUnavailableError, OutcomeUnknownError, CompareFailedError, LeaseExpiredError):
                 await self._loop.sleep(timedelta(milliseconds=500))
--- a/badgerroute/coordination/shards/member_registry.py
+++ b/badgerroute/coordination/shards/member_registry.py
@@ -6,16 +6,16 @@
 from badgerroute.coordination.shards.services import Services
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
-from badgerroute.storage.records import MachineRecord
-from badgerroute.storage.replica import MACHINES
-from badgerroute.storage.state import (
-    ConflictError,
+from badgerroute.storage.key_value_client import (
+    CompareFailedError,
     LeaseExpiredError,
     OutcomeUnknownError,
-    StateUnavailableError,
+    StoreUnavailableError,
+    compare,
     put,
-    when,
 )
+from badgerroute.storage.records import MachineRecord
+from badgerroute.storage.replica import MACHINES
 from badgerroute.transport.loop import Future, Group
 
 log = logging.getLogger("badgerroute.registrar")
@@ -26,7 +26,7 @@
 
     def __init__(self, services: Services, group: Group) -> None:
         self._loop, self._group, self._election = services.loop, group, services.election
-        self._state, self._replica, self._publish = services.state, services.replica, services.publish
+        self._store, self._replica, self._publish = services.store, services.replica, services.publish
         self._waiting: dict[str, tuple[MachineRecord, Future]] = {}
         self._running = False
 
@@ -47,12 +47,12 @@
         try:
             await self._loop.sleep(timedelta(milliseconds=20))  # machines that come up together go in together
             while self._waiting:
-                names = list(self._waiting)[: self._state.max_changes]
+                names = list(self._waiting)[: self._store.max_changes]
                 batch = {name: self._waiting.pop(name) for name in names}
                 written: set[str] = set()
                 try:
                     written = await self._write({name: record for name, (record, _) in batch.items()})
-                except (StateUnavailableError, OutcomeUnknownError, ConflictError, LeaseExpiredError) as error:
+                except (StoreUnavailableError, OutcomeUnknownError, CompareFailedError, LeaseExpiredError) as error:
                     log.info("event=register_failed machines=%d error=%s", len(batch), error)
                 finally:
                     for name, (_, future) in batch.items():
@@ -69,13 +69,13 @@
         if not batch:
             return set()
         conditions = [self._election.condition(shard) for shard in {record.shard for record in batch.values()}]
-        conditions += [when(MACHINES + name, 0) for name in batch]
+        conditions += [compare(MACHINES + name, 0) for name in batch]
         values = {MACHINES + name: records.write(record) for name, record in batch.items()}
         try:
-            at = await self._state.transact(conditions, [put(*item) for item in values.items()], Urgency.SUBMIT)
-        except ConflictError as error:
+            at = await self._store.transact(conditions, [put(*item) for item in values.items()], Urgency.SUBMIT)
+        except CompareFailedError as error:
             for key in error.failed:
-                item = await self._state.get(key, Urgency.SUBMIT)
+                item = await self._store.get(key, Urgency.SUBMIT)
                 if item is not None:
                     self._replica.learn(key, bytes(item.value), item.revision)
             raise
--- a/badgerroute/coordination/shards/migration.py
+++ b/badgerroute/coordination/shards/migration.py
@@ -14,7 +14,7 @@
 from badgerroute.connectivity.modes import Action
 from badgerroute.coordination.shards.services import Services
 from badgerroute.protocol import mesh as mesh_wire
-from badgerroute.protocol.state import Condition, Put
+from badgerroute.protocol.key_value import Compare, Put
 from badgerroute.scheduling.capacities import ANY_ZONE, holds_whole_job, slots_by_zone
 from badgerroute.scheduling.model import Job, allows
 from badgerroute.scheduling.planner import Planner
@@ -22,16 +22,16 @@
 from badgerroute.scheduling.stealing import StealSelection, given_ranges
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
-from badgerroute.storage.records import TaskRange
-from badgerroute.storage.replica import JOBS
-from badgerroute.storage.state import (
-    ConflictError,
+from badgerroute.storage.key_value_client import (
+    CompareFailedError,
     LeaseExpiredError,
     OutcomeUnknownError,
-    StateUnavailableError,
+    StoreUnavailableError,
+    compare,
     put,
-    when,
 )
+from badgerroute.storage.records import TaskRange
+from badgerroute.storage.replica import JOBS
 from badgerroute.transport.loop import Group
 
 log = logging.getLogger("badgerroute.migration")
@@ -47,7 +47,7 @@
 
     job: Job
     given: int
-    condition: Condition
+    condition: Compare
     put: Put
 
 
@@ -65,7 +65,7 @@
     ) -> None:
         self.number, self.shard, self.planner = shard.number, shard, planner
         self._loop, self._group = services.loop, group
-        self._state, self._replica, self._election = services.state, services.replica, services.election
+        self._store, self._replica, self._election = services.store, services.replica, services.election
         self._policy = services.policy
         self._job_store, self._job_reader, self._pager = services.job_store, services.job_reader, services.pager
         self._publish, self._ask_machines = services.publish, services.ask_machines
@@ -175,7 +175,7 @@
             self.shard.jobs.values(), key=lambda job: (not job.guaranteed, -job.level, precedence(job), job.accepted)
         )
         for job in jobs:
-            if len(changes) >= min(MAX_JOBS_PER_STEAL, self._state.max_changes):
+            if len(changes) >= min(MAX_JOBS_PER_STEAL, self._store.max_changes):
                 break
             record = self._job_store.active.get(job.ref)
             if record is None or not self._may_be_stolen(job, record) or job.spec.team in message.short:
@@ -199,10 +199,10 @@
         conditions = [self._election.condition(self.number), *(write.condition for write in writes)]
         puts = [write.put for write in writes]
         try:
-            at = await self._state.transact(conditions, puts, Urgency.PROGRESS)
-        except (ConflictError, StateUnavailableError, LeaseExpiredError) as error:
+            at = await self._store.transact(conditions, puts, Urgency.PROGRESS)
+        except (CompareFailedError, StoreUnavailableError, LeaseExpiredError) as error:
             log.debug("event=steal_failed shard=%d error=%s", self.number, error)
-            if isinstance(error, ConflictError):
+            if isinstance(error, CompareFailedError):
                 await self._refresh([write.put.key for write in writes])
         except OutcomeUnknownError:
             # It may yet be applied: the tasks stay out of reach until another write has settled the key.
@@ -235,7 +235,9 @@
         # meanwhile, by the settling of an earlier write for instance, so it is not enough to own it no more.
         job.giving |= given
         key = JOBS + ref
-        return _AssignmentWrite(job, given, when(key, self._replica.revision_of(key)), put(key, records.write(record)))
+        return _AssignmentWrite(
+            job, given, compare(key, self._replica.revision_of(key)), put(key, records.write(record))
+        )
 
     def _given(self, job: Job, given: int) -> None:
         """The outcome is known, and so is what we own."""
@@ -245,7 +247,7 @@
     async def _refresh(self, keys: list[str]) -> None:
         try:
             await self._job_reader.refresh(keys)
-        except StateUnavailableError:
+        except StoreUnavailableError:
             log.debug("event=refresh_failed")
 
     async def _settle(self, job: Job, given: int) -> None:
@@ -253,13 +255,13 @@
         key = JOBS + job.ref
         while True:
             try:
-                item = await self._state.get(key, Urgency.COMPLETE)
+                item = await self._store.get(key, Urgency.COMPLETE)
                 if item is None:
                     return  # it has its final state: the watch drops it
-                at = await self._state.transact([when(key, item.revision)], [put(key, item.value)], Urgency.COMPLETE)
+                at = await self._store.transact([compare(key, item.revision)], [put(key, item.value)], Urgency.COMPLETE)
                 self._replica.learn(key, bytes(item.value), at)
                 self._publish(key, bytes(item.value), at)
                 self._given(job, given)
                 return
-            except (StateUnavailableError, OutcomeUnknownError, ConflictError, LeaseExpiredError):
+            except (StoreUnavailableError, OutcomeUnknownError, CompareFailedError, LeaseExpiredError):
                 await self._loop.sleep(timedelta(milliseconds=500))
--- a/badgerroute/coordination/shards/progress_duty.py
+++ b/badgerroute/coordination/shards/progress_duty.py
@@ -7,7 +7,7 @@
 from badgerroute.coordination.jobs.job_writer import JobWriter, LeadershipCheck, Progress
 from badgerroute.coordination.shards.forecast import JobForecast
 from badgerroute.coordination.shards.shard_leader import ShardLeader
-from badgerroute.storage.state import LeaseExpiredError, OutcomeUnknownError, StateUnavailableError
+from badgerroute.storage.key_value_client import LeaseExpiredError, OutcomeUnknownError, StoreUnavailableError
 from badgerroute.transport.loop import Future, Loop
 
 log = logging.getLogger("badgerroute.controller")
@@ -41,7 +41,7 @@
             self._wanted = Future()
             try:
                 await self._write()
-            except (StateUnavailableError, OutcomeUnknownError, LeaseExpiredError) as trouble:
+            except (StoreUnavailableError, OutcomeUnknownError, LeaseExpiredError) as trouble:
                 log.info("event=progress_delayed error=%s", trouble)
                 self._wanted.set()
             if any(leader.progress for leader in self._leaders.values()):
--- a/badgerroute/coordination/shards/services.py
+++ b/badgerroute/coordination/shards/services.py
@@ -14,8 +14,8 @@
 from badgerroute.protocol.mesh import MachineLoanRequest, ShareRequest
 from badgerroute.scheduling.guidance import Guidance
 from badgerroute.settings import Settings
+from badgerroute.storage.key_value_client import KeyValueClient
 from badgerroute.storage.replica import Replica
-from badgerroute.storage.state import StateClient
 from badgerroute.transport.loop import Gate, Group, Loop
 from badgerroute.transport.net import Network
 
@@ -29,7 +29,7 @@
     network: Network
     group: Group
     gate: Gate  # how many commands may be on their way to machines at once
-    state: StateClient
+    store: KeyValueClient
     replica: Replica
     election: LeaderElection
     policy: ActionPolicy
--- a/badgerroute/coordination/shards/shard_leader.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -75,7 +75,7 @@
         self.planner = Planner(self.shard, self._settings.operator.scheduling, objectives, params.workers.report)
         self.grace = leadership.grace
         self.ready = False
-        self._window = records.window(services.state.max_value_bytes)
+        self._window = records.window(services.store.max_value_bytes)
         self.commands = MachineCommands(self.shard, services, self._answered_directly)
         self._fencing = Fencing(self.shard, services, self.group, self.commands)
         self._urgent_halts = UrgentHalts(self.shard, self._loop, self.group, self.commands)
@@ -102,7 +102,7 @@
     # -- takeover
 
     async def _take_over(self) -> None:
-        """Rebuild the shard from the state service and its machines before anything is placed."""
+        """Rebuild the shard from the key-value store and its machines before anything is placed."""
         await self._replica.caught_up(self.shard.term)  # no write of the former leader comes after this
         while not self._catalog:
             await self._loop.sleep(timedelta(milliseconds=100))
--- a/badgerroute/protocol/state.py
+++ b/badgerroute/protocol/key_value.py
@@ -1,4 +1,4 @@
-"""Controllers -> state service."""
+"""Controllers -> key-value store."""
 
 from typing import Any
 
@@ -6,7 +6,7 @@
 from msgspec import UNSET, Raw, Struct, UnsetType, field
 
 
-class Item(Struct):
+class KeyValueEntry(Struct):
     """A key with its value and the revision at which it last changed."""
 
     key: str
@@ -15,21 +15,21 @@
     lease: int | None = field(name="tether", default=None)
 
 
-class Missing(Struct):
+class KeyMissing(Struct):
     """The answer for a key that does not exist."""
 
     revision: int = field(name="ledger", default=0)
 
 
-class Listing(Struct):
+class KeyValuePage(Struct):
     """A page of keys under a prefix."""
 
-    items: list[Item] = field(name="rows")
+    items: list[KeyValueEntry] = field(name="rows")
     revision: int = field(name="ledger")
     more: bool = False
 
 
-class Condition(Struct):
+class Compare(Struct):
     """The revision that a key must have; 0: it must not exist."""
 
     key: str
@@ -53,7 +53,7 @@
 class Transaction(Struct):
     """Changes that are applied together if all conditions hold."""
 
-    conditions: list[Condition] = field(name="if")
+    conditions: list[Compare] = field(name="if")
     changes: list[Put | Remove] = field(name="apply")  # encoded only, never decoded
 
 
@@ -63,7 +63,7 @@
     revision: int = field(name="ledger")
 
 
-class Conflict(Struct):
+class CompareFailed(Struct):
     """The keys whose conditions did not hold."""
 
     failed: list[str]
@@ -110,10 +110,10 @@
 
 
 refusal_decoder = msgspec.json.Decoder(Refusal)
-item_decoder = msgspec.json.Decoder(Item)
-listing_decoder = msgspec.json.Decoder(Listing)
+entry_decoder = msgspec.json.Decoder(KeyValueEntry)
+page_decoder = msgspec.json.Decoder(KeyValuePage)
 applied_decoder = msgspec.json.Decoder(Applied)
-conflict_decoder = msgspec.json.Decoder(Conflict)
-missing_decoder = msgspec.json.Decoder(Missing)
+conflict_decoder = msgspec.json.Decoder(CompareFailed)
+missing_decoder = msgspec.json.Decoder(KeyMissing)
 lease_decoder = msgspec.json.Decoder(Lease)
 changes_decoder = msgspec.json.Decoder(Changes)
--- a/badgerroute/protocol/mesh.py
+++ b/badgerroute/protocol/mesh.py
@@ -78,7 +78,7 @@
     host: str
     lease: int
     ready: bool
-    store_reachable: bool = field(name="proved")  # the state service answered it within the last seconds
+    store_reachable: bool = field(name="proved")  # the key-value store answered it within the last seconds
     isolated: bool = field(name="deaf")  # it wants no shard: workers don't reach it, or links have just come back
     shards: list[ShardSummary] = field(name="parts")
     mode: str | UnsetType = UNSET  # of `connectivity.modes`; older versions leave out this and what follows
@@ -87,7 +87,7 @@
 
 
 class Push(Struct, tag="push"):
-    """A change in the state service, told early."""
+    """A change in the key-value store, told early."""
 
     key: str
     revision: int
--- a/badgerroute/rebalancing/drain_command.py
+++ b/badgerroute/rebalancing/drain_command.py
@@ -1,6 +1,6 @@
 """`badgerroute drain` and `badgerroute undrain`: the operators' word on the command line.
 
-They speak to the state service, so they work whichever controller owns the machine, and while none does.
+They speak to the key-value store, so they work whichever controller owns the machine, and while none does.
 """
 
 import argparse
@@ -9,7 +9,7 @@
 
 from badgerroute.rebalancing.drain_requests import DrainAnswer, DrainOutcome, DrainRequests
 from badgerroute.settings import SettingsError, load
-from badgerroute.storage.state import StateClient, StateUnavailableError
+from badgerroute.storage.key_value_client import KeyValueClient, StoreUnavailableError
 from badgerroute.transport.clock import SystemClock
 from badgerroute.transport.loop import Loop, SelectorPoller
 from badgerroute.transport.net import TcpNetwork
@@ -49,8 +49,8 @@
     params = settings.params
     # As one more user of the service than there are controllers, it stays within the limits beside all of them.
     address = settings.platform.endpoints.state
-    state = StateClient(loop, TcpNetwork(loop, poller), address, params.state, params.size + 1)
-    return loop.run(loop.spawn(_run(command, options, DrainRequests(loop, state)), command))
+    store = KeyValueClient(loop, TcpNetwork(loop, poller), address, params.state, params.size + 1)
+    return loop.run(loop.spawn(_run(command, options, DrainRequests(loop, store)), command))
 
 
 async def _run(command: str, options: argparse.Namespace, requests: DrainRequests) -> int:
@@ -61,7 +61,7 @@
                 outcome = await requests.drain(machine, timedelta(seconds=options.within), options.delete)
             else:
                 outcome = await requests.undrain(machine)
-        except StateUnavailableError as error:
+        except StoreUnavailableError as error:
             print(f"badgerroute: {machine}: the state service does not answer ({error}); try again", file=sys.stderr)
             return UNREACHABLE
         if outcome.answer in NOT_FOUND_ANSWERS:
--- a/badgerroute/rebalancing/drain_requests.py
+++ b/badgerroute/rebalancing/drain_requests.py
@@ -1,4 +1,4 @@
-"""Operators' requests to drain machines, written to the state service: any controller that owns one acts by them."""
+"""Operators' requests to drain machines, written to the key-value store: any controller that owns one acts by them."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -6,17 +6,17 @@
 
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
-from badgerroute.storage.records import DeletedMachinesRecord, DrainRecord
-from badgerroute.storage.replica import DELETED, DRAINS, MACHINES
-from badgerroute.storage.state import (
-    ConflictError,
+from badgerroute.storage.key_value_client import (
+    CompareFailedError,
+    KeyValueClient,
     OutcomeUnknownError,
-    StateClient,
-    StateUnavailableError,
+    StoreUnavailableError,
+    compare,
     put,
     remove,
-    when,
 )
+from badgerroute.storage.records import DeletedMachinesRecord, DrainRecord
+from badgerroute.storage.replica import DELETED, DRAINS, MACHINES
 from badgerroute.transport.loop import Loop
 
 MAX_TRIES = 5
@@ -48,13 +48,13 @@
     StateUnavailableError: nothing is known, the request may be repeated.
     """
 
-    def __init__(self, loop: Loop, state: StateClient) -> None:
-        self._loop, self._state = loop, state
+    def __init__(self, loop: Loop, store: KeyValueClient) -> None:
+        self._loop, self._store = loop, store
 
     async def drain(self, machine: str, within: timedelta, delete: bool = False) -> DrainOutcome:
         """Have a machine emptied within so long. One that is draining keeps the deadline it has."""
         for _ in range(MAX_TRIES):
-            member = await self._state.get(MACHINES + machine, Urgency.SUBMIT)
+            member = await self._store.get(MACHINES + machine, Urgency.SUBMIT)
             if member is None:
                 return DrainOutcome(DrainAnswer.GONE if await self._was_deleted(machine) else DrainAnswer.UNKNOWN)
             known = await self._known(machine)
@@ -62,37 +62,37 @@
                 return DrainOutcome(DrainAnswer.ALREADY_DRAINING, known.deadline)
             deadline = self._loop.clock.today().timestamp() + within.total_seconds()
             record = records.write(DrainRecord(deadline, delete))
-            conditions = [when(MACHINES + machine, member.revision), when(DRAINS + machine, 0)]
+            conditions = [compare(MACHINES + machine, member.revision), compare(DRAINS + machine, 0)]
             try:
-                await self._state.transact(conditions, [put(DRAINS + machine, record)], Urgency.SUBMIT)
-            except (ConflictError, OutcomeUnknownError):
+                await self._store.transact(conditions, [put(DRAINS + machine, record)], Urgency.SUBMIT)
+            except (CompareFailedError, OutcomeUnknownError):
                 await self._loop.sleep(RETRY_PAUSE)  # what became of it is read at the next turn
                 continue
             return DrainOutcome(DrainAnswer.DRAINING, deadline)
-        raise StateUnavailableError("the request met others too often")
+        raise StoreUnavailableError("the request met others too often")
 
     async def undrain(self, machine: str) -> DrainOutcome:
         """Take a drain back; what has moved by then stays where it is."""
         tried = False
         for _ in range(MAX_TRIES):
-            item = await self._state.get(DRAINS + machine, Urgency.SUBMIT)
+            item = await self._store.get(DRAINS + machine, Urgency.SUBMIT)
             if item is None:
                 return DrainOutcome(DrainAnswer.NO_LONGER_DRAINING if tried else DrainAnswer.NOT_DRAINING)
             tried = True
             try:
-                await self._state.transact(
-                    [when(DRAINS + machine, item.revision)], [remove(DRAINS + machine)], Urgency.SUBMIT
+                await self._store.transact(
+                    [compare(DRAINS + machine, item.revision)], [remove(DRAINS + machine)], Urgency.SUBMIT
                 )
-            except (ConflictError, OutcomeUnknownError):
+            except (CompareFailedError, OutcomeUnknownError):
                 await self._loop.sleep(RETRY_PAUSE)
                 continue
             return DrainOutcome(DrainAnswer.NO_LONGER_DRAINING)
-        raise StateUnavailableError("the request met others too often")
+        raise StoreUnavailableError("the request met others too often")
 
     async def _known(self, machine: str) -> DrainRecord | None:
-        item = await self._state.get(DRAINS + machine, Urgency.SUBMIT)
+        item = await self._store.get(DRAINS + machine, Urgency.SUBMIT)
         return records.read(bytes(item.value), DrainRecord) if item is not None else None
 
     async def _was_deleted(self, machine: str) -> bool:
-        pages, _ = await self._state.list(DELETED)
+        pages, _ = await self._store.list(DELETED)
         return any(machine in records.read(bytes(page.value), DeletedMachinesRecord).names for page in pages)
--- a/badgerroute/rebalancing/drains.py
+++ b/badgerroute/rebalancing/drains.py
@@ -7,16 +7,16 @@
 from badgerroute.scheduling.model import Machine
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
-from badgerroute.storage.records import DrainRecord
-from badgerroute.storage.replica import DRAINS, MACHINES, Replica
-from badgerroute.storage.state import (
-    ConflictError,
+from badgerroute.storage.key_value_client import (
+    CompareFailedError,
+    KeyValueClient,
     OutcomeUnknownError,
-    StateClient,
-    StateUnavailableError,
+    StoreUnavailableError,
+    compare,
     remove,
-    when,
 )
+from badgerroute.storage.records import DrainRecord
+from badgerroute.storage.replica import DRAINS, MACHINES, Replica
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger("badgerroute.rebalancing")
@@ -34,8 +34,8 @@
 class DrainRegistry:
     """The drains on record, as the replica has them. They belong to no leader, so they outlive every one."""
 
-    def __init__(self, loop: Loop, replica: Replica, state: StateClient) -> None:
-        self._loop, self._replica, self._state = loop, replica, state
+    def __init__(self, loop: Loop, replica: Replica, store: KeyValueClient) -> None:
+        self._loop, self._replica, self._store = loop, replica, store
         self._orphaned: dict[str, timedelta] = {}  # machine -> since when it is no member
 
     def names(self) -> list[str]:
@@ -65,10 +65,12 @@
     async def _remove(self, name: str) -> None:
         key = DRAINS + name
         try:
-            at = await self._state.transact(
-                [when(key, self._replica.revision_of(key)), when(MACHINES + name, 0)], [remove(key)], Urgency.PROGRESS
+            at = await self._store.transact(
+                [compare(key, self._replica.revision_of(key)), compare(MACHINES + name, 0)],
+                [remove(key)],
+                Urgency.PROGRESS,
             )
-        except (StateUnavailableError, OutcomeUnknownError, ConflictError) as error:
+        except (StoreUnavailableError, OutcomeUnknownError, CompareFailedError) as error:
             log.info("event=drain_not_removed machine=%s error=%s", name, error)
             return
         self._replica.learn(key, None, at)
--- a/badgerroute/rebalancing/service.py
+++ b/badgerroute/rebalancing/service.py
@@ -95,7 +95,7 @@
     def attach(self, controller: Controller, group: Group) -> None:
         """Begin the duty beside a controller that has not loaded its replica yet."""
         self._controller = controller
-        self._drains = DrainRegistry(self._loop, controller.replica, controller.state)
+        self._drains = DrainRegistry(self._loop, controller.replica, controller.store)
         controller.replica.list_first(DRAINS)
         controller.replica.listen(DRAINS, self._drain_changed)
         group.duty(self._run, "rebalance", timedelta(seconds=1))
--- a/badgerroute/settings/platform.py
+++ b/badgerroute/settings/platform.py
@@ -85,8 +85,8 @@
         return timedelta(seconds=self.gang_peer_s)
 
 
-class NextLimits(Struct, frozen=True):
-    """Limits that the state service will have from some moment on, without notice; null: as now."""
+class LaterStoreLimits(Struct, frozen=True):
+    """Limits that the key-value store will have from some moment on, without notice; null: as now."""
 
     rps: Positive | None = None
     write_rps: Positive | None = None
@@ -94,14 +94,14 @@
     txn_ops: Annotated[int, Meta(ge=2)] | None = None
 
 
-class StateLimits(Struct, frozen=True):
-    """What the state service takes."""
+class StoreLimits(Struct, frozen=True):
+    """What the key-value store takes."""
 
     rps: Positive
     write_rps: Positive
     value_kb: Positive
     txn_ops: Annotated[int, Meta(ge=2)]
-    next: NextLimits | None = None
+    next: LaterStoreLimits | None = None
 
     @property
     def max_changes(self) -> int:
@@ -116,7 +116,7 @@
     @property
     def lower_rates(self) -> tuple[float, float]:
         """Requests and changes a second once the service has lowered its limits."""
-        later = self.next or NextLimits()
+        later = self.next or LaterStoreLimits()
         return min(self.rps, later.rps or self.rps), min(self.write_rps, later.write_rps or self.write_rps)
 
 
@@ -146,7 +146,7 @@
     size: Annotated[int, Meta(ge=1, le=64)]
     zones: list[Name]
     workers: WorkerLimits
-    state: StateLimits
+    state: StoreLimits
     cloud: CloudLimits
     resources: Resources
     teams: list[Team] = []
--- a/badgerroute/storage/__init__.py
+++ b/badgerroute/storage/__init__.py
@@ -1,1 +1,1 @@
-"""The state service and what is kept there."""
+"""The key-value store and what is kept there."""
--- a/badgerroute/storage/state.py
+++ b/badgerroute/storage/key_value_client.py
@@ -1,4 +1,4 @@
-"""Client of the state service. Says plainly whether a transaction applied, did not, or may have."""
+"""Client of the key-value store. Says plainly whether a transaction applied, did not, or may have."""
 
 import logging
 from collections.abc import Iterable, Sequence
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from badgerroute.protocol import state as wire
+from badgerroute.protocol import key_value as wire
 from badgerroute.protocol.common import MalformedError, decode, encode
-from badgerroute.settings import NextLimits, StateLimits
+from badgerroute.settings import LaterStoreLimits, StoreLimits
 from badgerroute.storage.budget import Budget, BudgetExhaustedError, Urgency
 from badgerroute.storage.size_limits import SizeLimits, TransactionSize
 from badgerroute.transport.http import Client, NoAnswerError, Response
@@ -27,7 +27,7 @@
 SLACK = 0.95  # budgets stay a little below the published limits: clocks differ, and a 429 helps nobody
 
 
-class StateUnavailableError(Exception):
+class StoreUnavailableError(Exception):
     """Nothing was done, and nothing will be done later."""
 
 
@@ -35,7 +35,7 @@
     """The transaction may have been applied, or may yet be: read back before going on."""
 
 
-class ConflictError(Exception):
+class CompareFailedError(Exception):
     """Conditions did not hold, so nothing was applied."""
 
     def __init__(self, failed: list[str]) -> None:
@@ -43,7 +43,7 @@
         self.failed = failed
 
 
-class RequestRefusedError(StateUnavailableError):
+class RequestRefusedError(StoreUnavailableError):
     """The service calls the transaction malformed or too large: as it is, it must not be sent again.
 
     `by_size`: its size may have been the reason, so that what is sent from now on is smaller.
@@ -62,9 +62,9 @@
     """A watch began before what the service still remembers."""
 
 
-def when(key: str, revision: int) -> wire.Condition:
+def compare(key: str, revision: int) -> wire.Compare:
     """A condition of a transaction."""
-    return wire.Condition(key, revision)
+    return wire.Compare(key, revision)
 
 
 def put(key: str, value: Any, lease: int | None = None) -> wire.Put:
@@ -77,10 +77,10 @@
     return wire.Remove(key)
 
 
-class StateClient:
-    """Client of the state service, within its share of the limits."""
+class KeyValueClient:
+    """Client of the key-value store, within its share of the limits."""
 
-    def __init__(self, loop: Loop, network: Network, address: str, limits: StateLimits, size: int) -> None:
+    def __init__(self, loop: Loop, network: Network, address: str, limits: StoreLimits, size: int) -> None:
         self._client = Client(loop, network, address, most_idle=6)
         self._watch_client = Client(loop, network, address, most_idle=1)
         self._leadership_client = Client(loop, network, address, most_idle=1)
@@ -91,7 +91,7 @@
         self._limits = limits
         self._over: list[timedelta] = []  # when the service lately said that we are over its limits
         # Kept to from the first write on, though the service may still take more: nobody says when it no longer does.
-        later = limits.next or NextLimits()
+        later = limits.next or LaterStoreLimits()
         self._sizes = SizeLimits(
             limits.max_changes,
             int(limits.max_value_bytes * SLACK),
@@ -181,7 +181,7 @@
         try:
             await self._reads.take(1, urgency, limit)
         except BudgetExhaustedError as error:
-            raise StateUnavailableError(str(error)) from None
+            raise StoreUnavailableError(str(error)) from None
         self.requests += 1
         try:
             response = await (client or self._client).request(method, target, body, limit)
@@ -189,13 +189,13 @@
             self._troubled = self._loop.now()
             if error.sent:
                 raise OutcomeUnknownError(str(error)) from None
-            raise StateUnavailableError(str(error)) from None
+            raise StoreUnavailableError(str(error)) from None
         if response.status == 503:
             self._troubled = self._loop.now()
         if response.status == 429:
             self._over_limit()
         if response.status in (429, 503):
-            raise StateUnavailableError(f"status {response.status}")
+            raise StoreUnavailableError(f"status {response.status}")
         return response
 
     @staticmethod
@@ -205,32 +205,32 @@
         except MalformedError as error:
             raise OutcomeUnknownError(f"nonsense from the state service: {error}") from None
 
-    async def get(self, key: str, urgency: Urgency = Urgency.READ) -> wire.Item | None:
+    async def get(self, key: str, urgency: Urgency = Urgency.READ) -> wire.KeyValueEntry | None:
         """Read a key."""
         try:
             response = await self._call("GET", "/kv/" + quote(key, safe="/"), b"", urgency)
         except OutcomeUnknownError as error:  # a read changes nothing, so whether it happened does not matter
-            raise StateUnavailableError(str(error)) from None
+            raise StoreUnavailableError(str(error)) from None
         if response.status == 404:
             return None
         if response.status != 200:
-            raise StateUnavailableError(f"status {response.status}")
+            raise StoreUnavailableError(f"status {response.status}")
         try:
-            return self._decoded(response, wire.item_decoder)
+            return self._decoded(response, wire.entry_decoder)
         except OutcomeUnknownError as error:
-            raise StateUnavailableError(str(error)) from None
+            raise StoreUnavailableError(str(error)) from None
 
     async def revision(self, absent: str, urgency: Urgency = Urgency.READ) -> int:
         """What the service has applied by now: it says so when asked for a key that is not there."""
         try:
             response = await self._call("GET", "/kv/" + quote(absent, safe="/"), b"", urgency)
             if response.status != 404:
-                raise StateUnavailableError(f"status {response.status}")
+                raise StoreUnavailableError(f"status {response.status}")
             return self._decoded(response, wire.missing_decoder).revision
         except OutcomeUnknownError as error:
-            raise StateUnavailableError(str(error)) from None
+            raise StoreUnavailableError(str(error)) from None
 
-    async def page(self, prefix: str, since: str, limit: int, urgency: Urgency) -> wire.Listing:
+    async def page(self, prefix: str, since: str, limit: int, urgency: Urgency) -> wire.KeyValuePage:
         """The first items under a prefix whose keys come after `since`, in the order of their keys."""
         target = f"/kv?under={quote(prefix, safe='/')}&limit={limit}"
         if since:
@@ -238,14 +238,14 @@
         try:
             response = await self._call("GET", target, b"", urgency)
             if response.status != 200:
-                raise StateUnavailableError(f"status {response.status}")
-            return self._decoded(response, wire.listing_decoder)
+                raise StoreUnavailableError(f"status {response.status}")
+            return self._decoded(response, wire.page_decoder)
         except OutcomeUnknownError as error:  # a read changes nothing, so whether it happened does not matter
-            raise StateUnavailableError(str(error)) from None
+            raise StoreUnavailableError(str(error)) from None
 
-    async def list(self, prefix: str) -> tuple[list[wire.Item], int]:
+    async def list(self, prefix: str) -> tuple[list[wire.KeyValueEntry], int]:
         """All items under a prefix, and a revision that none of the pages is older than."""
-        items: list[wire.Item] = []
+        items: list[wire.KeyValueEntry] = []
         since, revision = "", None
         while True:
             page = await self.page(prefix, since, LIST_PAGE, Urgency.LEADERSHIP)
@@ -257,7 +257,7 @@
 
     async def transact(
         self,
-        conditions: Iterable[wire.Condition],
+        conditions: Iterable[wire.Compare],
         changes: Sequence[wire.Put | wire.Remove],
         urgency: Urgency,
         limit: timedelta = ANSWER_LIMIT,
@@ -266,7 +266,7 @@
         try:
             await self._writes.take(max(1, len(changes)), urgency, limit)
         except BudgetExhaustedError as error:
-            raise StateUnavailableError(str(error)) from None
+            raise StoreUnavailableError(str(error)) from None
         transaction = wire.Transaction(list(conditions), list(changes))
         body = encode(transaction)
         response = await self._call("POST", "/txn", body, urgency, limit)
@@ -274,20 +274,20 @@
             return self._decoded(response, wire.applied_decoder).revision
         if response.status == 409:
             self.conflicts += 1
-            raise ConflictError(self._decoded(response, wire.conflict_decoder).failed)
+            raise CompareFailedError(self._decoded(response, wire.conflict_decoder).failed)
         if response.status == 400 and wire.names_ended_lease(response.body):
             raise LeaseExpiredError("no such lease")
         if response.status == 400:
             by_size = self._refused(transaction, body)
             raise RequestRefusedError(f"refused: {response.body[:100]!r}", by_size)
-        raise StateUnavailableError(f"status {response.status}")
+        raise StoreUnavailableError(f"status {response.status}")
 
     async def grant(self, ttl: timedelta) -> int:
         """A new lease."""
         body = encode({"ttl_ms": int(ttl / timedelta(milliseconds=1))})
         response = await self._call("POST", "/grants", body, Urgency.LEADERSHIP, client=self._leadership_client)
         if response.status not in (200, 201):
-            raise StateUnavailableError(f"status {response.status}")
+            raise StoreUnavailableError(f"status {response.status}")
         return self._decoded(response, wire.lease_decoder).lease
 
     async def touch(self, lease: int, limit: timedelta) -> None:
@@ -297,7 +297,7 @@
         if response.status == 404:
             raise LeaseExpiredError("lease ended")
         if response.status != 200:
-            raise StateUnavailableError(f"status {response.status}")
+            raise StoreUnavailableError(f"status {response.status}")
 
     async def follow(self, prefix: str, since: int, block: timedelta) -> wire.Changes:
         """Wait for changes under a prefix after a revision; WatchExpiredError if that is too old."""
@@ -311,7 +311,7 @@
             if response.status == 410:
                 raise WatchExpiredError
             if response.status != 200:
-                raise StateUnavailableError(f"status {response.status}")
+                raise StoreUnavailableError(f"status {response.status}")
             return self._decoded(response, wire.changes_decoder)
         except OutcomeUnknownError as error:
-            raise StateUnavailableError(str(error)) from None
+            raise StoreUnavailableError(str(error)) from None
--- a/badgerroute/storage/records.py
+++ b/badgerroute/storage/records.py
@@ -1,4 +1,4 @@
-"""What is kept in the state service, and how it is written down."""
+"""What is kept in the key-value store, and how it is written down."""
 
 import base64
 from enum import StrEnum
@@ -55,7 +55,7 @@
 
 
 class JobState(StrEnum):
-    """What the state service says of a job: the values are stored and told to users."""
+    """What the key-value store says of a job: the values are stored and told to users."""
 
     ACTIVE = "active"
     DONE = "done"
--- a/badgerroute/storage/replica.py
+++ b/badgerroute/storage/replica.py
@@ -1,4 +1,4 @@
-"""A copy in memory of what the state service holds, kept fresh by a watch.
+"""A copy in memory of what the key-value store holds, kept fresh by a watch.
 
 Everything lies under one prefix, so one watch gives all changes in their order. Own writes and siblings' pushes
 are taken in early; `revision` is what the watch itself has covered.
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from badgerroute.storage.state import StateClient, StateUnavailableError, WatchExpiredError
+from badgerroute.storage.key_value_client import KeyValueClient, StoreUnavailableError, WatchExpiredError
 from badgerroute.transport.clock import ZERO
 from badgerroute.transport.loop import Future, Loop
 
@@ -46,9 +46,9 @@
 class Replica:
     """A copy in memory of all keys, with listeners for their changes."""
 
-    def __init__(self, loop: Loop, state: StateClient) -> None:
-        self._loop, self._state = loop, state
-        self.items: dict[str, tuple[bytes, int]] = {}
+    def __init__(self, loop: Loop, store: KeyValueClient) -> None:
+        self._loop, self._store = loop, store
+        self.entries: dict[str, tuple[bytes, int]] = {}
         self._under: dict[str, dict[str, None]] = {}
         self._deleted: dict[str, int] = {}  # removals that the watch has not covered yet
         self.revision = 0
@@ -70,24 +70,24 @@
 
     def revision_of(self, key: str) -> int:
         """Revision of a key; 0 if it does not exist."""
-        item = self.items.get(key)
+        item = self.entries.get(key)
         return item[1] if item else 0
 
     def value(self, key: str) -> bytes | None:
         """The value of a key, if it exists."""
-        item = self.items.get(key)
+        item = self.entries.get(key)
         return item[0] if item else None
 
     def stored(self, key: str) -> bytes:
         """The value of a key that exists."""
-        return self.items[key][0]
+        return self.entries[key][0]
 
     def under(self, prefix: str) -> list[str]:
         """The keys right under a prefix that ends in a slash. Asked for several times a second."""
         return list(self._under.get(prefix, ()))
 
     def _drop(self, key: str) -> None:
-        if self.items.pop(key, None) is not None:
+        if self.entries.pop(key, None) is not None:
             self._under[_prefix(key)].pop(key, None)
 
     def learn(self, key: str, value: bytes | None, revision: int) -> None:
@@ -106,9 +106,9 @@
             self._drop(key)
             self._deleted[key] = revision
         else:
-            if key not in self.items:
+            if key not in self.entries:
                 self._under.setdefault(_prefix(key), {})[key] = None
-            self.items[key] = (value, revision)
+            self.entries[key] = (value, revision)
             self._deleted.pop(key, None)
         self._notify(key, value, revision)
         if key.startswith(FINAL_STATES):
@@ -125,7 +125,9 @@
     def _covered(self, revision: int) -> None:
         self.revision = max(self.revision, revision)
         if self._deleted:
-            self._deleted = {key: mark for key, mark in self._deleted.items() if mark > self.revision}
+            self._deleted = {
+                key: entry_revision for key, entry_revision in self._deleted.items() if entry_revision > self.revision
+            }
         if self._advanced:
             waiting, self._advanced = self._advanced, []
             for wanted, future in waiting:
@@ -151,7 +153,7 @@
         self._readers.append(reader)
         self._wanted.set()
         if not await self._loop.first(reader, READ_LIMIT):
-            raise StateUnavailableError("the watch lags behind")
+            raise StoreUnavailableError("the watch lags behind")
         await reader
 
     async def answer_readers(self) -> None:
@@ -161,8 +163,8 @@
             self._wanted = Future()
             readers, self._readers = self._readers, []
             try:
-                revision = await self._state.revision(NOWHERE)
-            except StateUnavailableError as error:
+                revision = await self._store.revision(NOWHERE)
+            except StoreUnavailableError as error:
                 for reader in readers:
                     reader.fail(error)
             else:
@@ -175,20 +177,22 @@
         fresh: dict[str, tuple[bytes, int]] = {}
         revision: int | None = None
         for prefix in self._listed:
-            items, at = await self._state.list(prefix)
+            items, at = await self._store.list(prefix)
             revision = at if revision is None else min(revision, at)
             for item in items:
                 fresh[item.key] = (bytes(item.value), item.revision)
         assert revision is not None
-        for key in [key for key, (_, mark) in self.items.items() if key not in fresh and mark <= revision]:
+        for key in [
+            key for key, (_, entry_revision) in self.entries.items() if key not in fresh and entry_revision <= revision
+        ]:
             self._drop(key)  # it went while nobody watched
             self._notify(key, None, revision)
-        for key, (value, mark) in fresh.items():
-            self._apply(key, value, mark)
+        for key, (value, entry_revision) in fresh.items():
+            self._apply(key, value, entry_revision)
         self._covered(revision)
         self.last_confirmed = started
         self.ready.set()
-        log.info("event=replica_loaded revision=%d keys=%d", revision, len(self.items))
+        log.info("event=replica_loaded revision=%d keys=%d", revision, len(self.entries))
 
     async def run(self) -> None:
         """Load, then follow for ever."""
@@ -200,12 +204,12 @@
                 if not loaded:
                     await self._load()
                     loaded = True
-                changes = await self._state.follow(PREFIX, self.revision, BLOCK)
+                changes = await self._store.follow(PREFIX, self.revision, BLOCK)
             except WatchExpiredError:
                 log.info("event=watch_too_old")
                 loaded = False
                 continue
-            except StateUnavailableError as error:
+            except StoreUnavailableError as error:
                 log.info("event=watch_failed error=%s", error)
                 await self._loop.sleep(delay)
                 delay = min(2 * delay, timedelta(seconds=1))
--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the network, the state service, the cloud, the workers and the users, in virtual time."""
+"""Stand-ins for the network, the key-value store, the cloud, the workers and the users, in virtual time."""
--- a/tests/standins/cuts.py
+++ b/tests/standins/cuts.py
@@ -24,13 +24,13 @@
 
 
 class CutWatch:
-    """Counts from outside: what the state service, the workers and the users saw, and the modes."""
+    """Counts from outside: what the key-value store, the workers and the users saw, and the modes."""
 
     EVERY = SECOND / 4
 
     def __init__(self, day: Day) -> None:
         self.day, self.counts = day, CutCounts()
-        self._seen = len(day.state.log)
+        self._seen = len(day.store.log)
         self._began = day.loop.now()
         self._relayed_of: dict[int, int] = {}
         self._ended = False
@@ -39,7 +39,7 @@
 
     def end(self) -> CutCounts:
         self._ended = True
-        claims = [one for one in self.day.state.log[self._seen :] if str(one.get("write", "")).startswith("b/parts/")]
+        claims = [one for one in self.day.store.log[self._seen :] if str(one.get("write", "")).startswith("b/parts/")]
         self.counts.hand_overs = sum(bool(one["value"].get("handed")) for one in claims)
         self.counts.claims = len(claims) - self.counts.hand_overs
         killed = [at for at in self.day.site.killed_by_lease if at > self._began]
@@ -123,11 +123,11 @@
     return between(day, list(hosts), list(day.site.workers), mode)
 
 
-def from_state(day: Day, hosts: Iterable[str], mode: str) -> tuple[Change, Change]:
-    """`refuse`: the state service answers 503 to these alone."""
+def from_store(day: Day, hosts: Iterable[str], mode: str) -> tuple[Change, Change]:
+    """`refuse`: the key-value store answers 503 to these alone."""
     hosts = list(hosts)
     if mode == "refuse":
-        return lambda: day.state.refused.update(hosts), lambda: day.state.refused.difference_update(hosts)
+        return lambda: day.store.refused.update(hosts), lambda: day.store.refused.difference_update(hosts)
     links = [between(day, [host], [f"state-{host}"], mode) for host in hosts]
 
     def cut() -> None:
--- a/tests/standins/day.py
+++ b/tests/standins/day.py
@@ -11,7 +11,7 @@
 from badgerroute.settings import (
     CloudLimits,
     Endpoints,
-    NextLimits,
+    LaterStoreLimits,
     Objective,
     OperatorSettings,
     Params,
@@ -19,7 +19,7 @@
     Resources,
     Settings,
     Sibling,
-    StateLimits,
+    StoreLimits,
     Team,
     WorkerLimits,
 )
@@ -27,8 +27,8 @@
 from badgerroute.transport.http import Client, NoAnswerError, Response
 from badgerroute.transport.loop import Group, Loop, Routine, VirtualPoller
 from tests.standins import production
+from tests.standins.key_value_store import KeyValueStore
 from tests.standins.net import World
-from tests.standins.state import StateService
 from tests.standins.users import Lookers
 from tests.standins.waiting import Waiting
 from tests.standins.workers import Kind, Site
@@ -70,7 +70,7 @@
     host: str,
     state: str,
     objectives: list[Objective],
-    limits: StateLimits,
+    limits: StoreLimits,
     sockets: int = 600,
     operator: OperatorSettings = DEFAULT_OPERATOR,
     teams: list[Team] = TEAMS,
@@ -137,7 +137,7 @@
         objectives: list[Objective] | None = None,
         value_kb: float = 16.0,
         txn_ops: int = 16,
-        later: NextLimits | None = None,
+        later: LaterStoreLimits | None = None,
         old: Iterable[str] = (),
         rps: float = 100,
         write_rps: float = 40,
@@ -149,11 +149,11 @@
         self._make_world(seed)
         self.random = self.world.random
         self.group = Group(self.loop, "day")
-        self.state = StateService(self.loop, self.world, self.group)
-        limits = StateLimits(rps=rps, write_rps=write_rps, value_kb=value_kb, txn_ops=txn_ops, next=later)
-        self.state.limits = self.limits = limits
+        self.store = KeyValueStore(self.loop, self.world, self.group)
+        limits = StoreLimits(rps=rps, write_rps=write_rps, value_kb=value_kb, txn_ops=txn_ops, next=later)
+        self.store.limits = self.limits = limits
         self.settings = {
-            host: settings_of(host, self.state.serve(host), objectives or [], limits, sockets, operator, teams)
+            host: settings_of(host, self.store.serve(host), objectives or [], limits, sockets, operator, teams)
             for host in HOSTS
         }
         kinds = [Kind("k8", kind_cpus, 32.0)]
@@ -358,7 +358,7 @@
 
     def ghosts(self) -> list[str]:
         """Members that no longer exist."""
-        members = [key.removeprefix("b/machines/") for key in self.state.items if key.startswith("b/machines/")]
+        members = [key.removeprefix("b/machines/") for key in self.store.items if key.startswith("b/machines/")]
         return [name for name in members if name not in self.site.workers]
 
     def history_problems(self) -> list[str]:
--- a/tests/standins/state.py
+++ b/tests/standins/key_value_store.py
@@ -1,10 +1,10 @@
-"""A stand-in for the state service, after its published protocol."""
+"""A stand-in for the key-value store, after its published protocol."""
 
 import json
 from datetime import timedelta
 from urllib.parse import unquote
 
-from badgerroute.settings import StateLimits
+from badgerroute.settings import StoreLimits
 from badgerroute.transport.http import Request, Response, Server, parse_query
 from badgerroute.transport.loop import Future, Group, Loop
 from tests.standins.net import World
@@ -16,13 +16,13 @@
     return Response(status, json.dumps(message).encode())
 
 
-class StateService:
+class KeyValueStore:
     """Each controller has an address of its own here, so that one alone can be refused."""
 
     def __init__(self, loop: Loop, world: World, group: Group) -> None:
         self.loop, self.world = loop, world
         self.items: dict[str, tuple[object, int, int | None]] = {}
-        self.ledger = 0
+        self.revision = 0
         self.log: list[dict] = []
         self.leases: dict[int, tuple[timedelta, timedelta]] = {}  # ttl, end
         self.next_lease = 1
@@ -34,7 +34,7 @@
         self.late_writes = 0.0  # this share of transactions gets no answer, and is carried out seconds later
         self.late_by = (2.0, 12.0)
         self.drop_answers = 0  # so many transactions are carried out, but their answers are lost
-        self.limits: StateLimits | None = None
+        self.limits: StoreLimits | None = None
         self.write_rps: float | None = None  # changes beyond this rate get 429
         self.over = 0  # answers of 429
         self._tokens, self._filled = 0.0, timedelta(0)
@@ -73,14 +73,14 @@
         self.leases.pop(lease, None)
         keys = [key for key, (_, _, tether) in self.items.items() if tether == lease]
         if keys:
-            self.ledger += 1
+            self.revision += 1
             for key in keys:
                 self._remove(key)
             self._notify()
 
     def _remove(self, key: str) -> None:
         if self.items.pop(key, None) is not None:
-            self.log.append({"remove": key, "mark": self.ledger})
+            self.log.append({"remove": key, "mark": self.revision})
 
     def _notify(self) -> None:
         changed, self.changed = self.changed, Future()
@@ -116,19 +116,19 @@
     def _get(self, key: str) -> Response:
         item = self.items.get(key)
         if item is None:
-            return reply(404, {"ledger": self.ledger})
+            return reply(404, {"ledger": self.revision})
         return reply(200, {"key": key, "value": item[0], "mark": item[1], "tether": item[2]})
 
     def _list(self, query: dict[str, str]) -> Response:
         keys = sorted(key for key in self.items if key.startswith(query["under"]) and key > query.get("since", ""))
         limit = int(query.get("limit", 1000))
         rows = [{"key": key, "value": self.items[key][0], "mark": self.items[key][1]} for key in keys[:limit]]
-        return reply(200, {"rows": rows, "more": len(keys) > limit, "ledger": self.ledger})
+        return reply(200, {"rows": rows, "more": len(keys) > limit, "ledger": self.revision})
 
-    def lower(self, limits: StateLimits) -> None:
+    def lower(self, limits: StoreLimits) -> None:
         """The lower limits hold from now on. What is stored stays readable."""
         later = limits.next
-        self.limits = StateLimits(later.rps or limits.rps, later.write_rps, later.value_kb, later.txn_ops)
+        self.limits = StoreLimits(later.rps or limits.rps, later.write_rps, later.value_kb, later.txn_ops)
         self.write_rps = self._tokens = later.write_rps
         self._filled = self.loop.now()
 
@@ -168,7 +168,7 @@
             if (self.items[one["key"]][1] if one["key"] in self.items else 0) != one["mark"]
         ]
         if failed:
-            return reply(409, {"failed": failed, "ledger": self.ledger})
+            return reply(409, {"failed": failed, "ledger": self.revision})
         if self.limits is not None:
             sizes = [len(json.dumps(one.get("value"), separators=(",", ":"))) for one in body["apply"]]
             if max(sizes, default=0) > self.limits.value_kb * 1024 or len(sizes) > self.limits.txn_ops:
@@ -180,16 +180,16 @@
         for change in body["apply"]:
             if change.get("tether") is not None and change["tether"] not in self.leases:
                 return reply(400, {"error": "no such lease"})
-        self.ledger += 1
+        self.revision += 1
         for change in body["apply"]:
             if "write" in change:
                 key = change["write"]
-                self.items[key] = (change["value"], self.ledger, change.get("tether"))
-                self.log.append({"write": key, "value": change["value"], "mark": self.ledger})
+                self.items[key] = (change["value"], self.revision, change.get("tether"))
+                self.log.append({"write": key, "value": change["value"], "mark": self.revision})
             else:
                 self._remove(change["remove"])
         self._notify()
-        return reply(200, {"ledger": self.ledger})
+        return reply(200, {"ledger": self.revision})
 
     async def _follow(self, who: str, query: dict[str, str]) -> Response:
         since, end = int(query["since"]), self.loop.now() + timedelta(milliseconds=int(query["block_ms"]))
@@ -201,7 +201,7 @@
                     if one["mark"] > since and (one.get("write") or one["remove"]).startswith(query["under"])
                 ]
                 if found or self.loop.now() >= end:
-                    return reply(200, {"ledger": self.ledger, "log": found})
+                    return reply(200, {"ledger": self.revision, "log": found})
                 await self.loop.first(self.changed, end - self.loop.now())
             else:
                 await self.loop.sleep(timedelta(milliseconds=100))
--- a/tests/standins/production.py
+++ b/tests/standins/production.py
@@ -29,6 +29,7 @@
     "election": "claims",
     "leaderships": "parts",
     "may_lead": "acting",
+    "store": "state",
 }
 CLASSES = (
     ("coordination.controller", "Controller"),
--- a/tests/standins/workers.py
+++ b/tests/standins/workers.py
@@ -8,8 +8,8 @@
 from badgerroute.transport.http import Client, NoAnswerError, Request, Response, Server, parse_query
 from badgerroute.transport.loop import Future, Group
 from tests.standins.history import History
+from tests.standins.key_value_store import reply
 from tests.standins.net import World
-from tests.standins.state import reply
 
 SECOND = timedelta(seconds=1)
 REPORT, LEASE, GANG_WAIT, GANG_PEER = SECOND, 11 * SECOND, 45 * SECOND, 4 * SECOND
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -103,11 +103,11 @@
 
 # -- modes
 
-GOOD = Reachable(state_service=True, workers=True, siblings=True, recorded_sibling=True)
+GOOD = Reachable(store=True, workers=True, siblings=True, sibling_with_store=True)
 
 
 @pytest.mark.parametrize(
-    ("state_service", "workers", "siblings", "recorded_sibling", "mode"),
+    ("store", "workers", "siblings", "sibling_with_store", "mode"),
     [
         (True, True, True, True, Mode.SERVING),
         (True, True, False, False, Mode.SERVING),
@@ -122,9 +122,9 @@
     ],
 )
 def test_mode_follows_what_is_reached(
-    state_service: bool, workers: bool, siblings: bool, recorded_sibling: bool, mode: Mode
+    store: bool, workers: bool, siblings: bool, sibling_with_store: bool, mode: Mode
 ) -> None:
-    reachable = Reachable(state_service, workers, siblings, recorded_sibling)
+    reachable = Reachable(store, workers, siblings, sibling_with_store)
     assert mode_of(reachable, settled=True) is mode
     unsettled = mode_of(reachable, settled=False)
     assert unsettled is (Mode.RECOVERING if mode is Mode.SERVING else mode)
--- a/tests/test_connectivity_days.py
+++ b/tests/test_connectivity_days.py
@@ -11,7 +11,7 @@
 from badgerroute.protocol.mesh import ForwardedRequest, ForwardedResponse
 from badgerroute.settings import Connectivity, OperatorSettings
 from badgerroute.transport.http import Request, Response
-from tests.standins.cuts import CutCounts, CutWatch, between, flap, from_state, from_workers, hold, workload
+from tests.standins.cuts import CutCounts, CutWatch, between, flap, from_store, from_workers, hold, workload
 from tests.standins.day import HOSTS, SECOND, Day, job
 
 RELAYING = OperatorSettings(connectivity=Connectivity(relay=True))
@@ -53,8 +53,8 @@
     return lambda day: flap(day, from_workers(day, [pick(day)], mode), seconds, max(4, int(20 / seconds)))
 
 
-def flapping_state(seconds: float, mode: str) -> Fault:
-    return lambda day: flap(day, from_state(day, [pick(day)], mode), seconds, max(4, int(20 / seconds)))
+def flapping_store(seconds: float, mode: str) -> Fault:
+    return lambda day: flap(day, from_store(day, [pick(day)], mode), seconds, max(4, int(20 / seconds)))
 
 
 @pytest.mark.parametrize(("seconds", "seed"), FLAPS)
@@ -69,7 +69,7 @@
 @pytest.mark.parametrize(("seconds", "seed"), FLAPS)
 @pytest.mark.parametrize("mode", ["refuse", "reset", "hold"])
 def test_flapping_links_to_the_state_service(seconds: float, mode: str, seed: int) -> None:
-    counts = play(cluster(seed), flapping_state(seconds, mode))
+    counts = play(cluster(seed), flapping_store(seconds, mode))
     assert counts.hand_overs <= 2
     assert counts.killed_by_lease == []
     assert 20 * counts.users_503 <= counts.users_asked, "a sibling answers in its place"
@@ -98,7 +98,7 @@
 
 def heals_at_election(seconds: float, mode: str) -> Fault:
     def fault(day: Day) -> None:
-        hold(day, from_state(day, [pick(day)], mode), seconds)
+        hold(day, from_store(day, [pick(day)], mode), seconds)
         day.run(12)
 
     return fault
@@ -110,7 +110,7 @@
     def fault(day: Day) -> None:
         host = pick(day)
         shard = HOSTS.index(host)
-        cut, heal = from_state(day, [host], mode)
+        cut, heal = from_store(day, [host], mode)
         cut()
         end = day.loop.now() + 30 * SECOND
         while not reached(day, host, shard) and day.loop.now() < end:
@@ -159,13 +159,13 @@
 
 
 def opposite(seconds: float, mode: str) -> Fault:
-    """One lacks the state service, the others their workers: between them they reach everything."""
+    """One lacks the key-value store, the others their workers: between them they reach everything."""
 
     def fault(day: Day) -> None:
         host = pick(day)
         cut, heal = from_workers(day, others(host), mode)
         cut()
-        hold(day, from_state(day, [host], mode), seconds)
+        hold(day, from_store(day, [host], mode), seconds)
         heal()
 
     return fault
@@ -261,9 +261,9 @@
 
 def late_hand_over(day: Day) -> None:
     """Transactions get no answer and are carried out late, while shards are handed over."""
-    day.state.late_writes = 0.5
+    day.store.late_writes = 0.5
     hold(day, from_workers(day, [pick(day)], "reset"), 20)
-    day.state.late_writes = 0.0
+    day.store.late_writes = 0.0
 
 
 def lost_hand_over(day: Day) -> None:
@@ -271,9 +271,9 @@
     cut, heal = from_workers(day, [pick(day)], "reset")
     cut()
     for _ in range(6):
-        day.state.drop_answers = 1
+        day.store.drop_answers = 1
         day.run(3)
-    day.state.drop_answers = 0
+    day.store.drop_answers = 0
     heal()
 
 
@@ -284,7 +284,7 @@
     cut()
 
     def handed() -> str | None:
-        value = day.state.items[f"b/parts/{HOSTS.index(host)}"][0]
+        value = day.store.items[f"b/parts/{HOSTS.index(host)}"][0]
         return value["owner"] if value.get("handed") else None
 
     day.until(lambda: handed() is not None, 30)
@@ -314,10 +314,10 @@
 
 
 def cancellations_in_an_outage(day: Day) -> None:
-    """Nobody reaches the state service for longer than `cancel_s`, right after cancellations were confirmed."""
+    """Nobody reaches the key-value store for longer than `cancel_s`, right after cancellations were confirmed."""
     for number in range(3):
         assert day.cancel(f"run-a{number}") == "withdrawn"
-    hold(day, from_state(day, HOSTS, "refuse"), 42)
+    hold(day, from_store(day, HOSTS, "refuse"), 42)
 
 
 NO_RELAY_SERVES = OperatorSettings(connectivity=Connectivity(relay=True, relay_s=0))
@@ -354,7 +354,7 @@
     def fault(day: Day) -> None:
         hold(day, from_workers(day, HOSTS[:1], "reset"), 25)
         day.run(8)
-        hold(day, from_state(day, HOSTS[1:2], "refuse"), 12)
+        hold(day, from_store(day, HOSTS[1:2], "refuse"), 12)
 
     play(day, fault)
 
@@ -393,7 +393,7 @@
 
     def lose(day: Day) -> None:
         if fault == "refused":
-            hold(day, from_state(day, [host], "refuse"), 14)
+            hold(day, from_store(day, [host], "refuse"), 14)
         elif fault == "crashed":
             day.restart(host, 14 * SECOND)
         else:
@@ -515,7 +515,7 @@
 
 def test_users_of_a_controller_without_state_service_are_answered_by_a_sibling() -> None:
     day = cluster(4)
-    day.state.refused.add(HOSTS[0])
+    day.store.refused.add(HOSTS[0])
     for step in range(8):
         day.run(1)
         described = job(f"run-u{step}", heads=2)
@@ -526,7 +526,7 @@
         assert day.poll(described["ref"], HOSTS[0]) in ("queued", "running", "done")
     day.run(3)
     assert day.cancel("run-a0", tries=1, host=HOSTS[0]) == "withdrawn"
-    day.state.refused.clear()
+    day.store.refused.clear()
     assert day.finish(300) == [] and day.rules.broken == [] and day.history_problems() == []
 
 
@@ -540,7 +540,7 @@
 )
 def test_in_an_outage_users_are_told_at_once_when_to_come_back(method: str, path: str, body: dict | None) -> None:
     day = cluster(5)
-    cut, heal = from_state(day, HOSTS, "hold")  # so that an attempt would last until its time limit
+    cut, heal = from_store(day, HOSTS, "hold")  # so that an attempt would last until its time limit
     cut()
     day.run(8)
     began = day.loop.now()
@@ -555,7 +555,7 @@
     day = cluster(6)
     assert day.cancel("run-b0", host=HOSTS[1]) == "withdrawn"
     day.run(2)
-    cut, heal = from_state(day, HOSTS, "hold")
+    cut, heal = from_store(day, HOSTS, "hold")
     cut()
     day.run(8)
     assert day.poll("run-b0", HOSTS[1]) == "withdrawn"
@@ -567,7 +567,7 @@
 
 
 def test_an_unrecorded_controller_starts_nothing_and_keeps_what_runs() -> None:
-    """It lacks the state service and its siblings, so that nobody tells it that its shard is taken."""
+    """It lacks the key-value store and its siblings, so that nobody tells it that its shard is taken."""
     day = cluster(7)
     host = HOSTS[0]
     shard = HOSTS.index(host)
@@ -599,7 +599,7 @@
     caplog.set_level(logging.INFO, logger="badgerroute.connectivity")
     day = cluster(9)
     hold(day, from_workers(day, HOSTS[:1], "reset"), 8)
-    hold(day, from_state(day, HOSTS[:1], "refuse"), 8)
+    hold(day, from_store(day, HOSTS[:1], "refuse"), 8)
     day.loop.freeze(HOSTS[2], 3)
     day.run(30)
     lines = [record.getMessage() for record in caplog.records if record.name == "badgerroute.connectivity"]
--- a/tests/test_connectivity_loopback.py
+++ b/tests/test_connectivity_loopback.py
@@ -1,4 +1,4 @@
-"""Half-open cuts on real sockets: a proxy on every link of three controllers, stand-in workers and state service.
+"""Half-open cuts on real sockets: a proxy on every link of three controllers, stand-in workers and key-value store.
 
 A fixed script; `tools/connectivity_measurement.py` plays longer ones by seed, in virtual time.
 """
@@ -39,7 +39,7 @@
 
 
 def opposite(day: ProxiedDay) -> None:
-    """One controller reaches the workers only, the others the state service only."""
+    """One controller reaches the workers only, the others the key-value store only."""
     between(day, HOSTS[0], [f"state-{HOSTS[0]}"], Fault.DROP, Fault.DROP)
     for host in HOSTS[1:]:
         between(day, host, list(day.site.workers), Fault.REFUSE, Fault.REFUSE)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -60,29 +60,29 @@
 
 
 def outage(day: Day) -> None:
-    day.state.outage(True)
+    day.store.outage(True)
     day.run(10)
-    day.state.outage(False)
+    day.store.outage(False)
 
 
 def long_outage(day: Day) -> None:
-    day.state.outage(True)
+    day.store.outage(True)
     day.run(45)
-    day.state.outage(False)
+    day.store.outage(False)
 
 
 def crash_all_in_outage(day: Day) -> None:
-    day.state.outage(True)
+    day.store.outage(True)
     crash_all(day)
     day.run(8)
-    day.state.outage(False)
+    day.store.outage(False)
 
 
 def refused_alone(day: Day) -> None:
     host = day.random.choice(HOSTS)
-    day.state.refused.add(host)
+    day.store.refused.add(host)
     day.run(40)
-    day.state.refused.discard(host)
+    day.store.refused.discard(host)
 
 
 def cut(day: Day, host: str, others: list[str], mode: str, seconds: float) -> None:
@@ -93,7 +93,7 @@
         day.world.heal(host, other)
 
 
-def cut_from_state(mode: str) -> Callable[[Day], None]:
+def cut_from_store(mode: str) -> Callable[[Day], None]:
     def fault(day: Day) -> None:
         host = day.random.choice(HOSTS)
         cut(day, host, [f"state-{host}"], mode, 35)
@@ -240,7 +240,7 @@
 
 
 def alone_with_its_workers(mode: str, workers_first: bool) -> Callable[[Day], None]:
-    """A controller loses state service and siblings, but not its workers; they heal one after the other."""
+    """A controller loses key-value store and siblings, but not its workers; they heal one after the other."""
 
     def fault(day: Day) -> None:
         host = day.random.choice(HOSTS)
@@ -272,9 +272,9 @@
 
 
 def slow_state(day: Day) -> None:
-    day.state.slow = 20.0
+    day.store.slow = 20.0
     day.run(25)
-    day.state.slow = 1.0
+    day.store.slow = 1.0
 
 
 def crash_in_election(day: Day) -> None:
@@ -310,7 +310,7 @@
 def lost_answers(day: Day) -> None:
     """Transactions are carried out, but nobody hears of it."""
     for _ in range(5):
-        day.state.drop_answers = 2
+        day.store.drop_answers = 2
         day.run(2)
 
 
@@ -344,8 +344,8 @@
     "long_outage": long_outage,
     "crash_all_in_outage": crash_all_in_outage,
     "refused_alone": refused_alone,
-    "state_reset": cut_from_state("reset"),
-    "state_hold": cut_from_state("hold"),
+    "state_reset": cut_from_store("reset"),
+    "state_hold": cut_from_store("hold"),
     "workers_reset": cut_from_workers("reset"),
     "workers_hold": cut_from_workers("hold"),
     "siblings_reset": cut_from_siblings("reset"),
@@ -635,7 +635,7 @@
             record = controller.job_store.active["run-many"]
             thief = (leader.number + 1) % 3
             moved = msgspec.structs.replace(record, ranges=records.give(record.ranges, top - 3, top, thief))
-            real = leader.migration._state.transact
+            real = leader.migration._store.transact
 
             async def transact(*args: object, leader=leader, one=one, real=real, top=top) -> int:
                 nonlocal looked
@@ -645,7 +645,7 @@
                 return await real(*args)
 
             with monkeypatch.context() as patch:
-                patch.setattr(leader.migration._state, "transact", transact)
+                patch.setattr(leader.migration._store, "transact", transact)
                 day.loop.run(day.loop.spawn(leader.migration._write_steal([("run-many", moved)], thief), "give"))
             assert one.giving == 0
     assert looked == 3
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -195,7 +195,7 @@
         for method, path, body, expected in cases:
             response = day.ask(method, path, body, host)
             assert response is not None and response.status == expected, (method, path, body)
-    day.state.outage(True)
+    day.store.outage(True)
     for method, path, body in (
         ("POST", "/v1/jobs", job("run-y")),
         ("GET", "/v1/jobs/run-y", None),
@@ -203,7 +203,7 @@
     ):
         response = day.ask(method, path, body)
         assert response is not None and response.status == 503 and int(response.headers["retry-after"]) >= 1
-    day.state.outage(False)
+    day.store.outage(False)
     assert day.finish() == [] and day.rules.broken == []
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -29,7 +29,7 @@
 from tests.standins.net import HostNetwork, VirtualStream
 
 
-def cut_from_state(day: Day, host: str) -> None:
+def cut_from_store(day: Day, host: str) -> None:
     day.world.cut(host, f"state-{host}", "hold")
 
 
@@ -42,11 +42,11 @@
     day = Day(seed=1)
     day.run(5)
     host = HOSTS[1]
-    cut_from_state(day, host)
+    cut_from_store(day, host)
     terms = set()
     for _ in range(50):
         day.run(0.5)
-        key = day.state.items.get("b/parts/1")
+        key = day.store.items.get("b/parts/1")
         terms.add(key[1] if key else 0)
     assert len(terms - {0}) == 2, "the shard changes hands once"
     day.world.heal(host, f"state-{host}")
@@ -69,7 +69,7 @@
     day = Day(seed=2, machines=24)
     day.run(5)
     for host in HOSTS[:2]:
-        cut_from_state(day, host)
+        cut_from_store(day, host)
     for one in HOSTS:
         for other in HOSTS:
             if one < other:
@@ -209,7 +209,7 @@
     names = [f"host-9{number:05d}" for number in range(deleted)]
     day.loop.run(day.loop.spawn(leader.deleted_machines.forget(names), "forget"))
     day.run(2)
-    pages = {key: value[0] for key, value in day.state.items.items() if key.startswith("b/gone/0/")}
+    pages = {key: value[0] for key, value in day.store.items.items() if key.startswith("b/gone/0/")}
     kept = {name for page in pages.values() for name in page["names"]}
     assert len(kept) >= min(deleted, 2 * members), "twice as many as it ever had"
     assert set(names[-2 * members :]) <= kept, "the latest"
@@ -318,9 +318,9 @@
 def test_bad_input_is_answered_at_once(
     path: str, body: object, well: int | None, outage: int | None, degraded: bool, day_at_size: Day
 ) -> None:
-    """Also with many machines and without the state service: nothing is held back, `Retry-After` says when."""
+    """Also with many machines and without the key-value store: nothing is held back, `Retry-After` says when."""
     day = day_at_size
-    day.state.outage(degraded)
+    day.store.outage(degraded)
     if isinstance(body, dict) and "ref" in body:
         body = body | {"ref": f"{body['ref']}-{degraded}"}
         day.site.jobs[body["ref"]] = body
@@ -331,7 +331,7 @@
     assert response.status == expected or (expected is None and response.status in (200, 421, 503))
     if response.status == 503:
         assert "retry-after" in response.headers
-    day.state.outage(False)
+    day.store.outage(False)
     day.run(1)
     assert day.ask("GET", "/up", host=HOSTS[0]).status == 200
 
--- a/tests/test_left_waiting.py
+++ b/tests/test_left_waiting.py
@@ -83,8 +83,8 @@
 def test_pieces_of_a_limit_go_to_the_older_gang(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each of two shards holds half of a team's limit, and a gang that needs more than that."""
     day = Day(seed=32, machines=9, capacity=0)
-    day.state.ledger = 1
-    day.state.items["b/shares/red"] = ({"shares": {"0": [12.0, 0.0], "1": [12.0, 0.0]}}, 1, None)
+    day.store.revision = 1
+    day.store.items["b/shares/red"] = ({"shares": {"0": [12.0, 0.0], "1": [12.0, 0.0]}}, 1, None)
     split_to(monkeypatch, {"run-old": 1, "run-young": 0})
     day.run(5)
     day.submit(job("run-old", crew="red", gait="group", heads=2, cpus=7.0, trek_s=20.0))
@@ -132,14 +132,14 @@
     day.run(5)
     host = HOSTS[0]
     controller = day.controllers[host][0]
-    day.state.ledger += 1
+    day.store.revision += 1
     early = {"owner": host, "until": day.clock.today().timestamp() - 50}
-    day.state.items["b/parts/0"] = (early, day.state.ledger, controller.election.lease)
-    day.state.log.append({"write": "b/parts/0", "value": early, "mark": day.state.ledger})
-    day.state._notify()
+    day.store.items["b/parts/0"] = (early, day.store.revision, controller.election.lease)
+    day.store.log.append({"write": "b/parts/0", "value": early, "mark": day.store.revision})
+    day.store._notify()
     day.run(3)
     leadership = controller.election.leaderships[0]
-    assert leadership.term > day.state.ledger - 20
+    assert leadership.term > day.store.revision - 20
     assert leadership.grace >= controller.settings.grace - SECOND / 10
 
 
@@ -154,13 +154,13 @@
         day.site.remove_worker(name)
         day.group.spawn(leader.deleted_machines.forget([name]), "forget")
 
-    day.state.late_writes, day.state.late_by = 1.0, (8.0, 9.0)
-    day.loop.later(SECOND / 2, lambda: setattr(day.state, "late_writes", 0.0))
+    day.store.late_writes, day.store.late_by = 1.0, (8.0, 9.0)
+    day.loop.later(SECOND / 2, lambda: setattr(day.store, "late_writes", 0.0))
     forget(first)
     day.run(4)
     forget(second)
     day.run(12)
-    named = {name for key, one in day.state.items.items() if key.startswith("b/gone/0/") for name in one[0]["names"]}
+    named = {name for key, one in day.store.items.items() if key.startswith("b/gone/0/") for name in one[0]["names"]}
     assert {first, second} <= named
     assert not {first, second} & set(day.ghosts())
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -86,7 +86,7 @@
     leader = HOSTS[0]
     busy = next(one for one in workers_of(day, leader) if any(task.ref in refs for task in one.tasks.values()))
     state(day, busy)
-    day.state.refused.add(leader)
+    day.store.refused.add(leader)
     began = day.loop.now()
     heal = cut(day, leader, others(leader), "reset") if mesh in ("cut", "returns") else lambda: None
     day.run(confirmed)
@@ -95,9 +95,9 @@
     if mesh == "crash":
         day.restart(others(leader)[0], 20 * SECOND)  # whoever told the user has told no sibling that lasts
     day.run(max(0.0, 2 - (day.loop.now() - began) / SECOND))
-    day.state.outage(True)
-    day.loop.later(refused * SECOND, lambda: day.state.refused.discard(leader))
-    day.loop.later(out * SECOND, lambda: day.state.outage(False))
+    day.store.outage(True)
+    day.loop.later(refused * SECOND, lambda: day.store.refused.discard(leader))
+    day.loop.later(out * SECOND, lambda: day.store.outage(False))
     day.run(4)
     if mesh == "returns":
         heal()
@@ -143,7 +143,7 @@
     assert day.until(lambda: len(on_machines(day, "run-a")) == 20, 20)
     leader = HOSTS[0]
     controller = day.controllers[leader][0]
-    day.state.unwatched.add(leader)
+    day.store.unwatched.add(leader)
     heal = cut(day, leader, others(leader), "reset")
     asked = controller.replica.last_confirmed
     day.run(0.3)
@@ -153,7 +153,7 @@
     assert controller.election.last_confirmed <= asked + SECOND, "the proof is as old as the last answered watch"
     day.run(CANCEL)
     assert not on_machines(day, "run-a")
-    day.state.unwatched.clear()
+    day.store.unwatched.clear()
     heal()
     assert day.finish() == []
     assert day.rules.broken == []
@@ -177,10 +177,10 @@
     """None could serve users better, and being taken out would last longer than the outage."""
     day = Day(seed=24)
     day.run(5)
-    day.state.outage(True)
+    day.store.outage(True)
     day.run(45)
     assert {day.ask("GET", "/up", host=host).status for host in HOSTS} == {200}
-    day.state.outage(False)
+    day.store.outage(False)
     day.run(1)
     assert day.submit(job("run-a"), tries=2) == 201
     assert day.finish() == []
@@ -246,7 +246,7 @@
     """New machines are up at once and get work while writes lag, and the leader ends."""
     day.site.boot_factor = 0.1
     day.site.capacity += 3
-    day.state.late_writes, day.state.slow = 0.3, 15.0
+    day.store.late_writes, day.store.slow = 0.3, 15.0
     for name in list(day.site.workers)[:4]:
         day.site.remove_worker(name)
     for number in range(3):
@@ -255,7 +255,7 @@
     for turn in range(3):
         day.restart(HOSTS[turn], SECOND / 3)
         yield 3
-    day.state.late_writes, day.state.slow = 0.0, 1.0
+    day.store.late_writes, day.store.slow = 0.0, 1.0
     yield 5
 
 
@@ -381,31 +381,31 @@
 
 
 def slow_then_refused(day: Day) -> Iterator[float]:
-    """The state service is slow, refuses one alone, then everybody for longer than a cancellation has."""
-    day.state.slow = 40.0
+    """The key-value store is slow, refuses one alone, then everybody for longer than a cancellation has."""
+    day.store.slow = 40.0
     yield 3
-    day.state.refused.add(HOSTS[1])
+    day.store.refused.add(HOSTS[1])
     for ref in ("run-a0", "run-g0"):
         day.group.spawn(day.lookers.cancel(ref), "user")
     day.group.spawn(day.lookers.submit(job("run-new", heads=3)), "user")
     yield 6
-    day.state.outage(True)
+    day.store.outage(True)
     yield CANCEL + 9
-    day.state.outage(False)
-    day.state.slow = 1.0
-    day.state.refused.clear()
+    day.store.outage(False)
+    day.store.slow = 1.0
+    day.store.refused.clear()
     yield 6
 
 
 def answers_lost(day: Day) -> Iterator[float]:
     """Transactions are carried out and only their answers are lost, while other nodes read what they wrote."""
     for number in range(8):
-        day.state.drop_answers = 3
+        day.store.drop_answers = 3
         one = job(f"run-d{number}", heads=2, trek_s=1.0)
         day.group.spawn(day.lookers.submit(one, cancelled=number % 2 == 0), "user")
         day.group.spawn(day.lookers.watch_end(one["ref"], cancelled=number % 4 == 1), "user")
         yield 2
-    day.state.drop_answers = 0
+    day.store.drop_answers = 0
     yield 10
 
 
@@ -438,7 +438,7 @@
 
 
 def alone_with_workers(day: Day) -> Iterator[float]:
-    """A leader is cut from state service and siblings, not from workers and users; jobs go through the new one."""
+    """A leader is cut from key-value store and siblings, not from workers and users; jobs go through the new one."""
     host = HOSTS[1]
     heal = cut(day, host, [f"state-{host}", *others(host)])
     yield 1
@@ -479,13 +479,13 @@
     """Leaders change ten times in two minutes, also inside an outage."""
     for turn in range(10):
         if turn in (3, 7):
-            day.state.outage(True)
+            day.store.outage(True)
         day.restart(HOSTS[turn % 3], timedelta(seconds=day.random.choice((0.2, 1.0, 5.0))))
         yield 6
         if turn in (3, 7):
             day.group.spawn(day.lookers.cancel(f"run-a{turn % 2}"), "user")
             yield 4
-            day.state.outage(False)
+            day.store.outage(False)
         yield 5
 
 
@@ -505,14 +505,14 @@
 
 def writes_late(day: Day) -> Iterator[float]:
     """Transactions without an answer are carried out late, after newer ones of the same controller."""
-    day.state.late_writes = 0.3
+    day.store.late_writes = 0.3
     for number in range(8):
         one = job(f"run-w{number}", heads=3, trek_s=3.0)
         day.group.spawn(day.lookers.submit(one, cancelled=number % 3 == 0), "user")
         if number == 4:
             day.restart(HOSTS[1], SECOND / 2)
         yield 3
-    day.state.late_writes = 0.0
+    day.store.late_writes = 0.0
     yield 14
 
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -68,7 +68,7 @@
     day = Day(seed=14)
     day.run(5)
     day.submit(job("run-a", heads=40, trek_s=30.0))
-    state = day.controllers[HOSTS[0]][0].state
+    state = day.controllers[HOSTS[0]][0].store
     before = state.requests
     polls = [day.loop.spawn(_poll(day, HOSTS[0], "run-a"), "poll") for _ in range(200)]
     day.run(1)
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize("cut", [False, True])
 def test_a_poll_is_never_older_than_what_another_controller_told(cut: bool) -> None:
-    """The siblings' pushes may be lost, so a controller must ask how far the state service is."""
+    """The siblings' pushes may be lost, so a controller must ask how far the key-value store is."""
     day = Day(seed=15)
     day.run(5)
     if cut:
@@ -118,7 +118,7 @@
 @pytest.mark.parametrize("mode", ["reset", "hold"])
 @pytest.mark.parametrize("seed", [16, 17, 18])
 def test_a_controller_cut_from_its_workers_gives_its_shard_away(seed: int, mode: str) -> None:
-    """Else it keeps its leadership, since the state service answers it, and all its machines let go of their tasks."""
+    """Else it keeps its leadership, since the store answers it, and all its machines let go of their tasks."""
     day = Day(seed=seed, machines=24, capacity=0)
     day.run(5)
     day.submit(job("run-long", heads=30, trek_s=50.0))
@@ -185,7 +185,7 @@
 def test_what_a_dead_controller_can_not_use_serves_the_others() -> None:
     day = Day(seed=22)
     day.run(10)
-    states = {host: controller.state for host, (controller, _) in day.controllers.items()}
+    states = {host: controller.store for host, (controller, _) in day.controllers.items()}
     full = states[HOSTS[0]]._writes._rate
     day.crash(HOSTS[2])
     day.run(3)
@@ -238,8 +238,8 @@
 
 
 def late_writes(day: Day) -> None:
-    day.state.late_writes = 0.3
-    day.loop.later(25 * SECOND, lambda: setattr(day.state, "late_writes", 0.0))
+    day.store.late_writes = 0.3
+    day.loop.later(25 * SECOND, lambda: setattr(day.store, "late_writes", 0.0))
 
 
 def cut_from_state_and_siblings(day: Day) -> None:
@@ -253,9 +253,9 @@
 
 def refused_alone_then_an_outage(day: Day) -> None:
     """Longer than a cancellation has, while users cancel and ask."""
-    day.state.refused.add(f"{day.random.choice(HOSTS)}")
-    day.loop.later(8 * SECOND, lambda: day.state.outage(True))
-    day.loop.later(50 * SECOND, lambda: (day.state.outage(False), day.state.refused.clear()))
+    day.store.refused.add(f"{day.random.choice(HOSTS)}")
+    day.loop.later(8 * SECOND, lambda: day.store.outage(True))
+    day.loop.later(50 * SECOND, lambda: (day.store.outage(False), day.store.refused.clear()))
 
 
 def hand_overs(day: Day) -> None:
--- a/tests/test_pipeline_edges.py
+++ b/tests/test_pipeline_edges.py
@@ -6,26 +6,26 @@
 import pytest
 
 from badgerroute.coordination.jobs.job_reader import JobReader
-from badgerroute.protocol.state import names_ended_lease
+from badgerroute.protocol.key_value import names_ended_lease
 from badgerroute.protocol.users import Submission
 from badgerroute.scheduling.dependencies import Dependencies, FinalState
-from badgerroute.settings import NextLimits, StateLimits
+from badgerroute.settings import LaterStoreLimits, StoreLimits
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
+from badgerroute.storage.key_value_client import RequestRefusedError, StoreUnavailableError, put
 from badgerroute.storage.records import JobState, TaskRange
 from badgerroute.storage.size_limits import SizeLimits, TransactionSize
-from badgerroute.storage.state import RequestRefusedError, StateUnavailableError, put
 from tests.standins.day import HOSTS, SECOND, Day, job
 
 CANCEL = 36
-LOWER = NextLimits(write_rps=21.0, value_kb=2.0, txn_ops=5)
+LOWER = LaterStoreLimits(write_rps=21.0, value_kb=2.0, txn_ops=5)
 
 
 def wait_for(day: Day, coro: object) -> object:
     return day.loop.run(day.loop.spawn(coro, "test"))
 
 
-# -- Refusals by the state service
+# -- Refusals by the key-value store
 
 
 @pytest.mark.parametrize(
@@ -74,9 +74,9 @@
 def test_a_mistaken_refusal_does_not_squeeze_a_controller_for_good() -> None:
     day = Day(seed=71)
     day.run(4)
-    state = day.controllers[HOSTS[0]][0].state
+    state = day.controllers[HOSTS[0]][0].store
     before = state.max_changes, state.max_value_bytes
-    day.state.refusing = True
+    day.store.refusing = True
 
     async def write(changes: int) -> None:
         await state.transact([], [put(f"b/x/{one}", "y" * 900) for one in range(changes)], Urgency.COMPLETE)
@@ -84,7 +84,7 @@
     with pytest.raises(RequestRefusedError):
         wait_for(day, write(8))
     assert (state.max_changes, state.max_value_bytes) < before
-    day.state.refusing = False
+    day.store.refusing = False
     day.run(60)
     assert (state.max_changes, state.max_value_bytes) == before
     assert day.rules.broken == []
@@ -95,7 +95,7 @@
 
 @pytest.mark.parametrize("follows", [None, ["run-first"]])
 def test_what_can_never_be_stored_gets_one_final_answer(follows: list[str] | None) -> None:
-    day = Day(seed=72, later=NextLimits(value_kb=0.6))
+    day = Day(seed=72, later=LaterStoreLimits(value_kb=0.6))
     day.run(4)
     day.submit(job("run-first", heads=1, trek_s=20.0))
     described = job("run-" + "x" * 60, herd="h" * 120, brand="b" * 120, follows=follows)
@@ -104,16 +104,16 @@
         assert response.status == 422 and b"bytes" in response.body
     assert day.submit(job("run-small", follows=follows)) == 201
     assert day.finish() == []
-    assert day.state.too_large == []
+    assert day.store.too_large == []
     assert day.rules.broken == []
 
 
 def finished(day: Day, count: int, state: str = "done") -> list[str]:
     """Jobs that were over long ago, of which no controller has anything in memory; others lie between them."""
-    day.state.ledger += 1
+    day.store.revision += 1
     for number in range(10 * count):
         final = state if number % 10 == 0 else "done"
-        day.state.items[f"b/past/run-old{number:05d}"] = ({"state": final, "tasks": 1}, day.state.ledger, None)
+        day.store.items[f"b/past/run-old{number:05d}"] = ({"state": final, "tasks": 1}, day.store.revision, None)
     refs = [f"run-old{number:05d}" for number in range(0, 10 * count, 10)]
     for ref in refs:
         day.site.jobs[ref] = job(ref, heads=1)
@@ -130,10 +130,10 @@
     day.run(6)
     refs = finished(day, 100, state)
     controller = day.controllers[HOSTS[0]][0]
-    before, began = controller.state.requests, day.loop.now()
+    before, began = controller.store.requests, day.loop.now()
     response = day.ask("POST", "/v1/jobs", job("run-new", heads=1, follows=refs), host=HOSTS[0])
     assert response.status == 201 and day.loop.now() - began < timedelta(milliseconds=400)
-    assert controller.state.requests - before < 40
+    assert controller.store.requests - before < 40
     day.site.jobs["run-new"] = job("run-new", heads=1, follows=refs)
     day.accepted.add("run-new")
     for host in HOSTS:
@@ -163,7 +163,7 @@
     response = day.ask("POST", "/v1/jobs", job("run-a", follows=refs), host=HOSTS[0])
     assert response.status == 422 and str(most).encode() in response.body
     assert day.submit(job("run-b", heads=1, follows=refs[:most])) == 201
-    assert day.state.too_large == []
+    assert day.store.too_large == []
     assert day.finish() == []
     assert day.rules.broken == []
 
@@ -187,10 +187,10 @@
     one, two = (day.controllers[host][0] for host in HOSTS[:2])
     ranges = [TaskRange(0, 0, 6)]
     assert wait_for(day, one.job_writer.accept(submission("run-a", many("m", 60)), ranges))
-    stored = {key: item for key, item in day.state.items.items() if key.startswith("b/before/run-a/")}
+    stored = {key: item for key, item in day.store.items.items() if key.startswith("b/before/run-a/")}
     assert len(stored) == 3
     assert wait_for(day, two.job_writer.accept(submission("run-a", many("n", 90)), ranges)) is False
-    assert {key: item for key, item in day.state.items.items() if key.startswith("b/before/run-a/")} == stored
+    assert {key: item for key, item in day.store.items.items() if key.startswith("b/before/run-a/")} == stored
 
 
 def test_a_record_is_written_with_its_own_pages_only() -> None:
@@ -209,10 +209,10 @@
     one.job_writer._write_pages = interrupted
     ranges = [TaskRange(0, 0, 6)]
     assert wait_for(day, one.job_writer.accept(submission("run-a", many("m", 60)), ranges)) is False
-    assert "b/jobs/run-a" not in day.state.items
+    assert "b/jobs/run-a" not in day.store.items
     one.job_writer._write_pages = real
     assert wait_for(day, one.job_writer.accept(submission("run-a", many("m", 60)), ranges))
-    pages = [day.state.items[f"b/before/run-a/{number}"][0]["refs"] for number in range(3)]
+    pages = [day.store.items[f"b/before/run-a/{number}"][0]["refs"] for number in range(3)]
     assert sum(pages, []) == many("m", 60)
 
 
@@ -226,8 +226,8 @@
         day.restart(HOSTS[turn % 3], SECOND)
         day.run(8)
         controller = day.controllers[HOSTS[0]][0]
-    assert sum(key.startswith("b/before/") for key in day.state.items) == 3
-    assert day.until(lambda: not any(key.startswith("b/before/") for key in day.state.items), 120)
+    assert sum(key.startswith("b/before/") for key in day.store.items) == 3
+    assert day.until(lambda: not any(key.startswith("b/before/") for key in day.store.items), 120)
 
 
 # -- Takeovers and cancellations
@@ -248,7 +248,7 @@
 
     async def hindered(self: JobReader, names: list[str], urgency: Urgency) -> list[str]:
         if self._loop.now() < until:
-            raise StateUnavailableError("hindered")
+            raise StoreUnavailableError("hindered")
         return await real(self, names, urgency)
 
     monkeypatch.setattr(JobReader, "unaccepted", hindered)
@@ -289,9 +289,9 @@
     refs = [f"run-w{number}" for number in range(500)]
     for ref in refs:
         day.submit(job(ref, heads=1, follows=["run-first"]))
-    day.state.lower(day.settings[HOSTS[0]].params.state)
+    day.store.lower(day.settings[HOSTS[0]].params.state)
     day.run(2)
-    ended = day.state.next_lease
+    ended = day.store.next_lease
     assert day.cancel("run-first", host=HOSTS[1]) == "withdrawn"
     day.crash(HOSTS[2])  # and stays away
     told = day.loop.now()
@@ -299,11 +299,11 @@
         for ref in refs[::29]:
             day.poll(ref, host=HOSTS[0])
         day.run(3)
-    assert any(key.startswith("b/jobs/") for key in day.state.items), "their records take longer than that"
+    assert any(key.startswith("b/jobs/") for key in day.store.items), "their records take longer than that"
     assert {day.poll(ref, host=host) for ref in refs[::7] for host in HOSTS[:2]} == {"withdrawn"}
-    assert day.until(lambda: not any(key.startswith("b/jobs/") for key in day.state.items), 120)
-    assert day.state.next_lease == ended, "no claim was lost"
-    assert day.state.too_large == []
+    assert day.until(lambda: not any(key.startswith("b/jobs/") for key in day.store.items), 120)
+    assert day.store.next_lease == ended, "no claim was lost"
+    assert day.store.too_large == []
     assert day.rules.broken == []
 
 
@@ -340,13 +340,15 @@
     ("later", "expected"),
     [
         (None, (16, 16384, (100.0, 30.0))),
-        (NextLimits(rps=500.0, write_rps=90.0, value_kb=64.0, txn_ops=64), (16, 16384, (100.0, 30.0))),
-        (NextLimits(value_kb=2.0), (16, 2048, (100.0, 30.0))),
-        (NextLimits(rps=50.0, txn_ops=5), (5, 16384, (50.0, 30.0))),
+        (LaterStoreLimits(rps=500.0, write_rps=90.0, value_kb=64.0, txn_ops=64), (16, 16384, (100.0, 30.0))),
+        (LaterStoreLimits(value_kb=2.0), (16, 2048, (100.0, 30.0))),
+        (LaterStoreLimits(rps=50.0, txn_ops=5), (5, 16384, (50.0, 30.0))),
     ],
 )
-def test_later_limits_that_are_larger_or_missing_change_nothing(later: NextLimits | None, expected: tuple) -> None:
-    limits = StateLimits(100.0, 30.0, 16.0, 16, later)
+def test_later_limits_that_are_larger_or_missing_change_nothing(
+    later: LaterStoreLimits | None, expected: tuple
+) -> None:
+    limits = StoreLimits(100.0, 30.0, 16.0, 16, later)
     assert (limits.max_changes, limits.max_value_bytes, limits.lower_rates) == expected
 
 
@@ -367,5 +369,5 @@
 
     controller.job_writer.accept = slowly
     response = wait_for(day, controller.users._accept(submission("run-b", ["run-a"])))
-    assert "b/past/run-b" in day.state.items
+    assert "b/past/run-b" in day.store.items
     assert response.status == 201 and b"withdrawn" in response.body
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -168,7 +168,7 @@
     )
     assert day.finish(90) == []
     assert [day.told[ref] for ref in refs] == ["done"] * 4
-    ended = {key[7:]: item[0]["at"] for key, item in day.state.items.items() if key.startswith("b/past/")}
+    ended = {key[7:]: item[0]["at"] for key, item in day.store.items.items() if key.startswith("b/past/")}
     assert [ended[ref] for ref in refs] == sorted(ended[ref] for ref in refs)
     assert day.rules.broken == []
 
@@ -231,14 +231,14 @@
 
 
 def test_names_that_can_not_be_looked_up() -> None:
-    """503 while the state service is away, not 422; and the repeat of what was accepted gets its state."""
+    """503 while the key-value store is away, not 422; and the repeat of what was accepted gets its state."""
     day = Day(seed=44)
     day.run(5)
     day.submit(job("run-a", heads=1, trek_s=60.0))
     day.submit(job("run-b", follows=["run-a"]))
-    day.state.outage(True)
+    day.store.outage(True)
     assert day.ask("POST", "/v1/jobs", job("run-c", follows=["run-zzz"])).status == 503
-    day.state.outage(False)
+    day.store.outage(False)
     day.run(1)
     for host in HOSTS:
         response = day.ask("POST", "/v1/jobs", job("run-b", follows=["run-zzz"]), host=host)
@@ -268,8 +268,8 @@
 
 def outage(day: Day) -> None:
     """It begins just after the confirmation."""
-    day.state.outage(True)
-    day.loop.later((CANCEL + 12) * SECOND, lambda: day.state.outage(False))
+    day.store.outage(True)
+    day.loop.later((CANCEL + 12) * SECOND, lambda: day.store.outage(False))
 
 
 def confirmer_ends(day: Day) -> None:
@@ -283,8 +283,8 @@
 
 
 def writes_late(day: Day) -> None:
-    day.state.late_writes = 0.3
-    day.loop.later(20 * SECOND, lambda: setattr(day.state, "late_writes", 0.0))
+    day.store.late_writes = 0.3
+    day.loop.later(20 * SECOND, lambda: setattr(day.store, "late_writes", 0.0))
 
 
 @pytest.mark.parametrize("trouble", [well, outage, confirmer_ends, all_end, writes_late], ids=lambda one: one.__name__)
@@ -308,7 +308,7 @@
     assert trouble in (outage, writes_late) or answers == {"withdrawn"}
     assert day.finish(200) == []
     assert {day.told[ref] for ref in refs} == {"withdrawn"}
-    assert day.until(lambda: not any(key.startswith("b/jobs/") for key in day.state.items), 60), "the records follow"
+    assert day.until(lambda: not any(key.startswith("b/jobs/") for key in day.store.items), 60), "the records follow"
     assert day.rules.starts <= 1
     assert day.rules.broken == []
 
@@ -347,7 +347,7 @@
         assert day.until(lambda day=day: "run-a/0" in day.rules.on, 20)
         day.run(0.5)
         ends_at = day.rules.on["run-a/0"].tasks["run-a/0"].until
-        day.state.slow = 10.0
+        day.store.slow = 10.0
         day.run((ends_at - day.loop.now()) / SECOND - 0.2 + 0.05 * seed)
         won = day.cancel("run-a")
         assert day.finish() == []
@@ -420,7 +420,7 @@
     day.submit(job("run-b", heads=12, trek_s=40.0, follows=refs))
     assert day.until(lambda: len(day.rules.on) == 12, 30)
     starts = day.rules.starts
-    day.state.slow = 10.0  # looking them up takes longer than the first reports
+    day.store.slow = 10.0  # looking them up takes longer than the first reports
     for host in HOSTS:
         day.restart(host, SECOND / 2)
     assert day.finish() == []
@@ -437,13 +437,13 @@
         day.submit(job(ref, heads=1, trek_s=0.2, cpus=0.5))
     day.submit(job("run-all", heads=2, follows=refs, breeds=["k8", *(f"no-such-{one}" for one in range(200))]))
     day.submit(job("run-off", heads=2, follows=refs))
-    assert all(len(json.dumps(item[0])) <= 2048 for item in day.state.items.values())
-    assert any(key.startswith("b/before/run-all/") for key in day.state.items)
+    assert all(len(json.dumps(item[0])) <= 2048 for item in day.store.items.values())
+    assert any(key.startswith("b/before/run-all/") for key in day.store.items)
     day.restart(HOSTS[0], SECOND)
     day.cancel("run-off")
     assert day.finish(300) == []
     assert day.told["run-all"] == "done" and day.told["run-off"] == "withdrawn"
-    assert day.until(lambda: not any(key.startswith("b/before/") for key in day.state.items), 120)
+    assert day.until(lambda: not any(key.startswith("b/before/") for key in day.store.items), 120)
     assert day.rules.broken == []
 
 
--- a/tests/test_rebalancing_days.py
+++ b/tests/test_rebalancing_days.py
@@ -8,7 +8,7 @@
 from badgerroute.rebalancing.drain_requests import DrainAnswer, DrainOutcome, DrainRequests
 from badgerroute.rebalancing.service import Rebalancer
 from badgerroute.settings import OperatorSettings, Rebalancing, Team
-from badgerroute.storage.state import StateClient, StateUnavailableError
+from badgerroute.storage.key_value_client import KeyValueClient, StoreUnavailableError
 from tests.standins.day import HOSTS, SECOND, Day, job
 from tests.standins.history import History, wait_ratios
 from tests.standins.loads import hot_team
@@ -251,7 +251,7 @@
 
 
 def requests(day: Day, make: Callable[[DrainRequests], object]) -> DrainOutcome:
-    state = StateClient(day.loop, day.user, day.settings[HOSTS[0]].platform.endpoints.state, day.limits, 4)
+    state = KeyValueClient(day.loop, day.user, day.settings[HOSTS[0]].platform.endpoints.state, day.limits, 4)
     return day.loop.run(day.loop.spawn(make(DrainRequests(day.loop, state)), "operator"))
 
 
@@ -319,12 +319,12 @@
         one for one, _ in day.controllers.values() if second in next(iter(one.leaders.values())).shard.machines
     )
     controller.fleet.delete([second])
-    assert day.until(lambda: "b/machines/" + second not in day.state.items, 20)
+    assert day.until(lambda: "b/machines/" + second not in day.store.items, 20)
     assert ask_drain(day, second).answer is DrainAnswer.GONE
-    day.state.outage(True)
-    with pytest.raises(StateUnavailableError):
+    day.store.outage(True)
+    with pytest.raises(StoreUnavailableError):
         ask_drain(day, first)
-    day.state.outage(False)
+    day.store.outage(False)
     assert day.finish(300) == [] and day.rules.broken == []
 
 
@@ -363,7 +363,7 @@
     worker = hottest(day)
     ask_drain(day, worker.name, within=10, delete=True)
     assert day.until(lambda: worker.name not in day.site.workers, 30)
-    assert day.until(lambda: f"b/drains/{worker.name}" not in day.state.items, 120)
+    assert day.until(lambda: f"b/drains/{worker.name}" not in day.store.items, 120)
     assert day.finish(300) == [] and day.rules.broken == [] and day.history_problems() == []
 
 
@@ -401,7 +401,7 @@
 
 def ask_drain_elsewhere(day: Day, host: str, machine: str) -> None:
     other = next(one for one in HOSTS if one != host)
-    state = StateClient(day.loop, day.user, day.settings[other].platform.endpoints.state, day.limits, 4)
+    state = KeyValueClient(day.loop, day.user, day.settings[other].platform.endpoints.state, day.limits, 4)
     asked = DrainRequests(day.loop, state).drain(machine, 40 * SECOND)
     outcome = day.loop.run(day.loop.spawn(asked, "operator"))
     assert outcome.answer in (DrainAnswer.DRAINING, DrainAnswer.ALREADY_DRAINING)
--- a/tests/test_rebalancing_loopback.py
+++ b/tests/test_rebalancing_loopback.py
@@ -1,4 +1,4 @@
-"""Rebalancing on real sockets: three controllers, stand-in workers, state service and cloud, all on loopback."""
+"""Rebalancing on real sockets: three controllers, stand-in workers, key-value store and cloud, all on loopback."""
 
 import subprocess
 import sys
@@ -69,7 +69,7 @@
         assert command("undrain", name) == (0, f"{name}: no longer draining\n", "")
         assert command("undrain", name) == (0, f"{name}: not draining\n", "")
         assert day.until(lambda: draining() == [], 5)
-        day.state.outage(True)
+        day.store.outage(True)
         code, out, err = command("undrain", name)
         assert code == 3 and out == "" and err.count("\n") == 1 and "try again" in err
     finally:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -28,7 +28,7 @@
 from badgerroute.scheduling.reports import ReportReader
 from badgerroute.scheduling.shard import Shard
 from badgerroute.settings import CloudLimits, Connectivity, OperatorSettings, Rebalancing, Team
-from badgerroute.storage.cloud import CloudClient
+from badgerroute.storage.cloud_client import CloudClient
 from badgerroute.storage.records import JobRecord, TaskRange
 from badgerroute.transport.frames import MAX_FRAME
 from badgerroute.transport.http import Request, Response
@@ -237,15 +237,15 @@
     day = Day(
         seed=3, machines=machines, capacity=0, rps=3000, write_rps=6000, sockets=3 * machines, tick=SECOND, txn_ops=48
     )
-    members = lambda: sum(key.startswith("b/machines/") for key in day.state.items)  # noqa: E731
+    members = lambda: sum(key.startswith("b/machines/") for key in day.store.items)  # noqa: E731
     assert day.until(lambda: settled(day) and members() == machines, 20), "all are members"
     for host in HOSTS[1:]:
         day.crash(host)
     heir = day.controllers[HOSTS[0]][0]
     assert day.until(lambda: len(heir.leaders) == len(HOSTS) and settled(day), 15), "one holds everything"
-    requests = heir.state.requests
+    requests = heir.store.requests
     day.run(3)
-    assert heir.state.requests - requests < 150, "its requests do not follow its machines"
+    assert heir.store.requests - requests < 150, "its requests do not follow its machines"
     assert day.sockets(HOSTS[0]) < machines + 300
     day.crash(HOSTS[0])
     for host in HOSTS:
@@ -253,7 +253,7 @@
     assert day.until(lambda: settled(day), 15)
     pages = -(-machines // 500)
     for controller, _ in day.controllers.values():
-        assert controller.state.requests < 120 + 3 * pages
+        assert controller.store.requests < 120 + 3 * pages
     assert {worker.session for worker in day.site.workers.values()} == {1}, "no lease ran out"
     assert called_silent == []
     assert day.rules.broken == []
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -12,17 +12,17 @@
 
 from badgerroute import settings as new_settings
 from badgerroute.protocol import mesh
-from badgerroute.settings import NextLimits, StateLimits
+from badgerroute.settings import LaterStoreLimits, StoreLimits
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
-from badgerroute.storage.state import RequestRefusedError, put
+from badgerroute.storage.key_value_client import RequestRefusedError, put
 from badgerroute.transport.loop import Loop
 from tests import test_meetings as meetings
 from tests.standins import production
 from tests.standins.day import HOSTS, SECOND, Day, job, settings_of
 from tests.standins.workers import Kind
 
-LATER = NextLimits(write_rps=28.0, value_kb=2.0, txn_ops=5)
+LATER = LaterStoreLimits(write_rps=28.0, value_kb=2.0, txn_ops=5)
 SAMPLES = json.loads((Path(__file__).parent / "data" / "production-samples.json").read_text())
 WRITTEN = json.loads((Path(__file__).parent / "data" / "written-samples.json").read_text())
 # Names in the samples -> what these records and messages are called here.
@@ -108,7 +108,7 @@
 @pytest.mark.parametrize("cancel", [36.0, 40.25, 46.0])
 def test_both_versions_agree_on_every_bound(lease: float, cancel: float) -> None:
     """A changed constant would be a changed protocol."""
-    day = settings_of(HOSTS[0], "state:1", [], StateLimits(100, 30, 16, 16, LATER))
+    day = settings_of(HOSTS[0], "state:1", [], StoreLimits(100, 30, 16, 16, LATER))
     workers = msgspec.structs.replace(day.params.workers, lease_s=lease, cancel_s=cancel)
     platform = msgspec.structs.replace(day.platform, params=msgspec.structs.replace(day.params, workers=workers))
     old = production.module("settings")
@@ -136,9 +136,9 @@
 
 
 def outage(day: Day) -> Iterator[float]:
-    day.state.outage(True)
+    day.store.outage(True)
     yield 3
-    day.loop.later(15 * SECOND, lambda: day.state.outage(False))
+    day.loop.later(15 * SECOND, lambda: day.store.outage(False))
 
 
 def cancellations(day: Day) -> Iterator[float]:
@@ -191,12 +191,12 @@
     stages = ["run-p0", "run-p1", "run-p2"]
     for number, ref in enumerate(stages):
         day.submit(job(ref, heads=3, trek_s=4.0, follows=stages[number - 1 : number] + ["run-a0"][: number % 2]))
-    day.state.lower(day.settings[HOSTS[0]].params.state)
+    day.store.lower(day.settings[HOSTS[0]].params.state)
     for number in range(3):
         day.submit(job(f"run-z{number}", heads=30, trek_s=3.0))
     day.restart(HOSTS[1], SECOND)
     assert day.finish(400) == []
-    assert day.state.too_large == [], "kept within the lower sizes from the first write on"
+    assert day.store.too_large == [], "kept within the lower sizes from the first write on"
     assert day.rules.broken == []
 
 
@@ -229,14 +229,14 @@
     day = Day(seed=61, machines=6, value_kb=16.0, later=LATER)
     value = left_by_an_old_version(60000, missing, ranges, types)
     assert len(json.dumps(value)) > 5000
-    day.state.ledger = 1
-    day.state.items["b/jobs/run-big"] = (value, 1, None)
+    day.store.revision = 1
+    day.store.items["b/jobs/run-big"] = (value, 1, None)
     described = job("run-big", heads=60000, trek_s=1.0, crew="guests", breeds=types)
     day.site.jobs["run-big"] = described
     day.site.finished |= {f"run-big/{index}" for index in range(60000) if index not in set(missing)}
     day.accepted.add("run-big")
     day.run(3)
-    day.state.lower(day.settings[HOSTS[0]].params.state)
+    day.store.lower(day.settings[HOSTS[0]].params.state)
     day.run(10)
     started = day.rules.starts
     assert started >= 40
@@ -247,8 +247,8 @@
     assert day.told["run-big"] == ended
     if ended == "done":
         assert day.rules.starts <= len(missing) + 60, "what was done is not done again, but for what the restart cost"
-    assert day.until(lambda: not any(key.startswith("b/done/") for key in day.state.items), 150), "pages go"
-    assert day.state.too_large == []
+    assert day.until(lambda: not any(key.startswith("b/done/") for key in day.store.items), 150), "pages go"
+    assert day.store.too_large == []
     assert day.rules.broken == []
 
 
@@ -256,13 +256,13 @@
     """Writes fail, get lost, or come late, between any two steps."""
     day = Day(seed=62, machines=0, capacity=0, value_kb=16.0, later=LATER)
     missing = list(range(100, 40000, 400))
-    day.state.ledger = 1
-    day.state.items["b/jobs/run-big"] = (left_by_an_old_version(40000, missing, [[0, 0, 40000]], None), 1, None)
+    day.store.revision = 1
+    day.store.items["b/jobs/run-big"] = (left_by_an_old_version(40000, missing, [[0, 0, 40000]], None), 1, None)
     day.run(4)
     job_store = day.controllers[HOSTS[0]][0].job_store
     before = job_store.done("run-big", job_store.active["run-big"])
-    day.state.lower(day.settings[HOSTS[0]].params.state)
-    day.state.late_writes = 0.4
+    day.store.lower(day.settings[HOSTS[0]].params.state)
+    day.store.late_writes = 0.4
     for turn in range(60):
         for controller, _ in day.controllers.values():
             day.group.spawn(controller.pager.page_out("run-big"), "page-out")
@@ -270,21 +270,21 @@
         if turn == 25:
             day.restart(HOSTS[1], SECOND)
         if turn == 40:
-            day.state.late_writes = 0.0
+            day.store.late_writes = 0.0
         for controller, _ in day.controllers.values():
             record = controller.job_store.active.get("run-big")
             assert record is None or controller.job_store.done("run-big", record) == before
-    assert day.state.items["b/jobs/run-big"][0]["bits"] == ""
-    assert day.state.too_large == []
+    assert day.store.items["b/jobs/run-big"][0]["bits"] == ""
+    assert day.store.too_large == []
 
 
 @pytest.mark.parametrize(
     ("write_rps", "refused", "lowered"), [(28.0, 0, False), (28.0, 2, False), (28.0, 3, True), (None, 9, False)]
 )
 def test_the_lower_rate_counts_once_it_shows(write_rps: float | None, refused: int, lowered: bool) -> None:
-    day = Day(seed=63, later=NextLimits(write_rps=write_rps))
+    day = Day(seed=63, later=LaterStoreLimits(write_rps=write_rps))
     day.run(3)
-    state = day.controllers[HOSTS[0]][0].state
+    state = day.controllers[HOSTS[0]][0].store
     full = state._writes._rate
     for _ in range(refused):
         state._over_limit()
@@ -295,8 +295,8 @@
     """Settings may be wrong: then everything is kept smaller from that answer on."""
     day = Day(seed=64, value_kb=16.0, txn_ops=16)
     day.run(4)
-    day.state.limits = StateLimits(100, 40, 1.5, 4)
-    state = day.controllers[HOSTS[0]][0].state
+    day.store.limits = StoreLimits(100, 40, 1.5, 4)
+    state = day.controllers[HOSTS[0]][0].store
 
     async def write(changes: int) -> None:
         await state.transact([], [put(f"b/x/{one}", "y" * 100) for one in range(changes)], Urgency.COMPLETE)
@@ -308,7 +308,7 @@
     for number in range(4):
         day.submit(job(f"run-{number}", heads=12, trek_s=2.0))
     assert day.finish() == []
-    assert len(day.state.too_large) <= 12
+    assert len(day.store.too_large) <= 12
     assert day.rules.broken == []
 
 
@@ -324,7 +324,7 @@
         name = f"kind-{number:03d}"
         day.site.kinds[name] = Kind(name, 8.0, 32.0)
     day.run(8)
-    stored = [key for key in day.state.items if key.startswith("b/catalog")]
+    stored = [key for key in day.store.items if key.startswith("b/catalog")]
     assert (len(stored) == 1) is (kinds == 2)
     day.site.cloud_down = True
     day.old = {HOSTS[1]}
@@ -333,4 +333,4 @@
     day.run(8)
     for host in HOSTS[:2]:
         assert len(day.controllers[host][0].catalog) == kinds + 1
-    assert day.state.too_large == []
+    assert day.store.too_large == []
--- a/tests/test_written_names.py
+++ b/tests/test_written_names.py
@@ -11,7 +11,7 @@
 
 from badgerroute.connectivity.modes import Mode
 from badgerroute.coordination.fleet import catalog
-from badgerroute.protocol import cloud, mesh, state, users, workers
+from badgerroute.protocol import cloud, key_value, mesh, users, workers
 from badgerroute.settings import operator, platform
 from badgerroute.storage import records, replica
 
@@ -63,19 +63,19 @@
     ("protocol.mesh.ForwardedResponse", mesh.ForwardedResponse, "forwarded", False, "host number status body"),
     ("protocol.mesh.CancellationNotice", mesh.CancellationNotice, "withdrawn", False, "host jobs"),
     ("protocol.mesh.CancellationAck", mesh.CancellationAck, "withdrawn_heard", False, "host refs"),
-    ("protocol.state.Item", state.Item, None, False, "key value mark tether"),
-    ("protocol.state.Missing", state.Missing, None, False, "ledger"),
-    ("protocol.state.Listing", state.Listing, None, False, "rows ledger more"),
-    ("protocol.state.Condition", state.Condition, None, False, "key mark"),
-    ("protocol.state.Put", state.Put, None, False, "write value tether"),
-    ("protocol.state.Remove", state.Remove, None, False, "remove"),
-    ("protocol.state.Transaction", state.Transaction, None, False, "if apply"),
-    ("protocol.state.Applied", state.Applied, None, False, "ledger"),
-    ("protocol.state.Conflict", state.Conflict, None, False, "failed ledger"),
-    ("protocol.state.Lease", state.Lease, None, False, "tether"),
-    ("protocol.state.Change", state.Change, None, False, "mark write remove value"),
-    ("protocol.state.Changes", state.Changes, None, False, "ledger log"),
-    ("protocol.state.Refusal", state.Refusal, None, False, "error"),
+    ("protocol.state.Item", key_value.KeyValueEntry, None, False, "key value mark tether"),
+    ("protocol.state.Missing", key_value.KeyMissing, None, False, "ledger"),
+    ("protocol.state.Listing", key_value.KeyValuePage, None, False, "rows ledger more"),
+    ("protocol.state.Condition", key_value.Compare, None, False, "key mark"),
+    ("protocol.state.Put", key_value.Put, None, False, "write value tether"),
+    ("protocol.state.Remove", key_value.Remove, None, False, "remove"),
+    ("protocol.state.Transaction", key_value.Transaction, None, False, "if apply"),
+    ("protocol.state.Applied", key_value.Applied, None, False, "ledger"),
+    ("protocol.state.Conflict", key_value.CompareFailed, None, False, "failed ledger"),
+    ("protocol.state.Lease", key_value.Lease, None, False, "tether"),
+    ("protocol.state.Change", key_value.Change, None, False, "mark write remove value"),
+    ("protocol.state.Changes", key_value.Changes, None, False, "ledger log"),
+    ("protocol.state.Refusal", key_value.Refusal, None, False, "error"),
     (
         "protocol.users.Submission",
         users.Submission,
@@ -118,8 +118,8 @@
         False,
         "report_s lease_s gang_wait_s gang_peer_s cancel_s",
     ),
-    ("settings.platform.NextLimits", platform.NextLimits, None, False, "rps write_rps value_kb txn_ops"),
-    ("settings.platform.StateLimits", platform.StateLimits, None, False, "rps write_rps value_kb txn_ops next"),
+    ("settings.platform.NextLimits", platform.LaterStoreLimits, None, False, "rps write_rps value_kb txn_ops"),
+    ("settings.platform.StateLimits", platform.StoreLimits, None, False, "rps write_rps value_kb txn_ops next"),
     ("settings.platform.CloudLimits", platform.CloudLimits, None, False, "rps list_lag_s"),
     ("settings.platform.Resources", platform.Resources, None, False, "cpu mem_mb fd_limit"),
     (
@@ -205,7 +205,7 @@
 
 
 def test_every_struct_of_the_edges_is_in_the_table() -> None:
-    modules = (cloud, mesh, state, users, workers, records, platform, operator, catalog)
+    modules = (cloud, mesh, key_value, users, workers, records, platform, operator, catalog)
     found = {
         value
         for module in modules
--- a/tools/connectivity_measurement.py
+++ b/tools/connectivity_measurement.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from badgerroute.settings import Connectivity, OperatorSettings
-from tests.standins.cuts import CutWatch, between, flap, from_state, from_workers, hold, workload
+from tests.standins.cuts import CutWatch, between, flap, from_store, from_workers, hold, workload
 from tests.standins.day import HOSTS, SECOND, Day
 from tools.connectivity_results import FIGURES, CutDay, KindSummary, summarize
 
@@ -29,15 +29,15 @@
     return lambda day: hold(day, from_workers(day, [FIRST], "hold"), seconds)
 
 
-def _state_flap(seconds: float, mode: str) -> Callable[[Day], None]:
-    return lambda day: flap(day, from_state(day, [FIRST], mode), seconds, int(35 / seconds))
+def _store_flap(seconds: float, mode: str) -> Callable[[Day], None]:
+    return lambda day: flap(day, from_store(day, [FIRST], mode), seconds, int(35 / seconds))
 
 
 def _opposite(mode: str) -> Callable[[Day], None]:
     def play_cut(day: Day) -> None:
         cut, heal = from_workers(day, OTHERS, mode)
         cut()
-        hold(day, from_state(day, [FIRST], mode), 40)
+        hold(day, from_store(day, [FIRST], mode), 40)
         heal()
 
     return play_cut
@@ -56,8 +56,8 @@
     "reports lost for 7 s in every 14, one way": _workers_flap(7, "one_way"),
     "workers lost for 40 s": _workers_cut(40),
     "workers lost for 80 s": _workers_cut(80),
-    "state service refuses for 3 s in every 6": _state_flap(3, "refuse"),
-    "state service lost for 7 s in every 14": _state_flap(7, "hold"),
+    "state service refuses for 3 s in every 6": _store_flap(3, "refuse"),
+    "state service lost for 7 s in every 14": _store_flap(7, "hold"),
     "opposite half-open cuts for 40 s, reset": _opposite("reset"),
     "opposite half-open cuts for 40 s, held": _opposite("hold"),
     "a zone cut off for 30 s": _zone_cut,
--- a/tools/rebalancing_measurement.py
+++ b/tools/rebalancing_measurement.py
@@ -22,7 +22,7 @@
 SETTLING_S = 5
 LOAD_S = 64
 PACE = 0.5
-STATE_RATE = 2000.0  # so that the state service is not what binds
+STATE_RATE = 2000.0  # so that the key-value store is not what binds
 END_LIMIT_S = 300
 
 
