--- a/badgerroute/connectivity/links.py
+++ b/badgerroute/connectivity/links.py
@@ -1,4 +1,4 @@
-"""How long a peer may be silent before it is suspected, learned from the intervals at which it was heard.
+"""How long a endpoint may be silent before it is suspected, learned from the intervals at which it was heard.
 
 The estimate is that of TCP's retransmission timer (Jacobson and Karels, 1988): a smoothed interval plus four times its
 smoothed deviation, within bounds. docs/connectivity.md weighs it against phi accrual.
@@ -15,19 +15,19 @@
 
 @dataclass(frozen=True, slots=True)
 class SuspicionBounds:
-    """The least and the longest silence after which a peer may be suspected."""
+    """The least and the longest silence after which a endpoint may be suspected."""
 
     least: timedelta
     most: timedelta
 
 
 STATE_SERVICE = SuspicionBounds(timedelta(seconds=3), timedelta(seconds=6))
-SIBLING = SuspicionBounds(timedelta(seconds=3), timedelta(seconds=8))
+PEER = SuspicionBounds(timedelta(seconds=3), timedelta(seconds=8))
 
 
 @dataclass(slots=True)
 class Link:
-    """One peer as it is heard. All times are readings of the caller's steady clock.
+    """One endpoint as it is heard. All times are readings of the caller's steady clock.
 
     A link decides nothing that safety rests on: terms, the grace period and the workers' leases are measured elsewhere.
     """
@@ -54,22 +54,22 @@
 
     @property
     def patience(self) -> timedelta:
-        """The silence after which the peer is suspected."""
+        """The silence after which the endpoint is suspected."""
         return min(max(self._interval + DEVIATIONS * self._deviation, self.bounds.least), self.bounds.most)
 
     def silence(self, now: timedelta) -> timedelta:
-        """How long the peer has not been heard; since the link is watched, if it never was."""
+        """How long the endpoint has not been heard; since the link is watched, if it never was."""
         return now - (self.since if self.last_heard is None else self.last_heard)
 
     def suspected(self, now: timedelta) -> bool:
-        """Whether the peer has been silent for too long."""
+        """Whether the endpoint has been silent for too long."""
         return self.silence(now) >= self.patience
 
     def gone(self, now: timedelta) -> bool:
-        """Whether the peer has been silent for longer than any delay that is bridged."""
+        """Whether the endpoint has been silent for longer than any delay that is bridged."""
         return self.silence(now) >= self.bounds.most
 
     def excuse(self, standstill: timedelta, now: timedelta) -> None:
-        """Don't count a standstill of our own process as the peer's silence."""
+        """Don't count a standstill of our own process as the endpoint's silence."""
         if self.last_heard is not None:
             self.last_heard = min(now, self.last_heard + standstill)
--- a/badgerroute/connectivity/mode_machine.py
+++ b/badgerroute/connectivity/mode_machine.py
@@ -46,7 +46,7 @@
     match mode:
         case Mode.OUTAGE:
             return "no_controller_reaches_the_state_service"
-        case Mode.UNRECORDED | Mode.ISOLATED if not reachable.siblings:
+        case Mode.UNRECORDED | Mode.ISOLATED if not reachable.peers:
             return "state_service_and_siblings_silent"
         case Mode.UNRECORDED:
             return "state_service_silent"
--- a/badgerroute/connectivity/modes.py
+++ b/badgerroute/connectivity/modes.py
@@ -13,8 +13,8 @@
 
     SERVING = "serving"  # key-value store and workers
     RECOVERING = "recovering"  # both again, but not for long enough yet
-    OUTAGE = "outage"  # no key-value store, as for every sibling that is heard
-    UNRECORDED = "unrecorded"  # no key-value store, while a sibling has it or none is heard
+    OUTAGE = "outage"  # no key-value store, as for every peer that is heard
+    UNRECORDED = "unrecorded"  # no key-value store, while a peer has it or none is heard
     UNHEARD = "unheard"  # key-value store, but no workers
     ISOLATED = "isolated"  # neither
 
@@ -90,13 +90,13 @@
 
     store: bool
     workers: bool
-    siblings: bool  # one at least is heard, or there are none
-    sibling_with_store: bool  # one that is heard reaches the key-value store
+    peers: bool  # one at least is heard, or there are none
+    peer_with_store: bool  # one that is heard reaches the key-value store
 
     @property
     def alone(self) -> bool:
         """Whether the key-value store is missing here and, as far as can be known, not everywhere."""
-        return not self.store and (self.sibling_with_store or not self.siblings)
+        return not self.store and (self.peer_with_store or not self.peers)
 
 
 def mode_of(reachable: Reachable, settled: bool) -> Mode:
--- a/badgerroute/connectivity/transfer_target.py
+++ b/badgerroute/connectivity/transfer_target.py
@@ -1,11 +1,11 @@
-"""To which sibling a leader that its workers don't reach hands a shard."""
+"""To which peer a leader that its workers don't reach hands a shard."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """A sibling that may own a shard."""
+    """A peer that may own a shard."""
 
     host: str
     machines_heard: int  # of the shard
@@ -13,7 +13,7 @@
 
 
 def choose_receiver(candidates: list[Candidate], machines: int) -> Candidate | None:
-    """The sibling that would own fewest machines, among those that hear at least half as many as the one hearing most.
+    """The peer that would own fewest machines, among those that hear at least half as many as the one hearing most.
 
     `machines`: how many the shard has, which its new leader gets on top of what it owns.
     """
--- a/badgerroute/connectivity/worker_link.py
+++ b/badgerroute/connectivity/worker_link.py
@@ -1,22 +1,22 @@
-"""Whether the workers reach this controller, from its own members' silence and from what siblings hear of them."""
+"""Whether the workers reach this controller, from its own members' silence and from what peers hear of them."""
 
 from collections import Counter
 from dataclasses import dataclass
 from datetime import timedelta
 
 EVIDENCE_TTL = timedelta(seconds=6)
-MIN_EVIDENCE = 2  # machines of a shard that report to siblings, at least
-SILENT_PER_EVIDENCE = 8  # silent machines for each that must report to a sibling
+MIN_EVIDENCE = 2  # machines of a shard that report to peers, at least
+SILENT_PER_EVIDENCE = 8  # silent machines for each that must report to a peer
 TRIAL = timedelta(seconds=8)  # after a machine answered us, its reports get so long to come back here
 
 
 @dataclass(frozen=True, slots=True)
 class _Elsewhere:
-    """A report of one of our machines that reached a sibling."""
+    """A report of one of our machines that reached a peer."""
 
     host: str
     at: timedelta
-    relayed: bool  # the sibling passed it on to us, so the machine was answered
+    relayed: bool  # the peer passed it on to us, so the machine was answered
 
 
 class WorkerLink:
@@ -29,7 +29,7 @@
 
     @property
     def lost(self) -> bool:
-        """Whether workers report to siblings because they don't reach us."""
+        """Whether workers report to peers because they don't reach us."""
         return self._lost_at is not None
 
     def lost_for(self, now: timedelta) -> timedelta:
@@ -37,11 +37,11 @@
         return timedelta(0) if self._lost_at is None else now - self._lost_at
 
     def note_elsewhere(self, shard: int, machine: str, host: str, now: timedelta, relayed: bool) -> None:
-        """A member of one of our shards reported to a sibling."""
+        """A member of one of our shards reported to a peer."""
         self._elsewhere.setdefault(shard, {})[machine] = _Elsewhere(host, now, relayed)
 
     def hosts(self, shard: int, now: timedelta) -> dict[str, int]:
-        """The siblings that a shard's machines report to, with the number of machines."""
+        """The peers that a shard's machines report to, with the number of machines."""
         return dict(Counter(report.host for report in self._reports(shard, now)))
 
     def _reports(self, shard: int, now: timedelta) -> list[_Elsewhere]:
@@ -51,7 +51,7 @@
         return list(reports.values())
 
     def missing(self, shard: int, silent: int, now: timedelta, relayed: bool | None = None) -> bool:
-        """Whether too many of a shard's silent machines report to siblings for chance.
+        """Whether too many of a shard's silent machines report to peers for chance.
 
         `relayed`: count only those whose reports were passed on to us, or only those whose were not.
         """
--- a/badgerroute/connectivity/worker_silence.py
+++ b/badgerroute/connectivity/worker_silence.py
@@ -12,7 +12,7 @@
 
 
 def overdue(machine: Machine, shard: ShardView, report: timedelta, awake_since: timedelta, now: timedelta) -> bool:
-    """Whether a report of a member should have come here by now; one that came through a sibling does not count.
+    """Whether a report of a member should have come here by now; one that came through a peer does not count.
 
     `awake_since`: the end of our own last standstill, before which nothing could be heard.
     """
--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -22,7 +22,7 @@
 from badgerroute.coordination.membership.forwarding import FIRST_NUMBERS, RequestForwarder
 from badgerroute.coordination.membership.leadership_transfer import LeadershipTransfer
 from badgerroute.coordination.membership.mesh import Mesh
-from badgerroute.coordination.membership.siblings import Siblings
+from badgerroute.coordination.membership.peers import Peers
 from badgerroute.coordination.quotas.team_quotas import TeamQuotas
 from badgerroute.coordination.requests.http_api import HttpApi
 from badgerroute.coordination.requests.mesh_messages import MeshMessages
@@ -75,21 +75,21 @@
             settings, loop, self.store, self.replica, self._on_elected, self._on_deposed, self._campaign_permission
         )
         self.policy = ActionPolicy(self.election, lambda: self.monitor.mode)
-        hosts = [sibling.host_name for sibling in settings.platform.siblings]
+        hosts = [peer.host_name for peer in settings.platform.peers]
         self.cancellation_broadcast = CancellationBroadcast(
             loop, settings.platform.host_name, hosts, self.mesh.send, params.workers.cancel
         )
         self.machine_catalog = MachineCatalog(loop, self.cloud, self.store, self.replica, self.election)
         self.catalog = self.machine_catalog.types
         self.leaders: dict[int, ShardLeader] = {}
-        self.siblings = Siblings(settings, loop, self.election, self.leaders)
+        self.peers = Peers(settings, loop, self.election, self.leaders)
         self.monitor = ConnectivityMonitor(
             settings=settings,
             loop=loop,
             network=network,
             replica=self.replica,
             election=self.election,
-            siblings=self.siblings,
+            peers=self.peers,
             leaders=self.leaders,
             sample=random.Random(settings.platform.host_name).sample,
         )
@@ -107,7 +107,7 @@
             group=group,
             election=self.election,
             policy=self.policy,
-            siblings=self.siblings,
+            peers=self.peers,
             mesh=self.mesh,
             leaders=self.leaders,
         )
@@ -116,7 +116,7 @@
             loop=loop,
             election=self.election,
             policy=self.policy,
-            siblings=self.siblings,
+            peers=self.peers,
             monitor=self.monitor,
             leaders=self.leaders,
         )
@@ -144,11 +144,11 @@
             policy=self.policy,
             replica=self.replica,
             catalog=self.catalog,
-            summaries=self.siblings.summaries,
+            summaries=self.peers.summaries,
             deleted=self._machines_deleted,
         )
         self.forecast = JobForecast(
-            settings, loop, self.job_store, self.replica, self.catalog, self.leaders, self.siblings.summaries
+            settings, loop, self.job_store, self.replica, self.catalog, self.leaders, self.peers.summaries
         )
         self.progress_duty = ProgressDuty(
             loop, self.leaders, self.job_store, self.job_writer, self.forecast, self._leadership_condition
@@ -164,8 +164,8 @@
             pager=self.pager,
             replica=self.replica,
             catalog=self.catalog,
-            summaries=self.siblings.summaries,
-            running=self.siblings.running,
+            summaries=self.peers.summaries,
+            running=self.peers.running,
         )
         self.deleted = DeletedNames(settings.operator.fleet.most_machines)
         self.report_desk = ReportDesk(
@@ -174,7 +174,7 @@
             replica=self.replica,
             policy=self.policy,
             leaders=self.leaders,
-            siblings=self.siblings,
+            peers=self.peers,
             mesh=self.mesh,
             monitor=self.monitor,
             forwarder=self.forwarder,
@@ -185,7 +185,7 @@
             group=group,
             replica=self.replica,
             election=self.election,
-            siblings=self.siblings,
+            peers=self.peers,
             requests=self.requests,
             leadership_transfer=self.leadership_transfer,
             forwarder=self.forwarder,
@@ -197,7 +197,7 @@
             settings=settings,
             policy=self.policy,
             store=self.store,
-            siblings=self.siblings,
+            peers=self.peers,
             users=self.users,
             forwarder=self.forwarder,
         )
@@ -318,7 +318,7 @@
     async def _gossip_duty(self) -> None:
         while True:
             await self._loop.sleep(GOSSIP)
-            self.store.share(self.siblings.in_use())
+            self.store.share(self.peers.in_use())
             if self.election.lease is not None:
                 self.mesh.broadcast(self._gossip())
             self.cancellation_broadcast.repeat()
@@ -333,7 +333,7 @@
             not self.policy.allows(Action.RECEIVE_SHARD),
             shards,
             self.monitor.mode.value,
-            list(self.siblings.heard()),
+            list(self.peers.heard()),
             self.settings.operator.connectivity.relay,
         )
 
--- a/badgerroute/coordination/jobs/cancellation_broadcast.py
+++ b/badgerroute/coordination/jobs/cancellation_broadcast.py
@@ -1,7 +1,7 @@
-"""Confirmed cancellations, told to every sibling until it says that it has heard.
+"""Confirmed cancellations, told to every peer until it says that it has heard.
 
 A leader that the key-value store refuses alone learns of no cancellation by its watch, and a push may be lost with its
-link. So whoever comes to know that a job is withdrawn tells each sibling again and again, also when a link returns:
+link. So whoever comes to know that a job is withdrawn tells each peer again and again, also when a link returns:
 not only the controller that told the user, since that one may end right after its answer.
 """
 
@@ -11,20 +11,20 @@
 from badgerroute.protocol.mesh import CancellationNotice, Message
 from badgerroute.transport.loop import Loop
 
-AGAIN = timedelta(milliseconds=900)  # a sibling that has not acknowledged by then is told once more
+AGAIN = timedelta(milliseconds=900)  # a peer that has not acknowledged by then is told once more
 MAX_CANCELLATIONS_PER_MESSAGE = 200  # jobs in one message
-MAX_UNACKNOWLEDGED_CANCELLATIONS = 4000  # for one sibling: they hasten what the watch and G bring about in any case
+MAX_UNACKNOWLEDGED_CANCELLATIONS = 4000  # for one peer: they hasten what the watch and G bring about in any case
 
 
 class CancellationBroadcast:
-    """`kept` is for how long telling is of use: after that, a sibling that still acts has a later proof."""
+    """`kept` is for how long telling is of use: after that, a peer that still acts has a later proof."""
 
     def __init__(
-        self, loop: Loop, me: str, siblings: Iterable[str], send: Callable[[str, Message], None], kept: timedelta
+        self, loop: Loop, me: str, peers: Iterable[str], send: Callable[[str, Message], None], kept: timedelta
     ) -> None:
         self._loop, self._me, self._send, self._kept = loop, me, send, kept
-        # sibling -> job -> revision of its final state, when it was learned, when it was last told
-        self._untold: dict[str, dict[str, tuple[int, timedelta, timedelta | None]]] = {host: {} for host in siblings}
+        # peer -> job -> revision of its final state, when it was learned, when it was last told
+        self._untold: dict[str, dict[str, tuple[int, timedelta, timedelta | None]]] = {host: {} for host in peers}
 
     def learned(self, ref: str, revision: int, at_once: bool) -> None:
         """A job is withdrawn. `at_once`: a user is about to be told so."""
@@ -39,14 +39,14 @@
                 self._send(host, CancellationNotice(self._me, [(ref, revision)]))
 
     def known_to(self, host: str, refs: Iterable[str]) -> None:
-        """A sibling acknowledged these, or told us of them itself."""
+        """A peer acknowledged these, or told us of them itself."""
         untold = self._untold.get(host)
         if untold:
             for ref in refs:
                 untold.pop(ref, None)
 
     def repeat(self) -> None:
-        """Tell the siblings what they have not acknowledged. Called a few times a second."""
+        """Tell the peers what they have not acknowledged. Called a few times a second."""
         now = self._loop.now()
         for host, untold in self._untold.items():
             for ref in [ref for ref, (_, learned, _) in untold.items() if now - learned > self._kept]:
--- a/badgerroute/coordination/jobs/job_reader.py
+++ b/badgerroute/coordination/jobs/job_reader.py
@@ -104,7 +104,7 @@
     async def state_after_acceptance(self, ref: str) -> str:
         """What to say of a job that was just accepted. `queued`, as far as can be told now, is no promise."""
         try:
-            # It may have its final state by now: a sibling withdrew it as soon as it saw the record.
+            # It may have its final state by now: a peer withdrew it as soon as it saw the record.
             lookup = await self._decide_waiting(ref) or await self.look_up(ref)
         except StoreUnavailableError:
             return "queued"
--- a/badgerroute/coordination/jobs/job_store.py
+++ b/badgerroute/coordination/jobs/job_store.py
@@ -26,7 +26,7 @@
 
 
 class JobStore:
-    """`publish` tells siblings of a change of ours, `released` and `withdrawn` whoever acts on these."""
+    """`publish` tells peers of a change of ours, `released` and `withdrawn` whoever acts on these."""
 
     def __init__(
         self,
@@ -124,14 +124,14 @@
         self.dependencies.finished(ref, final)
 
     def learn_cancelled(self, ref: str, revision: int) -> None:
-        """A sibling knows that a job is withdrawn, though our watch may not say so for a while."""
+        """A peer knows that a job is withdrawn, though our watch may not say so for a while."""
         self.remember(ref, FinalStateRecord(JobState.WITHDRAWN, 0), revision)
         self._replica.learn(JOBS + ref, None, revision)
 
     # -- what we write ourselves
 
     def published(self, key: str, value: bytes | None, revision: int) -> None:
-        """A change of ours was applied: take it in and tell the siblings, before the watch does."""
+        """A change of ours was applied: take it in and tell the peers, before the watch does."""
         self._replica.learn(key, value, revision)
         self._publish(key, value, revision)
 
--- a/badgerroute/coordination/leadership/leader_election.py
+++ b/badgerroute/coordination/leadership/leader_election.py
@@ -67,7 +67,7 @@
         self._started = loop.now()
         self._ever_led: set[int] = set()  # shards that were held by somebody once
         self._writing: set[int] = set()  # shards with a write of ours on its way
-        self._peer_terms: dict[int, int] = {}  # the highest terms in which siblings said that they hold a shard
+        self._peer_terms: dict[int, int] = {}  # the highest terms in which peers said that they hold a shard
         replica.listen(SHARD_LEADERS, self._shard_changed)
         replica.listen(AUTOSCALER_LEADER, self._autoscaler_leader_changed)
 
@@ -98,11 +98,11 @@
         return self._loop.now() - self.last_confirmed < self._settings.operator.election.ttl
 
     def step_down_if_outranked(self, shard: int, term: int) -> None:
-        """A sibling says that it holds a shard, in a higher term than ours: there is no need to wait for G."""
+        """A peer says that it holds a shard, in a higher term than ours: there is no need to wait for G."""
         self._peer_terms[shard] = max(term, self._peer_terms.get(shard, 0))
         leadership = self.leaderships.get(shard)
         # Also while a write of ours is on its way: a higher term that we ask for is conditional on the one we had, so
-        # it came before the sibling's, or never. A leader that can't reach the key-value store is always just asking.
+        # it came before the peer's, or never. A leader that can't reach the key-value store is always just asking.
         if leadership is not None and term > leadership.term:
             log.warning("event=stood_down shard=%d term=%d by=%d", shard, leadership.term, term)
             self._step_down(shard)
--- a/badgerroute/coordination/membership/connectivity_monitor.py
+++ b/badgerroute/coordination/membership/connectivity_monitor.py
@@ -11,7 +11,7 @@
 from badgerroute.connectivity.standstill import StandstillDetector
 from badgerroute.connectivity.worker_link import WorkerLink
 from badgerroute.coordination.leadership.leader_election import NEVER, LeaderElection
-from badgerroute.coordination.membership.siblings import Siblings
+from badgerroute.coordination.membership.peers import Peers
 from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.settings import Settings
 from badgerroute.storage import records
@@ -38,13 +38,13 @@
         network: Network,
         replica: Replica,
         election: LeaderElection,
-        siblings: Siblings,
+        peers: Peers,
         leaders: dict[int, ShardLeader],
         sample: Callable[[list[str], int], list[str]],
     ) -> None:
         self._loop, self._network, self._replica, self._election = loop, network, replica, election
-        self._siblings, self._leaders, self._sample = siblings, leaders, sample
-        self._has_siblings = settings.params.size > 1
+        self._peers, self._leaders, self._sample = peers, leaders, sample
+        self._has_peers = settings.params.size > 1
         self._host = settings.platform.host_name
         connectivity = settings.operator.connectivity
         self._damping = FlapDamping(connectivity.settle, connectivity.longest_settle, connectivity.penalty_half_life)
@@ -85,7 +85,7 @@
         standstill = self._standstill.turn(now)
         if standstill:
             log.info("event=stood_still host=%s seconds=%.1f", self._host, standstill.total_seconds())
-            for link in (self._store_link, *self._siblings.links.values()):
+            for link in (self._store_link, *self._peers.links.values()):
                 link.excuse(standstill, now)
         self.worker_link.update(
             {leader.number: leader.silent() for leader in self._leaders.values() if leader.ready}, now
@@ -102,12 +102,12 @@
             )
 
     def _reachable(self) -> Reachable:
-        heard = self._siblings.heard().values()
+        heard = self._peers.heard().values()
         return Reachable(
             store=self.reaches_store(),
             workers=not self.worker_link.lost,
-            siblings=bool(heard) or not self._has_siblings,
-            sibling_with_store=any(sibling.gossip.store_reachable for sibling in heard),
+            peers=bool(heard) or not self._has_peers,
+            peer_with_store=any(peer.gossip.store_reachable for peer in heard),
         )
 
     async def probe(self) -> None:
--- a/badgerroute/coordination/membership/forwarding.py
+++ b/badgerroute/coordination/membership/forwarding.py
@@ -18,7 +18,7 @@
 
 
 class RequestForwarder:
-    """Both ends of it: `send` queues a message for a sibling, `handle` answers a request that a sibling passed on."""
+    """Both ends of it: `send` queues a message for a peer, `handle` answers a request that a peer passed on."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         self.dropped = 0  # requests that came while as many as may be were under way
 
     async def forward(self, target: str, request: Request, limit: timedelta) -> Response | None:
-        """A sibling's answer; None if none came in time, or too many requests are on their way."""
+        """A peer's answer; None if none came in time, or too many requests are on their way."""
         if len(self._waiting) >= self._most:
             self.dropped += 1
             return None
@@ -55,13 +55,13 @@
             del self._waiting[key]
 
     def on_response(self, message: ForwardedResponse) -> None:
-        """A sibling's answer has come. One that is late, or came before, is of no use to anybody."""
+        """A peer's answer has come. One that is late, or came before, is of no use to anybody."""
         answered = self._waiting.get((message.host, message.number))
         if answered is not None:
             answered.set(message)
 
     def on_request(self, message: ForwardedRequest) -> None:
-        """A sibling passes a request on to us."""
+        """A peer passes a request on to us."""
         if self._serving >= self._most:
             self.dropped += 1
             return
--- a/badgerroute/coordination/membership/leadership_transfer.py
+++ b/badgerroute/coordination/membership/leadership_transfer.py
@@ -8,7 +8,7 @@
 from badgerroute.coordination.leadership.action_policy import ActionPolicy
 from badgerroute.coordination.leadership.leader_election import LeaderElection
 from badgerroute.coordination.membership.connectivity_monitor import ConnectivityMonitor
-from badgerroute.coordination.membership.siblings import Sibling, Siblings
+from badgerroute.coordination.membership.peers import Peer, Peers
 from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.protocol.mesh import MisdirectedReport
 from badgerroute.settings import Settings
@@ -27,12 +27,12 @@
         loop: Loop,
         election: LeaderElection,
         policy: ActionPolicy,
-        siblings: Siblings,
+        peers: Peers,
         monitor: ConnectivityMonitor,
         leaders: dict[int, ShardLeader],
     ) -> None:
         self._settings, self._loop, self._election, self._policy = settings, loop, election, policy
-        self._siblings, self._monitor, self._leaders = siblings, monitor, leaders
+        self._peers, self._monitor, self._leaders = peers, monitor, leaders
         self._worker_link = monitor.worker_link
         self._relay_for = settings.operator.connectivity.relay_for
 
@@ -48,12 +48,12 @@
     async def _return_to_home(self) -> None:
         for shard in list(self._election.leaderships):
             host = self._home(shard)
-            sibling = self._siblings.get(host)
+            peer = self._peers.get(host)
             leader = self._leaders.get(shard)
-            # A sibling that has lost the key-value store still names the lease it once had. Its shard was handed to it
+            # A peer that has lost the key-value store still names the lease it once had. Its shard was handed to it
             # again and again, each time given up first and claimed anew, and stood still for as long as the cut.
-            if sibling is not None and sibling.fit() and leader is not None and leader.shard.settled:
-                await self._election.transfer(shard, host, sibling.gossip.lease)
+            if peer is not None and peer.fit() and leader is not None and leader.shard.settled:
+                await self._election.transfer(shard, host, peer.gossip.lease)
                 return
 
     def _home(self, shard: int) -> str:
@@ -63,7 +63,7 @@
     # -- shards whose workers don't reach us
 
     async def on_misdirected_report(self, misdirected: MisdirectedReport) -> None:
-        """A machine of ours reported to a sibling that did not relay the report: if many do, the shard goes there."""
+        """A machine of ours reported to a peer that did not relay the report: if many do, the shard goes there."""
         leader = self._leaders.get(misdirected.shard)
         if leader is None or not leader.ready or not leader.missed(misdirected.machine):
             return  # new machines report anywhere; they say nothing of us
@@ -89,8 +89,8 @@
                 return True
         return False
 
-    def _receiver(self, leader: ShardLeader, now: timedelta) -> Sibling | None:
-        fit = {host: sibling for host, sibling in self._siblings.heard().items() if sibling.fit()}
+    def _receiver(self, leader: ShardLeader, now: timedelta) -> Peer | None:
+        fit = {host: peer for host, peer in self._peers.heard().items() if peer.fit()}
         hosts = self._worker_link.hosts(leader.number, now)
         candidates = [
             Candidate(host, heard, sum(shard.machines for shard in fit[host].gossip.shards))
@@ -100,7 +100,7 @@
         chosen = choose_receiver(candidates, len(leader.shard.machines))
         return None if chosen is None else fit[chosen.host]
 
-    async def _transfer(self, leader: ShardLeader, receiver: Sibling) -> None:
+    async def _transfer(self, leader: ShardLeader, receiver: Peer) -> None:
         host = receiver.gossip.host
         log.warning("event=workers_unheard shard=%d to=%s", leader.number, host)
         self._worker_link.shard_given_up(leader.number)
--- a/badgerroute/coordination/membership/mesh.py
+++ b/badgerroute/coordination/membership/mesh.py
@@ -1,4 +1,4 @@
-"""The mesh: one kept connection to each sibling, for messages that may be lost."""
+"""The mesh: one kept connection to each peer, for messages that may be lost."""
 
 import logging
 from collections import deque
@@ -15,7 +15,7 @@
 from badgerroute.transport.net import Listener, Network, Stream
 
 log = logging.getLogger("badgerroute.mesh")
-MAX_QUEUED_BYTES = 4 << 20  # for one sibling: the frames of thousands of machines that come at once, and no more
+MAX_QUEUED_BYTES = 4 << 20  # for one peer: the frames of thousands of machines that come at once, and no more
 SILENCE = timedelta(seconds=20)
 WRITE_LIMIT = timedelta(seconds=3)
 ACK_EVERY = timedelta(seconds=1)
@@ -24,7 +24,7 @@
 
 
 class _Link:
-    """What is on its way to one sibling. While it can't be reached, old messages make way for new ones."""
+    """What is on its way to one peer. While it can't be reached, old messages make way for new ones."""
 
     def __init__(self, host: str, address: str) -> None:
         self.host, self.address = host, address
@@ -57,28 +57,26 @@
         self, settings: Settings, loop: Loop, network: Network, group: Group, receive: Callable[[wire.Message], None]
     ) -> None:
         self._loop, self._network, self._group, self._receive = loop, network, group, receive
-        self._links = {
-            sibling.host_name: _Link(sibling.host_name, sibling.endpoint) for sibling in settings.platform.siblings
-        }
+        self._links = {peer.host_name: _Link(peer.host_name, peer.endpoint) for peer in settings.platform.peers}
         self._address = settings.platform.mesh_addr
         self._incoming = 0
         self._most_incoming = 4 * max(1, len(self._links)) + 4
 
     def start(self) -> None:
-        """Listen, and keep a connection to each sibling."""
+        """Listen, and keep a connection to each peer."""
         listener = self._network.listen(self._address)
         self._group.spawn(self._accept(listener), "mesh-accept")
         for link in self._links.values():
             self._group.duty(partial(self._speak, link), f"mesh-{link.host}", timedelta(seconds=1))
 
     def send(self, host: str, message: wire.Message) -> None:
-        """Queue a message for one sibling."""
+        """Queue a message for one peer."""
         link = self._links.get(host)
         if link is not None:
             link.add(frame(wire.encoder.encode(message)))
 
     def broadcast(self, message: wire.Message) -> None:
-        """Queue a message for every sibling."""
+        """Queue a message for every peer."""
         data = frame(wire.encoder.encode(message))
         for link in self._links.values():
             link.add(data)
@@ -88,7 +86,7 @@
             try:
                 stream = await self._network.connect(link.address, timedelta(seconds=1))
             except (OSError, TimeLimitError) as error:
-                log.debug("event=mesh_unreachable sibling=%s error=%s", link.host, error)
+                log.debug("event=mesh_unreachable peer=%s error=%s", link.host, error)
                 link.take_all()
                 await self._loop.sleep(timedelta(milliseconds=500))
                 continue
@@ -108,15 +106,15 @@
                     with self._loop.limit(WRITE_LIMIT):
                         await stream.write(link.take_all())
             except (OSError, TimeLimitError) as error:
-                log.info("event=mesh_link_lost sibling=%s error=%s", link.host, error)
+                log.info("event=mesh_link_lost peer=%s error=%s", link.host, error)
             finally:
                 acks.cancel()
                 stream.close()
 
     async def _acknowledged(self, link: _Link, stream: Stream) -> None:
-        """Notice that a sibling hears us, or that it has closed the connection.
+        """Notice that a peer hears us, or that it has closed the connection.
 
-        Writing does not tell. A sibling gave up on a controller that stood still for half a minute; that one wrote into
+        Writing does not tell. A peer gave up on a controller that stood still for half a minute; that one wrote into
         the closed connection for the rest of the day, and since nobody heard of it, nothing was ever handed back to it.
         """
         reader = FrameReader(stream)
--- a/badgerroute/coordination/membership/siblings.py
+++ b/badgerroute/coordination/membership/peers.py
@@ -5,7 +5,7 @@
 
 from msgspec import UNSET
 
-from badgerroute.connectivity.links import SIBLING, Link
+from badgerroute.connectivity.links import PEER, Link
 from badgerroute.connectivity.modes import Mode
 from badgerroute.coordination.leadership.leader_election import LeaderElection
 from badgerroute.coordination.shards.shard_leader import ShardLeader
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True)
-class Sibling:
+class Peer:
     """Another controller: the link to it, and what it said last."""
 
     link: Link
@@ -36,56 +36,54 @@
         return self.gossip.relays is True and (self.gossip.hears is UNSET or host in self.gossip.hears)
 
 
-class Siblings:
+class Peers:
     """The other controllers as they were last heard, and our own shards beside theirs."""
 
     def __init__(
         self, settings: Settings, loop: Loop, election: LeaderElection, leaders: dict[int, ShardLeader]
     ) -> None:
         self._settings, self._loop, self._election, self._leaders = settings, loop, election, leaders
-        hosts = [sibling.host_name for sibling in settings.platform.siblings]
-        self.links = {host: Link(SIBLING, loop.now()) for host in hosts}
-        self._known: dict[str, Sibling] = {}
+        hosts = [peer.host_name for peer in settings.platform.peers]
+        self.links = {host: Link(PEER, loop.now()) for host in hosts}
+        self._known: dict[str, Peer] = {}
 
     def hear(self, gossip: mesh_wire.Gossip) -> None:
         """Take in what another controller says."""
         link = self.links.get(gossip.host)
         if link is not None:
             link.heard(self._loop.now())
-            self._known[gossip.host] = Sibling(link, gossip)
+            self._known[gossip.host] = Peer(link, gossip)
 
-    def get(self, host: str) -> Sibling | None:
+    def get(self, host: str) -> Peer | None:
         """A controller that is heard."""
-        sibling = self._known.get(host)
-        return sibling if sibling is not None and not sibling.link.suspected(self._loop.now()) else None
+        peer = self._known.get(host)
+        return peer if peer is not None and not peer.link.suspected(self._loop.now()) else None
 
-    def heard(self) -> dict[str, Sibling]:
+    def heard(self) -> dict[str, Peer]:
         """All controllers that are heard, by host."""
-        return {host: sibling for host in self._known if (sibling := self.get(host)) is not None}
+        return {host: peer for host in self._known if (peer := self.get(host)) is not None}
 
     def summaries(self) -> list[mesh_wire.ShardSummary]:
         """Of all shards that are known of: our own as they are, the others' as last heard."""
         summaries = {leader.number: leader.summary() for leader in self._leaders.values() if leader.ready}
-        for sibling in self.heard().values():
-            for summary in sibling.gossip.shards:
+        for peer in self.heard().values():
+            for summary in peer.gossip.shards:
                 summaries.setdefault(summary.shard, summary)
         return list(summaries.values())
 
     def last_heard_shards(self) -> list[tuple[mesh_wire.ShardSummary, timedelta]]:
         """The other controllers' shards as they were told last, and how long ago that was."""
         now = self._loop.now()
-        return [
-            (shard, sibling.link.silence(now)) for sibling in self._known.values() for shard in sibling.gossip.shards
-        ]
+        return [(shard, peer.link.silence(now)) for peer in self._known.values() for shard in peer.gossip.shards]
 
     def leader(self, shard: int) -> str | None:
-        """The host that holds a shard: by the leadership as it is known here, or by a sibling that names a higher term.
+        """The host that holds a shard: by the leadership as it is known here, or by a peer that names a higher term.
 
-        A controller that has lost the key-value store learns only from the siblings who came after it.
+        A controller that has lost the key-value store learns only from the peers who came after it.
         """
         host, term = self._election.leader(shard), self._election.known_term(shard)
-        for name, sibling in self.heard().items():
-            for summary in sibling.gossip.shards:
+        for name, peer in self.heard().items():
+            for summary in peer.gossip.shards:
                 if summary.shard == shard and summary.term > term:
                     host, term = name, summary.term
         return host
@@ -109,8 +107,8 @@
         )
         there = sum(
             summary.running.get(ref, 0)
-            for sibling in self.heard().values()
-            for summary in sibling.gossip.shards
+            for peer in self.heard().values()
+            for summary in peer.gossip.shards
             if summary.shard not in self._leaders
         )
         return here + there
--- a/badgerroute/coordination/quotas/team_quotas.py
+++ b/badgerroute/coordination/quotas/team_quotas.py
@@ -105,7 +105,7 @@
     def ask(
         self, shard: int, team: str, lack: Room, age: timedelta, rank: tuple[float, float, float] | None, used: float
     ) -> ShareRequest | None:
-        """The question to the siblings, not more than once in a while."""
+        """The question to the peers, not more than once in a while."""
         now = self._loop.now()
         if now - self._asked.get((shard, team), -ASK_AGAIN) < ASK_AGAIN:
             return None
--- a/badgerroute/coordination/requests/http_api.py
+++ b/badgerroute/coordination/requests/http_api.py
@@ -24,7 +24,7 @@
         return await self._handle(request, None)
 
     async def handle_forwarded(self, request: Request, relay: str) -> Response:
-        """Answer a request that a sibling passed on."""
+        """Answer a request that a peer passed on."""
         return await self._handle(request, relay)
 
     async def _handle(self, request: Request, relay: str | None) -> Response:
--- a/badgerroute/coordination/requests/mesh_messages.py
+++ b/badgerroute/coordination/requests/mesh_messages.py
@@ -6,7 +6,7 @@
 from badgerroute.coordination.membership.forwarding import RequestForwarder
 from badgerroute.coordination.membership.leadership_transfer import LeadershipTransfer
 from badgerroute.coordination.membership.mesh import Mesh
-from badgerroute.coordination.membership.siblings import Siblings
+from badgerroute.coordination.membership.peers import Peers
 from badgerroute.coordination.requests.shard_requests import ShardRequests
 from badgerroute.protocol import mesh as wire
 from badgerroute.settings import Settings
@@ -24,7 +24,7 @@
         group: Group,
         replica: Replica,
         election: LeaderElection,
-        siblings: Siblings,
+        peers: Peers,
         requests: ShardRequests,
         leadership_transfer: LeadershipTransfer,
         forwarder: RequestForwarder,
@@ -33,7 +33,7 @@
         mesh: Mesh,
     ) -> None:
         self._host, self._group, self._mesh = settings.platform.host_name, group, mesh
-        self._replica, self._election, self._siblings = replica, election, siblings
+        self._replica, self._election, self._peers = replica, election, peers
         self._requests, self._leadership_transfer, self._forwarder = requests, leadership_transfer, forwarder
         self._job_store, self._cancellation_broadcast = job_store, cancellation_broadcast
 
@@ -62,7 +62,7 @@
                 self._cancellation_broadcast.known_to(message.host, message.refs)
 
     def _on_gossip(self, message: wire.Gossip) -> None:
-        self._siblings.hear(message)
+        self._peers.hear(message)
         for summary in message.shards:
             self._election.step_down_if_outranked(summary.shard, summary.term)
 
--- a/badgerroute/coordination/requests/report_desk.py
+++ b/badgerroute/coordination/requests/report_desk.py
@@ -10,7 +10,7 @@
 from badgerroute.coordination.membership.connectivity_monitor import ConnectivityMonitor
 from badgerroute.coordination.membership.forwarding import RequestForwarder
 from badgerroute.coordination.membership.mesh import Mesh
-from badgerroute.coordination.membership.siblings import Sibling, Siblings
+from badgerroute.coordination.membership.peers import Peer, Peers
 from badgerroute.coordination.requests.responses import answer, come_back, error
 from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.protocol.common import MalformedError
@@ -36,14 +36,14 @@
         replica: Replica,
         policy: ActionPolicy,
         leaders: dict[int, ShardLeader],
-        siblings: Siblings,
+        peers: Peers,
         mesh: Mesh,
         monitor: ConnectivityMonitor,
         forwarder: RequestForwarder,
         deleted: DeletedNames,
     ) -> None:
         self._settings, self._loop, self._replica, self._policy = settings, loop, replica, policy
-        self._leaders, self._siblings, self._mesh = leaders, siblings, mesh
+        self._leaders, self._peers, self._mesh = leaders, peers, mesh
         self._monitor, self._worker_link, self._forwarder = monitor, monitor.worker_link, forwarder
         self._deleted = deleted
         self._host = settings.platform.host_name
@@ -52,7 +52,7 @@
         self.relayed = 0  # reports whose answer came from their leader
 
     async def checkin(self, request: Request, relay: str | None = None) -> Response:
-        """Answer a report; `relay`: the sibling that passed it on."""
+        """Answer a report; `relay`: the peer that passed it on."""
         try:
             report = parse_report(request.body)
         except MalformedError as problem:
@@ -78,12 +78,12 @@
         return come_back("can't act on this report now") if result is None else answer(200, result)
 
     async def _not_ours(self, request: Request, report: Report, shard: int) -> Response:
-        host = self._siblings.leader(shard)
+        host = self._peers.leader(shard)
         if host is None or host == self._host:
             return answer(421, Redirect())
-        sibling = self._siblings.get(host)
-        lacks_workers = self._lacks_workers(sibling, shard)
-        relayed = await self._relay(request, report, sibling, lacks_workers)
+        peer = self._peers.get(host)
+        lacks_workers = self._lacks_workers(peer, shard)
+        relayed = await self._relay(request, report, peer, lacks_workers)
         if relayed is not None:
             return relayed
         if lacks_workers:
@@ -92,17 +92,15 @@
             return come_back("its owner does not hear its workers")
         return answer(421, Redirect(host))
 
-    async def _relay(
-        self, request: Request, report: Report, sibling: Sibling | None, lacks_workers: bool
-    ) -> Response | None:
+    async def _relay(self, request: Request, report: Report, peer: Peer | None, lacks_workers: bool) -> Response | None:
         """The leader's own answer to a report that can't reach it; None if the report is not to be relayed, or in vain.
 
         The leader decides, in its own term. Its answer reaches the worker as the answer to this very report, within the
         time that the worker waits, or not at all: docs/safety.md.
         """
-        if not self._relays or sibling is None or not sibling.takes_forwarded(self._host):
+        if not self._relays or peer is None or not peer.takes_forwarded(self._host):
             return None
-        host, busy = sibling.gossip.host, bool(report.tasks)
+        host, busy = peer.gossip.host, bool(report.tasks)
         route = self.routes.decide(report.machine, host, lacks_workers, busy, self._loop.now())
         if route is not Route.RELAY:
             return None
@@ -112,12 +110,12 @@
         self.relayed += 1
         return response
 
-    def _lacks_workers(self, sibling: Sibling | None, shard: int) -> bool:
+    def _lacks_workers(self, peer: Peer | None, shard: int) -> bool:
         """Whether machines would go to their leader in vain. One that hears workers again says so by its mode."""
-        mode = None if sibling is None else sibling.mode
+        mode = None if peer is None else peer.mode
         if mode in (Mode.UNHEARD, Mode.RECOVERING):
             return mode is Mode.UNHEARD
-        return any(summary.shard == shard and summary.silent for summary in self._siblings.summaries())
+        return any(summary.shard == shard and summary.silent for summary in self._peers.summaries())
 
     def _shard_of(self, name: str) -> int:
         value = self._replica.value(MACHINES + name)
--- a/badgerroute/coordination/requests/shard_requests.py
+++ b/badgerroute/coordination/requests/shard_requests.py
@@ -1,6 +1,6 @@
 """Requests between shards: for waiting work, for share of a team's limit, for machines.
 
-Each goes to the leader of what is asked for, ours or a sibling's, who decides and writes. One that is lost costs time.
+Each goes to the leader of what is asked for, ours or a peer's, who decides and writes. One that is lost costs time.
 """
 
 from datetime import timedelta
@@ -9,7 +9,7 @@
 from badgerroute.coordination.leadership.action_policy import ActionPolicy
 from badgerroute.coordination.leadership.leader_election import LeaderElection
 from badgerroute.coordination.membership.mesh import Mesh
-from badgerroute.coordination.membership.siblings import Siblings
+from badgerroute.coordination.membership.peers import Peers
 from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.protocol.mesh import FreeCapacity, MachineLoanRequest, ShardSummary, ShareRequest, StealRequest
 from badgerroute.scheduling.capacities import fits_capacity
@@ -27,12 +27,12 @@
         group: Group,
         election: LeaderElection,
         policy: ActionPolicy,
-        siblings: Siblings,
+        peers: Peers,
         mesh: Mesh,
         leaders: dict[int, ShardLeader],
     ) -> None:
         self._loop, self._group, self._election, self._policy = loop, group, election, policy
-        self._siblings, self._mesh, self._leaders = siblings, mesh, leaders
+        self._peers, self._mesh, self._leaders = peers, mesh, leaders
 
     async def steal_duty(self) -> None:
         """Idle shards ask busy ones for waiting tasks, one request per shard and period."""
@@ -42,7 +42,7 @@
                 if not leader.ready or not leader.shard.settled:
                     continue
                 if self._policy.allows_for(leader.number, Action.GIVE_WORK):
-                    await leader.migration.pass_on_gangs(self._siblings.summaries())
+                    await leader.migration.pass_on_gangs(self._peers.summaries())
                 if self._policy.allows_for(leader.number, Action.STEAL):
                     self._steal_for(leader)
 
@@ -53,12 +53,12 @@
         short = leader.migration.short_teams()
         if leader.migration.has_work_for(capacities, short):
             return
-        victim = busiest_shard(self._siblings.summaries(), leader.number, capacities, short)
+        victim = busiest_shard(self._peers.summaries(), leader.number, capacities, short)
         if victim is not None:
             self.steal_from(victim, StealRequest(victim, leader.number, capacities, images, sorted(short)))
 
     def steal_from(self, victim: int, message: StealRequest) -> None:
-        """Ask a shard, ours or a sibling's, for waiting tasks."""
+        """Ask a shard, ours or a peer's, for waiting tasks."""
         if victim in self._leaders:
             self._group.spawn(self._leaders[victim].migration.on_steal(message), "steal")
         else:
@@ -67,7 +67,7 @@
                 self._mesh.send(host, message)
 
     def on_steal(self, message: StealRequest) -> None:
-        """A sibling's shard asks one of ours for waiting tasks."""
+        """A peer's shard asks one of ours for waiting tasks."""
         leader = self._leaders.get(message.victim)
         if leader is not None and leader.ready:
             self._group.spawn(leader.migration.on_steal(message), "steal")
--- a/badgerroute/coordination/requests/user_desk.py
+++ b/badgerroute/coordination/requests/user_desk.py
@@ -1,4 +1,4 @@
-"""Requests of users: answered here as far as the key-value store is reached, else by a sibling that reaches it."""
+"""Requests of users: answered here as far as the key-value store is reached, else by a peer that reaches it."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -6,7 +6,7 @@
 from badgerroute.connectivity.modes import Action, Permission
 from badgerroute.coordination.leadership.action_policy import ActionPolicy
 from badgerroute.coordination.membership.forwarding import RequestForwarder
-from badgerroute.coordination.membership.siblings import Siblings
+from badgerroute.coordination.membership.peers import Peers
 from badgerroute.coordination.requests.responses import come_back, error
 from badgerroute.coordination.requests.users import Users
 from badgerroute.settings import Settings
@@ -27,24 +27,24 @@
 
 
 class UserDesk:
-    """What was passed on by a sibling is answered here or nowhere."""
+    """What was passed on by a peer is answered here or nowhere."""
 
     def __init__(
         self,
         settings: Settings,
         policy: ActionPolicy,
         store: KeyValueClient,
-        siblings: Siblings,
+        peers: Peers,
         users: Users,
         forwarder: RequestForwarder,
     ) -> None:
-        self._policy, self._store, self._siblings = policy, store, siblings
+        self._policy, self._store, self._peers = policy, store, peers
         self._users, self._forwarder = users, forwarder
         self._host = settings.platform.host_name
         self._forwards = settings.operator.connectivity.relay
 
     async def handle(self, request: Request, relay: str | None = None) -> Response:
-        """Answer a submission, a poll or a cancellation; `relay`: the sibling that passed it on."""
+        """Answer a submission, a poll or a cancellation; `relay`: the peer that passed it on."""
         ref, _, verb = request.path.removeprefix(JOBS_PATH).strip("/").partition("/")
         operation = self._operation(ref, verb)
         if request.method != operation.method:
@@ -78,16 +78,16 @@
         return await self._users.poll(ref)
 
     async def _forward(self, request: Request) -> Response | None:
-        """The answer of a sibling that reaches the key-value store; None if there is none that can decide."""
+        """The answer of a peer that reaches the key-value store; None if there is none that can decide."""
         if not self._forwards:
             return None
         able = [
-            sibling
-            for sibling in self._siblings.heard().values()
-            if sibling.gossip.ready and sibling.gossip.store_reachable and sibling.takes_forwarded(self._host)
+            peer
+            for peer in self._peers.heard().values()
+            if peer.gossip.ready and peer.gossip.store_reachable and peer.takes_forwarded(self._host)
         ]
         if not able:
             return None
-        target = min(able, key=lambda sibling: (sibling.gossip.isolated, len(sibling.gossip.shards)))
+        target = min(able, key=lambda peer: (peer.gossip.isolated, len(peer.gossip.shards)))
         response = await self._forwarder.forward(target.gossip.host, request, FORWARD_LIMIT)
         return response if response is not None and response.status != UNAVAILABLE else None
--- a/badgerroute/coordination/shards/services.py
+++ b/badgerroute/coordination/shards/services.py
@@ -39,7 +39,7 @@
     pager: RecordPager
     quotas: TeamQuotas
     catalog: dict[str, MachineType]
-    publish: Publish  # tells the siblings of a change of ours
+    publish: Publish  # tells the peers of a change of ours
     progressed: Callable[[], None]  # there is progress to be written down
     delete_machines: Callable[[list[str]], None]
     guidance: Callable[[int], Guidance]  # for a shard, by its number
--- a/badgerroute/coordination/shards/shard_leader.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -162,7 +162,7 @@
     async def checkin(self, report: Report, relayed: bool = False) -> ReportAnswer | None:
         """Answer a report. None: can't act on it now, the worker should try elsewhere or again.
 
-        `relayed`: it came through a sibling, which hands our answer to the worker.
+        `relayed`: it came through a peer, which hands our answer to the worker.
         """
         machine = self.shard.machines.get(report.machine)
         if machine is None:
--- a/badgerroute/coordination/shards/share_exchange.py
+++ b/badgerroute/coordination/shards/share_exchange.py
@@ -33,7 +33,7 @@
         self._ask: Callable[[mesh_wire.ShareRequest], None] = services.ask_share
 
     async def seek(self) -> None:
-        """Take what the shard's teams lack from what nobody holds, or ask the siblings for it."""
+        """Take what the shard's teams lack from what nobody holds, or ask the peers for it."""
         for team, lack in self._planner.take_shortages().items():
             if not await self._quotas.raise_own(self._shard.number, team, lack):
                 first = self._first_short(team)
@@ -109,7 +109,7 @@
             return None
         wanted = lack.copy()
         if message.rank == min(ranks):
-            kept = self._shard.reserved_for_siblings.get(message.team, (Room(), ZERO))[0]  # free by now, but not for us
+            kept = self._shard.reserved_for_peers.get(message.team, (Room(), ZERO))[0]  # free by now, but not for us
             more = (self._shard.usage[message.team].cpus + kept.cpus - message.used) / 2
             if more <= UNEVEN * self._quotas.of(self._shard.number, message.team)[0]:
                 return None
@@ -117,5 +117,5 @@
         missing = Room(max(0.0, wanted.cpus - spare.cpus), max(0.0, wanted.accelerators - spare.accelerators))
         used = self._shard.usage[message.team]
         missing = Room(min(missing.cpus, used.cpus), min(missing.accelerators, used.accelerators))
-        self._shard.reserve_for_sibling(message.team, missing, self._loop.now() + RESERVATION_TTL)
+        self._shard.reserve_for_peer(message.team, missing, self._loop.now() + RESERVATION_TTL)
         return wanted
--- a/badgerroute/rebalancing/service.py
+++ b/badgerroute/rebalancing/service.py
@@ -152,11 +152,11 @@
         if self._view_at is not None and now - self._view_at < VIEW_KEPT:
             return
         self._view_at = now
-        siblings = self._controller.siblings
+        peers = self._controller.peers
         own = {leader.number: leader.summary() for leader in self._controller.leaders.values() if leader.ready}
         readings = [ShardReading(summary, ZERO) for summary in own.values()]
         readings += [
-            ShardReading(summary, age) for summary, age in siblings.last_heard_shards() if summary.shard not in own
+            ShardReading(summary, age) for summary, age in peers.last_heard_shards() if summary.shard not in own
         ]
         self.view = FleetView(readings, self._rebalancing.stale)
         # Asked for at every turn of every job, so worked out once: a percentile looks at all that is counted.
--- a/badgerroute/rebalancing/view.py
+++ b/badgerroute/rebalancing/view.py
@@ -15,7 +15,7 @@
 log = logging.getLogger("badgerroute.rebalancing")
 MEDIAN = 50.0
 TAIL = 95.0
-MAX_HISTOGRAM_TEXT = 8192  # characters of a histogram that a sibling sends: ours take a few hundred
+MAX_HISTOGRAM_TEXT = 8192  # characters of a histogram that a peer sends: ours take a few hundred
 
 UNREADABLE = (HdrCookieException, HdrHistogramSettingsException, HdrLengthException, ValueError, zlib.error)
 
--- a/badgerroute/scheduling/model.py
+++ b/badgerroute/scheduling/model.py
@@ -142,7 +142,7 @@
     token_seen: int = 0
     answered: timedelta | None = None  # when one of its reports was last answered by us
     heard: timedelta | None = None
-    reported: timedelta | None = None  # when a report of it last came here, not through a sibling
+    reported: timedelta | None = None  # when a report of it last came here, not through a peer
     alive: bool = False
     dead_session: int = 0  # its lease ended in this session: whatever still comes from it is an old copy
     untaken: int = 0  # reports in a row that lacked a start which an answer of ours had carried
--- a/badgerroute/scheduling/shard.py
+++ b/badgerroute/scheduling/shard.py
@@ -78,7 +78,7 @@
         self.usage: defaultdict[str, Usage] = defaultdict(Usage)
         self.estimates = Estimates()
         self.settled = False  # every member fenced or provably rid of its tasks: until then nothing is placed
-        self.reserved_for_siblings: dict[
+        self.reserved_for_peers: dict[
             str, tuple[Room, timedelta]
         ] = {}  # team -> of its share, what is kept for another shard
         self._failures = FailureJudge(self)
@@ -195,8 +195,8 @@
     def fits_share(self, job: Job, tasks: int = 1) -> int:
         """How many of so many tasks the team's share still has room for."""
         cpus, accelerators = self.shares(job.spec.team)
-        if job.spec.team in self.reserved_for_siblings:
-            kept = self.reserved_for_siblings[job.spec.team][0]
+        if job.spec.team in self.reserved_for_peers:
+            kept = self.reserved_for_peers[job.spec.team][0]
             cpus, accelerators = cpus - kept.cpus, accelerators - kept.accelerators
         used = self.usage[job.spec.team]
         fitting = Room(cpus - used.cpus, accelerators - used.accelerators).times(
@@ -204,17 +204,17 @@
         )
         return max(0, min(tasks, fitting))
 
-    def reserve_for_sibling(self, team: str, room: Room, until: timedelta) -> None:
+    def reserve_for_peer(self, team: str, room: Room, until: timedelta) -> None:
         """As the team's tasks end here, start nothing in so much of its share: another shard is to have it."""
         if room.cpus > EPSILON or room.accelerators > EPSILON:
-            self.reserved_for_siblings[team] = (room, until)
+            self.reserved_for_peers[team] = (room, until)
         else:
-            self.reserved_for_siblings.pop(team, None)
+            self.reserved_for_peers.pop(team, None)
 
     def expire_reservations(self, now: timedelta) -> None:
         """Let go of share that was kept for other shards and not called for."""
-        for team in [team for team, (_, until) in self.reserved_for_siblings.items() if until < now]:
-            del self.reserved_for_siblings[team]
+        for team in [team for team, (_, until) in self.reserved_for_peers.items() if until < now]:
+            del self.reserved_for_peers[team]
 
     def short_of_share(self, job: Job) -> bool:
         """Whether a job waits for want of a share: a gang for the whole of it, an array for that of one task."""
--- a/badgerroute/settings/derived.py
+++ b/badgerroute/settings/derived.py
@@ -22,7 +22,7 @@
     @property
     def hosts(self) -> list[str]:
         """All controllers in one order that every one of them computes alike; its index is a home shard."""
-        return sorted([self.platform.host_name, *(sibling.host_name for sibling in self.platform.siblings)])
+        return sorted([self.platform.host_name, *(peer.host_name for peer in self.platform.peers)])
 
     @property
     def home(self) -> int:
--- a/badgerroute/settings/loading.py
+++ b/badgerroute/settings/loading.py
@@ -28,7 +28,7 @@
 
 def _check(platform: PlatformSettings, source: str) -> None:
     params = platform.params
-    names = [platform.host_name, *(sibling.host_name for sibling in platform.siblings)]
+    names = [platform.host_name, *(peer.host_name for peer in platform.peers)]
     if len(set(names)) != len(names):
         raise SettingsError(f"{source}: siblings: host_name used twice")
     if len(names) != params.size:
--- a/badgerroute/settings/platform.py
+++ b/badgerroute/settings/platform.py
@@ -12,7 +12,7 @@
 Amount = Annotated[float, Meta(ge=0)]
 
 
-class Sibling(Struct, frozen=True):
+class Peer(Struct, frozen=True):
     """Another controller."""
 
     host_name: Name
@@ -163,4 +163,4 @@
     mesh_addr: Address
     endpoints: Endpoints
     params: Params
-    siblings: list[Sibling] = []
+    peers: list[Peer] = field(name="siblings", default_factory=list)
--- a/badgerroute/storage/replica.py
+++ b/badgerroute/storage/replica.py
@@ -1,6 +1,6 @@
 """A copy in memory of what the key-value store holds, kept fresh by a watch.
 
-Everything lies under one prefix, so one watch gives all changes in their order. Own writes and siblings' pushes
+Everything lies under one prefix, so one watch gives all changes in their order. Own writes and peers' pushes
 are taken in early; `revision` is what the watch itself has covered.
 """
 
--- a/tests/standins/day.py
+++ b/tests/standins/day.py
@@ -15,10 +15,10 @@
     Objective,
     OperatorSettings,
     Params,
+    Peer,
     PlatformSettings,
     Resources,
     Settings,
-    Sibling,
     StoreLimits,
     Team,
     WorkerLimits,
@@ -85,9 +85,9 @@
         teams=teams,
         objectives=[Objective("guarantee", 0.9, within_s=2.0), *objectives],
     )
-    siblings = [Sibling(one, "a", f"{one}:8081") for one in HOSTS if one != host]
+    peers = [Peer(one, "a", f"{one}:8081") for one in HOSTS if one != host]
     platform = PlatformSettings(
-        host, "a", f"{host}:8080", f"{host}:8081", Endpoints("cloud:8443", state), params, siblings
+        host, "a", f"{host}:8080", f"{host}:8081", Endpoints("cloud:8443", state), params, peers
     )
     return Settings(platform, operator)
 
--- a/tests/standins/production.py
+++ b/tests/standins/production.py
@@ -30,6 +30,7 @@
     "leaderships": "parts",
     "may_lead": "acting",
     "store": "state",
+    "peers": "siblings",
 }
 CLASSES = (
     ("coordination.controller", "Controller"),
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -10,7 +10,7 @@
 
 import badgerroute
 from badgerroute.connectivity.damping import FlapDamping
-from badgerroute.connectivity.links import SIBLING, STATE_SERVICE, Link
+from badgerroute.connectivity.links import PEER, STATE_SERVICE, Link
 from badgerroute.connectivity.mode_machine import ModeMachine
 from badgerroute.connectivity.modes import PERMISSIONS, Action, Mode, Permission, Reachable, mode_of
 from badgerroute.connectivity.relay_routes import BOUNCED_WITHIN, FORGOTTEN, RelayRoutes, Route
@@ -43,17 +43,17 @@
     ],
 )
 def test_patience_follows_the_delays_that_were_seen(interval: float, jitter: float, patience: float | None) -> None:
-    link, now = Link(SIBLING, 0 * SECOND), 0 * SECOND
+    link, now = Link(PEER, 0 * SECOND), 0 * SECOND
     for turn in range(60):
         now += (interval + (jitter if turn % 2 else -jitter)) * SECOND
         link.heard(now)
     if patience is None:
-        assert SIBLING.least < link.patience <= SIBLING.most
+        assert PEER.least < link.patience <= PEER.most
     else:
         assert link.patience == patience * SECOND
     assert not link.suspected(now + link.patience - SECOND / 100)
     assert link.suspected(now + link.patience)
-    assert not link.gone(now + SIBLING.most - SECOND / 100) and link.gone(now + SIBLING.most)
+    assert not link.gone(now + PEER.most - SECOND / 100) and link.gone(now + PEER.most)
 
 
 def test_a_cut_does_not_make_the_next_go_unnoticed() -> None:
@@ -64,14 +64,14 @@
 
 
 def test_signs_of_life_that_come_late_change_nothing() -> None:
-    link = Link(SIBLING, 0 * SECOND)
+    link = Link(PEER, 0 * SECOND)
     link.heard(5 * SECOND)
     link.heard(4 * SECOND)
     assert link.silence(6 * SECOND) == SECOND
 
 
 def test_a_standstill_of_our_own_is_nobody_elses_silence() -> None:
-    detector, link = StandstillDetector(SECOND / 4, 0 * SECOND), Link(SIBLING, 0 * SECOND)
+    detector, link = StandstillDetector(SECOND / 4, 0 * SECOND), Link(PEER, 0 * SECOND)
     link.heard(10 * SECOND)
     assert detector.turn(SECOND / 4) == 0 * SECOND
     for turn in range(2, 41):
@@ -103,11 +103,11 @@
 
 # -- modes
 
-GOOD = Reachable(store=True, workers=True, siblings=True, sibling_with_store=True)
+GOOD = Reachable(store=True, workers=True, peers=True, peer_with_store=True)
 
 
 @pytest.mark.parametrize(
-    ("store", "workers", "siblings", "sibling_with_store", "mode"),
+    ("store", "workers", "peers", "peer_with_store", "mode"),
     [
         (True, True, True, True, Mode.SERVING),
         (True, True, False, False, Mode.SERVING),
@@ -122,9 +122,9 @@
     ],
 )
 def test_mode_follows_what_is_reached(
-    store: bool, workers: bool, siblings: bool, sibling_with_store: bool, mode: Mode
+    store: bool, workers: bool, peers: bool, peer_with_store: bool, mode: Mode
 ) -> None:
-    reachable = Reachable(store, workers, siblings, sibling_with_store)
+    reachable = Reachable(store, workers, peers, peer_with_store)
     assert mode_of(reachable, settled=True) is mode
     unsettled = mode_of(reachable, settled=False)
     assert unsettled is (Mode.RECOVERING if mode is Mode.SERVING else mode)
@@ -242,7 +242,7 @@
 # -- workers
 
 
-def test_workers_are_lost_only_if_siblings_hear_them() -> None:
+def test_workers_are_lost_only_if_peers_hear_them() -> None:
     link = WorkerLink()
     link.update({0: 8}, 0 * SECOND)
     assert not link.lost, "machines that are silent to everybody say nothing of us"
--- a/tests/test_connectivity_days.py
+++ b/tests/test_connectivity_days.py
@@ -105,7 +105,7 @@
 
 
 def heals_when(reached: Callable[[Day, str, int], bool], mode: str) -> Fault:
-    """The link heals in the very step in which a sibling has come so far with the shard."""
+    """The link heals in the very step in which a peer has come so far with the shard."""
 
     def fault(day: Day) -> None:
         host = pick(day)
@@ -348,7 +348,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("older", [HOSTS[:1], HOSTS[1:], HOSTS[2:]], ids=["owner", "relays", "one_relay"])
 def test_beside_the_version_in_production(older: list[str], seed: int) -> None:
-    """An older sibling neither relays nor takes what is relayed: the shard goes where its workers report."""
+    """An older peer neither relays nor takes what is relayed: the shard goes where its workers report."""
     day = cluster(seed, old=older)
 
     def fault(day: Day) -> None:
@@ -359,7 +359,7 @@
     play(day, fault)
 
 
-# -- Relaying long enough: the shard is handed to a sibling that its workers reach
+# -- Relaying long enough: the shard is handed to a peer that its workers reach
 
 
 def test_a_cut_that_lasts_transfers_the_shard_once() -> None:
@@ -370,8 +370,8 @@
     assert day.until(lambda: day.controllers[HOSTS[0]][0].election.leaderships != {}, 60), "and home again afterwards"
 
 
-def test_shards_of_an_unheard_controller_go_to_different_siblings() -> None:
-    """By load: a controller with two shards does not give both to the same sibling."""
+def test_shards_of_an_unheard_controller_go_to_different_peers() -> None:
+    """By load: a controller with two shards does not give both to the same peer."""
     day = cluster(6, NO_RELAY_SERVES)
     day.restart(HOSTS[1], 30 * SECOND)
     assert day.until(lambda: sum(len(one.election.leaderships) for one, _ in day.controllers.values()) == 3, 20)
@@ -513,7 +513,7 @@
     assert lost >= 5
 
 
-def test_users_of_a_controller_without_state_service_are_answered_by_a_sibling() -> None:
+def test_users_of_a_controller_without_state_service_are_answered_by_a_peer() -> None:
     day = cluster(4)
     day.store.refused.add(HOSTS[0])
     for step in range(8):
@@ -567,7 +567,7 @@
 
 
 def test_an_unrecorded_controller_starts_nothing_and_keeps_what_runs() -> None:
-    """It lacks the key-value store and its siblings, so that nobody tells it that its shard is taken."""
+    """It lacks the key-value store and its peers, so that nobody tells it that its shard is taken."""
     day = cluster(7)
     host = HOSTS[0]
     shard = HOSTS.index(host)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -108,7 +108,7 @@
     return fault
 
 
-def cut_from_siblings(mode: str) -> Callable[[Day], None]:
+def cut_from_peers(mode: str) -> Callable[[Day], None]:
     def fault(day: Day) -> None:
         host = day.random.choice(HOSTS)
         cut(day, host, [one for one in HOSTS if one != host], mode, 25)
@@ -240,12 +240,12 @@
 
 
 def alone_with_its_workers(mode: str, workers_first: bool) -> Callable[[Day], None]:
-    """A controller loses key-value store and siblings, but not its workers; they heal one after the other."""
+    """A controller loses key-value store and peers, but not its workers; they heal one after the other."""
 
     def fault(day: Day) -> None:
         host = day.random.choice(HOSTS)
-        siblings, state = [one for one in HOSTS if one != host], [f"state-{host}"]
-        for other in siblings + state:
+        peers, state = [one for one in HOSTS if one != host], [f"state-{host}"]
+        for other in peers + state:
             day.world.cut(host, other, mode)
         day.run(6)
         up = day.ask("GET", "/up", host=host)
@@ -253,7 +253,7 @@
         day.run(22)
         controller = day.controllers[host][0]
         assert not any(controller.election.may_lead(shard) for shard in range(3)), "it stops in time"
-        for others in (siblings, state) if workers_first else (state, siblings):
+        for others in (peers, state) if workers_first else (state, peers):
             for other in others:
                 day.world.heal(host, other)
             day.run(5)
@@ -261,7 +261,7 @@
     return fault
 
 
-def siblings_refuse(day: Day) -> None:
+def peers_refuse(day: Day) -> None:
     """Connections between controllers are refused."""
     pairs = [(one, other) for one in HOSTS for other in HOSTS if one < other]
     for one, other in pairs:
@@ -348,8 +348,8 @@
     "state_hold": cut_from_store("hold"),
     "workers_reset": cut_from_workers("reset"),
     "workers_hold": cut_from_workers("hold"),
-    "siblings_reset": cut_from_siblings("reset"),
-    "siblings_hold": cut_from_siblings("hold"),
+    "siblings_reset": cut_from_peers("reset"),
+    "siblings_hold": cut_from_peers("hold"),
     "all_reset": cut_from_all("reset"),
     "all_hold": cut_from_all("hold"),
     "zone_reset": zone_cut("reset", 1),
@@ -365,7 +365,7 @@
     "late_copies": late_copies,
     "alone_reset": alone_with_its_workers("reset", True),
     "alone_hold": alone_with_its_workers("hold", False),
-    "siblings_refuse": siblings_refuse,
+    "siblings_refuse": peers_refuse,
     "slow_state": slow_state,
     "crash_in_election": crash_in_election,
     "frozen_for_a_lease": frozen(7),
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -37,8 +37,8 @@
     return [host for host, (one, _) in day.controllers.items() if shard in one.leaders]
 
 
-def test_a_shard_is_not_handed_to_a_sibling_without_the_state_service() -> None:
-    """It still speaks to its siblings, and names the lease that it had."""
+def test_a_shard_is_not_handed_to_a_peer_without_the_state_service() -> None:
+    """It still speaks to its peers, and names the lease that it had."""
     day = Day(seed=1)
     day.run(5)
     host = HOSTS[1]
@@ -73,7 +73,7 @@
     for one in HOSTS:
         for other in HOSTS:
             if one < other:
-                day.world.cut(one, other, "reset")  # nor can a sibling tell them that they are outranked
+                day.world.cut(one, other, "reset")  # nor can a peer tell them that they are outranked
     day.run(30)
     assert len(answered) > 300 and all(answered)
     assert day.rules.broken == []
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -93,7 +93,7 @@
     for ref in refs:
         assert day.cancel(ref, host=others(leader)[0]) == "withdrawn"
     if mesh == "crash":
-        day.restart(others(leader)[0], 20 * SECOND)  # whoever told the user has told no sibling that lasts
+        day.restart(others(leader)[0], 20 * SECOND)  # whoever told the user has told no peer that lasts
     day.run(max(0.0, 2 - (day.loop.now() - began) / SECOND))
     day.store.outage(True)
     day.loop.later(refused * SECOND, lambda: day.store.refused.discard(leader))
@@ -438,7 +438,7 @@
 
 
 def alone_with_workers(day: Day) -> Iterator[float]:
-    """A leader is cut from key-value store and siblings, not from workers and users; jobs go through the new one."""
+    """A leader is cut from key-value store and peers, not from workers and users; jobs go through the new one."""
     host = HOSTS[1]
     heal = cut(day, host, [f"state-{host}", *others(host)])
     yield 1
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -14,7 +14,7 @@
 
 @pytest.mark.parametrize("resets", [True, False])
 def test_a_controller_that_stood_still_gets_its_shard_back(resets: bool) -> None:
-    """Its siblings gave up its connections meanwhile. Whether a write tells it so depends on the network between."""
+    """Its peers gave up its connections meanwhile. Whether a write tells it so depends on the network between."""
     day = Day(seed=11)
     day.world.resets = resets
     day.run(5)
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize("cut", [False, True])
 def test_a_poll_is_never_older_than_what_another_controller_told(cut: bool) -> None:
-    """The siblings' pushes may be lost, so a controller must ask how far the key-value store is."""
+    """The peers' pushes may be lost, so a controller must ask how far the key-value store is."""
     day = Day(seed=15)
     day.run(5)
     if cut:
--- a/tests/test_pipeline_edges.py
+++ b/tests/test_pipeline_edges.py
@@ -353,7 +353,7 @@
 
 
 def test_a_job_withdrawn_before_its_user_is_answered_is_not_called_queued() -> None:
-    """It names a cancelled job, and a sibling has moved it to its final state before the 201 is made up."""
+    """It names a cancelled job, and a peer has moved it to its final state before the 201 is made up."""
     day = Day(seed=83)
     day.run(5)
     day.submit(job("run-a", heads=1, trek_s=60.0))
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -208,7 +208,7 @@
     assert cloud.listing_time(machines) / SECOND == pytest.approx(seconds, abs=0.1)
 
 
-def test_a_burst_of_changes_reaches_a_slow_sibling_but_memory_is_bounded() -> None:
+def test_a_burst_of_changes_reaches_a_slow_peer_but_memory_is_bounded() -> None:
     link = _Link("drover-1", "drover-1:8081")
     for _ in range(MANY):
         link.add(b"x" * 200)
--- a/tests/test_written_names.py
+++ b/tests/test_written_names.py
@@ -107,7 +107,7 @@
     ("storage.records.DonePage", records.DonePage, None, False, "bits"),
     ("storage.records.PredecessorsPage", records.PredecessorsPage, None, False, "refs"),
     ("storage.records.JobRecord", records.JobRecord, None, False, "job accepted ranges base bits pages planned"),
-    ("settings.platform.Sibling", platform.Sibling, None, False, "host_name zone endpoint"),
+    ("settings.platform.Sibling", platform.Peer, None, False, "host_name zone endpoint"),
     ("settings.platform.Endpoints", platform.Endpoints, None, False, "cloud state"),
     ("settings.platform.Team", platform.Team, None, False, "name cpus cpus_max gpus gpus_max"),
     ("settings.platform.Objective", platform.Objective, None, False, "kind share class within_s times"),
