--- a/badgerroute/connectivity/modes.py
+++ b/badgerroute/connectivity/modes.py
@@ -22,7 +22,7 @@
 class Action(Enum):
     """What a controller does on behalf of the service."""
 
-    ANSWER_REPORT = "answer_report"
+    ANSWER_HEARTBEAT = "answer_report"
     START = "start"
     STOP = "stop"
     ACCEPT = "accept"
@@ -59,7 +59,7 @@
 _MODES = (Mode.SERVING, Mode.RECOVERING, Mode.OUTAGE, Mode.UNRECORDED, Mode.UNHEARD, Mode.ISOLATED)
 _ROWS = {
     #                        serving   recovering  outage    unrecorded unheard    isolated
-    Action.ANSWER_REPORT: (_GRACE, _GRACE, _GRACE, _GRACE, _GRACE, _GRACE),
+    Action.ANSWER_HEARTBEAT: (_GRACE, _GRACE, _GRACE, _GRACE, _GRACE, _GRACE),
     Action.START: (_GRACE, _GRACE, _GRACE, _REFUSED, _GRACE, _REFUSED),
     Action.STOP: (_GRACE, _GRACE, _GRACE, _GRACE, _GRACE, _GRACE),
     Action.ACCEPT: (_ALLOWED, _ALLOWED, _REFUSED, _REFUSED, _ALLOWED, _REFUSED),
--- a/badgerroute/connectivity/relay_routes.py
+++ b/badgerroute/connectivity/relay_routes.py
@@ -1,7 +1,7 @@
-"""At a controller that does not own a machine: whether to send its report on to the leader, or the machine there.
+"""At a controller that does not own a machine: whether to send its heartbeat on to the leader, or the machine there.
 
-A machine that comes back soon after it was told to report to its leader can't reach it. Its reports are relayed from
-then on. Now and then it is told once more, with a pause that doubles, to find out whether the cut is over.
+A machine that comes back soon after it was told to heartbeat to its leader can't reach it. Its heartbeats are relayed
+from then on. Now and then it is told once more, with a pause that doubles, to find out whether the cut is over.
 """
 
 from dataclasses import dataclass
@@ -18,7 +18,7 @@
 
 
 class Route(Enum):
-    """What happens to a report of a machine that is not ours."""
+    """What happens to a heartbeat of a machine that is not ours."""
 
     REDIRECT = "redirect"
     RELAY = "relay"
@@ -36,7 +36,7 @@
 
 
 class RelayRoutes:
-    """The routes of all machines that report here and are not ours; one small entry for each."""
+    """The routes of all machines that heartbeat here and are not ours; one small entry for each."""
 
     def __init__(self) -> None:
         self._routes: dict[str, _MachineRoute] = {}
@@ -48,10 +48,10 @@
         return len(self._routes)
 
     def decide(self, machine: str, leader: str, unheard: bool, busy: bool, now: timedelta) -> Route:
-        """What to do with a report. `unheard`: its leader says that it lacks its workers; `busy`: it names tasks.
+        """What to do with a heartbeat. `unheard`: its leader says that it lacks its workers; `busy`: it names tasks.
 
-        The first report of a busy machine is relayed: if it can't reach its leader, to find that out may take it more
-        than is left of its lease.
+        The first heartbeat of a busy machine is relayed: if it can't reach its leader, to find that out may take it
+        more than is left of its lease.
         """
         self._sweep(now)
         self._note_leader(leader, unheard, now)
@@ -78,7 +78,7 @@
 
     @staticmethod
     def _came_back(route: _MachineRoute, now: timedelta) -> None:
-        """A machine is here again that was told to report to its leader: soon after that, it can't reach the leader."""
+        """A machine is here again that was redirected to its leader: soon after that, it can't reach the leader."""
         if route.redirected is not None and now - route.redirected < BOUNCED_WITHIN:
             if route.bounced != NEVER:
                 route.pause = min(LONGEST_TRIAL, 2 * route.pause)
--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -24,9 +24,9 @@
 from badgerroute.coordination.membership.mesh import Mesh
 from badgerroute.coordination.membership.peers import Peers
 from badgerroute.coordination.quotas.team_quotas import TeamQuotas
+from badgerroute.coordination.requests.heartbeat_handler import HeartbeatHandler
 from badgerroute.coordination.requests.http_api import HttpApi
 from badgerroute.coordination.requests.mesh_messages import MeshMessages
-from badgerroute.coordination.requests.report_desk import ReportDesk
 from badgerroute.coordination.requests.shard_requests import ShardRequests
 from badgerroute.coordination.requests.user_desk import UserDesk
 from badgerroute.coordination.requests.users import Users
@@ -168,7 +168,7 @@
             running=self.peers.running,
         )
         self.deleted = DeletedNames(settings.operator.fleet.most_machines)
-        self.report_desk = ReportDesk(
+        self.heartbeat_handler = HeartbeatHandler(
             settings=settings,
             loop=loop,
             replica=self.replica,
@@ -201,7 +201,7 @@
             users=self.users,
             forwarder=self.forwarder,
         )
-        self.api = HttpApi(self.replica, self.monitor, self.report_desk, user_desk)
+        self.api = HttpApi(self.replica, self.monitor, self.heartbeat_handler, user_desk)
         sockets = params.resources.fd_limit
         direct = min(max(MAX_DIRECT_COMMANDS, sockets // SOCKETS_PER_DIRECT_COMMAND), max(4, sockets // 8))
         self._gate = Gate(direct)
--- a/badgerroute/coordination/leadership/leader_election.py
+++ b/badgerroute/coordination/leadership/leader_election.py
@@ -59,7 +59,7 @@
         self._permission = permission  # to claim shards
         self._shard_freed = Future()  # a shard has no leader any more
         self._host = settings.platform.host_name
-        self._grace = settings.grace  # asked for with every report
+        self._grace = settings.grace  # asked for with every heartbeat
         self.lease: int | None = None
         self.leaderships: dict[int, Leadership] = {}
         self.autoscaler_term: int | None = None
--- a/badgerroute/coordination/membership/connectivity_monitor.py
+++ b/badgerroute/coordination/membership/connectivity_monitor.py
@@ -111,7 +111,7 @@
         )
 
     async def probe(self) -> None:
-        """Find out when workers can be reached again: they have no reason to report to us by themselves."""
+        """Find out when workers can be reached again: they have no reason to heartbeat to us by themselves."""
         while True:
             await self._loop.sleep(PROBE_PERIOD)
             now = self._loop.now()
--- a/badgerroute/coordination/membership/leadership_transfer.py
+++ b/badgerroute/coordination/membership/leadership_transfer.py
@@ -10,7 +10,7 @@
 from badgerroute.coordination.membership.connectivity_monitor import ConnectivityMonitor
 from badgerroute.coordination.membership.peers import Peer, Peers
 from badgerroute.coordination.shards.shard_leader import ShardLeader
-from badgerroute.protocol.mesh import MisdirectedReport
+from badgerroute.protocol.mesh import MisroutedHeartbeat
 from badgerroute.settings import Settings
 from badgerroute.transport.loop import Loop
 
@@ -62,8 +62,8 @@
 
     # -- shards whose workers don't reach us
 
-    async def on_misdirected_report(self, misdirected: MisdirectedReport) -> None:
-        """A machine of ours reported to a peer that did not relay the report: if many do, the shard goes there."""
+    async def on_misrouted_heartbeat(self, misdirected: MisroutedHeartbeat) -> None:
+        """A machine of ours reported to a peer that did not relay the heartbeat: if many do, the shard goes there."""
         leader = self._leaders.get(misdirected.shard)
         if leader is None or not leader.ready or not leader.missed(misdirected.machine):
             return  # new machines report anywhere; they say nothing of us
--- a/badgerroute/coordination/requests/report_desk.py
+++ b/badgerroute/coordination/requests/heartbeat_handler.py
@@ -1,4 +1,4 @@
-"""Reports of workers: answered for machines of our shards, relayed or redirected for those of others."""
+"""Heartbeats of workers: answered for machines of our shards, relayed or redirected for those of others."""
 
 import zlib
 from datetime import timedelta
@@ -14,8 +14,8 @@
 from badgerroute.coordination.requests.responses import answer, come_back, error
 from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.protocol.common import MalformedError
-from badgerroute.protocol.mesh import MisdirectedReport
-from badgerroute.protocol.workers import Redirect, Report, parse_report
+from badgerroute.protocol.mesh import MisroutedHeartbeat
+from badgerroute.protocol.workers import Heartbeat, Redirect, parse_heartbeat
 from badgerroute.settings import Settings
 from badgerroute.storage import records
 from badgerroute.storage.replica import MACHINES, Replica
@@ -26,8 +26,8 @@
 RELAY_LIMIT = timedelta(milliseconds=1500)  # a worker waits 4 s for its answer, and drops what comes later
 
 
-class ReportDesk:
-    """`deleted` has the machines whose reports can only be late copies."""
+class HeartbeatHandler:
+    """`deleted` has the machines whose heartbeats can only be late copies."""
 
     def __init__(
         self,
@@ -49,59 +49,62 @@
         self._host = settings.platform.host_name
         self._relays = settings.operator.connectivity.relay
         self.routes = RelayRoutes()
-        self.relayed = 0  # reports whose answer came from their leader
+        self.relayed = 0  # heartbeats whose answer came from their leader
 
-    async def checkin(self, request: Request, relay: str | None = None) -> Response:
-        """Answer a report; `relay`: the peer that passed it on."""
+    async def handle(self, request: Request, relay: str | None = None) -> Response:
+        """Answer a heartbeat; `relay`: the peer that passed it on."""
         try:
-            report = parse_report(request.body)
+            heartbeat = parse_heartbeat(request.body)
         except MalformedError as problem:
             return error(400, str(problem))
         if relay is None and not self._leaders:
             self._worker_link.reached(self._loop.now())
-        if report.machine in self._deleted:
+        if heartbeat.machine in self._deleted:
             return come_back("this machine was deleted")  # a late copy, whatever it says
-        shard = self._shard_of(report.machine)
+        shard = self._shard_of(heartbeat.machine)
         leader = self._leaders.get(shard)
         if leader is not None:
-            return await self._answer(leader, report, relay)
+            return await self._answer(leader, heartbeat, relay)
         if relay is not None:
             return come_back("not the owner")  # what was passed on once is not passed on again
-        return await self._not_ours(request, report, shard)
+        return await self._not_ours(request, heartbeat, shard)
 
-    async def _answer(self, leader: ShardLeader, report: Report, relay: str | None) -> Response:
-        if not leader.ready or not self._policy.allows_for(leader.number, Action.ANSWER_REPORT):
+    async def _answer(self, leader: ShardLeader, heartbeat: Heartbeat, relay: str | None) -> Response:
+        if not leader.ready or not self._policy.allows_for(leader.number, Action.ANSWER_HEARTBEAT):
             return come_back("not acting for this machine now")
-        if relay is not None and leader.missed(report.machine):
-            self._worker_link.note_elsewhere(leader.number, report.machine, relay, self._loop.now(), relayed=True)
-        result = await leader.checkin(report, relay is not None)
+        if relay is not None and leader.missed(heartbeat.machine):
+            self._worker_link.note_elsewhere(leader.number, heartbeat.machine, relay, self._loop.now(), relayed=True)
+        result = await leader.answer_heartbeat(heartbeat, relay is not None)
         return come_back("can't act on this report now") if result is None else answer(200, result)
 
-    async def _not_ours(self, request: Request, report: Report, shard: int) -> Response:
+    async def _not_ours(self, request: Request, heartbeat: Heartbeat, shard: int) -> Response:
         host = self._peers.leader(shard)
         if host is None or host == self._host:
             return answer(421, Redirect())
         peer = self._peers.get(host)
         lacks_workers = self._lacks_workers(peer, shard)
-        relayed = await self._relay(request, report, peer, lacks_workers)
+        relayed = await self._relay(request, heartbeat, peer, lacks_workers)
         if relayed is not None:
             return relayed
         if lacks_workers:
             # Sent back there, it would wait in vain once more, and by then its lease is over.
-            self._mesh.send(host, MisdirectedReport(shard, report.machine, self._host))
+            self._mesh.send(host, MisroutedHeartbeat(shard, heartbeat.machine, self._host))
             return come_back("its owner does not hear its workers")
         return answer(421, Redirect(host))
 
-    async def _relay(self, request: Request, report: Report, peer: Peer | None, lacks_workers: bool) -> Response | None:
-        """The leader's own answer to a report that can't reach it; None if the report is not to be relayed, or in vain.
+    async def _relay(
+        self, request: Request, heartbeat: Heartbeat, peer: Peer | None, lacks_workers: bool
+    ) -> Response | None:
+        """The leader's own answer to a heartbeat that can't reach it; None if the heartbeat is not to be relayed, or in
+        vain.
 
         The leader decides, in its own term. Its answer reaches the worker as the answer to this very report, within the
         time that the worker waits, or not at all: docs/safety.md.
         """
         if not self._relays or peer is None or not peer.takes_forwarded(self._host):
             return None
-        host, busy = peer.gossip.host, bool(report.tasks)
-        route = self.routes.decide(report.machine, host, lacks_workers, busy, self._loop.now())
+        host, busy = peer.gossip.host, bool(heartbeat.tasks)
+        route = self.routes.decide(heartbeat.machine, host, lacks_workers, busy, self._loop.now())
         if route is not Route.RELAY:
             return None
         response = await self._forwarder.forward(host, request, RELAY_LIMIT)
--- a/badgerroute/coordination/requests/http_api.py
+++ b/badgerroute/coordination/requests/http_api.py
@@ -1,7 +1,7 @@
 """Who answers what: the paths that users, workers and the load balancer ask for."""
 
 from badgerroute.coordination.membership.connectivity_monitor import ConnectivityMonitor
-from badgerroute.coordination.requests.report_desk import ReportDesk
+from badgerroute.coordination.requests.heartbeat_handler import HeartbeatHandler
 from badgerroute.coordination.requests.responses import answer, come_back, error
 from badgerroute.coordination.requests.user_desk import JOBS_PATH, UserDesk
 from badgerroute.storage.replica import Replica
@@ -12,10 +12,10 @@
     """The paths of the public address."""
 
     def __init__(
-        self, replica: Replica, monitor: ConnectivityMonitor, report_desk: ReportDesk, user_desk: UserDesk
+        self, replica: Replica, monitor: ConnectivityMonitor, heartbeat_handler: HeartbeatHandler, user_desk: UserDesk
     ) -> None:
         self._replica, self._monitor = replica, monitor
-        self._reports, self._users = report_desk, user_desk
+        self._heartbeat_handler, self._job_request_handler = heartbeat_handler, user_desk
 
     async def handle(self, request: Request) -> Response:
         """Answer one request."""
@@ -31,9 +31,9 @@
         if request.path == "/checkin":
             if request.method != "POST":
                 return error(405, "method not allowed")
-            return await self._reports.checkin(request, relay)
+            return await self._heartbeat_handler.handle(request, relay)
         if request.path == JOBS_PATH or self._is_job(request.path):
-            return await self._users.handle(request, relay)
+            return await self._job_request_handler.handle(request, relay)
         return error(404, "no such path")
 
     @staticmethod
--- a/badgerroute/coordination/requests/mesh_messages.py
+++ b/badgerroute/coordination/requests/mesh_messages.py
@@ -50,8 +50,8 @@
                 self._requests.give_share(message)
             case wire.MachineLoanRequest():
                 self._requests.lend(message)
-            case wire.MisdirectedReport():
-                self._group.spawn(self._leadership_transfer.on_misdirected_report(message), "misdirected")
+            case wire.MisroutedHeartbeat():
+                self._group.spawn(self._leadership_transfer.on_misrouted_heartbeat(message), "misdirected")
             case wire.ForwardedRequest():
                 self._forwarder.on_request(message)
             case wire.ForwardedResponse():
--- a/badgerroute/coordination/shards/deleted_machines.py
+++ b/badgerroute/coordination/shards/deleted_machines.py
@@ -1,4 +1,4 @@
-"""What is remembered of deleted machines, so that a late copy of a report does not make a member of one again."""
+"""What is remembered of deleted machines, so that a late copy of a heartbeat does not make a member of one again."""
 
 import logging
 from datetime import timedelta
@@ -41,7 +41,7 @@
     async def forget(self, names: list[str]) -> None:
         """Machines that the cloud says are gone: their tasks are too.
 
-        They are written down as gone, so that a late copy of a report does not make a member of one again.
+        They are written down as gone, so that a late copy of a heartbeat does not make a member of one again.
         """
         now = self._loop.now()
         for name in names:
--- a/badgerroute/coordination/shards/forecast.py
+++ b/badgerroute/coordination/shards/forecast.py
@@ -23,7 +23,7 @@
 from badgerroute.transport.loop import Loop
 
 STARVING_AFTER = timedelta(seconds=160)  # a job that has not begun by then comes first, however late it is
-BETWEEN_REPORTS = 2  # that pass between the end of a stage and the start of the next
+BETWEEN_HEARTBEATS = 2  # that pass between the end of a stage and the start of the next
 BETWEEN = timedelta(seconds=5)  # and what else does: writing it down, an image to fetch
 NOTHING = Inherited(0, inf)  # what is taken over from a job that is over
 FIRST = -1  # tier of such a job
@@ -47,7 +47,7 @@
         self._leaders, self._summaries = leaders, summaries
         self._teams: dict[str, Team] = {team.name: team for team in settings.params.teams}
         self._objectives = Objectives(settings.params.objectives)
-        self._between = BETWEEN_REPORTS * settings.params.workers.report + BETWEEN
+        self._between = BETWEEN_HEARTBEATS * settings.params.workers.heartbeat_interval + BETWEEN
         self._inheritance: InheritancePass | None = None  # under way
         self._own_values: dict[str, Inherited] = {}
         self._types: dict[str, str] = {}  # member -> machine type, which never changes
--- a/badgerroute/coordination/shards/machine_commands.py
+++ b/badgerroute/coordination/shards/machine_commands.py
@@ -6,7 +6,7 @@
 
 from badgerroute.coordination.shards.services import Services
 from badgerroute.protocol.common import MalformedError, encode
-from badgerroute.protocol.workers import Command, DirectCommands, Report, parse_report
+from badgerroute.protocol.workers import Command, DirectCommands, Heartbeat, parse_heartbeat
 from badgerroute.scheduling.model import Machine
 from badgerroute.scheduling.shard import Shard
 from badgerroute.storage.key_value_client import LeaseExpiredError, OutcomeUnknownError, StoreUnavailableError
@@ -23,7 +23,7 @@
 class MachineCommands:
     """`received` takes in the task list that a machine answers with."""
 
-    def __init__(self, shard: Shard, services: Services, received: Callable[[Machine, Report], None]) -> None:
+    def __init__(self, shard: Shard, services: Services, received: Callable[[Machine, Heartbeat], None]) -> None:
         self._shard, self._received = shard, received
         self._loop, self._network, self._gate = services.loop, services.network, services.gate
         self._election = services.election
@@ -57,16 +57,16 @@
             if response.status not in (200, 409):
                 return False
             try:
-                report = parse_report(response.body)
+                heartbeat = parse_heartbeat(response.body)
             except MalformedError as error:
                 log.warning("event=bad_direct_answer machine=%s error=%s", machine.name, error)
                 return False
-            if self._shard.machines.get(machine.name) is not machine or report.machine != machine.name:
+            if self._shard.machines.get(machine.name) is not machine or heartbeat.machine != machine.name:
                 return False
-            self._received(machine, report)
+            self._received(machine, heartbeat)
             if response.status == 200:
                 return True
-            if report.token > self._shard.term and not await self.raise_term():
+            if heartbeat.token > self._shard.term and not await self.raise_term():
                 return False
         return False
 
--- a/badgerroute/coordination/shards/shard_leader.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -1,4 +1,4 @@
-"""One owned shard at work: taking it over, its members, its reports, its rounds of decisions."""
+"""One owned shard at work: taking it over, its members, its heartbeats, its rounds of decisions."""
 
 import logging
 from dataclasses import dataclass
@@ -20,7 +20,7 @@
 from badgerroute.coordination.shards.share_exchange import ShareExchange
 from badgerroute.coordination.shards.urgent_halts import UrgentHalts
 from badgerroute.protocol import mesh as mesh_wire
-from badgerroute.protocol.workers import Report, ReportAnswer
+from badgerroute.protocol.workers import Heartbeat, HeartbeatResponse
 from badgerroute.scheduling import draining
 from badgerroute.scheduling.model import ZERO, Machine
 from badgerroute.scheduling.objectives import Objectives
@@ -72,7 +72,9 @@
             services.guidance(number),
         )
         objectives = Objectives(params.objectives)
-        self.planner = Planner(self.shard, self._settings.operator.scheduling, objectives, params.workers.report)
+        self.planner = Planner(
+            self.shard, self._settings.operator.scheduling, objectives, params.workers.heartbeat_interval
+        )
         self.grace = leadership.grace
         self.ready = False
         self._window = records.window(services.store.max_value_bytes)
@@ -157,70 +159,70 @@
         if job is not None:
             self.shard.set_level(job, self._job_store.level(ref))
 
-    # -- reports
+    # -- heartbeats
 
-    async def checkin(self, report: Report, relayed: bool = False) -> ReportAnswer | None:
-        """Answer a report. None: can't act on it now, the worker should try elsewhere or again.
+    async def answer_heartbeat(self, heartbeat: Heartbeat, relayed: bool = False) -> HeartbeatResponse | None:
+        """Answer a heartbeat. None: can't act on it now, the worker should try elsewhere or again.
 
         `relayed`: it came through a peer, which hands our answer to the worker.
         """
-        machine = self.shard.machines.get(report.machine)
+        machine = self.shard.machines.get(heartbeat.machine)
         if machine is None:
-            machine = await self._register(report)
+            machine = await self._register(heartbeat)
             if machine is None:
                 return None
-        if report.token > self.shard.term and not await self.commands.raise_term():
+        if heartbeat.token > self.shard.term and not await self.commands.raise_term():
             return None
-        if report.token > self.shard.term:
+        if heartbeat.token > self.shard.term:
             return None  # it would drop the answer, and stay here while its lease runs out
-        acting = self._policy.allows_for(self.number, Action.ANSWER_REPORT)
-        if not acting or self.shard.machines.get(report.machine) is not machine:
+        acting = self._policy.allows_for(self.number, Action.ANSWER_HEARTBEAT)
+        if not acting or self.shard.machines.get(heartbeat.machine) is not machine:
             return None
         if machine.unreachable or self._fencing.given_up(machine):
             # Each answer of ours would put off the time from which on it is certainly rid of its tasks.
             self._fencing.fence(machine)
             return None
-        fresh = self.apply_report(machine, report, checkin=True)
+        fresh = self.apply_heartbeat(machine, heartbeat, periodic=True)
         now = self._loop.now()
         starts = fresh and self._policy.allows_for(self.number, Action.START)
         if fresh and not relayed:
-            machine.reported = now
+            machine.last_heartbeat = now
         if starts:
             deadline = now + self._settings.operator.scheduling.round
 
             def over() -> bool:
                 return self._loop.now() > deadline
 
-            # Gangs first, and now: placed in the next round of their own, they would wait for one more report.
+            # Gangs first, and now: placed in the next round of their own, they would wait for one more heartbeat.
             self.planner.gangs_on(machine, now, over)
             self.planner.fill(machine, now, over)
         commands = self.shard.commands(machine, now, starts=starts) if fresh else []
         machine.answered = now
         if not machine.fenced or machine.unreachable:
             self._fencing.fence(machine)
-        return ReportAnswer(self.shard.term, commands)
+        return HeartbeatResponse(self.shard.term, commands)
 
-    async def _register(self, report: Report) -> Machine | None:
-        if report.type not in self._catalog or not self._policy.allows_for(self.number, Action.ADD_MEMBER):
+    async def _register(self, heartbeat: Heartbeat) -> Machine | None:
+        if heartbeat.type not in self._catalog or not self._policy.allows_for(self.number, Action.ADD_MEMBER):
             return None
-        record = MachineRecord(self.number, report.address, report.type, report.zone, report.spot)
-        written = self.member_registry.add(report.machine, record)
+        record = MachineRecord(self.number, heartbeat.address, heartbeat.type, heartbeat.zone, heartbeat.spot)
+        written = self.member_registry.add(heartbeat.machine, record)
         self.member_registry.start()
         await self._loop.first(written, REGISTER_LIMIT)
-        machine = self.shard.machines.get(report.machine)
-        if machine is not None and written.done and written.result and not report.tasks and report.token == 0:
+        machine = self.shard.machines.get(heartbeat.machine)
+        if machine is not None and written.done and written.result and not heartbeat.tasks and heartbeat.token == 0:
             # We made it a member, in this term, so nobody has ever been entitled to start anything on it:
             # there is no one to fence off.
             machine.pristine = True
         return machine
 
-    def _answered_directly(self, machine: Machine, report: Report) -> None:
-        self.apply_report(machine, report, checkin=False)
+    def _answered_directly(self, machine: Machine, heartbeat: Heartbeat) -> None:
+        self.apply_heartbeat(machine, heartbeat, periodic=False)
 
-    def apply_report(self, machine: Machine, report: Report, checkin: bool) -> bool:
+    def apply_heartbeat(self, machine: Machine, heartbeat: Heartbeat, periodic: bool) -> bool:
         """Take in a machine's task list; whether it said anything new."""
         now = self._loop.now()
-        events = self.shard.on_report(machine, report, checkin, now)
+        events = self.shard.on_heartbeat(machine, heartbeat, periodic, now)
         if events is None:
             return False
         if events.progressed:
@@ -294,7 +296,9 @@
         """Use what is left of a machine that the cloud takes back."""
         for machine in self.shard.machines.values():
             if machine.notice is not None:
-                plan = draining.Evacuation(machine.notice, 2 * self._settings.params.workers.report, patient=False)
+                plan = draining.Evacuation(
+                    machine.notice, 2 * self._settings.params.workers.heartbeat_interval, patient=False
+                )
                 draining.evacuate(self.shard, machine, plan, now, self.planner.run_time, self.shard.guidance.fetch_time)
 
     # -- what others are told
@@ -314,17 +318,17 @@
         return self._summary[1]
 
     def missed(self, name: str) -> bool:
-        """Whether a machine is a member whose report should have come by now."""
+        """Whether a machine is a member whose heartbeat should have come by now."""
         machine = self.shard.machines.get(name)
-        report, now = self._settings.params.workers.report, self._loop.now()
-        return machine is not None and worker_silence.overdue(machine, self.shard, report, self._awake_since(), now)
+        heartbeat, now = self._settings.params.workers.heartbeat_interval, self._loop.now()
+        return machine is not None and worker_silence.overdue(machine, self.shard, heartbeat, self._awake_since(), now)
 
     def silent(self) -> int:
-        """How many machines' reports are overdue, if they are half of all or more. As seldom made anew as a summary."""
+        """How many machines' heartbeats are overdue, if half of all or more are. As seldom made anew as a summary."""
         now = self._loop.now()
         if self._silence is None or now - self._silence.at >= self._kept():
-            report = self._settings.params.workers.report
-            silent = worker_silence.silent(self.shard, report, self._awake_since(), now)
+            heartbeat = self._settings.params.workers.heartbeat_interval
+            silent = worker_silence.silent(self.shard, heartbeat, self._awake_since(), now)
             self._silence = SilenceReading(now, silent)
         return self._silence.machines
 
--- a/badgerroute/coordination/shards/urgent_halts.py
+++ b/badgerroute/coordination/shards/urgent_halts.py
@@ -1,11 +1,13 @@
-"""Halts that don't wait for a machine's next report to carry them."""
+"""Halts that don't wait for a machine's next heartbeat to carry them."""
 
 from badgerroute.coordination.shards.machine_commands import MachineCommands
 from badgerroute.scheduling.model import Machine, Phase
 from badgerroute.scheduling.shard import Shard
 from badgerroute.transport.loop import Group, Loop
 
-MAX_DIRECT_CANCELLATIONS = 16  # machines that are told of withdrawn jobs in one round; the others hear by their reports
+MAX_DIRECT_CANCELLATIONS = (
+    16  # machines that are told of withdrawn jobs in one round; the others hear by their heartbeats
+)
 
 
 class UrgentHalts:
--- a/badgerroute/protocol/mesh.py
+++ b/badgerroute/protocol/mesh.py
@@ -68,7 +68,7 @@
     freeing: float  # processors of small tasks that should end before a new machine could serve
     running: dict[str, int]
     used: dict[str, tuple[float, float]]
-    silent: bool = False  # its leader has had no report in time of at least half of its machines
+    silent: bool = False  # its leader has had no heartbeat in time of at least half of its machines
     load: ShardLoad | UnsetType = UNSET
 
 
@@ -124,7 +124,7 @@
     count: int
 
 
-class MisdirectedReport(Struct, tag="knock"):
+class MisroutedHeartbeat(Struct, tag="knock"):
     """A machine of a silent shard reported to a controller that does not own it."""
 
     shard: int = field(name="part")
@@ -171,7 +171,7 @@
     | StealRequest
     | ShareRequest
     | MachineLoanRequest
-    | MisdirectedReport
+    | MisroutedHeartbeat
     | CancellationNotice
     | CancellationAck
     | ForwardedRequest
--- a/badgerroute/protocol/workers.py
+++ b/badgerroute/protocol/workers.py
@@ -1,4 +1,4 @@
-"""Workers -> controllers (reports) and controllers -> workers (commands)."""
+"""Workers -> controllers (heartbeats) and controllers -> workers (commands)."""
 
 from typing import Annotated, Literal
 
@@ -12,7 +12,7 @@
 TaskId = Annotated[str, Meta(max_length=120, pattern=r"^.+/[0-9]{1,6}\Z")]
 
 
-class TaskReport(Struct):
+class TaskStatus(Struct):
     """A task as its machine reports it."""
 
     task: TaskId = field(name="head")
@@ -22,8 +22,8 @@
     kept: bool | None = None
 
 
-class Report(Struct):
-    """A machine's report: what is on it, and which messages it has seen."""
+class Heartbeat(Struct):
+    """A machine's heartbeat: what is on it, and which messages it has seen."""
 
     machine: Text = field(name="mount")
     address: Text
@@ -34,28 +34,28 @@
     seq: Count = field(name="tally")
     token: Count = field(name="crook")
     notice_s: float | None = field(name="recall_s", default=None)
-    tasks: list[TaskReport] = field(name="heads", default_factory=list)
+    tasks: list[TaskStatus] = field(name="heads", default_factory=list)
 
     def newer_than(self, session: int, seq: int) -> bool:
-        """Whether the report was made after the message with this session and number."""
+        """Whether the heartbeat was made after the message with this session and number."""
         return (self.session, self.seq) > (session, seq)
 
 
-_report = msgspec.json.Decoder(Report)
+_heartbeat = msgspec.json.Decoder(Heartbeat)
 
 
-def parse_report(body: bytes) -> Report:
-    """A report from a message's body; MalformedError names the field that is wrong."""
-    report = decode(body, _report)
-    if max(report.session, report.seq, report.token) >= NO_LIMIT:
+def parse_heartbeat(body: bytes) -> Heartbeat:
+    """A heartbeat from a message's body; MalformedError names the field that is wrong."""
+    heartbeat = decode(body, _heartbeat)
+    if max(heartbeat.session, heartbeat.seq, heartbeat.token) >= NO_LIMIT:
         raise MalformedError("a counter is out of range")
-    host, _, port = report.address.rpartition(":")
+    host, _, port = heartbeat.address.rpartition(":")
     if not port.isdigit() or not 0 < int(port) < 65536 or not host:
         raise MalformedError("address: not host:port")
-    for task in report.tasks:
+    for task in heartbeat.tasks:
         if task.attempt >= NO_LIMIT:
             raise MalformedError("try: out of range")
-    return report
+    return heartbeat
 
 
 def split_task(task: str) -> tuple[str, int]:
@@ -73,8 +73,8 @@
     grace_s: float | UnsetType = field(name="settle_s", default=UNSET)
 
 
-class ReportAnswer(Struct):
-    """The answer to a report, which renews the machine's lease."""
+class HeartbeatResponse(Struct):
+    """The answer to a heartbeat, which renews the machine's lease."""
 
     token: int = field(name="crook")
     commands: list[Command] = field(name="calls", default_factory=list)
@@ -89,6 +89,6 @@
 
 
 class Redirect(Struct, omit_defaults=True):
-    """Tells a machine to report to another controller."""
+    """Tells a machine to heartbeat to another controller."""
 
     leader: str | UnsetType = field(name="trail_boss", default=UNSET)
--- a/badgerroute/rebalancing/drains.py
+++ b/badgerroute/rebalancing/drains.py
@@ -97,7 +97,7 @@
         machine.drain_deadline = drain.deadline
 
     def emptied(self, machine: Machine) -> bool:
-        """Whether a drained machine has become empty since this was asked last. Only its own report proves that."""
+        """Whether a drained machine has become empty since this was asked last. Only its own heartbeat proves that."""
         if not (machine.empty and machine.fenced and machine.alive):
             self._empty.discard(machine.name)
             return False
--- a/badgerroute/rebalancing/fetch_rates.py
+++ b/badgerroute/rebalancing/fetch_rates.py
@@ -7,7 +7,7 @@
 
 SMOOTHING = 0.2  # the weight of a new measurement
 MIN_MEASUREMENTS = 3  # before they replace what the machine type says
-MAX_FACTOR = 8.0  # that measurements may lie above or below it: reports come late, clocks stand still
+MAX_FACTOR = 8.0  # that measurements may lie above or below it: heartbeats come late, clocks stand still
 
 
 class FetchRates:
--- a/badgerroute/rebalancing/moves.py
+++ b/badgerroute/rebalancing/moves.py
@@ -19,8 +19,8 @@
 from badgerroute.settings import Rebalancing
 
 log = logging.getLogger("badgerroute.rebalancing")
-REPORTS_PER_MOVE = 2  # one carries the stop, another shows that the task is gone
-REPORTS_BEFORE_MOVE = 2  # that a job waits before work is moved for it
+HEARTBEATS_PER_MOVE = 2  # one carries the stop, another shows that the task is gone
+HEARTBEATS_BEFORE_MOVE = 2  # that a job waits before work is moved for it
 HELD_AFTER_SAVE = timedelta(seconds=5)  # how long the room is kept for the waiting job once the moved work is gone
 MAX_CANDIDATES = 64  # machines that are looked at for one job
 MAX_LANDINGS = 64  # machines to which work could go
@@ -77,9 +77,9 @@
     """Chooses and begins moves within one shard."""
 
     def __init__(
-        self, shard: Shard, planner: Planner, settings: Rebalancing, report: timedelta, guidance: Guidance
+        self, shard: Shard, planner: Planner, settings: Rebalancing, heartbeat: timedelta, guidance: Guidance
     ) -> None:
-        self._shard, self._planner, self._settings, self._report = shard, planner, settings, report
+        self._shard, self._planner, self._settings, self._heartbeat = shard, planner, settings, heartbeat
         self._guidance = guidance
         self.ledger = MoveLedger(settings.move_period, settings.move_rest, settings.moves_per_period)
 
@@ -99,7 +99,7 @@
 
     def _may_gain(self, job: Job, now: timedelta) -> bool:
         """Whether a job has waited long enough for want of room, and of nothing else."""
-        if job.failing or now - job.since < REPORTS_BEFORE_MOVE * self._report or self._shard.short_of_share(job):
+        if job.failing or now - job.since < HEARTBEATS_BEFORE_MOVE * self._heartbeat or self._shard.short_of_share(job):
             return False
         needed = self._tasks_at_once(job)
         if job.placed and job.gang:
@@ -218,7 +218,7 @@
 
     def _loss_at_least(self, placement: Placement) -> float:
         """Processor-seconds of a move to a machine that caches the image."""
-        pause = save_time(placement.job) + REPORTS_PER_MOVE * self._report
+        pause = save_time(placement.job) + HEARTBEATS_PER_MOVE * self._heartbeat
         return pause.total_seconds() * max(placement.job.need.cpus, placement.job.need.accelerators)
 
     def _loss(self, placement: Placement, landing: Machine) -> float:
@@ -231,7 +231,7 @@
 
     def _slowest_stop(self, options: list[MoveOption]) -> timedelta:
         saves = [save_time(victim.job) for option in options for victim in option.victims]
-        return max(saves, default=ZERO) + REPORTS_PER_MOVE * self._report
+        return max(saves, default=ZERO) + HEARTBEATS_PER_MOVE * self._heartbeat
 
     @staticmethod
     def _choose(job: Job, options: list[MoveOption], needed: int) -> list[MoveOption]:
@@ -250,7 +250,7 @@
         machine = option.machine
         longest_save = max(save_time(victim.job) for victim in option.victims)
         machine.held_for = job.ref
-        machine.held_until = now + longest_save + REPORTS_PER_MOVE * self._report + HELD_AFTER_SAVE
+        machine.held_until = now + longest_save + HEARTBEATS_PER_MOVE * self._heartbeat + HELD_AFTER_SAVE
         for victim in option.victims:
             self.ledger.record(victim, option.loss / len(option.victims), now)
             self._shard.stop(victim, save_time(victim.job))
--- a/badgerroute/rebalancing/service.py
+++ b/badgerroute/rebalancing/service.py
@@ -27,7 +27,7 @@
 SPREAD_PAUSE = timedelta(seconds=2)
 VIEW_LOGGED = timedelta(seconds=10)
 ORPHANS_LOOKED_FOR = timedelta(seconds=10)
-REPORTS_OF_MARGIN = 2  # before a drain's deadline: one carries the command, another shows that the task is gone
+HEARTBEATS_OF_MARGIN = 2  # before a drain's deadline: one carries the command, another shows that the task is gone
 TARGET = 0.5  # of the highest wait ratio: above this a team's work is hastened
 STEEPNESS = 3.0  # with which it is hastened as its waits grow beyond that
 MAX_URGENCY = 64.0
@@ -50,7 +50,7 @@
 
     def __init__(self, settings: Settings, rebalancing: Rebalancing, loop: Loop) -> None:
         self._settings, self._rebalancing, self._loop = settings, rebalancing, loop
-        self._report = settings.params.workers.report
+        self._heartbeat = settings.params.workers.heartbeat_interval
         self._guidances: dict[int, ShardGuidance] = {}
         self._duties: dict[int, _ShardRebalancing] = {}
         self._controller: Controller | None = None
@@ -82,7 +82,7 @@
         return self._urgencies.get(team, 1.0)
 
     def _urgency_of(self, team: str) -> float:
-        ratio = self.view.wait_ratio(team, 2 * self._report)
+        ratio = self.view.wait_ratio(team, 2 * self._heartbeat)
         target = TARGET * self._rebalancing.max_wait_ratio
         return min(MAX_URGENCY, max(1.0, ratio / target) ** STEEPNESS)
 
@@ -136,7 +136,7 @@
         guidance = self._guidances[number]
         local = LocalWaits(leader.shard, leader.planner.run_time, self._rebalancing.stale)
         guidance.attach(leader.shard.usage, local)
-        moves = MovePlanner(leader.shard, leader.planner, self._rebalancing, self._report, guidance)
+        moves = MovePlanner(leader.shard, leader.planner, self._rebalancing, self._heartbeat, guidance)
         return _ShardRebalancing(leader, guidance, local, moves, DrainProgress(number))
 
     def _round(self, duty: _ShardRebalancing, now: timedelta, over: Callable[[], bool]) -> None:
@@ -224,7 +224,7 @@
             duty.drains.apply(machine, drain)
             if drain is None:
                 continue
-            plan = Evacuation(drain.deadline, REPORTS_OF_MARGIN * self._report, patient=True)
+            plan = Evacuation(drain.deadline, HEARTBEATS_OF_MARGIN * self._heartbeat, patient=True)
             evacuate(shard, machine, plan, now, duty.leader.planner.run_time, duty.guidance.fetch_time)
             if duty.drains.emptied(machine) and drain.delete:
                 self._controller.fleet.delete([name])
--- a/badgerroute/scheduling/array_placement.py
+++ b/badgerroute/scheduling/array_placement.py
@@ -1,4 +1,4 @@
-"""Array tasks: started on every report of a machine, in its free room, by the ladder and the jobs' desires."""
+"""Array tasks: started on every heartbeat of a machine, in its free room, by the ladder and the jobs' desires."""
 
 import heapq
 import logging
@@ -67,7 +67,7 @@
         ]
 
     def _fits_beside(self, job: Job, machines: list[Machine], now: timedelta) -> bool:
-        """Whether all that waits of a job would fit on machines in use, at its report or the one after."""
+        """Whether all that waits of a job would fit on machines in use, at its heartbeat or the one after."""
         bits = job.waiting_bits
         if not bits or now - job.requeued.get(lowest(bits), job.since) > BESIDE:
             return False
--- a/badgerroute/scheduling/draining.py
+++ b/badgerroute/scheduling/draining.py
@@ -15,7 +15,7 @@
 class Evacuation:
     """How a machine is emptied by a deadline.
 
-    `margin` is how long before the deadline the last command must be given, since commands wait for reports. A
+    `margin` is how long before the deadline the last command must be given, since commands wait for heartbeats. A
     `patient` evacuation lets work that never saves run until then, in case its estimate is too long; one that is not
     stops at once what will most likely not end in time.
     """
--- a/badgerroute/scheduling/gang_placement.py
+++ b/badgerroute/scheduling/gang_placement.py
@@ -18,7 +18,7 @@
 
 
 class GangPlacement:
-    """Places the gangs of one shard, on reports and in rounds of their own."""
+    """Places the gangs of one shard, on heartbeats and in rounds of their own."""
 
     def __init__(
         self,
@@ -27,10 +27,10 @@
         rules: PlacementRules,
         preemption: Preemption,
         objectives: Objectives,
-        report: timedelta,
+        heartbeat: timedelta,
     ) -> None:
         self._shard, self._order, self._rules, self._preemption = shard, order, rules, preemption
-        self._objectives, self._report = objectives, report
+        self._objectives, self._heartbeat = objectives, heartbeat
         self._cursor = 0
         self.cut_short = 0  # rounds that ran out of time
 
@@ -88,7 +88,7 @@
             spoilt = 0.0
             if rung is not ladder.Rung.CACHED:
                 spoilt = len(machine.images) + (MANY if machine.fetches() else 0.0)
-            # Among equals, on the one whose report is due first: the start goes out in the answer to it.
+            # Among equals, on the one whose heartbeat is due first: the start goes out in the answer to it.
             due = machine.heard.total_seconds() if machine.heard is not None else 0.0
             options.append((rung, spoilt, machine.free.cpus, due, machine))
         chosen = self._choose(job, tasks, options)
@@ -154,8 +154,9 @@
             (ladder.fetch_time(job, machine) for machine in chosen if job.spec.image not in machine.images),
             default=ZERO,
         )
-        # A gang starts with its last machine, whose fetch is slow; the start goes out in the answer to its next report.
-        if fetch == ZERO or wait + self._report + fetch * FETCH_SPREAD <= self._objectives.start_within(job):
+        # A gang starts with its last machine, whose fetch is slow; the start goes out in the answer to its next
+        # heartbeat.
+        if fetch == ZERO or wait + self._heartbeat + fetch * FETCH_SPREAD <= self._objectives.start_within(job):
             return False
         options = []
         for machine in self._preemption.candidates(job, now):
--- a/badgerroute/scheduling/reports.py
+++ b/badgerroute/scheduling/heartbeat_reconciliation.py
@@ -1,4 +1,4 @@
-"""What machines' reports prove of the tasks on them.
+"""What machines' heartbeats prove of the tasks on them.
 
 The bookkeeping that safety rests on (docs/safety.md): which starts arrived, which tasks are certainly gone, what a
 former leader left behind.
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from badgerroute.protocol.workers import Report, TaskReport, split_task
+from badgerroute.protocol.workers import Heartbeat, TaskStatus, split_task
 from badgerroute.scheduling.events import Events
 from badgerroute.scheduling.failures import FailureJudge
 from badgerroute.scheduling.model import ZERO, Job, Machine, Phase, Placement
@@ -30,13 +30,13 @@
 class Message:
     """A task list that is newer than what was known of its machine.
 
-    `checkin`: a real report; the answer to a direct command is not one. `prompt`: it came without a silence before,
+    `periodic`: a real heartbeat; the answer to a direct command is not one. `prompt`: it came without a silence before,
     of the machine's or ours, after which there is no telling when what it says came about.
     """
 
     machine: Machine
-    report: Report
-    checkin: bool
+    heartbeat: Heartbeat
+    periodic: bool
     prompt: bool
     now: timedelta
     events: Events = field(default_factory=Events)
@@ -44,32 +44,32 @@
     def settles(self, placement: Placement) -> bool:
         """Whether a start's absence from this message proves that it was not and will not be executed.
 
-        A worker keeps one report in flight and drops late answers, so only a later *report* proves it.
+        A worker keeps one heartbeat in flight and drops late answers, so only a later *heartbeat* proves it.
         """
-        return self.checkin and placement.sent is not None and self.report.newer_than(*placement.sent)
+        return self.periodic and placement.sent is not None and self.heartbeat.newer_than(*placement.sent)
 
 
-class ReportReader:
+class HeartbeatReconciler:
     """Takes in the task lists of one shard's machines."""
 
     def __init__(self, shard: ShardState, failures: FailureJudge) -> None:
         self._shard, self._failures = shard, failures
 
-    def on_report(self, machine: Machine, report: Report, checkin: bool, now: timedelta) -> Events | None:
+    def on_heartbeat(self, machine: Machine, heartbeat: Heartbeat, periodic: bool, now: timedelta) -> Events | None:
         """Take in a machine's task list. None: it is older than what is known already, and must change nothing."""
-        if report.session <= machine.dead_session or not report.newer_than(machine.session, machine.seq):
+        if heartbeat.session <= machine.dead_session or not heartbeat.newer_than(machine.session, machine.seq):
             return None
         prompt = machine.heard is not None and now - machine.heard <= self._shard.lease / 3
-        message = Message(machine, report, checkin, prompt, now)
+        message = Message(machine, heartbeat, periodic, prompt, now)
         self._note_machine(message)
-        if report.token < self._shard.fence and not machine.pristine:
+        if heartbeat.token < self._shard.fence and not machine.pristine:
             # Another leader's commands may still reach it: the list is true, but it is not the last word.
             machine.fenced = False
             return message.events
-        if machine.fenced and not machine.strays and not machine.undecided and machine.listed == report.tasks:
-            return message.events  # most reports say what the one before said
+        if machine.fenced and not machine.strays and not machine.undecided and machine.listed == heartbeat.tasks:
+            return message.events  # most heartbeats say what the one before said
         machine.fenced = True
-        machine.listed = report.tasks
+        machine.listed = heartbeat.tasks
         machine.exited.clear()
         machine.strays.clear()
         machine.undecided.clear()
@@ -80,29 +80,29 @@
 
     def _note_machine(self, message: Message) -> None:
         """What a message says of the machine itself."""
-        machine, report, now = message.machine, message.report, message.now
-        if not message.checkin:
+        machine, heartbeat, now = message.machine, message.heartbeat, message.now
+        if not message.periodic:
             machine.unreachable, machine.untaken = False, 0  # it answered a command, so it hears us
-        if report.session > machine.session and machine.session:
+        if heartbeat.session > machine.session and machine.session:
             # The lease expired in between: everything that was on the machine is dead.
             self._shard.lose_tasks(machine, now)
             message.events.freed = True
-            if message.checkin and machine.answered is not None and now - machine.answered < self._shard.lease:
+            if message.periodic and machine.answered is not None and now - machine.answered < self._shard.lease:
                 self._mark_unreachable(machine)  # its lease ran out although we answered: it does not hear us
-        machine.session, machine.seq = report.session, report.seq
-        machine.token_seen = max(machine.token_seen, report.token)
+        machine.session, machine.seq = heartbeat.session, heartbeat.seq
+        machine.token_seen = max(machine.token_seen, heartbeat.token)
         machine.heard = now
-        if message.checkin:
+        if message.periodic:
             machine.alive = True
-        machine.notice = None if report.notice_s is None else now + timedelta(seconds=max(0.0, report.notice_s))
+        machine.notice = None if heartbeat.notice_s is None else now + timedelta(seconds=max(0.0, heartbeat.notice_s))
 
     def _read_tasks(self, message: Message) -> set[tuple[str, int]]:
         """Take in the tasks that are listed; those that are on the machine.
 
         Ends come first: a refused start must not make a task look free that an older attempt runs.
         """
-        present: dict[tuple[str, int], TaskReport] = {}
-        for task in message.report.tasks:
+        present: dict[tuple[str, int], TaskStatus] = {}
+        for task in message.heartbeat.tasks:
             ref, index = split_task(task.task)
             if task.state == "exited":
                 self._exited(message, ref, index, task)
@@ -142,7 +142,7 @@
             if placement.phase is Phase.RESERVED:
                 self._shard.forget(placement)
 
-    def _present(self, message: Message, ref: str, index: int, task: TaskReport) -> None:
+    def _present(self, message: Message, ref: str, index: int, task: TaskStatus) -> None:
         machine, now = message.machine, message.now
         phase = PHASES[task.state]
         placement = machine.placements.get((ref, index))
@@ -181,7 +181,7 @@
         asked = [placement.since for placement in machine.placements.values() if placement.job.spec.image == image]
         self._shard.image_fetched(placement, now - min(asked))
 
-    def _adopt(self, message: Message, ref: str, index: int, task: TaskReport) -> Placement | None:
+    def _adopt(self, message: Message, ref: str, index: int, task: TaskStatus) -> Placement | None:
         """A task that we did not start: a former leader's. Keep it if it is ours, else it has to go."""
         machine = message.machine
         job = self._shard.jobs.get(ref)
@@ -210,14 +210,14 @@
         machine.undecided.add(task)
         self._shard.settled = False
 
-    def _exited(self, message: Message, ref: str, index: int, task: TaskReport) -> None:
+    def _exited(self, message: Message, ref: str, index: int, task: TaskStatus) -> None:
         machine = message.machine
         machine.exited.add((ref, index, task.attempt))
         placement = machine.placements.get((ref, index))
         if placement is not None and (placement.attempt != task.attempt or placement.phase is Phase.RESERVED):
             placement = None  # an older attempt's end says nothing about this one
         elif placement is not None and placement.phase is Phase.SENT and placement.rejoined:
-            # It carries the number of the attempt that ended. Only a later report tells the two apart.
+            # It carries the number of the attempt that ended. Only a later heartbeat tells the two apart.
             if not message.settles(placement):
                 machine.listed = None
                 return
--- a/badgerroute/scheduling/model.py
+++ b/badgerroute/scheduling/model.py
@@ -7,7 +7,7 @@
 
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.users import Submission
-from badgerroute.protocol.workers import TaskReport
+from badgerroute.protocol.workers import TaskStatus
 from badgerroute.storage.records import lowest
 
 EPSILON = 1e-6
@@ -19,7 +19,7 @@
     """What an attempt of a task is at."""
 
     RESERVED = "reserved"  # decided, not yet told to the machine
-    SENT = "sent"  # told in the answer to a report; only a later report shows whether it arrived
+    SENT = "sent"  # told in the answer to a heartbeat; only a later heartbeat shows whether it arrived
     FETCHING = "fetching"
     WAITING = "waiting"
     RUNNING = "running"
@@ -105,7 +105,7 @@
     phase: Phase
     since: timedelta
     running_since: timedelta | None = None
-    sent: tuple[int, int] | None = None  # (session, seq) of the report whose answer carried the start
+    sent: tuple[int, int] | None = None  # (session, seq) of the heartbeat whose answer carried the start
     grace: timedelta | None = None  # set: it is to stop, with so much time to save
     halted_at: timedelta | None = None
     timed: bool = True  # its beginning was seen when it happened
@@ -124,7 +124,7 @@
 
 @dataclass(slots=True, eq=False)
 class Machine:
-    """A member of a shard, as its reports show it."""
+    """A member of a shard, as its heartbeats show it."""
 
     name: str
     address: str
@@ -140,19 +140,19 @@
     fenced: bool = False  # it has seen our term, and we have seen its task list since
     pristine: bool = False  # nobody has ever given it a command: there is nobody to fence off
     token_seen: int = 0
-    answered: timedelta | None = None  # when one of its reports was last answered by us
+    answered: timedelta | None = None  # when one of its heartbeats was last answered by us
     heard: timedelta | None = None
-    reported: timedelta | None = None  # when a report of it last came here, not through a peer
+    last_heartbeat: timedelta | None = None  # when a heartbeat of it last came here, not through a peer
     alive: bool = False
     dead_session: int = 0  # its lease ended in this session: whatever still comes from it is an old copy
-    untaken: int = 0  # reports in a row that lacked a start which an answer of ours had carried
-    unreachable: bool = False  # its reports reach us, but it seems that our answers don't reach it
+    untaken: int = 0  # heartbeats in a row that lacked a start which an answer of ours had carried
+    unreachable: bool = False  # its heartbeats reach us, but it seems that our answers don't reach it
     lost_at: timedelta | None = None  # when its lease was found to be over
     notice: timedelta | None = None  # steady time at which the cloud takes it
     draining: bool = False
     drain_deadline: timedelta | None = None  # set: it is to be empty by then, and nothing more starts on it
     placements: dict[tuple[str, int], Placement] = field(default_factory=dict)
-    listed: list[TaskReport] | None = None  # the last task list, if all that it says has been taken in
+    listed: list[TaskStatus] | None = None  # the last task list, if all that it says has been taken in
     exited: set[tuple[str, int, int]] = field(default_factory=set)  # reported as exited, not cleared yet
     strays: set[tuple[str, int, int]] = field(default_factory=set)  # on it, but none of ours: to be halted
     undecided: set[tuple[str, int, int]] = field(default_factory=set)  # of jobs that may have been released: kept
--- a/badgerroute/scheduling/placement_rules.py
+++ b/badgerroute/scheduling/placement_rules.py
@@ -16,10 +16,10 @@
     """`short_of_share` is what teams lacked of their limits since somebody last took it away."""
 
     def __init__(
-        self, shard: Shard, order: ServiceOrder, settings: Scheduling, objectives: Objectives, report: timedelta
+        self, shard: Shard, order: ServiceOrder, settings: Scheduling, objectives: Objectives, heartbeat: timedelta
     ) -> None:
         self._shard, self._order, self._settings = shard, order, settings
-        self._objectives, self._report = objectives, report
+        self._objectives, self._heartbeat = objectives, heartbeat
         self.short_of_share: dict[str, Room] = {}
 
     def allowed(self, job: Job, machine: Machine, wait: timedelta) -> ladder.Rung:
@@ -34,7 +34,7 @@
 
     def _latest_choice(self, job: Job, fetch: timedelta) -> timedelta:
         """When a task must stop waiting for its image so that a fetch, which may be slow, is still in time."""
-        return self._objectives.start_within(job) - 2 * self._report - fetch * (FETCH_SPREAD - 1)
+        return self._objectives.start_within(job) - 2 * self._heartbeat - fetch * (FETCH_SPREAD - 1)
 
     @staticmethod
     def zone_allowed(job: Job, zone: str, more: int) -> bool:
--- a/badgerroute/scheduling/planner.py
+++ b/badgerroute/scheduling/planner.py
@@ -1,4 +1,4 @@
-"""Rounds of decisions for one shard: fill a machine that reports, place gangs, make room, apply feedback."""
+"""Rounds of decisions for one shard: fill a machine whose heartbeat came, place gangs, make room, apply feedback."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -35,14 +35,14 @@
     """What a leader asks of its shard: see the modules that it is made of."""
 
     def __init__(
-        self, shard: Shard, settings: Scheduling, objectives: Objectives, report: timedelta = timedelta(seconds=1)
+        self, shard: Shard, settings: Scheduling, objectives: Objectives, heartbeat: timedelta = timedelta(seconds=1)
     ) -> None:
         self.shard = shard
         self._settings = settings
         self._order = ServiceOrder(shard, objectives)
-        self._rules = PlacementRules(shard, self._order, settings, objectives, report)
-        self._preemption = Preemption(shard, self._order, objectives, report)
-        self._gangs = GangPlacement(shard, self._order, self._rules, self._preemption, objectives, report)
+        self._rules = PlacementRules(shard, self._order, settings, objectives, heartbeat)
+        self._preemption = Preemption(shard, self._order, objectives, heartbeat)
+        self._gangs = GangPlacement(shard, self._order, self._rules, self._preemption, objectives, heartbeat)
         self._arrays = ArrayPlacement(shard, self._order, self._rules, self._preemption)
 
     def rank(self, job: Job) -> tuple[float, float, float]:
@@ -75,7 +75,7 @@
         return self._gangs.place(now, over)
 
     def gangs_on(self, machine: Machine, now: timedelta, over: Callable[[], bool]) -> int:
-        """Place gangs on a machine's report."""
+        """Place gangs on a machine's heartbeat."""
         return self._gangs.place_on(machine, now, over)
 
     def unplaceable_gangs(self, now: timedelta) -> list[Job]:
--- a/badgerroute/scheduling/preemption.py
+++ b/badgerroute/scheduling/preemption.py
@@ -14,7 +14,7 @@
 log = logging.getLogger("badgerroute.planner")
 HELD = timedelta(seconds=6)  # how long room that was made for an array waits for its tasks
 GANG_HELD = timedelta(seconds=30)  # and for a gang, whose tasks save before they go
-LEAD_REPORTS = 3  # reports that pass between the decision to make room and the start in it
+LEAD_HEARTBEATS = 3  # heartbeats that pass between the decision to make room and the start in it
 PATIENCE = 3
 MAX_STOPS_PER_ROUND = 64  # tasks that are stopped for arrays
 
@@ -22,8 +22,8 @@
 class Preemption:
     """Stops work of one shard for other work that comes before it in the order of service."""
 
-    def __init__(self, shard: Shard, order: ServiceOrder, objectives: Objectives, report: timedelta) -> None:
-        self._shard, self._order, self._objectives, self._report = shard, order, objectives, report
+    def __init__(self, shard: Shard, order: ServiceOrder, objectives: Objectives, heartbeat: timedelta) -> None:
+        self._shard, self._order, self._objectives, self._heartbeat = shard, order, objectives, heartbeat
         self._cursor = 0  # the job with which making room goes on
         self.cut_short = 0  # rounds that ran out of time
 
@@ -94,9 +94,9 @@
     def patience(self, job: Job) -> timedelta:
         """How long a job waits before room is made by force: a third of what can be spared.
 
-        What can't: stopping and starting each take until the next report, and then the image is fetched.
+        What can't: stopping and starting each take until the next heartbeat, and then the image is fetched.
         """
-        spare = self._objectives.start_within(job) - LEAD_REPORTS * self._report - self._shard.least_fetch(job)
+        spare = self._objectives.start_within(job) - LEAD_HEARTBEATS * self._heartbeat - self._shard.least_fetch(job)
         return max(ZERO, spare / PATIENCE)
 
     def make_room_for_gang(self, job: Job, tasks: int, now: timedelta) -> None:
@@ -151,7 +151,7 @@
         """Give a team its guarantee, and higher levels their place, at the cost of work that may be stopped.
 
         A round that runs out of time goes on with the next job: with 2,000 waiting jobs on 4,000 machines one pass
-        took almost four seconds, in which no report was answered.
+        took almost four seconds, in which no heartbeat was answered.
         """
         if not self._shard.settled:
             return
--- a/badgerroute/scheduling/service_order.py
+++ b/badgerroute/scheduling/service_order.py
@@ -12,7 +12,7 @@
 
 
 class ServiceOrder:
-    """Jobs that wait, first come those to be served first; kept for a moment, since every report asks for it."""
+    """Jobs that wait, first come those to be served first; kept for a moment, since every heartbeat asks for it."""
 
     def __init__(self, shard: Shard, objectives: Objectives) -> None:
         self._shard, self._objectives = shard, objectives
--- a/badgerroute/scheduling/shard.py
+++ b/badgerroute/scheduling/shard.py
@@ -11,12 +11,12 @@
 from datetime import timedelta
 
 from badgerroute.protocol.cloud import MachineType
-from badgerroute.protocol.workers import Command, Report
+from badgerroute.protocol.workers import Command, Heartbeat
 from badgerroute.scheduling.events import Events
 from badgerroute.scheduling.failures import FailureJudge
 from badgerroute.scheduling.guidance import NEUTRAL, Guidance
+from badgerroute.scheduling.heartbeat_reconciliation import HeartbeatReconciler
 from badgerroute.scheduling.model import EPSILON, ZERO, Job, Machine, Phase, Placement, Room, allows, capacity_of
-from badgerroute.scheduling.reports import ReportReader
 from badgerroute.storage.records import JobRecord, MachineRecord
 
 log = logging.getLogger("badgerroute.shard")
@@ -82,7 +82,7 @@
             str, tuple[Room, timedelta]
         ] = {}  # team -> of its share, what is kept for another shard
         self._failures = FailureJudge(self)
-        self._reports = ReportReader(self, self._failures)
+        self._reconciler = HeartbeatReconciler(self, self._failures)
         self._counter = 0
         self._fastest = 1e-6  # GB a second, of the machines ever here
 
@@ -296,9 +296,9 @@
 
     # -- messages from machines
 
-    def on_report(self, machine: Machine, report: Report, checkin: bool, now: timedelta) -> Events | None:
+    def on_heartbeat(self, machine: Machine, heartbeat: Heartbeat, periodic: bool, now: timedelta) -> Events | None:
         """See ReportReader."""
-        return self._reports.on_report(machine, report, checkin, now)
+        return self._reconciler.on_heartbeat(machine, heartbeat, periodic, now)
 
     def forgive(self, job: Job, now: timedelta) -> None:
         """See FailureJudge."""
@@ -307,7 +307,7 @@
     # -- answers
 
     def commands(self, machine: Machine, now: timedelta, starts: bool) -> list[Command]:
-        """What a machine is to do. Starts go out once and only in the answer to a report (`starts`)."""
+        """What a machine is to do. Starts go out once and only in the answer to a heartbeat (`starts`)."""
         commands: list[Command] = []
         for ref, index, attempt in machine.strays:
             commands.append(Command("halt", f"{ref}/{index}", attempt, 0.0))
--- a/badgerroute/scheduling/shard_state.py
+++ b/badgerroute/scheduling/shard_state.py
@@ -28,7 +28,7 @@
 
 
 class ShardState(ShardView, Protocol):
-    """A shard as those see it that read reports and judge failures for it."""
+    """A shard as those see it that read heartbeats and judge failures for it."""
 
     fence: int
     settled: bool
--- a/badgerroute/settings/derived.py
+++ b/badgerroute/settings/derived.py
@@ -47,5 +47,5 @@
 
     @property
     def machine_lease(self) -> timedelta:
-        """After so long without an answer to its reports, a machine has certainly killed its tasks."""
+        """After so long without an answer to its heartbeats, a machine has certainly killed its tasks."""
         return self.params.workers.lease + self.drift + timedelta(milliseconds=500)
--- a/badgerroute/settings/operator.py
+++ b/badgerroute/settings/operator.py
@@ -100,7 +100,7 @@
 
     @property
     def relay_for(self) -> timedelta:
-        """How long reports are relayed before the shards are handed over."""
+        """How long heartbeats are relayed before the shards are handed over."""
         return timedelta(seconds=self.relay_s)
 
     @property
--- a/badgerroute/settings/platform.py
+++ b/badgerroute/settings/platform.py
@@ -65,8 +65,8 @@
     cancel_s: Positive
 
     @property
-    def report(self) -> timedelta:
-        """The time between two reports."""
+    def heartbeat_interval(self) -> timedelta:
+        """The time between two heartbeats."""
         return timedelta(seconds=self.report_s)
 
     @property
--- a/tests/standins/cuts.py
+++ b/tests/standins/cuts.py
@@ -68,7 +68,7 @@
         modes = self.counts.modes.setdefault(host, [])
         if not modes or modes[-1] != controller.monitor.mode.value:
             modes.append(controller.monitor.mode.value)
-        self._relayed_of[id(controller)] = controller.report_desk.relayed
+        self._relayed_of[id(controller)] = controller.heartbeat_handler.relayed
 
     async def _ask(self) -> None:
         """A user that asks another node every half second about a job that waits: a job nobody knows needs a read."""
--- a/tests/standins/day.py
+++ b/tests/standins/day.py
@@ -351,7 +351,7 @@
         return None
 
     def send_copies(self, count: int, machines: set[str] | None = None) -> None:
-        """Deliver old reports once more, to anybody; their answers reach nobody."""
+        """Deliver old heartbeats once more, to anybody; their answers reach nobody."""
         old = [one for one in self.site.copies if machines is None or one[0] in machines]
         for _, body in self.random.sample(old, min(count, len(old))):
             self.ask("POST", "/checkin", body)
--- a/tests/standins/workers.py
+++ b/tests/standins/workers.py
@@ -12,7 +12,7 @@
 from tests.standins.net import World
 
 SECOND = timedelta(seconds=1)
-REPORT, LEASE, GANG_WAIT, GANG_PEER = SECOND, 11 * SECOND, 45 * SECOND, 4 * SECOND
+HEARTBEAT, LEASE, GANG_WAIT, GANG_PEER = SECOND, 11 * SECOND, 45 * SECOND, 4 * SECOND
 
 
 @dataclass
@@ -55,7 +55,7 @@
     images: set[str] = field(default_factory=set)
     sick: bool = False
     hung: bool = False
-    unreachable: bool = False  # its reports go out, but neither answers nor commands reach it
+    unreachable: bool = False  # its heartbeats go out, but neither answers nor commands reach it
     mute: bool = False  # it reaches no controller, but commands reach it
     notice_at: timedelta | None = None
 
@@ -67,12 +67,12 @@
         network = self.site.world.network(self.name)
         self.clients = {host: Client(self.loop, network, f"{host}:8080", connect=SECOND) for host in self.site.hosts}
         self.group.spawn(Server(self.loop, self.group, self._serve, 50).serve(network.listen(self.address)), "direct")
-        self.group.spawn(self._report_duty(), "report")
+        self.group.spawn(self._heartbeat_duty(), "report")
         self.group.spawn(self._tick(), "tick")
 
-    # -- reports
+    # -- heartbeats
 
-    def report(self) -> dict:
+    def heartbeat(self) -> dict:
         self.tally += 1
         notice = None if self.notice_at is None else (self.notice_at - self.loop.now()) / SECOND
         heads = []
@@ -98,14 +98,14 @@
         while self.hung:
             await self.loop.sleep(timedelta(milliseconds=200))
 
-    async def _report_duty(self) -> None:
+    async def _heartbeat_duty(self) -> None:
         hosts = self.site.hosts
         at = self.site.world.random.randrange(len(hosts))
         while True:
             await self._awake()
-            pause = REPORT * self.site.world.random.uniform(0.75, 1.25)
+            pause = HEARTBEAT * self.site.world.random.uniform(0.75, 1.25)
             sent, session = self.loop.now(), self.session
-            body = json.dumps(self.report()).encode()
+            body = json.dumps(self.heartbeat()).encode()
             self.changed = Future()
             if self.mute:
                 at = (at + 1) % len(hosts)
@@ -149,18 +149,18 @@
         if self.unreachable:
             await self.loop.sleep(3600 * SECOND)
         if request.path == "/status":
-            return reply(200, self.report())
+            return reply(200, self.heartbeat())
         body = json.loads(request.body)
         if "crook" not in body or "ride" not in body:
             return reply(400, {})
         if body["crook"] < self.token or body["ride"] != self.session:
-            return reply(409, self.report())
+            return reply(409, self.heartbeat())
         self.token = body["crook"]
         for one in body["calls"]:
             if one["call"] == "start":
                 self.site.rules.breach("start_in_do", f"{one['head']} on {self.name}")
         self.execute(body["calls"])
-        return reply(200, self.report())
+        return reply(200, self.heartbeat())
 
     # -- tasks
 
@@ -370,7 +370,7 @@
         self.rules = Rules(self)
         self.group = Group(self.loop, "site")
         self.cloud_down = False
-        self.copies: deque[tuple[str, bytes]] = deque(maxlen=4000)  # reports as they were sent
+        self.copies: deque[tuple[str, bytes]] = deque(maxlen=4000)  # heartbeats as they were sent
         self.lose_rental_answers = 0
         self.never_boots = 0
         self.boot_factor = 1.0
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -181,7 +181,7 @@
 def test_nothing_that_safety_bounds_is_unbounded(mode: Mode) -> None:
     """Of what acts for a shard or destroys machines, none is allowed without a time limit in any mode."""
     bounded = {
-        Action.ANSWER_REPORT: {Permission.WITHIN_GRACE},
+        Action.ANSWER_HEARTBEAT: {Permission.WITHIN_GRACE},
         Action.START: {Permission.WITHIN_GRACE, Permission.REFUSED},
         Action.STOP: {Permission.WITHIN_GRACE},
         Action.GIVE_WORK: {Permission.WITHIN_GRACE, Permission.REFUSED},
@@ -287,7 +287,7 @@
 @pytest.mark.parametrize(
     "steps",
     [
-        # (at, leader lacks its workers, the report names tasks, what follows)
+        # (at, leader lacks its workers, the heartbeat names tasks, what follows)
         [(0, False, False, REDIRECT)],
         [(0, False, True, RELAY), (1, False, True, REDIRECT)],  # a busy machine is answered before it is sent away
         [(0, True, True, RELAY), (1, True, True, RELAY), (500, True, True, RELAY)],
--- a/tests/test_connectivity_days.py
+++ b/tests/test_connectivity_days.py
@@ -7,7 +7,7 @@
 import pytest
 
 from badgerroute.coordination.controller import Controller
-from badgerroute.coordination.requests.report_desk import ReportDesk
+from badgerroute.coordination.requests.heartbeat_handler import HeartbeatHandler
 from badgerroute.protocol.mesh import ForwardedRequest, ForwardedResponse
 from badgerroute.settings import Connectivity, OperatorSettings
 from badgerroute.transport.http import Request, Response
@@ -238,7 +238,7 @@
 
 
 def paused_leader(day: Day) -> None:
-    """The leader stands still while its reports are relayed, and wakes when its shard is somebody else's."""
+    """The leader stands still while its heartbeats are relayed, and wakes when its shard is somebody else's."""
     host = pick(day)
     cut, heal = from_workers(day, [host], "hold")
     cut()
@@ -410,21 +410,21 @@
 def test_the_relay_hands_on_the_leaders_own_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     made: list[bytes] = []
     handed: list[bytes] = []
-    answer, relay = ReportDesk._answer, ReportDesk._relay
+    answer, relay = HeartbeatHandler._answer, HeartbeatHandler._relay
 
-    async def noting_answer(self: ReportDesk, *arguments: object) -> Response:
+    async def noting_answer(self: HeartbeatHandler, *arguments: object) -> Response:
         response = await answer(self, *arguments)  # type: ignore[arg-type]
         made.append(response.body)
         return response
 
-    async def noting_relay(self: ReportDesk, *arguments: object) -> Response | None:
+    async def noting_relay(self: HeartbeatHandler, *arguments: object) -> Response | None:
         response = await relay(self, *arguments)  # type: ignore[arg-type]
         if response is not None:
             handed.append(response.body)
         return response
 
-    monkeypatch.setattr(ReportDesk, "_answer", noting_answer)
-    monkeypatch.setattr(ReportDesk, "_relay", noting_relay)
+    monkeypatch.setattr(HeartbeatHandler, "_answer", noting_answer)
+    monkeypatch.setattr(HeartbeatHandler, "_relay", noting_relay)
     play(cluster(1), lambda day: hold(day, from_workers(day, HOSTS[:1], "hold"), 20))
     assert len(handed) > 20 and set(handed) <= set(made)
 
@@ -462,7 +462,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_late_copies_of_relayed_reports_change_nothing(seed: int) -> None:
+def test_late_copies_of_relayed_heartbeats_change_nothing(seed: int) -> None:
     day = Day(seed, machines=12, capacity=2, operator=RELAYING)
     day.change = tampering(late_copies)(day)
     for host in HOSTS:
@@ -481,20 +481,22 @@
     """Also if the leader changed meanwhile: then nobody answers, and the worker reports anew."""
     day = cluster(2)
     day.run(5)
-    report = day.site.workers["host-000001"].report()
-    body = str(report).replace("'", '"').replace("None", "null").replace("True", "true").replace("False", "false")
-    desk_of = {host: one.report_desk for host, (one, _) in day.controllers.items()}
+    heartbeat = day.site.workers["host-000001"].heartbeat()
+    body = str(heartbeat).replace("'", '"').replace("None", "null").replace("True", "true").replace("False", "false")
+    desk_of = {host: one.heartbeat_handler for host, (one, _) in day.controllers.items()}
     leader = next(host for host, desk in desk_of.items() if desk._shard_of("host-000001") in desk._leaders)
     sent: list[str] = []
     for one, _ in day.controllers.values():
         monkeypatch.setattr(one.forwarder, "_send", lambda target, message: sent.append(target))
     for host in others(leader):
-        routine = day.loop.spawn(desk_of[host].checkin(Request("POST", "/checkin", "", body.encode()), leader), "r")
+        routine = day.loop.spawn(
+            desk_of[host].answer_heartbeat(Request("POST", "/checkin", "", body.encode()), leader), "r"
+        )
         assert day.loop.run(routine).status == 503
     assert sent == []
 
 
-def test_a_start_lost_with_its_relay_counts_until_a_later_report(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_start_lost_with_its_relay_counts_until_a_later_heartbeat(monkeypatch: pytest.MonkeyPatch) -> None:
     """The leader's answers vanish on their way through the relay for a while: no task runs twice, and all run."""
     day = cluster(3)
     lost = 0
--- a/tests/test_connectivity_loopback.py
+++ b/tests/test_connectivity_loopback.py
@@ -24,7 +24,7 @@
         day.world.set(other, host, back, SECOND / 2)
 
 
-def reports_dropped(day: ProxiedDay) -> None:
+def heartbeats_dropped(day: ProxiedDay) -> None:
     """Only what workers send is lost; direct commands go out, and their answers are lost."""
     between(day, HOSTS[0], list(day.site.workers), Fault.PASS, Fault.DROP)
 
@@ -51,7 +51,7 @@
         day.world.set(target, source, Fault.PASS)
 
 
-@pytest.mark.parametrize("cut", [reports_dropped, workers_refused, answers_dropped_and_state_delayed, opposite])
+@pytest.mark.parametrize("cut", [heartbeats_dropped, workers_refused, answers_dropped_and_state_delayed, opposite])
 def test_every_run_ends_with_one_final_answer(cut: Callable[[ProxiedDay], None]) -> None:
     day = ProxiedDay(1, machines=6, capacity=0, operator=RELAYING)
     try:
@@ -79,7 +79,7 @@
         day.run(2)
         opposite(day)
         day.run(16)
-        relayed = sum(one.report_desk.relayed for one, _ in day.controllers.values())
+        relayed = sum(one.heartbeat_handler.relayed for one, _ in day.controllers.values())
         killed = len(day.site.killed_by_lease)
         whole(day)
         assert relayed > 10 and killed == 0, (relayed, killed)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -11,7 +11,7 @@
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.mesh import FreeCapacity, PendingDemand, ShardSummary
 from badgerroute.protocol.users import Priority, Submission
-from badgerroute.protocol.workers import Report, TaskReport
+from badgerroute.protocol.workers import Heartbeat, TaskStatus
 from badgerroute.scheduling import af, ladder
 from badgerroute.scheduling.feasible import Load, tiers
 from badgerroute.scheduling.model import Job, Phase, Room
@@ -63,8 +63,10 @@
     return target.add_job(JobRecord(job, 0.0, [(0, 0, job.tasks)]), timedelta(0), 1000, timedelta(0))
 
 
-def report(seq: int, tasks: list[TaskReport] = (), token: int = 7, session: int = 1, name: str = "host-0") -> Report:
-    return Report(name, "m:1", "k8", "a", False, session, seq, token, None, list(tasks))
+def heartbeat(
+    seq: int, tasks: list[TaskStatus] = (), token: int = 7, session: int = 1, name: str = "host-0"
+) -> Heartbeat:
+    return Heartbeat(name, "m:1", "k8", "a", False, session, seq, token, None, list(tasks))
 
 
 def never() -> bool:
@@ -330,7 +332,7 @@
 def started(target: Shard) -> Job:
     job = add(target, submission(tasks=1))
     machine = target.machines["host-0"]
-    target.on_report(machine, report(1), True, 1 * S)
+    target.on_heartbeat(machine, heartbeat(1), True, 1 * S)
     target.place(job, 0, 99, machine, 1 * S, Phase.RESERVED)
     assert [one.kind for one in target.commands(machine, 1 * S, starts=False)] == []
     assert [one.kind for one in target.commands(machine, 1 * S, starts=True)] == ["start"]
@@ -338,32 +340,32 @@
     return job
 
 
-RUNNING = TaskReport("run-1/0", 99, "running")
+RUNNING = TaskStatus("run-1/0", 99, "running")
 
 
 @pytest.mark.parametrize(
-    ("seq", "session", "tasks", "checkin", "still_placed"),
+    ("seq", "session", "tasks", "periodic", "still_placed"),
     [
-        (2, 1, [], True, False),  # a later report without it: it did not arrive
+        (2, 1, [], True, False),  # a later heartbeat without it: it did not arrive
         (2, 1, [], False, True),  # the answer to /do proves nothing about a start on its way
         (1, 1, [], True, True),  # the same report once more
         (0, 1, [], True, True),  # an older one
         (2, 1, [RUNNING], True, True),
         (2, 2, [], False, False),  # another session: all earlier tasks are dead
-        (2, 1, [TaskReport("run-1/0", 99, "exited", "no_room")], True, False),
+        (2, 1, [TaskStatus("run-1/0", 99, "exited", "no_room")], True, False),
         (
             2,
             1,
-            [TaskReport("run-1/0", 98, "exited", "done")],
+            [TaskStatus("run-1/0", 98, "exited", "done")],
             True,
             False,
         ),  # only an older one ended
     ],
 )
-def test_start_in_flight(seq: int, session: int, tasks: list, checkin: bool, still_placed: bool) -> None:
+def test_start_in_flight(seq: int, session: int, tasks: list, periodic: bool, still_placed: bool) -> None:
     target = shard(1)
     job = started(target)
-    target.on_report(target.machines["host-0"], report(seq, tasks, session=session), checkin, 2 * S)
+    target.on_heartbeat(target.machines["host-0"], heartbeat(seq, tasks, session=session), periodic, 2 * S)
     assert (0 in job.placed) is still_placed
     assert target.usage["blue"].cpus == (2.0 if still_placed else 0.0)
 
@@ -397,7 +399,7 @@
     return gang
 
 
-ALONE = TaskReport("run-g/0", 99, "exited", "alone")
+ALONE = TaskStatus("run-g/0", 99, "exited", "alone")
 
 
 def set_running(gang: Job) -> None:
@@ -432,7 +434,7 @@
     gang = waiting_gang(target, placed)
     change(gang)
     machine = target.machines["host-0"]
-    target.on_report(machine, report(1, [ALONE]), True, 30 * S)
+    target.on_heartbeat(machine, heartbeat(1, [ALONE]), True, 30 * S)
     assert target.commands(machine, 30 * S, starts=False) == [], "clears and starts go out in answers to reports only"
     sent = target.commands(machine, 30 * S, starts=True)
     assert [one.kind for one in sent] == commands
@@ -445,46 +447,46 @@
 
 
 @pytest.mark.parametrize(
-    ("seq", "checkin", "task", "commands"),
+    ("seq", "periodic", "task", "commands"),
     [
         (2, False, ALONE, []),  # may be older than the answer that carried the start
         (2, True, ALONE, ["clear", "start"]),  # the answer was lost, or it has waited once more
-        (2, True, TaskReport("run-g/0", 99, "waiting"), []),
+        (2, True, TaskStatus("run-g/0", 99, "waiting"), []),
         (1, True, ALONE, []),
     ],
 )
-def test_the_end_of_a_task_that_was_started_again(seq: int, checkin: bool, task: TaskReport, commands: list) -> None:
+def test_the_end_of_a_task_that_was_started_again(seq: int, periodic: bool, task: TaskStatus, commands: list) -> None:
     """Both attempts have one number: what ended must not be taken for what was started since."""
     target = shard(2)
     gang = waiting_gang(target)
     machine = target.machines["host-0"]
-    target.on_report(machine, report(1, [ALONE]), True, 30 * S)
+    target.on_heartbeat(machine, heartbeat(1, [ALONE]), True, 30 * S)
     target.commands(machine, 30 * S, starts=True)
-    fresh = target.on_report(machine, report(seq, [task]), checkin, 31 * S)
+    fresh = target.on_heartbeat(machine, heartbeat(seq, [task]), periodic, 31 * S)
     assert 0 in gang.placed, "it may be on its machine"
-    assert [one.kind for one in target.commands(machine, 31 * S, starts=True) if fresh and checkin] == commands
+    assert [one.kind for one in target.commands(machine, 31 * S, starts=True) if fresh and periodic] == commands
 
 
 @pytest.mark.parametrize(
     ("seen", "mate", "cached"),
     [
         ([], False, False),  # stopped before it was ever seen
-        ([TaskReport("run-1/0", 99, "fetching")], False, False),  # the fetch is given up
-        ([TaskReport("run-1/0", 99, "fetching")], True, True),  # another task still waits for it
-        ([TaskReport("run-1/0", 99, "fetching"), RUNNING], False, True),
-        ([TaskReport("run-1/0", 99, "fetching"), TaskReport("run-1/0", 99, "exited", "done")], False, True),
+        ([TaskStatus("run-1/0", 99, "fetching")], False, False),  # the fetch is given up
+        ([TaskStatus("run-1/0", 99, "fetching")], True, True),  # another task still waits for it
+        ([TaskStatus("run-1/0", 99, "fetching"), RUNNING], False, True),
+        ([TaskStatus("run-1/0", 99, "fetching"), TaskStatus("run-1/0", 99, "exited", "done")], False, True),
     ],
 )
-def test_an_image_is_cached_once_a_task_has_it(seen: list[TaskReport], mate: bool, cached: bool) -> None:
+def test_an_image_is_cached_once_a_task_has_it(seen: list[TaskStatus], mate: bool, cached: bool) -> None:
     target = shard(1)
     started(target)
     machine = target.machines["host-0"]
     if mate:
         target.place(add(target, submission("run-2", tasks=1)), 0, 98, machine, 1 * S, Phase.SENT)
     for seq, task in enumerate(seen, 2):
-        target.on_report(machine, report(seq, [task]), True, seq * S)
+        target.on_heartbeat(machine, heartbeat(seq, [task]), True, seq * S)
     assert "img-1" in machine.images, "on its way, or there"
-    target.on_report(machine, report(10, [TaskReport("run-1/0", 99, "exited", "stopped")]), True, 10 * S)
+    target.on_heartbeat(machine, heartbeat(10, [TaskStatus("run-1/0", 99, "exited", "stopped")]), True, 10 * S)
     assert ("img-1" in machine.images) is cached
 
 
@@ -492,7 +494,7 @@
     target = shard(1)
     job = started(target)
     machine = target.machines["host-0"]
-    events = target.on_report(machine, report(2, [TaskReport("run-1/0", 99, "exited", "done")]), True, 2 * S)
+    events = target.on_heartbeat(machine, heartbeat(2, [TaskStatus("run-1/0", 99, "exited", "done")]), True, 2 * S)
     assert events.progressed == {"run-1"}
     assert target.commands(machine, 2 * S, starts=True) == []
     target.drop_job(job.ref)  # its final state is written
@@ -502,8 +504,8 @@
 def test_refused_start_does_not_free_a_task_that_an_older_attempt_runs() -> None:
     target = shard(1)
     job = started(target)
-    tasks = [TaskReport("run-1/0", 5, "running"), TaskReport("run-1/0", 99, "exited", "in_use")]
-    target.on_report(target.machines["host-0"], report(2, tasks), True, 2 * S)
+    tasks = [TaskStatus("run-1/0", 5, "running"), TaskStatus("run-1/0", 99, "exited", "in_use")]
+    target.on_heartbeat(target.machines["host-0"], heartbeat(2, tasks), True, 2 * S)
     assert 0 in job.placed and job.placed[0].attempt == 5
 
 
@@ -511,9 +513,9 @@
     target = shard(1, term=9)
     machine = target.machines["host-0"]
     target.settled = False
-    target.on_report(machine, report(1, token=8), True, 1 * S)
+    target.on_heartbeat(machine, heartbeat(1, token=8), True, 1 * S)
     assert not machine.fenced and not target.settle()
-    target.on_report(machine, report(2, token=9), False, 1 * S)
+    target.on_heartbeat(machine, heartbeat(2, token=9), False, 1 * S)
     assert machine.fenced and target.settle()
 
 
@@ -566,17 +568,17 @@
             continue
         host, ref, cause = event.split()
         machine = target.machines[f"host-{host}"]
-        target.on_report(machine, report(2 * number + 1), True, now)
+        target.on_heartbeat(machine, heartbeat(2 * number + 1), True, now)
         target.place(target.jobs[ref], number, number, machine, now, Phase.RESERVED)
         target.commands(machine, now, starts=True)
-        ended = TaskReport(f"{ref}/{number}", number, "exited", cause)
-        target.on_report(machine, report(2 * number + 2, [ended]), True, now)
+        ended = TaskStatus(f"{ref}/{number}", number, "exited", cause)
+        target.on_heartbeat(machine, heartbeat(2 * number + 2, [ended]), True, now)
     assert {one.name for one in target.machines.values() if one.draining} == drained
     assert target.jobs["run-1"].failing is failing
     assert target.jobs["run-1"].startable == (1 if failing else target.jobs["run-1"].waiting_bits.bit_count())
 
 
-DONE = TaskReport("run-1/0", 99, "exited", "done")
+DONE = TaskStatus("run-1/0", 99, "exited", "done")
 
 
 @pytest.mark.parametrize(
@@ -587,35 +589,35 @@
         (9, 0, 7, []),  # of an earlier session, with a larger count
         (1, 1, 7, [RUNNING]),
         (1, 1, 7, [DONE]),
-        (9, 0, 6, [TaskReport("run-1/1", 98, "running")]),  # a task that died with its session
+        (9, 0, 6, [TaskStatus("run-1/1", 98, "running")]),  # a task that died with its session
     ],
 )
-def test_late_copies_change_nothing(seq: int, session: int, token: int, tasks: list[TaskReport]) -> None:
+def test_late_copies_change_nothing(seq: int, session: int, token: int, tasks: list[TaskStatus]) -> None:
     target = shard(1)
     machine = target.machines["host-0"]
     job = started(target)
-    target.on_report(machine, report(2, [RUNNING]), True, 2 * S)
+    target.on_heartbeat(machine, heartbeat(2, [RUNNING]), True, 2 * S)
     before = (dict(job.placed), job.done_here, machine.fenced, machine.alive, machine.seq, job.waiting_bits)
-    assert target.on_report(machine, report(seq, tasks, token, session), True, 20 * S) is None
+    assert target.on_heartbeat(machine, heartbeat(seq, tasks, token, session), True, 20 * S) is None
     assert (dict(job.placed), job.done_here, machine.fenced, machine.alive, machine.seq, job.waiting_bits) == before
 
 
 def test_a_copy_does_not_bring_a_lost_machine_back() -> None:
-    """Its lease is over, so its session is: a report of that session, newer than any we saw, is late all the same."""
+    """Its lease is over, so its session is: a heartbeat of it, newer than any we saw, is late all the same."""
     target = shard(1)
     machine = target.machines["host-0"]
     job = started(target)
-    target.on_report(machine, report(2, [RUNNING]), True, 2 * S)
+    target.on_heartbeat(machine, heartbeat(2, [RUNNING]), True, 2 * S)
     machine.answered = 2 * S
     assert target.expire(20 * S, 20 * S, 11 * S, 5 * S) == [machine]
-    assert target.on_report(machine, report(9, [RUNNING]), True, 21 * S) is None
+    assert target.on_heartbeat(machine, heartbeat(9, [RUNNING]), True, 21 * S) is None
     assert not machine.alive and not job.placed and job.waiting_bits == 1
-    assert target.on_report(machine, report(10, [], session=2), True, 22 * S) is not None
+    assert target.on_heartbeat(machine, heartbeat(10, [], session=2), True, 22 * S) is not None
     assert machine.usable
 
 
 @pytest.mark.parametrize(
-    ("reports", "unreachable"),
+    ("heartbeats", "unreachable"),
     [
         ([(2, 1, [])], False),  # one answer may be lost
         ([(2, 1, []), (3, 1, [])], True),  # two starts in a row were not taken
@@ -623,18 +625,18 @@
         ([(2, 2, [])], True),  # the lease ran out though we answered a moment ago
     ],
 )
-def test_machines_that_do_not_hear(reports: list[tuple[int, int, list]], unreachable: bool) -> None:
+def test_machines_that_do_not_hear(heartbeats: list[tuple[int, int, list]], unreachable: bool) -> None:
     target = shard(1)
     machine = target.machines["host-0"]
     job = started(target)
     machine.answered = 1 * S
-    for seq, session, tasks in reports:
-        target.on_report(machine, report(seq, tasks, session=session), True, seq * S)
+    for seq, session, tasks in heartbeats:
+        target.on_heartbeat(machine, heartbeat(seq, tasks, session=session), True, seq * S)
         if not job.placed and machine.usable:
             target.place(job, 0, 99, machine, seq * S, Phase.RESERVED)
             target.commands(machine, seq * S, starts=True)
     assert machine.unreachable is unreachable and machine.usable is not unreachable
-    target.on_report(machine, report(20, session=machine.session), False, 20 * S)
+    target.on_heartbeat(machine, heartbeat(20, session=machine.session), False, 20 * S)
     assert machine.usable, "it answered a command"
 
 
@@ -670,7 +672,7 @@
 @pytest.mark.parametrize(
     ("times", "learned"),
     [
-        ((1, 2, 3, 4), 1),  # a report each second, the task is done after the third
+        ((1, 2, 3, 4), 1),  # a heartbeat each second, the task is done after the third
         ((1, 2, 30, 31), 1),  # both ends were seen
         ((1, 2, 3, 30), 0),  # nobody knows when in between it was done
         ((1, 20, 21, 22), 0),  # nor, here, when it began
@@ -683,12 +685,12 @@
     machine.heard = timedelta(0)
     one = add(target, submission())
     states = ["running", "running", "exited"]
-    target.on_report(machine, report(1), True, times[0] * S)
+    target.on_heartbeat(machine, heartbeat(1), True, times[0] * S)
     target.place(one, 0, 5, machine, times[0] * S, Phase.RESERVED)
     target.commands(machine, times[0] * S, starts=True)
     for number, (at, state) in enumerate(zip(times[1:], states, strict=True)):
-        told = TaskReport("run-1/0", 5, state, "done" if state == "exited" else None)
-        target.on_report(machine, report(number + 2, [told]), True, at * S)
+        told = TaskStatus("run-1/0", 5, state, "done" if state == "exited" else None)
+        target.on_heartbeat(machine, heartbeat(number + 2, [told]), True, at * S)
     assert one.done_here == 1
     assert one.run_count == learned
     assert (target.estimates.correction("batch") == 1.0) is (learned == 0)
@@ -700,19 +702,19 @@
     undecided = {"run-1"}
     target.undecided = undecided.__contains__
     machine, other = target.machines.values()
-    assert target.on_report(machine, report(1, [RUNNING]), True, 1 * S) is not None
+    assert target.on_heartbeat(machine, heartbeat(1, [RUNNING]), True, 1 * S) is not None
     assert not target.settled and not machine.usable and not target.settle()
     assert target.commands(machine, 1 * S, starts=True) == []
     job = add(target, submission(tasks=1))
     undecided.clear()
     planner = Planner(target, Scheduling(), Objectives([]))
     assert planner.fill(other, 2 * S, never) == 0
-    assert target.on_report(machine, report(2, [RUNNING]), True, 2 * S) is not None
+    assert target.on_heartbeat(machine, heartbeat(2, [RUNNING]), True, 2 * S) is not None
     assert target.settle() and machine.usable and job.placed[0].machine is machine
-    done = TaskReport(RUNNING.task, RUNNING.attempt, "exited", "done")
+    done = TaskStatus(RUNNING.task, RUNNING.attempt, "exited", "done")
     undecided.add("run-2")
-    other_done = TaskReport("run-2/0", 5, "exited", "done")
-    target.on_report(machine, report(3, [done, other_done]), True, 3 * S)
+    other_done = TaskStatus("run-2/0", 5, "exited", "done")
+    target.on_heartbeat(machine, heartbeat(3, [done, other_done]), True, 3 * S)
     assert [one.task for one in target.commands(machine, 3 * S, starts=True)] == [], "nothing is cleared unseen"
 
 
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -190,7 +190,7 @@
 
 
 def deaf_machines(day: Day) -> None:
-    """Reports arrive, answers and commands don't. The machine is replaced, and its tasks run elsewhere."""
+    """Heartbeats arrive, answers and commands don't. The machine is replaced, and its tasks run elsewhere."""
     workers = day.random.sample(list(day.site.workers.values()), 2)
     for worker in workers:
         worker.unreachable = True
@@ -222,7 +222,7 @@
 
 
 def late_copies(day: Day) -> None:
-    """Copies of reports of every age, before and after a restart that forgot what was newest, and of the deleted."""
+    """Copies of heartbeats of every age, before and after a restart that forgot what was newest, and of the deleted."""
     doomed = set(day.random.sample(list(day.site.workers), 2))
     for round_ in range(4):
         day.send_copies(30)
@@ -585,7 +585,7 @@
     assert day.rules.broken == []
 
 
-def test_gang_starts_in_the_answer_to_the_report_that_frees_its_machine() -> None:
+def test_gang_starts_in_the_answer_to_the_heartbeat_that_frees_its_machine() -> None:
     day = Day(seed=4, machines=3, capacity=1)
     day.run(30)
     for number in range(8):
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -1,4 +1,4 @@
-"""What comes from outside: HTTP messages, submissions, reports, settings, command line."""
+"""What comes from outside: HTTP messages, submissions, heartbeats, settings, command line."""
 
 import ast
 import json
@@ -12,7 +12,7 @@
 from badgerroute.cli import main
 from badgerroute.protocol.common import MalformedError
 from badgerroute.protocol.users import parse_submission
-from badgerroute.protocol.workers import parse_report
+from badgerroute.protocol.workers import parse_heartbeat
 from badgerroute.transport.clock import VirtualClock
 from badgerroute.transport.http import BadMessageError, Reader
 from badgerroute.transport.loop import CancelledError, Group, Loop, TimeLimitError, VirtualPoller
@@ -161,9 +161,9 @@
         b'"heads":[{"head":"run-1/2","try":1,"condition":"dancing"}]}',
     ],
 )
-def test_bad_reports(body: bytes) -> None:
+def test_bad_heartbeats(body: bytes) -> None:
     with pytest.raises(MalformedError):
-        parse_report(body)
+        parse_heartbeat(body)
 
 
 def test_answers_of_a_running_service() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -16,7 +16,7 @@
 from badgerroute.coordination.shards.summary import summarize
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.users import parse_submission
-from badgerroute.protocol.workers import Report, ReportAnswer, TaskReport
+from badgerroute.protocol.workers import Heartbeat, HeartbeatResponse, TaskStatus
 from badgerroute.scheduling.model import Phase
 from badgerroute.scheduling.objectives import Objectives
 from badgerroute.scheduling.planner import Planner
@@ -57,15 +57,17 @@
 def test_no_answer_that_a_machine_must_drop(monkeypatch: pytest.MonkeyPatch) -> None:
     """A leader that can't raise its term says so: a 200 would hold the machine there while its lease runs out."""
     answered: list[bool] = []
-    real = ShardLeader.checkin
+    real = ShardLeader.answer_heartbeat
 
-    async def checkin(self: ShardLeader, report: Report, relayed: bool = False) -> ReportAnswer | None:
-        answer = await real(self, report, relayed)
+    async def answer_heartbeat(
+        self: ShardLeader, heartbeat: Heartbeat, relayed: bool = False
+    ) -> HeartbeatResponse | None:
+        answer = await real(self, heartbeat, relayed)
         if answer is not None:
-            answered.append(answer.token >= report.token)
+            answered.append(answer.token >= heartbeat.token)
         return answer
 
-    monkeypatch.setattr(ShardLeader, "checkin", checkin)
+    monkeypatch.setattr(ShardLeader, "answer_heartbeat", answer_heartbeat)
     day = Day(seed=2, machines=24)
     day.run(5)
     for host in HOSTS[:2]:
@@ -257,22 +259,22 @@
     return shard, Planner(shard, Scheduling(), Objectives([]))
 
 
-def test_what_a_report_costs_does_not_grow_with_the_fleet() -> None:
+def test_what_a_heartbeat_costs_does_not_grow_with_the_fleet() -> None:
     costs = []
     for machines in (30, 300, 900):
         shard, planner = busy_shard(machines)
         machine = shard.machines["host-7"]
-        tasks = [TaskReport(f"run-on/{index}", 99, "running") for index in range(56, 64)]
+        tasks = [TaskStatus(f"run-on/{index}", 99, "running") for index in range(56, 64)]
 
-        def report(seq: int, shard=shard, planner=planner, machine=machine, tasks=tasks) -> None:
-            one = Report(machine.name, "m:1", "k8", "a", False, 1, seq, 7, None, list(tasks))
-            assert shard.on_report(machine, one, True, 2 * SECOND) is not None
+        def heartbeat(seq: int, shard=shard, planner=planner, machine=machine, tasks=tasks) -> None:
+            one = Heartbeat(machine.name, "m:1", "k8", "a", False, 1, seq, 7, None, list(tasks))
+            assert shard.on_heartbeat(machine, one, True, 2 * SECOND) is not None
             planner.gangs_on(machine, 2 * SECOND, lambda: False)
             planner.fill(machine, 2 * SECOND, lambda: False)
             assert shard.commands(machine, 2 * SECOND, starts=True) == []
 
-        report(1)  # the order of jobs, and where images lie, are found anew a few times a second
-        costs.append(calls_in(lambda report=report: report(2)))
+        heartbeat(1)  # the order of jobs, and where images lie, are found anew a few times a second
+        costs.append(calls_in(lambda heartbeat=heartbeat: heartbeat(2)))
     assert costs[0] == costs[1] == costs[2] < 60
 
 
@@ -285,7 +287,7 @@
     assert costs[2] < 40 * 400, "a few steps a machine"
 
 
-BIG_REPORT = {
+BIG_HEARTBEAT = {
     "mount": "host-000001",
     "address": "host-000001:9000",
     "breed": "k8",
@@ -311,8 +313,8 @@
         ("/v1/jobs", job("run-n4", crew="nobody"), 422, 503),
         ("/v1/jobs", job("run-n5"), 201, 503),
         ("/checkin", b"[]", 400, 400),
-        ("/checkin", BIG_REPORT, None, None),
-        ("/checkin", BIG_REPORT | {"heads": BIG_REPORT["heads"] * 4}, 400, 400),  # over 64 KiB
+        ("/checkin", BIG_HEARTBEAT, None, None),
+        ("/checkin", BIG_HEARTBEAT | {"heads": BIG_HEARTBEAT["heads"] * 4}, 400, 400),  # over 64 KiB
     ],
 )
 def test_bad_input_is_answered_at_once(
--- a/tests/test_measurement.py
+++ b/tests/test_measurement.py
@@ -1,4 +1,4 @@
-"""The measurements of rebalancing and of half-open cuts, and their reports."""
+"""The measurements of rebalancing and of half-open cuts, and their heartbeats."""
 
 import json
 import re
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -53,7 +53,7 @@
 
 
 def unreachable(day: Day, worker: Worker) -> None:
-    """Its reports arrive; answers and commands don't."""
+    """Its heartbeats arrive; answers and commands don't."""
     worker.unreachable = True
     day.loop.later(70 * SECOND, lambda: setattr(worker, "unreachable", False))
 
@@ -326,7 +326,7 @@
 
 
 def reports_at_takeover(day: Day) -> Iterator[float]:
-    """Old reports reach every controller just as a new leader begins."""
+    """Old heartbeats reach every controller just as a new leader begins."""
     day.restart(HOSTS[1], 30 * SECOND)
     for _ in range(14):
         yield 0.45
@@ -425,7 +425,7 @@
 
 
 def earlier_sessions(day: Day) -> Iterator[float]:
-    """Old reports arrive after newer ones, also from an earlier session or attempt."""
+    """Old heartbeats arrive after newer ones, also from an earlier session or attempt."""
     lost = day.random.sample(list(day.site.workers.values()), 2)
     heals = [cut(day, worker.name, HOSTS, "reset") for worker in lost]
     yield 13
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -420,7 +420,7 @@
     day.submit(job("run-b", heads=12, trek_s=40.0, follows=refs))
     assert day.until(lambda: len(day.rules.on) == 12, 30)
     starts = day.rules.starts
-    day.store.slow = 10.0  # looking them up takes longer than the first reports
+    day.store.slow = 10.0  # looking them up takes longer than the first heartbeats
     for host in HOSTS:
         day.restart(host, SECOND / 2)
     assert day.finish() == []
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -189,7 +189,7 @@
         ([20.0, 20.0], 10.0),  # too few to go by
         ([20.0] * 3, 20.0),
         ([20.0] * 3 + [10.0] * 40, 10.0),
-        ([1e9] * 9, 80.0),  # a report that came days late does not count for more than a bound
+        ([1e9] * 9, 80.0),  # a heartbeat that came days late does not count for more than a bound
         ([0.001] * 9, 1.25),
     ],
 )
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -18,14 +18,14 @@
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.mesh import FreeCapacity, PendingDemand, ShardLoad, ShardSummary
 from badgerroute.protocol.users import parse_submission
-from badgerroute.protocol.workers import Report, TaskReport
+from badgerroute.protocol.workers import Heartbeat, TaskStatus
 from badgerroute.rebalancing.local_waits import LocalWaits
 from badgerroute.rebalancing.moves import MovePlanner
 from badgerroute.rebalancing.shard_guidance import ShardGuidance
 from badgerroute.rebalancing.waits import RecentWaits, busy_machines
+from badgerroute.scheduling.heartbeat_reconciliation import HeartbeatReconciler
 from badgerroute.scheduling.planner import Planner
 from badgerroute.scheduling.rental_planning import RentalPlan
-from badgerroute.scheduling.reports import ReportReader
 from badgerroute.scheduling.shard import Shard
 from badgerroute.settings import CloudLimits, Connectivity, OperatorSettings, Rebalancing, Team
 from badgerroute.storage.cloud_client import CloudClient
@@ -56,22 +56,22 @@
     return shard, planner
 
 
-def test_a_report_costs_the_same_with_all_machines_in_one_shard() -> None:
+def test_a_heartbeat_costs_the_same_with_all_machines_in_one_shard() -> None:
     costs = []
     for machines in (FEW, MANY):
         shard, planner = busy_shard(machines)
         machine = shard.machines["host-7"]
-        tasks = [TaskReport(f"run-on/{index}", 99, "running") for index in range(56, 64)]
+        tasks = [TaskStatus(f"run-on/{index}", 99, "running") for index in range(56, 64)]
 
-        def report(seq: int, shard=shard, planner=planner, machine=machine, tasks=tasks) -> None:
-            message = Report(machine.name, "m:1", "k8", "a", False, 1, seq, 7, None, list(tasks))
-            assert shard.on_report(machine, message, True, 2 * SECOND) is not None
+        def heartbeat(seq: int, shard=shard, planner=planner, machine=machine, tasks=tasks) -> None:
+            message = Heartbeat(machine.name, "m:1", "k8", "a", False, 1, seq, 7, None, list(tasks))
+            assert shard.on_heartbeat(machine, message, True, 2 * SECOND) is not None
             planner.gangs_on(machine, 2 * SECOND, never)
             planner.fill(machine, 2 * SECOND, never)
             shard.commands(machine, 2 * SECOND, starts=True)
 
-        report(1)
-        costs.append(calls_in(lambda report=report: report(2)))
+        heartbeat(1)
+        costs.append(calls_in(lambda heartbeat=heartbeat: heartbeat(2)))
     assert costs[0] == costs[1]
 
 
@@ -88,7 +88,7 @@
     return shard, planner
 
 
-def test_advice_costs_the_same_for_each_report_with_all_machines_in_one_shard() -> None:
+def test_advice_costs_the_same_for_each_heartbeat_with_all_machines_in_one_shard() -> None:
     costs = []
     for machines in (FEW, MANY):
         shard, planner = advised_shard(machines)
@@ -233,7 +233,9 @@
     """One controller takes all shards over, then all restart: no lease runs out, and nobody is taken for silent."""
     called_silent: list[str] = []
     monkeypatch.setattr(Fencing, "_give_up", lambda self, machine: called_silent.append(machine.name))
-    monkeypatch.setattr(ReportReader, "_mark_unreachable", lambda self, machine: called_silent.append(machine.name))
+    monkeypatch.setattr(
+        HeartbeatReconciler, "_mark_unreachable", lambda self, machine: called_silent.append(machine.name)
+    )
     day = Day(
         seed=3, machines=machines, capacity=0, rps=3000, write_rps=6000, sockets=3 * machines, tick=SECOND, txn_ops=48
     )
@@ -268,7 +270,7 @@
     assert SUMMARY_KEPT_PER_MACHINE * MANY == 2 * SECOND, "an owner keeps a reading for so long"
 
 
-def test_a_relayed_report_costs_the_same_at_any_size() -> None:
+def test_a_relayed_heartbeat_costs_the_same_at_any_size() -> None:
     """At the controller that relays: to decide, to pass it on, and to hand the answer back."""
     costs = []
     for machines in (FEW, MANY):
@@ -301,9 +303,9 @@
 
 def test_all_machines_of_a_controller_can_be_relayed_at_once() -> None:
     assert Connectivity().relays_at_once >= MANY
-    report = Report("host-0000001", "10.0.0.1:9000", "k8", "a", False, 1, 9, 7, None, TASKS_OF_A_MACHINE)
-    frame = mesh.encoder.encode(mesh.ForwardedRequest("b", 1 << 47, "POST", "/checkin", msgspec.json.encode(report)))
+    heartbeat = Heartbeat("host-0000001", "10.0.0.1:9000", "k8", "a", False, 1, 9, 7, None, TASKS_OF_A_MACHINE)
+    frame = mesh.encoder.encode(mesh.ForwardedRequest("b", 1 << 47, "POST", "/checkin", msgspec.json.encode(heartbeat)))
     assert MANY / 4 * len(frame) < MAX_QUEUED_BYTES, "a quarter of them may wait for a sibling that reads slowly"
 
 
-TASKS_OF_A_MACHINE = [TaskReport(f"run-000412/{index}", 1 << 40, "running") for index in range(16)]
+TASKS_OF_A_MACHINE = [TaskStatus(f"run-000412/{index}", 1 << 40, "running") for index in range(16)]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -41,7 +41,7 @@
     "Steal": mesh.StealRequest,
     "Lack": mesh.ShareRequest,
     "Borrow": mesh.MachineLoanRequest,
-    "Knock": mesh.MisdirectedReport,
+    "Knock": mesh.MisroutedHeartbeat,
     "Withdrawn": mesh.CancellationNotice,
     "WithdrawnHeard": mesh.CancellationAck,
 }
