--- a/badgerroute/coordination/shards/machine_commands.py
+++ b/badgerroute/coordination/shards/machine_commands.py
@@ -49,7 +49,7 @@
     async def _send(self, client: Client, machine: Machine, commands: list[Command]) -> bool:
         commands = [command for command in commands if command.kind != "start"]
         for _ in range(MAX_SENDS):
-            body = encode(DirectCommands(self._shard.term, machine.session, commands))
+            body = encode(DirectCommands(self._shard.term, machine.incarnation, commands))
             try:
                 response = await client.request("POST", "/do", body, DIRECT_LIMIT)
             except NoAnswerError:
@@ -66,7 +66,7 @@
             self._received(machine, heartbeat)
             if response.status == 200:
                 return True
-            if heartbeat.token > self._shard.term and not await self.raise_term():
+            if heartbeat.fencing_token > self._shard.term and not await self.raise_term():
                 return False
         return False
 
--- a/badgerroute/coordination/shards/shard_leader.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -171,9 +171,9 @@
             machine = await self._register(heartbeat)
             if machine is None:
                 return None
-        if heartbeat.token > self.shard.term and not await self.commands.raise_term():
+        if heartbeat.fencing_token > self.shard.term and not await self.commands.raise_term():
             return None
-        if heartbeat.token > self.shard.term:
+        if heartbeat.fencing_token > self.shard.term:
             return None  # it would drop the answer, and stay here while its lease runs out
         acting = self._policy.allows_for(self.number, Action.ANSWER_HEARTBEAT)
         if not acting or self.shard.machines.get(heartbeat.machine) is not machine:
@@ -210,7 +210,13 @@
         self.member_registry.start()
         await self._loop.first(written, REGISTER_LIMIT)
         machine = self.shard.machines.get(heartbeat.machine)
-        if machine is not None and written.done and written.result and not heartbeat.tasks and heartbeat.token == 0:
+        if (
+            machine is not None
+            and written.done
+            and written.result
+            and not heartbeat.tasks
+            and heartbeat.fencing_token == 0
+        ):
             # We made it a member, in this term, so nobody has ever been entitled to start anything on it:
             # there is no one to fence off.
             machine.pristine = True
--- a/badgerroute/protocol/workers.py
+++ b/badgerroute/protocol/workers.py
@@ -30,15 +30,15 @@
     type: Text = field(name="breed")
     zone: Text = field(name="pasture")
     spot: bool = field(name="strays")
-    session: Count = field(name="ride")
-    seq: Count = field(name="tally")
-    token: Count = field(name="crook")
+    incarnation: Count = field(name="ride")
+    sequence: Count = field(name="tally")
+    fencing_token: Count = field(name="crook")
     notice_s: float | None = field(name="recall_s", default=None)
     tasks: list[TaskStatus] = field(name="heads", default_factory=list)
 
-    def newer_than(self, session: int, seq: int) -> bool:
-        """Whether the heartbeat was made after the message with this session and number."""
-        return (self.session, self.seq) > (session, seq)
+    def newer_than(self, incarnation: int, sequence: int) -> bool:
+        """Whether the heartbeat was made after the message with this incarnation and number."""
+        return (self.incarnation, self.sequence) > (incarnation, sequence)
 
 
 _heartbeat = msgspec.json.Decoder(Heartbeat)
@@ -47,7 +47,7 @@
 def parse_heartbeat(body: bytes) -> Heartbeat:
     """A heartbeat from a message's body; MalformedError names the field that is wrong."""
     heartbeat = decode(body, _heartbeat)
-    if max(heartbeat.session, heartbeat.seq, heartbeat.token) >= NO_LIMIT:
+    if max(heartbeat.incarnation, heartbeat.sequence, heartbeat.fencing_token) >= NO_LIMIT:
         raise MalformedError("a counter is out of range")
     host, _, port = heartbeat.address.rpartition(":")
     if not port.isdigit() or not 0 < int(port) < 65536 or not host:
@@ -76,15 +76,15 @@
 class HeartbeatResponse(Struct):
     """The answer to a heartbeat, which renews the machine's lease."""
 
-    token: int = field(name="crook")
+    fencing_token: int = field(name="crook")
     commands: list[Command] = field(name="calls", default_factory=list)
 
 
 class DirectCommands(Struct):
     """Commands sent to a machine's own address."""
 
-    token: int = field(name="crook")
-    session: int = field(name="ride")
+    fencing_token: int = field(name="crook")
+    incarnation: int = field(name="ride")
     commands: list[Command] = field(name="calls", default_factory=list)
 
 
--- a/badgerroute/scheduling/heartbeat_reconciliation.py
+++ b/badgerroute/scheduling/heartbeat_reconciliation.py
@@ -57,12 +57,14 @@
 
     def on_heartbeat(self, machine: Machine, heartbeat: Heartbeat, periodic: bool, now: timedelta) -> Events | None:
         """Take in a machine's task list. None: it is older than what is known already, and must change nothing."""
-        if heartbeat.session <= machine.dead_session or not heartbeat.newer_than(machine.session, machine.seq):
+        if heartbeat.incarnation <= machine.dead_incarnation or not heartbeat.newer_than(
+            machine.incarnation, machine.sequence
+        ):
             return None
         prompt = machine.heard is not None and now - machine.heard <= self._shard.lease / 3
         message = Message(machine, heartbeat, periodic, prompt, now)
         self._note_machine(message)
-        if heartbeat.token < self._shard.fence and not machine.pristine:
+        if heartbeat.fencing_token < self._shard.fence and not machine.pristine:
             # Another leader's commands may still reach it: the list is true, but it is not the last word.
             machine.fenced = False
             return message.events
@@ -83,14 +85,14 @@
         machine, heartbeat, now = message.machine, message.heartbeat, message.now
         if not message.periodic:
             machine.unreachable, machine.untaken = False, 0  # it answered a command, so it hears us
-        if heartbeat.session > machine.session and machine.session:
+        if heartbeat.incarnation > machine.incarnation and machine.incarnation:
             # The lease expired in between: everything that was on the machine is dead.
             self._shard.lose_tasks(machine, now)
             message.events.freed = True
             if message.periodic and machine.answered is not None and now - machine.answered < self._shard.lease:
                 self._mark_unreachable(machine)  # its lease ran out although we answered: it does not hear us
-        machine.session, machine.seq = heartbeat.session, heartbeat.seq
-        machine.token_seen = max(machine.token_seen, heartbeat.token)
+        machine.incarnation, machine.sequence = heartbeat.incarnation, heartbeat.sequence
+        machine.highest_token_seen = max(machine.highest_token_seen, heartbeat.fencing_token)
         machine.heard = now
         if message.periodic:
             machine.alive = True
--- a/badgerroute/scheduling/model.py
+++ b/badgerroute/scheduling/model.py
@@ -105,7 +105,7 @@
     phase: Phase
     since: timedelta
     running_since: timedelta | None = None
-    sent: tuple[int, int] | None = None  # (session, seq) of the heartbeat whose answer carried the start
+    sent: tuple[int, int] | None = None  # (incarnation, seq) of the heartbeat whose answer carried the start
     grace: timedelta | None = None  # set: it is to stop, with so much time to save
     halted_at: timedelta | None = None
     timed: bool = True  # its beginning was seen when it happened
@@ -135,16 +135,16 @@
     free: Room
     held: dict[int, Room] = field(default_factory=dict)  # level -> what its tasks take of this machine
     leaving: int = 0  # tasks that were told, or will be, to stop
-    session: int = 0
-    seq: int = -1
+    incarnation: int = 0
+    sequence: int = -1
     fenced: bool = False  # it has seen our term, and we have seen its task list since
     pristine: bool = False  # nobody has ever given it a command: there is nobody to fence off
-    token_seen: int = 0
+    highest_token_seen: int = 0
     answered: timedelta | None = None  # when one of its heartbeats was last answered by us
     heard: timedelta | None = None
     last_heartbeat: timedelta | None = None  # when a heartbeat of it last came here, not through a peer
     alive: bool = False
-    dead_session: int = 0  # its lease ended in this session: whatever still comes from it is an old copy
+    dead_incarnation: int = 0  # its lease ended in this incarnation: whatever still comes from it is an old copy
     untaken: int = 0  # heartbeats in a row that lacked a start which an answer of ours had carried
     unreachable: bool = False  # its heartbeats reach us, but it seems that our answers don't reach it
     lost_at: timedelta | None = None  # when its lease was found to be over
--- a/badgerroute/scheduling/shard.py
+++ b/badgerroute/scheduling/shard.py
@@ -330,7 +330,7 @@
             elif starts and placement.phase is Phase.RESERVED:
                 placement.phase = Phase.SENT
                 machine.listed = None  # the next list matters even if it is the same
-                placement.sent = (machine.session, machine.seq)
+                placement.sent = (machine.incarnation, machine.sequence)
                 if not placement.rejoined:
                     placement.since = now
                 machine.touch_image(placement.job.spec.image, placement.job.spec.image_gb)
@@ -365,7 +365,7 @@
                 machine.strays.clear()
                 machine.undecided.clear()
                 machine.alive = False
-                machine.dead_session = machine.session
+                machine.dead_incarnation = machine.incarnation
                 machine.fenced = True
                 machine.idle_since = None
                 lost.append(machine)
--- a/tests/standins/production.py
+++ b/tests/standins/production.py
@@ -31,6 +31,8 @@
     "may_lead": "acting",
     "store": "state",
     "peers": "siblings",
+    "autoscaler": "fleet",
+    "reconciled": "settled",
 }
 CLASSES = (
     ("coordination.controller", "Controller"),
