--- a/badgerroute/coordination/fleet/rentals.py
+++ b/badgerroute/coordination/autoscaling/autoscaler.py
@@ -10,13 +10,13 @@
 from badgerroute.coordination.leadership.leader_election import LeaderElection
 from badgerroute.protocol.cloud import ListedMachine, MachineType
 from badgerroute.protocol.mesh import ShardSummary
-from badgerroute.scheduling.rental_planning import (
+from badgerroute.scheduling.scale_out_planning import (
     ExpectedMachines,
-    RentalPlace,
-    RentalPlan,
+    MachinePool,
+    ScaleOutPlan,
+    machine_pools,
     price_per_cpu,
-    rental_places,
-    rents_ahead,
+    scales_out_ahead,
 )
 from badgerroute.settings import Settings
 from badgerroute.storage import records
@@ -47,12 +47,12 @@
 class Pending:
     """A rental whose answer we don't know, or whose machines are not up yet."""
 
-    place: RentalPlace
+    place: MachinePool
     count: int
     since: timedelta
 
 
-class Fleet:
+class Autoscaler:
     """Rents machines, and has them deleted."""
 
     def __init__(
@@ -66,14 +66,14 @@
         replica: Replica,
         catalog: dict[str, MachineType],
         summaries: Callable[[], list[ShardSummary]],
-        deleted: Callable[[list[str]], None],
+        on_deleted: Callable[[list[str]], None],
     ) -> None:
         self._settings, self._loop, self._group, self._cloud = settings, loop, group, cloud
         self._election, self._replica, self._catalog = election, replica, catalog
         self._policy = policy
-        self._summaries, self._deleted = summaries, deleted
+        self._summaries, self._on_deleted = summaries, on_deleted
         self._counter = 0
-        self._refused: dict[RentalPlace, tuple[timedelta, timedelta]] = {}  # not before, pause
+        self._refused: dict[MachinePool, tuple[timedelta, timedelta]] = {}  # not before, pause
         self._pending: dict[str, Pending] = {}  # machine name, or request name while unanswered
         self._to_delete: dict[str, timedelta] = {}
         self._listed: dict[str, tuple[ListedMachine, timedelta]] = {}
@@ -89,7 +89,7 @@
         for name in names:
             self._to_delete.setdefault(name, self._loop.now())
 
-    def spare(self, names: Iterable[str]) -> None:
+    def cancel_deletion(self, names: Iterable[str]) -> None:
         """These machines are somebody else's now, who decides about them."""
         for name in names:
             self._to_delete.pop(name, None)
@@ -99,7 +99,7 @@
         value = self._replica.value(MACHINES + name)
         return value is not None and records.read(value, MachineRecord).shard not in self._election.leaderships
 
-    async def delete_duty(self) -> None:
+    async def run_deletion(self) -> None:
         """Delete what is to be deleted, a batch at a time, while nobody else can hold our shards."""
         while True:
             await self._loop.sleep(timedelta(milliseconds=200))
@@ -119,11 +119,11 @@
             for name in names:
                 self._to_delete.pop(name, None)
                 self._pending.pop(name, None)
-            self._deleted(names)
+            self._on_deleted(names)
 
     # -- renting: who holds the autoscaler leadership
 
-    async def rent_duty(self) -> None:
+    async def run_scale_out(self) -> None:
         """Rent what is needed, while this controller holds the autoscaler leadership."""
         while True:
             await self._loop.sleep(ROUND)
@@ -132,7 +132,7 @@
                 continue
             try:
                 await self._look()
-                await self._rent()
+                await self._scale_out()
             except CloudUnavailableError as error:
                 log.info("event=cloud_trouble error=%s", error)
 
@@ -165,10 +165,10 @@
             return False
         if machine.state == "booting":
             rented_at = now - timedelta(seconds=machine.age_s)
-            if self._hopeless(rented_at, self._boot_time(machine.type), now):
+            if self._unavailable(rented_at, self._boot_time(machine.type), now):
                 return True
             if machine.name not in self._pending:
-                place = RentalPlace(machine.type, machine.zone, machine.spot)
+                place = MachinePool(machine.type, machine.zone, machine.spot)
                 self._pending[machine.name] = Pending(place, 1, rented_at)
             return False
         if machine.name in self._pending and self._due(self._pending[machine.name]):
@@ -183,7 +183,7 @@
         for name, pending in list(self._pending.items()):
             if name in members:
                 self._came_up(name)
-            elif self._hopeless(pending.since + self._list_lag(), self._boot_time(pending.place.type), now):
+            elif self._unavailable(pending.since + self._list_lag(), self._boot_time(pending.place.type), now):
                 del self._pending[name]
                 if name in listed:
                     useless.append(name)
@@ -203,7 +203,7 @@
         if pending is not None and (self._latest_up is None or pending.since > self._latest_up):
             self._latest_up = pending.since
 
-    def _hopeless(self, since: timedelta, boot: timedelta, now: timedelta) -> bool:
+    def _unavailable(self, since: timedelta, boot: timedelta, now: timedelta) -> bool:
         """Whether a machine that boots since then will most likely never be up.
 
         On days when all machines boot slowly, only what was rented later and is up already shows that one is stuck:
@@ -221,7 +221,7 @@
     def _count(self) -> int:
         return len(self._replica.under(MACHINES)) + sum(pending.count for pending in self._pending.values())
 
-    async def _rent(self) -> None:
+    async def _scale_out(self) -> None:
         for key in self._replica.under(MACHINES):
             self._came_up(key.removeprefix(MACHINES))
         most = self._settings.operator.fleet.most_machines - self._count()
@@ -230,23 +230,23 @@
         for place, count in sorted(self._wanted().items(), key=lambda item: price_per_cpu(item[0], self._catalog)):
             count = min(count, most)
             if count > 0:
-                most -= await self._rent_at(place, count)
+                most -= await self._rent_in(place, count)
 
-    def _wanted(self) -> dict[RentalPlace, int]:
+    def _wanted(self) -> dict[MachinePool, int]:
         """What to ask for now: all that can be had where machines must be up before the work comes, else by need."""
-        if rents_ahead(self._settings, self._catalog):
-            places = rental_places(self._catalog)
+        if scales_out_ahead(self._settings, self._catalog):
+            places = machine_pools(self._catalog)
             return {place: MAX_MACHINES_PER_RENTAL for place in places if self._may_ask(place)}
         expected = [
             ExpectedMachines(pending.place, pending.count) for pending in self._pending.values() if self._due(pending)
         ]
-        plan = RentalPlan(self._catalog, self._settings.params.teams, self._may_ask, MAX_MACHINES_PER_RENTAL)
+        plan = ScaleOutPlan(self._catalog, self._settings.params.teams, self._may_ask, MAX_MACHINES_PER_RENTAL)
         return plan.machines_wanted(self._summaries(), expected)
 
-    def _may_ask(self, place: RentalPlace) -> bool:
+    def _may_ask(self, place: MachinePool) -> bool:
         return self._loop.now() >= self._refused.get(place, (timedelta(0), timedelta(0)))[0]
 
-    async def _rent_at(self, place: RentalPlace, count: int) -> int:
+    async def _rent_in(self, place: MachinePool, count: int) -> int:
         """Rent some machines; how many are on their way. A lost answer is asked for again by the same name."""
         self._counter += 1
         request = f"r-{self._election.autoscaler_term}-{self._counter}"
--- a/badgerroute/coordination/fleet/deleted_names.py
+++ b/badgerroute/coordination/autoscaling/machine_tombstones.py
@@ -5,7 +5,7 @@
 KEPT_PER_MACHINE = 2  # names that are kept, for each machine that there may be; copies come minutes late, not weeks
 
 
-class DeletedNames:
+class MachineTombstones:
     """Keeps the newest of them."""
 
     def __init__(self, most_machines: int) -> None:
--- a/badgerroute/coordination/fleet/idle_machines.py
+++ b/badgerroute/coordination/autoscaling/scale_in.py
@@ -10,7 +10,7 @@
 from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.scheduling.model import Machine
-from badgerroute.scheduling.rental_planning import rents_ahead
+from badgerroute.scheduling.scale_out_planning import scales_out_ahead
 from badgerroute.settings import Settings
 from badgerroute.transport.loop import Loop
 
@@ -19,7 +19,7 @@
 NO_JOBS = 2  # there is nothing that a warm cache could be of use to: it is waited so much less
 
 
-class IdleMachines:
+class ScaleIn:
     """`delete` has machines deleted at the cloud."""
 
     def __init__(
@@ -39,7 +39,7 @@
         """Look for idle machines every other second."""
         while True:
             await self._loop.sleep(ROUND)
-            if not self._catalog or rents_ahead(self._settings, self._catalog):
+            if not self._catalog or scales_out_ahead(self._settings, self._catalog):
                 continue
             idle = self._settings.operator.fleet.idle
             if not self._job_store.active:
--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -6,10 +6,10 @@
 from datetime import timedelta
 
 from badgerroute.connectivity.modes import Action, Permission
-from badgerroute.coordination.fleet.catalog import MachineCatalog
-from badgerroute.coordination.fleet.deleted_names import DeletedNames
-from badgerroute.coordination.fleet.idle_machines import IdleMachines
-from badgerroute.coordination.fleet.rentals import Fleet
+from badgerroute.coordination.autoscaling.autoscaler import Autoscaler
+from badgerroute.coordination.autoscaling.catalog import MachineCatalog
+from badgerroute.coordination.autoscaling.machine_tombstones import MachineTombstones
+from badgerroute.coordination.autoscaling.scale_in import ScaleIn
 from badgerroute.coordination.jobs.cancellation_broadcast import CancellationBroadcast
 from badgerroute.coordination.jobs.job_reader import JobReader
 from badgerroute.coordination.jobs.job_store import JobStore
@@ -41,7 +41,7 @@
 from badgerroute.storage import records
 from badgerroute.storage.cloud_client import CloudClient
 from badgerroute.storage.key_value_client import KeyValueClient
-from badgerroute.storage.replica import DELETED, DONE, JOBS, MACHINES, Replica
+from badgerroute.storage.replica import DONE, JOBS, MACHINES, TOMBSTONES, Replica
 from badgerroute.transport.http import Server
 from badgerroute.transport.loop import Future, Gate, Group, Loop
 from badgerroute.transport.net import Network
@@ -135,7 +135,7 @@
             tidies=lambda: self.election.autoscaler_term is not None and self.policy.allows(Action.CLEAN_UP),
             turn=settings.home,
         )
-        self.fleet = Fleet(
+        self.autoscaler = Autoscaler(
             settings=settings,
             loop=loop,
             group=group,
@@ -145,7 +145,7 @@
             replica=self.replica,
             catalog=self.catalog,
             summaries=self.peers.summaries,
-            deleted=self._machines_deleted,
+            on_deleted=self._on_machines_deleted,
         )
         self.forecast = JobForecast(
             settings, loop, self.job_store, self.replica, self.catalog, self.leaders, self.peers.summaries
@@ -153,8 +153,8 @@
         self.progress_duty = ProgressDuty(
             loop, self.leaders, self.job_store, self.job_writer, self.forecast, self._leadership_condition
         )
-        self.idle_machines = IdleMachines(
-            settings, loop, self.policy, self.job_store, self.catalog, self.leaders, self.fleet.delete
+        self.scale_in = ScaleIn(
+            settings, loop, self.policy, self.job_store, self.catalog, self.leaders, self.autoscaler.delete
         )
         self.users = Users(
             params=params,
@@ -167,7 +167,7 @@
             summaries=self.peers.summaries,
             running=self.peers.running,
         )
-        self.deleted = DeletedNames(settings.operator.fleet.most_machines)
+        self.tombstones = MachineTombstones(settings.operator.fleet.most_machines)
         self.heartbeat_handler = HeartbeatHandler(
             settings=settings,
             loop=loop,
@@ -178,7 +178,7 @@
             mesh=self.mesh,
             monitor=self.monitor,
             forwarder=self.forwarder,
-            deleted=self.deleted,
+            tombstones=self.tombstones,
         )
         self.messages = MeshMessages(
             settings=settings,
@@ -227,14 +227,14 @@
             publish=self._push,
             guidance=guidance,
             progressed=self.progress_duty.progressed,
-            delete_machines=self.fleet.delete,
+            delete_machines=self.autoscaler.delete,
             ask_share=self.requests.ask_share,
             ask_machines=self.requests.ask_machines,
         )
         self.replica.listen(DONE, self._page_changed)
         self.replica.listen(JOBS, self._job_changed)
         self.replica.listen(MACHINES, self._machine_changed)
-        self.replica.listen(DELETED, self._deleted_changed)
+        self.replica.listen(TOMBSTONES, self._tombstones_changed)
 
     # -- life
 
@@ -255,9 +255,9 @@
             (self._forecast_duty, "forecast"),
             (self.requests.steal_duty, "steal"),
             (self.leadership_transfer.run, "hand-over"),
-            (self.fleet.rent_duty, "rent"),
-            (self.fleet.delete_duty, "delete"),
-            (self.idle_machines.run, "idle"),
+            (self.autoscaler.run_scale_out, "rent"),
+            (self.autoscaler.run_deletion, "delete"),
+            (self.scale_in.run, "idle"),
             (self.monitor.run, "connectivity"),
             (self.monitor.probe, "probe"),
             (self.pipelines.resolve, "resolve"),
@@ -276,7 +276,7 @@
         leader = self.leaders.pop(shard, None)
         if leader is not None:
             log.info("event=shard_lost shard=%d", shard)
-            self.fleet.spare(leader.shard.machines)
+            self.autoscaler.cancel_deletion(leader.shard.machines)
             leader.close()
 
     def _leadership_condition(self, shard: int) -> Compare | None:
@@ -300,18 +300,18 @@
             if leader.ready:
                 leader.machine_changed(key.removeprefix(MACHINES), value)
 
-    def _deleted_changed(self, key: str, value: bytes | None, revision: int) -> None:
+    def _tombstones_changed(self, key: str, value: bytes | None, revision: int) -> None:
         if value is not None:
-            self.deleted.add(records.read(value, records.DeletedMachinesRecord).names)
+            self.tombstones.add(records.read(value, records.TombstoneRecord).names)
 
-    def _machines_deleted(self, names: list[str]) -> None:
-        self.deleted.add(names)
+    def _on_machines_deleted(self, names: list[str]) -> None:
+        self.tombstones.add(names)
         members = {name for leader in self.leaders.values() for name in leader.shard.machines}
         for number, leader in enumerate(list(self.leaders.values())):
             # One that never was a member is remembered by any of our shards.
             mine = [name for name in names if name in leader.shard.machines or (not number and name not in members)]
             if mine:
-                self._group.spawn(leader.deleted_machines.forget(mine), "forget")
+                self._group.spawn(leader.tombstone_writer.forget(mine), "forget")
 
     # -- duties
 
--- a/badgerroute/coordination/quotas/team_quotas.py
+++ b/badgerroute/coordination/quotas/team_quotas.py
@@ -112,13 +112,13 @@
         self._asked[shard, team] = now
         return ShareRequest(shard, team, lack.cpus, lack.accelerators, age.total_seconds(), rank, used)
 
-    async def give(self, giver: int, taker: int, team: str, lack: Room, spare: Room) -> None:
+    async def give(self, giver: int, taker: int, team: str, lack: Room, cancel_deletion: Room) -> None:
         """Move some of a shard's unused share to another shard."""
         if team not in self.teams or team in self._writing or giver == taker:
             return
         lack = self._limited(team, lack)
-        cpus = max(0.0, min(lack.cpus, spare.cpus))
-        gpus = max(0.0, min(lack.accelerators, spare.accelerators))
+        cpus = max(0.0, min(lack.cpus, cancel_deletion.cpus))
+        gpus = max(0.0, min(lack.accelerators, cancel_deletion.accelerators))
         if cpus <= EPSILON and gpus <= EPSILON:
             return
         mine = self._held(giver, team)
--- a/badgerroute/coordination/requests/heartbeat_handler.py
+++ b/badgerroute/coordination/requests/heartbeat_handler.py
@@ -5,7 +5,7 @@
 
 from badgerroute.connectivity.modes import Action, Mode
 from badgerroute.connectivity.relay_routes import RelayRoutes, Route
-from badgerroute.coordination.fleet.deleted_names import DeletedNames
+from badgerroute.coordination.autoscaling.machine_tombstones import MachineTombstones
 from badgerroute.coordination.leadership.action_policy import ActionPolicy
 from badgerroute.coordination.membership.connectivity_monitor import ConnectivityMonitor
 from badgerroute.coordination.membership.forwarding import RequestForwarder
@@ -27,7 +27,7 @@
 
 
 class HeartbeatHandler:
-    """`deleted` has the machines whose heartbeats can only be late copies."""
+    """`tombstones` has the machines whose heartbeats can only be late copies."""
 
     def __init__(
         self,
@@ -40,12 +40,12 @@
         mesh: Mesh,
         monitor: ConnectivityMonitor,
         forwarder: RequestForwarder,
-        deleted: DeletedNames,
+        tombstones: MachineTombstones,
     ) -> None:
         self._settings, self._loop, self._replica, self._policy = settings, loop, replica, policy
         self._leaders, self._peers, self._mesh = leaders, peers, mesh
         self._monitor, self._worker_link, self._forwarder = monitor, monitor.worker_link, forwarder
-        self._deleted = deleted
+        self._tombstones = tombstones
         self._host = settings.platform.host_name
         self._relays = settings.operator.connectivity.relay
         self.routes = RelayRoutes()
@@ -59,7 +59,7 @@
             return error(400, str(problem))
         if relay is None and not self._leaders:
             self._worker_link.reached(self._loop.now())
-        if heartbeat.machine in self._deleted:
+        if heartbeat.machine in self._tombstones:
             return come_back("this machine was deleted")  # a late copy, whatever it says
         shard = self._shard_of(heartbeat.machine)
         leader = self._leaders.get(shard)
--- a/badgerroute/coordination/shards/shard_leader.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -9,7 +9,6 @@
 from badgerroute.coordination.jobs.job_writer import Progress
 from badgerroute.coordination.leadership.leader_election import Leadership
 from badgerroute.coordination.shards import summary
-from badgerroute.coordination.shards.deleted_machines import DeletedMachines
 from badgerroute.coordination.shards.fencing import Fencing
 from badgerroute.coordination.shards.machine_commands import MachineCommands
 from badgerroute.coordination.shards.machine_loans import MachineLoans
@@ -18,6 +17,7 @@
 from badgerroute.coordination.shards.services import Services
 from badgerroute.coordination.shards.shard_log import log_state
 from badgerroute.coordination.shards.share_exchange import ShareExchange
+from badgerroute.coordination.shards.tombstone_writer import TombstoneWriter
 from badgerroute.coordination.shards.urgent_halts import UrgentHalts
 from badgerroute.protocol import mesh as mesh_wire
 from badgerroute.protocol.workers import Heartbeat, HeartbeatResponse
@@ -25,7 +25,7 @@
 from badgerroute.scheduling.model import ZERO, Machine
 from badgerroute.scheduling.objectives import Objectives
 from badgerroute.scheduling.planner import Planner
-from badgerroute.scheduling.rental_planning import rents_ahead
+from badgerroute.scheduling.scale_out_planning import scales_out_ahead
 from badgerroute.scheduling.shard import Shard
 from badgerroute.storage import records
 from badgerroute.storage.records import MachineRecord
@@ -87,7 +87,7 @@
         )
         self.loans = MachineLoans(self.shard, services, self.group, lambda: self.ready)
         self.shares = ShareExchange(self.shard, self.planner, services)
-        self.deleted_machines = DeletedMachines(self.shard, services)
+        self.tombstone_writer = TombstoneWriter(self.shard, services)
         self.progress: set[str] = set()
         self._summary: tuple[timedelta, mesh_wire.ShardSummary] | None = None
         self._silence: SilenceReading | None = None
@@ -317,7 +317,7 @@
         """What others need to know. Made anew a few times a second at most: it looks at everything there is."""
         now = self._loop.now()
         if self._summary is None or now - self._summary[0] >= self._kept():
-            ahead = rents_ahead(self._settings, self._catalog)
+            ahead = scales_out_ahead(self._settings, self._catalog)
             levels = {self._job_store.level(ref) for ref, record in self._job_store.schedulable() if record.job.gang}
             silent = self.silent() > 0
             self._summary = (now, summary.summarize(self.shard, self.planner, levels, ahead, now, silent))
--- a/badgerroute/coordination/shards/share_exchange.py
+++ b/badgerroute/coordination/shards/share_exchange.py
@@ -65,13 +65,13 @@
         cpus, gpus = self._quotas.of(self._shard.number, team)
         used = self._shard.usage[team]
         lack = Room(message.cpus, message.accelerators)
-        spare = Room(cpus - used.cpus, gpus - used.accelerators)
-        keep = self._share_to_yield(message, lack, spare)
+        cancel_deletion = Room(cpus - used.cpus, gpus - used.accelerators)
+        keep = self._share_to_yield(message, lack, cancel_deletion)
         if keep is None:
-            spare.take(self._soon(message))
+            cancel_deletion.take(self._soon(message))
         else:
             lack = keep
-        await self._quotas.give(self._shard.number, message.shard, team, lack, spare)
+        await self._quotas.give(self._shard.number, message.shard, team, lack, cancel_deletion)
 
     def _soon(self, message: mesh_wire.ShareRequest) -> Room:
         """What a team's jobs that wait here could use of its share."""
@@ -93,7 +93,7 @@
                 soon.accelerators += min(count, room) * job.need.accelerators
         return soon
 
-    def _share_to_yield(self, message: mesh_wire.ShareRequest, lack: Room, spare: Room) -> Room | None:
+    def _share_to_yield(self, message: mesh_wire.ShareRequest, lack: Room, cancel_deletion: Room) -> Room | None:
         """How much of our share another shard should have though work waits for it here; None: nothing.
 
         All that it lacks, if its jobs come before ours; if they are equal, so much that both use the same. What is not
@@ -114,7 +114,9 @@
             if more <= UNEVEN * self._quotas.of(self._shard.number, message.team)[0]:
                 return None
             wanted = Room(min(wanted.cpus, more), wanted.accelerators)
-        missing = Room(max(0.0, wanted.cpus - spare.cpus), max(0.0, wanted.accelerators - spare.accelerators))
+        missing = Room(
+            max(0.0, wanted.cpus - cancel_deletion.cpus), max(0.0, wanted.accelerators - cancel_deletion.accelerators)
+        )
         used = self._shard.usage[message.team]
         missing = Room(min(missing.cpus, used.cpus), min(missing.accelerators, used.accelerators))
         self._shard.reserve_for_peer(message.team, missing, self._loop.now() + RESERVATION_TTL)
--- a/badgerroute/coordination/shards/summary.py
+++ b/badgerroute/coordination/shards/summary.py
@@ -93,7 +93,7 @@
 
 
 def summarize(
-    shard: Shard, planner: Planner, levels: set[int], rents_ahead: bool, now: timedelta, silent: bool = False
+    shard: Shard, planner: Planner, levels: set[int], scales_out_ahead: bool, now: timedelta, silent: bool = False
 ) -> ShardSummary:
     """`levels`: those of the gangs there are, which others may want to make room for here."""
     capacities, images = idle_capacities(shard)
@@ -112,7 +112,7 @@
         beside=planner.room_beside_images(max(levels, default=Priority.URGENT.level), MAX_IMAGE_MACHINES),
         soft={level: _capacities(planner.room_without(level)) for level in levels},
         demands=_demands(planner, now),
-        freeing=0.0 if rents_ahead else planner.freeing(now),  # only renting by need looks at it
+        freeing=0.0 if scales_out_ahead else planner.freeing(now),  # only renting by need looks at it
         running=running,
         used={team: (usage.cpus, usage.accelerators) for team, usage in shard.usage.items() if usage.tasks},
         silent=silent,
--- a/badgerroute/coordination/shards/deleted_machines.py
+++ b/badgerroute/coordination/shards/tombstone_writer.py
@@ -17,8 +17,8 @@
     put,
     remove,
 )
-from badgerroute.storage.records import DeletedMachinesRecord
-from badgerroute.storage.replica import DELETED, MACHINES
+from badgerroute.storage.records import TombstoneRecord
+from badgerroute.storage.replica import MACHINES, TOMBSTONES
 
 log = logging.getLogger("badgerroute.leader")
 RETRY_PAUSE = timedelta(seconds=1)
@@ -28,7 +28,7 @@
 MIN_PAGES = 4
 
 
-class DeletedMachines:
+class TombstoneWriter:
     """One shard's deleted machines, in pages of its own."""
 
     def __init__(self, shard: Shard, services: Services) -> None:
@@ -50,7 +50,7 @@
         while names and self._shard.number in self._election.leaderships:
             key, known = self._page()
             batch = names[: min(self._store.max_changes - 1, self._names_per_page - len(known), MAX_MACHINES_PER_WRITE)]
-            gone = records.write(DeletedMachinesRecord([*known, *(name for name in batch if name not in known)]))
+            gone = records.write(TombstoneRecord([*known, *(name for name in batch if name not in known)]))
             members = [MACHINES + name for name in batch if self._replica.revision_of(MACHINES + name)]
             changes: list[Put | Remove] = [put(key, gone), *(remove(key) for key in members)]
             # On the page as we know it: carried out late, an older write of it would strike newer names off.
@@ -72,11 +72,11 @@
         A page is small, since each deletion writes one anew; there are pages for twice as many machines as we have ever
         had at once, and when all are full the oldest begins anew.
         """
-        prefix = f"{DELETED}{self._shard.number}/"
+        prefix = f"{TOMBSTONES}{self._shard.number}/"
         pages = sorted(self._replica.under(prefix), key=self._replica.revision_of)
         self._most_members = max(self._most_members, len(self._shard.machines))
         if pages:
-            known = records.read(self._replica.stored(pages[-1]), DeletedMachinesRecord).names
+            known = records.read(self._replica.stored(pages[-1]), TombstoneRecord).names
             if len(known) < self._names_per_page:
                 return pages[-1], known
         if len(pages) < max(MIN_PAGES, -(-2 * self._most_members // self._names_per_page)):
--- a/badgerroute/rebalancing/drain_requests.py
+++ b/badgerroute/rebalancing/drain_requests.py
@@ -15,8 +15,8 @@
     put,
     remove,
 )
-from badgerroute.storage.records import DeletedMachinesRecord, DrainRecord
-from badgerroute.storage.replica import DELETED, DRAINS, MACHINES
+from badgerroute.storage.records import DrainRecord, TombstoneRecord
+from badgerroute.storage.replica import DRAINS, MACHINES, TOMBSTONES
 from badgerroute.transport.loop import Loop
 
 MAX_TRIES = 5
@@ -94,5 +94,5 @@
         return records.read(bytes(item.value), DrainRecord) if item is not None else None
 
     async def _was_deleted(self, machine: str) -> bool:
-        pages, _ = await self._store.list(DELETED)
-        return any(machine in records.read(bytes(page.value), DeletedMachinesRecord).names for page in pages)
+        pages, _ = await self._store.list(TOMBSTONES)
+        return any(machine in records.read(bytes(page.value), TombstoneRecord).names for page in pages)
--- a/badgerroute/rebalancing/service.py
+++ b/badgerroute/rebalancing/service.py
@@ -227,7 +227,7 @@
             plan = Evacuation(drain.deadline, HEARTBEATS_OF_MARGIN * self._heartbeat, patient=True)
             evacuate(shard, machine, plan, now, duty.leader.planner.run_time, duty.guidance.fetch_time)
             if duty.drains.emptied(machine) and drain.delete:
-                self._controller.fleet.delete([name])
+                self._controller.autoscaler.delete([name])
 
     async def _remove_orphans(self) -> None:
         assert self._controller is not None and self._drains is not None
--- a/badgerroute/scheduling/preemption.py
+++ b/badgerroute/scheduling/preemption.py
@@ -96,8 +96,10 @@
 
         What can't: stopping and starting each take until the next heartbeat, and then the image is fetched.
         """
-        spare = self._objectives.start_within(job) - LEAD_HEARTBEATS * self._heartbeat - self._shard.least_fetch(job)
-        return max(ZERO, spare / PATIENCE)
+        cancel_deletion = (
+            self._objectives.start_within(job) - LEAD_HEARTBEATS * self._heartbeat - self._shard.least_fetch(job)
+        )
+        return max(ZERO, cancel_deletion / PATIENCE)
 
     def make_room_for_gang(self, job: Job, tasks: int, now: timedelta) -> None:
         """Stop what is cheapest so that a gang which has waited long enough fits."""
--- a/badgerroute/scheduling/rental_planning.py
+++ b/badgerroute/scheduling/scale_out_planning.py
@@ -16,7 +16,7 @@
 from badgerroute.settings import Settings, Team
 
 
-class RentalPlace(NamedTuple):
+class MachinePool(NamedTuple):
     """What a rental names: a machine type, a zone, and spot or ordinary."""
 
     type: str
@@ -28,27 +28,27 @@
 class ExpectedMachines:
     """Machines on their way that can be counted on."""
 
-    place: RentalPlace
+    place: MachinePool
     count: int
 
 
-def rental_places(catalog: dict[str, MachineType]) -> list[RentalPlace]:
+def machine_pools(catalog: dict[str, MachineType]) -> list[MachinePool]:
     """All that can be asked for."""
     return [
-        RentalPlace(machine_type.name, zone, spot)
+        MachinePool(machine_type.name, zone, spot)
         for machine_type in catalog.values()
         for zone in machine_type.zones
         for spot in ((True, False) if machine_type.spot_price else (False,))
     ]
 
 
-def price_per_cpu(place: RentalPlace, catalog: dict[str, MachineType]) -> float:
+def price_per_cpu(place: MachinePool, catalog: dict[str, MachineType]) -> float:
     """Nominal price of a processor there, for an hour."""
     machine_type = catalog[place.type]
     return (machine_type.spot_price if place.spot else machine_type.price) / max(machine_type.cpus, 1e-9)
 
 
-def _place_allowed(demand: PendingDemand, place: RentalPlace) -> bool:
+def _place_allowed(demand: PendingDemand, place: MachinePool) -> bool:
     return (
         (demand.types is None or place.type in demand.types)
         and (demand.zone is None or demand.zone == place.zone)
@@ -60,7 +60,7 @@
 class _RoomGroup:
     """Machines in one place with the same free room: thousands of machines come in few kinds."""
 
-    place: RentalPlace
+    place: MachinePool
     room: Room
     count: int
 
@@ -80,14 +80,14 @@
         return _RoomGroup(self.place, room, machines)
 
 
-class RentalPlan:
+class ScaleOutPlan:
     """One round's plan. `may_ask` tells whether a place has not refused lately; `max_per_place` bounds a request."""
 
     def __init__(
         self,
         catalog: dict[str, MachineType],
         teams: list[Team],
-        may_ask: Callable[[RentalPlace], bool],
+        may_ask: Callable[[MachinePool], bool],
         max_per_place: int,
     ) -> None:
         self._catalog, self._may_ask, self._max_per_place = catalog, may_ask, max_per_place
@@ -95,11 +95,11 @@
         self._groups: list[_RoomGroup] = []
         self._least_need = Room()  # what holds less is of no use to any demand, and need not be looked at again
         self._used: dict[str, Room] = {}
-        self._wanted: dict[RentalPlace, int] = {}
+        self._wanted: dict[MachinePool, int] = {}
 
     def machines_wanted(
         self, summaries: list[ShardSummary], expected: list[ExpectedMachines]
-    ) -> dict[RentalPlace, int]:
+    ) -> dict[MachinePool, int]:
         """Machines that the waiting tasks need beyond the free room there is and is coming."""
         self._count_room(summaries, expected)
         freeing_cpus = sum(shard.freeing for shard in summaries)
@@ -124,7 +124,7 @@
     def _count_room(self, summaries: list[ShardSummary], expected: list[ExpectedMachines]) -> None:
         for shard in summaries:
             for capacity in shard.capacities:
-                place = RentalPlace(capacity.type, capacity.zone, capacity.spot)
+                place = MachinePool(capacity.type, capacity.zone, capacity.spot)
                 self._groups.append(_RoomGroup(place, room_of(capacity), capacity.count))
             for team, (cpus, accelerators) in shard.used.items():
                 self._used.setdefault(team, Room()).add(Room(cpus, accelerators))
@@ -163,10 +163,10 @@
             if place_to_ask is not None:
                 self._add_machines(place_to_ask, need, count)
 
-    def _cheapest(self, demand: PendingDemand, need: Room) -> RentalPlace | None:
+    def _cheapest(self, demand: PendingDemand, need: Room) -> MachinePool | None:
         options = [
             place
-            for place in rental_places(self._catalog)
+            for place in machine_pools(self._catalog)
             if _place_allowed(demand, place)
             and self._may_ask(place)
             and capacity_of(self._catalog[place.type]).holds(need)
@@ -175,7 +175,7 @@
             options, key=lambda place: (price_per_cpu(place, self._catalog), self._wanted.get(place, 0)), default=None
         )
 
-    def _add_machines(self, place: RentalPlace, need: Room, tasks: int) -> None:
+    def _add_machines(self, place: MachinePool, need: Room, tasks: int) -> None:
         whole = capacity_of(self._catalog[place.type])
         machines = min(-(-tasks // whole.times(need)), self._max_per_place - self._wanted.get(place, 0))
         if machines <= 0:
@@ -185,7 +185,7 @@
         self._groups += remaining
 
 
-def rents_ahead(settings: Settings, catalog: dict[str, MachineType]) -> bool:
+def scales_out_ahead(settings: Settings, catalog: dict[str, MachineType]) -> bool:
     """Whether machines must be up before the work comes.
 
     Where work is expected to start sooner than a machine boots, renting on demand comes too late; where there is
--- a/badgerroute/settings/__init__.py
+++ b/badgerroute/settings/__init__.py
@@ -2,7 +2,14 @@
 
 from badgerroute.settings.derived import Settings
 from badgerroute.settings.loading import SettingsError, load, load_operator, load_platform
-from badgerroute.settings.operator import Connectivity, Fleet, LeaderElection, OperatorSettings, Rebalancing, Scheduling
+from badgerroute.settings.operator import (
+    Connectivity,
+    FleetSettings,
+    LeaderElection,
+    OperatorSettings,
+    Rebalancing,
+    Scheduling,
+)
 from badgerroute.settings.platform import (
     CloudLimits,
     Endpoints,
@@ -22,7 +29,7 @@
     "CloudLimits",
     "Connectivity",
     "Endpoints",
-    "Fleet",
+    "FleetSettings",
     "LaterStoreLimits",
     "Objective",
     "OperatorSettings",
--- a/badgerroute/settings/operator.py
+++ b/badgerroute/settings/operator.py
@@ -32,7 +32,7 @@
         return timedelta(milliseconds=self.round_ms)
 
 
-class Fleet(Struct, frozen=True, forbid_unknown_fields=True):
+class FleetSettings(Struct, frozen=True, forbid_unknown_fields=True):
     """`return_idle`: null decides by the objectives (see `Settings.return_idle`)."""
 
     return_idle: bool | None = None
@@ -125,6 +125,6 @@
     rebalancing: Rebalancing | None = None
 
     scheduling: Scheduling = Scheduling()
-    fleet: Fleet = Fleet()
+    fleet: FleetSettings = FleetSettings()
     election: LeaderElection = field(name="claims", default=LeaderElection())
     connectivity: Connectivity = Connectivity()
--- a/badgerroute/storage/records.py
+++ b/badgerroute/storage/records.py
@@ -35,7 +35,7 @@
     spot: bool
 
 
-class DeletedMachinesRecord(Struct):
+class TombstoneRecord(Struct):
     """Machines of a shard that were deleted lately."""
 
     names: list[str]
--- a/badgerroute/storage/replica.py
+++ b/badgerroute/storage/replica.py
@@ -14,7 +14,19 @@
 
 log = logging.getLogger("badgerroute.replica")
 PREFIX = "b/"
-SHARD_LEADERS, AUTOSCALER_LEADER, JOBS, FINAL_STATES, MACHINES, SHARES, CATALOG, DELETED, DONE, PREDECESSORS, DRAINS = (
+(
+    SHARD_LEADERS,
+    AUTOSCALER_LEADER,
+    JOBS,
+    FINAL_STATES,
+    MACHINES,
+    SHARES,
+    CATALOG,
+    TOMBSTONES,
+    DONE,
+    PREDECESSORS,
+    DRAINS,
+) = (
     "b/parts/",
     "b/fleet",
     "b/jobs/",
@@ -29,7 +41,7 @@
 )
 # What jobs need beside their records is listed first, so that it is there when they are. Finished jobs are for ever,
 # and too many to hold.
-LISTED = (DONE, PREDECESSORS, SHARD_LEADERS, AUTOSCALER_LEADER, JOBS, MACHINES, SHARES, CATALOG, DELETED)
+LISTED = (DONE, PREDECESSORS, SHARD_LEADERS, AUTOSCALER_LEADER, JOBS, MACHINES, SHARES, CATALOG, TOMBSTONES)
 NOWHERE = PREFIX + "nowhere"  # a key that never exists
 BLOCK = timedelta(seconds=1)
 PAUSE = timedelta(milliseconds=150)  # between two watches: each one counts as a request
--- a/tests/standins/workers.py
+++ b/tests/standins/workers.py
@@ -463,7 +463,7 @@
                 self.remove_worker(name)
             return reply(200, {})
         if request.path == "/rentals" and request.method == "POST":
-            return await self._rent(json.loads(request.body))
+            return await self._scale_out(json.loads(request.body))
         query = parse_query(request.query)
         rows = [
             {
@@ -486,7 +486,7 @@
         up = {name: (one.kind, one.zone, one.spot, "running") for name, one in self.workers.items()}
         return up | {name: (*one, "booting") for name, one in self.booting.items()}
 
-    async def _rent(self, body: dict) -> Response:
+    async def _scale_out(self, body: dict) -> Response:
         if body["hire"] not in self.rented:
             wanted = (body["breed"], body["pasture"], body["strays"])
             taken = sum((kind.name, zone, spot) == wanted for kind, zone, spot, _ in self._all().values())
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -427,7 +427,7 @@
         *("transport", "protocol", "settings", "storage", "scheduling", "connectivity"),
         *("coordination.jobs", "coordination.leadership", "coordination.quotas"),
     },
-    "coordination/fleet": {
+    "coordination/autoscaling": {
         *("transport", "protocol", "settings", "storage", "scheduling", "connectivity"),
         *("coordination.jobs", "coordination.leadership", "coordination.shards"),
     },
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,7 +11,7 @@
 import pytest
 
 from badgerroute.coordination import controller as controller_module
-from badgerroute.coordination.shards import deleted_machines as deleted_machines_module
+from badgerroute.coordination.shards import tombstone_writer as tombstone_writer_module
 from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.coordination.shards.summary import summarize
 from badgerroute.protocol.cloud import MachineType
@@ -132,18 +132,18 @@
             day.world.cut(host, other, "hold")
         day.run(6)
         assert 0 in controller.leaders, "it acts on for G"
-        controller.fleet.delete([name])
+        controller.autoscaler.delete([name])
         day.run(5)
         assert name in day.site.workers
         for other in others:
             day.world.heal(host, other)
     else:
-        controller.fleet.delete([name])
+        controller.autoscaler.delete([name])
         day.loop.freeze(host, 12)
         day.run(13)
     day.run(20)
     assert name in day.site.workers, "it was a new owner's to decide about"
-    controller.fleet.delete([name])
+    controller.autoscaler.delete([name])
     day.run(3)
     assert name not in day.site.workers
 
@@ -204,19 +204,19 @@
 def test_memory_of_deleted_machines_follows_the_fleet(
     members: int, deleted: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(deleted_machines_module, "NAMES_PER_PAGE", 10)
+    monkeypatch.setattr(tombstone_writer_module, "NAMES_PER_PAGE", 10)
     day = Day(seed=6, machines=3 * members, capacity=0)
     day.run(8)
     leader = day.controllers[HOSTS[0]][0].leaders[0]
     names = [f"host-9{number:05d}" for number in range(deleted)]
-    day.loop.run(day.loop.spawn(leader.deleted_machines.forget(names), "forget"))
+    day.loop.run(day.loop.spawn(leader.tombstone_writer.forget(names), "forget"))
     day.run(2)
     pages = {key: value[0] for key, value in day.store.items.items() if key.startswith("b/gone/0/")}
     kept = {name for page in pages.values() for name in page["names"]}
     assert len(kept) >= min(deleted, 2 * members), "twice as many as it ever had"
     assert set(names[-2 * members :]) <= kept, "the latest"
     assert len(kept) <= max(40, 2 * members + 10) + 16, "and not without bound"
-    assert records.DeletedMachinesRecord(list(kept)).names
+    assert records.TombstoneRecord(list(kept)).names
 
 
 def calls_in(action: Callable[[], object]) -> int:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -25,7 +25,7 @@
 from badgerroute.rebalancing.waits import RecentWaits, busy_machines
 from badgerroute.scheduling.heartbeat_reconciliation import HeartbeatReconciler
 from badgerroute.scheduling.planner import Planner
-from badgerroute.scheduling.rental_planning import RentalPlan
+from badgerroute.scheduling.scale_out_planning import ScaleOutPlan
 from badgerroute.scheduling.shard import Shard
 from badgerroute.settings import CloudLimits, Connectivity, OperatorSettings, Rebalancing, Team
 from badgerroute.storage.cloud_client import CloudClient
@@ -190,7 +190,7 @@
     shards = [ShardSummary(0, 1, True, machines, capacities, {}, {}, {}, demands, 0.0, {}, {})]
 
     def plan() -> None:
-        wanted = RentalPlan({"k8": machine_type}, [Team("blue")], lambda place: True, 50).machines_wanted(shards, [])
+        wanted = ScaleOutPlan({"k8": machine_type}, [Team("blue")], lambda place: True, 50).machines_wanted(shards, [])
         assert sum(wanted.values()) == 50, "twenty tasks for every two machines of eight processors"
 
     return calls_in(plan)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -30,7 +30,7 @@
     "PartClaim": records.ShardLeaderRecord,
     "FleetClaim": records.AutoscalerLeaderRecord,
     "MachineRecord": records.MachineRecord,
-    "GoneRecord": records.DeletedMachinesRecord,
+    "GoneRecord": records.TombstoneRecord,
     "ShareRecord": records.ShareRecord,
     "PastRecord": records.FinalStateRecord,
     "JobRecord": records.JobRecord,
--- a/tests/test_written_names.py
+++ b/tests/test_written_names.py
@@ -10,7 +10,7 @@
 from msgspec import Struct
 
 from badgerroute.connectivity.modes import Mode
-from badgerroute.coordination.fleet import catalog
+from badgerroute.coordination.autoscaling import catalog
 from badgerroute.protocol import cloud, key_value, mesh, users, workers
 from badgerroute.settings import operator, platform
 from badgerroute.storage import records, replica
@@ -100,7 +100,7 @@
     ("storage.records.PartClaim", records.ShardLeaderRecord, None, False, "owner until handed"),
     ("storage.records.FleetClaim", records.AutoscalerLeaderRecord, None, False, "owner"),
     ("storage.records.MachineRecord", records.MachineRecord, None, False, "part address type zone spot"),
-    ("storage.records.DeletedMachinesRecord", records.DeletedMachinesRecord, None, False, "names"),
+    ("storage.records.DeletedMachinesRecord", records.TombstoneRecord, None, False, "names"),
     ("storage.records.DrainRecord", records.DrainRecord, None, False, "deadline delete"),
     ("storage.records.ShareRecord", records.ShareRecord, None, False, "shares"),
     ("storage.records.FinalStateRecord", records.FinalStateRecord, None, False, "state tasks at"),
@@ -137,7 +137,7 @@
         "host_name zone public_addr mesh_addr endpoints params siblings",
     ),
     ("settings.operator.Scheduling", operator.Scheduling, None, False, "tau delta rho period_s wait_cap_s round_ms"),
-    ("settings.operator.Fleet", operator.Fleet, None, False, "return_idle idle_s most_machines"),
+    ("settings.operator.Fleet", operator.FleetSettings, None, False, "return_idle idle_s most_machines"),
     ("settings.operator.Claims", operator.LeaderElection, None, False, "ttl_s"),
     (
         "settings.operator.Rebalancing",
@@ -178,7 +178,7 @@
     ("MACHINES", replica.MACHINES, "b/machines/"),
     ("SHARES", replica.SHARES, "b/shares/"),
     ("CATALOG", replica.CATALOG, "b/catalog"),
-    ("DELETED", replica.DELETED, "b/gone/"),
+    ("DELETED", replica.TOMBSTONES, "b/gone/"),
     ("DONE", replica.DONE, "b/done/"),
     ("PREDECESSORS", replica.PREDECESSORS, "b/before/"),
     ("DRAINS", replica.DRAINS, "b/drains/"),
