--- a/badgerroute/connectivity/modes.py
+++ b/badgerroute/connectivity/modes.py
@@ -30,7 +30,7 @@
     ANSWER_POLL = "answer_poll"
     STEAL = "steal"
     GIVE_WORK = "give_work"
-    MOVE_SHARE = "move_share"  # of a team's limit, from or to a shard
+    MOVE_QUOTA = "move_share"  # of a team's limit, from or to a shard
     ADD_MEMBER = "add_member"
     CLEAN_UP = "clean_up"  # of records that concern no shard
     LEND_MACHINES = "lend_machines"
@@ -67,7 +67,7 @@
     Action.ANSWER_POLL: (_ALLOWED, _ALLOWED, _MEMORY, _MEMORY, _ALLOWED, _MEMORY),
     Action.STEAL: (_GRACE, _GRACE, _REFUSED, _REFUSED, _REFUSED, _REFUSED),
     Action.GIVE_WORK: (_GRACE, _GRACE, _REFUSED, _REFUSED, _GRACE, _REFUSED),
-    Action.MOVE_SHARE: (_GRACE, _GRACE, _REFUSED, _REFUSED, _GRACE, _REFUSED),
+    Action.MOVE_QUOTA: (_GRACE, _GRACE, _REFUSED, _REFUSED, _GRACE, _REFUSED),
     Action.ADD_MEMBER: (_GRACE, _GRACE, _REFUSED, _REFUSED, _GRACE, _REFUSED),
     Action.CLEAN_UP: (_GRACE, _GRACE, _REFUSED, _REFUSED, _GRACE, _REFUSED),
     Action.LEND_MACHINES: (_GRACE, _GRACE, _REFUSED, _REFUSED, _REFUSED, _REFUSED),
--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -23,7 +23,7 @@
 from badgerroute.coordination.membership.leadership_transfer import LeadershipTransfer
 from badgerroute.coordination.membership.mesh import Mesh
 from badgerroute.coordination.membership.peers import Peers
-from badgerroute.coordination.quotas.team_quotas import TeamQuotas
+from badgerroute.coordination.quotas.quota_allocator import QuotaAllocator
 from badgerroute.coordination.requests.heartbeat_handler import HeartbeatHandler
 from badgerroute.coordination.requests.http_api import HttpApi
 from badgerroute.coordination.requests.mesh_messages import MeshMessages
@@ -124,7 +124,9 @@
         self.job_reader = JobReader(loop, self.store, self.replica, self.job_store)
         self.pager = RecordPager(self.store, self.replica, self.job_store, self.catalog)
         self.job_writer = JobWriter(loop, self.store, self.replica, self.job_store, self.job_reader, self.pager)
-        self.quotas = TeamQuotas(settings, loop, self.store, self.replica, self._push, self._leadership_condition)
+        self.quota_allocator = QuotaAllocator(
+            settings, loop, self.store, self.replica, self._push, self._leadership_condition
+        )
         self.pipelines = Pipelines(
             loop=loop,
             store=self.store,
@@ -222,13 +224,13 @@
             job_store=self.job_store,
             job_reader=self.job_reader,
             pager=self.pager,
-            quotas=self.quotas,
+            quota_allocator=self.quota_allocator,
             catalog=self.catalog,
             publish=self._push,
             guidance=guidance,
             progressed=self.progress_duty.progressed,
             delete_machines=self.autoscaler.delete,
-            ask_share=self.requests.ask_share,
+            request_quota=self.requests.request_quota,
             ask_machines=self.requests.ask_machines,
         )
         self.replica.listen(DONE, self._page_changed)
@@ -318,7 +320,7 @@
     async def _gossip_duty(self) -> None:
         while True:
             await self._loop.sleep(GOSSIP)
-            self.store.share(self.peers.in_use())
+            self.store.divide_rates(self.peers.in_use())
             if self.election.lease is not None:
                 self.mesh.broadcast(self._gossip())
             self.cancellation_broadcast.repeat()
--- a/badgerroute/coordination/quotas/__init__.py
+++ b/badgerroute/coordination/quotas/__init__.py
@@ -1,4 +1,4 @@
 """The shards' shares of each team's limit.
 
-Owns the share records. Imports nothing of the other coordination packages.
+Owns the quota records. Imports nothing of the other coordination packages.
 """
--- a/badgerroute/coordination/quotas/team_quotas.py
+++ b/badgerroute/coordination/quotas/quota_allocator.py
@@ -11,7 +11,7 @@
 from math import inf
 
 from badgerroute.protocol.key_value import Compare
-from badgerroute.protocol.mesh import ShareRequest
+from badgerroute.protocol.mesh import QuotaRequest
 from badgerroute.scheduling.model import EPSILON, Room
 from badgerroute.settings import Settings, Team
 from badgerroute.storage import records
@@ -25,16 +25,16 @@
     compare,
     put,
 )
-from badgerroute.storage.records import ShareRecord
-from badgerroute.storage.replica import SHARES, Replica
+from badgerroute.storage.records import QuotaRecord
+from badgerroute.storage.replica import QUOTA_ALLOCATIONS, Replica
 from badgerroute.transport.loop import Loop
 
-log = logging.getLogger("badgerroute.shares")
+log = logging.getLogger("badgerroute.allocations")
 NONE = (0.0, 0.0)
 ASK_AGAIN = timedelta(seconds=1)
 
 
-class TeamQuotas:
+class QuotaAllocator:
     """The shares that shards hold of teams' limits, as they are written down."""
 
     def __init__(
@@ -49,71 +49,71 @@
         self._loop, self._store, self._replica = loop, store, replica
         self._pushed, self._leadership_condition = pushed, condition
         self.teams: dict[str, Team] = {team.name: team for team in settings.params.teams}
-        self._records: dict[str, ShareRecord] = {}
+        self._records: dict[str, QuotaRecord] = {}
         self._asked: dict[tuple[int, str], timedelta] = {}
         self._writing: set[str] = set()
         self._committed: dict[tuple[int, str], tuple[float, float]] = {}  # lower bound while a write is on its way
-        replica.listen(SHARES, self._changed)
+        replica.listen(QUOTA_ALLOCATIONS, self._changed)
 
     def _changed(self, key: str, value: bytes | None, revision: int) -> None:
-        team = key.removeprefix(SHARES)
+        team = key.removeprefix(QUOTA_ALLOCATIONS)
         if value is None:
             self._records.pop(team, None)
         else:
-            self._records[team] = records.read(value, ShareRecord)
+            self._records[team] = records.read(value, QuotaRecord)
 
-    def _record(self, team: str) -> ShareRecord:
-        return self._records.get(team) or ShareRecord({})
+    def _record(self, team: str) -> QuotaRecord:
+        return self._records.get(team) or QuotaRecord({})
 
     def of(self, shard: int, team: str) -> tuple[float, float]:
         """What a shard may use of a team's limit; what has none needs no shares."""
-        share = self._held(shard, team)
+        allocation = self._allocation(shard, team)
         if team not in self.teams:
-            return share
+            return allocation
         cpus, gpus = self.teams[team].limits
-        return inf if cpus == inf else share[0], inf if gpus == inf else share[1]
+        return inf if cpus == inf else allocation[0], inf if gpus == inf else allocation[1]
 
-    def _held(self, shard: int, team: str) -> tuple[float, float]:
+    def _allocation(self, shard: int, team: str) -> tuple[float, float]:
         """A shard's share as it is written down. While we give some away, it counts as given already."""
-        share = self._record(team).shares.get(str(shard), NONE)
+        allocation = self._record(team).allocations.get(str(shard), NONE)
         low = self._committed.get((shard, team))
-        return share if low is None else (min(share[0], low[0]), min(share[1], low[1]))
+        return allocation if low is None else (min(allocation[0], low[0]), min(allocation[1], low[1]))
 
-    def unheld(self, team: str) -> Room:
+    def unallocated(self, team: str) -> Room:
         """What of a team's limit no shard holds."""
         cpus, gpus = self.teams[team].limits
-        held = self._record(team).shares.values()
-        return Room(cpus - sum(share[0] for share in held), gpus - sum(share[1] for share in held))
+        held = self._record(team).allocations.values()
+        return Room(cpus - sum(allocation[0] for allocation in held), gpus - sum(allocation[1] for allocation in held))
 
     def _limited(self, team: str, lack: Room) -> Room:
         """What is lacking of that which has a limit."""
         cpus, gpus = self.teams[team].limits
         return Room(0.0 if cpus == inf else lack.cpus, 0.0 if gpus == inf else lack.accelerators)
 
-    async def raise_own(self, shard: int, team: str, lack: Room) -> bool:
+    async def allocate(self, shard: int, team: str, lack: Room) -> bool:
         """Take what is lacking from what nobody holds; whether all of it was there."""
         if team not in self.teams or team in self._writing:
             return False
-        free, lack = self.unheld(team), self._limited(team, lack)
+        free, lack = self.unallocated(team), self._limited(team, lack)
         cpus = max(0.0, min(lack.cpus, free.cpus))
         gpus = max(0.0, min(lack.accelerators, free.accelerators))
         if cpus > EPSILON or gpus > EPSILON:
-            share = self._held(shard, team)
-            await self._write(team, shard, {shard: (share[0] + cpus, share[1] + gpus)})
+            allocation = self._allocation(shard, team)
+            await self._write(team, shard, {shard: (allocation[0] + cpus, allocation[1] + gpus)})
         return cpus >= lack.cpus - EPSILON and gpus >= lack.accelerators - EPSILON
 
     def ask(
         self, shard: int, team: str, lack: Room, age: timedelta, rank: tuple[float, float, float] | None, used: float
-    ) -> ShareRequest | None:
+    ) -> QuotaRequest | None:
         """The question to the peers, not more than once in a while."""
         now = self._loop.now()
         if now - self._asked.get((shard, team), -ASK_AGAIN) < ASK_AGAIN:
             return None
         self._asked[shard, team] = now
-        return ShareRequest(shard, team, lack.cpus, lack.accelerators, age.total_seconds(), rank, used)
+        return QuotaRequest(shard, team, lack.cpus, lack.accelerators, age.total_seconds(), rank, used)
 
-    async def give(self, giver: int, taker: int, team: str, lack: Room, cancel_deletion: Room) -> None:
-        """Move some of a shard's unused share to another shard."""
+    async def transfer(self, giver: int, taker: int, team: str, lack: Room, cancel_deletion: Room) -> None:
+        """Move some of a shard's unused quota to another shard."""
         if team not in self.teams or team in self._writing or giver == taker:
             return
         lack = self._limited(team, lack)
@@ -121,8 +121,8 @@
         gpus = max(0.0, min(lack.accelerators, cancel_deletion.accelerators))
         if cpus <= EPSILON and gpus <= EPSILON:
             return
-        mine = self._held(giver, team)
-        other = self._record(team).shares.get(str(taker), NONE)
+        mine = self._allocation(giver, team)
+        other = self._record(team).allocations.get(str(taker), NONE)
         low = (mine[0] - cpus, mine[1] - gpus)
         self._committed[giver, team] = low  # from now on nothing starts in what is being given
         try:
@@ -136,17 +136,17 @@
         condition = self._leadership_condition(writer)
         if condition is None:
             return False
-        shares = dict(self._record(team).shares)
-        for shard, share in changed.items():
-            shares[str(shard)] = (round(share[0], 6), round(share[1], 6))
+        allocations = dict(self._record(team).allocations)
+        for shard, allocation in changed.items():
+            allocations[str(shard)] = (round(allocation[0], 6), round(allocation[1], 6))
         cpus, gpus = self.teams[team].limits
         if (
-            sum(share[0] for share in shares.values()) > cpus + EPSILON
-            or sum(share[1] for share in shares.values()) > gpus + EPSILON
+            sum(allocation[0] for allocation in allocations.values()) > cpus + EPSILON
+            or sum(allocation[1] for allocation in allocations.values()) > gpus + EPSILON
         ):
             return False
-        key = SHARES + team
-        value = records.write(ShareRecord(shares))
+        key = QUOTA_ALLOCATIONS + team
+        value = records.write(QuotaRecord(allocations))
         revision = self._replica.revision_of(key)
         self._writing.add(team)
         try:
@@ -172,7 +172,7 @@
                     self._replica.learn(key, bytes(item.value), item.revision)
                 if not unknown or (item.revision if item else 0) != revision:
                     return
-                value = item.value if item else records.write(ShareRecord({}))
+                value = item.value if item else records.write(QuotaRecord({}))
                 at = await self._store.transact([compare(key, revision)], [put(key, value)], Urgency.COMPLETE)
                 self._replica.learn(key, bytes(value), at)
                 return
--- a/badgerroute/coordination/requests/mesh_messages.py
+++ b/badgerroute/coordination/requests/mesh_messages.py
@@ -46,8 +46,8 @@
                 self._on_push(message)
             case wire.StealRequest():
                 self._requests.on_steal(message)
-            case wire.ShareRequest():
-                self._requests.give_share(message)
+            case wire.QuotaRequest():
+                self._requests.grant_quota(message)
             case wire.MachineLoanRequest():
                 self._requests.lend(message)
             case wire.MisroutedHeartbeat():
--- a/badgerroute/coordination/requests/shard_requests.py
+++ b/badgerroute/coordination/requests/shard_requests.py
@@ -1,4 +1,4 @@
-"""Requests between shards: for waiting work, for share of a team's limit, for machines.
+"""Requests between shards: for waiting work, for quota of a team's limit, for machines.
 
 Each goes to the leader of what is asked for, ours or a peer's, who decides and writes. One that is lost costs time.
 """
@@ -11,7 +11,7 @@
 from badgerroute.coordination.membership.mesh import Mesh
 from badgerroute.coordination.membership.peers import Peers
 from badgerroute.coordination.shards.shard_leader import ShardLeader
-from badgerroute.protocol.mesh import FreeCapacity, MachineLoanRequest, ShardSummary, ShareRequest, StealRequest
+from badgerroute.protocol.mesh import FreeCapacity, MachineLoanRequest, QuotaRequest, ShardSummary, StealRequest
 from badgerroute.scheduling.capacities import fits_capacity
 from badgerroute.transport.loop import Group, Loop
 
@@ -82,15 +82,15 @@
         for leader in self._others(message.shard):
             self._group.spawn(leader.loans.lend(message), "lend")
 
-    def ask_share(self, message: ShareRequest) -> None:
-        """Ask every other shard for share of a team's limit."""
+    def request_quota(self, message: QuotaRequest) -> None:
+        """Ask every other shard for quota of a team's limit."""
         self._mesh.broadcast(message)
-        self.give_share(message)
+        self.grant_quota(message)
 
-    def give_share(self, message: ShareRequest) -> None:
+    def grant_quota(self, message: QuotaRequest) -> None:
         """Have our other shards give what they can spare."""
         for leader in self._others(message.shard):
-            self._group.spawn(leader.shares.give(message), "give-share")
+            self._group.spawn(leader.quota_exchange.grant(message), "grant-quota")
 
     def _others(self, shard: int) -> list[ShardLeader]:
         return [leader for leader in self._leaders.values() if leader.ready and leader.number != shard]
--- a/badgerroute/coordination/shards/migration.py
+++ b/badgerroute/coordination/shards/migration.py
@@ -80,8 +80,8 @@
         return None
 
     def short_teams(self) -> set[str]:
-        """Teams of which work waits here for want of a share: more of it would wait just as long."""
-        return {job.spec.team for job in self.shard.jobs.values() if self.shard.short_of_share(job)}
+        """Teams of which work waits here for want of quota: more of it would wait just as long."""
+        return {job.spec.team for job in self.shard.jobs.values() if self.shard.short_of_quota(job)}
 
     def has_work_for(self, capacities: list[mesh_wire.FreeCapacity], short: set[str]) -> bool:
         """Whether something waits here that the free room could soon be used for.
@@ -153,7 +153,7 @@
         # Room in two zones is no room for a gang that must lie in one: such a gang once waited for ever.
         zone = max(sorted(whole), key=lambda one: (min(job.spec.tasks, whole[one]), here[one]))
         lacking = job.spec.tasks - here[zone]
-        if lacking > 0 and self.shard.fits_share(job, job.spec.tasks) >= job.spec.tasks:
+        if lacking > 0 and self.shard.fits_quota(job, job.spec.tasks) >= job.spec.tasks:
             self._loan_request = (job.ref, now)
             self._passed_on[job.ref] = now
             spec = msgspec.structs.replace(job.spec, zone=zone) if zone else job.spec
--- a/badgerroute/coordination/shards/share_exchange.py
+++ b/badgerroute/coordination/shards/quota_exchange.py
@@ -1,4 +1,4 @@
-"""How a shard comes by shares of teams' limits, and what it gives of its own to other shards."""
+"""How a shard comes by teams' quotas, and what it gives of its own to other shards."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ShareShortage:
+class QuotaShortage:
     """What jobs of one rank lack together of their team's limit, and the age of the oldest."""
 
     rank: tuple[float, float, float]
@@ -24,29 +24,29 @@
     age: timedelta
 
 
-class ShareExchange:
+class QuotaExchange:
     """One shard's dealings in shares."""
 
     def __init__(self, shard: Shard, planner: Planner, services: Services) -> None:
         self._shard, self._planner = shard, planner
-        self._loop, self._policy, self._quotas = services.loop, services.policy, services.quotas
-        self._ask: Callable[[mesh_wire.ShareRequest], None] = services.ask_share
+        self._loop, self._policy, self._quota_allocator = services.loop, services.policy, services.quota_allocator
+        self._ask: Callable[[mesh_wire.QuotaRequest], None] = services.request_quota
 
     async def seek(self) -> None:
         """Take what the shard's teams lack from what nobody holds, or ask the peers for it."""
         for team, lack in self._planner.take_shortages().items():
-            if not await self._quotas.raise_own(self._shard.number, team, lack):
+            if not await self._quota_allocator.allocate(self._shard.number, team, lack):
                 first = self._first_short(team)
                 if first is None:
                     continue
                 used = self._shard.usage[team].cpus
-                message = self._quotas.ask(self._shard.number, team, first.lack, first.age, first.rank, used)
+                message = self._quota_allocator.ask(self._shard.number, team, first.lack, first.age, first.rank, used)
                 if message is not None:
                     self._ask(message)
 
-    def _first_short(self, team: str) -> ShareShortage | None:
+    def _first_short(self, team: str) -> QuotaShortage | None:
         """What those of a team's jobs lack that come first in the order of service."""
-        short = [job for job in self._shard.jobs.values() if job.spec.team == team and self._shard.short_of_share(job)]
+        short = [job for job in self._shard.jobs.values() if job.spec.team == team and self._shard.short_of_quota(job)]
         if not short:
             return None
         rank, now, lack = min(self._planner.rank(job) for job in short), self._loop.now(), Room()
@@ -55,31 +55,31 @@
             count = job.startable
             lack.cpus += count * job.need.cpus
             lack.accelerators += count * job.need.accelerators
-        return ShareShortage(rank, lack, max(now - job.accepted for job in first))
+        return QuotaShortage(rank, lack, max(now - job.accepted for job in first))
 
-    async def give(self, message: mesh_wire.ShareRequest) -> None:
-        """Another shard lacks a share: give what we neither use nor can use soon, or what it has the better use for."""
+    async def grant(self, message: mesh_wire.QuotaRequest) -> None:
+        """Another shard lacks quota: give what we neither use nor can use soon, or what it has the better use for."""
         team = message.team
-        if not self._shard.settled or not self._policy.allows_for(self._shard.number, Action.MOVE_SHARE):
+        if not self._shard.settled or not self._policy.allows_for(self._shard.number, Action.MOVE_QUOTA):
             return
-        cpus, gpus = self._quotas.of(self._shard.number, team)
+        cpus, gpus = self._quota_allocator.of(self._shard.number, team)
         used = self._shard.usage[team]
         lack = Room(message.cpus, message.accelerators)
         cancel_deletion = Room(cpus - used.cpus, gpus - used.accelerators)
-        keep = self._share_to_yield(message, lack, cancel_deletion)
+        keep = self._quota_to_yield(message, lack, cancel_deletion)
         if keep is None:
             cancel_deletion.take(self._soon(message))
         else:
             lack = keep
-        await self._quotas.give(self._shard.number, message.shard, team, lack, cancel_deletion)
+        await self._quota_allocator.transfer(self._shard.number, message.shard, team, lack, cancel_deletion)
 
-    def _soon(self, message: mesh_wire.ShareRequest) -> Room:
+    def _soon(self, message: mesh_wire.QuotaRequest) -> Room:
         """What a team's jobs that wait here could use of its share."""
         soon = Room()
         for job in self._shard.jobs.values():
             if job.spec.team != message.team:
                 continue
-            if self._shard.short_of_share(job) and (message.age_s, -message.shard) > (
+            if self._shard.short_of_quota(job) and (message.age_s, -message.shard) > (
                 (self._loop.now() - job.accepted).total_seconds(),
                 -self._shard.number,
             ):
@@ -93,7 +93,7 @@
                 soon.accelerators += min(count, room) * job.need.accelerators
         return soon
 
-    def _share_to_yield(self, message: mesh_wire.ShareRequest, lack: Room, cancel_deletion: Room) -> Room | None:
+    def _quota_to_yield(self, message: mesh_wire.QuotaRequest, lack: Room, cancel_deletion: Room) -> Room | None:
         """How much of our share another shard should have though work waits for it here; None: nothing.
 
         All that it lacks, if its jobs come before ours; if they are equal, so much that both use the same. What is not
@@ -111,7 +111,7 @@
         if message.rank == min(ranks):
             kept = self._shard.reserved_for_peers.get(message.team, (Room(), ZERO))[0]  # free by now, but not for us
             more = (self._shard.usage[message.team].cpus + kept.cpus - message.used) / 2
-            if more <= UNEVEN * self._quotas.of(self._shard.number, message.team)[0]:
+            if more <= UNEVEN * self._quota_allocator.of(self._shard.number, message.team)[0]:
                 return None
             wanted = Room(min(wanted.cpus, more), wanted.accelerators)
         missing = Room(
--- a/badgerroute/coordination/shards/services.py
+++ b/badgerroute/coordination/shards/services.py
@@ -9,9 +9,9 @@
 from badgerroute.coordination.jobs.record_paging import RecordPager
 from badgerroute.coordination.leadership.action_policy import ActionPolicy
 from badgerroute.coordination.leadership.leader_election import LeaderElection
-from badgerroute.coordination.quotas.team_quotas import TeamQuotas
+from badgerroute.coordination.quotas.quota_allocator import QuotaAllocator
 from badgerroute.protocol.cloud import MachineType
-from badgerroute.protocol.mesh import MachineLoanRequest, ShareRequest
+from badgerroute.protocol.mesh import MachineLoanRequest, QuotaRequest
 from badgerroute.scheduling.guidance import Guidance
 from badgerroute.settings import Settings
 from badgerroute.storage.key_value_client import KeyValueClient
@@ -37,11 +37,11 @@
     job_store: JobStore
     job_reader: JobReader
     pager: RecordPager
-    quotas: TeamQuotas
+    quota_allocator: QuotaAllocator
     catalog: dict[str, MachineType]
     publish: Publish  # tells the peers of a change of ours
     progressed: Callable[[], None]  # there is progress to be written down
     delete_machines: Callable[[list[str]], None]
     guidance: Callable[[int], Guidance]  # for a shard, by its number
-    ask_share: Callable[[ShareRequest], None]
+    request_quota: Callable[[QuotaRequest], None]
     ask_machines: Callable[[MachineLoanRequest], None]
--- a/badgerroute/coordination/shards/shard_leader.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -14,9 +14,9 @@
 from badgerroute.coordination.shards.machine_loans import MachineLoans
 from badgerroute.coordination.shards.member_registry import MemberRegistry
 from badgerroute.coordination.shards.migration import WorkMigration
+from badgerroute.coordination.shards.quota_exchange import QuotaExchange
 from badgerroute.coordination.shards.services import Services
 from badgerroute.coordination.shards.shard_log import log_state
-from badgerroute.coordination.shards.share_exchange import ShareExchange
 from badgerroute.coordination.shards.tombstone_writer import TombstoneWriter
 from badgerroute.coordination.shards.urgent_halts import UrgentHalts
 from badgerroute.protocol import mesh as mesh_wire
@@ -61,11 +61,11 @@
         self._progressed, self._delete = services.progressed, services.delete_machines
         params = self._settings.params
         self.group = Group(self._loop, f"{services.group.name}/shard-{number}")
-        quotas, now = services.quotas, self._loop.now()
+        quota_allocator, now = services.quota_allocator, self._loop.now()
         self.shard = Shard(
             number,
             leadership.term,
-            lambda team: quotas.of(number, team),
+            lambda team: quota_allocator.of(number, team),
             now,
             params.workers.lease,
             self._job_store.undecided,
@@ -86,7 +86,7 @@
             self.shard, self.planner, services, self.group, lambda: self.ready, self.job_changed
         )
         self.loans = MachineLoans(self.shard, services, self.group, lambda: self.ready)
-        self.shares = ShareExchange(self.shard, self.planner, services)
+        self.quota_exchange = QuotaExchange(self.shard, self.planner, services)
         self.tombstone_writer = TombstoneWriter(self.shard, services)
         self.progress: set[str] = set()
         self._summary: tuple[timedelta, mesh_wire.ShardSummary] | None = None
@@ -271,8 +271,8 @@
                     self.planner.make_room_for_arrays(now, over)
             self.planner.feedback(now)
             self._urgent_halts.send()
-            if self._policy.allows_for(self.number, Action.MOVE_SHARE):
-                await self.shares.seek()
+            if self._policy.allows_for(self.number, Action.MOVE_QUOTA):
+                await self.quota_exchange.seek()
 
     async def _log_state(self) -> None:
         while True:
--- a/badgerroute/protocol/mesh.py
+++ b/badgerroute/protocol/mesh.py
@@ -101,11 +101,11 @@
     thief: int
     capacities: list[FreeCapacity] = field(name="bins")
     images: dict[str, tuple[float, float]]
-    short: list[str] = []  # teams of which work waits at the thief already, for want of a share
+    short: list[str] = []  # teams of which work waits at the thief already, for want of quota
 
 
-class ShareRequest(Struct, tag="lack"):
-    """A shard lacks a share of a team's limit; who has it unused may give it."""
+class QuotaRequest(Struct, tag="lack"):
+    """A shard lacks quota of a team's limit; who has it unused may give it."""
 
     shard: int = field(name="part")
     team: str
@@ -169,7 +169,7 @@
     Gossip
     | Push
     | StealRequest
-    | ShareRequest
+    | QuotaRequest
     | MachineLoanRequest
     | MisroutedHeartbeat
     | CancellationNotice
--- a/badgerroute/rebalancing/moves.py
+++ b/badgerroute/rebalancing/moves.py
@@ -99,7 +99,7 @@
 
     def _may_gain(self, job: Job, now: timedelta) -> bool:
         """Whether a job has waited long enough for want of room, and of nothing else."""
-        if job.failing or now - job.since < HEARTBEATS_BEFORE_MOVE * self._heartbeat or self._shard.short_of_share(job):
+        if job.failing or now - job.since < HEARTBEATS_BEFORE_MOVE * self._heartbeat or self._shard.short_of_quota(job):
             return False
         needed = self._tasks_at_once(job)
         if job.placed and job.gang:
--- a/badgerroute/rebalancing/waits.py
+++ b/badgerroute/rebalancing/waits.py
@@ -103,7 +103,7 @@
         found: dict[ClassKey, _Pending] = {}
         for job in shard.jobs.values():
             count = job.startable
-            if not count or job.failing or job.blocked_until > now or shard.short_of_share(job):
+            if not count or job.failing or job.blocked_until > now or shard.short_of_quota(job):
                 continue
             pending = found.setdefault(self._key(job), _Pending(new_histogram()))
             pending.tasks += count
--- a/badgerroute/scheduling/array_placement.py
+++ b/badgerroute/scheduling/array_placement.py
@@ -145,7 +145,7 @@
             return False
         if self._order.yields_to_gang(job):
             return False
-        if not self._shard.fits_share(job):
+        if not self._shard.fits_quota(job):
             self._rules.lacks(job, bits.bit_count())
             return False
         index = lowest(bits)
--- a/badgerroute/scheduling/gang_placement.py
+++ b/badgerroute/scheduling/gang_placement.py
@@ -70,7 +70,7 @@
 
     def _place_gang(self, job: Job, now: timedelta, make_room: bool) -> bool:
         tasks = job.waiting_bits.bit_count()
-        if self._shard.fits_share(job, tasks) < tasks:
+        if self._shard.fits_quota(job, tasks) < tasks:
             self._rules.lacks(job, tasks)
             return False
         wait = now - job.since
@@ -178,8 +178,8 @@
             and job.ref not in holders
             and job.waiting_bits
             and now - job.since >= self._preemption.patience(job)
-            and not self._lacks_share(job)  # else no other shard could place it either
+            and not self._lacks_quota(job)  # else no other shard could place it either
         ]
 
-    def _lacks_share(self, job: Job) -> bool:
-        return self._shard.fits_share(job, job.spec.tasks) < job.spec.tasks
+    def _lacks_quota(self, job: Job) -> bool:
+        return self._shard.fits_quota(job, job.spec.tasks) < job.spec.tasks
--- a/badgerroute/scheduling/placement_rules.py
+++ b/badgerroute/scheduling/placement_rules.py
@@ -13,14 +13,14 @@
 
 
 class PlacementRules:
-    """`short_of_share` is what teams lacked of their limits since somebody last took it away."""
+    """`short_of_quota` is what teams lacked of their limits since somebody last took it away."""
 
     def __init__(
         self, shard: Shard, order: ServiceOrder, settings: Scheduling, objectives: Objectives, heartbeat: timedelta
     ) -> None:
         self._shard, self._order, self._settings = shard, order, settings
         self._objectives, self._heartbeat = objectives, heartbeat
-        self.short_of_share: dict[str, Room] = {}
+        self.short_of_quota: dict[str, Room] = {}
 
     def allowed(self, job: Job, machine: Machine, wait: timedelta) -> ladder.Rung:
         """The highest rung that a task which has waited so long may use on a machine."""
@@ -48,6 +48,6 @@
 
     def lacks(self, job: Job, tasks: int) -> None:
         """Note what a job's team lacks of its limit for so many tasks."""
-        lack = self.short_of_share.setdefault(job.spec.team, Room())
+        lack = self.short_of_quota.setdefault(job.spec.team, Room())
         lack.cpus = max(lack.cpus, job.need.cpus * tasks)
         lack.accelerators = max(lack.accelerators, job.need.accelerators * tasks)
--- a/badgerroute/scheduling/planner.py
+++ b/badgerroute/scheduling/planner.py
@@ -105,7 +105,7 @@
 
     def take_shortages(self) -> dict[str, Room]:
         """What teams lacked of their limits in the last rounds; asked for once."""
-        short, self._rules.short_of_share = self._rules.short_of_share, {}
+        short, self._rules.short_of_quota = self._rules.short_of_quota, {}
         return short
 
     def feedback(self, now: timedelta) -> None:
--- a/badgerroute/scheduling/preemption.py
+++ b/badgerroute/scheduling/preemption.py
@@ -183,7 +183,7 @@
         bits = job.waiting_bits
         if not bits or now - min(job.requeued.get(lowest(bits), job.since), now) < patience:
             return 0
-        wanted = min(bits.bit_count(), self._shard.fits_share(job, most), most)
+        wanted = min(bits.bit_count(), self._shard.fits_quota(job, most), most)
         for machine in self.candidates(job, now, free=True):
             if wanted <= 0:
                 break
--- a/badgerroute/scheduling/service_order.py
+++ b/badgerroute/scheduling/service_order.py
@@ -20,7 +20,7 @@
         self.least_need = Room()  # no array task that waits takes less than this
         self.images = ladder.ImageLocations([])
         self._tiers: dict[str, float] = {}
-        self._short_gangs: dict[str, list[Job]] = {}  # team -> gangs that wait for want of a share
+        self._short_gangs: dict[str, list[Job]] = {}  # team -> gangs that wait for want of quota
         self._ordered_at = -timedelta(days=1)
 
     def refresh(self, now: timedelta) -> None:
@@ -37,7 +37,7 @@
         self.jobs = waiting
         self._short_gangs = {}
         for job in waiting:
-            if job.gang and not job.placed and not job.failing and self._shard.short_of_share(job):
+            if job.gang and not job.placed and not job.failing and self._shard.short_of_quota(job):
                 self._short_gangs.setdefault(job.spec.team, []).append(job)
         arrays = [job.need for job in waiting if not job.gang]
         self.least_need = Room(
@@ -63,7 +63,7 @@
         return float(-job.level), float(not job.guaranteed), float(self._tiers.get(job.ref, job.tier))
 
     def yields_to_gang(self, job: Job) -> bool:
-        """Whether a gang that comes before a job lacks a share of their team's limit here.
+        """Whether a gang that comes before a job lacks quota of their team's limit here.
 
         What becomes free of the share, or comes from other shards, is then kept for the gang. It needs much at once:
         the team's lesser tasks need little each. They took it piece by piece, and gangs waited for two minutes beside
--- a/badgerroute/scheduling/shard.py
+++ b/badgerroute/scheduling/shard.py
@@ -60,7 +60,7 @@
         self,
         number: int,
         term: int,
-        shares: Callable[[str], tuple[float, float]],
+        allocations: Callable[[str], tuple[float, float]],
         now: timedelta,
         lease: timedelta = timedelta(seconds=10),
         undecided: Callable[[str], bool] = lambda ref: False,
@@ -71,7 +71,7 @@
         self.guidance = guidance
         self.undecided = undecided  # of jobs that are not here: whether they may have been released all the same
         self.fence = term  # machines must have seen at least this before their lists are the last word
-        self.shares = shares
+        self.allocations = allocations
         self.led_since = now
         self.machines: dict[str, Machine] = {}
         self.jobs: dict[str, Job] = {}
@@ -192,9 +192,9 @@
         self._counter += 1
         return (self.term << ATTEMPT_BITS) | self._counter
 
-    def fits_share(self, job: Job, tasks: int = 1) -> int:
+    def fits_quota(self, job: Job, tasks: int = 1) -> int:
         """How many of so many tasks the team's share still has room for."""
-        cpus, accelerators = self.shares(job.spec.team)
+        cpus, accelerators = self.allocations(job.spec.team)
         if job.spec.team in self.reserved_for_peers:
             kept = self.reserved_for_peers[job.spec.team][0]
             cpus, accelerators = cpus - kept.cpus, accelerators - kept.accelerators
@@ -216,10 +216,10 @@
         for team in [team for team, (_, until) in self.reserved_for_peers.items() if until < now]:
             del self.reserved_for_peers[team]
 
-    def short_of_share(self, job: Job) -> bool:
-        """Whether a job waits for want of a share: a gang for the whole of it, an array for that of one task."""
+    def short_of_quota(self, job: Job) -> bool:
+        """Whether a job waits for want of quota: a gang for the whole of it, an array for that of one task."""
         needed = job.spec.tasks if job.gang else 1
-        return job.startable > 0 and self.fits_share(job, needed) < needed
+        return job.startable > 0 and self.fits_quota(job, needed) < needed
 
     def room_for(self, job: Job) -> int:
         """How many of a job's tasks the free room of machines that it may use would hold."""
--- a/badgerroute/scheduling/shard_state.py
+++ b/badgerroute/scheduling/shard_state.py
@@ -23,8 +23,8 @@
     machines: dict[str, Machine]
     jobs: dict[str, Job]
 
-    def short_of_share(self, job: Job) -> bool:
-        """Whether a job waits only for a share of its team's limit."""
+    def short_of_quota(self, job: Job) -> bool:
+        """Whether a job waits only for quota of its team's limit."""
 
 
 class ShardState(ShardView, Protocol):
--- a/badgerroute/storage/key_value_client.py
+++ b/badgerroute/storage/key_value_client.py
@@ -106,7 +106,7 @@
     def _rates(limit: float, size: int) -> tuple[float, float]:
         return limit * SLACK / size, limit * SLACK / size
 
-    def share(self, size: int) -> None:
+    def divide_rates(self, size: int) -> None:
         """Divide the limits among so many: what a dead controller can't use serves the others."""
         self._size = size
         self._reads.limit(*self._rates(self._rps, size))
@@ -117,7 +117,7 @@
         if (self._rps, self._write_rps) != self._limits.lower_rates:
             self._rps, self._write_rps = self._limits.lower_rates
             log.info("event=limits_lowered by=%s rps=%g write_rps=%g", why, self._rps, self._write_rps)
-            self.share(self._size)
+            self.divide_rates(self._size)
 
     def _over_limit(self) -> None:
         """Now and then two controllers' bursts meet; again and again means that less is allowed than was."""
--- a/badgerroute/storage/records.py
+++ b/badgerroute/storage/records.py
@@ -48,10 +48,10 @@
     delete: bool = False  # at the cloud, once it is empty
 
 
-class ShareRecord(Struct):
+class QuotaRecord(Struct):
     """How much of a team's limit each shard may use: shard number -> [cpus, accelerators]."""
 
-    shares: dict[str, tuple[float, float]]
+    allocations: dict[str, tuple[float, float]] = field(name="shares")
 
 
 class JobState(StrEnum):
--- a/badgerroute/storage/replica.py
+++ b/badgerroute/storage/replica.py
@@ -20,7 +20,7 @@
     JOBS,
     FINAL_STATES,
     MACHINES,
-    SHARES,
+    QUOTA_ALLOCATIONS,
     CATALOG,
     TOMBSTONES,
     DONE,
@@ -41,7 +41,7 @@
 )
 # What jobs need beside their records is listed first, so that it is there when they are. Finished jobs are for ever,
 # and too many to hold.
-LISTED = (DONE, PREDECESSORS, SHARD_LEADERS, AUTOSCALER_LEADER, JOBS, MACHINES, SHARES, CATALOG, TOMBSTONES)
+LISTED = (DONE, PREDECESSORS, SHARD_LEADERS, AUTOSCALER_LEADER, JOBS, MACHINES, QUOTA_ALLOCATIONS, CATALOG, TOMBSTONES)
 NOWHERE = PREFIX + "nowhere"  # a key that never exists
 BLOCK = timedelta(seconds=1)
 PAUSE = timedelta(milliseconds=150)  # between two watches: each one counts as a request
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from badgerroute.coordination.quotas.team_quotas import TeamQuotas
+from badgerroute.coordination.quotas.quota_allocator import QuotaAllocator
 from badgerroute.coordination.requests.users import Users, answer
 from badgerroute.coordination.shards import forecast
 from badgerroute.coordination.shards.machine_commands import MachineCommands
@@ -463,9 +463,9 @@
     monkeypatch.setattr("badgerroute.scheduling.model.Machine.usable", property(lambda self: True))
 
 
-def share_given_while_used(day: Day, monkeypatch: pytest.MonkeyPatch) -> None:
+def quota_given_while_used(day: Day, monkeypatch: pytest.MonkeyPatch) -> None:
     """Leaders that ignore what they use when they count what fits their share."""
-    monkeypatch.setattr("badgerroute.scheduling.shard.Shard.fits_share", lambda self, job, tasks=1: tasks)
+    monkeypatch.setattr("badgerroute.scheduling.shard.Shard.fits_quota", lambda self, job, tasks=1: tasks)
 
 
 def start_in_do(day: Day, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -498,7 +498,7 @@
 @pytest.mark.cheats
 @pytest.mark.parametrize(
     ("cheat", "rule"),
-    [(skip_fencing, "ran_twice"), (share_given_while_used, "quota"), (start_in_do, "start_in_do")],
+    [(skip_fencing, "ran_twice"), (quota_given_while_used, "quota"), (start_in_do, "start_in_do")],
     ids=["skip_fencing", "share_given_while_used", "start_in_do"],
 )
 def test_checker_catches(cheat: Callable, rule: str, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -676,17 +676,17 @@
     assert day.rules.broken == []
 
 
-def test_share_moves_only_while_unused(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_quota_moves_only_while_unused(monkeypatch: pytest.MonkeyPatch) -> None:
     """A share that is being given away counts as given before the write is known to be applied."""
     seen: list[tuple[float, float]] = []
-    real = TeamQuotas._write
+    real = QuotaAllocator._write
 
-    async def write(self: TeamQuotas, team: str, writer: int, changed: dict) -> bool:
+    async def write(self: QuotaAllocator, team: str, writer: int, changed: dict) -> bool:
         if len(changed) == 2:
             seen.append((self.of(writer, team)[0], changed[writer][0]))
         return await real(self, team, writer, changed)
 
-    monkeypatch.setattr(TeamQuotas, "_write", write)
+    monkeypatch.setattr(QuotaAllocator, "_write", write)
     day = Day(seed=5)
     play(day, nothing)
     assert seen, "shares had to move on this day"
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -31,7 +31,7 @@
     "FleetClaim": records.AutoscalerLeaderRecord,
     "MachineRecord": records.MachineRecord,
     "GoneRecord": records.TombstoneRecord,
-    "ShareRecord": records.ShareRecord,
+    "ShareRecord": records.QuotaRecord,
     "PastRecord": records.FinalStateRecord,
     "JobRecord": records.JobRecord,
 }
@@ -39,7 +39,7 @@
     "Gossip": mesh.Gossip,
     "Push": mesh.Push,
     "Steal": mesh.StealRequest,
-    "Lack": mesh.ShareRequest,
+    "Lack": mesh.QuotaRequest,
     "Borrow": mesh.MachineLoanRequest,
     "Knock": mesh.MisroutedHeartbeat,
     "Withdrawn": mesh.CancellationNotice,
