--- a/badgerroute/connectivity/modes.py
+++ b/badgerroute/connectivity/modes.py
@@ -33,7 +33,7 @@
     MOVE_QUOTA = "move_share"  # of a team's limit, from or to a shard
     ADD_MEMBER = "add_member"
     CLEAN_UP = "clean_up"  # of records that concern no shard
-    LEND_MACHINES = "lend_machines"
+    TRANSFER_MACHINES = "lend_machines"
     RENT = "rent"
     RETURN_IDLE = "return_idle"
     GIVE_UP_MACHINE = "give_up_machine"  # have a machine deleted because it is silent
@@ -70,7 +70,7 @@
     Action.MOVE_QUOTA: (_GRACE, _GRACE, _REFUSED, _REFUSED, _GRACE, _REFUSED),
     Action.ADD_MEMBER: (_GRACE, _GRACE, _REFUSED, _REFUSED, _GRACE, _REFUSED),
     Action.CLEAN_UP: (_GRACE, _GRACE, _REFUSED, _REFUSED, _GRACE, _REFUSED),
-    Action.LEND_MACHINES: (_GRACE, _GRACE, _REFUSED, _REFUSED, _REFUSED, _REFUSED),
+    Action.TRANSFER_MACHINES: (_GRACE, _GRACE, _REFUSED, _REFUSED, _REFUSED, _REFUSED),
     Action.RENT: (_GRACE, _GRACE, _GRACE, _REFUSED, _GRACE, _REFUSED),
     Action.RETURN_IDLE: (_GRACE, _GRACE, _GRACE, _REFUSED, _REFUSED, _REFUSED),
     Action.GIVE_UP_MACHINE: (_ALLOWED, _ALLOWED, _ALLOWED, _REFUSED, _REFUSED, _REFUSED),
--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -231,7 +231,7 @@
             progressed=self.progress_duty.progressed,
             delete_machines=self.autoscaler.delete,
             request_quota=self.requests.request_quota,
-            ask_machines=self.requests.ask_machines,
+            request_machines=self.requests.request_machines,
         )
         self.replica.listen(DONE, self._page_changed)
         self.replica.listen(JOBS, self._job_changed)
--- a/badgerroute/coordination/requests/mesh_messages.py
+++ b/badgerroute/coordination/requests/mesh_messages.py
@@ -48,8 +48,8 @@
                 self._requests.on_steal(message)
             case wire.QuotaRequest():
                 self._requests.grant_quota(message)
-            case wire.MachineLoanRequest():
-                self._requests.lend(message)
+            case wire.MachineRequest():
+                self._requests.transfer_machines(message)
             case wire.MisroutedHeartbeat():
                 self._group.spawn(self._leadership_transfer.on_misrouted_heartbeat(message), "misdirected")
             case wire.ForwardedRequest():
--- a/badgerroute/coordination/requests/shard_requests.py
+++ b/badgerroute/coordination/requests/shard_requests.py
@@ -11,7 +11,7 @@
 from badgerroute.coordination.membership.mesh import Mesh
 from badgerroute.coordination.membership.peers import Peers
 from badgerroute.coordination.shards.shard_leader import ShardLeader
-from badgerroute.protocol.mesh import FreeCapacity, MachineLoanRequest, QuotaRequest, ShardSummary, StealRequest
+from badgerroute.protocol.mesh import FreeCapacity, MachineRequest, QuotaRequest, ShardSummary, StealRequest
 from badgerroute.scheduling.capacities import fits_capacity
 from badgerroute.transport.loop import Group, Loop
 
@@ -72,15 +72,15 @@
         if leader is not None and leader.ready:
             self._group.spawn(leader.migration.on_steal(message), "steal")
 
-    def ask_machines(self, message: MachineLoanRequest) -> None:
+    def request_machines(self, message: MachineRequest) -> None:
         """Ask every other shard for empty machines."""
         self._mesh.broadcast(message)
-        self.lend(message)
+        self.transfer_machines(message)
 
-    def lend(self, message: MachineLoanRequest) -> None:
-        """Have our other shards lend what they can."""
+    def transfer_machines(self, message: MachineRequest) -> None:
+        """Have our other shards transfer what they can."""
         for leader in self._others(message.shard):
-            self._group.spawn(leader.loans.lend(message), "lend")
+            self._group.spawn(leader.machine_transfers.transfer(message), "lend")
 
     def request_quota(self, message: QuotaRequest) -> None:
         """Ask every other shard for quota of a team's limit."""
--- a/badgerroute/coordination/shards/machine_loans.py
+++ b/badgerroute/coordination/shards/machine_transfers.py
@@ -1,4 +1,4 @@
-"""Machine loans: the leader of empty machines gives them to a shard that is too small for a gang, in one write."""
+"""Machine transfers: the leader of empty machines gives them to a shard that is too small for a gang, in one write."""
 
 import logging
 from collections.abc import Callable
@@ -7,7 +7,7 @@
 from badgerroute.connectivity.modes import Action
 from badgerroute.coordination.shards.services import Services
 from badgerroute.protocol.key_value import Put
-from badgerroute.protocol.mesh import MachineLoanRequest
+from badgerroute.protocol.mesh import MachineRequest
 from badgerroute.scheduling.model import Machine, allows, need_of
 from badgerroute.scheduling.shard import Shard
 from badgerroute.storage import records
@@ -27,7 +27,7 @@
 log = logging.getLogger("badgerroute.migration")
 
 
-class MachineLoans:
+class MachineTransfers:
     """`active` tells whether the shard's leader is still the one it was."""
 
     def __init__(self, shard: Shard, services: Services, group: Group, active: Callable[[], bool]) -> None:
@@ -38,9 +38,9 @@
 
     def _acting(self) -> bool:
         """A leader that has ended must give nothing away, even if this controller holds the shard again."""
-        return self._active() and self._policy.allows_for(self._shard.number, Action.LEND_MACHINES)
+        return self._active() and self._policy.allows_for(self._shard.number, Action.TRANSFER_MACHINES)
 
-    async def lend(self, message: MachineLoanRequest) -> None:
+    async def transfer(self, message: MachineRequest) -> None:
         """Give empty machines to a shard that is too small for a gang, in one conditional write.
 
         Only a machine with nothing on it and no start on its way is given, and from before the write on nothing
@@ -48,7 +48,7 @@
         """
         if not self._shard.settled or not self._acting():
             return
-        given = self._lendable(message)
+        given = self._transferable(message)
         if not given:
             return
         puts = [self._transfer(machine, message.shard) for machine in given]
@@ -75,19 +75,19 @@
                 self._replica.learn(change.key, bytes(change.value), at)
                 self._publish(change.key, bytes(change.value), at)
 
-    def _lendable(self, message: MachineLoanRequest) -> list[Machine]:
+    def _transferable(self, message: MachineRequest) -> list[Machine]:
         """Empty machines for as many of the gang's tasks as are asked for."""
         need = need_of(message.job)
-        lendable: list[Machine] = []
+        transferable: list[Machine] = []
         slots = 0
         for machine in self._shard.machines.values():
-            if slots >= message.count or len(lendable) >= self._store.max_changes:
+            if slots >= message.count or len(transferable) >= self._store.max_changes:
                 break
             fits = machine.usable and machine.empty and machine.held_for is None and machine.free.holds(need)
             if fits and allows(message.job, machine.kind.name, machine.zone, machine.spot):
                 slots += machine.free.times(need)
-                lendable.append(machine)
-        return lendable
+                transferable.append(machine)
+        return transferable
 
     @staticmethod
     def _transfer(machine: Machine, shard: int) -> Put:
--- a/badgerroute/coordination/shards/migration.py
+++ b/badgerroute/coordination/shards/migration.py
@@ -68,15 +68,15 @@
         self._store, self._replica, self._election = services.store, services.replica, services.election
         self._policy = services.policy
         self._job_store, self._job_reader, self._pager = services.job_store, services.job_reader, services.pager
-        self._publish, self._ask_machines = services.publish, services.ask_machines
+        self._publish, self._ask_machines = services.publish, services.request_machines
         self._active, self._changed = active, changed
         self._passed_on: dict[str, timedelta] = {}
-        self._loan_request: tuple[str, timedelta] | None = None  # gang, and since when
+        self._machine_request: tuple[str, timedelta] | None = None  # gang, and since when
 
     def gathering(self, now: timedelta) -> str | None:
         """The gang for which machines were asked lately: what comes now comes for it."""
-        if self._loan_request is not None and now - self._loan_request[1] < PASS_ON_PAUSE:
-            return self._loan_request[0]
+        if self._machine_request is not None and now - self._machine_request[1] < PASS_ON_PAUSE:
+            return self._machine_request[0]
         return None
 
     def short_teams(self) -> set[str]:
@@ -122,7 +122,7 @@
             if record is None:
                 continue
             if not options:
-                self._request_loan(job, now, others)
+                self._request_machines(job, now, others)
                 continue
             target = min(
                 options,
@@ -138,7 +138,7 @@
             log.info("event=gang_passed_on job=%s from=%d to=%d", job.ref, self.number, target.shard)
             await self._write_steal([(job.ref, moved)], target.shard)
 
-    def _request_loan(self, job: Job, now: timedelta, others: list[mesh_wire.ShardSummary]) -> None:
+    def _request_machines(self, job: Job, now: timedelta, others: list[mesh_wire.ShardSummary]) -> None:
         """No shard could hold the gang: gather empty machines here until it fits."""
         here: Counter[str] = Counter()  # by zone, if it must lie in one
         for machine, room in self.planner.room_without(job.level):
@@ -154,10 +154,10 @@
         zone = max(sorted(whole), key=lambda one: (min(job.spec.tasks, whole[one]), here[one]))
         lacking = job.spec.tasks - here[zone]
         if lacking > 0 and self.shard.fits_quota(job, job.spec.tasks) >= job.spec.tasks:
-            self._loan_request = (job.ref, now)
+            self._machine_request = (job.ref, now)
             self._passed_on[job.ref] = now
             spec = msgspec.structs.replace(job.spec, zone=zone) if zone else job.spec
-            self._ask_machines(mesh_wire.MachineLoanRequest(self.number, spec, lacking))
+            self._ask_machines(mesh_wire.MachineRequest(self.number, spec, lacking))
 
     @staticmethod
     def _beside(job: Job, one: mesh_wire.ShardSummary) -> int:
--- a/badgerroute/coordination/shards/services.py
+++ b/badgerroute/coordination/shards/services.py
@@ -11,7 +11,7 @@
 from badgerroute.coordination.leadership.leader_election import LeaderElection
 from badgerroute.coordination.quotas.quota_allocator import QuotaAllocator
 from badgerroute.protocol.cloud import MachineType
-from badgerroute.protocol.mesh import MachineLoanRequest, QuotaRequest
+from badgerroute.protocol.mesh import MachineRequest, QuotaRequest
 from badgerroute.scheduling.guidance import Guidance
 from badgerroute.settings import Settings
 from badgerroute.storage.key_value_client import KeyValueClient
@@ -44,4 +44,4 @@
     delete_machines: Callable[[list[str]], None]
     guidance: Callable[[int], Guidance]  # for a shard, by its number
     request_quota: Callable[[QuotaRequest], None]
-    ask_machines: Callable[[MachineLoanRequest], None]
+    request_machines: Callable[[MachineRequest], None]
--- a/badgerroute/coordination/shards/shard_leader.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -11,7 +11,7 @@
 from badgerroute.coordination.shards import summary
 from badgerroute.coordination.shards.fencing import Fencing
 from badgerroute.coordination.shards.machine_commands import MachineCommands
-from badgerroute.coordination.shards.machine_loans import MachineLoans
+from badgerroute.coordination.shards.machine_transfers import MachineTransfers
 from badgerroute.coordination.shards.member_registry import MemberRegistry
 from badgerroute.coordination.shards.migration import WorkMigration
 from badgerroute.coordination.shards.quota_exchange import QuotaExchange
@@ -85,7 +85,7 @@
         self.migration = WorkMigration(
             self.shard, self.planner, services, self.group, lambda: self.ready, self.job_changed
         )
-        self.loans = MachineLoans(self.shard, services, self.group, lambda: self.ready)
+        self.machine_transfers = MachineTransfers(self.shard, services, self.group, lambda: self.ready)
         self.quota_exchange = QuotaExchange(self.shard, self.planner, services)
         self.tombstone_writer = TombstoneWriter(self.shard, services)
         self.progress: set[str] = set()
--- a/badgerroute/protocol/mesh.py
+++ b/badgerroute/protocol/mesh.py
@@ -116,7 +116,7 @@
     used: float = 0.0  # processors that the shard uses of the team's limit
 
 
-class MachineLoanRequest(Struct, tag="borrow"):
+class MachineRequest(Struct, tag="borrow"):
     """A shard too small for a gang asks the others for empty machines."""
 
     shard: int = field(name="part")
@@ -170,7 +170,7 @@
     | Push
     | StealRequest
     | QuotaRequest
-    | MachineLoanRequest
+    | MachineRequest
     | MisroutedHeartbeat
     | CancellationNotice
     | CancellationAck
--- a/badgerroute/rebalancing/drains.py
+++ b/badgerroute/rebalancing/drains.py
@@ -20,7 +20,9 @@
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger("badgerroute.rebalancing")
-ORPHANED_AFTER = timedelta(seconds=60)  # a machine that is no member for so long has gone; one that is lent comes back
+ORPHANED_AFTER = timedelta(
+    seconds=60
+)  # a machine that is no member for so long has gone; one that is transferred comes back
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -167,7 +167,7 @@
 
 
 WRITES = {
-    *(Action.ACCEPT, Action.CANCEL, Action.STEAL, Action.GIVE_WORK, Action.MOVE_QUOTA, Action.LEND_MACHINES),
+    *(Action.ACCEPT, Action.CANCEL, Action.STEAL, Action.GIVE_WORK, Action.MOVE_QUOTA, Action.TRANSFER_MACHINES),
     *(Action.ADD_MEMBER, Action.CLEAN_UP, Action.TRANSFER_SHARD, Action.RECEIVE_SHARD),
 }
 
@@ -186,7 +186,7 @@
         Action.STOP: {Permission.WITHIN_GRACE},
         Action.GIVE_WORK: {Permission.WITHIN_GRACE, Permission.REFUSED},
         Action.MOVE_QUOTA: {Permission.WITHIN_GRACE, Permission.REFUSED},
-        Action.LEND_MACHINES: {Permission.WITHIN_GRACE, Permission.REFUSED},
+        Action.TRANSFER_MACHINES: {Permission.WITHIN_GRACE, Permission.REFUSED},
         Action.DELETE: {Permission.WHILE_CERTAIN},
     }
     for action, permissions in bounded.items():
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -565,7 +565,7 @@
 
 @pytest.mark.parametrize("fault", [nothing, lost_answers, crash_one], ids=["quiet", "lost_answers", "crash_one"])
 def test_gang_too_large_for_any_shard(fault: Callable[[Day], None]) -> None:
-    """Machines are lent until one shard holds all of it; the workers' higher tokens raise that shard's term."""
+    """Machines are transferred until one shard holds all of it; the workers' higher tokens raise that shard's term."""
     day = Day(seed=3)
     day.run(4)
     day.submit(job("run-wide", gait="group", heads=5, cpus=7.0, trek_s=4.0))
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -40,7 +40,7 @@
     "Push": mesh.Push,
     "Steal": mesh.StealRequest,
     "Lack": mesh.QuotaRequest,
-    "Borrow": mesh.MachineLoanRequest,
+    "Borrow": mesh.MachineRequest,
     "Knock": mesh.MisroutedHeartbeat,
     "Withdrawn": mesh.CancellationNotice,
     "WithdrawnHeard": mesh.CancellationAck,
--- a/tests/test_written_names.py
+++ b/tests/test_written_names.py
@@ -57,7 +57,7 @@
     ("protocol.mesh.Push", mesh.Push, "push", False, "key revision value"),
     ("protocol.mesh.StealRequest", mesh.StealRequest, "steal", False, "victim thief bins images short"),
     ("protocol.mesh.ShareRequest", mesh.QuotaRequest, "lack", False, "part team cpus accelerators age_s rank used"),
-    ("protocol.mesh.MachineLoanRequest", mesh.MachineLoanRequest, "borrow", False, "part job count"),
+    ("protocol.mesh.MachineLoanRequest", mesh.MachineRequest, "borrow", False, "part job count"),
     ("protocol.mesh.MisdirectedReport", mesh.MisroutedHeartbeat, "knock", False, "part machine host"),
     ("protocol.mesh.ForwardedRequest", mesh.ForwardedRequest, "forward", False, "host number method path body"),
     ("protocol.mesh.ForwardedResponse", mesh.ForwardedResponse, "forwarded", False, "host number status body"),
