--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -11,10 +11,10 @@
 from badgerroute.coordination.autoscaling.machine_tombstones import MachineTombstones
 from badgerroute.coordination.autoscaling.scale_in import ScaleIn
 from badgerroute.coordination.jobs.cancellation_broadcast import CancellationBroadcast
+from badgerroute.coordination.jobs.dependency_resolver import DependencyResolver
 from badgerroute.coordination.jobs.job_reader import JobReader
 from badgerroute.coordination.jobs.job_store import JobStore
 from badgerroute.coordination.jobs.job_writer import JobWriter
-from badgerroute.coordination.jobs.pipelines import Pipelines
 from badgerroute.coordination.jobs.record_paging import RecordPager
 from badgerroute.coordination.leadership.action_policy import ActionPolicy
 from badgerroute.coordination.leadership.leader_election import LeaderElection, Leadership
@@ -127,7 +127,7 @@
         self.quota_allocator = QuotaAllocator(
             settings, loop, self.store, self.replica, self._push, self._leadership_condition
         )
-        self.pipelines = Pipelines(
+        self.dependency_resolver = DependencyResolver(
             loop=loop,
             store=self.store,
             replica=self.replica,
@@ -262,9 +262,9 @@
             (self.scale_in.run, "idle"),
             (self.monitor.run, "connectivity"),
             (self.monitor.probe, "probe"),
-            (self.pipelines.resolve, "resolve"),
-            (self.pipelines.withdraw, "withdraw"),
-            (self.pipelines.tidy, "tidy"),
+            (self.dependency_resolver.resolve, "resolve"),
+            (self.dependency_resolver.cancel_downstream, "withdraw"),
+            (self.dependency_resolver.tidy, "tidy"),
         ):
             self._group.duty(make, name, second)
         await Future()
--- a/badgerroute/coordination/jobs/cancellation_broadcast.py
+++ b/badgerroute/coordination/jobs/cancellation_broadcast.py
@@ -1,7 +1,7 @@
 """Confirmed cancellations, told to every peer until it says that it has heard.
 
 A leader that the key-value store refuses alone learns of no cancellation by its watch, and a push may be lost with its
-link. So whoever comes to know that a job is withdrawn tells each peer again and again, also when a link returns:
+link. So whoever comes to know that a job is cancelled tells each peer again and again, also when a link returns:
 not only the controller that told the user, since that one may end right after its answer.
 """
 
@@ -27,7 +27,7 @@
         self._untold: dict[str, dict[str, tuple[int, timedelta, timedelta | None]]] = {host: {} for host in peers}
 
     def learned(self, ref: str, revision: int, at_once: bool) -> None:
-        """A job is withdrawn. `at_once`: a user is about to be told so."""
+        """A job is cancelled. `at_once`: a user is about to be told so."""
         now = self._loop.now()
         for host, untold in self._untold.items():
             if ref in untold:
--- a/badgerroute/coordination/jobs/pipelines.py
+++ b/badgerroute/coordination/jobs/dependency_resolver.py
@@ -1,4 +1,4 @@
-"""Duties for jobs that wait for others: find out how predecessors ended, withdraw dependents, tidy up.
+"""Duties for jobs that wait for others: find out how predecessors ended, cancel dependents, tidy up.
 
 Each can be resumed by any controller from records alone. Their writes are conditional, and what they write follows from
 final states, so it does not matter who does them, or whether two do.
@@ -32,12 +32,12 @@
 TICK = timedelta(milliseconds=200)
 ASK_AGAIN = timedelta(seconds=2)
 MAX_LOOKUPS_PER_ROUND = 500
-OTHERS_WAIT = timedelta(seconds=3)  # before a controller that owns nothing of a withdrawn job does it too
+OTHERS_WAIT = timedelta(seconds=3)  # before a controller that owns nothing of a cancelled job does it too
 TIDY = timedelta(seconds=10)
 FORGOTTEN = timedelta(seconds=60)  # pages are written before their job's record
 
 
-class Pipelines:
+class DependencyResolver:
     """`owned` tells whether a shard is ours, `tidies` whether this controller removes what is of no use any more."""
 
     def __init__(
@@ -55,7 +55,7 @@
         self._job_store, self._job_reader = job_store, job_reader
         self._owned, self._tidies, self._turn = owned, tidies, turn
         self._asked: dict[str, timedelta] = {}
-        self._seen: dict[str, timedelta] = {}  # withdrawn jobs whose own record is still to be written
+        self._seen: dict[str, timedelta] = {}  # cancelled jobs whose own record is still to be written
         self._idle: dict[str, timedelta] = {}  # jobs with pages, but without a record, since when
 
     # -- how predecessors ended
@@ -76,17 +76,17 @@
                 log.info("event=predecessors_unknown jobs=%d error=%s", len(unknown), error)
                 await self._loop.sleep(5 * TICK)
 
-    # -- what is withdrawn with a predecessor
+    # -- what is cancelled with a predecessor
 
-    async def withdraw(self) -> None:
-        """Write down the withdrawal of jobs whose predecessors are withdrawn."""
+    async def cancel_downstream(self) -> None:
+        """Write down the cancellation of jobs whose predecessors are cancelled."""
         while True:
             await self._loop.sleep(TICK)
             due = self._due()
             while due:
                 batch, due = due[: max(1, self._store.max_changes // 2)], due[max(1, self._store.max_changes // 2) :]
                 try:
-                    await self._withdraw(batch)
+                    await self._cancel_downstream(batch)
                 except (StoreUnavailableError, OutcomeUnknownError, CompareFailedError, LeaseExpiredError) as error:
                     log.info("event=withdrawal_delayed jobs=%d error=%s", len(batch), error)
                     await self._loop.sleep(2 * TICK)
@@ -104,7 +104,7 @@
             return ZERO
         return OTHERS_WAIT + self._turn * OTHERS_WAIT / 3
 
-    async def _withdraw(self, refs: list[str]) -> None:
+    async def _cancel_downstream(self, refs: list[str]) -> None:
         jobs: list[tuple[str, JobRecord]] = []
         for ref in refs:
             record = self._job_store.active.get(ref)
@@ -114,7 +114,7 @@
             return
         today = self._loop.clock.today().timestamp()
         pasts = {
-            ref: records.write(FinalStateRecord(JobState.WITHDRAWN, record.job.tasks, today)) for ref, record in jobs
+            ref: records.write(FinalStateRecord(JobState.CANCELLED, record.job.tasks, today)) for ref, record in jobs
         }
         changes: list[Put | Remove] = []
         for ref, past in pasts.items():
--- a/badgerroute/coordination/jobs/job_reader.py
+++ b/badgerroute/coordination/jobs/job_reader.py
@@ -108,7 +108,7 @@
             lookup = await self._decide_waiting(ref) or await self.look_up(ref)
         except StoreUnavailableError:
             return "queued"
-        return "withdrawn" if lookup is not None and lookup.state is JobState.WITHDRAWN else "queued"
+        return "withdrawn" if lookup is not None and lookup.state is JobState.CANCELLED else "queued"
 
     async def refresh(self, keys: Iterable[str]) -> None:
         """Read back keys whose state is in doubt."""
@@ -131,7 +131,7 @@
     async def _decide_waiting(self, ref: str) -> JobLookup | None:
         """What stands of a job that waits, from our copy. None: it is over, or never was.
 
-        It is withdrawn if any job that it needs is, directly or through others, though its own record is still there.
+        It is cancelled if any job that it needs is, directly or through others, though its own record is still there.
         Some node may have said so already, so what we don't know of these jobs has to be found out first.
         """
         dependencies = self._job_store.dependencies
@@ -140,7 +140,7 @@
             if record is None:
                 return None
             if ref in dependencies.cancelled:
-                return JobLookup(JobState.WITHDRAWN)
+                return JobLookup(JobState.CANCELLED)
             if self._job_store.lacks_predecessors(ref):
                 raise StoreUnavailableError("what the job waits for is not known yet")
             unknown = list(islice(dependencies.unknown_ancestors(ref, self._job_store.active), MAX_LOOKUPS_PER_ROUND))
@@ -167,6 +167,6 @@
         final = records.read(bytes(item.value), FinalStateRecord)
         self._job_store.remember(ref, final, item.revision)
         # It left `jobs` in the same transaction. Until the watch says so, a controller that had just told a user that
-        # the job is withdrawn could still have started a task of it.
+        # the job is cancelled could still have started a task of it.
         self._replica.learn(JOBS + ref, None, item.revision)
         return final.state
--- a/badgerroute/coordination/jobs/job_store.py
+++ b/badgerroute/coordination/jobs/job_store.py
@@ -26,17 +26,17 @@
 
 
 class JobStore:
-    """`publish` tells peers of a change of ours, `released` and `withdrawn` whoever acts on these."""
+    """`publish` tells peers of a change of ours, `released` and `cancelled` whoever acts on these."""
 
     def __init__(
         self,
         replica: Replica,
         publish: Publish,
         released: Callable[[str], None],
-        withdrawn: CancellationListener,
+        cancelled: CancellationListener,
     ) -> None:
         self._replica, self._publish = replica, publish
-        self._on_released, self._on_withdrawn = released, withdrawn
+        self._on_released, self._on_cancelled = released, cancelled
         self.active: dict[str, JobRecord] = {}
         self.pages: dict[str, set[str]] = {}  # job -> its keys beside its record
         self._final: OrderedDict[str, FinalState] = OrderedDict()
@@ -44,7 +44,7 @@
         self._lacking: set[str] = set()  # unfinished jobs whose predecessors we have not all seen yet
         self._schedulable: dict[str, JobRecord] = {}  # unfinished jobs that do not wait for others
         self.inherited: dict[str, Inherited] = {}  # what jobs take over from their dependents
-        self._confirming: set[str] = set()  # jobs whose users are about to be told that they are withdrawn
+        self._confirming: set[str] = set()  # jobs whose users are about to be told that they are cancelled
         self.dependencies = Dependencies(self._final.get, self._released, self._cancelled_upstream)
         replica.listen(DONE, self._done_changed)
         replica.listen(PREDECESSORS, self._predecessors_changed)
@@ -119,13 +119,13 @@
         self._final.move_to_end(ref)
         if len(self._final) > MAX_FINAL_STATES_REMEMBERED:
             self._final.popitem(last=False)
-        if fresh and final.state is JobState.WITHDRAWN:
-            self._on_withdrawn(ref, revision, ref in self._confirming)
+        if fresh and final.state is JobState.CANCELLED:
+            self._on_cancelled(ref, revision, ref in self._confirming)
         self.dependencies.finished(ref, final)
 
     def learn_cancelled(self, ref: str, revision: int) -> None:
-        """A peer knows that a job is withdrawn, though our watch may not say so for a while."""
-        self.remember(ref, FinalStateRecord(JobState.WITHDRAWN, 0), revision)
+        """A peer knows that a job is cancelled, though our watch may not say so for a while."""
+        self.remember(ref, FinalStateRecord(JobState.CANCELLED, 0), revision)
         self._replica.learn(JOBS + ref, None, revision)
 
     # -- what we write ourselves
@@ -141,7 +141,7 @@
         self.published(FINAL_STATES + ref, final, revision)
 
     def confirming(self, ref: str, begins: bool) -> None:
-        """A user is about to be told that a job is withdrawn, or no longer."""
+        """A user is about to be told that a job is cancelled, or no longer."""
         if begins:
             self._confirming.add(ref)
         else:
@@ -220,4 +220,4 @@
         known = self._final.get(ref)
         if known is not None:
             return known.state
-        return JobState.WITHDRAWN if ref in self.dependencies.cancelled else None
+        return JobState.CANCELLED if ref in self.dependencies.cancelled else None
--- a/badgerroute/coordination/jobs/job_writer.py
+++ b/badgerroute/coordination/jobs/job_writer.py
@@ -153,7 +153,7 @@
                 return None
             if lookup.record is None:
                 return lookup.state
-            final = records.write(FinalStateRecord(JobState.WITHDRAWN, lookup.record.job.tasks, self._today()))
+            final = records.write(FinalStateRecord(JobState.CANCELLED, lookup.record.job.tasks, self._today()))
             unchanged = [compare(JOBS + ref, lookup.revision)]
             changes: list[Put | Remove] = [remove(JOBS + ref), put(FINAL_STATES + ref, final)]
             try:
@@ -162,7 +162,7 @@
                 continue  # progress was written in between
             self._job_store.finished(ref, bytes(final), applied)
             log.info("event=job_withdrawn job=%s", ref)
-            return JobState.WITHDRAWN
+            return JobState.CANCELLED
         raise StoreUnavailableError("too much changes at once")
 
     # -- progress
--- a/badgerroute/coordination/requests/users.py
+++ b/badgerroute/coordination/requests/users.py
@@ -73,7 +73,7 @@
         except RecordTooLargeError as too_large:
             return await self._refused(job, str(too_large))
         if accepted:
-            # One that names a job which is cancelled by now is accepted all the same, and withdrawn at once.
+            # One that names a job which is cancelled by now is accepted all the same, and cancelled at once.
             state = await self._job_reader.state_after_acceptance(job.ref) if job.predecessors else "queued"
             return answer(201, {"ref": job.ref, "condition": state})
         lookup = await self._job_reader.look_up(job.ref, Urgency.SUBMIT)
--- a/badgerroute/coordination/shards/urgent_halts.py
+++ b/badgerroute/coordination/shards/urgent_halts.py
@@ -6,14 +6,14 @@
 from badgerroute.transport.loop import Group, Loop
 
 MAX_DIRECT_CANCELLATIONS = (
-    16  # machines that are told of withdrawn jobs in one round; the others hear by their heartbeats
+    16  # machines that are told of cancelled jobs in one round; the others hear by their heartbeats
 )
 
 
 class UrgentHalts:
     """A gang's tasks must hear of their stop close together.
 
-    And no task of a withdrawn job should begin once its user was told: those that still fetch their image come first,
+    And no task of a cancelled job should begin once its user was told: those that still fetch their image come first,
     and the others are of no use to anybody.
     """
 
@@ -23,7 +23,7 @@
     def send(self) -> None:
         """Send the halts that are due by direct commands."""
         gangs: dict[Machine, None] = {}
-        begun_on: dict[Machine, bool] = {}  # of withdrawn jobs: whether all their tasks there have begun
+        begun_on: dict[Machine, bool] = {}  # of cancelled jobs: whether all their tasks there have begun
         for job in self._shard.jobs.values():
             if not job.gang and job.owned:
                 continue
@@ -35,8 +35,8 @@
                 else:
                     begun = placement.running_since is not None
                     begun_on[placement.machine] = begun and begun_on.get(placement.machine, True)
-        withdrawn = sorted(begun_on, key=lambda machine: begun_on[machine])
-        direct = [machine for machine in withdrawn if machine not in gangs]
+        cancelled = sorted(begun_on, key=lambda machine: begun_on[machine])
+        direct = [machine for machine in cancelled if machine not in gangs]
         for machine in (*gangs, *direct[:MAX_DIRECT_CANCELLATIONS]):
             commands = self._shard.commands(machine, self._loop.now(), starts=False)
             self._group.spawn(self._commands.send(machine, commands, urgent=True), "halt")
--- a/badgerroute/protocol/mesh.py
+++ b/badgerroute/protocol/mesh.py
@@ -152,14 +152,14 @@
 
 
 class CancellationNotice(Struct, tag="withdrawn"):
-    """Jobs that are withdrawn, with the revisions of their final states. Repeated until it is acknowledged."""
+    """Jobs that are cancelled, with the revisions of their final states. Repeated until it is acknowledged."""
 
     host: str
     jobs: list[tuple[str, int]]
 
 
 class CancellationAck(Struct, tag="withdrawn_heard"):
-    """These are known to be withdrawn here too."""
+    """These are known to be cancelled here too."""
 
     host: str
     refs: list[str]
--- a/badgerroute/scheduling/dependencies.py
+++ b/badgerroute/scheduling/dependencies.py
@@ -1,4 +1,4 @@
-"""Jobs that wait for others: which are released, which are withdrawn with a predecessor, what they hand back to it.
+"""Jobs that wait for others: which are released, which are cancelled with a predecessor, what they hand back to it.
 
 Everything is derived from final states, which are durable and never change, so every controller that decides comes to
 the same answer at any time, after any takeover. Nothing is counted that could be wrong.
@@ -31,7 +31,7 @@
         self._left: dict[str, set[str]] = {}  # job that waits -> predecessors that are not known to be done
         self._after: dict[str, float] = {}  # unfinished job -> when the last predecessor known to be done was done
         self._dependents: dict[str, dict[str, None]] = {}  # predecessor -> unfinished jobs that wait for it
-        self.cancelled: set[str] = set()  # unfinished jobs that are withdrawn, since a predecessor is
+        self.cancelled: set[str] = set()  # unfinished jobs that are cancelled, since a predecessor is
 
     def add(self, ref: str, predecessors: Iterable[str]) -> None:
         """Note which jobs a job waits for."""
@@ -43,7 +43,7 @@
         lost = False
         for predecessor in needs:
             known = self._final(predecessor)
-            if predecessor in self.cancelled or (known is not None and known.state is JobState.WITHDRAWN):
+            if predecessor in self.cancelled or (known is not None and known.state is JobState.CANCELLED):
                 lost = True
             elif known is None:
                 left.add(predecessor)
@@ -74,7 +74,7 @@
     def finished(self, ref: str, final: FinalState) -> None:
         """A job has its final state, durably."""
         for dependent in list(self._dependents.get(ref, ())):
-            if final.state is JobState.WITHDRAWN:
+            if final.state is JobState.CANCELLED:
                 self._cancel_downstream(dependent)
                 continue
             self._forget(ref, dependent)
@@ -88,7 +88,7 @@
                 self._released(dependent)
 
     def _cancel_downstream(self, ref: str) -> None:
-        """Withdrawn, and all that need it with it. A loop: chains may be long."""
+        """Cancelled, and all that need it with it. A loop: chains may be long."""
         queue = [ref]
         while queue:
             current = queue.pop()
--- a/badgerroute/storage/records.py
+++ b/badgerroute/storage/records.py
@@ -59,7 +59,7 @@
 
     ACTIVE = "active"
     DONE = "done"
-    WITHDRAWN = "withdrawn"
+    CANCELLED = "withdrawn"
 
 
 class FinalStateRecord(Struct):
--- a/tests/standins/day.py
+++ b/tests/standins/day.py
@@ -344,7 +344,7 @@
             if response is not None and response.status == 200:
                 condition = json.loads(response.body)["condition"]
                 if condition == "withdrawn":
-                    self.site.withdrawn.setdefault(ref, before)
+                    self.site.cancelled.setdefault(ref, before)
                 self._check(ref, condition)
                 return condition
             self.run(1)
--- a/tests/standins/history.py
+++ b/tests/standins/history.py
@@ -55,7 +55,7 @@
     def answered(self, ref: str, condition: str, now: timedelta) -> None:
         if condition in ("done", "withdrawn"):
             self.answers.setdefault(ref, []).append(condition)
-        if condition == "done":  # starts on their way when a job is withdrawn are halted instead
+        if condition == "done":  # starts on their way when a job is cancelled are halted instead
             self.done_at.setdefault(ref, now)
 
     def problems(self, expected: dict[str, int], gangs: Container[str] = ()) -> list[str]:
--- a/tests/standins/users.py
+++ b/tests/standins/users.py
@@ -18,7 +18,7 @@
 
 
 class Lookers:
-    """Once any node has said that a job is accepted, done or withdrawn, no question asked later may get less."""
+    """Once any node has said that a job is accepted, done or cancelled, no question asked later may get less."""
 
     def __init__(self, day: Day) -> None:
         self.day = day
@@ -77,16 +77,16 @@
     async def cancel(self, ref: str, host: str | None = None) -> str | None:
         day = self.day
         # Not told yet, but other nodes may say so before this user is: a cancellation may be carried out unanswered.
-        day.site.withdrawn.setdefault(ref, NOT_TOLD)
+        day.site.cancelled.setdefault(ref, NOT_TOLD)
         while True:
             floor, before = self.floor(ref), day.loop.now()
             response = await self.ask("POST", f"/v1/jobs/{ref}/cancel", host=host)
             if response is not None and response.status == 200:
                 condition = self._take_in(ref, response, floor)
                 if condition == "withdrawn":
-                    day.site.withdrawn[ref] = min(before, day.site.withdrawn[ref])
+                    day.site.cancelled[ref] = min(before, day.site.cancelled[ref])
                 else:
-                    day.site.withdrawn.pop(ref)
+                    day.site.cancelled.pop(ref)
                 await self.look(ref)
                 return condition
             await day.loop.sleep(SECOND)
--- a/tests/standins/workers.py
+++ b/tests/standins/workers.py
@@ -320,12 +320,12 @@
         )
         if self.site.limits[team] and used > self.site.limits[team] + 1e-6:
             self.breach("quota", f"{team} uses {used}")
-        if self.site.withdrawn.get(task.ref, self.site.loop.now()) < self.site.loop.now():
+        if self.site.cancelled.get(task.ref, self.site.loop.now()) < self.site.loop.now():
             self.late_starts.append(task.name)
         self.cancelled(task)
 
     def cancelled(self, task: Task) -> None:
-        told = self.site.withdrawn.get(task.ref)
+        told = self.site.cancelled.get(task.ref)
         if told is not None and self.site.loop.now() - told > self.site.cancel:
             self.breach("ran_cancelled", task.name)
 
@@ -362,7 +362,7 @@
         self.capacity = capacity  # ordinary machines of a type in a zone; of spot machines there is one
         self.jobs: dict[str, dict] = {}
         self.finished: set[str] = set()
-        self.withdrawn: dict[str, timedelta] = {}
+        self.cancelled: dict[str, timedelta] = {}
         self.workers: dict[str, Worker] = {}
         self.booting: dict[str, tuple[Kind, str, bool]] = {}
         self.asked_at: dict[str, timedelta] = {}
@@ -389,8 +389,8 @@
         found, seen, times = [ref], {ref}, []
         while found:
             one = found.pop()
-            if one in self.withdrawn:
-                times.append(self.withdrawn[one])
+            if one in self.cancelled:
+                times.append(self.cancelled[one])
             for before in self.jobs.get(one, {}).get("follows") or ():
                 if before not in seen:
                     seen.add(before)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -403,7 +403,7 @@
             response = await client.request("POST", f"/v1/jobs/{ref}/cancel", b"", 5 * SECOND, fresh=True)
             if response.status == 200:
                 if b"withdrawn" in response.body:
-                    day.site.withdrawn.setdefault(ref, before)
+                    day.site.cancelled.setdefault(ref, before)
                 return
         except NoAnswerError:
             pass
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -187,7 +187,7 @@
     assert day.rules.broken == []
 
 
-def test_withdrawals_are_told_until_they_are_acknowledged() -> None:
+def test_cancellations_are_told_until_they_are_acknowledged() -> None:
     day = Day(seed=23)
     sent: list[tuple[str, list]] = []
 
--- a/tests/test_pipeline_edges.py
+++ b/tests/test_pipeline_edges.py
@@ -119,7 +119,7 @@
         day.site.jobs[ref] = job(ref, heads=1)
         day.site.finished.add(f"{ref}/0")
         if state == "withdrawn":
-            day.site.withdrawn[ref] = day.loop.now()
+            day.site.cancelled[ref] = day.loop.now()
     return refs
 
 
@@ -282,7 +282,7 @@
     assert graph.released_at("c") == 0.0 and graph.released_at("d") == 70.0
 
 
-def test_a_fan_of_hundreds_is_withdrawn_at_the_lower_rate_beside_a_dead_leader() -> None:
+def test_a_fan_of_hundreds_is_cancelled_at_the_lower_rate_beside_a_dead_leader() -> None:
     day = Day(seed=81, machines=3, later=LOWER)
     day.run(5)
     day.submit(job("run-first", heads=1, trek_s=300.0))
@@ -352,7 +352,7 @@
     assert (limits.max_changes, limits.max_value_bytes, limits.lower_rates) == expected
 
 
-def test_a_job_withdrawn_before_its_user_is_answered_is_not_called_queued() -> None:
+def test_a_job_cancelled_before_its_user_is_answered_is_not_called_queued() -> None:
     """It names a cancelled job, and a peer has moved it to its final state before the 201 is made up."""
     day = Day(seed=83)
     day.run(5)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -1,4 +1,4 @@
-"""Jobs that wait for others: released once all of them are done, withdrawn with any of them, under every trouble."""
+"""Jobs that wait for others: released once all of them are done, cancelled with any of them, under every trouble."""
 
 import json
 from collections.abc import Callable, Iterator
@@ -7,8 +7,8 @@
 import msgspec
 import pytest
 
+from badgerroute.coordination.jobs.dependency_resolver import DependencyResolver
 from badgerroute.coordination.jobs.job_reader import JobLookup, JobReader
-from badgerroute.coordination.jobs.pipelines import Pipelines
 from badgerroute.protocol.users import Submission
 from badgerroute.scheduling.dependencies import Dependencies, FinalState
 from badgerroute.scheduling.inheritance import LOOKS_BETWEEN_CLOCKS, InheritancePass, Inherited
@@ -53,7 +53,7 @@
         ({"b": "a", "c": "b"}, [("a", "done"), ("b", "done")], "bc", ""),
         ({"c": "b", "b": "a"}, [("a", "withdrawn")], "", "bc"),
         ({"b": "o"}, [], "b", ""),  # `o` was done before
-        ({"b": "w", "c": "b"}, [], "", "bc"),  # `w` was withdrawn before
+        ({"b": "w", "c": "b"}, [], "", "bc"),  # `w` was cancelled before
         ({"c": "b", "b": "w"}, [], "", "bc"),
         ({"b": "aa"}, [("a", "done")], "b", ""),
     ],
@@ -289,7 +289,7 @@
 
 @pytest.mark.parametrize("trouble", [well, outage, confirmer_ends, all_end, writes_late], ids=lambda one: one.__name__)
 @pytest.mark.parametrize("graph", [wide, deep], ids=lambda one: one.__name__)
-def test_dependents_are_withdrawn(graph: Callable[[Day], list[str]], trouble: Callable[[Day], None]) -> None:
+def test_dependents_are_cancelled(graph: Callable[[Day], list[str]], trouble: Callable[[Day], None]) -> None:
     day = Day(seed=45, machines=3)
     day.run(5)
     day.submit(job("run-first", heads=1, trek_s=200.0))
@@ -314,13 +314,13 @@
 
 
 def test_what_a_controller_has_forgotten_is_looked_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Another node has said that a job is withdrawn with its predecessor, whose end a restarted one does not know."""
+    """Another node has said that a job is cancelled with its predecessor, whose end a restarted one does not know."""
 
-    async def never(self: Pipelines) -> None:
+    async def never(self: DependencyResolver) -> None:
         await self._loop.sleep(timedelta(days=1))
 
-    monkeypatch.setattr(Pipelines, "withdraw", never)  # so the dependents' own records stay
-    monkeypatch.setattr(Pipelines, "resolve", never)
+    monkeypatch.setattr(DependencyResolver, "cancel_downstream", never)  # so the dependents' own records stay
+    monkeypatch.setattr(DependencyResolver, "resolve", never)
     day = Day(seed=51)
     day.run(5)
     day.submit(job("run-a", heads=1, trek_s=90.0))
@@ -337,7 +337,7 @@
 
 
 def test_a_cancellation_that_meets_the_end_of_a_predecessor() -> None:
-    """Exactly one wins: either the dependents go on, or they are withdrawn."""
+    """Exactly one wins: either the dependents go on, or they are cancelled."""
     ends = set()
     for seed in range(8):
         day = Day(seed=50 + seed)
@@ -478,7 +478,7 @@
 
 async def looks_at_the_record_only(self: JobReader, ref: str) -> JobLookup:
     """A cheat: what a job's predecessors came to is not asked for."""
-    return JobLookup(JobState.ACTIVE, self._store.active.get(ref) or records.JobRecord(submission_of(ref), 0.0, []))
+    return JobLookup(JobState.ACTIVE, self._job_store.active.get(ref) or records.JobRecord(submission_of(ref), 0.0, []))
 
 
 def submission_of(ref: str) -> Submission:
