--- a/badgerroute/connectivity/links.py
+++ b/badgerroute/connectivity/links.py
@@ -69,7 +69,7 @@
         """Whether the endpoint has been silent for longer than any delay that is bridged."""
         return self.silence(now) >= self.bounds.most
 
-    def excuse(self, standstill: timedelta, now: timedelta) -> None:
-        """Don't count a standstill of our own process as the endpoint's silence."""
+    def excuse(self, process_pause: timedelta, now: timedelta) -> None:
+        """Don't count a pause of our own process as the endpoint's silence."""
         if self.last_heard is not None:
-            self.last_heard = min(now, self.last_heard + standstill)
+            self.last_heard = min(now, self.last_heard + process_pause)
--- a/badgerroute/connectivity/mode_machine.py
+++ b/badgerroute/connectivity/mode_machine.py
@@ -6,7 +6,7 @@
 from badgerroute.connectivity.damping import FlapDamping
 from badgerroute.connectivity.modes import Mode, Reachable, mode_of
 
-IMPAIRED = frozenset({Mode.UNRECORDED, Mode.UNHEARD, Mode.ISOLATED})
+IMPAIRED = frozenset({Mode.STORE_UNREACHABLE, Mode.WORKERS_UNREACHABLE, Mode.ISOLATED})
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,13 +46,13 @@
     match mode:
         case Mode.OUTAGE:
             return "no_controller_reaches_the_state_service"
-        case Mode.UNRECORDED | Mode.ISOLATED if not reachable.peers:
+        case Mode.STORE_UNREACHABLE | Mode.ISOLATED if not reachable.peers:
             return "state_service_and_siblings_silent"
-        case Mode.UNRECORDED:
+        case Mode.STORE_UNREACHABLE:
             return "state_service_silent"
         case Mode.ISOLATED:
             return "state_service_and_workers_silent"
-        case Mode.UNHEARD:
+        case Mode.WORKERS_UNREACHABLE:
             return "workers_report_to_siblings"
         case Mode.RECOVERING:
             return "links_are_back"
--- a/badgerroute/connectivity/modes.py
+++ b/badgerroute/connectivity/modes.py
@@ -14,8 +14,8 @@
     SERVING = "serving"  # key-value store and workers
     RECOVERING = "recovering"  # both again, but not for long enough yet
     OUTAGE = "outage"  # no key-value store, as for every peer that is heard
-    UNRECORDED = "unrecorded"  # no key-value store, while a peer has it or none is heard
-    UNHEARD = "unheard"  # key-value store, but no workers
+    STORE_UNREACHABLE = "unrecorded"  # no key-value store, while a peer has it or none is heard
+    WORKERS_UNREACHABLE = "unheard"  # key-value store, but no workers
     ISOLATED = "isolated"  # neither
 
 
@@ -56,7 +56,7 @@
 
 _ALLOWED, _GRACE, _CERTAIN = Permission.ALLOWED, Permission.WITHIN_GRACE, Permission.WHILE_CERTAIN
 _RELUCTANT, _MEMORY, _REFUSED = Permission.RELUCTANT, Permission.FROM_MEMORY, Permission.REFUSED
-_MODES = (Mode.SERVING, Mode.RECOVERING, Mode.OUTAGE, Mode.UNRECORDED, Mode.UNHEARD, Mode.ISOLATED)
+_MODES = (Mode.SERVING, Mode.RECOVERING, Mode.OUTAGE, Mode.STORE_UNREACHABLE, Mode.WORKERS_UNREACHABLE, Mode.ISOLATED)
 _ROWS = {
     #                        serving   recovering  outage    unrecorded unheard    isolated
     Action.ANSWER_HEARTBEAT: (_GRACE, _GRACE, _GRACE, _GRACE, _GRACE, _GRACE),
@@ -104,7 +104,7 @@
     if not reachable.store:
         if not reachable.alone:
             return Mode.OUTAGE
-        return Mode.UNRECORDED if reachable.workers else Mode.ISOLATED
+        return Mode.STORE_UNREACHABLE if reachable.workers else Mode.ISOLATED
     if not reachable.workers:
-        return Mode.UNHEARD
+        return Mode.WORKERS_UNREACHABLE
     return Mode.SERVING if settled else Mode.RECOVERING
--- a/badgerroute/connectivity/relay_routes.py
+++ b/badgerroute/connectivity/relay_routes.py
@@ -41,20 +41,21 @@
     def __init__(self) -> None:
         self._routes: dict[str, _MachineRoute] = {}
         self._swept = NEVER
-        self._unheard: set[str] = set()  # leaders that lacked their workers when last looked at
+        self._without_workers: set[str] = set()  # leaders that lacked their workers when last looked at
         self._heard_again: dict[str, timedelta] = {}
 
     def __len__(self) -> int:
         return len(self._routes)
 
-    def decide(self, machine: str, leader: str, unheard: bool, busy: bool, now: timedelta) -> Route:
-        """What to do with a heartbeat. `unheard`: its leader says that it lacks its workers; `busy`: it names tasks.
+    def decide(self, machine: str, leader: str, workers_unreachable: bool, busy: bool, now: timedelta) -> Route:
+        """What to do with a heartbeat. `workers_unreachable`: its leader says that it lacks its workers; `busy`: it
+        names tasks.
 
         The first heartbeat of a busy machine is relayed: if it can't reach its leader, to find that out may take it
         more than is left of its lease.
         """
         self._sweep(now)
-        self._note_leader(leader, unheard, now)
+        self._note_leader(leader, workers_unreachable, now)
         route = self._routes.get(machine)
         if route is None or route.leader != leader:
             route = self._routes[machine] = _MachineRoute(leader, now, relayed=busy, next_trial=now)
@@ -63,17 +64,17 @@
         route.asked = now
         if route.redirected is not None:
             self._came_back(route, now)
-        if unheard or not self._may_try(route, machine, now):
+        if workers_unreachable or not self._may_try(route, machine, now):
             route.relayed = True
             return Route.RELAY
         route.redirected = now
         return Route.REDIRECT
 
-    def _note_leader(self, leader: str, unheard: bool, now: timedelta) -> None:
-        if unheard:
-            self._unheard.add(leader)
-        elif leader in self._unheard:
-            self._unheard.discard(leader)
+    def _note_leader(self, leader: str, workers_unreachable: bool, now: timedelta) -> None:
+        if workers_unreachable:
+            self._without_workers.add(leader)
+        elif leader in self._without_workers:
+            self._without_workers.discard(leader)
             self._heard_again[leader] = now
 
     @staticmethod
--- a/badgerroute/coordination/autoscaling/autoscaler.py
+++ b/badgerroute/coordination/autoscaling/autoscaler.py
@@ -106,7 +106,7 @@
             for name in [name for name in self._to_delete if self._belongs_to_others(name)]:
                 del self._to_delete[name]
             names = list(self._to_delete)[:MAX_MACHINES_PER_DELETION]
-            # A controller that stood still, or was cut off, once deleted machines that a new leader used by then.
+            # A controller that was paused, or was cut off, once deleted machines that a new leader used by then.
             if not names or not self._policy.allows(Action.DELETE):
                 continue
             try:
--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -220,7 +220,7 @@
             replica=self.replica,
             election=self.election,
             policy=self.policy,
-            awake_since=self.monitor.awake_since,
+            resumed_at=self.monitor.resumed_at,
             job_store=self.job_store,
             job_reader=self.job_reader,
             pager=self.pager,
--- a/badgerroute/coordination/membership/connectivity_monitor.py
+++ b/badgerroute/coordination/membership/connectivity_monitor.py
@@ -8,7 +8,7 @@
 from badgerroute.connectivity.links import STATE_SERVICE, Link
 from badgerroute.connectivity.mode_machine import ModeMachine
 from badgerroute.connectivity.modes import Mode, Reachable
-from badgerroute.connectivity.standstill import StandstillDetector
+from badgerroute.connectivity.process_pause import PauseDetector
 from badgerroute.connectivity.worker_link import WorkerLink
 from badgerroute.coordination.leadership.leader_election import NEVER, LeaderElection
 from badgerroute.coordination.membership.peers import Peers
@@ -49,7 +49,7 @@
         connectivity = settings.operator.connectivity
         self._damping = FlapDamping(connectivity.settle, connectivity.longest_settle, connectivity.penalty_half_life)
         self._machine = ModeMachine(self._damping)
-        self._standstill = StandstillDetector(TICK, loop.now())
+        self._pause_detector = PauseDetector(TICK, loop.now())
         self._store_link = Link(STATE_SERVICE, loop.now())
         self.worker_link = WorkerLink()
 
@@ -58,9 +58,9 @@
         """What this controller reaches."""
         return self._machine.mode
 
-    def awake_since(self) -> timedelta:
-        """The end of this process's last standstill, or its start."""
-        return self._standstill.awake_since
+    def resumed_at(self) -> timedelta:
+        """The end of this process's last pause, or its start."""
+        return self._pause_detector.resumed_at
 
     def reaches_store(self) -> bool:
         """Whether the key-value store has answered a renewal and a watch lately."""
@@ -82,11 +82,11 @@
     def update(self) -> None:
         """Judge the links now."""
         now = self._loop.now()
-        standstill = self._standstill.turn(now)
-        if standstill:
-            log.info("event=stood_still host=%s seconds=%.1f", self._host, standstill.total_seconds())
+        process_pause = self._pause_detector.turn(now)
+        if process_pause:
+            log.info("event=stood_still host=%s seconds=%.1f", self._host, process_pause.total_seconds())
             for link in (self._store_link, *self._peers.links.values()):
-                link.excuse(standstill, now)
+                link.excuse(process_pause, now)
         self.worker_link.update(
             {leader.number: leader.silent() for leader in self._leaders.values() if leader.ready}, now
         )
--- a/badgerroute/coordination/membership/leadership_transfer.py
+++ b/badgerroute/coordination/membership/leadership_transfer.py
@@ -40,7 +40,7 @@
         """Hand over one shard a round: first what its workers can't report here, else what has its home elsewhere."""
         while True:
             await self._loop.sleep(ROUND)
-            if self._policy.allows(Action.TRANSFER_SHARD) and not await self._transfer_unheard():
+            if self._policy.allows(Action.TRANSFER_SHARD) and not await self._transfer_without_workers():
                 await self._return_to_home()
 
     # -- shards whose home controller is there again
@@ -51,7 +51,7 @@
             peer = self._peers.get(host)
             leader = self._leaders.get(shard)
             # A peer that has lost the key-value store still names the lease it once had. Its shard was handed to it
-            # again and again, each time given up first and claimed anew, and stood still for as long as the cut.
+            # again and again, each time given up first and claimed anew, and was paused for as long as the cut.
             if peer is not None and peer.fit() and leader is not None and leader.shard.settled:
                 await self._election.transfer(shard, host, peer.gossip.lease)
                 return
@@ -72,9 +72,9 @@
         )
         self._monitor.update()
         if self._policy.allows(Action.TRANSFER_SHARD):
-            await self._transfer_unheard()
+            await self._transfer_without_workers()
 
-    async def _transfer_unheard(self) -> bool:
+    async def _transfer_without_workers(self) -> bool:
         """Hand a shard over that relaying does not serve, or has served for long enough; whether there was one."""
         now = self._loop.now()
         long_enough = self._worker_link.lost_for(now) >= self._relay_for
--- a/badgerroute/coordination/membership/mesh.py
+++ b/badgerroute/coordination/membership/mesh.py
@@ -19,7 +19,7 @@
 SILENCE = timedelta(seconds=20)
 WRITE_LIMIT = timedelta(seconds=3)
 ACK_EVERY = timedelta(seconds=1)
-UNHEARD = timedelta(seconds=4)  # a link on which nothing was acknowledged for so long is opened anew
+WORKERS_UNREACHABLE = timedelta(seconds=4)  # a link on which nothing was acknowledged for so long is opened anew
 ACK = frame(b"")
 
 
@@ -31,7 +31,7 @@
         self.queue: deque[bytes] = deque()
         self.queued_bytes = 0
         self.wake = Future()
-        self.unheard: timedelta | None = None  # since when what we wrote has not been acknowledged
+        self.unacknowledged: timedelta | None = None  # since when what we wrote has not been acknowledged
         self.lost: Exception | None = None  # why the other side will hear no more on this connection
 
     def add(self, data: bytes) -> None:
@@ -90,7 +90,7 @@
                 link.take_all()
                 await self._loop.sleep(timedelta(milliseconds=500))
                 continue
-            link.unheard = link.lost = None
+            link.unacknowledged = link.lost = None
             acks = self._group.spawn(self._acknowledged(link, stream), "mesh-acks")
             try:
                 while True:
@@ -99,9 +99,9 @@
                         await link.wake
                     if link.lost is not None:
                         raise link.lost
-                    if link.unheard is None:
-                        link.unheard = self._loop.now()
-                    elif self._loop.now() - link.unheard > UNHEARD:
+                    if link.unacknowledged is None:
+                        link.unacknowledged = self._loop.now()
+                    elif self._loop.now() - link.unacknowledged > WORKERS_UNREACHABLE:
                         raise TimeLimitError("nothing is acknowledged")
                     with self._loop.limit(WRITE_LIMIT):
                         await stream.write(link.take_all())
@@ -114,14 +114,14 @@
     async def _acknowledged(self, link: _Link, stream: Stream) -> None:
         """Notice that a peer hears us, or that it has closed the connection.
 
-        Writing does not tell. A peer gave up on a controller that stood still for half a minute; that one wrote into
+        Writing does not tell. A peer gave up on a controller that was paused for half a minute; that one wrote into
         the closed connection for the rest of the day, and since nobody heard of it, nothing was ever handed back to it.
         """
         reader = FrameReader(stream)
         try:
             while True:
                 await reader.next()
-                link.unheard = None
+                link.unacknowledged = None
         except OSError as error:
             link.lost = error
             link.wake.set()
--- a/badgerroute/coordination/requests/heartbeat_handler.py
+++ b/badgerroute/coordination/requests/heartbeat_handler.py
@@ -116,8 +116,8 @@
     def _lacks_workers(self, peer: Peer | None, shard: int) -> bool:
         """Whether machines would go to their leader in vain. One that hears workers again says so by its mode."""
         mode = None if peer is None else peer.mode
-        if mode in (Mode.UNHEARD, Mode.RECOVERING):
-            return mode is Mode.UNHEARD
+        if mode in (Mode.WORKERS_UNREACHABLE, Mode.RECOVERING):
+            return mode is Mode.WORKERS_UNREACHABLE
         return any(summary.shard == shard and summary.silent for summary in self._peers.summaries())
 
     def _shard_of(self, name: str) -> int:
--- a/badgerroute/coordination/shards/services.py
+++ b/badgerroute/coordination/shards/services.py
@@ -33,7 +33,7 @@
     replica: Replica
     election: LeaderElection
     policy: ActionPolicy
-    awake_since: Callable[[], timedelta]  # the end of this process's last standstill
+    resumed_at: Callable[[], timedelta]  # the end of this process's last pause
     job_store: JobStore
     job_reader: JobReader
     pager: RecordPager
--- a/badgerroute/coordination/shards/shard_leader.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -57,7 +57,7 @@
         self.number = number
         self._settings, self._loop, self._replica = services.settings, services.loop, services.replica
         self._election, self._job_store, self._catalog = services.election, services.job_store, services.catalog
-        self._policy, self._awake_since = services.policy, services.awake_since
+        self._policy, self._resumed_at = services.policy, services.resumed_at
         self._progressed, self._delete = services.progressed, services.delete_machines
         params = self._settings.params
         self.group = Group(self._loop, f"{services.group.name}/shard-{number}")
@@ -327,14 +327,14 @@
         """Whether a machine is a member whose heartbeat should have come by now."""
         machine = self.shard.machines.get(name)
         heartbeat, now = self._settings.params.workers.heartbeat_interval, self._loop.now()
-        return machine is not None and worker_silence.overdue(machine, self.shard, heartbeat, self._awake_since(), now)
+        return machine is not None and worker_silence.overdue(machine, self.shard, heartbeat, self._resumed_at(), now)
 
     def silent(self) -> int:
         """How many machines' heartbeats are overdue, if half of all or more are. As seldom made anew as a summary."""
         now = self._loop.now()
         if self._silence is None or now - self._silence.at >= self._kept():
             heartbeat = self._settings.params.workers.heartbeat_interval
-            silent = worker_silence.silent(self.shard, heartbeat, self._awake_since(), now)
+            silent = worker_silence.silent(self.shard, heartbeat, self._resumed_at(), now)
             self._silence = SilenceReading(now, silent)
         return self._silence.machines
 
--- a/badgerroute/scheduling/heartbeat_reconciliation.py
+++ b/badgerroute/scheduling/heartbeat_reconciliation.py
@@ -270,7 +270,7 @@
         message.machine.failed_jobs.clear()
         if placement is not None:
             message.events.freed = True
-            # A controller that stood still once took its own pause for run time: what it expected of the class was far
+            # A controller that was paused once took its own pause for run time: what it expected of the class was far
             # too long, and jobs that had barely begun were sorted behind all others as late.
             if placement.running_since is not None and placement.timed and message.prompt and fresh >> index & 1:
                 run = message.now - placement.running_since
--- a/tests/standins/day.py
+++ b/tests/standins/day.py
@@ -93,7 +93,7 @@
 
 
 class FreezableRoutine(Routine):
-    """Does not step while its host stands still; what woke it meanwhile is seen afterwards, all at once."""
+    """Does not step while its host is paused; what woke it meanwhile is seen afterwards, all at once."""
 
     __slots__ = ()
 
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -13,8 +13,8 @@
 from badgerroute.connectivity.links import PEER, STATE_SERVICE, Link
 from badgerroute.connectivity.mode_machine import ModeMachine
 from badgerroute.connectivity.modes import PERMISSIONS, Action, Mode, Permission, Reachable, mode_of
+from badgerroute.connectivity.process_pause import PauseDetector
 from badgerroute.connectivity.relay_routes import BOUNCED_WITHIN, FORGOTTEN, RelayRoutes, Route
-from badgerroute.connectivity.standstill import StandstillDetector
 from badgerroute.connectivity.transfer_target import Candidate, choose_receiver
 from badgerroute.connectivity.worker_link import TRIAL, WorkerLink
 from badgerroute.coordination.leadership.action_policy import ActionPolicy
@@ -71,13 +71,13 @@
 
 
 def test_a_standstill_of_our_own_is_nobody_elses_silence() -> None:
-    detector, link = StandstillDetector(SECOND / 4, 0 * SECOND), Link(PEER, 0 * SECOND)
+    detector, link = PauseDetector(SECOND / 4, 0 * SECOND), Link(PEER, 0 * SECOND)
     link.heard(10 * SECOND)
     assert detector.turn(SECOND / 4) == 0 * SECOND
     for turn in range(2, 41):
         assert detector.turn(turn * SECOND / 4) == 0 * SECOND
     standstill = detector.turn(18 * SECOND)
-    assert standstill == 7.75 * SECOND and detector.awake_since == 18 * SECOND
+    assert standstill == 7.75 * SECOND and detector.resumed_at == 18 * SECOND
     assert link.suspected(18 * SECOND)
     link.excuse(standstill, 18 * SECOND)
     assert not link.suspected(18 * SECOND)
@@ -111,10 +111,10 @@
     [
         (True, True, True, True, Mode.SERVING),
         (True, True, False, False, Mode.SERVING),
-        (True, False, True, True, Mode.UNHEARD),
-        (True, False, False, False, Mode.UNHEARD),
-        (False, True, True, True, Mode.UNRECORDED),
-        (False, True, False, False, Mode.UNRECORDED),
+        (True, False, True, True, Mode.WORKERS_UNREACHABLE),
+        (True, False, False, False, Mode.WORKERS_UNREACHABLE),
+        (False, True, True, True, Mode.STORE_UNREACHABLE),
+        (False, True, False, False, Mode.STORE_UNREACHABLE),
         (False, True, True, False, Mode.OUTAGE),
         (False, False, True, False, Mode.OUTAGE),
         (False, False, True, True, Mode.ISOLATED),
@@ -130,23 +130,25 @@
     assert unsettled is (Mode.RECOVERING if mode is Mode.SERVING else mode)
 
 
-UNHEARD = Reachable(True, False, True, True)
-UNRECORDED = Reachable(False, True, True, True)
+WORKERS_UNREACHABLE = Reachable(True, False, True, True)
+STORE_UNREACHABLE = Reachable(False, True, True, True)
 OUTAGE = Reachable(False, True, True, False)
+NO_WORKERS, NO_STORE = Mode.WORKERS_UNREACHABLE, Mode.STORE_UNREACHABLE
+SERVING, RECOVERING = Mode.SERVING, Mode.RECOVERING
 
 
 @pytest.mark.parametrize(
     ("steps", "modes"),
     [
-        ([(0, GOOD), (9, GOOD)], [Mode.SERVING, Mode.SERVING]),
-        ([(0, UNHEARD), (5, GOOD), (8, GOOD), (9, GOOD)], [Mode.UNHEARD, *[Mode.RECOVERING] * 2, Mode.SERVING]),
-        ([(0, UNRECORDED), (1, GOOD), (5, GOOD)], [Mode.UNRECORDED, Mode.RECOVERING, Mode.SERVING]),
-        ([(0, OUTAGE), (5, GOOD)], [Mode.OUTAGE, Mode.SERVING]),  # nobody took anything over meanwhile
-        ([(0, UNRECORDED), (1, UNHEARD), (2, GOOD), (6, GOOD)], [*[Mode.UNRECORDED, Mode.UNHEARD]]
-         + [Mode.RECOVERING, Mode.SERVING]),
+        ([(0, GOOD), (9, GOOD)], [SERVING, SERVING]),
+        ([(0, WORKERS_UNREACHABLE), (5, GOOD), (8, GOOD), (9, GOOD)], [NO_WORKERS, *[RECOVERING] * 2, SERVING]),
+        ([(0, STORE_UNREACHABLE), (1, GOOD), (5, GOOD)], [NO_STORE, RECOVERING, SERVING]),
+        ([(0, OUTAGE), (5, GOOD)], [Mode.OUTAGE, SERVING]),  # nobody took anything over meanwhile
+        ([(0, STORE_UNREACHABLE), (1, WORKERS_UNREACHABLE), (2, GOOD), (6, GOOD)],
+         [NO_STORE, NO_WORKERS, RECOVERING, SERVING]),
         # The second loss within seconds doubles the time.
-        ([(0, UNHEARD), (1, GOOD), (2, UNHEARD), (3, GOOD), (8, GOOD), (12, GOOD)],
-         [Mode.UNHEARD, Mode.RECOVERING, Mode.UNHEARD, Mode.RECOVERING, Mode.RECOVERING, Mode.SERVING]),
+        ([(0, WORKERS_UNREACHABLE), (1, GOOD), (2, WORKERS_UNREACHABLE), (3, GOOD), (8, GOOD), (12, GOOD)],
+         [NO_WORKERS, RECOVERING, NO_WORKERS, RECOVERING, RECOVERING, SERVING]),
     ],
 )  # fmt: skip
 def test_modes_over_time(steps: list[tuple[float, Reachable]], modes: list[Mode]) -> None:
@@ -172,7 +174,7 @@
 }
 
 
-@pytest.mark.parametrize("mode", [Mode.UNRECORDED, Mode.ISOLATED, Mode.OUTAGE])
+@pytest.mark.parametrize("mode", [Mode.STORE_UNREACHABLE, Mode.ISOLATED, Mode.OUTAGE])
 def test_what_needs_a_write_is_not_begun_without_the_state_service(mode: Mode) -> None:
     assert {action for action in WRITES if PERMISSIONS[mode][action] is not Permission.REFUSED} == set()
 
@@ -303,8 +305,8 @@
 )  # fmt: skip
 def test_routes(steps: list[tuple[float, bool, bool, Route | None]]) -> None:
     routes = RelayRoutes()
-    for at, unheard, busy, expected in steps:
-        route = routes.decide("host-000001", "a", unheard, busy, (100 + at) * SECOND)
+    for at, workers_unreachable, busy, expected in steps:
+        route = routes.decide("host-000001", "a", workers_unreachable, busy, (100 + at) * SECOND)
         assert expected in (None, route), at
 
 
--- a/tests/test_connectivity_days.py
+++ b/tests/test_connectivity_days.py
@@ -238,7 +238,7 @@
 
 
 def paused_leader(day: Day) -> None:
-    """The leader stands still while its heartbeats are relayed, and wakes when its shard is somebody else's."""
+    """The leader is paused while its heartbeats are relayed, and wakes when its shard is somebody else's."""
     host = pick(day)
     cut, heal = from_workers(day, [host], "hold")
     cut()
@@ -489,9 +489,7 @@
     for one, _ in day.controllers.values():
         monkeypatch.setattr(one.forwarder, "_send", lambda target, message: sent.append(target))
     for host in others(leader):
-        routine = day.loop.spawn(
-            desk_of[host].answer_heartbeat(Request("POST", "/checkin", "", body.encode()), leader), "r"
-        )
+        routine = day.loop.spawn(desk_of[host].handle(Request("POST", "/checkin", "", body.encode()), leader), "r")
         assert day.loop.run(routine).status == 503
     assert sent == []
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -690,7 +690,7 @@
     ],
 )
 def test_runs_across_a_silence(times: tuple[int, ...], learned: int) -> None:
-    """A controller that stood still must not take its own pause for run time."""
+    """A controller that was paused must not take its own pause for run time."""
     target = shard(1)
     machine = target.machines["host-0"]
     machine.heard = timedelta(0)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -298,7 +298,7 @@
 
 
 def frozen_in_takeover(day: Day) -> None:
-    """The new leader of a dead controller's shard stands still in the midst of it."""
+    """The new leader of a dead controller's shard is paused in the midst of it."""
     dead, heir = day.random.sample(HOSTS, 2)
     day.restart(dead, 30 * SECOND)
     for _ in range(3):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -120,7 +120,7 @@
 
 @pytest.mark.parametrize("trouble", ["cut", "frozen"])
 def test_only_an_leader_that_is_certain_deletes_machines(trouble: str) -> None:
-    """It decided before it stood still or was cut off; by now the machine may be a new leader's."""
+    """It decided before it was paused or was cut off; by now the machine may be a new leader's."""
     day = Day(seed=10)
     day.run(5)
     host = HOSTS[0]
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -201,7 +201,7 @@
 
 
 def test_a_machine_that_joined_somebody_else_is_not_deleted() -> None:
-    """A controller that had given it up stood still meanwhile, and came back with a lease of its own."""
+    """A controller that had given it up was paused meanwhile, and came back with a lease of its own."""
     day = Day(seed=23)
     day.run(5)
     mine, other = (day.controllers[host][0] for host in HOSTS[:2])
--- a/tools/connectivity_report.py
+++ b/tools/connectivity_report.py
@@ -6,7 +6,7 @@
 from tools.connectivity_results import FIGURES, CutDay, KindSummary, summarize
 from tools.plots import PAGE_STYLE, svg
 
-PLOTTED = ("hand_overs", "killed_by_lease", "without_owner_s", "refused")
+PLOTTED = ("hand_overs", "killed_by_lease", "without_leader_s", "refused")
 TEMPLATE = jinja2.Template(
     """<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>Half-open cuts, with and without relays</title>
--- a/tools/connectivity_results.py
+++ b/tools/connectivity_results.py
@@ -43,7 +43,7 @@
     "hand_overs": "hand-overs",
     "claims": "claims",
     "killed_by_lease": "tasks killed by their lease",
-    "without_owner_s": "shard seconds without an owner",
+    "without_leader_s": "shard seconds without a leader",
     "refused": "users' 503s",
     "relayed": "reports relayed",
     "makespan_s": "makespan, s",
