--- a/badgerroute/connectivity/damping.py
+++ b/badgerroute/connectivity/damping.py
@@ -16,11 +16,11 @@
 class FlapDamping:
     """How long links must have been good before shards come back.
 
-    `settle` holds without a penalty, and doubles with each point of it up to `longest`. The penalty halves once a
+    `base_delay` holds without a penalty, and doubles with each point of it up to `longest`. The penalty halves once a
     `half_life`.
     """
 
-    settle: timedelta
+    base_delay: timedelta
     longest: timedelta
     half_life: timedelta
     _penalty: float = 0.0
@@ -37,10 +37,10 @@
         self._noted = now
 
     def extra(self, now: timedelta) -> timedelta:
-        """How much longer than `settle` that is."""
-        return max(ZERO, self.delay(now) - self.settle)
+        """How much longer than `base_delay` that is."""
+        return max(ZERO, self.delay(now) - self.base_delay)
 
     def delay(self, now: timedelta) -> timedelta:
-        """How long links must have been good by now. The first loss costs no more than `settle`."""
+        """How long links must have been good by now. The first loss costs no more than `base_delay`."""
         extra = max(0.0, self.penalty(now) - PENALTY_PER_CHANGE)
-        return min(self.longest, self.settle * 2.0**extra)
+        return min(self.longest, self.base_delay * 2.0**extra)
--- a/badgerroute/connectivity/mode_machine.py
+++ b/badgerroute/connectivity/mode_machine.py
@@ -29,16 +29,16 @@
     def update(self, reachable: Reachable, now: timedelta) -> ModeChange | None:
         """Take in what is reachable; the change that follows, if any."""
         before = self.mode
-        if mode_of(reachable, settled=True) in IMPAIRED:
+        if mode_of(reachable, stable=True) in IMPAIRED:
             self._good_since = None
             if before not in IMPAIRED:
                 self._damping.note_change(now)
         elif before in IMPAIRED:
             self._good_since = now
-        self.mode = mode_of(reachable, self._settled(now))
+        self.mode = mode_of(reachable, self._stable(now))
         return None if self.mode is before else ModeChange(before, self.mode, _cause(reachable, self.mode))
 
-    def _settled(self, now: timedelta) -> bool:
+    def _stable(self, now: timedelta) -> bool:
         return self._good_since is None or now - self._good_since >= self._damping.delay(now)
 
 
--- a/badgerroute/connectivity/modes.py
+++ b/badgerroute/connectivity/modes.py
@@ -99,12 +99,12 @@
         return not self.store and (self.peer_with_store or not self.peers)
 
 
-def mode_of(reachable: Reachable, settled: bool) -> Mode:
-    """The mode that follows; `settled`: the links have been good for long enough."""
+def mode_of(reachable: Reachable, stable: bool) -> Mode:
+    """The mode that follows; `stable`: the links have been good for long enough."""
     if not reachable.store:
         if not reachable.alone:
             return Mode.OUTAGE
         return Mode.STORE_UNREACHABLE if reachable.workers else Mode.ISOLATED
     if not reachable.workers:
         return Mode.WORKERS_UNREACHABLE
-    return Mode.SERVING if settled else Mode.RECOVERING
+    return Mode.SERVING if stable else Mode.RECOVERING
--- a/badgerroute/coordination/autoscaling/scale_in.py
+++ b/badgerroute/coordination/autoscaling/scale_in.py
@@ -45,7 +45,11 @@
             if not self._job_store.active:
                 idle /= NO_JOBS
             for leader in list(self._leaders.values()):
-                if leader.ready and leader.shard.settled and self._policy.allows_for(leader.number, Action.RETURN_IDLE):
+                if (
+                    leader.ready
+                    and leader.shard.reconciled
+                    and self._policy.allows_for(leader.number, Action.RETURN_IDLE)
+                ):
                     self._return(leader, idle)
 
     def _return(self, leader: ShardLeader, idle: timedelta) -> None:
--- a/badgerroute/coordination/jobs/job_reader.py
+++ b/badgerroute/coordination/jobs/job_reader.py
@@ -90,15 +90,15 @@
             page = await self._store.page(FINAL_STATES, _key_before(FINAL_STATES + left[0]), limit, urgency)
             items = {item.key.removeprefix(FINAL_STATES): item for item in page.items}
             last = max(items, default="")
-            settled = [ref for ref in left if ref <= last] if page.more else left
-            if not settled:
+            decided = [ref for ref in left if ref <= last] if page.more else left
+            if not decided:
                 raise StoreUnavailableError("an empty page that is not the last")
-            for ref in settled:
+            for ref in decided:
                 if ref in items:
                     self._remember_final_state(ref, items[ref])
                 else:
                     missing.append(ref)
-            left = left[len(settled) :]
+            left = left[len(decided) :]
         return missing
 
     async def state_after_acceptance(self, ref: str) -> str:
--- a/badgerroute/coordination/membership/leadership_transfer.py
+++ b/badgerroute/coordination/membership/leadership_transfer.py
@@ -52,7 +52,7 @@
             leader = self._leaders.get(shard)
             # A peer that has lost the key-value store still names the lease it once had. Its shard was handed to it
             # again and again, each time given up first and claimed anew, and was paused for as long as the cut.
-            if peer is not None and peer.fit() and leader is not None and leader.shard.settled:
+            if peer is not None and peer.fit() and leader is not None and leader.shard.reconciled:
                 await self._election.transfer(shard, host, peer.gossip.lease)
                 return
 
--- a/badgerroute/coordination/quotas/quota_allocator.py
+++ b/badgerroute/coordination/quotas/quota_allocator.py
@@ -153,7 +153,7 @@
             at = await self._store.transact([condition, compare(key, revision)], [put(key, value)], Urgency.COMPLETE)
         except (CompareFailedError, OutcomeUnknownError) as error:
             log.debug("event=share_unsettled team=%s error=%s", team, error)
-            await self._settle(key, revision, unknown=isinstance(error, OutcomeUnknownError))
+            await self._reconcile(key, revision, unknown=isinstance(error, OutcomeUnknownError))
             return False
         except (StoreUnavailableError, LeaseExpiredError):
             return False
@@ -163,7 +163,7 @@
         self._pushed(key, bytes(value), at)
         return True
 
-    async def _settle(self, key: str, revision: int, unknown: bool) -> None:
+    async def _reconcile(self, key: str, revision: int, unknown: bool) -> None:
         """Read the key back. While a lost transaction may still be applied, rewriting the key rules that out."""
         while True:
             try:
--- a/badgerroute/coordination/requests/shard_requests.py
+++ b/badgerroute/coordination/requests/shard_requests.py
@@ -39,7 +39,7 @@
         while True:
             await self._loop.sleep(STEAL_ROUND)
             for leader in list(self._leaders.values()):
-                if not leader.ready or not leader.shard.settled:
+                if not leader.ready or not leader.shard.reconciled:
                     continue
                 if self._policy.allows_for(leader.number, Action.GIVE_WORK):
                     await leader.migration.pass_on_gangs(self._peers.summaries())
@@ -110,7 +110,7 @@
             if demand.team not in short and any(fits_capacity(demand, capacity) for capacity in capacities)
         )
         for summary in summaries
-        if summary.shard != thief and summary.settled
+        if summary.shard != thief and summary.reconciled
     }
     busiest = max(waiting, key=lambda shard: waiting[shard], default=None)
     return busiest if busiest is not None and waiting[busiest] > 0 else None
--- a/badgerroute/coordination/shards/machine_transfers.py
+++ b/badgerroute/coordination/shards/machine_transfers.py
@@ -46,7 +46,7 @@
         Only a machine with nothing on it and no start on its way is given, and from before the write on nothing
         starts on it here.
         """
-        if not self._shard.settled or not self._acting():
+        if not self._shard.reconciled or not self._acting():
             return
         given = self._transferable(message)
         if not given:
@@ -63,7 +63,7 @@
         except OutcomeUnknownError:
             # It may yet be applied, so these machines are of no use here until a write of ours rules that out.
             for machine in given:
-                self._group.spawn(self._settle_machine(machine), "settle-lend")
+                self._group.spawn(self._reconcile_machine(machine), "settle-lend")
         else:
             log.info(
                 "event=machines_lent shard=%d to=%d machines=%s",
@@ -96,7 +96,7 @@
         record = MachineRecord(shard, machine.address, machine.kind.name, machine.zone, machine.spot)
         return put(MACHINES + machine.name, records.write(record))
 
-    async def _settle_machine(self, machine: Machine) -> None:
+    async def _reconcile_machine(self, machine: Machine) -> None:
         key = MACHINES + machine.name
         while self._shard.machines.get(machine.name) is machine:
             try:
--- a/badgerroute/coordination/shards/migration.py
+++ b/badgerroute/coordination/shards/migration.py
@@ -114,7 +114,7 @@
         for job in self.planner.unplaceable_gangs(now):
             if now - self._passed_on.get(job.ref, -PASS_ON_PAUSE) < PASS_ON_PAUSE:
                 continue
-            others = [summary for summary in summaries if summary.shard != self.number and summary.settled]
+            others = [summary for summary in summaries if summary.shard != self.number and summary.reconciled]
             options = [summary for summary in others if holds_whole_job(job, summary.capacities)] or [
                 summary for summary in others if holds_whole_job(job, summary.soft.get(job.level, []))
             ]
@@ -166,7 +166,7 @@
 
     async def on_steal(self, message: mesh_wire.StealRequest) -> None:
         """An idle shard wants work: give it tasks that wait here and fit there, in one conditional write."""
-        if not self.shard.settled or not self._acting():
+        if not self.shard.reconciled or not self._acting():
             return
         selection = StealSelection(self.shard, message.capacities, message.images, self._loop.now())
         changes: list[tuple[str, records.JobRecord]] = []
@@ -205,9 +205,9 @@
             if isinstance(error, CompareFailedError):
                 await self._refresh([write.put.key for write in writes])
         except OutcomeUnknownError:
-            # It may yet be applied: the tasks stay out of reach until another write has settled the key.
+            # It may yet be applied: the tasks stay out of reach until another write has reconciled the key.
             for write in writes:
-                self._group.spawn(self._settle(write.job, write.given), "settle-steal")
+                self._group.spawn(self._reconcile(write.job, write.given), "settle-steal")
             return
         else:
             log.info("event=steal shard=%d thief=%d jobs=%d", self.number, thief, len(puts))
@@ -250,7 +250,7 @@
         except StoreUnavailableError:
             log.debug("event=refresh_failed")
 
-    async def _settle(self, job: Job, given: int) -> None:
+    async def _reconcile(self, job: Job, given: int) -> None:
         """Rewrite a job's record as it is, so that a lost transaction can't be applied any more."""
         key = JOBS + job.ref
         while True:
--- a/badgerroute/coordination/shards/quota_exchange.py
+++ b/badgerroute/coordination/shards/quota_exchange.py
@@ -60,7 +60,7 @@
     async def grant(self, message: mesh_wire.QuotaRequest) -> None:
         """Another shard lacks quota: give what we neither use nor can use soon, or what it has the better use for."""
         team = message.team
-        if not self._shard.settled or not self._policy.allows_for(self._shard.number, Action.MOVE_QUOTA):
+        if not self._shard.reconciled or not self._policy.allows_for(self._shard.number, Action.MOVE_QUOTA):
             return
         cpus, gpus = self._quota_allocator.of(self._shard.number, team)
         used = self._shard.usage[team]
--- a/badgerroute/coordination/shards/shard_leader.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -234,8 +234,8 @@
         if events.progressed:
             self.progress |= events.progressed
             self._progressed()
-        if not self.shard.settled:
-            self.shard.settle()
+        if not self.shard.reconciled:
+            self.shard.reconcile()
         for machine in events.quarantined:
             self.group.spawn(self._retire_quarantined(machine), "retire")
         return True
@@ -263,7 +263,7 @@
             self._expire(now)
             self._notices(now)
             self.shard.expire_reservations(now)
-            self.shard.settle()
+            self.shard.reconcile()
             self.planner.release_holds(now)
             if self._policy.allows_for(self.number, Action.START):
                 self.planner.gangs(now, over)
--- a/badgerroute/coordination/shards/summary.py
+++ b/badgerroute/coordination/shards/summary.py
@@ -105,7 +105,7 @@
     return ShardSummary(
         shard=shard.number,
         term=shard.term,
-        settled=shard.settled,
+        reconciled=shard.reconciled,
         machines=len(shard.machines),
         capacities=capacities,
         images=images,
--- a/badgerroute/coordination/shards/tombstone_writer.py
+++ b/badgerroute/coordination/shards/tombstone_writer.py
@@ -46,7 +46,7 @@
         now = self._loop.now()
         for name in names:
             self._shard.remove_machine(name, now)
-        self._shard.settle()
+        self._shard.reconcile()
         while names and self._shard.number in self._election.leaderships:
             key, known = self._page()
             batch = names[: min(self._store.max_changes - 1, self._names_per_page - len(known), MAX_MACHINES_PER_WRITE)]
--- a/badgerroute/protocol/mesh.py
+++ b/badgerroute/protocol/mesh.py
@@ -58,7 +58,7 @@
 
     shard: int = field(name="part")
     term: int
-    settled: bool
+    reconciled: bool = field(name="settled")
     machines: int
     capacities: list[FreeCapacity] = field(name="bins")
     images: dict[str, tuple[float, float]]  # image -> free processors beside it: in all, and on one machine at most
--- a/badgerroute/rebalancing/moves.py
+++ b/badgerroute/rebalancing/moves.py
@@ -86,7 +86,7 @@
     def round(self, now: timedelta, over: Callable[[], bool]) -> int:
         """Begin moves for jobs that wait, in the order of service; how many tasks are moved."""
         moved = looked = 0
-        if not self._shard.settled:
+        if not self._shard.reconciled:
             return 0
         for job in self._planner.waiting_jobs(now):
             if over() or looked >= MAX_JOBS_LOOKED_AT or self.ledger.left(now) <= 0:
--- a/badgerroute/rebalancing/service.py
+++ b/badgerroute/rebalancing/service.py
@@ -130,7 +130,7 @@
     def _may_ask(self, leader: ShardLeader) -> bool:
         """Whether a shard may ask others for work."""
         policy = self._controller.policy if self._controller is not None else None
-        return leader.shard.settled and policy is not None and policy.allows_for(leader.number, Action.STEAL)
+        return leader.shard.reconciled and policy is not None and policy.allows_for(leader.number, Action.STEAL)
 
     def _new_duty(self, number: int, leader: ShardLeader) -> _ShardRebalancing:
         guidance = self._guidances[number]
@@ -141,7 +141,7 @@
 
     def _round(self, duty: _ShardRebalancing, now: timedelta, over: Callable[[], bool]) -> None:
         self._drain_machines(duty, now)
-        if duty.leader.shard.settled:
+        if duty.leader.shard.reconciled:
             duty.local.advance(now, over)
             duty.moves.round(now, over)
 
@@ -171,7 +171,7 @@
         teams = [team for team, urgency in self._urgencies.items() if urgency > 1.0]
         for duty in self._duties.values():
             own = duty.leader.summary()
-            others = [summary for summary in self.view.summaries if summary.shard != own.shard and summary.settled]
+            others = [summary for summary in self.view.summaries if summary.shard != own.shard and summary.reconciled]
             if not others or not self._may_ask(duty.leader):
                 continue
             for request in work_lacking(own, others, teams):
--- a/badgerroute/scheduling/array_placement.py
+++ b/badgerroute/scheduling/array_placement.py
@@ -29,7 +29,7 @@
     def fill(self, machine: Machine, now: timedelta, over: Callable[[], bool]) -> int:
         """Start array tasks in a machine's free room. `over` tells when the round's time is up."""
         shard = self._shard
-        if not shard.settled or not machine.usable or machine.avoid_until > now:
+        if not shard.reconciled or not machine.usable or machine.avoid_until > now:
             return 0
         self._order.refresh(now)
         if not machine.free.holds(self._order.least_need):
--- a/badgerroute/scheduling/gang_placement.py
+++ b/badgerroute/scheduling/gang_placement.py
@@ -36,7 +36,7 @@
 
     def place_on(self, machine: Machine, now: timedelta, over: Callable[[], bool]) -> int:
         """Place the gangs for which a machine that reports may have been missing. Room is made in rounds only."""
-        if not self._shard.settled or not machine.usable:
+        if not self._shard.reconciled or not machine.usable:
             return 0
         self._order.refresh(now)
         placed = 0
@@ -52,7 +52,7 @@
 
     def place(self, now: timedelta, over: Callable[[], bool]) -> int:
         """Place waiting gangs, each whole or not at all."""
-        if not self._shard.settled:
+        if not self._shard.reconciled:
             return 0
         self._order.refresh(now)
         waiting = [job for job in self._order.jobs if job.gang and not job.placed and job.waiting_bits]
--- a/badgerroute/scheduling/heartbeat_reconciliation.py
+++ b/badgerroute/scheduling/heartbeat_reconciliation.py
@@ -41,7 +41,7 @@
     now: timedelta
     events: Events = field(default_factory=Events)
 
-    def settles(self, placement: Placement) -> bool:
+    def confirms_absence(self, placement: Placement) -> bool:
         """Whether a start's absence from this message proves that it was not and will not be executed.
 
         A worker keeps one heartbeat in flight and drops late answers, so only a later *heartbeat* proves it.
@@ -122,7 +122,7 @@
             if key in present or placement.phase is Phase.RESERVED:
                 continue
             if placement.phase is Phase.SENT:
-                if not message.settles(placement):
+                if not message.confirms_absence(placement):
                     machine.listed = None
                     continue
                 untaken = True
@@ -210,7 +210,7 @@
         Nothing is placed meanwhile: not this task, which runs already, nor others, since it counts against its team.
         """
         machine.undecided.add(task)
-        self._shard.settled = False
+        self._shard.reconciled = False
 
     def _exited(self, message: Message, ref: str, index: int, task: TaskStatus) -> None:
         machine = message.machine
@@ -220,7 +220,7 @@
             placement = None  # an older attempt's end says nothing about this one
         elif placement is not None and placement.phase is Phase.SENT and placement.rejoined:
             # It carries the number of the attempt that ended. Only a later heartbeat tells the two apart.
-            if not message.settles(placement):
+            if not message.confirms_absence(placement):
                 machine.listed = None
                 return
         job = self._shard.jobs.get(ref)
--- a/badgerroute/scheduling/preemption.py
+++ b/badgerroute/scheduling/preemption.py
@@ -155,7 +155,7 @@
         A round that runs out of time goes on with the next job: with 2,000 waiting jobs on 4,000 machines one pass
         took almost four seconds, in which no heartbeat was answered.
         """
-        if not self._shard.settled:
+        if not self._shard.reconciled:
             return
         self._order.refresh(now)
         coming = sum(machine.leaving for machine in self._shard.machines.values())  # room on its way already
--- a/badgerroute/scheduling/shard.py
+++ b/badgerroute/scheduling/shard.py
@@ -77,7 +77,7 @@
         self.jobs: dict[str, Job] = {}
         self.usage: defaultdict[str, Usage] = defaultdict(Usage)
         self.estimates = Estimates()
-        self.settled = False  # every member fenced or provably rid of its tasks: until then nothing is placed
+        self.reconciled = False  # every member fenced or provably rid of its tasks: until then nothing is placed
         self.reserved_for_peers: dict[
             str, tuple[Room, timedelta]
         ] = {}  # team -> of its share, what is kept for another shard
@@ -371,16 +371,16 @@
                 lost.append(machine)
         return lost
 
-    def settle(self) -> bool:
+    def reconcile(self) -> bool:
         """Whether every member is accounted for, so that tasks may be placed."""
-        if not self.settled:
+        if not self.reconciled:
             # A stray's team is unknown, so what it uses can't be counted: wait until it is gone.
-            self.settled = not self.unsettled()
-            if self.settled:
+            self.reconciled = not self.unreconciled()
+            if self.reconciled:
                 log.info("event=shard_settled shard=%d term=%d machines=%d", self.number, self.term, len(self.machines))
-        return self.settled
+        return self.reconciled
 
-    def unsettled(self) -> list[Machine]:
+    def unreconciled(self) -> list[Machine]:
         """Machines of which it is not certain what runs on them, or that run what can't be counted."""
         return [
             machine for machine in self.machines.values() if not machine.fenced or machine.strays or machine.undecided
--- a/badgerroute/scheduling/shard_state.py
+++ b/badgerroute/scheduling/shard_state.py
@@ -31,7 +31,7 @@
     """A shard as those see it that read heartbeats and judge failures for it."""
 
     fence: int
-    settled: bool
+    reconciled: bool
     undecided: Callable[[str], bool]
 
     @property
--- a/tests/standins/workers.py
+++ b/tests/standins/workers.py
@@ -206,13 +206,13 @@
                 memory += other["ram_gb"]
         return cpus <= self.kind.cpus + 1e-6 and memory <= self.kind.memory_gb + 1e-6
 
-    def _halt(self, task: Task, settle: float) -> None:
+    def _halt(self, task: Task, grace: float) -> None:
         if task.state == "exited":
             return
         job = self.site.jobs[task.ref]
-        if task.state == "running" and job["waypoint_s"] and settle >= job["pen_s"]:
+        if task.state == "running" and job["waypoint_s"] and grace >= job["pen_s"]:
             task.state, task.until = "flushing", self.loop.now() + job["pen_s"] * SECOND
-        elif task.state != "flushing" or settle == 0:
+        elif task.state != "flushing" or grace == 0:
             self._exit(task, "stopped")
         self.changed.set()
 
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -125,9 +125,9 @@
     store: bool, workers: bool, peers: bool, peer_with_store: bool, mode: Mode
 ) -> None:
     reachable = Reachable(store, workers, peers, peer_with_store)
-    assert mode_of(reachable, settled=True) is mode
-    unsettled = mode_of(reachable, settled=False)
-    assert unsettled is (Mode.RECOVERING if mode is Mode.SERVING else mode)
+    assert mode_of(reachable, stable=True) is mode
+    unstable = mode_of(reachable, stable=False)
+    assert unstable is (Mode.RECOVERING if mode is Mode.SERVING else mode)
 
 
 WORKERS_UNREACHABLE = Reachable(True, False, True, True)
--- a/tests/test_connectivity_days.py
+++ b/tests/test_connectivity_days.py
@@ -134,8 +134,8 @@
     return any(shard in one.leaders and one.leaders[shard].ready for one in heirs(day, host, shard))
 
 
-def settled(day: Day, host: str, shard: int) -> bool:
-    return any(shard in one.leaders and one.leaders[shard].shard.settled for one in heirs(day, host, shard))
+def reconciled(day: Day, host: str, shard: int) -> bool:
+    return any(shard in one.leaders and one.leaders[shard].shard.reconciled for one in heirs(day, host, shard))
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -145,7 +145,7 @@
         *(pytest.param(heals_at_election(at, "hold"), id=f"after-{at}") for at in (3.6, 3.9, 4.1, 4.4, 5.0)),
         *(
             pytest.param(heals_when(reached, mode), id=f"{reached.__name__}-{mode}")
-            for reached in (led, ready, settled)
+            for reached in (led, ready, reconciled)
             for mode in ("hold", "refuse")
         ),
     ],
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -55,7 +55,7 @@
         machine = made.add_machine(f"host-{number}", record, KIND, timedelta(0))
         machine.alive = machine.fenced = True
         machine.incarnation, machine.sequence, machine.answered = 1, 0, timedelta(0)
-    made.settled = True
+    made.reconciled = True
     return made
 
 
@@ -514,11 +514,11 @@
 def test_lower_token_is_no_last_word() -> None:
     target = shard(1, term=9)
     machine = target.machines["host-0"]
-    target.settled = False
+    target.reconciled = False
     target.on_heartbeat(machine, heartbeat(1, fencing_token=8), True, 1 * S)
-    assert not machine.fenced and not target.settle()
+    assert not machine.fenced and not target.reconcile()
     target.on_heartbeat(machine, heartbeat(2, fencing_token=9), False, 1 * S)
-    assert machine.fenced and target.settle()
+    assert machine.fenced and target.reconcile()
 
 
 @pytest.mark.parametrize(
@@ -714,14 +714,14 @@
     target.undecided = undecided.__contains__
     machine, other = target.machines.values()
     assert target.on_heartbeat(machine, heartbeat(1, [RUNNING]), True, 1 * S) is not None
-    assert not target.settled and not machine.usable and not target.settle()
+    assert not target.reconciled and not machine.usable and not target.reconcile()
     assert target.commands(machine, 1 * S, starts=True) == []
     job = add(target, submission(tasks=1))
     undecided.clear()
     planner = Planner(target, Scheduling(), Objectives([]))
     assert planner.fill(other, 2 * S, never) == 0
     assert target.on_heartbeat(machine, heartbeat(2, [RUNNING]), True, 2 * S) is not None
-    assert target.settle() and machine.usable and job.placed[0].machine is machine
+    assert target.reconcile() and machine.usable and job.placed[0].machine is machine
     done = TaskStatus(RUNNING.task, RUNNING.attempt, "exited", "done")
     undecided.add("run-2")
     other_done = TaskStatus("run-2/0", 5, "exited", "done")
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -209,15 +209,15 @@
     unreachable.unreachable = day.site.cloud_down = True
     day.restart(host, 30 * SECOND)
 
-    def settled() -> bool:
+    def reconciled() -> bool:
         return any(
-            leader.shard.settled
+            leader.shard.reconciled
             for one, _ in day.controllers.values()
             for leader in one.leaders.values()
             if leader.number == shard
         )
 
-    assert day.until(settled, 60), "one machine must not block its shard"
+    assert day.until(reconciled, 60), "one machine must not block its shard"
     unreachable.unreachable = day.site.cloud_down = False
 
 
@@ -458,7 +458,7 @@
 def skip_fencing(day: Day, monkeypatch: pytest.MonkeyPatch) -> None:
     """A leader that places before its members are fenced."""
     monkeypatch.setattr(
-        "badgerroute.scheduling.shard.Shard.settle", lambda self: setattr(self, "settled", True) or True
+        "badgerroute.scheduling.shard.Shard.reconcile", lambda self: setattr(self, "reconciled", True) or True
     )
     monkeypatch.setattr("badgerroute.scheduling.model.Machine.usable", property(lambda self: True))
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -168,7 +168,7 @@
     monkeypatch.setattr(HostNetwork, "connect", connect)
     day.run(8)
     heir = day.controllers[HOSTS[0]][0]
-    assert all(one.shard.settled for one in heir.leaders.values()) and len(heir.leaders) == 3
+    assert all(one.shard.reconciled for one in heir.leaders.values()) and len(heir.leaders) == 3
     assert 4 < max(seen) <= 8
     assert day.sockets(HOSTS[0]) <= 60 + 20, "and none is kept"
 
@@ -249,7 +249,7 @@
         machine = shard.add_machine(f"host-{number}", records.MachineRecord(0, "m:1", "k8", "a", False), kind, SECOND)
         machine.alive = machine.fenced = True
         machine.incarnation, machine.answered = 1, SECOND
-    shard.settled = True
+    shard.reconciled = True
     for ref, count in (("run-on", 8 * machines), ("run-waits", 50)):
         spec = parse_submission(json.dumps(job(ref, heads=count)).encode())
         shard.add_job(records.JobRecord(spec, 0.0, [(0, 0, count)]), timedelta(0), 10**6, timedelta(0))
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -223,9 +223,9 @@
     assert OperatorSettings().fleet.most_machines >= MANY
 
 
-def settled(day: Day) -> bool:
+def reconciled(day: Day) -> bool:
     shards = [leader.shard for controller, _ in day.controllers.values() for leader in controller.leaders.values()]
-    return len(shards) == len(HOSTS) and all(shard.settled for shard in shards)
+    return len(shards) == len(HOSTS) and all(shard.reconciled for shard in shards)
 
 
 @pytest.mark.parametrize("machines", [FEW, MANY])
@@ -240,11 +240,11 @@
         seed=3, machines=machines, capacity=0, rps=3000, write_rps=6000, sockets=3 * machines, tick=SECOND, txn_ops=48
     )
     members = lambda: sum(key.startswith("b/machines/") for key in day.store.items)  # noqa: E731
-    assert day.until(lambda: settled(day) and members() == machines, 20), "all are members"
+    assert day.until(lambda: reconciled(day) and members() == machines, 20), "all are members"
     for host in HOSTS[1:]:
         day.crash(host)
     heir = day.controllers[HOSTS[0]][0]
-    assert day.until(lambda: len(heir.leaders) == len(HOSTS) and settled(day), 15), "one holds everything"
+    assert day.until(lambda: len(heir.leaders) == len(HOSTS) and reconciled(day), 15), "one holds everything"
     requests = heir.store.requests
     day.run(3)
     assert heir.store.requests - requests < 150, "its requests do not follow its machines"
@@ -252,7 +252,7 @@
     day.crash(HOSTS[0])
     for host in HOSTS:
         day.start(host)
-    assert day.until(lambda: settled(day), 15)
+    assert day.until(lambda: reconciled(day), 15)
     pages = -(-machines // 500)
     for controller, _ in day.controllers.values():
         assert controller.store.requests < 120 + 3 * pages
