--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -26,13 +26,13 @@
 from badgerroute.coordination.quotas.quota_allocator import QuotaAllocator
 from badgerroute.coordination.requests.heartbeat_handler import HeartbeatHandler
 from badgerroute.coordination.requests.http_api import HttpApi
-from badgerroute.coordination.requests.mesh_messages import MeshMessages
+from badgerroute.coordination.requests.job_request_handler import JobRequestHandler
+from badgerroute.coordination.requests.job_service import JobService
+from badgerroute.coordination.requests.mesh_dispatcher import MeshDispatcher
 from badgerroute.coordination.requests.shard_requests import ShardRequests
-from badgerroute.coordination.requests.user_desk import UserDesk
-from badgerroute.coordination.requests.users import Users
 from badgerroute.coordination.shards.forecast import JobForecast
-from badgerroute.coordination.shards.progress_duty import ProgressDuty
-from badgerroute.coordination.shards.services import Services
+from badgerroute.coordination.shards.leader_context import LeaderContext
+from badgerroute.coordination.shards.progress_flusher import ProgressFlusher
 from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.protocol import mesh as mesh_wire
 from badgerroute.protocol.key_value import Compare
@@ -70,7 +70,7 @@
         self.store = KeyValueClient(loop, network, settings.platform.endpoints.state, params.state, params.size)
         self.cloud = CloudClient(loop, network, settings.platform.endpoints.cloud, params.cloud, params.size)
         self.replica = Replica(loop, self.store)
-        self.mesh = Mesh(settings, loop, network, group, lambda message: self.messages.receive(message))
+        self.mesh = Mesh(settings, loop, network, group, lambda message: self.mesh_dispatcher.receive(message))
         self.election = LeaderElection(
             settings, loop, self.store, self.replica, self._on_elected, self._on_deposed, self._campaign_permission
         )
@@ -152,13 +152,13 @@
         self.forecast = JobForecast(
             settings, loop, self.job_store, self.replica, self.catalog, self.leaders, self.peers.summaries
         )
-        self.progress_duty = ProgressDuty(
+        self.progress_flusher = ProgressFlusher(
             loop, self.leaders, self.job_store, self.job_writer, self.forecast, self._leadership_condition
         )
         self.scale_in = ScaleIn(
             settings, loop, self.policy, self.job_store, self.catalog, self.leaders, self.autoscaler.delete
         )
-        self.users = Users(
+        self.job_service = JobService(
             params=params,
             job_store=self.job_store,
             job_reader=self.job_reader,
@@ -182,7 +182,7 @@
             forwarder=self.forwarder,
             tombstones=self.tombstones,
         )
-        self.messages = MeshMessages(
+        self.mesh_dispatcher = MeshDispatcher(
             settings=settings,
             group=group,
             replica=self.replica,
@@ -195,22 +195,22 @@
             cancellation_broadcast=self.cancellation_broadcast,
             mesh=self.mesh,
         )
-        user_desk = UserDesk(
+        job_request_handler = JobRequestHandler(
             settings=settings,
             policy=self.policy,
             store=self.store,
             peers=self.peers,
-            users=self.users,
+            job_service=self.job_service,
             forwarder=self.forwarder,
         )
-        self.api = HttpApi(self.replica, self.monitor, self.heartbeat_handler, user_desk)
+        self.api = HttpApi(self.replica, self.monitor, self.heartbeat_handler, job_request_handler)
         sockets = params.resources.fd_limit
         direct = min(max(MAX_DIRECT_COMMANDS, sockets // SOCKETS_PER_DIRECT_COMMAND), max(4, sockets // 8))
         self._gate = Gate(direct)
         self._server = Server(
             loop, group, self.api.handle, max(16, sockets - direct - RESERVED_SOCKETS - 8 * params.size)
         )
-        self._services = Services(
+        self._context = LeaderContext(
             settings=settings,
             loop=loop,
             network=network,
@@ -228,7 +228,7 @@
             catalog=self.catalog,
             publish=self._push,
             guidance=guidance,
-            progressed=self.progress_duty.progressed,
+            progressed=self.progress_flusher.progressed,
             delete_machines=self.autoscaler.delete,
             request_quota=self.requests.request_quota,
             request_machines=self.requests.request_machines,
@@ -252,10 +252,10 @@
             (self.replica.answer_readers, "reads"),
             (self.election.run, "claims"),
             (self.machine_catalog.run, "catalog"),
-            (self._gossip_duty, "gossip"),
-            (self.progress_duty.run, "flush"),
-            (self._forecast_duty, "forecast"),
-            (self.requests.steal_duty, "steal"),
+            (self._run_gossip, "gossip"),
+            (self.progress_flusher.run, "flush"),
+            (self._run_forecast, "forecast"),
+            (self.requests.run_stealing, "steal"),
             (self.leadership_transfer.run, "hand-over"),
             (self.autoscaler.run_scale_out, "rent"),
             (self.autoscaler.run_deletion, "delete"),
@@ -270,7 +270,7 @@
         await Future()
 
     def _on_elected(self, shard: int, leadership: Leadership) -> None:
-        leader = ShardLeader(shard, leadership, self._services)
+        leader = ShardLeader(shard, leadership, self._context)
         self.leaders[shard] = leader
         leader.start()
 
@@ -317,7 +317,7 @@
 
     # -- duties
 
-    async def _gossip_duty(self) -> None:
+    async def _run_gossip(self) -> None:
         while True:
             await self._loop.sleep(GOSSIP)
             self.store.divide_rates(self.peers.in_use())
@@ -339,7 +339,7 @@
             self.settings.operator.connectivity.relay,
         )
 
-    async def _forecast_duty(self) -> None:
+    async def _run_forecast(self) -> None:
         turns_left = 0
         while True:
             await self._loop.sleep(GOSSIP)
--- a/badgerroute/coordination/quotas/quota_allocator.py
+++ b/badgerroute/coordination/quotas/quota_allocator.py
@@ -12,7 +12,7 @@
 
 from badgerroute.protocol.key_value import Compare
 from badgerroute.protocol.mesh import QuotaRequest
-from badgerroute.scheduling.model import EPSILON, Room
+from badgerroute.scheduling.model import EPSILON, Resources
 from badgerroute.settings import Settings, Team
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
@@ -79,18 +79,20 @@
         low = self._committed.get((shard, team))
         return allocation if low is None else (min(allocation[0], low[0]), min(allocation[1], low[1]))
 
-    def unallocated(self, team: str) -> Room:
+    def unallocated(self, team: str) -> Resources:
         """What of a team's limit no shard holds."""
         cpus, gpus = self.teams[team].limits
         held = self._record(team).allocations.values()
-        return Room(cpus - sum(allocation[0] for allocation in held), gpus - sum(allocation[1] for allocation in held))
+        return Resources(
+            cpus - sum(allocation[0] for allocation in held), gpus - sum(allocation[1] for allocation in held)
+        )
 
-    def _limited(self, team: str, lack: Room) -> Room:
+    def _limited(self, team: str, lack: Resources) -> Resources:
         """What is lacking of that which has a limit."""
         cpus, gpus = self.teams[team].limits
-        return Room(0.0 if cpus == inf else lack.cpus, 0.0 if gpus == inf else lack.accelerators)
+        return Resources(0.0 if cpus == inf else lack.cpus, 0.0 if gpus == inf else lack.accelerators)
 
-    async def allocate(self, shard: int, team: str, lack: Room) -> bool:
+    async def allocate(self, shard: int, team: str, lack: Resources) -> bool:
         """Take what is lacking from what nobody holds; whether all of it was there."""
         if team not in self.teams or team in self._writing:
             return False
@@ -103,7 +105,13 @@
         return cpus >= lack.cpus - EPSILON and gpus >= lack.accelerators - EPSILON
 
     def ask(
-        self, shard: int, team: str, lack: Room, age: timedelta, rank: tuple[float, float, float] | None, used: float
+        self,
+        shard: int,
+        team: str,
+        lack: Resources,
+        age: timedelta,
+        rank: tuple[float, float, float] | None,
+        used: float,
     ) -> QuotaRequest | None:
         """The question to the peers, not more than once in a while."""
         now = self._loop.now()
@@ -112,7 +120,7 @@
         self._asked[shard, team] = now
         return QuotaRequest(shard, team, lack.cpus, lack.accelerators, age.total_seconds(), rank, used)
 
-    async def transfer(self, giver: int, taker: int, team: str, lack: Room, cancel_deletion: Room) -> None:
+    async def transfer(self, giver: int, taker: int, team: str, lack: Resources, cancel_deletion: Resources) -> None:
         """Move some of a shard's unused quota to another shard."""
         if team not in self.teams or team in self._writing or giver == taker:
             return
--- a/badgerroute/coordination/requests/heartbeat_handler.py
+++ b/badgerroute/coordination/requests/heartbeat_handler.py
@@ -11,7 +11,7 @@
 from badgerroute.coordination.membership.forwarding import RequestForwarder
 from badgerroute.coordination.membership.mesh import Mesh
 from badgerroute.coordination.membership.peers import Peer, Peers
-from badgerroute.coordination.requests.responses import answer, come_back, error
+from badgerroute.coordination.requests.responses import answer, error, retry_later
 from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.protocol.common import MalformedError
 from badgerroute.protocol.mesh import MisroutedHeartbeat
@@ -60,22 +60,22 @@
         if relay is None and not self._leaders:
             self._worker_link.reached(self._loop.now())
         if heartbeat.machine in self._tombstones:
-            return come_back("this machine was deleted")  # a late copy, whatever it says
+            return retry_later("this machine was deleted")  # a late copy, whatever it says
         shard = self._shard_of(heartbeat.machine)
         leader = self._leaders.get(shard)
         if leader is not None:
             return await self._answer(leader, heartbeat, relay)
         if relay is not None:
-            return come_back("not the owner")  # what was passed on once is not passed on again
+            return retry_later("not the owner")  # what was passed on once is not passed on again
         return await self._not_ours(request, heartbeat, shard)
 
     async def _answer(self, leader: ShardLeader, heartbeat: Heartbeat, relay: str | None) -> Response:
         if not leader.ready or not self._policy.allows_for(leader.number, Action.ANSWER_HEARTBEAT):
-            return come_back("not acting for this machine now")
+            return retry_later("not acting for this machine now")
         if relay is not None and leader.missed(heartbeat.machine):
             self._worker_link.note_elsewhere(leader.number, heartbeat.machine, relay, self._loop.now(), relayed=True)
         result = await leader.answer_heartbeat(heartbeat, relay is not None)
-        return come_back("can't act on this report now") if result is None else answer(200, result)
+        return retry_later("can't act on this report now") if result is None else answer(200, result)
 
     async def _not_ours(self, request: Request, heartbeat: Heartbeat, shard: int) -> Response:
         host = self._peers.leader(shard)
@@ -89,7 +89,7 @@
         if lacks_workers:
             # Sent back there, it would wait in vain once more, and by then its lease is over.
             self._mesh.send(host, MisroutedHeartbeat(shard, heartbeat.machine, self._host))
-            return come_back("its owner does not hear its workers")
+            return retry_later("its owner does not hear its workers")
         return answer(421, Redirect(host))
 
     async def _relay(
--- a/badgerroute/coordination/requests/http_api.py
+++ b/badgerroute/coordination/requests/http_api.py
@@ -2,8 +2,8 @@
 
 from badgerroute.coordination.membership.connectivity_monitor import ConnectivityMonitor
 from badgerroute.coordination.requests.heartbeat_handler import HeartbeatHandler
-from badgerroute.coordination.requests.responses import answer, come_back, error
-from badgerroute.coordination.requests.user_desk import JOBS_PATH, UserDesk
+from badgerroute.coordination.requests.job_request_handler import JOBS_PATH, JobRequestHandler
+from badgerroute.coordination.requests.responses import answer, error, retry_later
 from badgerroute.storage.replica import Replica
 from badgerroute.transport.http import Request, Response
 
@@ -12,10 +12,14 @@
     """The paths of the public address."""
 
     def __init__(
-        self, replica: Replica, monitor: ConnectivityMonitor, heartbeat_handler: HeartbeatHandler, user_desk: UserDesk
+        self,
+        replica: Replica,
+        monitor: ConnectivityMonitor,
+        heartbeat_handler: HeartbeatHandler,
+        job_request_handler: JobRequestHandler,
     ) -> None:
         self._replica, self._monitor = replica, monitor
-        self._heartbeat_handler, self._job_request_handler = heartbeat_handler, user_desk
+        self._heartbeat_handler, self._job_request_handler = heartbeat_handler, job_request_handler
 
     async def handle(self, request: Request) -> Response:
         """Answer one request."""
@@ -49,7 +53,7 @@
         many seconds. One that is cut off alone must say so at once.
         """
         if not self._replica.ready.done:
-            return come_back("not ready")
+            return retry_later("not ready")
         if self._monitor.alone():
-            return come_back("cut off from the state service")
+            return retry_later("cut off from the state service")
         return answer(200, {"state": "up"})
--- a/badgerroute/coordination/requests/user_desk.py
+++ b/badgerroute/coordination/requests/job_request_handler.py
@@ -7,8 +7,8 @@
 from badgerroute.coordination.leadership.action_policy import ActionPolicy
 from badgerroute.coordination.membership.forwarding import RequestForwarder
 from badgerroute.coordination.membership.peers import Peers
-from badgerroute.coordination.requests.responses import come_back, error
-from badgerroute.coordination.requests.users import Users
+from badgerroute.coordination.requests.job_service import JobService
+from badgerroute.coordination.requests.responses import error, retry_later
 from badgerroute.settings import Settings
 from badgerroute.storage.key_value_client import KeyValueClient
 from badgerroute.transport.http import Request, Response
@@ -26,7 +26,7 @@
     action: Action
 
 
-class UserDesk:
+class JobRequestHandler:
     """What was passed on by a peer is answered here or nowhere."""
 
     def __init__(
@@ -35,11 +35,11 @@
         policy: ActionPolicy,
         store: KeyValueClient,
         peers: Peers,
-        users: Users,
+        job_service: JobService,
         forwarder: RequestForwarder,
     ) -> None:
         self._policy, self._store, self._peers = policy, store, peers
-        self._users, self._forwarder = users, forwarder
+        self._job_service, self._forwarder = job_service, forwarder
         self._host = settings.platform.host_name
         self._forwards = settings.operator.connectivity.relay
 
@@ -57,11 +57,11 @@
                 return await self._forward(request) or response
             return response
         if permission is Permission.FROM_MEMORY:
-            known = self._users.poll_from_memory(ref)
+            known = self._job_service.poll_from_memory(ref)
             if known is not None:
                 return known
         forwarded = await self._forward(request) if relay is None else None
-        return forwarded or come_back("the state service can't be reached")
+        return forwarded or retry_later("the state service can't be reached")
 
     @staticmethod
     def _operation(ref: str, verb: str) -> Operation:
@@ -72,10 +72,10 @@
     async def _answer(self, request: Request, ref: str, action: Action) -> Response:
         match action:
             case Action.ACCEPT:
-                return await self._users.submit(request)
+                return await self._job_service.submit(request)
             case Action.CANCEL:
-                return await self._users.cancel(ref)
-        return await self._users.poll(ref)
+                return await self._job_service.cancel(ref)
+        return await self._job_service.poll(ref)
 
     async def _forward(self, request: Request) -> Response | None:
         """The answer of a peer that reaches the key-value store; None if there is none that can decide."""
--- a/badgerroute/coordination/requests/users.py
+++ b/badgerroute/coordination/requests/job_service.py
@@ -7,13 +7,13 @@
 from badgerroute.coordination.jobs.job_store import JobStore
 from badgerroute.coordination.jobs.job_writer import JobWriter
 from badgerroute.coordination.jobs.record_paging import RecordPager, RecordTooLargeError
-from badgerroute.coordination.requests.responses import answer, come_back, error
-from badgerroute.coordination.requests.split import split
+from badgerroute.coordination.requests.job_splitting import split
+from badgerroute.coordination.requests.responses import answer, error, retry_later
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.common import MalformedError
 from badgerroute.protocol.mesh import ShardSummary
 from badgerroute.protocol.users import REF, Submission, parse_submission
-from badgerroute.scheduling.model import Room, capacity_of, need_of
+from badgerroute.scheduling.model import Resources, capacity_of, need_of
 from badgerroute.settings import Params, Team
 from badgerroute.storage.budget import Urgency
 from badgerroute.storage.key_value_client import LeaseExpiredError, OutcomeUnknownError, StoreUnavailableError
@@ -23,7 +23,7 @@
 log = logging.getLogger("badgerroute.users")
 
 
-class Users:
+class JobService:
     """`running` tells how many tasks of a job run, for display."""
 
     def __init__(
@@ -52,20 +52,20 @@
             log.info("event=submission_malformed error=%s", malformed)
             return error(400, str(malformed))
         if not self._replica.ready.done:
-            return come_back("starting")
+            return retry_later("starting")
         try:
             known = await self._known(job)
             if known is not None:
                 return known
             if not self._catalog:
-                return come_back("machine types are not known yet")
+                return retry_later("machine types are not known yet")
             problem = self._impossible(job) or await self._unaccepted(job)
             if problem is not None:
                 return await self._refused(job, problem)
             return await self._accept(job)
         except (StoreUnavailableError, OutcomeUnknownError, LeaseExpiredError) as trouble:
             log.info("event=submission_undecided job=%s error=%s", job.ref, trouble)
-            return come_back("the state service can't be reached")
+            return retry_later("the state service can't be reached")
 
     async def _accept(self, job: Submission) -> Response:
         try:
@@ -77,7 +77,7 @@
             state = await self._job_reader.state_after_acceptance(job.ref) if job.predecessors else "queued"
             return answer(201, {"ref": job.ref, "condition": state})
         lookup = await self._job_reader.look_up(job.ref, Urgency.SUBMIT)
-        return come_back("undecided") if lookup is None else self._state_answer(200, job.ref, lookup)
+        return retry_later("undecided") if lookup is None else self._state_answer(200, job.ref, lookup)
 
     async def _refused(self, job: Submission, problem: str) -> Response:
         """Whoever accepted it may have known better: only a job that nobody knows can be refused."""
@@ -122,7 +122,7 @@
         if job.gang and job.spread and job.tasks > 1 and (job.together or len(zones) < 2):
             return "a gang that must be spread has one zone only"
         tasks = job.tasks if job.gang else 1
-        if not Room(*team.limits).holds(Room(tasks * job.cpus, tasks * job.accelerators)):
+        if not Resources(*team.limits).holds(Resources(tasks * job.cpus, tasks * job.accelerators)):
             return "more than the team's limit"
         return None
 
@@ -131,12 +131,12 @@
         if not REF.match(ref):
             return error(404, "no such job")
         if not self._replica.ready.done:
-            return come_back("starting")
+            return retry_later("starting")
         try:
             lookup = await self._job_reader.current(ref)
         except (StoreUnavailableError, OutcomeUnknownError) as trouble:
             log.debug("event=poll_undecided job=%s error=%s", ref, trouble)
-            return come_back("the state service can't be reached")
+            return retry_later("the state service can't be reached")
         return error(404, "no such job") if lookup is None else self._state_answer(200, ref, lookup)
 
     def poll_from_memory(self, ref: str) -> Response | None:
@@ -154,5 +154,5 @@
             state = await self._job_writer.cancel(ref)
         except (StoreUnavailableError, OutcomeUnknownError, LeaseExpiredError) as trouble:
             log.info("event=cancellation_undecided job=%s error=%s", ref, trouble)
-            return come_back("the state service can't be reached")
+            return retry_later("the state service can't be reached")
         return error(404, "no such job") if state is None else answer(200, {"ref": ref, "condition": state})
--- a/badgerroute/coordination/requests/split.py
+++ b/badgerroute/coordination/requests/job_splitting.py
@@ -6,7 +6,7 @@
 
 from badgerroute.protocol.mesh import ShardSummary
 from badgerroute.protocol.users import Submission
-from badgerroute.scheduling.model import Room, need_of
+from badgerroute.scheduling.model import Resources, need_of
 from badgerroute.storage.records import TaskRange
 
 UNEVEN = 1.5  # how much more than another a shard may have waiting, for its size, to get a gang for its image's sake
@@ -15,7 +15,7 @@
 def _free_slots(job: Submission, summary: ShardSummary) -> int:
     need = need_of(job)
     return sum(
-        capacity.count * Room(capacity.cpus, capacity.accelerators, capacity.memory_gb).times(need)
+        capacity.count * Resources(capacity.cpus, capacity.accelerators, capacity.memory_gb).times(need)
         for capacity in summary.capacities
         if (job.types is None or capacity.type in job.types)
         and (job.zone is None or job.zone == capacity.zone)
--- a/badgerroute/coordination/requests/mesh_messages.py
+++ b/badgerroute/coordination/requests/mesh_dispatcher.py
@@ -14,7 +14,7 @@
 from badgerroute.transport.loop import Group
 
 
-class MeshMessages:
+class MeshDispatcher:
     """Each message is handled in one step, or handed to a routine of its own."""
 
     def __init__(
--- a/badgerroute/coordination/requests/responses.py
+++ b/badgerroute/coordination/requests/responses.py
@@ -14,6 +14,6 @@
     return answer(status, {"error": text})
 
 
-def come_back(text: str, status: int = 503) -> Response:
+def retry_later(text: str, status: int = 503) -> Response:
     """A response to what can't be decided now."""
     return answer(status, {"error": text}, {"Retry-After": "1"})
--- a/badgerroute/coordination/requests/shard_requests.py
+++ b/badgerroute/coordination/requests/shard_requests.py
@@ -34,7 +34,7 @@
         self._loop, self._group, self._election, self._policy = loop, group, election, policy
         self._peers, self._mesh, self._leaders = peers, mesh, leaders
 
-    async def steal_duty(self) -> None:
+    async def run_stealing(self) -> None:
         """Idle shards ask busy ones for waiting tasks, one request per shard and period."""
         while True:
             await self._loop.sleep(STEAL_ROUND)
--- a/badgerroute/coordination/shards/processor_use.py
+++ b/badgerroute/coordination/shards/cpu_usage.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True)
-class ProcessorUse:
+class CpuUsage:
     """Processors by what they do at one moment."""
 
     running: float = 0.0
@@ -33,9 +33,9 @@
         return " ".join(f"{cause}={processors:.0f}" for cause, processors in asdict(self).items())
 
 
-def processor_use(shard: Shard) -> ProcessorUse:
+def cpu_usage(shard: Shard) -> CpuUsage:
     """The processors of a shard's machines, each counted once."""
-    use = ProcessorUse()
+    use = CpuUsage()
     for machine in shard.machines.values():
         for placement in machine.placements.values():
             cause = PHASES[placement.phase]
--- a/badgerroute/coordination/shards/fencing.py
+++ b/badgerroute/coordination/shards/fencing.py
@@ -4,8 +4,8 @@
 from datetime import timedelta
 
 from badgerroute.connectivity.modes import Action
+from badgerroute.coordination.shards.leader_context import LeaderContext
 from badgerroute.coordination.shards.machine_commands import MachineCommands
-from badgerroute.coordination.shards.services import Services
 from badgerroute.scheduling.model import Machine
 from badgerroute.scheduling.shard import Shard
 from badgerroute.transport.loop import Group
@@ -19,9 +19,9 @@
 class Fencing:
     """Repeats an empty command to each machine until its task list is known in our term, or it is gone."""
 
-    def __init__(self, shard: Shard, services: Services, group: Group, commands: MachineCommands) -> None:
+    def __init__(self, shard: Shard, context: LeaderContext, group: Group, commands: MachineCommands) -> None:
         self._shard, self._group, self._commands = shard, group, commands
-        self._loop, self._delete, self._policy = services.loop, services.delete_machines, services.policy
+        self._loop, self._delete, self._policy = context.loop, context.delete_machines, context.policy
         self._fencing: set[str] = set()
         self._asked: dict[str, timedelta] = {}  # when the first command to a machine left
         self._given_up: set[str] = set()
--- a/badgerroute/coordination/shards/forecast.py
+++ b/badgerroute/coordination/shards/forecast.py
@@ -11,10 +11,10 @@
 from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.mesh import ShardSummary
-from badgerroute.scheduling import ladder
-from badgerroute.scheduling.feasible import Load, tiers
+from badgerroute.scheduling import delay_scheduling
+from badgerroute.scheduling.deadline_feasibility import Load, tiers
 from badgerroute.scheduling.inheritance import InheritancePass, Inherited
-from badgerroute.scheduling.model import Room, capacity_of, need_of
+from badgerroute.scheduling.model import Resources, capacity_of, need_of
 from badgerroute.scheduling.objectives import Objectives
 from badgerroute.settings import Settings, Team
 from badgerroute.storage import records
@@ -58,7 +58,7 @@
             return
         within: dict[str, bool] = {}
         left: dict[str, int] = {}
-        used: dict[str, Room] = {}
+        used: dict[str, Resources] = {}
         for ref, record in sorted(
             self._job_store.schedulable(), key=lambda one: self._job_store.effective_arrival(*one)
         ):
@@ -66,9 +66,9 @@
             if team is None:
                 continue
             left[ref] = record.job.tasks - self._job_store.done(ref, record).bit_count()
-            room = used.setdefault(team.name, Room())
-            room.add(Room(left[ref] * record.job.cpus, left[ref] * record.job.accelerators))
-            within[ref] = Room(team.cpus, team.gpus).holds(room)
+            room = used.setdefault(team.name, Resources())
+            room.add(Resources(left[ref] * record.job.cpus, left[ref] * record.job.accelerators))
+            within[ref] = Resources(team.cpus, team.gpus).holds(room)
         needed = {ref: one.due for ref, one in self._job_store.inherited.items() if one.due != inf}
         ranks = self._tiers(left, within, needed)
         now, today = self._loop.now(), self._today()
@@ -162,7 +162,7 @@
             correction = leader.shard.estimates.correction(record.job.job_class)
             job = leader.shard.jobs.get(record.job.ref)
             if job is not None:
-                return ladder.run_time(job, correction)
+                return delay_scheduling.run_time(job, correction)
         return timedelta(seconds=record.job.estimate_s * correction)
 
     def _processors(self) -> float:
--- a/badgerroute/coordination/shards/services.py
+++ b/badgerroute/coordination/shards/leader_context.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Services:
+class LeaderContext:
     """Collaborators of every leader."""
 
     settings: Settings
--- a/badgerroute/coordination/shards/machine_commands.py
+++ b/badgerroute/coordination/shards/machine_commands.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from badgerroute.coordination.shards.services import Services
+from badgerroute.coordination.shards.leader_context import LeaderContext
 from badgerroute.protocol.common import MalformedError, encode
 from badgerroute.protocol.workers import Command, DirectCommands, Heartbeat, parse_heartbeat
 from badgerroute.scheduling.model import Machine
@@ -23,10 +23,10 @@
 class MachineCommands:
     """`received` takes in the task list that a machine answers with."""
 
-    def __init__(self, shard: Shard, services: Services, received: Callable[[Machine, Heartbeat], None]) -> None:
+    def __init__(self, shard: Shard, context: LeaderContext, received: Callable[[Machine, Heartbeat], None]) -> None:
         self._shard, self._received = shard, received
-        self._loop, self._network, self._gate = services.loop, services.network, services.gate
-        self._election = services.election
+        self._loop, self._network, self._gate = context.loop, context.network, context.gate
+        self._election = context.election
         self._raising: Future | None = None
 
     async def send(
--- a/badgerroute/coordination/shards/machine_transfers.py
+++ b/badgerroute/coordination/shards/machine_transfers.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 
 from badgerroute.connectivity.modes import Action
-from badgerroute.coordination.shards.services import Services
+from badgerroute.coordination.shards.leader_context import LeaderContext
 from badgerroute.protocol.key_value import Put
 from badgerroute.protocol.mesh import MachineRequest
 from badgerroute.scheduling.model import Machine, allows, need_of
@@ -30,11 +30,11 @@
 class MachineTransfers:
     """`active` tells whether the shard's leader is still the one it was."""
 
-    def __init__(self, shard: Shard, services: Services, group: Group, active: Callable[[], bool]) -> None:
-        self._shard, self._loop, self._group, self._active = shard, services.loop, group, active
-        self._store, self._replica, self._election = services.store, services.replica, services.election
-        self._policy = services.policy
-        self._publish = services.publish
+    def __init__(self, shard: Shard, context: LeaderContext, group: Group, active: Callable[[], bool]) -> None:
+        self._shard, self._loop, self._group, self._active = shard, context.loop, group, active
+        self._store, self._replica, self._election = context.store, context.replica, context.election
+        self._policy = context.policy
+        self._publish = context.publish
 
     def _acting(self) -> bool:
         """A leader that has ended must give nothing away, even if this controller holds the shard again."""
--- a/badgerroute/coordination/shards/member_registry.py
+++ b/badgerroute/coordination/shards/member_registry.py
@@ -3,7 +3,7 @@
 import logging
 from datetime import timedelta
 
-from badgerroute.coordination.shards.services import Services
+from badgerroute.coordination.shards.leader_context import LeaderContext
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
 from badgerroute.storage.key_value_client import (
@@ -24,9 +24,9 @@
 class MemberRegistry:
     """Writes new members down, several in one transaction."""
 
-    def __init__(self, services: Services, group: Group) -> None:
-        self._loop, self._group, self._election = services.loop, group, services.election
-        self._store, self._replica, self._publish = services.store, services.replica, services.publish
+    def __init__(self, context: LeaderContext, group: Group) -> None:
+        self._loop, self._group, self._election = context.loop, group, context.election
+        self._store, self._replica, self._publish = context.store, context.replica, context.publish
         self._waiting: dict[str, tuple[MachineRecord, Future]] = {}
         self._running = False
 
--- a/badgerroute/coordination/shards/migration.py
+++ b/badgerroute/coordination/shards/migration.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from badgerroute.connectivity.modes import Action
-from badgerroute.coordination.shards.services import Services
+from badgerroute.coordination.shards.leader_context import LeaderContext
 from badgerroute.protocol import mesh as mesh_wire
 from badgerroute.protocol.key_value import Compare, Put
 from badgerroute.scheduling.capacities import ANY_ZONE, holds_whole_job, slots_by_zone
@@ -58,17 +58,17 @@
         self,
         shard: Shard,
         planner: Planner,
-        services: Services,
+        context: LeaderContext,
         group: Group,
         active: Callable[[], bool],
         changed: Callable[[str], None],
     ) -> None:
         self.number, self.shard, self.planner = shard.number, shard, planner
-        self._loop, self._group = services.loop, group
-        self._store, self._replica, self._election = services.store, services.replica, services.election
-        self._policy = services.policy
-        self._job_store, self._job_reader, self._pager = services.job_store, services.job_reader, services.pager
-        self._publish, self._ask_machines = services.publish, services.request_machines
+        self._loop, self._group = context.loop, group
+        self._store, self._replica, self._election = context.store, context.replica, context.election
+        self._policy = context.policy
+        self._job_store, self._job_reader, self._pager = context.job_store, context.job_reader, context.pager
+        self._publish, self._ask_machines = context.publish, context.request_machines
         self._active, self._changed = active, changed
         self._passed_on: dict[str, timedelta] = {}
         self._machine_request: tuple[str, timedelta] | None = None  # gang, and since when
--- a/badgerroute/coordination/shards/progress_duty.py
+++ b/badgerroute/coordination/shards/progress_flusher.py
@@ -14,7 +14,7 @@
 FLUSH = timedelta(milliseconds=300)
 
 
-class ProgressDuty:
+class ProgressFlusher:
     """`leadership_check` is the condition under which a shard is ours."""
 
     def __init__(
--- a/badgerroute/coordination/shards/quota_exchange.py
+++ b/badgerroute/coordination/shards/quota_exchange.py
@@ -5,9 +5,9 @@
 from datetime import timedelta
 
 from badgerroute.connectivity.modes import Action
-from badgerroute.coordination.shards.services import Services
+from badgerroute.coordination.shards.leader_context import LeaderContext
 from badgerroute.protocol import mesh as mesh_wire
-from badgerroute.scheduling.model import ZERO, Room
+from badgerroute.scheduling.model import ZERO, Resources
 from badgerroute.scheduling.planner import Planner
 from badgerroute.scheduling.shard import Shard
 
@@ -20,17 +20,17 @@
     """What jobs of one rank lack together of their team's limit, and the age of the oldest."""
 
     rank: tuple[float, float, float]
-    lack: Room
+    lack: Resources
     age: timedelta
 
 
 class QuotaExchange:
     """One shard's dealings in shares."""
 
-    def __init__(self, shard: Shard, planner: Planner, services: Services) -> None:
+    def __init__(self, shard: Shard, planner: Planner, context: LeaderContext) -> None:
         self._shard, self._planner = shard, planner
-        self._loop, self._policy, self._quota_allocator = services.loop, services.policy, services.quota_allocator
-        self._ask: Callable[[mesh_wire.QuotaRequest], None] = services.request_quota
+        self._loop, self._policy, self._quota_allocator = context.loop, context.policy, context.quota_allocator
+        self._ask: Callable[[mesh_wire.QuotaRequest], None] = context.request_quota
 
     async def seek(self) -> None:
         """Take what the shard's teams lack from what nobody holds, or ask the peers for it."""
@@ -49,7 +49,7 @@
         short = [job for job in self._shard.jobs.values() if job.spec.team == team and self._shard.short_of_quota(job)]
         if not short:
             return None
-        rank, now, lack = min(self._planner.rank(job) for job in short), self._loop.now(), Room()
+        rank, now, lack = min(self._planner.rank(job) for job in short), self._loop.now(), Resources()
         first = [job for job in short if self._planner.rank(job) == rank]
         for job in first:
             count = job.startable
@@ -64,8 +64,8 @@
             return
         cpus, gpus = self._quota_allocator.of(self._shard.number, team)
         used = self._shard.usage[team]
-        lack = Room(message.cpus, message.accelerators)
-        cancel_deletion = Room(cpus - used.cpus, gpus - used.accelerators)
+        lack = Resources(message.cpus, message.accelerators)
+        cancel_deletion = Resources(cpus - used.cpus, gpus - used.accelerators)
         keep = self._quota_to_yield(message, lack, cancel_deletion)
         if keep is None:
             cancel_deletion.take(self._soon(message))
@@ -73,9 +73,9 @@
             lack = keep
         await self._quota_allocator.transfer(self._shard.number, message.shard, team, lack, cancel_deletion)
 
-    def _soon(self, message: mesh_wire.QuotaRequest) -> Room:
+    def _soon(self, message: mesh_wire.QuotaRequest) -> Resources:
         """What a team's jobs that wait here could use of its share."""
-        soon = Room()
+        soon = Resources()
         for job in self._shard.jobs.values():
             if job.spec.team != message.team:
                 continue
@@ -93,7 +93,9 @@
                 soon.accelerators += min(count, room) * job.need.accelerators
         return soon
 
-    def _quota_to_yield(self, message: mesh_wire.QuotaRequest, lack: Room, cancel_deletion: Room) -> Room | None:
+    def _quota_to_yield(
+        self, message: mesh_wire.QuotaRequest, lack: Resources, cancel_deletion: Resources
+    ) -> Resources | None:
         """How much of our share another shard should have though work waits for it here; None: nothing.
 
         All that it lacks, if its jobs come before ours; if they are equal, so much that both use the same. What is not
@@ -109,15 +111,17 @@
             return None
         wanted = lack.copy()
         if message.rank == min(ranks):
-            kept = self._shard.reserved_for_peers.get(message.team, (Room(), ZERO))[0]  # free by now, but not for us
+            kept = self._shard.reserved_for_peers.get(message.team, (Resources(), ZERO))[
+                0
+            ]  # free by now, but not for us
             more = (self._shard.usage[message.team].cpus + kept.cpus - message.used) / 2
             if more <= UNEVEN * self._quota_allocator.of(self._shard.number, message.team)[0]:
                 return None
-            wanted = Room(min(wanted.cpus, more), wanted.accelerators)
-        missing = Room(
+            wanted = Resources(min(wanted.cpus, more), wanted.accelerators)
+        missing = Resources(
             max(0.0, wanted.cpus - cancel_deletion.cpus), max(0.0, wanted.accelerators - cancel_deletion.accelerators)
         )
         used = self._shard.usage[message.team]
-        missing = Room(min(missing.cpus, used.cpus), min(missing.accelerators, used.accelerators))
+        missing = Resources(min(missing.cpus, used.cpus), min(missing.accelerators, used.accelerators))
         self._shard.reserve_for_peer(message.team, missing, self._loop.now() + RESERVATION_TTL)
         return wanted
--- a/badgerroute/coordination/shards/shard_leader.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -10,15 +10,15 @@
 from badgerroute.coordination.leadership.leader_election import Leadership
 from badgerroute.coordination.shards import summary
 from badgerroute.coordination.shards.fencing import Fencing
+from badgerroute.coordination.shards.leader_context import LeaderContext
 from badgerroute.coordination.shards.machine_commands import MachineCommands
 from badgerroute.coordination.shards.machine_transfers import MachineTransfers
 from badgerroute.coordination.shards.member_registry import MemberRegistry
 from badgerroute.coordination.shards.migration import WorkMigration
 from badgerroute.coordination.shards.quota_exchange import QuotaExchange
-from badgerroute.coordination.shards.services import Services
 from badgerroute.coordination.shards.shard_log import log_state
 from badgerroute.coordination.shards.tombstone_writer import TombstoneWriter
-from badgerroute.coordination.shards.urgent_halts import UrgentHalts
+from badgerroute.coordination.shards.urgent_stops import UrgentStops
 from badgerroute.protocol import mesh as mesh_wire
 from badgerroute.protocol.workers import Heartbeat, HeartbeatResponse
 from badgerroute.scheduling import draining
@@ -53,15 +53,15 @@
 class ShardLeader:
     """Everything a controller does for one shard it owns. Ended by `close` when leadership is lost."""
 
-    def __init__(self, number: int, leadership: Leadership, services: Services) -> None:
+    def __init__(self, number: int, leadership: Leadership, context: LeaderContext) -> None:
         self.number = number
-        self._settings, self._loop, self._replica = services.settings, services.loop, services.replica
-        self._election, self._job_store, self._catalog = services.election, services.job_store, services.catalog
-        self._policy, self._resumed_at = services.policy, services.resumed_at
-        self._progressed, self._delete = services.progressed, services.delete_machines
+        self._settings, self._loop, self._replica = context.settings, context.loop, context.replica
+        self._election, self._job_store, self._catalog = context.election, context.job_store, context.catalog
+        self._policy, self._resumed_at = context.policy, context.resumed_at
+        self._progressed, self._delete = context.progressed, context.delete_machines
         params = self._settings.params
-        self.group = Group(self._loop, f"{services.group.name}/shard-{number}")
-        quota_allocator, now = services.quota_allocator, self._loop.now()
+        self.group = Group(self._loop, f"{context.group.name}/shard-{number}")
+        quota_allocator, now = context.quota_allocator, self._loop.now()
         self.shard = Shard(
             number,
             leadership.term,
@@ -69,7 +69,7 @@
             now,
             params.workers.lease,
             self._job_store.undecided,
-            services.guidance(number),
+            context.guidance(number),
         )
         objectives = Objectives(params.objectives)
         self.planner = Planner(
@@ -77,17 +77,17 @@
         )
         self.grace = leadership.grace
         self.ready = False
-        self._window = records.window(services.store.max_value_bytes)
-        self.commands = MachineCommands(self.shard, services, self._answered_directly)
-        self._fencing = Fencing(self.shard, services, self.group, self.commands)
-        self._urgent_halts = UrgentHalts(self.shard, self._loop, self.group, self.commands)
-        self.member_registry = MemberRegistry(services, self.group)
+        self._window = records.window(context.store.max_value_bytes)
+        self.commands = MachineCommands(self.shard, context, self._answered_directly)
+        self._fencing = Fencing(self.shard, context, self.group, self.commands)
+        self._urgent_stops = UrgentStops(self.shard, self._loop, self.group, self.commands)
+        self.member_registry = MemberRegistry(context, self.group)
         self.migration = WorkMigration(
-            self.shard, self.planner, services, self.group, lambda: self.ready, self.job_changed
+            self.shard, self.planner, context, self.group, lambda: self.ready, self.job_changed
         )
-        self.machine_transfers = MachineTransfers(self.shard, services, self.group, lambda: self.ready)
-        self.quota_exchange = QuotaExchange(self.shard, self.planner, services)
-        self.tombstone_writer = TombstoneWriter(self.shard, services)
+        self.machine_transfers = MachineTransfers(self.shard, context, self.group, lambda: self.ready)
+        self.quota_exchange = QuotaExchange(self.shard, self.planner, context)
+        self.tombstone_writer = TombstoneWriter(self.shard, context)
         self.progress: set[str] = set()
         self._summary: tuple[timedelta, mesh_wire.ShardSummary] | None = None
         self._silence: SilenceReading | None = None
@@ -261,7 +261,7 @@
                 return self._loop.now() > deadline
 
             self._expire(now)
-            self._notices(now)
+            self._evict_from_preempted(now)
             self.shard.expire_reservations(now)
             self.shard.reconcile()
             self.planner.release_holds(now)
@@ -270,7 +270,7 @@
                 if not over():
                     self.planner.make_room_for_arrays(now, over)
             self.planner.feedback(now)
-            self._urgent_halts.send()
+            self._urgent_stops.send()
             if self._policy.allows_for(self.number, Action.MOVE_QUOTA):
                 await self.quota_exchange.seek()
 
@@ -298,12 +298,12 @@
         if names and self._policy.allows_for(self.number, Action.GIVE_UP_MACHINE):
             self._delete(names)
 
-    def _notices(self, now: timedelta) -> None:
+    def _evict_from_preempted(self, now: timedelta) -> None:
         """Use what is left of a machine that the cloud takes back."""
         for machine in self.shard.machines.values():
-            if machine.notice is not None:
+            if machine.preemption_notice is not None:
                 plan = draining.Evacuation(
-                    machine.notice, 2 * self._settings.params.workers.heartbeat_interval, patient=False
+                    machine.preemption_notice, 2 * self._settings.params.workers.heartbeat_interval, patient=False
                 )
                 draining.evacuate(self.shard, machine, plan, now, self.planner.run_time, self.shard.guidance.fetch_time)
 
--- a/badgerroute/coordination/shards/shard_log.py
+++ b/badgerroute/coordination/shards/shard_log.py
@@ -3,7 +3,7 @@
 import logging
 from collections import Counter
 
-from badgerroute.coordination.shards.processor_use import processor_use
+from badgerroute.coordination.shards.cpu_usage import cpu_usage
 from badgerroute.scheduling.shard import Shard
 
 log = logging.getLogger("badgerroute.leader")
@@ -25,4 +25,4 @@
         sum(job.waiting_bits.bit_count() for job in shard.jobs.values()),
         " ".join(f"{phase}={count}" for phase, count in sorted(phases.items())),
     )
-    log.info("event=shard_processors shard=%d %s", shard.number, processor_use(shard))
+    log.info("event=shard_processors shard=%d %s", shard.number, cpu_usage(shard))
--- a/badgerroute/coordination/shards/summary.py
+++ b/badgerroute/coordination/shards/summary.py
@@ -6,7 +6,7 @@
 
 from badgerroute.protocol.mesh import FreeCapacity, PendingDemand, ShardSummary
 from badgerroute.protocol.users import Priority
-from badgerroute.scheduling.model import Machine, Room
+from badgerroute.scheduling.model import Machine, Resources
 from badgerroute.scheduling.planner import Planner
 from badgerroute.scheduling.shard import Shard
 
@@ -20,7 +20,7 @@
 def idle_capacities(shard: Shard) -> tuple[list[FreeCapacity], dict[str, tuple[float, float]]]:
     """The free room of a shard's machines, and where images lie in it."""
     images: dict[str, tuple[float, float]] = {}
-    rooms: list[tuple[Machine, Room]] = []
+    rooms: list[tuple[Machine, Resources]] = []
     for machine in shard.machines.values():
         if not machine.usable or machine.held_for is not None or machine.free.cpus < 1e-6:
             continue
@@ -42,7 +42,7 @@
 
 
 def _group(
-    rooms: list[tuple[Machine, Room]], rounded: Callable[[float], float]
+    rooms: list[tuple[Machine, Resources]], rounded: Callable[[float], float]
 ) -> Counter[tuple[str, str, bool, float, float, float]]:
     return Counter(
         (
@@ -57,7 +57,7 @@
     )
 
 
-def _capacities(rooms: list[tuple[Machine, Room]]) -> list[FreeCapacity]:
+def _capacities(rooms: list[tuple[Machine, Resources]]) -> list[FreeCapacity]:
     """Machines by their free room.
 
     Where thousands of machines all have a different room, it is rounded down: what is told stays small, and whoever
--- a/badgerroute/coordination/shards/tombstone_writer.py
+++ b/badgerroute/coordination/shards/tombstone_writer.py
@@ -3,7 +3,7 @@
 import logging
 from datetime import timedelta
 
-from badgerroute.coordination.shards.services import Services
+from badgerroute.coordination.shards.leader_context import LeaderContext
 from badgerroute.protocol.key_value import Put, Remove
 from badgerroute.scheduling.shard import Shard
 from badgerroute.storage import records
@@ -31,10 +31,10 @@
 class TombstoneWriter:
     """One shard's deleted machines, in pages of its own."""
 
-    def __init__(self, shard: Shard, services: Services) -> None:
-        self._shard, self._publish = shard, services.publish
-        self._loop, self._store, self._replica = services.loop, services.store, services.replica
-        self._election = services.election
+    def __init__(self, shard: Shard, context: LeaderContext) -> None:
+        self._shard, self._publish = shard, context.publish
+        self._loop, self._store, self._replica = context.loop, context.store, context.replica
+        self._election = context.election
         self._most_members = 0
         self._names_per_page = max(1, min(NAMES_PER_PAGE, self._store.max_value_bytes // MACHINE_NAME_BYTES))
 
--- a/badgerroute/coordination/shards/urgent_halts.py
+++ b/badgerroute/coordination/shards/urgent_stops.py
@@ -10,7 +10,7 @@
 )
 
 
-class UrgentHalts:
+class UrgentStops:
     """A gang's tasks must hear of their stop close together.
 
     And no task of a cancelled job should begin once its user was told: those that still fetch their image come first,
@@ -28,7 +28,7 @@
             if not job.gang and job.owned:
                 continue
             for placement in job.placed.values():
-                if not placement.stopping or placement.halted_at is not None or placement.phase is Phase.SENT:
+                if not placement.stopping or placement.stopped_at is not None or placement.phase is Phase.SENT:
                     continue
                 if job.gang:
                     gangs[placement.machine] = None
--- a/badgerroute/protocol/workers.py
+++ b/badgerroute/protocol/workers.py
@@ -19,7 +19,7 @@
     attempt: Count = field(name="try")
     state: Literal["fetching", "waiting", "running", "flushing", "exited"] = field(name="condition")
     cause: str | None = None
-    kept: bool | None = None
+    checkpointed: bool | None = field(name="kept", default=None)
 
 
 class Heartbeat(Struct):
@@ -33,7 +33,7 @@
     incarnation: Count = field(name="ride")
     sequence: Count = field(name="tally")
     fencing_token: Count = field(name="crook")
-    notice_s: float | None = field(name="recall_s", default=None)
+    preemption_notice_s: float | None = field(name="recall_s", default=None)
     tasks: list[TaskStatus] = field(name="heads", default_factory=list)
 
     def newer_than(self, incarnation: int, sequence: int) -> bool:
--- a/badgerroute/rebalancing/fetch_rates.py
+++ b/badgerroute/rebalancing/fetch_rates.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from badgerroute.scheduling import ladder
+from badgerroute.scheduling import delay_scheduling
 from badgerroute.scheduling.model import ZERO, Job, Machine, Placement
 
 SMOOTHING = 0.2  # the weight of a new measurement
@@ -31,5 +31,5 @@
     def fetch_time(self, job: Job, machine: Machine) -> timedelta:
         """How long a machine should take to fetch a job's image."""
         if self._counts.get(machine.kind.name, 0) < MIN_MEASUREMENTS:
-            return ladder.fetch_time(job, machine)
+            return delay_scheduling.fetch_time(job, machine)
         return timedelta(seconds=job.spec.image_gb / self._rates[machine.kind.name])
--- a/badgerroute/rebalancing/moves.py
+++ b/badgerroute/rebalancing/moves.py
@@ -12,7 +12,7 @@
 
 from badgerroute.scheduling.draining import save_time
 from badgerroute.scheduling.guidance import Guidance
-from badgerroute.scheduling.model import EPSILON, ZERO, Job, Machine, Placement, Room, allows
+from badgerroute.scheduling.model import EPSILON, ZERO, Job, Machine, Placement, Resources, allows
 from badgerroute.scheduling.placement_rules import PlacementRules
 from badgerroute.scheduling.planner import Planner
 from badgerroute.scheduling.shard import Shard
@@ -151,11 +151,11 @@
                 options.append(option)
         return options
 
-    def _option(self, job: Job, machine: Machine, rooms: dict[str, Room], now: timedelta) -> MoveOption | None:
+    def _option(self, job: Job, machine: Machine, rooms: dict[str, Resources], now: timedelta) -> MoveOption | None:
         """The cheapest tasks to move off a machine so that the job fits, each with a place to go to; if there are."""
         room = machine.free.copy()
         victims: list[Placement] = []
-        landing_rooms: list[tuple[Machine, Room]] = []
+        landing_rooms: list[tuple[Machine, Resources]] = []
         loss = 0.0
         for placement in sorted(machine.placements.values(), key=self._loss_at_least):
             if room.holds(job.need):
@@ -190,7 +190,7 @@
         )
 
     def _landing(
-        self, placement: Placement, machine: Machine, rooms: dict[str, Room], now: timedelta
+        self, placement: Placement, machine: Machine, rooms: dict[str, Resources], now: timedelta
     ) -> Machine | None:
         """Where a task could start again, beside its image if possible."""
         job = placement.job
--- a/badgerroute/rebalancing/service.py
+++ b/badgerroute/rebalancing/service.py
@@ -113,37 +113,37 @@
 
             self._refresh_view(now)
             self._spread(now)
-            for duty in self._refresh_duties():
-                self._round(duty, now, over)
+            for entry in self._refresh_shards():
+                self._round(entry, now, over)
 
-    def _refresh_duties(self) -> list[_ShardRebalancing]:
+    def _refresh_shards(self) -> list[_ShardRebalancing]:
         """Of the shards that are owned and may be acted for; what belonged to former leaders is dropped."""
         assert self._controller is not None
         leaders = self._controller.leaders
-        self._duties = {number: duty for number, duty in self._duties.items() if leaders.get(number) is duty.leader}
+        self._duties = {number: entry for number, entry in self._duties.items() if leaders.get(number) is entry.leader}
         for number, leader in leaders.items():
             if leader.ready and number not in self._duties:
-                self._duties[number] = self._new_duty(number, leader)
+                self._duties[number] = self._new_shard(number, leader)
         policy = self._controller.policy
-        return [duty for number, duty in self._duties.items() if policy.allows_for(number, Action.START)]
+        return [entry for number, entry in self._duties.items() if policy.allows_for(number, Action.START)]
 
     def _may_ask(self, leader: ShardLeader) -> bool:
         """Whether a shard may ask others for work."""
         policy = self._controller.policy if self._controller is not None else None
         return leader.shard.reconciled and policy is not None and policy.allows_for(leader.number, Action.STEAL)
 
-    def _new_duty(self, number: int, leader: ShardLeader) -> _ShardRebalancing:
+    def _new_shard(self, number: int, leader: ShardLeader) -> _ShardRebalancing:
         guidance = self._guidances[number]
         local = LocalWaits(leader.shard, leader.planner.run_time, self._rebalancing.stale)
         guidance.attach(leader.shard.usage, local)
         moves = MovePlanner(leader.shard, leader.planner, self._rebalancing, self._heartbeat, guidance)
         return _ShardRebalancing(leader, guidance, local, moves, DrainProgress(number))
 
-    def _round(self, duty: _ShardRebalancing, now: timedelta, over: Callable[[], bool]) -> None:
-        self._drain_machines(duty, now)
-        if duty.leader.shard.reconciled:
-            duty.local.advance(now, over)
-            duty.moves.round(now, over)
+    def _round(self, entry: _ShardRebalancing, now: timedelta, over: Callable[[], bool]) -> None:
+        self._drain_machines(entry, now)
+        if entry.leader.shard.reconciled:
+            entry.local.advance(now, over)
+            entry.moves.round(now, over)
 
     # -- the view
 
@@ -169,16 +169,16 @@
             return
         self._spread_at = now
         teams = [team for team, urgency in self._urgencies.items() if urgency > 1.0]
-        for duty in self._duties.values():
-            own = duty.leader.summary()
+        for entry in self._duties.values():
+            own = entry.leader.summary()
             others = [summary for summary in self.view.summaries if summary.shard != own.shard and summary.reconciled]
-            if not others or not self._may_ask(duty.leader):
+            if not others or not self._may_ask(entry.leader):
                 continue
             for request in work_lacking(own, others, teams):
                 message = StealRequest(
                     request.victim,
                     own.shard,
-                    offered_capacity(duty.leader.shard, request),
+                    offered_capacity(entry.leader.shard, request),
                     own.images,
                     sorted({demand.team for shard in others for demand in shard.demands} - {request.team}),
                 )
@@ -188,7 +188,7 @@
     async def _log_view(self) -> None:
         while True:
             await self._loop.sleep(VIEW_LOGGED)
-            moves = sum(duty.moves.ledger.count for duty in self._duties.values())
+            moves = sum(entry.moves.ledger.count for entry in self._duties.values())
             log.info(
                 "event=rebalancing_view median=%.1f stale=%s silent=%s moves=%d load=%s",
                 self.view.fleet.median.total_seconds(),
@@ -210,23 +210,23 @@
         """Act on it in this very step: nothing more may start on a machine that is to be emptied."""
         assert self._controller is not None and self._drains is not None
         name = key.removeprefix(DRAINS)
-        for duty in self._duties.values():
-            machine = duty.leader.shard.machines.get(name)
+        for entry in self._duties.values():
+            machine = entry.leader.shard.machines.get(name)
             if machine is not None:
-                duty.drains.apply(machine, self._drains.get(name))
+                entry.drains.apply(machine, self._drains.get(name))
 
-    def _drain_machines(self, duty: _ShardRebalancing, now: timedelta) -> None:
+    def _drain_machines(self, entry: _ShardRebalancing, now: timedelta) -> None:
         assert self._controller is not None and self._drains is not None
-        shard = duty.leader.shard
+        shard = entry.leader.shard
         drained = {name for name, machine in shard.machines.items() if machine.drain_deadline is not None}
         for name in drained.union(name for name in self._drains.names() if name in shard.machines):
             machine, drain = shard.machines[name], self._drains.get(name)
-            duty.drains.apply(machine, drain)
+            entry.drains.apply(machine, drain)
             if drain is None:
                 continue
             plan = Evacuation(drain.deadline, HEARTBEATS_OF_MARGIN * self._heartbeat, patient=True)
-            evacuate(shard, machine, plan, now, duty.leader.planner.run_time, duty.guidance.fetch_time)
-            if duty.drains.emptied(machine) and drain.delete:
+            evacuate(shard, machine, plan, now, entry.leader.planner.run_time, entry.guidance.fetch_time)
+            if entry.drains.emptied(machine) and drain.delete:
                 self._controller.autoscaler.delete([name])
 
     async def _remove_orphans(self) -> None:
--- a/badgerroute/scheduling/array_placement.py
+++ b/badgerroute/scheduling/array_placement.py
@@ -1,4 +1,4 @@
-"""Array tasks: started on every heartbeat of a machine, in its free room, by the ladder and the jobs' desires."""
+"""Array tasks: started on every heartbeat of a machine, in its free room, by delay scheduling and the jobs' desires."""
 
 import heapq
 import logging
@@ -6,7 +6,7 @@
 from datetime import timedelta
 from itertools import groupby
 
-from badgerroute.scheduling import af, ladder
+from badgerroute.scheduling import delay_scheduling, utilization_feedback
 from badgerroute.scheduling.model import Job, Machine, Phase, allows
 from badgerroute.scheduling.placement_rules import PlacementRules
 from badgerroute.scheduling.preemption import Preemption
@@ -74,7 +74,10 @@
         left = bits.bit_count()
         for machine in machines:
             if allows(job.spec, machine.kind.name, machine.zone, machine.spot):
-                if ladder.rung_of(job, machine, self._order.images) is ladder.Rung.CACHED:
+                if (
+                    delay_scheduling.locality_of(job, machine, self._order.images)
+                    is delay_scheduling.LocalityLevel.CACHED
+                ):
                     left -= machine.free.times(job.need)
                     if left <= 0:
                         return True
@@ -92,10 +95,10 @@
 
     def _fill_class(self, machine: Machine, jobs: list[Job], now: timedelta, beyond: bool) -> int:
         started = 0
-        for rung in ladder.Rung:
+        for locality in delay_scheduling.LocalityLevel:
             queue: list[tuple[tuple[float, float], int, Job]] = []
             for number, job in enumerate(jobs):
-                if self._eligible(job, machine, rung, now, beyond):
+                if self._eligible(job, machine, locality, now, beyond):
                     queue.append((self._order.turn(job), number, job))
             heapq.heapify(queue)
             while queue:
@@ -106,7 +109,9 @@
                 heapq.heappush(queue, (self._order.turn(job), number, job))
         return started
 
-    def _eligible(self, job: Job, machine: Machine, rung: ladder.Rung, now: timedelta, beyond: bool) -> bool:
+    def _eligible(
+        self, job: Job, machine: Machine, locality: delay_scheduling.LocalityLevel, now: timedelta, beyond: bool
+    ) -> bool:
         spec = job.spec
         if not machine.free.holds(job.need) or not allows(spec, machine.kind.name, machine.zone, machine.spot):
             return False
@@ -114,18 +119,21 @@
             return False
         if machine.name in job.moved_from and job.moved_from[machine.name] > now:
             return False
-        if machine.name in job.failed_on or ladder.rung_of(job, machine, self._order.images) is not rung:
+        if (
+            machine.name in job.failed_on
+            or delay_scheduling.locality_of(job, machine, self._order.images) is not locality
+        ):
             return False
-        if rung is not ladder.Rung.CACHED and machine.fetches(gangs_only=True):
+        if locality is not delay_scheduling.LocalityLevel.CACHED and machine.fetches(gangs_only=True):
             # Two fetches share the rate, and a whole gang would wait for it: on a machine that a gang all but fills,
             # one small task's image made its start come twice as late.
             return False
-        if rung is not ladder.Rung.CACHED and machine.held_for != job.ref:
+        if locality is not delay_scheduling.LocalityLevel.CACHED and machine.held_for != job.ref:
             bits = job.waiting_bits
             if not bits:
                 return False
             wait = job.waited(lowest(bits), now)
-            if self._rules.allowed(job, machine, wait) < rung:
+            if self._rules.allowed(job, machine, wait) < locality:
                 return False
         if job.desire < 1.0:
             self._begin_desire(job, now)
@@ -135,7 +143,7 @@
         return len(job.placed) < job.desire or self._shard.guidance.may_exceed_desire(job)
 
     def _begin_desire(self, job: Job, now: timedelta) -> None:
-        af.begin(job, now, job.waiting_bits.bit_count(), self._shard.room_for(job))
+        utilization_feedback.begin(job, now, job.waiting_bits.bit_count(), self._shard.room_for(job))
 
     def _start_one(self, job: Job, machine: Machine, now: timedelta, beyond: bool) -> bool:
         if not machine.free.holds(job.need) or not (beyond or self._below_desire(job)):
--- a/badgerroute/scheduling/capacities.py
+++ b/badgerroute/scheduling/capacities.py
@@ -4,14 +4,14 @@
 from collections.abc import Iterable
 
 from badgerroute.protocol.mesh import FreeCapacity, PendingDemand
-from badgerroute.scheduling.model import Job, Room, allows
+from badgerroute.scheduling.model import Job, Resources, allows
 
 ANY_ZONE = ""
 
 
-def room_of(capacity: FreeCapacity) -> Room:
+def room_of(capacity: FreeCapacity) -> Resources:
     """The free room of each of these machines."""
-    return Room(capacity.cpus, capacity.accelerators, capacity.memory_gb)
+    return Resources(capacity.cpus, capacity.accelerators, capacity.memory_gb)
 
 
 def fits_capacity(demand: PendingDemand, capacity: FreeCapacity) -> bool:
@@ -20,7 +20,7 @@
         (demand.types is None or capacity.type in demand.types)
         and demand.zone in (None, capacity.zone)
         and (demand.spot or not capacity.spot)
-        and room_of(capacity).holds(Room(demand.cpus, demand.accelerators, demand.memory_gb))
+        and room_of(capacity).holds(Resources(demand.cpus, demand.accelerators, demand.memory_gb))
     )
 
 
--- a/badgerroute/scheduling/ladder.py
+++ b/badgerroute/scheduling/delay_scheduling.py
@@ -13,7 +13,7 @@
 from badgerroute.settings import Scheduling
 
 
-class Rung(IntEnum):
+class LocalityLevel(IntEnum):
     """How far from its image a task is started."""
 
     CACHED = 0
@@ -60,27 +60,27 @@
     correction: float,
     settings: Scheduling,
     start_within: timedelta | None = None,
-) -> Rung:
-    """The highest rung that a task which has waited so long may use.
+) -> LocalityLevel:
+    """The highest locality level that a task which has waited so long may use.
 
     `start_within` is when the task is expected to start: it must not wait so long for a cached image that
     fetching it elsewhere would come too late (ours).
     """
     if not images.cached(job.spec.image):
-        return Rung.ANY
+        return LocalityLevel.ANY
     step = settings.tau * run_time(job, correction)
     cap = min(fetch, settings.wait_cap)
     if start_within is not None:
         cap = max(ZERO, min(cap, start_within - fetch))
     if wait >= min(2 * step, cap):
-        return Rung.ANY
+        return LocalityLevel.ANY
     if wait >= min(step, cap):
-        return Rung.ZONE
-    return Rung.CACHED
+        return LocalityLevel.ZONE
+    return LocalityLevel.CACHED
 
 
-def rung_of(job: Job, machine: Machine, images: ImageLocations) -> Rung:
-    """The rung that starting the job on this machine would be."""
+def locality_of(job: Job, machine: Machine, images: ImageLocations) -> LocalityLevel:
+    """The locality level that starting the job on this machine would be."""
     if job.spec.image in machine.images:
-        return Rung.CACHED
-    return Rung.ZONE if images.in_zone(job.spec.image, machine.zone) else Rung.ANY
+        return LocalityLevel.CACHED
+    return LocalityLevel.ZONE if images.in_zone(job.spec.image, machine.zone) else LocalityLevel.ANY
--- a/badgerroute/scheduling/failures.py
+++ b/badgerroute/scheduling/failures.py
@@ -8,17 +8,17 @@
 from badgerroute.scheduling.shard_state import ShardState
 
 log = logging.getLogger("badgerroute.shard")
-SICK_JOBS = 2  # so many different jobs failing on a machine make it suspect
-SICK_TRIES = 3
+QUARANTINE_JOBS = 2  # so many different jobs failing on a machine make it suspect
+QUARANTINE_TRIES = 3
 AVOIDED = timedelta(seconds=5)
-FORGIVEN = timedelta(seconds=30)  # after so long a job may go back to a machine on which it failed
+FAILURES_CLEARED_AFTER = timedelta(seconds=30)  # after so long a job may go back to a machine on which it failed
 FAILING_AFTER_MACHINES = 3  # a job that fails on so many, and is done on none, is taken to be at fault itself
 REFUSED_PAUSE = timedelta(seconds=2)
 BACKOFF = timedelta(seconds=2)
 MAX_BACKOFF = timedelta(seconds=60)
 
 
-class FailureJudge:
+class FailureTracker:
     """Judges the failures in one shard."""
 
     def __init__(self, shard: ShardState) -> None:
@@ -34,11 +34,11 @@
             else:
                 job.failed_at = now
                 machine.avoid_until = now + AVOIDED
-                again = now - machine.failed_jobs.setdefault(job.ref, now) >= FORGIVEN
-                known_good = job.done | job.done_here and job.failed_on[machine.name] >= SICK_TRIES
+                again = now - machine.failed_jobs.setdefault(job.ref, now) >= FAILURES_CLEARED_AFTER
+                known_good = job.done | job.done_here and job.failed_on[machine.name] >= QUARANTINE_TRIES
                 # Time for the same jobs to fail elsewhere: two failing ones may happen to fail here first.
                 judged = now - min(machine.failed_jobs.values()) >= AVOIDED
-                if again or known_good or (judged and self._only_here(machine) >= SICK_JOBS):
+                if again or known_good or (judged and self._only_here(machine) >= QUARANTINE_JOBS):
                     self._quarantine(machine, events)
         elif cause in ("no_room", "in_use"):
             machine.avoid_until = now + REFUSED_PAUSE
@@ -61,9 +61,9 @@
         jobs = [self._shard.jobs.get(ref) for ref in machine.failed_jobs]
         return sum(job is not None and job.failed_on.keys() == {machine.name} for job in jobs)
 
-    def forgive(self, job: Job, now: timedelta) -> None:
+    def clear_failures(self, job: Job, now: timedelta) -> None:
         """Else a job would wait for ever where only machines that it once failed on may run it."""
-        if job.failed_on and not job.failing and now - job.failed_at >= FORGIVEN:
+        if job.failed_on and not job.failing and now - job.failed_at >= FAILURES_CLEARED_AFTER:
             job.failed_on = {}
 
     def _blame_job(self, job: Job, machine: Machine, now: timedelta) -> None:
@@ -91,7 +91,7 @@
             one = self._shard.machines.get(name)
             if one is None or one is machine or job.ref not in one.failed_jobs:
                 continue
-            if tasks >= SICK_TRIES or len(one.failed_jobs) >= SICK_JOBS:
+            if tasks >= QUARANTINE_TRIES or len(one.failed_jobs) >= QUARANTINE_JOBS:
                 self._quarantine(one, events)
 
     def _quarantine(self, machine: Machine, events: Events) -> None:
--- a/badgerroute/scheduling/gang_placement.py
+++ b/badgerroute/scheduling/gang_placement.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from badgerroute.scheduling import ladder
+from badgerroute.scheduling import delay_scheduling
 from badgerroute.scheduling.model import ZERO, Job, Machine, Phase
 from badgerroute.scheduling.objectives import Objectives
 from badgerroute.scheduling.placement_rules import FETCH_SPREAD, PlacementRules
@@ -75,25 +75,25 @@
             return False
         wait = now - job.since
         options: list[tuple[int, float, float, float, Machine]] = []
-        blocked_by_rung = False
+        blocked_by_locality = False
         for machine in self._preemption.candidates(job, now, free=True):
             if not machine.free.holds(job.need) or machine.held_for not in (None, job.ref):
                 continue
-            rung = ladder.rung_of(job, machine, self._order.images)
-            if rung > self._rules.allowed(job, machine, wait):
-                blocked_by_rung = True
+            locality = delay_scheduling.locality_of(job, machine, self._order.images)
+            if locality > self._rules.allowed(job, machine, wait):
+                blocked_by_locality = True
                 continue
             # Where it must be fetched, on the machine with the fewest images: the others are worth more to others.
             # One that fetches already shares its rate.
             spoilt = 0.0
-            if rung is not ladder.Rung.CACHED:
+            if locality is not delay_scheduling.LocalityLevel.CACHED:
                 spoilt = len(machine.images) + (MANY if machine.fetches() else 0.0)
             # Among equals, on the one whose heartbeat is due first: the start goes out in the answer to it.
             due = machine.heard.total_seconds() if machine.heard is not None else 0.0
-            options.append((rung, spoilt, machine.free.cpus, due, machine))
+            options.append((locality, spoilt, machine.free.cpus, due, machine))
         chosen = self._choose(job, tasks, options)
         if chosen is None:
-            if make_room and not blocked_by_rung and not job.failing:
+            if make_room and not blocked_by_locality and not job.failing:
                 self._preemption.make_room_for_gang(job, tasks, now)
             return False
         if not job.failing and self._better_beside_image(job, tasks, chosen, wait, now):  # it waits for room there
@@ -151,7 +151,7 @@
     ) -> bool:
         """Make room on machines that cache the image, where fetching it would come too late and cost no less."""
         fetch = max(
-            (ladder.fetch_time(job, machine) for machine in chosen if job.spec.image not in machine.images),
+            (delay_scheduling.fetch_time(job, machine) for machine in chosen if job.spec.image not in machine.images),
             default=ZERO,
         )
         # A gang starts with its last machine, whose fetch is slow; the start goes out in the answer to its next
--- a/badgerroute/scheduling/guidance.py
+++ b/badgerroute/scheduling/guidance.py
@@ -10,7 +10,7 @@
 from msgspec import UNSET, UnsetType
 
 from badgerroute.protocol.mesh import ShardLoad
-from badgerroute.scheduling import ladder
+from badgerroute.scheduling import delay_scheduling
 from badgerroute.scheduling.model import Job, Machine, Placement
 from badgerroute.scheduling.shard_state import ShardView
 
@@ -34,7 +34,7 @@
 
     def fetch_time(self, job: "Job", machine: "Machine") -> timedelta:
         """How long a machine would take to fetch a job's image."""
-        return ladder.fetch_time(job, machine)
+        return delay_scheduling.fetch_time(job, machine)
 
     def local_wait(self, job: "Job") -> timedelta | None:
         """How soon a machine that caches a job's image should have room for it; None: there is no telling."""
--- a/badgerroute/scheduling/heartbeat_reconciliation.py
+++ b/badgerroute/scheduling/heartbeat_reconciliation.py
@@ -10,7 +10,7 @@
 
 from badgerroute.protocol.workers import Heartbeat, TaskStatus, split_task
 from badgerroute.scheduling.events import Events
-from badgerroute.scheduling.failures import FailureJudge
+from badgerroute.scheduling.failures import FailureTracker
 from badgerroute.scheduling.model import ZERO, Job, Machine, Phase, Placement
 from badgerroute.scheduling.shard_state import ShardState
 
@@ -52,7 +52,7 @@
 class HeartbeatReconciler:
     """Takes in the task lists of one shard's machines."""
 
-    def __init__(self, shard: ShardState, failures: FailureJudge) -> None:
+    def __init__(self, shard: ShardState, failures: FailureTracker) -> None:
         self._shard, self._failures = shard, failures
 
     def on_heartbeat(self, machine: Machine, heartbeat: Heartbeat, periodic: bool, now: timedelta) -> Events | None:
@@ -68,12 +68,12 @@
             # Another leader's commands may still reach it: the list is true, but it is not the last word.
             machine.fenced = False
             return message.events
-        if machine.fenced and not machine.strays and not machine.undecided and machine.listed == heartbeat.tasks:
+        if machine.fenced and not machine.orphans and not machine.undecided and machine.listed == heartbeat.tasks:
             return message.events  # most heartbeats say what the one before said
         machine.fenced = True
         machine.listed = heartbeat.tasks
         machine.exited.clear()
-        machine.strays.clear()
+        machine.orphans.clear()
         machine.undecided.clear()
         self._release_absent(message, self._read_tasks(message))
         if not machine.placements and machine.idle_since is None:
@@ -96,7 +96,11 @@
         machine.heard = now
         if message.periodic:
             machine.alive = True
-        machine.notice = None if heartbeat.notice_s is None else now + timedelta(seconds=max(0.0, heartbeat.notice_s))
+        machine.preemption_notice = (
+            None
+            if heartbeat.preemption_notice_s is None
+            else now + timedelta(seconds=max(0.0, heartbeat.preemption_notice_s))
+        )
 
     def _read_tasks(self, message: Message) -> set[tuple[str, int]]:
         """Take in the tasks that are listed; those that are on the machine.
@@ -192,7 +196,7 @@
             return None
         if job is None or not job.owned >> index & 1 or index in job.placed:
             log.info("event=stray_task machine=%s task=%s/%d", machine.name, ref, index)
-            machine.strays.add((ref, index, task.attempt))
+            machine.orphans.add((ref, index, task.attempt))
             return None
         placement = self._shard.place(job, index, task.attempt, machine, message.now, PHASES[task.state])
         placement.timed = False
@@ -206,8 +210,9 @@
     def _keep_undecided(self, machine: Machine, task: tuple[str, int, int]) -> None:
         """A task of a job of which we don't know yet whether it was released: left as it is until we do.
 
-        A shard that was taken over before its leader had looked up how predecessors ended stopped such tasks as strays.
-        Nothing is placed meanwhile: not this task, which runs already, nor others, since it counts against its team.
+        A shard that was taken over before its leader had looked up how predecessors ended stopped such tasks as
+        orphans. Nothing is placed meanwhile: not this task, which runs already, nor others, since it counts against its
+        team.
         """
         machine.undecided.add(task)
         self._shard.reconciled = False
--- a/badgerroute/scheduling/model.py
+++ b/badgerroute/scheduling/model.py
@@ -30,26 +30,26 @@
 
 
 @dataclass(slots=True)
-class Room:
+class Resources:
     """An amount of processors, accelerators and memory."""
 
     cpus: float = 0.0
     accelerators: float = 0.0
     memory_gb: float = 0.0
 
-    def add(self, other: "Room") -> None:
+    def add(self, other: "Resources") -> None:
         """Add another amount to this one."""
         self.cpus += other.cpus
         self.accelerators += other.accelerators
         self.memory_gb += other.memory_gb
 
-    def take(self, other: "Room") -> None:
+    def take(self, other: "Resources") -> None:
         """Take another amount from this one."""
         self.cpus -= other.cpus
         self.accelerators -= other.accelerators
         self.memory_gb -= other.memory_gb
 
-    def holds(self, other: "Room") -> bool:
+    def holds(self, other: "Resources") -> bool:
         """Whether another amount fits, rounding errors aside."""
         return (
             other.cpus <= self.cpus + EPSILON
@@ -57,7 +57,7 @@
             and other.memory_gb <= self.memory_gb + EPSILON
         )
 
-    def times(self, other: "Room") -> int:
+    def times(self, other: "Resources") -> int:
         """How many of `other` fit."""
         counts = [
             (mine + EPSILON) / needed
@@ -70,19 +70,19 @@
         ]
         return max(0, int(min([MAX_TIMES, *counts])))
 
-    def copy(self) -> "Room":
+    def copy(self) -> "Resources":
         """The same amount, to be changed on its own."""
-        return Room(self.cpus, self.accelerators, self.memory_gb)
+        return Resources(self.cpus, self.accelerators, self.memory_gb)
 
 
-def need_of(job: Submission) -> Room:
+def need_of(job: Submission) -> Resources:
     """What each task of a job takes."""
-    return Room(job.cpus, job.accelerators, job.memory_gb)
+    return Resources(job.cpus, job.accelerators, job.memory_gb)
 
 
-def capacity_of(kind: MachineType) -> Room:
+def capacity_of(kind: MachineType) -> Resources:
     """What an empty machine of a type has."""
-    return Room(kind.cpus, kind.accelerators, kind.memory_gb)
+    return Resources(kind.cpus, kind.accelerators, kind.memory_gb)
 
 
 def allows(job: Submission, type_name: str, zone: str, spot: bool) -> bool:
@@ -107,7 +107,7 @@
     running_since: timedelta | None = None
     sent: tuple[int, int] | None = None  # (incarnation, seq) of the heartbeat whose answer carried the start
     grace: timedelta | None = None  # set: it is to stop, with so much time to save
-    halted_at: timedelta | None = None
+    stopped_at: timedelta | None = None
     timed: bool = True  # its beginning was seen when it happened
     rejoined: int = 0  # times that it was started again, by the same attempt number, to wait on for its gang
 
@@ -132,8 +132,8 @@
     zone: str
     spot: bool
     joined: timedelta
-    free: Room
-    held: dict[int, Room] = field(default_factory=dict)  # level -> what its tasks take of this machine
+    free: Resources
+    held: dict[int, Resources] = field(default_factory=dict)  # level -> what its tasks take of this machine
     leaving: int = 0  # tasks that were told, or will be, to stop
     incarnation: int = 0
     sequence: int = -1
@@ -148,13 +148,13 @@
     untaken: int = 0  # heartbeats in a row that lacked a start which an answer of ours had carried
     unreachable: bool = False  # its heartbeats reach us, but it seems that our answers don't reach it
     lost_at: timedelta | None = None  # when its lease was found to be over
-    notice: timedelta | None = None  # steady time at which the cloud takes it
+    preemption_notice: timedelta | None = None  # steady time at which the cloud takes it
     draining: bool = False
     drain_deadline: timedelta | None = None  # set: it is to be empty by then, and nothing more starts on it
     placements: dict[tuple[str, int], Placement] = field(default_factory=dict)
     listed: list[TaskStatus] | None = None  # the last task list, if all that it says has been taken in
     exited: set[tuple[str, int, int]] = field(default_factory=set)  # reported as exited, not cleared yet
-    strays: set[tuple[str, int, int]] = field(default_factory=set)  # on it, but none of ours: to be halted
+    orphans: set[tuple[str, int, int]] = field(default_factory=set)  # on it, but none of ours: to be halted
     undecided: set[tuple[str, int, int]] = field(default_factory=set)  # of jobs that may have been released: kept
     images: dict[str, float] = field(default_factory=dict)  # image -> GB, least recently used first
     complete: set[str] = field(default_factory=set)  # those of them that a task was seen to have got
@@ -173,14 +173,14 @@
             and not self.draining
             and self.drain_deadline is None
             and not self.unreachable
-            and self.notice is None
+            and self.preemption_notice is None
             and not self.undecided
         )
 
     @property
     def empty(self) -> bool:
         """Whether nothing is on it, and nothing of it remains to be cleared."""
-        return not self.placements and not self.exited and not self.strays and not self.undecided
+        return not self.placements and not self.exited and not self.orphans and not self.undecided
 
     def touch_image(self, image: str, size_gb: float) -> None:
         """Note an image as most recently used, and drop what the cache can no longer hold."""
@@ -224,7 +224,7 @@
     owned: int  # bit sets of task numbers
     done: int  # durable, all shards
     window: int
-    need: Room
+    need: Resources
     since: timedelta  # when its tasks here began to wait
     done_here: int = 0  # reported done, not durable yet
     written: timedelta = -timedelta(days=1)  # when its progress was last written down
--- a/badgerroute/scheduling/placement_rules.py
+++ b/badgerroute/scheduling/placement_rules.py
@@ -1,9 +1,9 @@
-"""What holds for gangs and arrays alike: the ladder with this shard's images, zones, and shares that are lacking."""
+"""What holds for gangs and arrays alike: delay scheduling by this shard's images, zones, and quota lacking."""
 
 from datetime import timedelta
 
-from badgerroute.scheduling import ladder
-from badgerroute.scheduling.model import Job, Machine, Room
+from badgerroute.scheduling import delay_scheduling
+from badgerroute.scheduling.model import Job, Machine, Resources
 from badgerroute.scheduling.objectives import Objectives
 from badgerroute.scheduling.service_order import ServiceOrder
 from badgerroute.scheduling.shard import Shard
@@ -20,17 +20,17 @@
     ) -> None:
         self._shard, self._order, self._settings = shard, order, settings
         self._objectives, self._heartbeat = objectives, heartbeat
-        self.short_of_quota: dict[str, Room] = {}
+        self.short_of_quota: dict[str, Resources] = {}
 
-    def allowed(self, job: Job, machine: Machine, wait: timedelta) -> ladder.Rung:
-        """The highest rung that a task which has waited so long may use on a machine."""
+    def allowed(self, job: Job, machine: Machine, wait: timedelta) -> delay_scheduling.LocalityLevel:
+        """The highest locality level that a task which has waited so long may use on a machine."""
         fetch = self._shard.guidance.fetch_time(job, machine)
         local_wait = self._shard.guidance.local_wait(job)
         if local_wait is not None and local_wait > fetch:
-            return ladder.Rung.ANY  # it would wait longer for its image than the fetch takes
+            return delay_scheduling.LocalityLevel.ANY  # it would wait longer for its image than the fetch takes
         correction = self._shard.estimates.correction(job.spec.job_class)
         within = self._latest_choice(job, fetch)
-        return ladder.allowed(job, wait, fetch, self._order.images, correction, self._settings, within)
+        return delay_scheduling.allowed(job, wait, fetch, self._order.images, correction, self._settings, within)
 
     def _latest_choice(self, job: Job, fetch: timedelta) -> timedelta:
         """When a task must stop waiting for its image so that a fetch, which may be slow, is still in time."""
@@ -48,6 +48,6 @@
 
     def lacks(self, job: Job, tasks: int) -> None:
         """Note what a job's team lacks of its limit for so many tasks."""
-        lack = self.short_of_quota.setdefault(job.spec.team, Room())
+        lack = self.short_of_quota.setdefault(job.spec.team, Resources())
         lack.cpus = max(lack.cpus, job.need.cpus * tasks)
         lack.accelerators = max(lack.accelerators, job.need.accelerators * tasks)
--- a/badgerroute/scheduling/planner.py
+++ b/badgerroute/scheduling/planner.py
@@ -4,10 +4,10 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from badgerroute.scheduling import af, ladder
+from badgerroute.scheduling import delay_scheduling, utilization_feedback
 from badgerroute.scheduling.array_placement import ArrayPlacement
 from badgerroute.scheduling.gang_placement import GangPlacement
-from badgerroute.scheduling.model import Job, Machine, Room
+from badgerroute.scheduling.model import Job, Machine, Resources
 from badgerroute.scheduling.objectives import Objectives
 from badgerroute.scheduling.placement_rules import PlacementRules
 from badgerroute.scheduling.preemption import Preemption
@@ -22,7 +22,7 @@
 
     ref: str
     team: str
-    need: Room
+    need: Resources
     count: int
     gang: bool
     level: int
@@ -90,7 +90,7 @@
         """See Preemption."""
         self._preemption.release_holds(now)
 
-    def room_without(self, level: int) -> list[tuple[Machine, Room]]:
+    def room_without(self, level: int) -> list[tuple[Machine, Resources]]:
         """See Preemption."""
         return self._preemption.room_without(level)
 
@@ -103,7 +103,7 @@
         """Rounds that ran out of time."""
         return self._gangs.cut_short + self._arrays.cut_short + self._preemption.cut_short
 
-    def take_shortages(self) -> dict[str, Room]:
+    def take_shortages(self) -> dict[str, Resources]:
         """What teams lacked of their limits in the last rounds; asked for once."""
         short, self._rules.short_of_quota = self._rules.short_of_quota, {}
         return short
@@ -113,9 +113,9 @@
         for job in self.shard.jobs.values():
             if job.period_began is None:
                 continue
-            af.sample(job, job.waiting_bits.bit_count())
+            utilization_feedback.sample(job, job.waiting_bits.bit_count())
             if now - job.period_began >= self._settings.period:
-                af.end_period(job, now, self._settings)
+                utilization_feedback.end_period(job, now, self._settings)
 
     def shapes(self, now: timedelta) -> list[Shape]:
         """The waiting tasks by job."""
@@ -144,7 +144,7 @@
         for job in self.shard.jobs.values():
             if job.gang or not job.placed:
                 continue
-            run = ladder.run_time(job, self.shard.estimates.correction(job.spec.job_class))
+            run = delay_scheduling.run_time(job, self.shard.estimates.correction(job.spec.job_class))
             before: dict[str, timedelta] = {}  # machine type -> what runs since then will have ended
             for placement in job.placed.values():
                 since = placement.running_since
@@ -153,7 +153,7 @@
                 kind = placement.machine.kind
                 latest = before.get(kind.name)
                 if latest is None:
-                    ready = timedelta(seconds=kind.boot_s) + ladder.fetch_time(job, placement.machine)
+                    ready = timedelta(seconds=kind.boot_s) + delay_scheduling.fetch_time(job, placement.machine)
                     latest = before[kind.name] = now + ready - run
                 if since < latest:
                     total += job.need.cpus
--- a/badgerroute/scheduling/preemption.py
+++ b/badgerroute/scheduling/preemption.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from badgerroute.scheduling import ladder
-from badgerroute.scheduling.model import EPSILON, ZERO, Job, Machine, Phase, Placement, Room, allows
+from badgerroute.scheduling import delay_scheduling
+from badgerroute.scheduling.model import EPSILON, ZERO, Job, Machine, Phase, Placement, Resources, allows
 from badgerroute.scheduling.objectives import Objectives
 from badgerroute.scheduling.service_order import ServiceOrder
 from badgerroute.scheduling.shard import Shard
@@ -196,7 +196,10 @@
             if machine.held_for is None:
                 plan = self.clear_out(machine, job, now)
                 if plan is not None and plan[1]:
-                    uncached = ladder.rung_of(job, machine, self._order.images) is not ladder.Rung.CACHED
+                    uncached = (
+                        delay_scheduling.locality_of(job, machine, self._order.images)
+                        is not delay_scheduling.LocalityLevel.CACHED
+                    )
                     options.append((uncached, plan[0], machine.name, machine, plan[1]))
         options.sort(key=lambda one: one[:3])
         for _, _, _, machine, victims in options[:wanted]:
@@ -218,7 +221,7 @@
                 if late or holder is None or not holder.waiting_bits:
                     machine.held_for = machine.held_until = None
 
-    def room_without(self, level: int) -> list[tuple[Machine, Room]]:
+    def room_without(self, level: int) -> list[tuple[Machine, Resources]]:
         """What each machine could offer a job of a level: its free room and that of work which may be stopped."""
         machines = []
         for machine in self._shard.machines.values():
@@ -236,7 +239,7 @@
         return {image: sorted(rooms, reverse=True)[:most] for image, rooms in found.items()}
 
     @staticmethod
-    def room_below(machine: Machine, level: int) -> Room:
+    def room_below(machine: Machine, level: int) -> Resources:
         """A machine's free room, and that of work below a level."""
         room = machine.free.copy()
         for other, held in machine.held.items():
--- a/badgerroute/scheduling/scale_out_planning.py
+++ b/badgerroute/scheduling/scale_out_planning.py
@@ -11,7 +11,7 @@
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.mesh import PendingDemand, ShardSummary
 from badgerroute.scheduling.capacities import room_of
-from badgerroute.scheduling.model import Room, capacity_of
+from badgerroute.scheduling.model import Resources, capacity_of
 from badgerroute.scheduling.objectives import Objectives
 from badgerroute.settings import Settings, Team
 
@@ -57,27 +57,27 @@
 
 
 @dataclass(slots=True)
-class _RoomGroup:
+class _CapacityGroup:
     """Machines in one place with the same free room: thousands of machines come in few kinds."""
 
     place: MachinePool
-    room: Room
+    room: Resources
     count: int
 
-    def fill(self, need: Room, tasks: int) -> tuple[int, list["_RoomGroup"]]:
+    def fill(self, need: Resources, tasks: int) -> tuple[int, list["_CapacityGroup"]]:
         """Put up to so many tasks on these machines, one after the other; how many fit, and the groups that remain."""
         each = self.room.times(need)
         full = min(self.count, tasks // each)
         fitting = full * each
         partly = min(tasks - fitting, each) if full < self.count else 0
         remaining = [self._after(need, each, full), self._after(need, partly, 1 if partly else 0)]
-        remaining.append(_RoomGroup(self.place, self.room, self.count - full - bool(partly)))
+        remaining.append(_CapacityGroup(self.place, self.room, self.count - full - bool(partly)))
         return fitting + partly, [group for group in remaining if group.count]
 
-    def _after(self, need: Room, tasks: int, machines: int) -> "_RoomGroup":
+    def _after(self, need: Resources, tasks: int, machines: int) -> "_CapacityGroup":
         room = self.room.copy()
-        room.take(Room(need.cpus * tasks, need.accelerators * tasks, need.memory_gb * tasks))
-        return _RoomGroup(self.place, room, machines)
+        room.take(Resources(need.cpus * tasks, need.accelerators * tasks, need.memory_gb * tasks))
+        return _CapacityGroup(self.place, room, machines)
 
 
 class ScaleOutPlan:
@@ -92,9 +92,9 @@
     ) -> None:
         self._catalog, self._may_ask, self._max_per_place = catalog, may_ask, max_per_place
         self._teams = {team.name: team for team in teams}
-        self._groups: list[_RoomGroup] = []
-        self._least_need = Room()  # what holds less is of no use to any demand, and need not be looked at again
-        self._used: dict[str, Room] = {}
+        self._groups: list[_CapacityGroup] = []
+        self._least_need = Resources()  # what holds less is of no use to any demand, and need not be looked at again
+        self._used: dict[str, Resources] = {}
         self._wanted: dict[MachinePool, int] = {}
 
     def machines_wanted(
@@ -104,7 +104,7 @@
         self._count_room(summaries, expected)
         freeing_cpus = sum(shard.freeing for shard in summaries)
         demands = [demand for shard in summaries for demand in shard.demands]
-        self._least_need = Room(
+        self._least_need = Resources(
             min((demand.cpus for demand in demands), default=0.0),
             min((demand.accelerators for demand in demands), default=0.0),
             min((demand.memory_gb for demand in demands), default=0.0),
@@ -125,31 +125,31 @@
         for shard in summaries:
             for capacity in shard.capacities:
                 place = MachinePool(capacity.type, capacity.zone, capacity.spot)
-                self._groups.append(_RoomGroup(place, room_of(capacity), capacity.count))
+                self._groups.append(_CapacityGroup(place, room_of(capacity), capacity.count))
             for team, (cpus, accelerators) in shard.used.items():
-                self._used.setdefault(team, Room()).add(Room(cpus, accelerators))
+                self._used.setdefault(team, Resources()).add(Resources(cpus, accelerators))
         for machines in expected:
             machine_type = self._catalog.get(machines.place.type)
             if machine_type is not None:
-                self._groups.append(_RoomGroup(machines.place, capacity_of(machine_type), machines.count))
+                self._groups.append(_CapacityGroup(machines.place, capacity_of(machine_type), machines.count))
 
     def _within_limit(self, demand: PendingDemand) -> int:
         """How many of a demand's tasks its team's limit leaves room for; of a gang all or none."""
         team = self._teams.get(demand.team)
         if team is None:
             return 0
-        used = self._used.setdefault(demand.team, Room())
+        used = self._used.setdefault(demand.team, Resources())
         cpus, accelerators = team.limits
-        left = Room(cpus - used.cpus, accelerators - used.accelerators)
-        count = min(demand.count, left.times(Room(demand.cpus, demand.accelerators)))
+        left = Resources(cpus - used.cpus, accelerators - used.accelerators)
+        count = min(demand.count, left.times(Resources(demand.cpus, demand.accelerators)))
         if demand.gang and count < demand.count:
             return 0
-        used.add(Room(count * demand.cpus, count * demand.accelerators))
+        used.add(Resources(count * demand.cpus, count * demand.accelerators))
         return count
 
     def _fit(self, demand: PendingDemand, count: int) -> None:
-        need = Room(demand.cpus, demand.accelerators, demand.memory_gb)
-        groups: list[_RoomGroup] = []
+        need = Resources(demand.cpus, demand.accelerators, demand.memory_gb)
+        groups: list[_CapacityGroup] = []
         for group in self._groups:
             if count > 0 and group.room.holds(need) and _place_allowed(demand, group.place):
                 fitting, remaining = group.fill(need, count)
@@ -163,7 +163,7 @@
             if place_to_ask is not None:
                 self._add_machines(place_to_ask, need, count)
 
-    def _cheapest(self, demand: PendingDemand, need: Room) -> MachinePool | None:
+    def _cheapest(self, demand: PendingDemand, need: Resources) -> MachinePool | None:
         options = [
             place
             for place in machine_pools(self._catalog)
@@ -175,13 +175,13 @@
             options, key=lambda place: (price_per_cpu(place, self._catalog), self._wanted.get(place, 0)), default=None
         )
 
-    def _add_machines(self, place: MachinePool, need: Room, tasks: int) -> None:
+    def _add_machines(self, place: MachinePool, need: Resources, tasks: int) -> None:
         whole = capacity_of(self._catalog[place.type])
         machines = min(-(-tasks // whole.times(need)), self._max_per_place - self._wanted.get(place, 0))
         if machines <= 0:
             return
         self._wanted[place] = self._wanted.get(place, 0) + machines
-        _, remaining = _RoomGroup(place, whole, machines).fill(need, tasks)
+        _, remaining = _CapacityGroup(place, whole, machines).fill(need, tasks)
         self._groups += remaining
 
 
--- a/badgerroute/scheduling/service_order.py
+++ b/badgerroute/scheduling/service_order.py
@@ -3,8 +3,8 @@
 from datetime import timedelta
 from math import inf
 
-from badgerroute.scheduling import ladder
-from badgerroute.scheduling.model import Job, Room
+from badgerroute.scheduling import delay_scheduling
+from badgerroute.scheduling.model import Job, Resources
 from badgerroute.scheduling.objectives import Objectives
 from badgerroute.scheduling.shard import Shard
 
@@ -17,8 +17,8 @@
     def __init__(self, shard: Shard, objectives: Objectives) -> None:
         self._shard, self._objectives = shard, objectives
         self.jobs: list[Job] = []
-        self.least_need = Room()  # no array task that waits takes less than this
-        self.images = ladder.ImageLocations([])
+        self.least_need = Resources()  # no array task that waits takes less than this
+        self.images = delay_scheduling.ImageLocations([])
         self._tiers: dict[str, float] = {}
         self._short_gangs: dict[str, list[Job]] = {}  # team -> gangs that wait for want of quota
         self._ordered_at = -timedelta(days=1)
@@ -28,10 +28,10 @@
         if now - self._ordered_at < ORDER_KEPT:
             return
         self._ordered_at = now
-        self.images = ladder.ImageLocations(self._shard.machines.values())
+        self.images = delay_scheduling.ImageLocations(self._shard.machines.values())
         waiting = [job for job in self._shard.jobs.values() if job.waiting_bits and job.blocked_until <= now]
         for job in waiting:
-            self._shard.forgive(job, now)
+            self._shard.clear_failures(job, now)
         self._tiers = {job.ref: self._tier(job, now) for job in waiting}
         waiting.sort(key=lambda job: (self.group(job), self._shard.guidance.precedence(job), job.accepted))
         self.jobs = waiting
@@ -40,7 +40,7 @@
             if job.gang and not job.placed and not job.failing and self._shard.short_of_quota(job):
                 self._short_gangs.setdefault(job.spec.team, []).append(job)
         arrays = [job.need for job in waiting if not job.gang]
-        self.least_need = Room(
+        self.least_need = Resources(
             min((one.cpus for one in arrays), default=inf), 0.0, min((one.memory_gb for one in arrays), default=inf)
         )
 
@@ -49,7 +49,7 @@
 
     def run_time(self, job: Job) -> timedelta:
         """How long a task of the job is expected to run."""
-        return ladder.run_time(job, self._shard.estimates.correction(job.spec.job_class))
+        return delay_scheduling.run_time(job, self._shard.estimates.correction(job.spec.job_class))
 
     def group(self, job: Job) -> tuple[int, bool, float]:
         """Jobs among which the least held goes first: alike in class, and in how late they must be already.
--- a/badgerroute/scheduling/shard.py
+++ b/badgerroute/scheduling/shard.py
@@ -13,10 +13,10 @@
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.workers import Command, Heartbeat
 from badgerroute.scheduling.events import Events
-from badgerroute.scheduling.failures import FailureJudge
+from badgerroute.scheduling.failures import FailureTracker
 from badgerroute.scheduling.guidance import NEUTRAL, Guidance
 from badgerroute.scheduling.heartbeat_reconciliation import HeartbeatReconciler
-from badgerroute.scheduling.model import EPSILON, ZERO, Job, Machine, Phase, Placement, Room, allows, capacity_of
+from badgerroute.scheduling.model import EPSILON, ZERO, Job, Machine, Phase, Placement, Resources, allows, capacity_of
 from badgerroute.storage.records import JobRecord, MachineRecord
 
 log = logging.getLogger("badgerroute.shard")
@@ -79,9 +79,9 @@
         self.estimates = Estimates()
         self.reconciled = False  # every member fenced or provably rid of its tasks: until then nothing is placed
         self.reserved_for_peers: dict[
-            str, tuple[Room, timedelta]
+            str, tuple[Resources, timedelta]
         ] = {}  # team -> of its share, what is kept for another shard
-        self._failures = FailureJudge(self)
+        self._failures = FailureTracker(self)
         self._reconciler = HeartbeatReconciler(self, self._failures)
         self._counter = 0
         self._fastest = 1e-6  # GB a second, of the machines ever here
@@ -143,7 +143,7 @@
             if not owned:
                 return None
             spec = record.job
-            need = Room(spec.cpus, spec.accelerators, spec.memory_gb)
+            need = Resources(spec.cpus, spec.accelerators, spec.memory_gb)
             # A gang that comes from another shard has waited there already.
             since = min(now, accepted) if spec.gang else now
             job = Job(ref, spec, accepted, owned, done, window, need, since, held_back=held_back)
@@ -168,7 +168,7 @@
         for placement in job.placed.values():
             held = placement.machine.held
             held[job.level].take(job.need)
-            held.setdefault(level, Room()).add(job.need)
+            held.setdefault(level, Resources()).add(job.need)
         job.level = level
 
     def drop_job(self, ref: str) -> None:
@@ -199,12 +199,12 @@
             kept = self.reserved_for_peers[job.spec.team][0]
             cpus, accelerators = cpus - kept.cpus, accelerators - kept.accelerators
         used = self.usage[job.spec.team]
-        fitting = Room(cpus - used.cpus, accelerators - used.accelerators).times(
-            Room(job.need.cpus, job.need.accelerators)
+        fitting = Resources(cpus - used.cpus, accelerators - used.accelerators).times(
+            Resources(job.need.cpus, job.need.accelerators)
         )
         return max(0, min(tasks, fitting))
 
-    def reserve_for_peer(self, team: str, room: Room, until: timedelta) -> None:
+    def reserve_for_peer(self, team: str, room: Resources, until: timedelta) -> None:
         """As the team's tasks end here, start nothing in so much of its share: another shard is to have it."""
         if room.cpus > EPSILON or room.accelerators > EPSILON:
             self.reserved_for_peers[team] = (room, until)
@@ -238,7 +238,7 @@
             self.guidance.task_placed(job, now - job.requeued.get(index, job.accepted), now)
         machine.placements[placement.key] = placement
         machine.free.take(job.need)
-        machine.held.setdefault(job.level, Room()).add(job.need)
+        machine.held.setdefault(job.level, Resources()).add(job.need)
         machine.idle_since = None
         job.place(placement)
         used = self.usage[job.spec.team]
@@ -300,16 +300,16 @@
         """See ReportReader."""
         return self._reconciler.on_heartbeat(machine, heartbeat, periodic, now)
 
-    def forgive(self, job: Job, now: timedelta) -> None:
+    def clear_failures(self, job: Job, now: timedelta) -> None:
         """See FailureJudge."""
-        self._failures.forgive(job, now)
+        self._failures.clear_failures(job, now)
 
     # -- answers
 
     def commands(self, machine: Machine, now: timedelta, starts: bool) -> list[Command]:
         """What a machine is to do. Starts go out once and only in the answer to a heartbeat (`starts`)."""
         commands: list[Command] = []
-        for ref, index, attempt in machine.strays:
+        for ref, index, attempt in machine.orphans:
             commands.append(Command("halt", f"{ref}/{index}", attempt, 0.0))
         for ref, index, attempt in machine.exited:
             # Not by a direct command: carried out late, it would clear the end of a task that was started again.
@@ -317,8 +317,8 @@
                 commands.append(Command("clear", f"{ref}/{index}", attempt))
         for placement in machine.placements.values():
             if placement.grace is not None:
-                if placement.halted_at is None:
-                    placement.halted_at = now
+                if placement.stopped_at is None:
+                    placement.stopped_at = now
                 commands.append(
                     Command(
                         "halt",
@@ -362,7 +362,7 @@
                 over = max(self.led_since + grace, machine.answered or ZERO, machine.joined) + lease
             if last_confirmed > over and (machine.placements or not machine.fenced or machine.alive):
                 self.lose_tasks(machine, now)
-                machine.strays.clear()
+                machine.orphans.clear()
                 machine.undecided.clear()
                 machine.alive = False
                 machine.dead_incarnation = machine.incarnation
@@ -383,5 +383,5 @@
     def unreconciled(self) -> list[Machine]:
         """Machines of which it is not certain what runs on them, or that run what can't be counted."""
         return [
-            machine for machine in self.machines.values() if not machine.fenced or machine.strays or machine.undecided
+            machine for machine in self.machines.values() if not machine.fenced or machine.orphans or machine.undecided
         ]
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -6,15 +6,15 @@
 
 import pytest
 
-from badgerroute.coordination.requests.split import split
-from badgerroute.coordination.shards.processor_use import ProcessorUse, processor_use
+from badgerroute.coordination.requests.job_splitting import split
+from badgerroute.coordination.shards.cpu_usage import CpuUsage, cpu_usage
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.mesh import FreeCapacity, PendingDemand, ShardSummary
 from badgerroute.protocol.users import Priority, Submission
 from badgerroute.protocol.workers import Heartbeat, TaskStatus
-from badgerroute.scheduling import af, ladder
-from badgerroute.scheduling.feasible import Load, tiers
-from badgerroute.scheduling.model import Job, Phase, Room
+from badgerroute.scheduling import delay_scheduling, utilization_feedback
+from badgerroute.scheduling.deadline_feasibility import Load, tiers
+from badgerroute.scheduling.model import Job, Phase, Resources
 from badgerroute.scheduling.objectives import Objectives
 from badgerroute.scheduling.planner import Planner
 from badgerroute.scheduling.shard import Shard
@@ -87,33 +87,33 @@
     ],
 )
 def test_af(desire: float, granted: float, use: float, starved: bool, expected: float) -> None:
-    assert af.next_desire(desire, granted, use, starved, delta=0.6, rho=2.0) == expected
+    assert utilization_feedback.next_desire(desire, granted, use, starved, delta=0.6, rho=2.0) == expected
 
 
-# -- the ladder
+# -- delay scheduling
 
 
 @pytest.mark.parametrize(
     ("where", "wait", "image_gb", "expected"),
     [
-        ("nowhere", 0, 5.0, ladder.Rung.ANY),  # nothing to wait for
-        ("a", 0, 50.0, ladder.Rung.CACHED),
-        ("a", 9, 50.0, ladder.Rung.CACHED),
-        ("a", 10, 50.0, ladder.Rung.ZONE),  # tau * p
-        ("a", 20, 50.0, ladder.Rung.ANY),  # 2 * tau * p
-        ("a", 6, 2.5, ladder.Rung.ANY),  # no longer than the fetch takes: 5 s
-        ("a", 61, 500.0, ladder.Rung.ANY),  # nor longer than a minute
+        ("nowhere", 0, 5.0, delay_scheduling.LocalityLevel.ANY),  # nothing to wait for
+        ("a", 0, 50.0, delay_scheduling.LocalityLevel.CACHED),
+        ("a", 9, 50.0, delay_scheduling.LocalityLevel.CACHED),
+        ("a", 10, 50.0, delay_scheduling.LocalityLevel.ZONE),  # tau * p
+        ("a", 20, 50.0, delay_scheduling.LocalityLevel.ANY),  # 2 * tau * p
+        ("a", 6, 2.5, delay_scheduling.LocalityLevel.ANY),  # no longer than the fetch takes: 5 s
+        ("a", 61, 500.0, delay_scheduling.LocalityLevel.ANY),  # nor longer than a minute
     ],
 )
-def test_ladder(where: str, wait: float, image_gb: float, expected: ladder.Rung) -> None:
+def test_delay_scheduling(where: str, wait: float, image_gb: float, expected: delay_scheduling.LocalityLevel) -> None:
     target = shard()
     estimate = 10.0 if image_gb < 100 else 1000.0
     job = add(target, submission(image_gb=image_gb, estimate_s=estimate))
     if where != "nowhere":
         target.machines["host-0"].touch_image("img-1", image_gb)
-    images = ladder.ImageLocations(target.machines.values())
-    fetch = ladder.fetch_time(job, target.machines["host-1"])
-    assert ladder.allowed(job, wait * S, fetch, images, 1.0, Scheduling()) is expected
+    images = delay_scheduling.ImageLocations(target.machines.values())
+    fetch = delay_scheduling.fetch_time(job, target.machines["host-1"])
+    assert delay_scheduling.allowed(job, wait * S, fetch, images, 1.0, Scheduling()) is expected
 
 
 def test_cached_image_goes_first_and_least_held_next() -> None:
@@ -677,7 +677,7 @@
 def test_bits() -> None:
     assert [trailing_ones(0b0111), trailing_ones(0), trailing_ones(0b1011)] == [3, 0, 2]
     assert span(2, 4) == 0b1100 and lowest(0b1100) == 2
-    assert Room(8, 0, 32).times(Room(3, 0, 1)) == 2
+    assert Resources(8, 0, 32).times(Resources(3, 0, 1)) == 2
 
 
 @pytest.mark.parametrize(
@@ -736,6 +736,6 @@
     for index, (machine, phase) in enumerate(zip(machines, (Phase.RUNNING, Phase.FETCHING, Phase.SENT), strict=False)):
         target.place(job, index, 99, machine, 0 * S, phase)
     machines[1].held_for, machines[2].draining = "run-9", True
-    use = processor_use(target)
-    assert use == ProcessorUse(running=2, fetching=2, starting=2, beside=6, held=6, unusable=6, empty=8)
+    use = cpu_usage(target)
+    assert use == CpuUsage(running=2, fetching=2, starting=2, beside=6, held=6, unusable=6, empty=8)
     assert str(use).startswith("running=2 starting=2 fetching=2 waiting=0")
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -7,7 +7,7 @@
 import pytest
 
 from badgerroute.coordination.quotas.quota_allocator import QuotaAllocator
-from badgerroute.coordination.requests.users import Users, answer
+from badgerroute.coordination.requests.job_service import JobService, answer
 from badgerroute.coordination.shards import forecast
 from badgerroute.coordination.shards.machine_commands import MachineCommands
 from badgerroute.settings import Objective
@@ -520,10 +520,10 @@
 def says(condition: str, status: int = 200) -> Callable[[pytest.MonkeyPatch], None]:
     """Controllers that give every poll the same answer."""
 
-    async def poll(self: Users, ref: str) -> Response:
+    async def poll(self: JobService, ref: str) -> Response:
         return answer(status, {"ref": ref, "condition": condition})
 
-    return lambda monkeypatch: monkeypatch.setattr(Users, "poll", poll)
+    return lambda monkeypatch: monkeypatch.setattr(JobService, "poll", poll)
 
 
 def places_anywhere(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_left_waiting.py
+++ b/tests/test_left_waiting.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from badgerroute.coordination.requests import users as users_module
+from badgerroute.coordination.requests import job_service as users_module
 from badgerroute.protocol.common import MalformedError
 from badgerroute.protocol.mesh import ShardSummary
 from badgerroute.protocol.users import Submission, parse_submission
