--- a/badgerroute/assembly.py
+++ b/badgerroute/assembly.py
@@ -2,11 +2,11 @@
 
 from badgerroute.coordination.controller import Controller
 from badgerroute.settings import Settings
-from badgerroute.transport.loop import Group, Loop
+from badgerroute.transport.loop import Loop, TaskGroup
 from badgerroute.transport.net import Network
 
 
-def build_controller(settings: Settings, loop: Loop, network: Network, group: Group) -> Controller:
+def build_controller(settings: Settings, loop: Loop, network: Network, group: TaskGroup) -> Controller:
     """A controller that is ready to run."""
     rebalancing = settings.operator.rebalancing
     if rebalancing is None:
--- a/badgerroute/coordination/autoscaling/autoscaler.py
+++ b/badgerroute/coordination/autoscaling/autoscaler.py
@@ -29,7 +29,7 @@
 )
 from badgerroute.storage.records import MachineRecord
 from badgerroute.storage.replica import MACHINES, Replica
-from badgerroute.transport.loop import Group, Loop
+from badgerroute.transport.loop import Loop, TaskGroup
 
 log = logging.getLogger("badgerroute.fleet")
 ROUND = timedelta(seconds=1)
@@ -59,7 +59,7 @@
         self,
         settings: Settings,
         loop: Loop,
-        group: Group,
+        group: TaskGroup,
         cloud: CloudClient,
         election: LeaderElection,
         policy: ActionPolicy,
--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -1,4 +1,4 @@
-"""One controller: its duties, and who answers what."""
+"""One controller: its background tasks, and who answers what."""
 
 import logging
 import random
@@ -43,7 +43,7 @@
 from badgerroute.storage.key_value_client import KeyValueClient
 from badgerroute.storage.replica import DONE, JOBS, MACHINES, TOMBSTONES, Replica
 from badgerroute.transport.http import Server
-from badgerroute.transport.loop import Future, Gate, Group, Loop
+from badgerroute.transport.loop import Future, Loop, Semaphore, TaskGroup
 from badgerroute.transport.net import Network
 
 log = logging.getLogger("badgerroute.controller")
@@ -62,7 +62,7 @@
         settings: Settings,
         loop: Loop,
         network: Network,
-        group: Group,
+        group: TaskGroup,
         guidance: Callable[[int], Guidance] = lambda shard: NEUTRAL,
     ) -> None:
         self.settings, self._loop, self._network, self._group = settings, loop, network, group
@@ -206,7 +206,7 @@
         self.api = HttpApi(self.replica, self.monitor, self.heartbeat_handler, job_request_handler)
         sockets = params.resources.fd_limit
         direct = min(max(MAX_DIRECT_COMMANDS, sockets // SOCKETS_PER_DIRECT_COMMAND), max(4, sockets // 8))
-        self._gate = Gate(direct)
+        self._semaphore = Semaphore(direct)
         self._server = Server(
             loop, group, self.api.handle, max(16, sockets - direct - RESERVED_SOCKETS - 8 * params.size)
         )
@@ -215,7 +215,7 @@
             loop=loop,
             network=network,
             group=group,
-            gate=self._gate,
+            semaphore=self._semaphore,
             store=self.store,
             replica=self.replica,
             election=self.election,
@@ -241,7 +241,7 @@
     # -- life
 
     async def run(self) -> None:
-        """Listen, start every duty, and run until it is cancelled."""
+        """Listen, start every background task, and run until it is cancelled."""
         log.info("event=start host=%s home=%d", self.settings.platform.host_name, self.settings.home)
         listener = self._network.listen(self.settings.platform.public_addr)
         self._group.spawn(self._server.serve(listener), "serve")
@@ -266,7 +266,7 @@
             (self.dependency_resolver.cancel_downstream, "withdraw"),
             (self.dependency_resolver.tidy, "tidy"),
         ):
-            self._group.duty(make, name, second)
+            self._group.run_forever(make, name, second)
         await Future()
 
     def _on_elected(self, shard: int, leadership: Leadership) -> None:
@@ -315,7 +315,7 @@
             if mine:
                 self._group.spawn(leader.tombstone_writer.forget(mine), "forget")
 
-    # -- duties
+    # -- background tasks
 
     async def _run_gossip(self) -> None:
         while True:
--- a/badgerroute/coordination/membership/forwarding.py
+++ b/badgerroute/coordination/membership/forwarding.py
@@ -10,7 +10,7 @@
 
 from badgerroute.protocol.mesh import ForwardedRequest, ForwardedResponse, Message
 from badgerroute.transport.http import Request, Response
-from badgerroute.transport.loop import Future, Group, Loop
+from badgerroute.transport.loop import Future, Loop, TaskGroup
 
 log = logging.getLogger("badgerroute.forwarding")
 Handler = Callable[[Request, str], Awaitable[Response]]
@@ -23,7 +23,7 @@
     def __init__(
         self,
         loop: Loop,
-        group: Group,
+        group: TaskGroup,
         host: str,
         most: int,
         first_number: int,
--- a/badgerroute/coordination/membership/mesh.py
+++ b/badgerroute/coordination/membership/mesh.py
@@ -11,7 +11,7 @@
 from badgerroute.protocol import mesh as wire
 from badgerroute.settings import Settings
 from badgerroute.transport.frames import FrameReader, frame
-from badgerroute.transport.loop import Future, Group, Loop, TimeLimitError
+from badgerroute.transport.loop import Future, Loop, TaskGroup, TimeLimitError
 from badgerroute.transport.net import Listener, Network, Stream
 
 log = logging.getLogger("badgerroute.mesh")
@@ -54,7 +54,12 @@
     """Connections to and from the other controllers."""
 
     def __init__(
-        self, settings: Settings, loop: Loop, network: Network, group: Group, receive: Callable[[wire.Message], None]
+        self,
+        settings: Settings,
+        loop: Loop,
+        network: Network,
+        group: TaskGroup,
+        receive: Callable[[wire.Message], None],
     ) -> None:
         self._loop, self._network, self._group, self._receive = loop, network, group, receive
         self._links = {peer.host_name: _Link(peer.host_name, peer.endpoint) for peer in settings.platform.peers}
@@ -67,7 +72,7 @@
         listener = self._network.listen(self._address)
         self._group.spawn(self._accept(listener), "mesh-accept")
         for link in self._links.values():
-            self._group.duty(partial(self._speak, link), f"mesh-{link.host}", timedelta(seconds=1))
+            self._group.run_forever(partial(self._speak, link), f"mesh-{link.host}", timedelta(seconds=1))
 
     def send(self, host: str, message: wire.Message) -> None:
         """Queue a message for one peer."""
--- a/badgerroute/coordination/requests/mesh_dispatcher.py
+++ b/badgerroute/coordination/requests/mesh_dispatcher.py
@@ -11,17 +11,17 @@
 from badgerroute.protocol import mesh as wire
 from badgerroute.settings import Settings
 from badgerroute.storage.replica import Replica
-from badgerroute.transport.loop import Group
+from badgerroute.transport.loop import TaskGroup
 
 
 class MeshDispatcher:
-    """Each message is handled in one step, or handed to a routine of its own."""
+    """Each message is handled in one step, or handed to a task of its own."""
 
     def __init__(
         self,
         *,
         settings: Settings,
-        group: Group,
+        group: TaskGroup,
         replica: Replica,
         election: LeaderElection,
         peers: Peers,
--- a/badgerroute/coordination/requests/shard_requests.py
+++ b/badgerroute/coordination/requests/shard_requests.py
@@ -13,7 +13,7 @@
 from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.protocol.mesh import FreeCapacity, MachineRequest, QuotaRequest, ShardSummary, StealRequest
 from badgerroute.scheduling.capacities import fits_capacity
-from badgerroute.transport.loop import Group, Loop
+from badgerroute.transport.loop import Loop, TaskGroup
 
 STEAL_ROUND = timedelta(milliseconds=500)
 
@@ -24,7 +24,7 @@
     def __init__(
         self,
         loop: Loop,
-        group: Group,
+        group: TaskGroup,
         election: LeaderElection,
         policy: ActionPolicy,
         peers: Peers,
--- a/badgerroute/coordination/shards/fencing.py
+++ b/badgerroute/coordination/shards/fencing.py
@@ -8,7 +8,7 @@
 from badgerroute.coordination.shards.machine_commands import MachineCommands
 from badgerroute.scheduling.model import Machine
 from badgerroute.scheduling.shard import Shard
-from badgerroute.transport.loop import Group
+from badgerroute.transport.loop import TaskGroup
 
 log = logging.getLogger("badgerroute.leader")
 FENCE_RETRY = timedelta(milliseconds=700)
@@ -19,7 +19,7 @@
 class Fencing:
     """Repeats an empty command to each machine until its task list is known in our term, or it is gone."""
 
-    def __init__(self, shard: Shard, context: LeaderContext, group: Group, commands: MachineCommands) -> None:
+    def __init__(self, shard: Shard, context: LeaderContext, group: TaskGroup, commands: MachineCommands) -> None:
         self._shard, self._group, self._commands = shard, group, commands
         self._loop, self._delete, self._policy = context.loop, context.delete_machines, context.policy
         self._fencing: set[str] = set()
--- a/badgerroute/coordination/shards/leader_context.py
+++ b/badgerroute/coordination/shards/leader_context.py
@@ -16,7 +16,7 @@
 from badgerroute.settings import Settings
 from badgerroute.storage.key_value_client import KeyValueClient
 from badgerroute.storage.replica import Replica
-from badgerroute.transport.loop import Gate, Group, Loop
+from badgerroute.transport.loop import Loop, Semaphore, TaskGroup
 from badgerroute.transport.net import Network
 
 
@@ -27,8 +27,8 @@
     settings: Settings
     loop: Loop
     network: Network
-    group: Group
-    gate: Gate  # how many commands may be on their way to machines at once
+    group: TaskGroup
+    semaphore: Semaphore  # how many commands may be on their way to machines at once
     store: KeyValueClient
     replica: Replica
     election: LeaderElection
--- a/badgerroute/coordination/shards/machine_commands.py
+++ b/badgerroute/coordination/shards/machine_commands.py
@@ -25,7 +25,7 @@
 
     def __init__(self, shard: Shard, context: LeaderContext, received: Callable[[Machine, Heartbeat], None]) -> None:
         self._shard, self._received = shard, received
-        self._loop, self._network, self._gate = context.loop, context.network, context.gate
+        self._loop, self._network, self._semaphore = context.loop, context.network, context.semaphore
         self._election = context.election
         self._raising: Future | None = None
 
@@ -37,7 +37,7 @@
         Only so many at a time, and nothing stays open: a leader of everything has a thousand members, and every one of
         them holds a connection to us already. `leaves` is called when the turn has come.
         """
-        async with self._gate.place(urgent):
+        async with self._semaphore.acquire(urgent):
             if leaves is not None:
                 leaves()
             client = Client(self._loop, self._network, machine.address, most_idle=1, connect=DIRECT_CONNECT)
--- a/badgerroute/coordination/shards/machine_transfers.py
+++ b/badgerroute/coordination/shards/machine_transfers.py
@@ -22,7 +22,7 @@
 )
 from badgerroute.storage.records import MachineRecord
 from badgerroute.storage.replica import MACHINES
-from badgerroute.transport.loop import Group
+from badgerroute.transport.loop import TaskGroup
 
 log = logging.getLogger("badgerroute.migration")
 
@@ -30,7 +30,7 @@
 class MachineTransfers:
     """`active` tells whether the shard's leader is still the one it was."""
 
-    def __init__(self, shard: Shard, context: LeaderContext, group: Group, active: Callable[[], bool]) -> None:
+    def __init__(self, shard: Shard, context: LeaderContext, group: TaskGroup, active: Callable[[], bool]) -> None:
         self._shard, self._loop, self._group, self._active = shard, context.loop, group, active
         self._store, self._replica, self._election = context.store, context.replica, context.election
         self._policy = context.policy
--- a/badgerroute/coordination/shards/member_registry.py
+++ b/badgerroute/coordination/shards/member_registry.py
@@ -16,7 +16,7 @@
 )
 from badgerroute.storage.records import MachineRecord
 from badgerroute.storage.replica import MACHINES
-from badgerroute.transport.loop import Future, Group
+from badgerroute.transport.loop import Future, TaskGroup
 
 log = logging.getLogger("badgerroute.registrar")
 
@@ -24,7 +24,7 @@
 class MemberRegistry:
     """Writes new members down, several in one transaction."""
 
-    def __init__(self, context: LeaderContext, group: Group) -> None:
+    def __init__(self, context: LeaderContext, group: TaskGroup) -> None:
         self._loop, self._group, self._election = context.loop, group, context.election
         self._store, self._replica, self._publish = context.store, context.replica, context.publish
         self._waiting: dict[str, tuple[MachineRecord, Future]] = {}
--- a/badgerroute/coordination/shards/migration.py
+++ b/badgerroute/coordination/shards/migration.py
@@ -32,7 +32,7 @@
 )
 from badgerroute.storage.records import TaskRange
 from badgerroute.storage.replica import JOBS
-from badgerroute.transport.loop import Group
+from badgerroute.transport.loop import TaskGroup
 
 log = logging.getLogger("badgerroute.migration")
 MAX_RANGES = 48
@@ -59,7 +59,7 @@
         shard: Shard,
         planner: Planner,
         context: LeaderContext,
-        group: Group,
+        group: TaskGroup,
         active: Callable[[], bool],
         changed: Callable[[str], None],
     ) -> None:
--- a/badgerroute/coordination/shards/shard_leader.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -30,7 +30,7 @@
 from badgerroute.storage import records
 from badgerroute.storage.records import MachineRecord
 from badgerroute.storage.replica import MACHINES
-from badgerroute.transport.loop import Group
+from badgerroute.transport.loop import TaskGroup
 
 log = logging.getLogger("badgerroute.leader")
 LOST_PATIENCE = timedelta(seconds=4)
@@ -60,7 +60,7 @@
         self._policy, self._resumed_at = context.policy, context.resumed_at
         self._progressed, self._delete = context.progressed, context.delete_machines
         params = self._settings.params
-        self.group = Group(self._loop, f"{context.group.name}/shard-{number}")
+        self.group = TaskGroup(self._loop, f"{context.group.name}/shard-{number}")
         quota_allocator, now = context.quota_allocator, self._loop.now()
         self.shard = Shard(
             number,
@@ -124,8 +124,8 @@
         for machine in list(self.shard.machines.values()):
             self._fencing.fence(machine)
         self.shard.led_since = min(self.shard.led_since, now)
-        self.group.duty(self._rounds, "rounds", ROUND)
-        self.group.duty(self._log_state, "tell", STATE_LOGGED)
+        self.group.run_forever(self._rounds, "rounds", ROUND)
+        self.group.run_forever(self._log_state, "tell", STATE_LOGGED)
 
     # -- what the watch says
 
--- a/badgerroute/coordination/shards/urgent_stops.py
+++ b/badgerroute/coordination/shards/urgent_stops.py
@@ -3,7 +3,7 @@
 from badgerroute.coordination.shards.machine_commands import MachineCommands
 from badgerroute.scheduling.model import Machine, Phase
 from badgerroute.scheduling.shard import Shard
-from badgerroute.transport.loop import Group, Loop
+from badgerroute.transport.loop import Loop, TaskGroup
 
 MAX_DIRECT_CANCELLATIONS = (
     16  # machines that are told of cancelled jobs in one round; the others hear by their heartbeats
@@ -17,7 +17,7 @@
     and the others are of no use to anybody.
     """
 
-    def __init__(self, shard: Shard, loop: Loop, group: Group, commands: MachineCommands) -> None:
+    def __init__(self, shard: Shard, loop: Loop, group: TaskGroup, commands: MachineCommands) -> None:
         self._shard, self._loop, self._group, self._commands = shard, loop, group, commands
 
     def send(self) -> None:
--- a/badgerroute/daemon.py
+++ b/badgerroute/daemon.py
@@ -6,7 +6,7 @@
 from badgerroute.assembly import build_controller
 from badgerroute.settings import Settings
 from badgerroute.transport.clock import SystemClock
-from badgerroute.transport.loop import Group, Loop, SelectorPoller
+from badgerroute.transport.loop import Loop, SelectorPoller, TaskGroup
 from badgerroute.transport.net import TcpNetwork
 
 log = logging.getLogger("badgerroute")
@@ -16,7 +16,7 @@
     """Run one controller until it is killed; the program's exit code."""
     poller = SelectorPoller()
     loop = Loop(SystemClock(), poller)
-    group = Group(loop, settings.platform.host_name)
+    group = TaskGroup(loop, settings.platform.host_name)
     gc.freeze()  # modules and settings stay for ever: no collection need look at them again
     gc.set_threshold(20_000, 20, 50)
     controller = build_controller(settings, loop, TcpNetwork(loop, poller), group)
--- a/badgerroute/rebalancing/service.py
+++ b/badgerroute/rebalancing/service.py
@@ -19,7 +19,7 @@
 from badgerroute.scheduling.model import ZERO
 from badgerroute.settings import Rebalancing, Settings
 from badgerroute.storage.replica import DRAINS
-from badgerroute.transport.loop import Group, Loop
+from badgerroute.transport.loop import Loop, TaskGroup
 
 log = logging.getLogger("badgerroute.rebalancing")
 ROUND = timedelta(milliseconds=500)
@@ -92,15 +92,15 @@
 
     # -- life
 
-    def attach(self, controller: Controller, group: Group) -> None:
+    def attach(self, controller: Controller, group: TaskGroup) -> None:
         """Begin the duty beside a controller that has not loaded its replica yet."""
         self._controller = controller
         self._drains = DrainRegistry(self._loop, controller.replica, controller.store)
         controller.replica.list_first(DRAINS)
         controller.replica.listen(DRAINS, self._drain_changed)
-        group.duty(self._run, "rebalance", timedelta(seconds=1))
-        group.duty(self._log_view, "rebalance-view", timedelta(seconds=1))
-        group.duty(self._remove_orphans, "drain-orphans", timedelta(seconds=1))
+        group.run_forever(self._run, "rebalance", timedelta(seconds=1))
+        group.run_forever(self._log_view, "rebalance-view", timedelta(seconds=1))
+        group.run_forever(self._remove_orphans, "drain-orphans", timedelta(seconds=1))
 
     async def _run(self) -> None:
         while True:
--- a/badgerroute/transport/http.py
+++ b/badgerroute/transport/http.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 from urllib.parse import unquote_plus
 
-from badgerroute.transport.loop import CancelledError, Group, Loop, Routine, TimeLimitError
+from badgerroute.transport.loop import CancelledError, CoroutineTask, Loop, TaskGroup, TimeLimitError
 from badgerroute.transport.net import Listener, Network, Stream
 
 log = logging.getLogger("badgerroute.http")
@@ -206,12 +206,12 @@
 
 
 class Server:
-    """Every connection is a routine of its own; connections, waits and sizes are all bounded."""
+    """Every connection is a task of its own; connections, waits and sizes are all bounded."""
 
     def __init__(
         self,
         loop: Loop,
-        group: Group,
+        group: TaskGroup,
         handler: Handler,
         most: int,
         idle: timedelta = timedelta(seconds=90),
@@ -220,8 +220,8 @@
         self._loop, self._group, self._handler = loop, group, handler
         self._most, self._idle, self._slow = most, idle, slow
         self._connections: dict[
-            Stream, tuple[Routine | None, timedelta]
-        ] = {}  # idle ones: their routine, and since when
+            Stream, tuple[CoroutineTask | None, timedelta]
+        ] = {}  # idle ones: their task, and since when
 
         self.open = 0
 
@@ -241,9 +241,9 @@
         """Out of connections: the one that has idled longest makes room for the new one."""
         if self._connections:
             stream = next(iter(self._connections))
-            routine, _ = self._connections.pop(stream)
-            if routine is not None:
-                routine.cancel()
+            task, _ = self._connections.pop(stream)
+            if task is not None:
+                task.cancel()
 
     async def _connection(self, stream: Stream) -> None:
         reader = Reader(stream)
--- a/badgerroute/transport/loop.py
+++ b/badgerroute/transport/loop.py
@@ -1,6 +1,6 @@
-"""Routines (`async def`) run on `selectors`, with timers, time limits and orderly cancellation.
+"""Tasks (`async def`) run on `selectors`, with timers, time limits and orderly cancellation.
 
-A routine waits only for `Future`s, so every suspension point can be cancelled in the same way.
+a task waits only for `Future`s, so every suspension point can be cancelled in the same way.
 """
 
 import heapq
@@ -19,11 +19,11 @@
 
 
 class CancelledError(BaseException):
-    """Thrown into a routine that is being cancelled; not an `Exception`, so that nobody swallows it."""
+    """Thrown into a task that is being cancelled; not an `Exception`, so that nobody swallows it."""
 
 
 class TimeLimitError(Exception):
-    """What a routine was waiting for did not come within its limit."""
+    """What a task was waiting for did not come within its limit."""
 
 
 class Future:
@@ -62,7 +62,7 @@
         return self.result
 
 
-class Routine(Future):
+class CoroutineTask(Future):
     """A running coroutine; awaiting it gives its result."""
 
     __slots__ = ("loop", "coro", "name", "_thrown", "_waiting", "_scheduled")
@@ -75,11 +75,11 @@
         self._scheduled = False
 
     def cancel(self) -> None:
-        """End the routine at its next step by CancelledError."""
+        """End the task at its next step by CancelledError."""
         self.throw(CancelledError())
 
     def throw(self, error: BaseException) -> None:
-        """Raise `error` at the point where the routine waits. Cancellation outranks a time limit."""
+        """Raise `error` at the point where the task waits. Cancellation outranks a time limit."""
         if self.done:
             return
         if self._thrown is None or isinstance(error, CancelledError):
@@ -87,7 +87,7 @@
         self.schedule()
 
     def schedule(self) -> None:
-        """Have the routine stepped in the next round."""
+        """Have the task stepped in the next round."""
         if not self._scheduled and not self.done:
             self._scheduled = True
             self.loop.ready.append(self)
@@ -96,7 +96,7 @@
         self.schedule()
 
     def step(self) -> None:
-        """Run the routine until it waits for something."""
+        """Run the task until it waits for something."""
         self._scheduled = False
         if self.done:
             return
@@ -233,27 +233,27 @@
         self._loop, self._delta = loop, delta
 
     def __enter__(self) -> "_Deadline":
-        routine = self._loop.current
-        assert routine is not None, "a time limit is for a routine"
+        task = self._loop.current
+        assert task is not None, "a time limit is for a routine"
         self._error = TimeLimitError(f"no answer within {self._delta.total_seconds():.2f} s")
-        self._timer = self._loop.later(self._delta, lambda: routine.throw(self._error))
+        self._timer = self._loop.later(self._delta, lambda: task.throw(self._error))
         return self
 
     def __exit__(self, kind: type | None, value: BaseException | None, trace: object) -> None:
         self._timer.cancel()
-        routine = self._loop.current
-        if routine is not None and routine._thrown is self._error:
-            routine._thrown = None  # it ran out just as the body ended: the body's result stands
+        task = self._loop.current
+        if task is not None and task._thrown is self._error:
+            task._thrown = None  # it ran out just as the body ended: the body's result stands
 
 
 class Loop:
-    """Runs routines, timers and socket events in one thread."""
+    """Runs tasks, timers and socket events in one thread."""
 
     def __init__(self, clock: Clock, poller: Poller) -> None:
         self.clock = clock
         self.poller = poller
-        self.ready: deque[Routine] = deque()
-        self.current: Routine | None = None
+        self.ready: deque[CoroutineTask] = deque()
+        self.current: CoroutineTask | None = None
         self._timers: list[tuple[timedelta, int, Timer]] = []
         self._order = itertools.count()
 
@@ -261,11 +261,11 @@
         """The steady time."""
         return self.clock.now()
 
-    def spawn(self, coro: Coroutine, name: str) -> Routine:
-        """Start a routine."""
-        routine = Routine(self, coro, name)
-        routine.schedule()
-        return routine
+    def spawn(self, coro: Coroutine, name: str) -> CoroutineTask:
+        """Start a task."""
+        task = CoroutineTask(self, coro, name)
+        task.schedule()
+        return task
 
     def later(self, delta: timedelta, action: Callable[[], None]) -> Timer:
         """Run an action after so long."""
@@ -290,15 +290,15 @@
         """Wait for a future at most so long; whether it is done. The future itself goes on."""
         if future.done:
             return True
-        gate = Future()
-        timer = self.later(delta, gate.set)
-        future.waiters.append(gate.set)
+        woken = Future()
+        timer = self.later(delta, woken.set)
+        future.waiters.append(woken.set)
         try:
-            await gate
+            await woken
         finally:
             timer.cancel()
-            if gate.set in future.waiters:
-                future.waiters.remove(gate.set)
+            if woken.set in future.waiters:
+                future.waiters.remove(woken.set)
         return future.done
 
     def turn(self, until: Callable[[], bool] | None = None) -> None:
@@ -320,8 +320,8 @@
         if limit is None or limit > ZERO or not isinstance(self.poller, VirtualPoller):
             self.poller.poll(limit)
 
-    def run(self, main: Routine) -> Any:
-        """Turn until a routine has ended; its result, or its error raised."""
+    def run(self, main: CoroutineTask) -> Any:
+        """Turn until a task has ended; its result, or its error raised."""
         main.waiters.append(_nothing)  # its failure is raised here, so it need not be logged as unnoticed
         while not main.done:
             self.turn(lambda: main.done)
@@ -330,8 +330,8 @@
         return main.result
 
 
-class Gate:
-    """Lets so many routines through at a time; the others wait, urgent ones first, then in order."""
+class Semaphore:
+    """Lets so many tasks through at a time; the others wait, urgent ones first, then in order."""
 
     def __init__(self, places: int) -> None:
         self.free = places
@@ -339,7 +339,7 @@
         self._order = itertools.count()
 
     @asynccontextmanager
-    async def place(self, urgent: bool = False) -> AsyncIterator[None]:
+    async def acquire(self, urgent: bool = False) -> AsyncIterator[None]:
         """A context that is entered when there is a place."""
         if self.free > 0:
             self.free -= 1
@@ -368,31 +368,31 @@
         self.free += 1
 
 
-class Group:
-    """Routines that live and end together, for instance all those of one controller."""
+class TaskGroup:
+    """Tasks that live and end together, for instance all those of one controller."""
 
     def __init__(self, loop: Loop, name: str) -> None:
         self.loop, self.name = loop, name
-        self._routines: set[Routine] = set()
+        self._tasks: set[CoroutineTask] = set()
         self.closed = False
 
-    def spawn(self, coro: Coroutine, name: str) -> Routine:
-        """Start a routine that ends with the group."""
-        routine = self.loop.spawn(coro, f"{self.name}/{name}")
+    def spawn(self, coro: Coroutine, name: str) -> CoroutineTask:
+        """Start a task that ends with the group."""
+        task = self.loop.spawn(coro, f"{self.name}/{name}")
         if self.closed:
-            routine.cancel()
-            return routine
-        self._routines.add(routine)
-        routine.waiters.append(lambda: self._ended(routine))
-        return routine
-
-    def _ended(self, routine: Routine) -> None:
-        self._routines.discard(routine)
-        if routine.error is not None and not isinstance(routine.error, CancelledError):
-            log.error("event=routine_failed routine=%s error=%r", routine.name, routine.error, exc_info=routine.error)
-
-    def duty(self, make: Callable[[], Coroutine], name: str, pause: timedelta) -> Routine:
-        """A long-lived duty: if it fails, the failure is logged and the duty begins again."""
+            task.cancel()
+            return task
+        self._tasks.add(task)
+        task.waiters.append(lambda: self._ended(task))
+        return task
+
+    def _ended(self, task: CoroutineTask) -> None:
+        self._tasks.discard(task)
+        if task.error is not None and not isinstance(task.error, CancelledError):
+            log.error("event=routine_failed routine=%s error=%r", task.name, task.error, exc_info=task.error)
+
+    def run_forever(self, make: Callable[[], Coroutine], name: str, pause: timedelta) -> CoroutineTask:
+        """A background task: if it fails, the failure is logged and the duty begins again."""
         return self.spawn(self._repeat(make, name, pause), name)
 
     async def _repeat(self, make: Callable[[], Coroutine], name: str, pause: timedelta) -> None:
@@ -405,7 +405,7 @@
             await self.loop.sleep(pause)
 
     def cancel(self) -> None:
-        """End all routines, and whatever is spawned later."""
+        """End all tasks, and whatever is spawned later."""
         self.closed = True
-        for routine in list(self._routines):
-            routine.cancel()
+        for task in list(self._tasks):
+            task.cancel()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -53,7 +53,7 @@
 
 @pytest.fixture(autouse=True)
 def no_errors_logged(caplog: pytest.LogCaptureFixture, request: pytest.FixtureRequest) -> Iterator[None]:
-    """A duty that fails begins again, and a handler that fails answers 503: neither may go unnoticed here."""
+    """A task that fails is begun again, and a handler that fails answers 503: neither may go unnoticed here."""
     caplog.set_level(logging.ERROR)
     yield
     if request.node.get_closest_marker("cheats") is None:
--- a/tests/standins/day.py
+++ b/tests/standins/day.py
@@ -25,7 +25,7 @@
 )
 from badgerroute.transport.clock import VirtualClock
 from badgerroute.transport.http import Client, NoAnswerError, Response
-from badgerroute.transport.loop import Group, Loop, Routine, VirtualPoller
+from badgerroute.transport.loop import CoroutineTask, Loop, TaskGroup, VirtualPoller
 from tests.standins import production
 from tests.standins.key_value_store import KeyValueStore
 from tests.standins.net import World
@@ -92,7 +92,7 @@
     return Settings(platform, operator)
 
 
-class FreezableRoutine(Routine):
+class FreezableTask(CoroutineTask):
     """Does not step while its host is paused; what woke it meanwhile is seen afterwards, all at once."""
 
     __slots__ = ()
@@ -105,15 +105,15 @@
 
 
 class DayLoop(Loop):
-    """A loop on which one host's routines can stand still while the clocks run on."""
+    """A loop on which one host's tasks can stand still while the clocks run on."""
 
     def __init__(self, clock: VirtualClock) -> None:
         super().__init__(clock, VirtualPoller(clock))
         self.frozen: set[str] = set()
-        self.parked: list[Routine] = []
+        self.parked: list[CoroutineTask] = []
 
-    def spawn(self, coro: Coroutine, name: str) -> Routine:
-        routine = FreezableRoutine(self, coro, name)
+    def spawn(self, coro: Coroutine, name: str) -> CoroutineTask:
+        routine = FreezableTask(self, coro, name)
         routine.schedule()
         return routine
 
@@ -148,7 +148,7 @@
     ) -> None:
         self._make_world(seed)
         self.random = self.world.random
-        self.group = Group(self.loop, "day")
+        self.group = TaskGroup(self.loop, "day")
         self.store = KeyValueStore(self.loop, self.world, self.group)
         limits = StoreLimits(rps=rps, write_rps=write_rps, value_kb=value_kb, txn_ops=txn_ops, next=later)
         self.store.limits = self.limits = limits
@@ -163,7 +163,7 @@
         self.site.tick = tick
         for number in range(machines):
             self.site.add_worker("k8", "ab"[number % 2])
-        self.controllers: dict[str, tuple[Controller, Group]] = {}
+        self.controllers: dict[str, tuple[Controller, TaskGroup]] = {}
         self.old: set[str] = set(old)  # hosts that run the version in production
         self.user = self.world.network("user")
         self.told: dict[str, str] = {}
@@ -183,7 +183,7 @@
     # -- controllers
 
     def start(self, host: str) -> None:
-        group = Group(self.loop, host)
+        group = TaskGroup(self.loop, host)
         settings, kind = self.settings[host], build_controller
         if host in self.old:
             module = production.module("settings")
--- a/tests/standins/key_value_store.py
+++ b/tests/standins/key_value_store.py
@@ -6,7 +6,7 @@
 
 from badgerroute.settings import StoreLimits
 from badgerroute.transport.http import Request, Response, Server, parse_query
-from badgerroute.transport.loop import Future, Group, Loop
+from badgerroute.transport.loop import Future, Loop, TaskGroup
 from tests.standins.net import World
 
 HISTORY = 10_000
@@ -19,7 +19,7 @@
 class KeyValueStore:
     """Each controller has an address of its own here, so that one alone can be refused."""
 
-    def __init__(self, loop: Loop, world: World, group: Group) -> None:
+    def __init__(self, loop: Loop, world: World, group: TaskGroup) -> None:
         self.loop, self.world = loop, world
         self.items: dict[str, tuple[object, int, int | None]] = {}
         self.revision = 0
--- a/tests/standins/production.py
+++ b/tests/standins/production.py
@@ -52,9 +52,11 @@
     """A module of the version in production."""
     if str(ARCHIVE) not in sys.path:
         sys.path.append(str(ARCHIVE))
-        # What it calls these errors of the transport layer, which have other names by now.
+        # What it calls these parts of the transport layer, which have other names by now.
         http.Unanswered = http.NoAnswerError
         loop.TimeLimit = loop.TimeLimitError
+        loop.Group, loop.Gate, loop.Routine = loop.TaskGroup, loop.Semaphore, loop.CoroutineTask
+        loop.TaskGroup.duty, loop.Semaphore.place = loop.TaskGroup.run_forever, loop.Semaphore.acquire
         for path, kind in CLASSES:
             getattr(importlib.import_module(f"{NAME}.{path}"), kind).__getattr__ = _attribute
     return importlib.import_module(f"{NAME}.{name}")
--- a/tests/standins/proxies.py
+++ b/tests/standins/proxies.py
@@ -41,13 +41,13 @@
         self.listener: TcpListener = network.listen("127.0.0.1:0")
         self.port: int = self.listener._sock.getsockname()[1]
         self._streams: list[TcpStream] = []
-        self._routine = loop.spawn(self._accept(), "proxy")
+        self._task = loop.spawn(self._accept(), "proxy")
 
     def refusing(self) -> bool:
         return Fault.REFUSE in (self.there.fault, self.back.fault)
 
     def close(self) -> None:
-        self._routine.cancel()
+        self._task.cancel()
         self.reset()
         self.listener.close()
 
--- a/tests/standins/workers.py
+++ b/tests/standins/workers.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 
 from badgerroute.transport.http import Client, NoAnswerError, Request, Response, Server, parse_query
-from badgerroute.transport.loop import Future, Group
+from badgerroute.transport.loop import Future, TaskGroup
 from tests.standins.history import History
 from tests.standins.key_value_store import reply
 from tests.standins.net import World
@@ -47,7 +47,7 @@
     kind: Kind
     zone: str
     spot: bool
-    group: Group
+    group: TaskGroup
     incarnation: int = 1
     tally: int = 0
     fencing_token: int = 0
@@ -368,7 +368,7 @@
         self.asked_at: dict[str, timedelta] = {}
         self.rented: dict[str, list[str]] = {}
         self.rules = Rules(self)
-        self.group = Group(self.loop, "site")
+        self.group = TaskGroup(self.loop, "site")
         self.cloud_down = False
         self.copies: deque[tuple[str, bytes]] = deque(maxlen=4000)  # heartbeats as they were sent
         self.lose_rental_answers = 0
@@ -417,7 +417,7 @@
         if name is None:
             self._counter += 1
             name = f"host-{self._counter:06d}"
-        worker = Worker(self, name, self.kinds[kind], zone, spot, Group(self.loop, name))
+        worker = Worker(self, name, self.kinds[kind], zone, spot, TaskGroup(self.loop, name))
         self.workers[name] = worker
         return worker
 
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -23,7 +23,7 @@
 from badgerroute.settings import load_operator
 from badgerroute.transport.clock import VirtualClock
 from badgerroute.transport.http import Request, Response
-from badgerroute.transport.loop import Group, Loop, VirtualPoller
+from badgerroute.transport.loop import Loop, TaskGroup, VirtualPoller
 
 SECOND = timedelta(seconds=1)
 PACKAGE = Path(badgerroute.__file__).parent
@@ -208,9 +208,9 @@
 
 
 @pytest.mark.parametrize(("within_grace", "lease_surely_valid"), [(True, True), (True, False), (False, False)])
-def test_the_gate_reads_the_table(within_grace: bool, lease_surely_valid: bool) -> None:
+def test_the_policy_reads_the_table(within_grace: bool, lease_surely_valid: bool) -> None:
     for mode, action in itertools.product(Mode, Action):
-        gate = ActionPolicy(_Election(within_grace, lease_surely_valid), lambda mode=mode: mode)  # type: ignore[arg-type]
+        policy = ActionPolicy(_Election(within_grace, lease_surely_valid), lambda mode=mode: mode)  # type: ignore[arg-type]
         expected = {
             Permission.ALLOWED: True,
             Permission.RELUCTANT: True,
@@ -219,8 +219,8 @@
             Permission.FROM_MEMORY: False,
             Permission.REFUSED: False,
         }[PERMISSIONS[mode][action]]
-        assert gate.allows(action) == gate.allows_for(1, action) == expected
-        assert not gate.allows_for(0, action), "not our shard"
+        assert policy.allows(action) == policy.allows_for(1, action) == expected
+        assert not policy.allows_for(0, action), "not our shard"
 
 
 def attribute_uses(names: set[str]) -> dict[str, set[str]]:
@@ -233,11 +233,11 @@
     return uses
 
 
-def test_no_action_goes_round_the_gate() -> None:
+def test_no_action_goes_round_the_policy() -> None:
     """The proofs behind the permissions are asked for by the gate alone, and every action is asked for somewhere."""
-    gate, election = "coordination/leadership/action_policy.py", "coordination/leadership/leader_election.py"
+    policy, election = "coordination/leadership/action_policy.py", "coordination/leadership/leader_election.py"
     proofs = attribute_uses({"within_grace", "lease_surely_valid", "may_lead"})
-    assert set().union(*proofs.values()) <= {gate, election}
+    assert set().union(*proofs.values()) <= {policy, election}
     assert set(attribute_uses({action.name for action in Action})) == {action.name for action in Action}
 
 
@@ -370,7 +370,7 @@
     def __init__(self, most: int = 8) -> None:
         clock = VirtualClock()
         self.loop = Loop(clock, VirtualPoller(clock))
-        self.group = Group(self.loop, "ends")
+        self.group = TaskGroup(self.loop, "ends")
         self.sent: list[tuple[str, object]] = []
         self.handled: list[bytes] = []
         self.near = RequestForwarder(self.loop, self.group, "b", most, 7, self._note, self._handle)
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -15,7 +15,7 @@
 from badgerroute.protocol.workers import parse_heartbeat
 from badgerroute.transport.clock import VirtualClock
 from badgerroute.transport.http import BadMessageError, Reader
-from badgerroute.transport.loop import CancelledError, Group, Loop, TimeLimitError, VirtualPoller
+from badgerroute.transport.loop import CancelledError, Loop, TaskGroup, TimeLimitError, VirtualPoller
 from tests.conftest import known_red, mark_red
 from tests.standins.day import SECOND, Day, job
 
@@ -351,7 +351,7 @@
         return "ended"
 
     assert one.run(one.spawn(waits(), "waits")) == "ended" and seen == ["limit at 2"]
-    group = Group(one, "group")
+    group = TaskGroup(one, "group")
 
     async def tidy() -> None:
         try:
@@ -366,7 +366,7 @@
     assert seen[-1] == "tidied" and isinstance(routine.error, CancelledError)
 
 
-def test_duty_begins_again_after_a_failure() -> None:
+def test_a_background_task_begins_again_after_a_failure() -> None:
     one = loop()
     runs: list[timedelta] = []
 
@@ -374,8 +374,8 @@
         runs.append(one.now())
         raise ValueError("once more")
 
-    group = Group(one, "group")
-    group.duty(fails, "fails", SECOND)
+    group = TaskGroup(one, "group")
+    group.run_forever(fails, "fails", SECOND)
     one.run(one.spawn(one.sleep(3.5 * SECOND), "pause"))
     assert len(runs) == 4
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -24,7 +24,7 @@
 from badgerroute.settings import Scheduling
 from badgerroute.storage import records
 from badgerroute.transport.clock import VirtualClock
-from badgerroute.transport.loop import CancelledError, Gate, Loop
+from badgerroute.transport.loop import CancelledError, Loop, Semaphore
 from tests.standins.day import HOSTS, SECOND, Day, DayLoop, job
 from tests.standins.net import HostNetwork, VirtualStream
 
@@ -173,14 +173,14 @@
     assert day.sockets(HOSTS[0]) <= 60 + 20, "and none is kept"
 
 
-def test_gate() -> None:
+def test_semaphore() -> None:
     clock = VirtualClock()
     loop: Loop = DayLoop(clock)
-    gate = Gate(2)
+    semaphore = Semaphore(2)
     came: list[str] = []
 
     async def visit(name: str, urgent: bool = False) -> None:
-        async with gate.place(urgent):
+        async with semaphore.acquire(urgent):
             came.append(name)
             await loop.sleep(SECOND)
 
@@ -196,7 +196,7 @@
     run(1)
     assert came == ["a", "b", "u", "d"], "urgent ones first, then in order"
     run(3)
-    assert gate.free == 2
+    assert semaphore.free == 2
     assert isinstance(routines[2].error, CancelledError)
 
 
--- a/tests/test_rebalancing_days.py
+++ b/tests/test_rebalancing_days.py
@@ -156,7 +156,7 @@
 
 
 def moves(day: Day) -> int:
-    return sum(duty.moves.ledger.count for one in rebalancers(day) for duty in one._duties.values())
+    return sum(run_forever.moves.ledger.count for one in rebalancers(day) for run_forever in one._duties.values())
 
 
 def test_work_moves_aside_for_what_can_run_nowhere_else() -> None:
--- a/tools/rebalancing_measurement.py
+++ b/tools/rebalancing_measurement.py
@@ -56,7 +56,7 @@
     unfinished = day.finish(END_LIMIT_S)
     history = day.rules.history
     teams = {ref: described["crew"] for ref, described in day.site.jobs.items()}
-    ledgers = [duty.moves.ledger for one in rebalancers for duty in one._duties.values()]
+    ledgers = [run_forever.moves.ledger for one in rebalancers for run_forever in one._duties.values()]
     waits = []
     for task, runs in history.runs.items():
         ref = task.rpartition("/")[0]
