--- a/badgerroute/cli.py
+++ b/badgerroute/cli.py
@@ -36,7 +36,7 @@
     )
     logging.raiseExceptions = False
     if level not in LEVELS:
-        logging.getLogger("badgerroute").warning("event=unknown_log_level value=%r used=info", level)
+        logging.getLogger("badgerroute").warning("event=log_level_unknown value=%r used=info", level)
 
 
 def describe(settings: settings_module.Settings) -> str:
--- a/badgerroute/coordination/autoscaling/autoscaler.py
+++ b/badgerroute/coordination/autoscaling/autoscaler.py
@@ -31,7 +31,7 @@
 from badgerroute.storage.replica import MACHINES, Replica
 from badgerroute.transport.loop import Loop, TaskGroup
 
-log = logging.getLogger("badgerroute.fleet")
+log = logging.getLogger(__name__)
 ROUND = timedelta(seconds=1)
 LIST_PAUSE = timedelta(seconds=3)  # between two looks at the machine list
 MAX_LIST_SHARE = 0.5  # of the calls to the cloud: at 4,000 machines a list takes eight pages
@@ -112,7 +112,7 @@
             try:
                 await self._cloud.delete(names)
             except (CloudUnavailableError, NoCapacityError) as error:
-                log.info("event=delete_failed machines=%d error=%s", len(names), error)
+                log.info("event=machine_deletion_failed machines=%d error=%s", len(names), error)
                 await self._loop.sleep(ROUND)
                 continue
             log.info("event=machines_deleted machines=%s", ",".join(names))
@@ -134,7 +134,7 @@
                 await self._look()
                 await self._scale_out()
             except CloudUnavailableError as error:
-                log.info("event=cloud_trouble error=%s", error)
+                log.info("event=cloud_request_failed error=%s", error)
 
     async def _look(self) -> None:
         """Read the machine list now and then: it lags, so it is only good for what stays as it is."""
@@ -153,7 +153,7 @@
         }
         useless += self._give_up_pending(members, listed, now)
         if useless:
-            log.info("event=machines_useless machines=%s", ",".join(useless))
+            log.info("event=machines_discarded machines=%s", ",".join(useless))
             self.delete(useless)
 
     def _is_useless(self, machine: ListedMachine, members: set[str], now: timedelta) -> bool:
@@ -259,7 +259,7 @@
             except NoCapacityError:
                 names = []
             except CloudUnavailableError as error:
-                log.info("event=rent_unanswered request=%s error=%s", request, error)
+                log.info("event=scale_out_failed request=%s error=%s", request, error)
                 await self._loop.sleep(ROUND)
                 continue
             now = self._loop.now()
@@ -267,7 +267,7 @@
                 self._pending[name] = Pending(place, 1, now)
             if names:
                 log.info(
-                    "event=rented request=%s type=%s zone=%s spot=%s asked=%d got=%d",
+                    "event=machines_rented request=%s type=%s zone=%s spot=%s asked=%d got=%d",
                     request,
                     *place,
                     count,
--- a/badgerroute/coordination/autoscaling/catalog.py
+++ b/badgerroute/coordination/autoscaling/catalog.py
@@ -21,7 +21,7 @@
 from badgerroute.storage.replica import CATALOG, Replica
 from badgerroute.transport.loop import Loop
 
-log = logging.getLogger("badgerroute.controller")
+log = logging.getLogger(__name__)
 REFRESH = timedelta(seconds=60)
 RETRY = timedelta(seconds=2)
 
@@ -58,7 +58,7 @@
                 try:
                     types = await self._cloud.catalog()
                 except (CloudUnavailableError, NoCapacityError) as trouble:
-                    log.info("event=catalog_failed error=%s", trouble)
+                    log.info("event=catalog_fetch_failed error=%s", trouble)
                     pause = RETRY
                 else:
                     fresh = set(self.types) != {kind.name for kind in types}
@@ -80,6 +80,6 @@
                     [compare(key, self._replica.revision_of(key))], [put(key, value)], Urgency.PROGRESS
                 )
             except (StoreUnavailableError, OutcomeUnknownError, CompareFailedError) as trouble:
-                log.debug("event=catalog_not_stored error=%s", trouble)
+                log.debug("event=catalog_write_failed error=%s", trouble)
             else:
                 self._replica.learn(key, bytes(value), at)
--- a/badgerroute/coordination/autoscaling/scale_in.py
+++ b/badgerroute/coordination/autoscaling/scale_in.py
@@ -14,7 +14,7 @@
 from badgerroute.settings import Settings
 from badgerroute.transport.loop import Loop
 
-log = logging.getLogger("badgerroute.controller")
+log = logging.getLogger(__name__)
 ROUND = timedelta(seconds=2)
 NO_JOBS = 2  # there is nothing that a warm cache could be of use to: it is waited so much less
 
@@ -58,7 +58,7 @@
             machine.draining = True  # from here on nothing starts on it
         if machines:
             names = [machine.name for machine in machines]
-            log.info("event=machines_returned shard=%d machines=%s", leader.number, ",".join(names))
+            log.info("event=machines_scaled_in shard=%d machines=%s", leader.number, ",".join(names))
             self._delete(names)
 
     def _useless(self, machine: Machine, idle: timedelta) -> bool:
--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -46,7 +46,7 @@
 from badgerroute.transport.loop import Future, Loop, Semaphore, TaskGroup
 from badgerroute.transport.net import Network
 
-log = logging.getLogger("badgerroute.controller")
+log = logging.getLogger(__name__)
 GOSSIP = timedelta(milliseconds=500)
 SLICE_PAUSE = timedelta(milliseconds=25)  # between two slices of what takes more than a round
 RESERVED_SOCKETS = 48  # for the key-value store, the cloud and the mesh
@@ -242,7 +242,7 @@
 
     async def run(self) -> None:
         """Listen, start every background task, and run until it is cancelled."""
-        log.info("event=start host=%s home=%d", self.settings.platform.host_name, self.settings.home)
+        log.info("event=controller_started host=%s home_shard=%d", self.settings.platform.host_name, self.settings.home)
         listener = self._network.listen(self.settings.platform.public_addr)
         self._group.spawn(self._server.serve(listener), "serve")
         self.mesh.start()
@@ -277,7 +277,7 @@
     def _on_deposed(self, shard: int) -> None:
         leader = self.leaders.pop(shard, None)
         if leader is not None:
-            log.info("event=shard_lost shard=%d", shard)
+            log.info("event=shard_released shard=%d", shard)
             self.autoscaler.cancel_deletion(leader.shard.machines)
             leader.close()
 
--- a/badgerroute/coordination/jobs/dependency_resolver.py
+++ b/badgerroute/coordination/jobs/dependency_resolver.py
@@ -28,7 +28,7 @@
 from badgerroute.transport.clock import ZERO
 from badgerroute.transport.loop import Loop
 
-log = logging.getLogger("badgerroute.pipelines")
+log = logging.getLogger(__name__)
 TICK = timedelta(milliseconds=200)
 ASK_AGAIN = timedelta(seconds=2)
 MAX_LOOKUPS_PER_ROUND = 500
@@ -73,7 +73,7 @@
             try:
                 await self._job_reader.unaccepted(unknown, Urgency.COMPLETE)
             except StoreUnavailableError as error:
-                log.info("event=predecessors_unknown jobs=%d error=%s", len(unknown), error)
+                log.info("event=upstream_lookup_failed jobs=%d error=%s", len(unknown), error)
                 await self._loop.sleep(5 * TICK)
 
     # -- what is cancelled with a predecessor
@@ -88,7 +88,7 @@
                 try:
                     await self._cancel_downstream(batch)
                 except (StoreUnavailableError, OutcomeUnknownError, CompareFailedError, LeaseExpiredError) as error:
-                    log.info("event=withdrawal_delayed jobs=%d error=%s", len(batch), error)
+                    log.info("event=cancellation_delayed jobs=%d error=%s", len(batch), error)
                     await self._loop.sleep(2 * TICK)
                     break
 
@@ -123,7 +123,7 @@
         at = await self._store.transact(conditions, changes, Urgency.COMPLETE)
         for ref, past in pasts.items():
             self._job_store.finished(ref, bytes(past), at)
-        log.info("event=withdrawn_with_predecessor jobs=%s", ",".join(pasts))
+        log.info("event=downstream_jobs_cancelled jobs=%s", ",".join(pasts))
 
     # -- pages of jobs that are over
 
@@ -141,7 +141,7 @@
                 for ref in [ref for ref, since in self._idle.items() if now - since >= FORGOTTEN]:
                     await self._tidy(ref)
             except (StoreUnavailableError, OutcomeUnknownError, CompareFailedError, LeaseExpiredError) as error:
-                log.info("event=tidying_delayed error=%s", error)
+                log.info("event=cleanup_delayed error=%s", error)
 
     async def _tidy(self, ref: str) -> None:
         lookup = await self._job_reader.look_up(ref, Urgency.PROGRESS)
--- a/badgerroute/coordination/jobs/job_store.py
+++ b/badgerroute/coordination/jobs/job_store.py
@@ -13,7 +13,7 @@
 from badgerroute.storage.records import DonePage, FinalStateRecord, JobRecord, JobState, PredecessorsPage
 from badgerroute.storage.replica import DONE, FINAL_STATES, JOBS, PREDECESSORS, Replica
 
-log = logging.getLogger("badgerroute.jobs")
+log = logging.getLogger(__name__)
 MAX_FINAL_STATES_REMEMBERED = 20_000
 
 Publish = Callable[[str, bytes | None, int], None]
@@ -162,7 +162,7 @@
 
     @staticmethod
     def _cancelled_upstream(ref: str) -> None:
-        log.info("event=job_doomed job=%s", ref)
+        log.info("event=job_cancelled_upstream job=%s", ref)
 
     def waits(self, ref: str) -> bool:
         """Whether a job waits for others: until it is released, it is not there for anything but questions."""
--- a/badgerroute/coordination/jobs/job_writer.py
+++ b/badgerroute/coordination/jobs/job_writer.py
@@ -29,7 +29,7 @@
 from badgerroute.storage.replica import FINAL_STATES, JOBS, Replica
 from badgerroute.transport.loop import Loop
 
-log = logging.getLogger("badgerroute.jobs")
+log = logging.getLogger(__name__)
 MAX_TRANSACTION_BYTES = 40_000  # of a transaction's 64 KiB
 MAX_CANCEL_TRIES = 6
 MAX_PROGRESS_TRIES = 5
@@ -161,7 +161,7 @@
             except CompareFailedError:
                 continue  # progress was written in between
             self._job_store.finished(ref, bytes(final), applied)
-            log.info("event=job_withdrawn job=%s", ref)
+            log.info("event=job_cancelled job=%s", ref)
             return JobState.CANCELLED
         raise StoreUnavailableError("too much changes at once")
 
@@ -222,6 +222,6 @@
     def _progress_written(self, transaction: ProgressTransaction, revision: int) -> None:
         for record in transaction.completed:
             took = self._today() - record.accepted
-            log.info("event=job_done job=%s class=%s took=%.1f", record.job.ref, record.job.job_class, took)
+            log.info("event=job_completed job=%s class=%s took=%.1f", record.job.ref, record.job.job_class, took)
         for key, value in transaction.results:
             self._job_store.published(key, value, revision)
--- a/badgerroute/coordination/jobs/record_paging.py
+++ b/badgerroute/coordination/jobs/record_paging.py
@@ -22,7 +22,7 @@
 from badgerroute.storage.records import DonePage, JobRecord, PredecessorsPage
 from badgerroute.storage.replica import DONE, JOBS, PREDECESSORS, Replica
 
-log = logging.getLogger("badgerroute.paging")
+log = logging.getLogger(__name__)
 MAX_PREDECESSORS = 1000
 CONDITIONS_OF_A_NEW_JOB = 2
 PAGE_REFS = 24  # predecessors on a page: the same at every node, since each may write a page of a repeated submission
@@ -133,14 +133,14 @@
         done = self._job_store.done(ref, record)
         small = self._without_unknown_types(record.without_bits(done))
         if not self.fits(small):
-            log.info("event=record_too_large job=%s", ref)
+            log.info("event=record_size_exceeded job=%s", ref)
             return
         pages = self._missing_pages(ref, record, done)
         changes = [*pages, KeyValue(JOBS + ref, records.write(small))]
         for first in range(0, len(changes), self._store.max_changes):
             if not await self._write(ref, revision, changes[first : first + self._store.max_changes]):
                 return
-        log.info("event=record_spilled job=%s pages=%d", ref, len(pages))
+        log.info("event=record_paged_out job=%s pages=%d", ref, len(pages))
 
     def _missing_pages(self, ref: str, record: JobRecord, done: int) -> list[KeyValue]:
         """Pages with done tasks that no page says yet."""
@@ -163,7 +163,7 @@
         try:
             applied = await self._store.transact(conditions, puts, Urgency.PROGRESS)
         except (CompareFailedError, StoreUnavailableError, OutcomeUnknownError, LeaseExpiredError) as error:
-            log.info("event=spill_delayed job=%s error=%s", ref, error)
+            log.info("event=record_paging_delayed job=%s error=%s", ref, error)
             return False
         for change in changes:
             self._job_store.published(change.key, bytes(change.value), applied)
--- a/badgerroute/coordination/leadership/leader_election.py
+++ b/badgerroute/coordination/leadership/leader_election.py
@@ -26,7 +26,7 @@
 from badgerroute.transport.clock import ZERO
 from badgerroute.transport.loop import Future, Loop
 
-log = logging.getLogger("badgerroute.election")
+log = logging.getLogger(__name__)
 NEVER = -timedelta(days=1)
 HOME_PRIORITY_PERIOD = timedelta(seconds=3)  # a shard that nobody ever held is left to its home controller for so long
 RETRY = timedelta(milliseconds=250)
@@ -104,7 +104,7 @@
         # Also while a write of ours is on its way: a higher term that we ask for is conditional on the one we had, so
         # it came before the peer's, or never. A leader that can't reach the key-value store is always just asking.
         if leadership is not None and term > leadership.term:
-            log.warning("event=stood_down shard=%d term=%d by=%d", shard, leadership.term, term)
+            log.warning("event=leader_stepped_down shard=%d term=%d by=%d", shard, leadership.term, term)
             self._step_down(shard)
 
     def may_lead(self, shard: int) -> bool:
@@ -132,7 +132,7 @@
                 if self._permission() is not Permission.REFUSED:
                     await self._campaign_for_all()
             except (StoreUnavailableError, OutcomeUnknownError) as error:
-                log.info("event=claims_delayed error=%s", error)
+                log.info("event=election_delayed error=%s", error)
                 await self._loop.sleep(RETRY)
                 continue
             except LeaseExpiredError:
@@ -156,7 +156,7 @@
         self._last_confirmed = sent
 
     def _lease_ended(self) -> None:
-        log.warning("event=lease_lost shards=%s", sorted(self.leaderships))
+        log.warning("event=lease_expired shards=%s", sorted(self.leaderships))
         self.lease = None
         self._last_confirmed = NEVER
         self.autoscaler_term = None
@@ -226,7 +226,7 @@
                 [compare(key, revision)], [put(key, records.write(record), lease)], Urgency.LEADERSHIP
             )
         except CompareFailedError:
-            log.info("event=claim_missed shard=%d", shard)
+            log.info("event=election_lost shard=%d", shard)
             item = await self._store.get(key, Urgency.LEADERSHIP)
             if item is not None:
                 self._replica.learn(key, bytes(item.value), item.revision)
@@ -245,7 +245,7 @@
         self.leaderships[shard] = leadership
         self._replica.learn(key, bytes(records.write(record)), term)
         if previous is None:
-            log.info("event=shard_claimed shard=%d term=%d grace=%.1f", shard, term, leadership.grace.total_seconds())
+            log.info("event=leader_elected shard=%d term=%d grace=%.1f", shard, term, leadership.grace.total_seconds())
             self._on_elected(shard, leadership)
         return term
 
@@ -275,9 +275,9 @@
                 [compare(key, leadership.term)], [put(key, value, lease)], Urgency.LEADERSHIP
             )
             self._replica.learn(key, bytes(value), revision)
-            log.info("event=shard_handed_over shard=%d to=%s", shard, host)
+            log.info("event=leadership_transferred shard=%d to=%s", shard, host)
         except (StoreUnavailableError, OutcomeUnknownError, CompareFailedError, LeaseExpiredError) as error:
-            log.info("event=hand_over_failed shard=%d error=%s", shard, error)
+            log.info("event=leadership_transfer_failed shard=%d error=%s", shard, error)
         finally:
             self._writing.discard(shard)
 
@@ -298,7 +298,7 @@
         if lease == self.lease:
             self.autoscaler_term = revision
             self._replica.learn(AUTOSCALER_LEADER, bytes(record), revision)
-            log.info("event=fleet_claimed term=%d", revision)
+            log.info("event=autoscaler_elected term=%d", revision)
 
     # -- what the watch says
 
@@ -309,7 +309,7 @@
             self._shard_freed.set()
         leadership = self.leaderships.get(shard)
         if leadership is not None and shard not in self._writing and revision > leadership.term:
-            log.warning("event=deposed shard=%d term=%d", shard, leadership.term)
+            log.warning("event=leader_deposed shard=%d term=%d", shard, leadership.term)
             self._step_down(shard)
 
     def _autoscaler_leader_changed(self, key: str, value: bytes | None, revision: int) -> None:
--- a/badgerroute/coordination/membership/connectivity_monitor.py
+++ b/badgerroute/coordination/membership/connectivity_monitor.py
@@ -21,7 +21,7 @@
 from badgerroute.transport.loop import Loop
 from badgerroute.transport.net import Network
 
-log = logging.getLogger("badgerroute.connectivity")
+log = logging.getLogger(__name__)
 TICK = timedelta(milliseconds=250)
 PROBE_PERIOD = timedelta(seconds=2)
 PROBED_MACHINES = 3
@@ -84,7 +84,7 @@
         now = self._loop.now()
         process_pause = self._pause_detector.turn(now)
         if process_pause:
-            log.info("event=stood_still host=%s seconds=%.1f", self._host, process_pause.total_seconds())
+            log.info("event=process_paused host=%s seconds=%.1f", self._host, process_pause.total_seconds())
             for link in (self._store_link, *self._peers.links.values()):
                 link.excuse(process_pause, now)
         self.worker_link.update(
@@ -123,7 +123,7 @@
         for key in self._sample(members, min(PROBED_MACHINES, len(members))):
             value = self._replica.value(key)
             if value is not None and await self._answers(records.read(value, MachineRecord).address):
-                log.info("event=workers_reached again=%s", key.removeprefix(MACHINES))
+                log.info("event=workers_probed again=%s", key.removeprefix(MACHINES))
                 self.worker_link.reached(self._loop.now())
                 return
 
--- a/badgerroute/coordination/membership/forwarding.py
+++ b/badgerroute/coordination/membership/forwarding.py
@@ -12,7 +12,7 @@
 from badgerroute.transport.http import Request, Response
 from badgerroute.transport.loop import Future, Loop, TaskGroup
 
-log = logging.getLogger("badgerroute.forwarding")
+log = logging.getLogger(__name__)
 Handler = Callable[[Request, str], Awaitable[Response]]
 FIRST_NUMBERS = 1 << 48  # to draw the first of from
 
--- a/badgerroute/coordination/membership/leadership_transfer.py
+++ b/badgerroute/coordination/membership/leadership_transfer.py
@@ -14,7 +14,7 @@
 from badgerroute.settings import Settings
 from badgerroute.transport.loop import Loop
 
-log = logging.getLogger("badgerroute.controller")
+log = logging.getLogger(__name__)
 ROUND = timedelta(seconds=2)
 
 
@@ -102,6 +102,6 @@
 
     async def _transfer(self, leader: ShardLeader, receiver: Peer) -> None:
         host = receiver.gossip.host
-        log.warning("event=workers_unheard shard=%d to=%s", leader.number, host)
+        log.warning("event=workers_declared_unreachable shard=%d to=%s", leader.number, host)
         self._worker_link.shard_given_up(leader.number)
         await self._election.transfer(leader.number, host, receiver.gossip.lease)
--- a/badgerroute/coordination/membership/mesh.py
+++ b/badgerroute/coordination/membership/mesh.py
@@ -14,7 +14,7 @@
 from badgerroute.transport.loop import Future, Loop, TaskGroup, TimeLimitError
 from badgerroute.transport.net import Listener, Network, Stream
 
-log = logging.getLogger("badgerroute.mesh")
+log = logging.getLogger(__name__)
 MAX_QUEUED_BYTES = 4 << 20  # for one peer: the frames of thousands of machines that come at once, and no more
 SILENCE = timedelta(seconds=20)
 WRITE_LIMIT = timedelta(seconds=3)
@@ -91,7 +91,7 @@
             try:
                 stream = await self._network.connect(link.address, timedelta(seconds=1))
             except (OSError, TimeLimitError) as error:
-                log.debug("event=mesh_unreachable peer=%s error=%s", link.host, error)
+                log.debug("event=mesh_connect_failed peer=%s error=%s", link.host, error)
                 link.take_all()
                 await self._loop.sleep(timedelta(milliseconds=500))
                 continue
@@ -111,7 +111,7 @@
                     with self._loop.limit(WRITE_LIMIT):
                         await stream.write(link.take_all())
             except (OSError, TimeLimitError) as error:
-                log.info("event=mesh_link_lost peer=%s error=%s", link.host, error)
+                log.info("event=mesh_connection_lost peer=%s error=%s", link.host, error)
             finally:
                 acks.cancel()
                 stream.close()
@@ -157,14 +157,14 @@
                 try:
                     message = wire.decoder.decode(data)
                 except msgspec.DecodeError as error:
-                    log.warning("event=mesh_nonsense error=%s", error)
+                    log.warning("event=mesh_message_rejected error=%s", error)
                     continue
                 try:
                     self._receive(message)
                 except Exception as error:
                     log.error("event=mesh_message_failed error=%r", error, exc_info=error)
         except (OSError, TimeLimitError) as error:
-            log.debug("event=mesh_ended error=%s", error)
+            log.debug("event=mesh_connection_closed error=%s", error)
         finally:
             stream.close()
             self._incoming -= 1
--- a/badgerroute/coordination/quotas/quota_allocator.py
+++ b/badgerroute/coordination/quotas/quota_allocator.py
@@ -29,7 +29,7 @@
 from badgerroute.storage.replica import QUOTA_ALLOCATIONS, Replica
 from badgerroute.transport.loop import Loop
 
-log = logging.getLogger("badgerroute.allocations")
+log = logging.getLogger(__name__)
 NONE = (0.0, 0.0)
 ASK_AGAIN = timedelta(seconds=1)
 
@@ -136,7 +136,7 @@
         try:
             moved = await self._write(team, giver, {giver: low, taker: (other[0] + cpus, other[1] + gpus)})
             if moved:
-                log.info("event=share_moved team=%s from=%d to=%d cpus=%.1f", team, giver, taker, cpus)
+                log.info("event=quota_moved team=%s from=%d to=%d cpus=%.1f", team, giver, taker, cpus)
         finally:
             self._committed.pop((giver, team), None)
 
@@ -160,7 +160,7 @@
         try:
             at = await self._store.transact([condition, compare(key, revision)], [put(key, value)], Urgency.COMPLETE)
         except (CompareFailedError, OutcomeUnknownError) as error:
-            log.debug("event=share_unsettled team=%s error=%s", team, error)
+            log.debug("event=quota_reconciliation_failed team=%s error=%s", team, error)
             await self._reconcile(key, revision, unknown=isinstance(error, OutcomeUnknownError))
             return False
         except (StoreUnavailableError, LeaseExpiredError):
--- a/badgerroute/coordination/requests/job_service.py
+++ b/badgerroute/coordination/requests/job_service.py
@@ -20,7 +20,7 @@
 from badgerroute.storage.replica import Replica
 from badgerroute.transport.http import Request, Response
 
-log = logging.getLogger("badgerroute.users")
+log = logging.getLogger(__name__)
 
 
 class JobService:
@@ -49,7 +49,7 @@
         try:
             job = parse_submission(request.body)
         except MalformedError as malformed:
-            log.info("event=submission_malformed error=%s", malformed)
+            log.info("event=submission_rejected error=%s", malformed)
             return error(400, str(malformed))
         if not self._replica.ready.done:
             return retry_later("starting")
@@ -64,7 +64,7 @@
                 return await self._refused(job, problem)
             return await self._accept(job)
         except (StoreUnavailableError, OutcomeUnknownError, LeaseExpiredError) as trouble:
-            log.info("event=submission_undecided job=%s error=%s", job.ref, trouble)
+            log.info("event=submission_deferred job=%s error=%s", job.ref, trouble)
             return retry_later("the state service can't be reached")
 
     async def _accept(self, job: Submission) -> Response:
@@ -135,7 +135,7 @@
         try:
             lookup = await self._job_reader.current(ref)
         except (StoreUnavailableError, OutcomeUnknownError) as trouble:
-            log.debug("event=poll_undecided job=%s error=%s", ref, trouble)
+            log.debug("event=poll_deferred job=%s error=%s", ref, trouble)
             return retry_later("the state service can't be reached")
         return error(404, "no such job") if lookup is None else self._state_answer(200, ref, lookup)
 
@@ -153,6 +153,6 @@
         try:
             state = await self._job_writer.cancel(ref)
         except (StoreUnavailableError, OutcomeUnknownError, LeaseExpiredError) as trouble:
-            log.info("event=cancellation_undecided job=%s error=%s", ref, trouble)
+            log.info("event=cancellation_deferred job=%s error=%s", ref, trouble)
             return retry_later("the state service can't be reached")
         return error(404, "no such job") if state is None else answer(200, {"ref": ref, "condition": state})
--- a/badgerroute/coordination/shards/fencing.py
+++ b/badgerroute/coordination/shards/fencing.py
@@ -10,7 +10,7 @@
 from badgerroute.scheduling.shard import Shard
 from badgerroute.transport.loop import TaskGroup
 
-log = logging.getLogger("badgerroute.leader")
+log = logging.getLogger(__name__)
 FENCE_RETRY = timedelta(milliseconds=700)
 GIVE_UP = timedelta(seconds=3.5)  # a member that is silent for so long after a takeover is deleted at the cloud
 LONG_GIVE_UP = 5 * GIVE_UP
@@ -59,7 +59,7 @@
     def _give_up(self, machine: Machine) -> None:
         if machine.name not in self._given_up:
             self._given_up.add(machine.name)
-            log.info("event=silent_member machine=%s shard=%d", machine.name, self._shard.number)
+            log.info("event=heartbeat_missed machine=%s shard=%d", machine.name, self._shard.number)
             self._delete([machine.name])
 
     def given_up(self, machine: Machine) -> bool:
--- a/badgerroute/coordination/shards/machine_commands.py
+++ b/badgerroute/coordination/shards/machine_commands.py
@@ -13,7 +13,7 @@
 from badgerroute.transport.http import Client, NoAnswerError
 from badgerroute.transport.loop import Future
 
-log = logging.getLogger("badgerroute.leader")
+log = logging.getLogger(__name__)
 DIRECT_LIMIT = timedelta(seconds=2)
 DIRECT_CONNECT = timedelta(seconds=1)
 RAISE_LIMIT = timedelta(seconds=1)
@@ -59,7 +59,7 @@
             try:
                 heartbeat = parse_heartbeat(response.body)
             except MalformedError as error:
-                log.warning("event=bad_direct_answer machine=%s error=%s", machine.name, error)
+                log.warning("event=direct_response_rejected machine=%s error=%s", machine.name, error)
                 return False
             if self._shard.machines.get(machine.name) is not machine or heartbeat.machine != machine.name:
                 return False
@@ -83,7 +83,7 @@
         try:
             term = await self._election.raise_term(self._shard.number)
         except (StoreUnavailableError, OutcomeUnknownError, LeaseExpiredError) as error:
-            log.info("event=raise_failed shard=%d error=%s", self._shard.number, error)
+            log.info("event=term_raise_failed shard=%d error=%s", self._shard.number, error)
         else:
             if term is not None:
                 self._shard.term = term
--- a/badgerroute/coordination/shards/machine_transfers.py
+++ b/badgerroute/coordination/shards/machine_transfers.py
@@ -24,7 +24,7 @@
 from badgerroute.storage.replica import MACHINES
 from badgerroute.transport.loop import TaskGroup
 
-log = logging.getLogger("badgerroute.migration")
+log = logging.getLogger(__name__)
 
 
 class MachineTransfers:
@@ -57,7 +57,7 @@
         try:
             at = await self._store.transact(conditions, puts, Urgency.PROGRESS)
         except (CompareFailedError, StoreUnavailableError, LeaseExpiredError) as error:
-            log.debug("event=lend_failed shard=%d error=%s", self._shard.number, error)
+            log.debug("event=machine_transfer_failed shard=%d error=%s", self._shard.number, error)
             for machine in given:
                 machine.draining = False
         except OutcomeUnknownError:
@@ -66,7 +66,7 @@
                 self._group.spawn(self._reconcile_machine(machine), "settle-lend")
         else:
             log.info(
-                "event=machines_lent shard=%d to=%d machines=%s",
+                "event=machines_transferred shard=%d to=%d machines=%s",
                 self._shard.number,
                 message.shard,
                 ",".join(machine.name for machine in given),
--- a/badgerroute/coordination/shards/member_registry.py
+++ b/badgerroute/coordination/shards/member_registry.py
@@ -18,7 +18,7 @@
 from badgerroute.storage.replica import MACHINES
 from badgerroute.transport.loop import Future, TaskGroup
 
-log = logging.getLogger("badgerroute.registrar")
+log = logging.getLogger(__name__)
 
 
 class MemberRegistry:
@@ -53,7 +53,7 @@
                 try:
                     written = await self._write({name: record for name, (record, _) in batch.items()})
                 except (StoreUnavailableError, OutcomeUnknownError, CompareFailedError, LeaseExpiredError) as error:
-                    log.info("event=register_failed machines=%d error=%s", len(batch), error)
+                    log.info("event=machine_registration_failed machines=%d error=%s", len(batch), error)
                 finally:
                     for name, (_, future) in batch.items():
                         future.set(name in written)
--- a/badgerroute/coordination/shards/migration.py
+++ b/badgerroute/coordination/shards/migration.py
@@ -34,7 +34,7 @@
 from badgerroute.storage.replica import JOBS
 from badgerroute.transport.loop import TaskGroup
 
-log = logging.getLogger("badgerroute.migration")
+log = logging.getLogger(__name__)
 MAX_RANGES = 48
 GANG_HOPE = timedelta(seconds=30)  # a gang that has waited longer, and does not fit, keeps no room from others' work
 MAX_JOBS_PER_STEAL = 6
@@ -135,7 +135,7 @@
             self._passed_on = {ref: at for ref, at in self._passed_on.items() if now - at < PASS_ON_PAUSE}
             self._passed_on[job.ref] = now
             moved = record.with_ranges([TaskRange(target.shard, 0, job.spec.tasks)])
-            log.info("event=gang_passed_on job=%s from=%d to=%d", job.ref, self.number, target.shard)
+            log.info("event=gang_moved job=%s from=%d to=%d", job.ref, self.number, target.shard)
             await self._write_steal([(job.ref, moved)], target.shard)
 
     def _request_machines(self, job: Job, now: timedelta, others: list[mesh_wire.ShardSummary]) -> None:
@@ -201,7 +201,7 @@
         try:
             at = await self._store.transact(conditions, puts, Urgency.PROGRESS)
         except (CompareFailedError, StoreUnavailableError, LeaseExpiredError) as error:
-            log.debug("event=steal_failed shard=%d error=%s", self.number, error)
+            log.debug("event=work_transfer_failed shard=%d error=%s", self.number, error)
             if isinstance(error, CompareFailedError):
                 await self._refresh([write.put.key for write in writes])
         except OutcomeUnknownError:
@@ -210,7 +210,7 @@
                 self._group.spawn(self._reconcile(write.job, write.given), "settle-steal")
             return
         else:
-            log.info("event=steal shard=%d thief=%d jobs=%d", self.number, thief, len(puts))
+            log.info("event=work_stolen shard=%d thief=%d jobs=%d", self.number, thief, len(puts))
             for change in puts:
                 self._replica.learn(change.key, bytes(change.value), at)
                 self._publish(change.key, bytes(change.value), at)
@@ -248,7 +248,7 @@
         try:
             await self._job_reader.refresh(keys)
         except StoreUnavailableError:
-            log.debug("event=refresh_failed")
+            log.debug("event=job_refresh_failed")
 
     async def _reconcile(self, job: Job, given: int) -> None:
         """Rewrite a job's record as it is, so that a lost transaction can't be applied any more."""
--- a/badgerroute/coordination/shards/progress_flusher.py
+++ b/badgerroute/coordination/shards/progress_flusher.py
@@ -10,7 +10,7 @@
 from badgerroute.storage.key_value_client import LeaseExpiredError, OutcomeUnknownError, StoreUnavailableError
 from badgerroute.transport.loop import Future, Loop
 
-log = logging.getLogger("badgerroute.controller")
+log = logging.getLogger(__name__)
 FLUSH = timedelta(milliseconds=300)
 
 
--- a/badgerroute/coordination/shards/shard_leader.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -32,7 +32,7 @@
 from badgerroute.storage.replica import MACHINES
 from badgerroute.transport.loop import TaskGroup
 
-log = logging.getLogger("badgerroute.leader")
+log = logging.getLogger(__name__)
 LOST_PATIENCE = timedelta(seconds=4)
 ROUND = timedelta(milliseconds=250)
 STATE_LOGGED = timedelta(seconds=10)
@@ -115,7 +115,7 @@
             self.job_changed(ref)
         self.ready = True
         log.info(
-            "event=takeover shard=%d term=%d machines=%d jobs=%d",
+            "event=failover_completed shard=%d term=%d machines=%d jobs=%d",
             self.number,
             self.shard.term,
             len(self.shard.machines),
--- a/badgerroute/coordination/shards/shard_log.py
+++ b/badgerroute/coordination/shards/shard_log.py
@@ -6,7 +6,7 @@
 from badgerroute.coordination.shards.cpu_usage import cpu_usage
 from badgerroute.scheduling.shard import Shard
 
-log = logging.getLogger("badgerroute.leader")
+log = logging.getLogger(__name__)
 
 
 def log_state(shard: Shard) -> None:
@@ -14,7 +14,7 @@
     machines = list(shard.machines.values())
     phases = Counter(placement.phase.value for machine in machines for placement in machine.placements.values())
     log.info(
-        "event=shard_state shard=%d machines=%d unusable=%d empty=%d held=%d free=%.0f jobs=%d wanting=%d %s",
+        "event=shard_state_reported shard=%d machines=%d unusable=%d empty=%d held=%d free=%.0f jobs=%d wanting=%d %s",
         shard.number,
         len(machines),
         sum(not machine.usable for machine in machines),
@@ -25,4 +25,4 @@
         sum(job.waiting_bits.bit_count() for job in shard.jobs.values()),
         " ".join(f"{phase}={count}" for phase, count in sorted(phases.items())),
     )
-    log.info("event=shard_processors shard=%d %s", shard.number, cpu_usage(shard))
+    log.info("event=shard_cpus_reported shard=%d %s", shard.number, cpu_usage(shard))
--- a/badgerroute/coordination/shards/tombstone_writer.py
+++ b/badgerroute/coordination/shards/tombstone_writer.py
@@ -20,7 +20,7 @@
 from badgerroute.storage.records import TombstoneRecord
 from badgerroute.storage.replica import MACHINES, TOMBSTONES
 
-log = logging.getLogger("badgerroute.leader")
+log = logging.getLogger(__name__)
 RETRY_PAUSE = timedelta(seconds=1)
 MAX_MACHINES_PER_WRITE = 8  # a transaction as large as the budget's burst has to wait until nobody else writes
 NAMES_PER_PAGE = 100  # deleted machines on a page, which may be written anew for each of them
@@ -58,7 +58,7 @@
             try:
                 at = await self._store.transact(conditions, changes, Urgency.PROGRESS)
             except (StoreUnavailableError, OutcomeUnknownError, CompareFailedError, LeaseExpiredError) as error:
-                log.info("event=forget_failed machines=%d error=%s", len(batch), error)
+                log.info("event=tombstone_write_failed machines=%d error=%s", len(batch), error)
                 await self._loop.sleep(RETRY_PAUSE)
                 continue
             for one, value in ((key, bytes(gone)), *((member, None) for member in members)):
--- a/badgerroute/daemon.py
+++ b/badgerroute/daemon.py
@@ -26,6 +26,6 @@
         group.cancel()
         return 130
     except OSError as error:
-        log.error("event=cannot_listen error=%s", error)
+        log.error("event=listen_failed error=%s", error)
         return 1
     return 0
--- a/badgerroute/rebalancing/drains.py
+++ b/badgerroute/rebalancing/drains.py
@@ -19,7 +19,7 @@
 from badgerroute.storage.replica import DRAINS, MACHINES, Replica
 from badgerroute.transport.loop import Loop
 
-log = logging.getLogger("badgerroute.rebalancing")
+log = logging.getLogger(__name__)
 ORPHANED_AFTER = timedelta(
     seconds=60
 )  # a machine that is no member for so long has gone; one that is transferred comes back
@@ -73,7 +73,7 @@
                 Urgency.PROGRESS,
             )
         except (StoreUnavailableError, OutcomeUnknownError, CompareFailedError) as error:
-            log.info("event=drain_not_removed machine=%s error=%s", name, error)
+            log.info("event=drain_removal_failed machine=%s error=%s", name, error)
             return
         self._replica.learn(key, None, at)
         log.info("event=drain_removed machine=%s", name)
@@ -95,7 +95,7 @@
             self._empty.discard(machine.name)
             return
         if machine.drain_deadline is None:
-            log.info("event=machine_draining machine=%s shard=%d", machine.name, self._shard)
+            log.info("event=machine_cordoned machine=%s shard=%d", machine.name, self._shard)
         machine.drain_deadline = drain.deadline
 
     def emptied(self, machine: Machine) -> bool:
--- a/badgerroute/rebalancing/moves.py
+++ b/badgerroute/rebalancing/moves.py
@@ -18,7 +18,7 @@
 from badgerroute.scheduling.shard import Shard
 from badgerroute.settings import Rebalancing
 
-log = logging.getLogger("badgerroute.rebalancing")
+log = logging.getLogger(__name__)
 HEARTBEATS_PER_MOVE = 2  # one carries the stop, another shows that the task is gone
 HEARTBEATS_BEFORE_MOVE = 2  # that a job waits before work is moved for it
 HELD_AFTER_SAVE = timedelta(seconds=5)  # how long the room is kept for the waiting job once the moved work is gone
--- a/badgerroute/rebalancing/service.py
+++ b/badgerroute/rebalancing/service.py
@@ -21,7 +21,7 @@
 from badgerroute.storage.replica import DRAINS
 from badgerroute.transport.loop import Loop, TaskGroup
 
-log = logging.getLogger("badgerroute.rebalancing")
+log = logging.getLogger(__name__)
 ROUND = timedelta(milliseconds=500)
 VIEW_KEPT = timedelta(seconds=1)
 SPREAD_PAUSE = timedelta(seconds=2)
@@ -182,7 +182,7 @@
                     own.images,
                     sorted({demand.team for shard in others for demand in shard.demands} - {request.team}),
                 )
-                log.info("event=work_asked_for shard=%d from=%d team=%s", own.shard, request.victim, request.team)
+                log.info("event=work_requested shard=%d from=%d team=%s", own.shard, request.victim, request.team)
                 self._controller.requests.steal_from(request.victim, message)
 
     async def _log_view(self) -> None:
@@ -190,7 +190,7 @@
             await self._loop.sleep(VIEW_LOGGED)
             moves = sum(entry.moves.ledger.count for entry in self._duties.values())
             log.info(
-                "event=rebalancing_view median=%.1f stale=%s silent=%s moves=%d load=%s",
+                "event=rebalancing_view_reported median=%.1f stale=%s silent=%s moves=%d load=%s",
                 self.view.fleet.median.total_seconds(),
                 self.view.stale_shards,
                 self.view.silent_shards,
@@ -198,11 +198,13 @@
                 ",".join(map(str, self.view.machines_by_load)),
             )
             for shard, waits in sorted(self.view.shards.items()):
-                log.info("event=shard_waits shard=%d %s", shard, waits.describe())
+                log.info("event=shard_waits_reported shard=%d %s", shard, waits.describe())
             for team, waits in sorted(self.view.teams.items()):
-                log.info("event=team_waits team=%s urgency=%.1f %s", team, self.urgency(team), waits.describe())
+                log.info(
+                    "event=team_waits_reported team=%s urgency=%.1f %s", team, self.urgency(team), waits.describe()
+                )
             for (team, job_class), waits in sorted(self.view.classes.items()):
-                log.debug("event=class_waits team=%s class=%s %s", team, job_class, waits.describe())
+                log.debug("event=class_waits_reported team=%s class=%s %s", team, job_class, waits.describe())
 
     # -- drains
 
--- a/badgerroute/rebalancing/view.py
+++ b/badgerroute/rebalancing/view.py
@@ -12,7 +12,7 @@
 from badgerroute.rebalancing.waits import new_histogram, percentile
 from badgerroute.scheduling.model import ZERO
 
-log = logging.getLogger("badgerroute.rebalancing")
+log = logging.getLogger(__name__)
 MEDIAN = 50.0
 TAIL = 95.0
 MAX_HISTOGRAM_TEXT = 8192  # characters of a histogram that a peer sends: ours take a few hundred
@@ -42,7 +42,7 @@
             try:
                 self.histogram.decode_and_add(waits.histogram.encode())
             except UNREADABLE as error:
-                log.debug("event=waits_unreadable team=%s error=%s", waits.team, error)
+                log.debug("event=waits_rejected team=%s error=%s", waits.team, error)
         self.waiting += waits.waiting
         self.oldest = max(self.oldest, timedelta(seconds=waits.oldest_s))
 
--- a/badgerroute/scheduling/array_placement.py
+++ b/badgerroute/scheduling/array_placement.py
@@ -14,7 +14,7 @@
 from badgerroute.scheduling.shard import Shard
 from badgerroute.storage.records import lowest
 
-log = logging.getLogger("badgerroute.planner")
+log = logging.getLogger(__name__)
 BESIDE = timedelta(seconds=6)  # how long a small task passes by an empty machine for one in use
 
 
@@ -158,7 +158,7 @@
             return False
         index = lowest(bits)
         log.debug(
-            "event=place task=%s/%d machine=%s waited=%.1f",
+            "event=task_placed task=%s/%d machine=%s waited=%.1f",
             job.ref,
             index,
             machine.name,
--- a/badgerroute/scheduling/failures.py
+++ b/badgerroute/scheduling/failures.py
@@ -7,7 +7,7 @@
 from badgerroute.scheduling.model import ZERO, Job, Machine, Placement
 from badgerroute.scheduling.shard_state import ShardState
 
-log = logging.getLogger("badgerroute.shard")
+log = logging.getLogger(__name__)
 QUARANTINE_JOBS = 2  # so many different jobs failing on a machine make it suspect
 QUARANTINE_TRIES = 3
 AVOIDED = timedelta(seconds=5)
@@ -72,7 +72,9 @@
         A few such jobs once had dozens of machines called sick, drained and deleted, with all that ran on them.
         """
         if not job.failing:
-            log.info("event=job_mistaken job=%s shard=%d machines=%d", job.ref, self._shard.number, len(job.failed_on))
+            log.info(
+                "event=job_marked_failing job=%s shard=%d machines=%d", job.ref, self._shard.number, len(job.failed_on)
+            )
             job.failing = True
             for name in job.failed_on:
                 one = self._shard.machines.get(name)
@@ -98,4 +100,4 @@
         if not machine.draining:
             machine.draining = True
             events.quarantined.append(machine)
-            log.info("event=machine_sick machine=%s jobs=%d", machine.name, len(machine.failed_jobs))
+            log.info("event=machine_quarantined machine=%s jobs=%d", machine.name, len(machine.failed_jobs))
--- a/badgerroute/scheduling/gang_placement.py
+++ b/badgerroute/scheduling/gang_placement.py
@@ -13,7 +13,7 @@
 from badgerroute.scheduling.shard import Shard
 from badgerroute.storage.records import lowest
 
-log = logging.getLogger("badgerroute.planner")
+log = logging.getLogger(__name__)
 MANY = 1000.0  # more images than a machine caches
 
 
@@ -100,7 +100,7 @@
             return False
         attempt = self._shard.next_attempt()
         log.debug(
-            "event=place_gang job=%s machines=%s waited=%.1f cached=%d",
+            "event=gang_placed job=%s machines=%s waited=%.1f cached=%d",
             job.ref,
             ",".join(machine.name for machine in chosen),
             wait.total_seconds(),
--- a/badgerroute/scheduling/heartbeat_reconciliation.py
+++ b/badgerroute/scheduling/heartbeat_reconciliation.py
@@ -14,7 +14,7 @@
 from badgerroute.scheduling.model import ZERO, Job, Machine, Phase, Placement
 from badgerroute.scheduling.shard_state import ShardState
 
-log = logging.getLogger("badgerroute.shard")
+log = logging.getLogger(__name__)
 PHASES = {
     "fetching": Phase.FETCHING,
     "waiting": Phase.WAITING,
@@ -142,7 +142,7 @@
     def _mark_unreachable(self, machine: Machine) -> None:
         """Nothing more is placed there, or it would be started, found missing and started again for ever."""
         if not machine.unreachable:
-            log.info("event=machine_deaf machine=%s shard=%d", machine.name, self._shard.number)
+            log.info("event=machine_marked_unreachable machine=%s shard=%d", machine.name, self._shard.number)
         machine.unreachable = True
         for placement in list(machine.placements.values()):
             if placement.phase is Phase.RESERVED:
@@ -164,7 +164,7 @@
             placement.running_since = now
             placement.timed = placement.timed and message.prompt
             log.debug(
-                "event=running task=%s/%d machine=%s fetched=%.1f age=%.1f",
+                "event=task_started task=%s/%d machine=%s fetched=%.1f age=%.1f",
                 ref,
                 index,
                 machine.name,
@@ -195,7 +195,7 @@
             self._keep_undecided(machine, (ref, index, task.attempt))
             return None
         if job is None or not job.owned >> index & 1 or index in job.placed:
-            log.info("event=stray_task machine=%s task=%s/%d", machine.name, ref, index)
+            log.info("event=task_orphaned machine=%s task=%s/%d", machine.name, ref, index)
             machine.orphans.add((ref, index, task.attempt))
             return None
         placement = self._shard.place(job, index, task.attempt, machine, message.now, PHASES[task.state])
--- a/badgerroute/scheduling/preemption.py
+++ b/badgerroute/scheduling/preemption.py
@@ -11,7 +11,7 @@
 from badgerroute.scheduling.shard import Shard
 from badgerroute.storage.records import lowest
 
-log = logging.getLogger("badgerroute.planner")
+log = logging.getLogger(__name__)
 HELD = timedelta(seconds=6)  # how long room that was made for an array waits for its tasks
 GANG_HELD = timedelta(seconds=30)  # and for a gang, whose tasks save before they go
 LEAD_HEARTBEATS = 3  # heartbeats that pass between the decision to make room and the start in it
@@ -141,7 +141,11 @@
         spec = victim.job.spec
         grace = timedelta(seconds=spec.save_s) if spec.checkpoint_s else ZERO
         log.debug(
-            "event=preempt task=%s/%d machine=%s for=%s", victim.job.ref, victim.index, victim.machine.name, job.ref
+            "event=task_preempted task=%s/%d machine=%s for=%s",
+            victim.job.ref,
+            victim.index,
+            victim.machine.name,
+            job.ref,
         )
         if spec.gang:
             victim.job.stopped += 1
--- a/badgerroute/scheduling/shard.py
+++ b/badgerroute/scheduling/shard.py
@@ -19,7 +19,7 @@
 from badgerroute.scheduling.model import EPSILON, ZERO, Job, Machine, Phase, Placement, Resources, allows, capacity_of
 from badgerroute.storage.records import JobRecord, MachineRecord
 
-log = logging.getLogger("badgerroute.shard")
+log = logging.getLogger(__name__)
 
 ATTEMPT_BITS = 24
 
@@ -377,7 +377,9 @@
             # A stray's team is unknown, so what it uses can't be counted: wait until it is gone.
             self.reconciled = not self.unreconciled()
             if self.reconciled:
-                log.info("event=shard_settled shard=%d term=%d machines=%d", self.number, self.term, len(self.machines))
+                log.info(
+                    "event=shard_reconciled shard=%d term=%d machines=%d", self.number, self.term, len(self.machines)
+                )
         return self.reconciled
 
     def unreconciled(self) -> list[Machine]:
--- a/badgerroute/storage/cloud_client.py
+++ b/badgerroute/storage/cloud_client.py
@@ -14,7 +14,7 @@
 from badgerroute.transport.loop import Loop
 from badgerroute.transport.net import Network
 
-log = logging.getLogger("badgerroute.cloud")
+log = logging.getLogger(__name__)
 LIMIT = timedelta(seconds=6)
 MAX_MACHINES_PER_RENTAL = 50
 MAX_MACHINES_PER_DELETION = 100
--- a/badgerroute/storage/key_value_client.py
+++ b/badgerroute/storage/key_value_client.py
@@ -17,7 +17,7 @@
 from badgerroute.transport.loop import Loop
 from badgerroute.transport.net import Network
 
-log = logging.getLogger("badgerroute.state")
+log = logging.getLogger(__name__)
 ANSWER_LIMIT = timedelta(milliseconds=1500)
 OVER = 3  # answers of 429 so close together show that the service has lowered its limits
 OVER_WITHIN = timedelta(seconds=5)
@@ -116,7 +116,7 @@
         """The service has lowered its limits, as the settings announce."""
         if (self._rps, self._write_rps) != self._limits.lower_rates:
             self._rps, self._write_rps = self._limits.lower_rates
-            log.info("event=limits_lowered by=%s rps=%g write_rps=%g", why, self._rps, self._write_rps)
+            log.info("event=rate_limits_lowered by=%s rps=%g write_rps=%g", why, self._rps, self._write_rps)
             self.divide_rates(self._size)
 
     def _over_limit(self) -> None:
@@ -159,7 +159,7 @@
         size = TransactionSize(len(changes), max(values, default=0))
         lowered = self._sizes.refused(size, self._loop.now())
         log.warning(
-            "event=state_refused changes=%d conditions=%d bytes=%d largest=%d lowered=%s body=%s",
+            "event=transaction_refused changes=%d conditions=%d bytes=%d largest=%d lowered=%s body=%s",
             size.changes,
             len(transaction.conditions),
             len(body),
--- a/badgerroute/storage/replica.py
+++ b/badgerroute/storage/replica.py
@@ -12,7 +12,7 @@
 from badgerroute.transport.clock import ZERO
 from badgerroute.transport.loop import Future, Loop
 
-log = logging.getLogger("badgerroute.replica")
+log = logging.getLogger(__name__)
 PREFIX = "b/"
 (
     SHARD_LEADERS,
@@ -218,7 +218,7 @@
                     loaded = True
                 changes = await self._store.follow(PREFIX, self.revision, BLOCK)
             except WatchExpiredError:
-                log.info("event=watch_too_old")
+                log.info("event=watch_expired")
                 loaded = False
                 continue
             except StoreUnavailableError as error:
--- a/badgerroute/transport/http.py
+++ b/badgerroute/transport/http.py
@@ -10,7 +10,7 @@
 from badgerroute.transport.loop import CancelledError, CoroutineTask, Loop, TaskGroup, TimeLimitError
 from badgerroute.transport.net import Listener, Network, Stream
 
-log = logging.getLogger("badgerroute.http")
+log = logging.getLogger(__name__)
 
 MAX_HEAD = 8192
 MAX_BODY = 65536
@@ -256,7 +256,7 @@
                     response = await self._handler(request)
                 except Exception as error:
                     log.error(
-                        "event=handler_failed method=%s path=%s error=%r",
+                        "event=request_handler_failed method=%s path=%s error=%r",
                         request.method,
                         request.path[:80],
                         error,
@@ -269,10 +269,10 @@
                 if not keep:
                     return
         except BadMessageError as error:
-            log.info("event=bad_request error=%s", error)
+            log.info("event=request_rejected error=%s", error)
             await self._refuse(stream)
         except (OSError, TimeLimitError) as error:
-            log.debug("event=connection_ended error=%s", error)
+            log.debug("event=connection_closed error=%s", error)
         finally:
             self._connections.pop(stream, None)
             stream.close()
@@ -296,7 +296,7 @@
             with self._loop.limit(timedelta(seconds=1)):
                 await stream.write(encode_response(Response(400, body), keep=False))
         except (OSError, TimeLimitError):
-            log.debug("event=refusal_unsent")
+            log.debug("event=refusal_send_failed")
 
 
 class NoAnswerError(Exception):
--- a/badgerroute/transport/loop.py
+++ b/badgerroute/transport/loop.py
@@ -15,7 +15,7 @@
 
 from badgerroute.transport.clock import ZERO, Clock, VirtualClock
 
-log = logging.getLogger("badgerroute.loop")
+log = logging.getLogger(__name__)
 
 
 class CancelledError(BaseException):
@@ -124,7 +124,7 @@
             watched = bool(self.waiters)
             self.fail(error)
             if not watched:
-                log.error("event=routine_failed routine=%s error=%r", self.name, error, exc_info=error)
+                log.error("event=task_failed task=%s error=%r", self.name, error, exc_info=error)
         else:
             self._waiting = target
             if target.done or self._thrown is not None:
@@ -389,7 +389,7 @@
     def _ended(self, task: CoroutineTask) -> None:
         self._tasks.discard(task)
         if task.error is not None and not isinstance(task.error, CancelledError):
-            log.error("event=routine_failed routine=%s error=%r", task.name, task.error, exc_info=task.error)
+            log.error("event=task_failed task=%s error=%r", task.name, task.error, exc_info=task.error)
 
     def run_forever(self, make: Callable[[], Coroutine], name: str, pause: timedelta) -> CoroutineTask:
         """A background task: if it fails, the failure is logged and the duty begins again."""
@@ -401,7 +401,7 @@
                 await make()
                 return
             except Exception as error:
-                log.error("event=duty_failed duty=%s error=%r", name, error, exc_info=error)
+                log.error("event=background_task_failed task=%s error=%r", name, error, exc_info=error)
             await self.loop.sleep(pause)
 
     def cancel(self) -> None:
--- a/badgerroute/transport/net.py
+++ b/badgerroute/transport/net.py
@@ -9,7 +9,7 @@
 
 from badgerroute.transport.loop import Loop, SelectorPoller
 
-log = logging.getLogger("badgerroute.net")
+log = logging.getLogger(__name__)
 CHUNK = 65536
 BACKLOG = 4096  # all workers may connect at once when a controller takes over; the system may allow fewer
 
--- a/tests/test_connectivity_days.py
+++ b/tests/test_connectivity_days.py
@@ -7,6 +7,7 @@
 import pytest
 
 from badgerroute.coordination.controller import Controller
+from badgerroute.coordination.membership import connectivity_monitor
 from badgerroute.coordination.requests.heartbeat_handler import HeartbeatHandler
 from badgerroute.protocol.mesh import ForwardedRequest, ForwardedResponse
 from badgerroute.settings import Connectivity, OperatorSettings
@@ -596,13 +597,13 @@
 
 
 def test_each_change_of_mode_has_a_line_with_its_cause(caplog: pytest.LogCaptureFixture) -> None:
-    caplog.set_level(logging.INFO, logger="badgerroute.connectivity")
+    caplog.set_level(logging.INFO, logger=connectivity_monitor.__name__)
     day = cluster(9)
     hold(day, from_workers(day, HOSTS[:1], "reset"), 8)
     hold(day, from_store(day, HOSTS[:1], "refuse"), 8)
     day.loop.freeze(HOSTS[2], 3)
     day.run(30)
-    lines = [record.getMessage() for record in caplog.records if record.name == "badgerroute.connectivity"]
+    lines = [record.getMessage() for record in caplog.records if record.name == connectivity_monitor.__name__]
     told = [line for line in lines if "mode_changed" in line and f"host={HOSTS[0]} " in line]
     assert [line.split()[2:5] for line in told][:3] == [
         ["from=serving", "to=unheard", "cause=workers_report_to_siblings"],
@@ -610,7 +611,7 @@
         ["from=recovering", "to=unrecorded", "cause=state_service_silent"],
     ]
     assert told[-1].split()[3:5] == ["to=serving", "cause=links_are_good"]
-    assert any("stood_still" in line and f"host={HOSTS[2]} " in line for line in lines)
+    assert any("process_paused" in line and f"host={HOSTS[2]} " in line for line in lines)
 
 
 # -- The checker itself
