--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -489,7 +489,7 @@
             type(message)(
                 message.fencing_token, message.incarnation, [getattr(one, "inner", one) for one in message.commands]
             )
-            if hasattr(message, "session")
+            if hasattr(message, "incarnation")
             else message
         ),
     )
--- a/tests/test_pipeline_edges.py
+++ b/tests/test_pipeline_edges.py
@@ -368,6 +368,6 @@
         return accepted
 
     controller.job_writer.accept = slowly
-    response = wait_for(day, controller.users._accept(submission("run-b", ["run-a"])))
+    response = wait_for(day, controller.job_service._accept(submission("run-b", ["run-a"])))
     assert "b/past/run-b" in day.store.items
     assert response.status == 201 and b"withdrawn" in response.body
