--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -24,6 +24,7 @@
 from badgerroute.coordination.membership.mesh import Mesh
 from badgerroute.coordination.membership.peers import Peers
 from badgerroute.coordination.quotas.quota_allocator import QuotaAllocator
+from badgerroute.coordination.requests.admission import AdmissionControl
 from badgerroute.coordination.requests.heartbeat_handler import HeartbeatHandler
 from badgerroute.coordination.requests.http_api import HttpApi
 from badgerroute.coordination.requests.job_request_handler import JobRequestHandler
@@ -70,7 +71,7 @@
         self.store = KeyValueClient(loop, network, settings.platform.endpoints.state, params.state, params.size)
         self.cloud = CloudClient(loop, network, settings.platform.endpoints.cloud, params.cloud, params.size)
         self.replica = Replica(loop, self.store)
-        self.mesh = Mesh(settings, loop, network, group, lambda message: self.mesh_dispatcher.receive(message))
+        self.mesh = Mesh(settings, loop, network, group)
         self.election = LeaderElection(
             settings, loop, self.store, self.replica, self._on_elected, self._on_deposed, self._campaign_permission
         )
@@ -100,7 +101,6 @@
             most=settings.operator.connectivity.relays_at_once,
             first_number=random.SystemRandom().randrange(FIRST_NUMBERS),
             send=self.mesh.send,
-            handle=lambda request, relay: self.api.handle_forwarded(request, relay),
         )
         self.requests = ShardRequests(
             loop=loop,
@@ -158,12 +158,13 @@
         self.scale_in = ScaleIn(
             settings, loop, self.policy, self.job_store, self.catalog, self.leaders, self.autoscaler.delete
         )
+        admission = AdmissionControl(params.teams, self.catalog, self.pager)
         self.job_service = JobService(
-            params=params,
+            shard_count=params.size,
             job_store=self.job_store,
             job_reader=self.job_reader,
             job_writer=self.job_writer,
-            pager=self.pager,
+            admission=admission,
             replica=self.replica,
             catalog=self.catalog,
             summaries=self.peers.summaries,
@@ -182,6 +183,15 @@
             forwarder=self.forwarder,
             tombstones=self.tombstones,
         )
+        job_request_handler = JobRequestHandler(
+            settings=settings,
+            policy=self.policy,
+            store=self.store,
+            peers=self.peers,
+            job_service=self.job_service,
+            forwarder=self.forwarder,
+        )
+        self.api = HttpApi(self.replica, self.monitor, self.heartbeat_handler, job_request_handler)
         self.mesh_dispatcher = MeshDispatcher(
             settings=settings,
             group=group,
@@ -194,16 +204,8 @@
             job_store=self.job_store,
             cancellation_broadcast=self.cancellation_broadcast,
             mesh=self.mesh,
+            api=self.api,
         )
-        job_request_handler = JobRequestHandler(
-            settings=settings,
-            policy=self.policy,
-            store=self.store,
-            peers=self.peers,
-            job_service=self.job_service,
-            forwarder=self.forwarder,
-        )
-        self.api = HttpApi(self.replica, self.monitor, self.heartbeat_handler, job_request_handler)
         sockets = params.resources.fd_limit
         direct = min(max(MAX_DIRECT_COMMANDS, sockets // SOCKETS_PER_DIRECT_COMMAND), max(4, sockets // 8))
         self._semaphore = Semaphore(direct)
@@ -245,7 +247,7 @@
         log.info("event=controller_started host=%s home_shard=%d", self.settings.platform.host_name, self.settings.home)
         listener = self._network.listen(self.settings.platform.public_addr)
         self._group.spawn(self._server.serve(listener), "serve")
-        self.mesh.start()
+        self.mesh.start(self.mesh_dispatcher.receive)
         second = timedelta(seconds=1)
         for make, name in (
             (self.replica.run, "replica"),
--- a/badgerroute/coordination/membership/forwarding.py
+++ b/badgerroute/coordination/membership/forwarding.py
@@ -18,7 +18,7 @@
 
 
 class RequestForwarder:
-    """Both ends of it: `send` queues a message for a peer, `handle` answers a request that a peer passed on."""
+    """Both ends of it: `send` queues a message for a peer."""
 
     def __init__(
         self,
@@ -28,10 +28,9 @@
         most: int,
         first_number: int,
         send: Callable[[str, Message], None],
-        handle: Handler,
     ) -> None:
         self._loop, self._group, self._host, self._most = loop, group, host, most
-        self._send, self._handle = send, handle
+        self._send = send
         self._next = first_number  # drawn, so that the answer to an earlier life of this process fits no request
         self._waiting: dict[tuple[str, int], Future] = {}
         self._serving = 0
@@ -60,18 +59,18 @@
         if answered is not None:
             answered.set(message)
 
-    def on_request(self, message: ForwardedRequest) -> None:
-        """A peer passes a request on to us."""
+    def on_request(self, message: ForwardedRequest, handle: Handler) -> None:
+        """Have a request that a peer passed on answered by `handle`, and send the response back."""
         if self._serving >= self._most:
             self.dropped += 1
             return
         self._serving += 1
-        self._group.spawn(self._answer(message), "forwarded")
+        self._group.spawn(self._answer(message, handle), "forwarded")
 
-    async def _answer(self, message: ForwardedRequest) -> None:
+    async def _answer(self, message: ForwardedRequest, handle: Handler) -> None:
         try:
             request = Request(message.method, message.path, "", message.body)
-            response = await self._handle(request, message.host)
+            response = await handle(request, message.host)
             answer = ForwardedResponse(self._host, message.number, response.status, response.body)
             self._send(message.host, answer)
         finally:
--- a/badgerroute/coordination/membership/mesh.py
+++ b/badgerroute/coordination/membership/mesh.py
@@ -19,9 +19,11 @@
 SILENCE = timedelta(seconds=20)
 WRITE_LIMIT = timedelta(seconds=3)
 ACK_EVERY = timedelta(seconds=1)
-WORKERS_UNREACHABLE = timedelta(seconds=4)  # a link on which nothing was acknowledged for so long is opened anew
+ACKNOWLEDGEMENT_LIMIT = timedelta(seconds=4)  # a link on which nothing was acknowledged for so long is opened anew
 ACK = frame(b"")
 
+MessageHandler = Callable[[wire.Message], None]
+
 
 class _Link:
     """What is on its way to one peer. While it can't be reached, old messages make way for new ones."""
@@ -59,18 +61,17 @@
         loop: Loop,
         network: Network,
         group: TaskGroup,
-        receive: Callable[[wire.Message], None],
     ) -> None:
-        self._loop, self._network, self._group, self._receive = loop, network, group, receive
+        self._loop, self._network, self._group = loop, network, group
         self._links = {peer.host_name: _Link(peer.host_name, peer.endpoint) for peer in settings.platform.peers}
         self._address = settings.platform.mesh_addr
         self._incoming = 0
         self._most_incoming = 4 * max(1, len(self._links)) + 4
 
-    def start(self) -> None:
-        """Listen, and keep a connection to each peer."""
+    def start(self, on_message: MessageHandler) -> None:
+        """Listen, and keep a connection to each peer. `on_message` is called with every message that arrives."""
         listener = self._network.listen(self._address)
-        self._group.spawn(self._accept(listener), "mesh-accept")
+        self._group.spawn(self._accept(listener, on_message), "mesh-accept")
         for link in self._links.values():
             self._group.run_forever(partial(self._speak, link), f"mesh-{link.host}", timedelta(seconds=1))
 
@@ -106,7 +107,7 @@
                         raise link.lost
                     if link.unacknowledged is None:
                         link.unacknowledged = self._loop.now()
-                    elif self._loop.now() - link.unacknowledged > WORKERS_UNREACHABLE:
+                    elif self._loop.now() - link.unacknowledged > ACKNOWLEDGEMENT_LIMIT:
                         raise TimeLimitError("nothing is acknowledged")
                     with self._loop.limit(WRITE_LIMIT):
                         await stream.write(link.take_all())
@@ -131,7 +132,7 @@
             link.lost = error
             link.wake.set()
 
-    async def _accept(self, listener: Listener) -> None:
+    async def _accept(self, listener: Listener, on_message: MessageHandler) -> None:
         try:
             while True:
                 stream = await listener.accept()
@@ -139,11 +140,11 @@
                     stream.close()
                     continue
                 self._incoming += 1
-                self._group.spawn(self._hear(stream), "mesh-in")
+                self._group.spawn(self._hear(stream, on_message), "mesh-in")
         finally:
             listener.close()
 
-    async def _hear(self, stream: Stream) -> None:
+    async def _hear(self, stream: Stream, on_message: MessageHandler) -> None:
         reader = FrameReader(stream)
         acknowledged = self._loop.now()
         try:
@@ -160,7 +161,7 @@
                     log.warning("event=mesh_message_rejected error=%s", error)
                     continue
                 try:
-                    self._receive(message)
+                    on_message(message)
                 except Exception as error:
                     log.error("event=mesh_message_failed error=%r", error, exc_info=error)
         except (OSError, TimeLimitError) as error:
--- /dev/null
+++ b/badgerroute/coordination/requests/admission.py
@@ -0,0 +1,49 @@
+"""Decides whether a submitted job can ever run. What can never run is refused with 422."""
+
+from badgerroute.coordination.jobs.record_paging import RecordPager
+from badgerroute.protocol.cloud import MachineType
+from badgerroute.protocol.users import Submission
+from badgerroute.scheduling.model import Resources, capacity_of, need_of
+from badgerroute.settings import Team
+
+
+class JobRefusedError(Exception):
+    """A job can never run as submitted. The text is the reason that its user is told."""
+
+
+class AdmissionControl:
+    """Checks submissions against the machine types, the teams' limits and the size of a job's record."""
+
+    def __init__(self, teams: list[Team], catalog: dict[str, MachineType], pager: RecordPager) -> None:
+        self._teams = {team.name: team for team in teams}
+        self._catalog = catalog
+        self._pager = pager
+
+    def check(self, job: Submission) -> None:
+        """Raise JobRefusedError if the job can never run. Needs no key-value store."""
+        if len(set(job.predecessors or ())) > self._pager.max_predecessors:
+            raise JobRefusedError(f"it follows more than {self._pager.max_predecessors} jobs")
+        team = self._teams.get(job.team)
+        if team is None:
+            raise JobRefusedError(f"unknown team {job.team}")
+        fitting = self._fitting_types(job)
+        if not fitting:
+            raise JobRefusedError("a task fits no allowed machine type")
+        zones = {zone for machine_type in fitting for zone in machine_type.zones if job.zone in (None, zone)}
+        if job.gang and job.spread and job.tasks > 1 and (job.together or len(zones) < 2):
+            raise JobRefusedError("a gang that must be spread has one zone only")
+        simultaneous_tasks = job.tasks if job.gang else 1
+        demand = Resources(simultaneous_tasks * job.cpus, simultaneous_tasks * job.accelerators)
+        if not Resources(*team.limits).holds(demand):
+            raise JobRefusedError("more than the team's limit")
+
+    def _fitting_types(self, job: Submission) -> list[MachineType]:
+        """The machine types that the job allows and that hold one of its tasks."""
+        need = need_of(job)
+        return [
+            machine_type
+            for machine_type in self._catalog.values()
+            if (job.types is None or machine_type.name in job.types)
+            and (job.zone is None or job.zone in machine_type.zones)
+            and capacity_of(machine_type).holds(need)
+        ]
--- a/badgerroute/coordination/requests/http_api.py
+++ b/badgerroute/coordination/requests/http_api.py
@@ -3,7 +3,7 @@
 from badgerroute.coordination.membership.connectivity_monitor import ConnectivityMonitor
 from badgerroute.coordination.requests.heartbeat_handler import HeartbeatHandler
 from badgerroute.coordination.requests.job_request_handler import JOBS_PATH, JobRequestHandler
-from badgerroute.coordination.requests.responses import answer, error, retry_later
+from badgerroute.coordination.requests.responses import answer, error, method_not_allowed, retry_later
 from badgerroute.storage.replica import Replica
 from badgerroute.transport.http import Request, Response
 
@@ -24,7 +24,7 @@
     async def handle(self, request: Request) -> Response:
         """Answer one request."""
         if request.path == "/up":
-            return self._up() if request.method == "GET" else error(405, "method not allowed")
+            return self._up() if request.method == "GET" else method_not_allowed()
         return await self._handle(request, None)
 
     async def handle_forwarded(self, request: Request, relay: str) -> Response:
@@ -34,7 +34,7 @@
     async def _handle(self, request: Request, relay: str | None) -> Response:
         if request.path == "/checkin":
             if request.method != "POST":
-                return error(405, "method not allowed")
+                return method_not_allowed()
             return await self._heartbeat_handler.handle(request, relay)
         if request.path == JOBS_PATH or self._is_job(request.path):
             return await self._job_request_handler.handle(request, relay)
--- a/badgerroute/coordination/requests/job_request_handler.py
+++ b/badgerroute/coordination/requests/job_request_handler.py
@@ -8,7 +8,7 @@
 from badgerroute.coordination.membership.forwarding import RequestForwarder
 from badgerroute.coordination.membership.peers import Peers
 from badgerroute.coordination.requests.job_service import JobService
-from badgerroute.coordination.requests.responses import error, retry_later
+from badgerroute.coordination.requests.responses import method_not_allowed, store_unreachable
 from badgerroute.settings import Settings
 from badgerroute.storage.key_value_client import KeyValueClient
 from badgerroute.transport.http import Request, Response
@@ -48,7 +48,7 @@
         ref, _, verb = request.path.removeprefix(JOBS_PATH).strip("/").partition("/")
         operation = self._operation(ref, verb)
         if request.method != operation.method:
-            return error(405, "method not allowed")
+            return method_not_allowed()
         action = operation.action
         permission = self._policy.permission(action)
         if permission is Permission.ALLOWED:
@@ -61,7 +61,7 @@
             if known is not None:
                 return known
         forwarded = await self._forward(request) if relay is None else None
-        return forwarded or retry_later("the state service can't be reached")
+        return forwarded or store_unreachable()
 
     @staticmethod
     def _operation(ref: str, verb: str) -> Operation:
--- a/badgerroute/coordination/requests/job_service.py
+++ b/badgerroute/coordination/requests/job_service.py
@@ -1,4 +1,4 @@
-"""What users ask for: submissions, polls, cancellations. Everything that can't be decided is answered at once."""
+"""Submissions, polls and cancellations of users. What can't be decided now is answered at once, with 503."""
 
 import logging
 from collections.abc import Callable
@@ -6,17 +6,22 @@
 from badgerroute.coordination.jobs.job_reader import JobLookup, JobReader
 from badgerroute.coordination.jobs.job_store import JobStore
 from badgerroute.coordination.jobs.job_writer import JobWriter
-from badgerroute.coordination.jobs.record_paging import RecordPager, RecordTooLargeError
+from badgerroute.coordination.jobs.record_paging import RecordTooLargeError
+from badgerroute.coordination.requests.admission import AdmissionControl, JobRefusedError
 from badgerroute.coordination.requests.job_splitting import split
-from badgerroute.coordination.requests.responses import answer, error, retry_later
+from badgerroute.coordination.requests.responses import (
+    UNDECIDED_ERRORS,
+    answer,
+    error,
+    no_such_job,
+    retry_later,
+    store_unreachable,
+)
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.common import MalformedError
 from badgerroute.protocol.mesh import ShardSummary
 from badgerroute.protocol.users import REF, Submission, parse_submission
-from badgerroute.scheduling.model import Resources, capacity_of, need_of
-from badgerroute.settings import Params, Team
 from badgerroute.storage.budget import Urgency
-from badgerroute.storage.key_value_client import LeaseExpiredError, OutcomeUnknownError, StoreUnavailableError
 from badgerroute.storage.replica import Replica
 from badgerroute.transport.http import Request, Response
 
@@ -24,25 +29,30 @@
 
 
 class JobService:
-    """`running` tells how many tasks of a job run, for display."""
+    """Answers users' requests from the job records.
+
+    `summaries` gives what is known of all shards, `running` how many tasks of a job run (for display only).
+    """
 
     def __init__(
         self,
-        params: Params,
+        *,
+        shard_count: int,
         job_store: JobStore,
         job_reader: JobReader,
         job_writer: JobWriter,
-        pager: RecordPager,
+        admission: AdmissionControl,
         replica: Replica,
         catalog: dict[str, MachineType],
         summaries: Callable[[], list[ShardSummary]],
         running: Callable[[str], int],
     ) -> None:
-        self._size, self._replica, self._catalog = params.size, replica, catalog
+        self._shard_count, self._replica, self._catalog = shard_count, replica, catalog
         self._job_store, self._job_reader, self._job_writer = job_store, job_reader, job_writer
+        self._admission = admission
         self._summaries, self._running = summaries, running
-        self._pager = pager
-        self._teams: dict[str, Team] = {team.name: team for team in params.teams}
+
+    # -- submissions
 
     async def submit(self, request: Request) -> Response:
         """Answer a submission, new or repeated."""
@@ -54,105 +64,96 @@
         if not self._replica.ready.done:
             return retry_later("starting")
         try:
-            known = await self._known(job)
-            if known is not None:
-                return known
-            if not self._catalog:
-                return retry_later("machine types are not known yet")
-            problem = self._impossible(job) or await self._unaccepted(job)
-            if problem is not None:
-                return await self._refused(job, problem)
-            return await self._accept(job)
-        except (StoreUnavailableError, OutcomeUnknownError, LeaseExpiredError) as trouble:
-            log.info("event=submission_deferred job=%s error=%s", job.ref, trouble)
-            return retry_later("the state service can't be reached")
+            return await self._submit(job)
+        except JobRefusedError as refused:
+            return await self._refuse(job, str(refused))
+        except UNDECIDED_ERRORS as failure:
+            log.info("event=submission_deferred job=%s error=%s", job.ref, failure)
+            return store_unreachable()
+
+    async def _submit(self, job: Submission) -> Response:
+        repeated = await self._answer_to_repetition(job)
+        if repeated is not None:
+            return repeated
+        if not self._catalog:
+            return retry_later("machine types are not known yet")
+        self._admission.check(job)
+        await self._check_upstream_jobs(job)
+        return await self._accept(job)
+
+    async def _answer_to_repetition(self, job: Submission) -> Response | None:
+        """The state of a job that was accepted before; None if this controller does not know it."""
+        if not self._job_store.knows(job.ref):
+            return None
+        lookup = await self._job_reader.look_up(job.ref, Urgency.SUBMIT)
+        return None if lookup is None else self._state_response(200, job.ref, lookup)
+
+    async def _check_upstream_jobs(self, job: Submission) -> None:
+        """Users may name only jobs that were accepted, by any controller, in whatever state these are by now."""
+        missing = await self._job_reader.unaccepted(job.predecessors or (), Urgency.SUBMIT)
+        if missing:
+            raise JobRefusedError(f"follows {', '.join(missing[:3])}, which nobody accepted")
 
     async def _accept(self, job: Submission) -> Response:
+        ranges = split(job, self._summaries(), self._shard_count)
         try:
-            accepted = await self._job_writer.accept(job, split(job, self._summaries(), self._size))
+            accepted = await self._job_writer.accept(job, ranges)
         except RecordTooLargeError as too_large:
-            return await self._refused(job, str(too_large))
+            raise JobRefusedError(str(too_large)) from too_large
         if accepted:
-            # One that names a job which is cancelled by now is accepted all the same, and cancelled at once.
+            # One that names a cancelled job is accepted all the same, and cancelled at once.
             state = await self._job_reader.state_after_acceptance(job.ref) if job.predecessors else "queued"
             return answer(201, {"ref": job.ref, "condition": state})
         lookup = await self._job_reader.look_up(job.ref, Urgency.SUBMIT)
-        return retry_later("undecided") if lookup is None else self._state_answer(200, job.ref, lookup)
+        return retry_later("undecided") if lookup is None else self._state_response(200, job.ref, lookup)
 
-    async def _refused(self, job: Submission, problem: str) -> Response:
-        """Whoever accepted it may have known better: only a job that nobody knows can be refused."""
-        lookup = await self._job_reader.look_up(job.ref, Urgency.SUBMIT)
-        if lookup is not None:
-            return self._state_answer(200, job.ref, lookup)
-        log.info("event=submission_refused job=%s team=%s error=%s", job.ref, job.team, problem)
-        return error(422, problem)
+    async def _refuse(self, job: Submission, reason: str) -> Response:
+        """Refuse a job that nobody knows.
 
-    async def _known(self, job: Submission) -> Response | None:
-        if not self._job_store.knows(job.ref):
-            return None
-        lookup = await self._job_reader.look_up(job.ref, Urgency.SUBMIT)
-        return None if lookup is None else self._state_answer(200, job.ref, lookup)
-
-    def _state_answer(self, status: int, ref: str, lookup: JobLookup) -> Response:
-        return answer(status, self._job_reader.view(ref, lookup, self._running(ref)))
+        A job that another controller accepted gets its state: that controller may have known better.
+        """
+        try:
+            lookup = await self._job_reader.look_up(job.ref, Urgency.SUBMIT)
+        except UNDECIDED_ERRORS as failure:
+            log.info("event=submission_deferred job=%s error=%s", job.ref, failure)
+            return store_unreachable()
+        if lookup is not None:
+            return self._state_response(200, job.ref, lookup)
+        log.info("event=submission_refused job=%s team=%s error=%s", job.ref, job.team, reason)
+        return error(422, reason)
 
-    async def _unaccepted(self, job: Submission) -> str | None:
-        """Users name only jobs that were accepted, by any node, in whatever state they are by now."""
-        missing = await self._job_reader.unaccepted(job.predecessors or (), Urgency.SUBMIT)
-        return f"follows {', '.join(missing[:3])}, which nobody accepted" if missing else None
-
-    def _impossible(self, job: Submission) -> str | None:
-        """Why a job can never run, if so."""
-        if len(set(job.predecessors or ())) > self._pager.max_predecessors:
-            return f"it follows more than {self._pager.max_predecessors} jobs"
-        team = self._teams.get(job.team)
-        if team is None:
-            return f"unknown team {job.team}"
-        need = need_of(job)
-        fitting = [
-            kind
-            for kind in self._catalog.values()
-            if (job.types is None or kind.name in job.types)
-            and (job.zone is None or job.zone in kind.zones)
-            and capacity_of(kind).holds(need)
-        ]
-        if not fitting:
-            return "a task fits no allowed machine type"
-        zones = {zone for kind in fitting for zone in kind.zones if job.zone in (None, zone)}
-        if job.gang and job.spread and job.tasks > 1 and (job.together or len(zones) < 2):
-            return "a gang that must be spread has one zone only"
-        tasks = job.tasks if job.gang else 1
-        if not Resources(*team.limits).holds(Resources(tasks * job.cpus, tasks * job.accelerators)):
-            return "more than the team's limit"
-        return None
+    # -- polls and cancellations
 
     async def poll(self, ref: str) -> Response:
         """Answer a question about a job."""
         if not REF.match(ref):
-            return error(404, "no such job")
+            return no_such_job()
         if not self._replica.ready.done:
             return retry_later("starting")
         try:
             lookup = await self._job_reader.current(ref)
-        except (StoreUnavailableError, OutcomeUnknownError) as trouble:
-            log.debug("event=poll_deferred job=%s error=%s", ref, trouble)
-            return retry_later("the state service can't be reached")
-        return error(404, "no such job") if lookup is None else self._state_answer(200, ref, lookup)
+        except UNDECIDED_ERRORS as failure:
+            log.debug("event=poll_deferred job=%s error=%s", ref, failure)
+            return store_unreachable()
+        return no_such_job() if lookup is None else self._state_response(200, ref, lookup)
 
     def poll_from_memory(self, ref: str) -> Response | None:
-        """Answer a question that needs no reading: a final state that is known here. None: it does need that."""
+        """Answer a question whose answer is in memory: a final state. None: the key-value store has to be read."""
         if not REF.match(ref):
-            return error(404, "no such job")
+            return no_such_job()
         final = self._job_store.final(ref)
-        return None if final is None else self._state_answer(200, ref, JobLookup(final))
+        return None if final is None else self._state_response(200, ref, JobLookup(final))
 
     async def cancel(self, ref: str) -> Response:
         """Answer a cancellation."""
         if not REF.match(ref):
-            return error(404, "no such job")
+            return no_such_job()
         try:
             state = await self._job_writer.cancel(ref)
-        except (StoreUnavailableError, OutcomeUnknownError, LeaseExpiredError) as trouble:
-            log.info("event=cancellation_deferred job=%s error=%s", ref, trouble)
-            return retry_later("the state service can't be reached")
-        return error(404, "no such job") if state is None else answer(200, {"ref": ref, "condition": state})
+        except UNDECIDED_ERRORS as failure:
+            log.info("event=cancellation_deferred job=%s error=%s", ref, failure)
+            return store_unreachable()
+        return no_such_job() if state is None else answer(200, {"ref": ref, "condition": state})
+
+    def _state_response(self, status: int, ref: str, lookup: JobLookup) -> Response:
+        return answer(status, self._job_reader.view(ref, lookup, self._running(ref)))
--- a/badgerroute/coordination/requests/mesh_dispatcher.py
+++ b/badgerroute/coordination/requests/mesh_dispatcher.py
@@ -1,4 +1,4 @@
-"""What other controllers say, and who is told of it."""
+"""Passes each message of a peer to the collaborator that acts on it."""
 
 from badgerroute.coordination.jobs.cancellation_broadcast import CancellationBroadcast
 from badgerroute.coordination.jobs.job_store import JobStore
@@ -7,6 +7,7 @@
 from badgerroute.coordination.membership.leadership_transfer import LeadershipTransfer
 from badgerroute.coordination.membership.mesh import Mesh
 from badgerroute.coordination.membership.peers import Peers
+from badgerroute.coordination.requests.http_api import HttpApi
 from badgerroute.coordination.requests.shard_requests import ShardRequests
 from badgerroute.protocol import mesh as wire
 from badgerroute.settings import Settings
@@ -31,8 +32,9 @@
         job_store: JobStore,
         cancellation_broadcast: CancellationBroadcast,
         mesh: Mesh,
+        api: HttpApi,
     ) -> None:
-        self._host, self._group, self._mesh = settings.platform.host_name, group, mesh
+        self._host, self._group, self._mesh, self._api = settings.platform.host_name, group, mesh, api
         self._replica, self._election, self._peers = replica, election, peers
         self._requests, self._leadership_transfer, self._forwarder = requests, leadership_transfer, forwarder
         self._job_store, self._cancellation_broadcast = job_store, cancellation_broadcast
@@ -53,7 +55,7 @@
             case wire.MisroutedHeartbeat():
                 self._group.spawn(self._leadership_transfer.on_misrouted_heartbeat(message), "misdirected")
             case wire.ForwardedRequest():
-                self._forwarder.on_request(message)
+                self._forwarder.on_request(message, self._api.handle_forwarded)
             case wire.ForwardedResponse():
                 self._forwarder.on_response(message)
             case wire.CancellationNotice():
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -57,6 +57,6 @@
     caplog.set_level(logging.ERROR)
     yield
     if request.node.get_closest_marker("cheats") is None:
-        records = [record for compare in ("setup", "call") for record in caplog.get_records(compare)]
+        records = [record for phase in ("setup", "call") for record in caplog.get_records(phase)]
         errors = [record.getMessage() for record in records if record.levelno >= logging.ERROR]
         assert not [text for text in errors if "once more" not in text]
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -373,8 +373,8 @@
         self.group = TaskGroup(self.loop, "ends")
         self.sent: list[tuple[str, object]] = []
         self.handled: list[bytes] = []
-        self.near = RequestForwarder(self.loop, self.group, "b", most, 7, self._note, self._handle)
-        self.far = RequestForwarder(self.loop, self.group, "a", most, 7, self._note, self._handle)
+        self.near = RequestForwarder(self.loop, self.group, "b", most, 7, self._note)
+        self.far = RequestForwarder(self.loop, self.group, "a", most, 7, self._note)
 
     def _note(self, target: str, message: object) -> None:
         self.sent.append((target, message))
@@ -400,7 +400,7 @@
     ends = _Ends()
 
     def deliver(request: ForwardedRequest) -> None:
-        ends.far.on_request(request)
+        ends.far.on_request(request, ends._handle)
         (answer,) = ends.answers()
         ends.near.on_response(ForwardedResponse("c", answer.number, 200, b"from another"))
         ends.near.on_response(ForwardedResponse("a", answer.number + 1, 200, b"to another"))
@@ -414,7 +414,7 @@
 def test_an_answer_that_comes_late_is_nobodys() -> None:
     ends, kept = _Ends(), []
     assert ends.forward(kept.append, limit=0.5) is None
-    ends.far.on_request(kept[0])
+    ends.far.on_request(kept[0], ends._handle)
     (answer,) = ends.answers()
     ends.near.on_response(answer)  # changes nothing, and fails nothing
     again = ends.forward(lambda request: None, limit=0.2)
@@ -428,6 +428,6 @@
     assert [ends.loop.run(routine) for routine in routines] == [None, None, None]
     assert len(ends.sent) == 2 and ends.near.dropped == 1
     for number in range(5):
-        ends.far.on_request(ForwardedRequest("b", number, "GET", "/up", b""))
+        ends.far.on_request(ForwardedRequest("b", number, "GET", "/up", b""), ends._handle)
     ends.answers()
     assert len(ends.handled) == 2 and ends.far.dropped == 3
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -7,7 +7,8 @@
 import pytest
 
 from badgerroute.coordination.quotas.quota_allocator import QuotaAllocator
-from badgerroute.coordination.requests.job_service import JobService, answer
+from badgerroute.coordination.requests.job_service import JobService
+from badgerroute.coordination.requests.responses import answer
 from badgerroute.coordination.shards import forecast
 from badgerroute.coordination.shards.machine_commands import MachineCommands
 from badgerroute.settings import Objective
--- a/tests/test_left_waiting.py
+++ b/tests/test_left_waiting.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from badgerroute.coordination.requests import job_service as users_module
+from badgerroute.coordination.requests import job_service as job_service_module
 from badgerroute.protocol.common import MalformedError
 from badgerroute.protocol.mesh import ShardSummary
 from badgerroute.protocol.users import Submission, parse_submission
@@ -19,7 +19,7 @@
     def whole(one: Submission, summaries: list[ShardSummary], size: int) -> list[tuple[int, int, int]]:
         return [(shards[one.ref], 0, one.tasks)]
 
-    monkeypatch.setattr(users_module, "split", whole)
+    monkeypatch.setattr(job_service_module, "split", whole)
 
 
 def running(day: Day, ref: str) -> int:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -31,7 +31,7 @@
 from badgerroute.storage.cloud_client import CloudClient
 from badgerroute.storage.records import JobRecord, TaskRange
 from badgerroute.transport.frames import MAX_FRAME
-from badgerroute.transport.http import Request, Response
+from badgerroute.transport.http import Request
 from tests.standins.day import HOSTS, SECOND, Day, job
 from tests.test_fleet import busy_shard, calls_in
 
@@ -278,7 +278,7 @@
         day.run(0.1)
         routes, sent = RelayRoutes(), []
         forwarder = RequestForwarder(
-            day.loop, day.group, "b", MANY, 0, lambda host, message, sent=sent: sent.append(message), never_handled
+            day.loop, day.group, "b", MANY, 0, lambda host, message, sent=sent: sent.append(message)
         )
         for number in range(machines):
             routes.decide(f"host-{number}", "a", True, True, SECOND)
@@ -297,10 +297,6 @@
     assert costs[0] == costs[1] < 100
 
 
-async def never_handled(request: Request, relay: str) -> Response:
-    raise AssertionError("nothing is passed on to this end")
-
-
 def test_all_machines_of_a_controller_can_be_relayed_at_once() -> None:
     assert Connectivity().relays_at_once >= MANY
     heartbeat = Heartbeat("host-0000001", "10.0.0.1:9000", "k8", "a", False, 1, 9, 7, None, TASKS_OF_A_MACHINE)
