--- a/badgerroute/coordination/shards/quota_exchange.py
+++ b/badgerroute/coordination/shards/quota_exchange.py
@@ -111,7 +111,7 @@
             return None
         wanted = lack.copy()
         if message.rank == min(ranks):
-            kept = self._shard.reserved_for_peers.get(message.team, (Resources(), ZERO))[
+            kept = self._shard.quota.reserved_for_peers.get(message.team, (Resources(), ZERO))[
                 0
             ]  # free by now, but not for us
             more = (self._shard.usage[message.team].cpus + kept.cpus - message.used) / 2
--- a/badgerroute/rebalancing/shard_guidance.py
+++ b/badgerroute/rebalancing/shard_guidance.py
@@ -9,7 +9,7 @@
 from badgerroute.rebalancing.waits import RecentWaits, busy_machines
 from badgerroute.scheduling.guidance import Guidance
 from badgerroute.scheduling.model import Job, Machine, Placement
-from badgerroute.scheduling.shard import Usage
+from badgerroute.scheduling.quota_ledger import Usage
 from badgerroute.scheduling.shard_state import ShardView
 from badgerroute.transport.loop import Loop
 
--- a/badgerroute/rebalancing/spreading.py
+++ b/badgerroute/rebalancing/spreading.py
@@ -43,8 +43,8 @@
         if here >= LACKING * portion or tasks < LEAST_TASKS:
             continue
         victim = max(others, key=lambda shard: _waiting(shard, team) / max(1, shard.machines))
-        cancel_deletion = _waiting(victim, team) - total * victim.machines / machines
-        tasks = min(tasks, int(cancel_deletion))
+        surplus = _waiting(victim, team) - total * victim.machines / machines
+        tasks = min(tasks, int(surplus))
         if tasks >= LEAST_TASKS:
             found.append(WorkRequest(team, victim.shard, tasks, _cpus_per_task(victim, team)))
     return found
--- /dev/null
+++ b/badgerroute/scheduling/command_building.py
@@ -0,0 +1,49 @@
+"""The commands that a machine is to be sent, from what is booked on it."""
+
+from collections.abc import Callable
+from datetime import timedelta
+
+from badgerroute.protocol.workers import Command
+from badgerroute.scheduling.model import Machine, Phase, Placement
+
+
+def build_commands(
+    machine: Machine, now: timedelta, starts: bool, clearable: Callable[[str, int], bool]
+) -> list[Command]:
+    """Halts, clears and starts for one machine.
+
+    Invariant: starts go out once, and only in the answer to a heartbeat (`starts`). So do clears: a clear in a direct
+    command may be carried out late, and would clear the end of a task that was started again. `clearable` tells whether
+    the end of a task, by job and number, is of no more use as evidence.
+    """
+    commands = [_halt(ref, index, attempt, 0.0) for ref, index, attempt in machine.orphans]
+    if starts:
+        commands += [
+            Command("clear", f"{ref}/{index}", attempt)
+            for ref, index, attempt in machine.exited
+            if clearable(ref, index)
+        ]
+    for placement in machine.placements.values():
+        if placement.grace is not None:
+            if placement.stopped_at is None:
+                placement.stopped_at = now
+            grace_s = placement.grace.total_seconds()
+            commands.append(_halt(placement.job.ref, placement.index, placement.attempt, grace_s))
+        elif starts and placement.phase is Phase.RESERVED:
+            commands.append(_start(machine, placement, now))
+    return commands
+
+
+def _halt(ref: str, index: int, attempt: int, grace_s: float) -> Command:
+    return Command("halt", f"{ref}/{index}", attempt, grace_s)
+
+
+def _start(machine: Machine, placement: Placement, now: timedelta) -> Command:
+    """Book a start as sent. It is outstanding until a later heartbeat confirms it or lacks it."""
+    placement.phase = Phase.SENT
+    machine.listed = None  # the next list matters even if it is the same
+    placement.sent = (machine.incarnation, machine.sequence)
+    if not placement.rejoined:
+        placement.since = now
+    machine.touch_image(placement.job.spec.image, placement.job.spec.image_gb)
+    return Command("start", f"{placement.job.ref}/{placement.index}", placement.attempt)
--- /dev/null
+++ b/badgerroute/scheduling/duration_estimates.py
@@ -0,0 +1,29 @@
+"""How long tasks run compared to what their users estimate, learned by job class."""
+
+from datetime import timedelta
+
+from badgerroute.scheduling.model import ZERO
+
+MIN_RATIO, MAX_RATIO = 0.1, 10.0  # of actual to estimated run time; what lies beyond counts as this
+DECAY = 0.95  # weight of what was learned before, at each finished run
+INITIAL = (1.0, 1.0)  # the estimate itself counts as one run
+
+
+class DurationEstimates:
+    """By job class, the mean ratio of actual to estimated run times, recent runs counting most."""
+
+    def __init__(self) -> None:
+        self._ratios: dict[str, tuple[float, float]] = {}  # job class -> (sum of ratios, weight)
+
+    def learn(self, job_class: str, estimate: timedelta, actual: timedelta) -> None:
+        """Take in a finished run."""
+        if estimate <= ZERO or actual <= ZERO:
+            return
+        ratio = min(MAX_RATIO, max(MIN_RATIO, actual / estimate))
+        total, weight = self._ratios.get(job_class, INITIAL)
+        self._ratios[job_class] = (total * DECAY + ratio, weight * DECAY + 1.0)
+
+    def correction(self, job_class: str) -> float:
+        """The factor by which a class's estimates are wrong on average."""
+        total, weight = self._ratios.get(job_class, INITIAL)
+        return total / weight
--- a/badgerroute/scheduling/preemption.py
+++ b/badgerroute/scheduling/preemption.py
@@ -96,10 +96,8 @@
 
         What can't: stopping and starting each take until the next heartbeat, and then the image is fetched.
         """
-        cancel_deletion = (
-            self._objectives.start_within(job) - LEAD_HEARTBEATS * self._heartbeat - self._shard.least_fetch(job)
-        )
-        return max(ZERO, cancel_deletion / PATIENCE)
+        slack = self._objectives.start_within(job) - LEAD_HEARTBEATS * self._heartbeat - self._shard.least_fetch(job)
+        return max(ZERO, slack / PATIENCE)
 
     def make_room_for_gang(self, job: Job, tasks: int, now: timedelta) -> None:
         """Stop what is cheapest so that a gang which has waited long enough fits."""
--- a/badgerroute/scheduling/shard.py
+++ b/badgerroute/scheduling/shard.py
@@ -1,4 +1,4 @@
-"""One shard: its machines, and its share of the jobs.
+"""One shard's state: its members, its jobs, and which attempts of tasks may be on which machine.
 
 This is the bookkeeping that safety rests on (docs/safety.md). It is deterministic: state, message and time in,
 commands out. It has no sockets and no clock of its own.
@@ -7,60 +7,38 @@
 import logging
 from collections import defaultdict
 from collections.abc import Callable
-from dataclasses import dataclass
 from datetime import timedelta
 
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.workers import Command, Heartbeat
+from badgerroute.scheduling.command_building import build_commands
+from badgerroute.scheduling.duration_estimates import DurationEstimates
 from badgerroute.scheduling.events import Events
 from badgerroute.scheduling.failures import FailureTracker
 from badgerroute.scheduling.guidance import NEUTRAL, Guidance
 from badgerroute.scheduling.heartbeat_reconciliation import HeartbeatReconciler
-from badgerroute.scheduling.model import EPSILON, ZERO, Job, Machine, Phase, Placement, Resources, allows, capacity_of
+from badgerroute.scheduling.lease_expiry import expire_leases
+from badgerroute.scheduling.model import ZERO, Job, Machine, Phase, Placement, Resources, allows, capacity_of
+from badgerroute.scheduling.quota_ledger import AllocationOf, QuotaLedger, Usage
 from badgerroute.storage.records import JobRecord, MachineRecord
 
 log = logging.getLogger(__name__)
 
-ATTEMPT_BITS = 24
-
-
-@dataclass(slots=True)
-class Usage:
-    """What a team's tasks use, everything that may be on a machine included."""
-
-    cpus: float = 0.0
-    accelerators: float = 0.0
-    tasks: int = 0
-
-
-class Estimates:
-    """By job class, how actual run times compare to the users' estimates; corrected as runs finish."""
-
-    def __init__(self) -> None:
-        self._ratio: dict[str, tuple[float, float]] = {}  # sum of ratios, weight
-
-    def learn(self, job_class: str, estimate: timedelta, actual: timedelta) -> None:
-        """Take in a finished run."""
-        if estimate <= ZERO or actual <= ZERO:
-            return
-        ratio = min(10.0, max(0.1, actual / estimate))
-        total, weight = self._ratio.get(job_class, (1.0, 1.0))  # the estimate itself counts as one run
-        self._ratio[job_class] = (total * 0.95 + ratio, weight * 0.95 + 1.0)
-
-    def correction(self, job_class: str) -> float:
-        """The factor by which a class's estimates are wrong on average."""
-        total, weight = self._ratio.get(job_class, (1.0, 1.0))
-        return total / weight
+ATTEMPT_BITS = 24  # of an attempt's number, for the counter; the term stands above them
 
 
 class Shard:
-    """The books of one shard."""
+    """The members, jobs and placements of one shard, as its leader knows them.
+
+    Invariant: a task counts as on a machine (a placement exists) from the decision to start it until a message proves
+    that the machine is rid of it. `reconciled` turns true once every member is accounted for; nothing is placed before.
+    """
 
     def __init__(
         self,
         number: int,
         term: int,
-        allocations: Callable[[str], tuple[float, float]],
+        allocation_of: AllocationOf,
         now: timedelta,
         lease: timedelta = timedelta(seconds=10),
         undecided: Callable[[str], bool] = lambda ref: False,
@@ -71,21 +49,22 @@
         self.guidance = guidance
         self.undecided = undecided  # of jobs that are not here: whether they may have been released all the same
         self.fence = term  # machines must have seen at least this before their lists are the last word
-        self.allocations = allocations
         self.led_since = now
         self.machines: dict[str, Machine] = {}
         self.jobs: dict[str, Job] = {}
-        self.usage: defaultdict[str, Usage] = defaultdict(Usage)
-        self.estimates = Estimates()
+        self.quota = QuotaLedger(allocation_of)
+        self.estimates = DurationEstimates()
         self.reconciled = False  # every member fenced or provably rid of its tasks: until then nothing is placed
-        self.reserved_for_peers: dict[
-            str, tuple[Resources, timedelta]
-        ] = {}  # team -> of its share, what is kept for another shard
         self._failures = FailureTracker(self)
         self._reconciler = HeartbeatReconciler(self, self._failures)
         self._counter = 0
         self._fastest = 1e-6  # GB a second, of the machines ever here
 
+    @property
+    def usage(self) -> defaultdict[str, Usage]:
+        """What each team's tasks use."""
+        return self.quota.usage
+
     @property
     def image_fetched(self) -> Callable[[Placement, timedelta], None]:
         """Told of each image that was fetched, and how long that took."""
@@ -135,29 +114,31 @@
         `accepted` is when its times begin to count: its release, if it waited for others, for as long as `held_back`.
         `done` are its done tasks, if they are not all in the record.
         """
-        ref = record.job.ref
         done = record.done() if done is None else done
-        job = self.jobs.get(ref)
         owned = record.owned(self.number)
-        if job is None:
-            if not owned:
-                return None
-            spec = record.job
-            need = Resources(spec.cpus, spec.accelerators, spec.memory_gb)
-            # A gang that comes from another shard has waited there already.
-            since = min(now, accepted) if spec.gang else now
-            job = Job(ref, spec, accepted, owned, done, window, need, since, held_back=held_back)
-            self.jobs[ref] = job
-            return job
-        fresh = owned & ~job.owned
-        if fresh and not job.waiting_bits:
+        job = self.jobs.get(record.job.ref)
+        if job is not None:
+            return self._update_job(job, owned, done, now)
+        if not owned:
+            return None
+        spec = record.job
+        need = Resources(spec.cpus, spec.accelerators, spec.memory_gb)
+        # A gang that comes from another shard has waited there already.
+        since = min(now, accepted) if spec.gang else now
+        job = Job(spec.ref, spec, accepted, owned, done, window, need, since, held_back=held_back)
+        self.jobs[spec.ref] = job
+        return job
+
+    def _update_job(self, job: Job, owned: int, done: int, now: timedelta) -> Job | None:
+        """Take in changed bit sets of owned and done tasks; None if nothing of the job is left here."""
+        if owned & ~job.owned and not job.waiting_bits:
             job.since = now
         job.owned = owned
         job.done |= done
         job.done_here &= ~job.done
         job.failing = job.failing and not job.done  # it was done elsewhere
         if job.over:
-            del self.jobs[ref]
+            del self.jobs[job.ref]
             return None
         return job
 
@@ -193,28 +174,16 @@
         return (self.term << ATTEMPT_BITS) | self._counter
 
     def fits_quota(self, job: Job, tasks: int = 1) -> int:
-        """How many of so many tasks the team's share still has room for."""
-        cpus, accelerators = self.allocations(job.spec.team)
-        if job.spec.team in self.reserved_for_peers:
-            kept = self.reserved_for_peers[job.spec.team][0]
-            cpus, accelerators = cpus - kept.cpus, accelerators - kept.accelerators
-        used = self.usage[job.spec.team]
-        fitting = Resources(cpus - used.cpus, accelerators - used.accelerators).times(
-            Resources(job.need.cpus, job.need.accelerators)
-        )
-        return max(0, min(tasks, fitting))
+        """How many of so many tasks fit the team's quota."""
+        return self.quota.fitting_tasks(job, tasks)
 
-    def reserve_for_peer(self, team: str, room: Resources, until: timedelta) -> None:
-        """As the team's tasks end here, start nothing in so much of its share: another shard is to have it."""
-        if room.cpus > EPSILON or room.accelerators > EPSILON:
-            self.reserved_for_peers[team] = (room, until)
-        else:
-            self.reserved_for_peers.pop(team, None)
+    def reserve_for_peer(self, team: str, resources: Resources, until: timedelta) -> None:
+        """Keep so much of a team's quota for another shard, as its tasks end here."""
+        self.quota.reserve_for_peer(team, resources, until)
 
     def expire_reservations(self, now: timedelta) -> None:
-        """Let go of share that was kept for other shards and not called for."""
-        for team in [team for team, (_, until) in self.reserved_for_peers.items() if until < now]:
-            del self.reserved_for_peers[team]
+        """Let go of quota that was kept for other shards and not called for."""
+        self.quota.expire_reservations(now)
 
     def short_of_quota(self, job: Job) -> bool:
         """Whether a job waits for want of quota: a gang for the whole of it, an array for that of one task."""
@@ -241,10 +210,7 @@
         machine.held.setdefault(job.level, Resources()).add(job.need)
         machine.idle_since = None
         job.place(placement)
-        used = self.usage[job.spec.team]
-        used.cpus += job.need.cpus
-        used.accelerators += job.need.accelerators
-        used.tasks += 1
+        self.quota.add(job)
         return placement
 
     def forget(self, placement: Placement) -> None:
@@ -257,13 +223,7 @@
         machine.leaving -= placement.stopping
         machine.forget_image(job.spec.image)
         job.unplace(placement.index)
-        used = self.usage[job.spec.team]
-        used.tasks -= 1
-        if used.tasks:
-            used.cpus -= job.need.cpus
-            used.accelerators -= job.need.accelerators
-        else:
-            used.cpus = used.accelerators = 0.0  # no rounding errors left behind
+        self.quota.remove(job)
         if not machine.placements:
             machine.free = capacity_of(machine.kind)
             machine.held.clear()
@@ -297,45 +257,18 @@
     # -- messages from machines
 
     def on_heartbeat(self, machine: Machine, heartbeat: Heartbeat, periodic: bool, now: timedelta) -> Events | None:
-        """See ReportReader."""
+        """Take in a machine's task list; None if nothing newer was learned from it. `periodic`: it is a heartbeat."""
         return self._reconciler.on_heartbeat(machine, heartbeat, periodic, now)
 
     def clear_failures(self, job: Job, now: timedelta) -> None:
-        """See FailureJudge."""
+        """Let a job go back to machines on which it failed long ago."""
         self._failures.clear_failures(job, now)
 
-    # -- answers
+    # -- commands
 
     def commands(self, machine: Machine, now: timedelta, starts: bool) -> list[Command]:
         """What a machine is to do. Starts go out once and only in the answer to a heartbeat (`starts`)."""
-        commands: list[Command] = []
-        for ref, index, attempt in machine.orphans:
-            commands.append(Command("halt", f"{ref}/{index}", attempt, 0.0))
-        for ref, index, attempt in machine.exited:
-            # Not by a direct command: carried out late, it would clear the end of a task that was started again.
-            if starts and self._clearable(ref, index):
-                commands.append(Command("clear", f"{ref}/{index}", attempt))
-        for placement in machine.placements.values():
-            if placement.grace is not None:
-                if placement.stopped_at is None:
-                    placement.stopped_at = now
-                commands.append(
-                    Command(
-                        "halt",
-                        f"{placement.job.ref}/{placement.index}",
-                        placement.attempt,
-                        placement.grace.total_seconds(),
-                    )
-                )
-            elif starts and placement.phase is Phase.RESERVED:
-                placement.phase = Phase.SENT
-                machine.listed = None  # the next list matters even if it is the same
-                placement.sent = (machine.incarnation, machine.sequence)
-                if not placement.rejoined:
-                    placement.since = now
-                machine.touch_image(placement.job.spec.image, placement.job.spec.image_gb)
-                commands.append(Command("start", f"{placement.job.ref}/{placement.index}", placement.attempt))
-        return commands
+        return build_commands(machine, now, starts, self._clearable)
 
     def _clearable(self, ref: str, index: int) -> bool:
         """A done task is cleared only once that is durable: until then the machine is the only witness."""
@@ -347,34 +280,13 @@
     # -- time
 
     def expire(self, now: timedelta, last_confirmed: timedelta, lease: timedelta, grace: timedelta) -> list[Machine]:
-        """Machines whose lease is certainly over: their tasks are dead and wait again.
-
-        `last_confirmed` is when we last knew the leadership to be ours, not the time now. Our own silence towards a
-        machine ends its lease only as long as nobody else may answer it, and from `last_confirmed` on a new leader may.
-        A leader that was cut off, but still within G, once took the machines that a new leader had taken over for dead,
-        and started their tasks again beside it.
-        """
-        lost = []
-        for machine in self.machines.values():
-            if machine.fenced and machine.answered is not None:
-                over = machine.answered + lease
-            else:  # a former leader may have answered it until its own grace ran out
-                over = max(self.led_since + grace, machine.answered or ZERO, machine.joined) + lease
-            if last_confirmed > over and (machine.placements or not machine.fenced or machine.alive):
-                self.lose_tasks(machine, now)
-                machine.orphans.clear()
-                machine.undecided.clear()
-                machine.alive = False
-                machine.dead_incarnation = machine.incarnation
-                machine.fenced = True
-                machine.idle_since = None
-                lost.append(machine)
-        return lost
+        """Machines whose lease is certainly over by now: their tasks are dead and wait again. See `expire_leases`."""
+        return expire_leases(self, now, last_confirmed, lease, grace)
 
     def reconcile(self) -> bool:
         """Whether every member is accounted for, so that tasks may be placed."""
         if not self.reconciled:
-            # A stray's team is unknown, so what it uses can't be counted: wait until it is gone.
+            # An orphan's team is unknown, so what it uses can't be counted: wait until it is gone.
             self.reconciled = not self.unreconciled()
             if self.reconciled:
                 log.info(
--- a/badgerroute/scheduling/shard_state.py
+++ b/badgerroute/scheduling/shard_state.py
@@ -1,19 +1,13 @@
-"""What of a shard's state the modules may use that `shard` itself is built of."""
+"""What of a shard's state those modules may use that `shard` is built from."""
 
 from collections.abc import Callable
 from datetime import timedelta
 from typing import Protocol
 
+from badgerroute.scheduling.duration_estimates import DurationEstimates
 from badgerroute.scheduling.model import Job, Machine, Phase, Placement
 
 
-class DurationEstimates(Protocol):
-    """Learns how much longer jobs of a class run than their users say."""
-
-    def learn(self, job_class: str, estimate: timedelta, actual: timedelta) -> None:
-        """Take in the run time of a finished task."""
-
-
 class ShardView(Protocol):
     """A shard's members and jobs, to be looked at."""
 
@@ -33,10 +27,7 @@
     fence: int
     reconciled: bool
     undecided: Callable[[str], bool]
-
-    @property
-    def estimates(self) -> DurationEstimates:
-        """What run times were learned."""
+    estimates: DurationEstimates
 
     @property
     def image_fetched(self) -> Callable[[Placement, timedelta], None]:
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -414,7 +414,7 @@
 
 
 def at_its_limit(one: Shard) -> None:
-    one.allocations = lambda team: (0.0, 0.0) if team == "red" else (100.0, 0.0)
+    one.quota.allocation_of = lambda team: (0.0, 0.0) if team == "red" else (100.0, 0.0)
 
 
 def dear_image(one: Shard) -> None:
