--- /dev/null
+++ b/tests/test_documents.py
@@ -0,0 +1,293 @@
+"""The documents name only what exists: modules, classes, key prefixes, log events and tests."""
+
+import ast
+import importlib
+import re
+from collections.abc import Collection, Iterator
+from functools import cache
+from pathlib import Path
+
+import pytest
+
+import badgerroute
+from badgerroute.storage.replica import PREFIX
+
+PACKAGE = Path(badgerroute.__file__).parent
+PROJECT = PACKAGE.parent
+DOCS = PROJECT / "docs"
+PAGES = sorted(path.name for path in DOCS.glob("*.md") if path.name != "questions.md")
+EVENT_PAGES = ("operations.md", "rebalancing-operations.md", "connectivity-operations.md")
+MODULE_PAGES = ("architecture.md", "operations.md")
+RENAMES = "## Old event, new event"
+THIS_FILE = "tests/test_documents.py"  # its own examples prove nothing
+
+CODE = r"`([^`\n]+)`"
+# A module, and the classes or `Class.method`s that stand right after it: all of them are in it.
+MODULE = re.compile(r"`(badgerroute/[\w/]+\.py)`((?:(?:,| and)? `[A-Z]\w*(?:\.\w+)?`)*)")
+PACKAGE_PATH = re.compile(r"`((?:badgerroute|tools)(?:/\w+)*/)`")
+MEMBER = re.compile(r"[A-Z]\w*\.\w+")
+CLASS = re.compile(r"[A-Z]\w*[a-z]\w*")
+IDENTIFIER = re.compile(r"_?[a-z]+(?:_[a-z0-9]+)+")
+
+
+def expect_none(found: Collection[str], complaint: str = "does not exist") -> None:
+    """Fails with the whole list: a page may name many that a change has moved."""
+    assert not found, "\n".join([f"{complaint}:", *sorted(found)])
+
+
+def text_of(page: str) -> str:
+    """A page on lines of its own paragraphs, so that what is wrapped is found too; indented examples left out."""
+    lines = (line for line in (DOCS / page).read_text().splitlines() if not line.startswith("    "))
+    return re.sub(r"(?<=[^|\n])\n(?=[^|\n#])", " ", "\n".join(lines))
+
+
+# -- what the sources have
+
+
+@cache
+def sources(folder: str) -> dict[str, ast.Module]:
+    paths = sorted((PROJECT / folder).rglob("*.py"))
+    return {path.relative_to(PROJECT).as_posix(): ast.parse(path.read_text()) for path in paths}
+
+
+def all_sources() -> dict[str, ast.Module]:
+    return sources("badgerroute") | sources("tools") | sources("tests")
+
+
+def classes_in(module: ast.Module) -> dict[str, set[str]]:
+    """The classes of a module, each with its methods and attributes."""
+    return {node.name: members_of(node) for node in ast.walk(module) if isinstance(node, ast.ClassDef)}
+
+
+def members_of(node: ast.ClassDef) -> set[str]:
+    names: set[str] = set()
+    for inner in ast.walk(node):
+        match inner:
+            case ast.FunctionDef(name=name) | ast.AsyncFunctionDef(name=name):
+                names.add(name)
+            case ast.AnnAssign(target=ast.Name(id=name)) | ast.AnnAssign(target=ast.Attribute(attr=name)):
+                names.add(name)
+            case ast.Assign(targets=targets):
+                flat = [leaf for target in targets for leaf in ast.walk(target)]
+                names |= {leaf.id for leaf in flat if isinstance(leaf, ast.Name)}
+                names |= {leaf.attr for leaf in flat if isinstance(leaf, ast.Attribute)}
+    return names
+
+
+@cache
+def classes() -> dict[str, set[str]]:
+    """All classes by name; those of one name together."""
+    found: dict[str, set[str]] = {}
+    for module in all_sources().values():
+        for name, members in classes_in(module).items():
+            found.setdefault(name, set()).update(members)
+    return found
+
+
+@cache
+def identifiers() -> set[str]:
+    """Whatever is a name in the sources, and whole strings: days and faults are named by strings too."""
+    found: set[str] = set()
+    for path, module in all_sources().items():
+        for node in ast.walk(module) if path != THIS_FILE else ():
+            match node:
+                case ast.Name(id=name) | ast.Attribute(attr=name) | ast.arg(arg=name) | ast.keyword(arg=str(name)):
+                    found.add(name)
+                case ast.FunctionDef(name=name) | ast.AsyncFunctionDef(name=name) | ast.ClassDef(name=name):
+                    found.add(name)
+                case ast.Constant(value=str(name)):
+                    found.add(name)
+    return found
+
+
+@cache
+def names_of_tests() -> set[str]:
+    """Functions and files of tests."""
+    names = {Path(path).stem for path in sources("tests")}
+    for module in sources("tests").values():
+        names |= {node.name for node in ast.walk(module) if isinstance(node, ast.FunctionDef)}
+    return names
+
+
+def source_texts() -> Iterator[str]:
+    return (path.read_text() for path in sorted(PACKAGE.rglob("*.py")))
+
+
+@cache
+def events() -> set[str]:
+    return {name for text in source_texts() for name in re.findall(r"\bevent=([a-z_]+)", text)}
+
+
+def key_prefixes() -> set[str]:
+    """All constants of the storage package that are keys or prefixes of keys."""
+    found: set[str] = set()
+    for path in sorted((PACKAGE / "storage").glob("[!_]*.py")):
+        module = importlib.import_module(f"badgerroute.storage.{path.stem}")
+        found |= {value for value in vars(module).values() if isinstance(value, str) and value.startswith(PREFIX)}
+    return found
+
+
+# -- modules and classes
+
+
+def unknown_modules(text: str) -> list[str]:
+    """What a page says of modules that isn't so."""
+    missing: list[str] = []
+    for path, after in MODULE.findall(text):
+        module = sources("badgerroute").get(path)
+        if module is None:
+            missing.append(f"no module {path}")
+            continue
+        known = classes_in(module)
+        for name in re.findall(CODE, after):
+            owner, _, member = name.partition(".")
+            if owner not in known:
+                missing.append(f"no class {owner} in {path}")
+            elif member and member not in known[owner]:
+                missing.append(f"no {name} in {path}")
+    missing += [f"no package {path}" for path in PACKAGE_PATH.findall(text) if not (PROJECT / path).is_dir()]
+    return missing
+
+
+@pytest.mark.parametrize("page", PAGES)
+def test_modules_and_their_classes_exist(page: str) -> None:
+    expect_none(unknown_modules(text_of(page)))
+
+
+@pytest.mark.parametrize("page", MODULE_PAGES)
+def test_modules_are_written_in_full(page: str) -> None:
+    """Else the test above would not see them."""
+    short = [name for name in re.findall(CODE, text_of(page)) if name.endswith(".py") and " " not in name]
+    expect_none([name for name in short if not name.startswith(("badgerroute/", "tests/"))], "not written in full")
+    expect_none([name for name in short if not (PROJECT / name).is_file()])
+
+
+def test_every_package_is_on_the_architecture_page() -> None:
+    named = set(PACKAGE_PATH.findall(text_of("architecture.md")))
+    packages = {path.parent.relative_to(PROJECT).as_posix() + "/" for path in PACKAGE.rglob("__init__.py")}
+    expect_none(packages - named - {"badgerroute/", "badgerroute/coordination/"}, "not named")
+
+
+def unknown_names(text: str) -> list[str]:
+    """Classes, `Class.member`s and identifiers that a page names and the sources don't have."""
+    missing: list[str] = []
+    for name in re.findall(CODE, text):
+        if MEMBER.fullmatch(name):
+            owner, _, member = name.partition(".")
+            if member not in classes().get(owner, set()):
+                missing.append(name)
+        elif CLASS.fullmatch(name) or IDENTIFIER.fullmatch(name):
+            if name not in identifiers() | names_of_tests() | events():
+                missing.append(name)
+    return missing
+
+
+# Words of other programs, and of code that an incident's story is about, which has gone since.
+NOT_OURS = {
+    "incidents.md": {"ShardLeader._quota_to_yield"},
+    "performance.md": {"no_node"},
+}
+
+
+@pytest.mark.parametrize("page", [page for page in PAGES if page != "operations.md"])
+def test_names_in_code_type_exist(page: str) -> None:
+    expect_none([name for name in unknown_names(text_of(page)) if name not in NOT_OURS.get(page, set())])
+
+
+def test_names_in_code_type_exist_on_the_operators_page() -> None:
+    expect_none(unknown_names(text_of("operations.md").partition(RENAMES)[0]))
+
+
+@pytest.mark.parametrize("page", PAGES)
+def test_tests_that_are_named_exist(page: str) -> None:
+    named = re.findall(r"`(?:tests/)?(test_\w+)(?:\.py)?`", text_of(page))
+    expect_none([name for name in named if name not in names_of_tests()])
+
+
+def test_a_wrong_name_would_be_found() -> None:
+    assert unknown_modules("`badgerroute/nowhere.py` `Loop`") == ["no module badgerroute/nowhere.py"]
+    assert unknown_modules("`badgerroute/transport/loop.py` `Loop.now`, `Lop`") == [
+        "no class Lop in badgerroute/transport/loop.py"
+    ]
+    assert unknown_modules("`badgerroute/transport/loop.py` `Loop.then`") == [
+        "no Loop.then in badgerroute/transport/loop.py"
+    ]
+    assert unknown_names("`Loop.now`, `Loop.then`, `Loops`, `run_never`") == ["Loop.then", "Loops", "run_never"]
+
+
+# -- keys
+
+
+def test_keys_on_the_architecture_page_are_the_constants() -> None:
+    named = {name for name in re.findall(CODE, text_of("architecture.md")) if name.startswith(PREFIX)}
+    known = key_prefixes() - {PREFIX}
+    assert len(known) >= 12, "all constants are found"
+    expect_none([key for key in sorted(named - {PREFIX}) if not key.startswith(tuple(known))], "no such key")
+    expect_none([prefix for prefix in sorted(known) if not any(key.startswith(prefix) for key in named)], "not named")
+
+
+# -- log events
+
+
+def events_of_tables(text: str) -> list[str]:
+    """Events in the first column of the tables whose first column is headed `event`; keys of a line stand after it."""
+    named: list[str] = []
+    in_table = False
+    for line in text.splitlines():
+        cells = [cell.strip() for cell in line.split("|")]
+        if not line.startswith("|"):
+            in_table = False
+        elif cells[1] == "event":
+            in_table = True
+        elif in_table and not cells[1].startswith("---"):
+            named += re.findall(r"`([a-z_]+)`", cells[1])
+    return named
+
+
+def described_events() -> list[str]:
+    return [name for page in EVENT_PAGES for name in events_of_tables(text_of(page).partition(RENAMES)[0])]
+
+
+def test_every_event_is_described_for_operators() -> None:
+    expect_none(sorted(events() - set(described_events())), "not on an operators' page")
+    expect_none(sorted(set(described_events()) - events()), "no longer in the sources")
+
+
+def test_an_event_is_described_once() -> None:
+    described = described_events()
+    expect_none(sorted({name for name in described if described.count(name) > 1}), "described twice")
+
+
+def test_every_line_of_the_log_names_its_event_in_full() -> None:
+    """Else the tests above would not see it."""
+    expect_none([line for text in source_texts() for line in re.findall(r".*\bevent=(?![a-z]).*", text)], "no name")
+
+
+@pytest.mark.parametrize("page", PAGES)
+def test_events_that_are_named_exist(page: str) -> None:
+    named = re.findall(r"\bevent=([a-z_]+)", text_of(page).partition(RENAMES)[0])
+    expect_none([name for name in named if name not in events()])
+
+
+def test_new_events_of_the_renames_exist() -> None:
+    text = (DOCS / "operations.md").read_text().partition(RENAMES)[2]
+    rows = [row for row in re.findall(r"^\| ([a-z_]+) \| ([a-z_]+) \|$", text, re.MULTILINE) if row[0] != "old"]
+    assert len(rows) > 70
+    expect_none([new for _, new in rows if new not in events()])
+    expect_none([old for old, _ in rows if old in events()], "still in use")
+
+
+def test_operators_pages_link_each_other() -> None:
+    text = (DOCS / "operations.md").read_text()
+    expect_none([page for page in EVENT_PAGES[1:] if f"({page})" not in text], "not linked")
+
+
+def test_every_page_is_listed_in_the_readme() -> None:
+    readme = (PROJECT / "README.md").read_text()
+    expect_none([path.name for path in sorted(DOCS.glob("*.md")) if f"(docs/{path.name})" not in readme], "not listed")
+
+
+@pytest.mark.parametrize("page", [path.name for path in sorted(DOCS.glob("*.md"))])
+def test_links_between_pages_lead_somewhere(page: str) -> None:
+    links = re.findall(r"\]\(([\w./-]+\.md)(?:#[\w-]+)?\)", (DOCS / page).read_text())
+    expect_none([link for link in links if not (DOCS / link).is_file()])
