--- a/badgerroute/cli.py
+++ b/badgerroute/cli.py
@@ -41,15 +41,15 @@
 
 def describe(settings: settings_module.Settings) -> str:
     """What follows from the settings, for `--check`."""
-    params = settings.params
+    params, scheduling = settings.params, settings.operator.scheduling
     return "\n".join(
         [
             f"controller {settings.platform.host_name}: home shard {settings.home} of {params.size}",
             f"teams: {', '.join(team.name for team in params.teams) or 'none'}",
-            f"acts without proof of its claims for {settings.grace.total_seconds():.1f} s",
+            f"acts without confirmation of its leadership for {settings.grace.total_seconds():.1f} s",
             f"takes a silent machine for rid of its tasks after {settings.machine_lease.total_seconds():.1f} s",
-            f"ladder: tau {settings.operator.scheduling.tau}; feedback: delta {settings.operator.scheduling.delta}, "
-            f"rho {settings.operator.scheduling.rho}, period {settings.operator.scheduling.period_s} s",
+            f"delay scheduling: tau {scheduling.tau}; utilization feedback: delta {scheduling.delta}, "
+            f"rho {scheduling.rho}, period {scheduling.period_s} s",
         ]
     )
 
--- a/badgerroute/settings/__init__.py
+++ b/badgerroute/settings/__init__.py
@@ -4,8 +4,8 @@
 from badgerroute.settings.loading import SettingsError, load, load_operator, load_platform
 from badgerroute.settings.operator import (
     Connectivity,
+    ElectionSettings,
     FleetSettings,
-    LeaderElection,
     OperatorSettings,
     Rebalancing,
     Scheduling,
@@ -13,19 +13,19 @@
 from badgerroute.settings.platform import (
     CloudLimits,
     Endpoints,
+    HostLimits,
     LaterStoreLimits,
     Objective,
     Params,
-    Peer,
+    PeerAddress,
     PlatformSettings,
-    Resources,
     StoreLimits,
     Team,
     WorkerLimits,
 )
 
 __all__ = [
-    "LeaderElection",
+    "ElectionSettings",
     "CloudLimits",
     "Connectivity",
     "Endpoints",
@@ -36,11 +36,11 @@
     "Params",
     "PlatformSettings",
     "Rebalancing",
-    "Resources",
+    "HostLimits",
     "Scheduling",
     "Settings",
     "SettingsError",
-    "Peer",
+    "PeerAddress",
     "StoreLimits",
     "Team",
     "WorkerLimits",
--- a/badgerroute/settings/operator.py
+++ b/badgerroute/settings/operator.py
@@ -33,7 +33,7 @@
 
 
 class FleetSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """`return_idle`: null decides by the objectives (see `Settings.return_idle`)."""
+    """`return_idle`: null decides by the objectives (see `scheduling.scale_out_planning.scales_out_ahead`)."""
 
     return_idle: bool | None = None
     idle_s: Annotated[float, Meta(ge=0, le=86400)] = 40.0
@@ -45,7 +45,7 @@
         return timedelta(seconds=self.idle_s)
 
 
-class LeaderElection(Struct, frozen=True, forbid_unknown_fields=True):
+class ElectionSettings(Struct, frozen=True, forbid_unknown_fields=True):
     """Leases of shards."""
 
     ttl_s: Annotated[float, Meta(ge=1, le=60)] = 4.0
@@ -126,5 +126,5 @@
 
     scheduling: Scheduling = Scheduling()
     fleet: FleetSettings = FleetSettings()
-    election: LeaderElection = field(name="claims", default=LeaderElection())
+    election: ElectionSettings = field(name="claims", default=ElectionSettings())
     connectivity: Connectivity = Connectivity()
--- a/badgerroute/settings/platform.py
+++ b/badgerroute/settings/platform.py
@@ -12,7 +12,7 @@
 Amount = Annotated[float, Meta(ge=0)]
 
 
-class Peer(Struct, frozen=True):
+class PeerAddress(Struct, frozen=True):
     """Another controller."""
 
     host_name: Name
@@ -132,7 +132,7 @@
         return timedelta(seconds=self.list_lag_s)
 
 
-class Resources(Struct, frozen=True):
+class HostLimits(Struct, frozen=True):
     """What a controller may use of its host."""
 
     cpu: Positive
@@ -148,7 +148,7 @@
     workers: WorkerLimits
     state: StoreLimits
     cloud: CloudLimits
-    resources: Resources
+    resources: HostLimits
     teams: list[Team] = []
     objectives: list[Objective] = []
     time_bound_ms: Amount = 250.0
@@ -163,4 +163,4 @@
     mesh_addr: Address
     endpoints: Endpoints
     params: Params
-    peers: list[Peer] = field(name="siblings", default_factory=list)
+    peers: list[PeerAddress] = field(name="siblings", default_factory=list)
--- a/tests/standins/day.py
+++ b/tests/standins/day.py
@@ -11,13 +11,13 @@
 from badgerroute.settings import (
     CloudLimits,
     Endpoints,
+    HostLimits,
     LaterStoreLimits,
     Objective,
     OperatorSettings,
     Params,
-    Peer,
+    PeerAddress,
     PlatformSettings,
-    Resources,
     Settings,
     StoreLimits,
     Team,
@@ -81,11 +81,11 @@
         workers=WorkerLimits(report_s=1, lease_s=11, gang_wait_s=45, gang_peer_s=4, cancel_s=36),
         state=limits,
         cloud=CloudLimits(rps=6, list_lag_s=2),
-        resources=Resources(cpu=0.2, mem_mb=100, fd_limit=sockets),
+        resources=HostLimits(cpu=0.2, mem_mb=100, fd_limit=sockets),
         teams=teams,
         objectives=[Objective("guarantee", 0.9, within_s=2.0), *objectives],
     )
-    peers = [Peer(one, "a", f"{one}:8081") for one in HOSTS if one != host]
+    peers = [PeerAddress(one, "a", f"{one}:8081") for one in HOSTS if one != host]
     platform = PlatformSettings(
         host, "a", f"{host}:8080", f"{host}:8081", Endpoints("cloud:8443", state), params, peers
     )
--- a/tests/test_written_names.py
+++ b/tests/test_written_names.py
@@ -107,7 +107,7 @@
     ("storage.records.DonePage", records.DonePage, None, False, "bits"),
     ("storage.records.PredecessorsPage", records.PredecessorsPage, None, False, "refs"),
     ("storage.records.JobRecord", records.JobRecord, None, False, "job accepted ranges base bits pages planned"),
-    ("settings.platform.Sibling", platform.Peer, None, False, "host_name zone endpoint"),
+    ("settings.platform.Sibling", platform.PeerAddress, None, False, "host_name zone endpoint"),
     ("settings.platform.Endpoints", platform.Endpoints, None, False, "cloud state"),
     ("settings.platform.Team", platform.Team, None, False, "name cpus cpus_max gpus gpus_max"),
     ("settings.platform.Objective", platform.Objective, None, False, "kind share class within_s times"),
@@ -121,7 +121,7 @@
     ("settings.platform.NextLimits", platform.LaterStoreLimits, None, False, "rps write_rps value_kb txn_ops"),
     ("settings.platform.StateLimits", platform.StoreLimits, None, False, "rps write_rps value_kb txn_ops next"),
     ("settings.platform.CloudLimits", platform.CloudLimits, None, False, "rps list_lag_s"),
-    ("settings.platform.Resources", platform.Resources, None, False, "cpu mem_mb fd_limit"),
+    ("settings.platform.Resources", platform.HostLimits, None, False, "cpu mem_mb fd_limit"),
     (
         "settings.platform.Params",
         platform.Params,
@@ -138,7 +138,7 @@
     ),
     ("settings.operator.Scheduling", operator.Scheduling, None, False, "tau delta rho period_s wait_cap_s round_ms"),
     ("settings.operator.Fleet", operator.FleetSettings, None, False, "return_idle idle_s most_machines"),
-    ("settings.operator.Claims", operator.LeaderElection, None, False, "ttl_s"),
+    ("settings.operator.Claims", operator.ElectionSettings, None, False, "ttl_s"),
     (
         "settings.operator.Rebalancing",
         operator.Rebalancing,
