--- a/badgerroute/coordination/autoscaling/catalog.py
+++ b/badgerroute/coordination/autoscaling/catalog.py
@@ -8,7 +8,6 @@
 from badgerroute.coordination.leadership.leader_election import LeaderElection
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.storage import records
-from badgerroute.storage.budget import Urgency
 from badgerroute.storage.cloud_client import CloudClient, CloudUnavailableError, NoCapacityError
 from badgerroute.storage.key_value_client import (
     CompareFailedError,
@@ -18,6 +17,7 @@
     compare,
     put,
 )
+from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.storage.replica import CATALOG, Replica
 from badgerroute.transport.loop import Loop
 
--- a/badgerroute/coordination/jobs/dependency_resolver.py
+++ b/badgerroute/coordination/jobs/dependency_resolver.py
@@ -12,7 +12,6 @@
 from badgerroute.coordination.jobs.job_store import JobStore
 from badgerroute.protocol.key_value import Put, Remove
 from badgerroute.storage import records
-from badgerroute.storage.budget import Urgency
 from badgerroute.storage.key_value_client import (
     CompareFailedError,
     KeyValueClient,
@@ -23,6 +22,7 @@
     put,
     remove,
 )
+from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.storage.records import FinalStateRecord, JobRecord, JobState
 from badgerroute.storage.replica import FINAL_STATES, JOBS, Replica
 from badgerroute.transport.clock import ZERO
--- a/badgerroute/coordination/jobs/job_reader.py
+++ b/badgerroute/coordination/jobs/job_reader.py
@@ -9,8 +9,8 @@
 from badgerroute.protocol.key_value import KeyValueEntry
 from badgerroute.protocol.users import JobView
 from badgerroute.storage import records
-from badgerroute.storage.budget import Urgency
 from badgerroute.storage.key_value_client import KeyValueClient, StoreUnavailableError
+from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.storage.records import FinalStateRecord, JobRecord, JobState
 from badgerroute.storage.replica import FINAL_STATES, JOBS, Replica
 from badgerroute.transport.loop import Loop
--- a/badgerroute/coordination/jobs/job_writer.py
+++ b/badgerroute/coordination/jobs/job_writer.py
@@ -13,7 +13,6 @@
 from badgerroute.protocol.key_value import Compare, Put, Remove
 from badgerroute.protocol.users import Submission
 from badgerroute.storage import records
-from badgerroute.storage.budget import Urgency
 from badgerroute.storage.key_value_client import (
     CompareFailedError,
     KeyValueClient,
@@ -25,6 +24,7 @@
     put,
     remove,
 )
+from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.storage.records import FinalStateRecord, JobRecord, JobState, TaskRange
 from badgerroute.storage.replica import FINAL_STATES, JOBS, Replica
 from badgerroute.transport.loop import Loop
--- a/badgerroute/coordination/jobs/record_paging.py
+++ b/badgerroute/coordination/jobs/record_paging.py
@@ -9,7 +9,6 @@
 from badgerroute.coordination.jobs.job_store import JobStore, page_key
 from badgerroute.protocol.users import Submission
 from badgerroute.storage import records
-from badgerroute.storage.budget import Urgency
 from badgerroute.storage.key_value_client import (
     CompareFailedError,
     KeyValueClient,
@@ -19,6 +18,7 @@
     compare,
     put,
 )
+from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.storage.records import DonePage, JobRecord, PredecessorsPage
 from badgerroute.storage.replica import DONE, JOBS, PREDECESSORS, Replica
 
--- a/badgerroute/coordination/leadership/leader_election.py
+++ b/badgerroute/coordination/leadership/leader_election.py
@@ -12,7 +12,6 @@
 from badgerroute.protocol.key_value import Compare
 from badgerroute.settings import Settings
 from badgerroute.storage import records
-from badgerroute.storage.budget import Urgency
 from badgerroute.storage.key_value_client import (
     CompareFailedError,
     KeyValueClient,
@@ -22,6 +21,7 @@
     compare,
     put,
 )
+from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.storage.replica import AUTOSCALER_LEADER, SHARD_LEADERS, Replica
 from badgerroute.transport.clock import ZERO
 from badgerroute.transport.loop import Future, Loop
--- a/badgerroute/coordination/quotas/quota_allocator.py
+++ b/badgerroute/coordination/quotas/quota_allocator.py
@@ -15,7 +15,6 @@
 from badgerroute.scheduling.model import EPSILON, Resources
 from badgerroute.settings import Settings, Team
 from badgerroute.storage import records
-from badgerroute.storage.budget import Urgency
 from badgerroute.storage.key_value_client import (
     CompareFailedError,
     KeyValueClient,
@@ -25,6 +24,7 @@
     compare,
     put,
 )
+from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.storage.records import QuotaRecord
 from badgerroute.storage.replica import QUOTA_ALLOCATIONS, Replica
 from badgerroute.transport.loop import Loop
--- a/badgerroute/coordination/shards/machine_transfers.py
+++ b/badgerroute/coordination/shards/machine_transfers.py
@@ -11,7 +11,6 @@
 from badgerroute.scheduling.model import Machine, allows, need_of
 from badgerroute.scheduling.shard import Shard
 from badgerroute.storage import records
-from badgerroute.storage.budget import Urgency
 from badgerroute.storage.key_value_client import (
     CompareFailedError,
     LeaseExpiredError,
@@ -20,6 +19,7 @@
     compare,
     put,
 )
+from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.storage.records import MachineRecord
 from badgerroute.storage.replica import MACHINES
 from badgerroute.transport.loop import TaskGroup
--- a/badgerroute/coordination/shards/member_registry.py
+++ b/badgerroute/coordination/shards/member_registry.py
@@ -5,7 +5,6 @@
 
 from badgerroute.coordination.shards.leader_context import LeaderContext
 from badgerroute.storage import records
-from badgerroute.storage.budget import Urgency
 from badgerroute.storage.key_value_client import (
     CompareFailedError,
     LeaseExpiredError,
@@ -14,6 +13,7 @@
     compare,
     put,
 )
+from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.storage.records import MachineRecord
 from badgerroute.storage.replica import MACHINES
 from badgerroute.transport.loop import Future, TaskGroup
--- a/badgerroute/coordination/shards/migration.py
+++ b/badgerroute/coordination/shards/migration.py
@@ -21,7 +21,6 @@
 from badgerroute.scheduling.shard import Shard
 from badgerroute.scheduling.stealing import StealSelection, given_ranges
 from badgerroute.storage import records
-from badgerroute.storage.budget import Urgency
 from badgerroute.storage.key_value_client import (
     CompareFailedError,
     LeaseExpiredError,
@@ -30,6 +29,7 @@
     compare,
     put,
 )
+from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.storage.records import TaskRange
 from badgerroute.storage.replica import JOBS
 from badgerroute.transport.loop import TaskGroup
--- a/badgerroute/coordination/shards/tombstone_writer.py
+++ b/badgerroute/coordination/shards/tombstone_writer.py
@@ -7,7 +7,6 @@
 from badgerroute.protocol.key_value import Put, Remove
 from badgerroute.scheduling.shard import Shard
 from badgerroute.storage import records
-from badgerroute.storage.budget import Urgency
 from badgerroute.storage.key_value_client import (
     CompareFailedError,
     LeaseExpiredError,
@@ -17,6 +16,7 @@
     put,
     remove,
 )
+from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.storage.records import TombstoneRecord
 from badgerroute.storage.replica import MACHINES, TOMBSTONES
 
--- a/badgerroute/rebalancing/drain_requests.py
+++ b/badgerroute/rebalancing/drain_requests.py
@@ -5,7 +5,6 @@
 from enum import StrEnum
 
 from badgerroute.storage import records
-from badgerroute.storage.budget import Urgency
 from badgerroute.storage.key_value_client import (
     CompareFailedError,
     KeyValueClient,
@@ -15,6 +14,7 @@
     put,
     remove,
 )
+from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.storage.records import DrainRecord, TombstoneRecord
 from badgerroute.storage.replica import DRAINS, MACHINES, TOMBSTONES
 from badgerroute.transport.loop import Loop
--- a/badgerroute/rebalancing/drains.py
+++ b/badgerroute/rebalancing/drains.py
@@ -6,7 +6,6 @@
 
 from badgerroute.scheduling.model import Machine
 from badgerroute.storage import records
-from badgerroute.storage.budget import Urgency
 from badgerroute.storage.key_value_client import (
     CompareFailedError,
     KeyValueClient,
@@ -15,6 +14,7 @@
     compare,
     remove,
 )
+from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.storage.records import DrainRecord
 from badgerroute.storage.replica import DRAINS, MACHINES, Replica
 from badgerroute.transport.loop import Loop
--- a/badgerroute/storage/cloud_client.py
+++ b/badgerroute/storage/cloud_client.py
@@ -1,88 +1,82 @@
-"""Client of the cloud, within a budget of calls."""
+"""Client of the cloud, which rents machines and deletes them."""
 
-import logging
 from datetime import timedelta
-from typing import Any
-
-import msgspec
 
 from badgerroute.protocol import cloud as wire
-from badgerroute.protocol.common import MalformedError, decode, encode
+from badgerroute.protocol.common import encode
 from badgerroute.settings import CloudLimits
-from badgerroute.storage.budget import Budget, BudgetExhaustedError, Urgency
-from badgerroute.transport.http import Client, NoAnswerError, Response
+from badgerroute.storage.errors import CloudUnavailableError, NoCapacityError
+from badgerroute.storage.rate_limiter import RateLimiter, Urgency
+from badgerroute.storage.service_caller import ErrorTypes, ServiceCaller, ServiceRequest
+from badgerroute.transport.http import Client, Response
 from badgerroute.transport.loop import Loop
 from badgerroute.transport.net import Network
 
-log = logging.getLogger(__name__)
-LIMIT = timedelta(seconds=6)
+__all__ = ["CloudClient", "CloudUnavailableError", "NoCapacityError"]
+
+ANSWER_LIMIT = timedelta(seconds=6)
 MAX_MACHINES_PER_RENTAL = 50
 MAX_MACHINES_PER_DELETION = 100
-PAGE = 500
-
-
-class CloudUnavailableError(Exception):
-    """No usable answer; the request may have been carried out, or may yet be."""
-
-
-class NoCapacityError(Exception):
-    """None to be had of this type, in this zone, of this kind."""
+MACHINES_PER_PAGE = 500
+SAFETY_FACTOR = 0.9  # of the published rate: clocks differ, and an answer of 429 helps nobody
+# All requests may be repeated (a rental by its name), so it makes no difference whether one was done.
+ERRORS = ErrorTypes(not_done=CloudUnavailableError, unknown=CloudUnavailableError)
 
 
 class CloudClient:
-    """Client of the cloud, within its share of the rate."""
+    """Client of the cloud, within the share of its rate limit that one of `size` controllers has.
+
+    All requests raise CloudUnavailableError if there is no usable answer.
+    """
 
     def __init__(self, loop: Loop, network: Network, address: str, limits: CloudLimits, size: int) -> None:
         self._client = Client(loop, network, address)
-        self._calls_per_second = limits.rps * 0.9 / size
-        self._budget = Budget(loop, self._calls_per_second, max(1.0, limits.rps / size))
+        self._calls_per_second = limits.rps * SAFETY_FACTOR / size
+        limiter = RateLimiter(loop, rate=self._calls_per_second, burst=limits.rps / size)
+        self._caller = ServiceCaller(loop, limiter, "cloud")
 
-    async def _call(self, method: str, target: str, body: bytes, urgency: Urgency) -> Response:
-        try:
-            await self._budget.take(1, urgency, LIMIT)
-            response = await self._client.request(method, target, body, LIMIT)
-        except (BudgetExhaustedError, NoAnswerError) as error:
-            raise CloudUnavailableError(str(error)) from None
+    async def _call(self, method: str, target: str, urgency: Urgency, body: bytes = b"") -> Response:
+        request = ServiceRequest(method, target, urgency, ANSWER_LIMIT, body)
+        response = await self._caller.send(self._client, request, ERRORS)
         if response.status == 503 and b"no capacity" in response.body:
             raise NoCapacityError
         if response.status != 200:
             raise CloudUnavailableError(f"status {response.status}")
         return response
 
-    @staticmethod
-    def _decoded(response: Response, decoder: msgspec.json.Decoder) -> Any:
-        try:
-            return decode(response.body, decoder)
-        except MalformedError as error:
-            raise CloudUnavailableError(f"nonsense from the cloud: {error}") from None
-
     async def catalog(self) -> list[wire.MachineType]:
-        """The machine types there are."""
-        return self._decoded(await self._call("GET", "/catalog", b"", Urgency.READ), wire.catalog_decoder).types
+        """The machine types that can be rented."""
+        response = await self._call("GET", "/catalog", Urgency.READ)
+        return self._caller.decode(response, wire.catalog_decoder, ERRORS).types
 
     async def rent(self, request: str, kind: str, zone: str, spot: bool, count: int) -> list[str]:
-        """Rent up to `count` machines; their names. A request's name is never used for another."""
+        """Rent up to `count` machines of the type `kind`; their names. NoCapacityError if there are none to be had.
+
+        `request` names the rental: sent again under the same name it rents nothing more, so a name is never used for
+        another rental.
+        """
         body = encode(wire.RentalRequest(request, kind, zone, spot, min(count, MAX_MACHINES_PER_RENTAL)))
-        response = await self._call("POST", "/rentals", body, Urgency.COMPLETE)
-        return self._decoded(response, wire.rented_decoder).machines
+        response = await self._call("POST", "/rentals", Urgency.COMPLETE, body)
+        return self._caller.decode(response, wire.rented_decoder, ERRORS).machines
 
     async def delete(self, names: list[str]) -> None:
-        """When this returns, the machines and everything on them are gone."""
+        """Delete the first MAX_MACHINES_PER_DELETION of these; when this returns they and all on them are gone."""
         body = encode(wire.Deletion(names[:MAX_MACHINES_PER_DELETION]))
-        await self._call("POST", "/rentals/delete", body, Urgency.LEADERSHIP)
+        await self._call("POST", "/rentals/delete", Urgency.LEADERSHIP, body)
 
     def listing_time(self, machines: int) -> timedelta:
         """How long it takes to list so many machines at the rate that this controller may use."""
-        pages = -(-machines // PAGE)
+        pages = -(-machines // MACHINES_PER_PAGE)
         return timedelta(seconds=pages / self._calls_per_second)
 
     async def machines(self) -> list[wire.ListedMachine]:
-        """All machines, as the cloud's list, which lags, has them."""
+        """All machines, as the cloud's list has them, which lags behind what was rented and deleted."""
         machines: list[wire.ListedMachine] = []
         since = ""
         while True:
-            target = f"/rentals?limit={PAGE}" + (f"&since={since}" if since else "")
-            page = self._decoded(await self._call("GET", target, b"", Urgency.READ), wire.list_decoder)
+            target = f"/rentals?limit={MACHINES_PER_PAGE}" + (f"&since={since}" if since else "")
+            response = await self._call("GET", target, Urgency.READ)
+            page = self._caller.decode(response, wire.list_decoder, ERRORS)
             machines.extend(page.machines)
             if not page.more or not page.machines:
                 return machines
--- a/tests/test_pipeline_edges.py
+++ b/tests/test_pipeline_edges.py
@@ -11,8 +11,8 @@
 from badgerroute.scheduling.dependencies import Dependencies, FinalState
 from badgerroute.settings import LaterStoreLimits, StoreLimits
 from badgerroute.storage import records
-from badgerroute.storage.budget import Urgency
 from badgerroute.storage.key_value_client import RequestRefusedError, StoreUnavailableError, put
+from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.storage.records import JobState, TaskRange
 from badgerroute.storage.size_limits import SizeLimits, TransactionSize
 from tests.standins.day import HOSTS, SECOND, Day, job
@@ -49,7 +49,7 @@
 ) -> None:
     limits = SizeLimits(16, 10000, *announced)
     for size in refusals:
-        limits.refused(TransactionSize(*size), 0 * SECOND)
+        limits.lower_after_refusal(TransactionSize(*size), 0 * SECOND)
     for step in range(int(later) + 1):
         limits.recover(step * SECOND)
     assert (limits.changes.current, limits.value_bytes.current) == (changes, value_bytes)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,8 +14,8 @@
 from badgerroute.protocol import mesh
 from badgerroute.settings import LaterStoreLimits, StoreLimits
 from badgerroute.storage import records
-from badgerroute.storage.budget import Urgency
 from badgerroute.storage.key_value_client import RequestRefusedError, put
+from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.transport.loop import Loop
 from tests import test_meetings as meetings
 from tests.standins import production
@@ -285,10 +285,10 @@
     day = Day(seed=63, later=LaterStoreLimits(write_rps=write_rps))
     day.run(3)
     state = day.controllers[HOSTS[0]][0].store
-    full = state._writes._rate
+    full = state.rates.changes.rate
     for _ in range(refused):
-        state._over_limit()
-    assert (state._writes._rate < full) is lowered
+        state.rates.count_refusal()
+    assert (state.rates.changes.rate < full) is lowered
 
 
 def test_what_is_refused_for_its_size_is_never_sent_again() -> None:
