--- a/badgerroute/coordination/jobs/job_store.py
+++ b/badgerroute/coordination/jobs/job_store.py
@@ -10,6 +10,7 @@
 from badgerroute.scheduling.dependencies import Dependencies, FinalState
 from badgerroute.scheduling.inheritance import Inherited
 from badgerroute.storage import records
+from badgerroute.storage.bitset import PAGE_TASKS, unpack
 from badgerroute.storage.records import DonePage, FinalStateRecord, JobRecord, JobState, PredecessorsPage
 from badgerroute.storage.replica import DONE, FINAL_STATES, JOBS, PREDECESSORS, Replica
 
@@ -94,7 +95,7 @@
         ref = self._page_changed(key, DONE, value)
         if value is not None:
             number = int(key.rpartition("/")[2])
-            bits = records.unpack(records.read(value, DonePage).bits) << (number * records.PAGE_TASKS)
+            bits = unpack(records.read(value, DonePage).bits) << (number * PAGE_TASKS)
             self._paged[ref] = self._paged.get(ref, 0) | bits
 
     def _page_changed(self, key: str, prefix: str, value: bytes | None) -> str:
--- a/badgerroute/coordination/jobs/job_writer.py
+++ b/badgerroute/coordination/jobs/job_writer.py
@@ -25,8 +25,9 @@
     remove,
 )
 from badgerroute.storage.rate_limiter import Urgency
-from badgerroute.storage.records import FinalStateRecord, JobRecord, JobState, TaskRange
+from badgerroute.storage.records import FinalStateRecord, JobRecord, JobState
 from badgerroute.storage.replica import FINAL_STATES, JOBS, Replica
+from badgerroute.storage.task_ranges import TaskRange
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
--- a/badgerroute/coordination/jobs/record_paging.py
+++ b/badgerroute/coordination/jobs/record_paging.py
@@ -9,6 +9,7 @@
 from badgerroute.coordination.jobs.job_store import JobStore, page_key
 from badgerroute.protocol.users import Submission
 from badgerroute.storage import records
+from badgerroute.storage.bitset import PAGE_TASKS, pack, page_of, trailing_ones
 from badgerroute.storage.key_value_client import (
     CompareFailedError,
     KeyValueClient,
@@ -111,15 +112,15 @@
             return [KeyValue(JOBS + ref, records.write(whole))]
         fresh, paged = done & ~known, self._job_store.paged(ref)
         pages = []
-        for number in range(-(-record.job.tasks // records.PAGE_TASKS)):
-            bits = records.page_of(fresh, number)
+        for number in range(-(-record.job.tasks // PAGE_TASKS)):
+            bits = page_of(fresh, number)
             if bits:
-                pages.append(self._done_page(ref, number, records.page_of(paged, number) | bits))
+                pages.append(self._done_page(ref, number, page_of(paged, number) | bits))
         return pages
 
     @staticmethod
     def _done_page(ref: str, number: int, bits: int) -> KeyValue:
-        return KeyValue(page_key(DONE, ref, number), records.write(DonePage(records.pack(bits))))
+        return KeyValue(page_key(DONE, ref, number), records.write(DonePage(pack(bits))))
 
     async def page_out(self, ref: str) -> None:
         """Make a record that an older version left too large small enough to be written again.
@@ -145,12 +146,12 @@
     def _missing_pages(self, ref: str, record: JobRecord, done: int) -> list[KeyValue]:
         """Pages with done tasks that no page says yet."""
         known = self._job_store.paged(ref)
-        first = records.trailing_ones(done) // records.PAGE_TASKS
-        numbers = range(first, -(-record.job.tasks // records.PAGE_TASKS))
+        first = trailing_ones(done) // PAGE_TASKS
+        numbers = range(first, -(-record.job.tasks // PAGE_TASKS))
         return [
-            self._done_page(ref, number, records.page_of(done, number))
+            self._done_page(ref, number, page_of(done, number))
             for number in numbers
-            if records.page_of(done, number) != records.page_of(known, number)
+            if page_of(done, number) != page_of(known, number)
         ]
 
     async def _write(self, ref: str, revision: int, changes: list[KeyValue]) -> bool:
--- a/badgerroute/coordination/requests/job_splitting.py
+++ b/badgerroute/coordination/requests/job_splitting.py
@@ -7,7 +7,7 @@
 from badgerroute.protocol.mesh import ShardSummary
 from badgerroute.protocol.users import Submission
 from badgerroute.scheduling.model import Resources, need_of
-from badgerroute.storage.records import TaskRange
+from badgerroute.storage.task_ranges import TaskRange
 
 UNEVEN = 1.5  # how much more than another a shard may have waiting, for its size, to get a gang for its image's sake
 
--- a/badgerroute/coordination/shards/migration.py
+++ b/badgerroute/coordination/shards/migration.py
@@ -30,8 +30,8 @@
     put,
 )
 from badgerroute.storage.rate_limiter import Urgency
-from badgerroute.storage.records import TaskRange
 from badgerroute.storage.replica import JOBS
+from badgerroute.storage.task_ranges import TaskRange
 from badgerroute.transport.loop import TaskGroup
 
 log = logging.getLogger(__name__)
--- a/badgerroute/coordination/shards/shard_leader.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -77,7 +77,7 @@
         )
         self.grace = leadership.grace
         self.ready = False
-        self._window = records.window(context.store.max_value_bytes)
+        self._window = records.max_tasks_ahead(context.store.max_value_bytes)
         self.commands = MachineCommands(self.shard, context, self._answered_directly)
         self._fencing = Fencing(self.shard, context, self.group, self.commands)
         self._urgent_stops = UrgentStops(self.shard, self._loop, self.group, self.commands)
--- a/badgerroute/scheduling/array_placement.py
+++ b/badgerroute/scheduling/array_placement.py
@@ -12,7 +12,7 @@
 from badgerroute.scheduling.preemption import Preemption
 from badgerroute.scheduling.service_order import ServiceOrder
 from badgerroute.scheduling.shard import Shard
-from badgerroute.storage.records import lowest
+from badgerroute.storage.bitset import lowest
 
 log = logging.getLogger(__name__)
 BESIDE = timedelta(seconds=6)  # how long a small task passes by an empty machine for one in use
--- a/badgerroute/scheduling/gang_placement.py
+++ b/badgerroute/scheduling/gang_placement.py
@@ -11,7 +11,7 @@
 from badgerroute.scheduling.preemption import Preemption
 from badgerroute.scheduling.service_order import ServiceOrder
 from badgerroute.scheduling.shard import Shard
-from badgerroute.storage.records import lowest
+from badgerroute.storage.bitset import lowest
 
 log = logging.getLogger(__name__)
 MANY = 1000.0  # more images than a machine caches
--- a/badgerroute/scheduling/model.py
+++ b/badgerroute/scheduling/model.py
@@ -8,7 +8,7 @@
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.users import Submission
 from badgerroute.protocol.workers import TaskStatus
-from badgerroute.storage.records import lowest
+from badgerroute.storage.bitset import lowest
 
 EPSILON = 1e-6
 MAX_TIMES = 1_000_000  # more tasks than a job may have
--- a/badgerroute/scheduling/preemption.py
+++ b/badgerroute/scheduling/preemption.py
@@ -9,7 +9,7 @@
 from badgerroute.scheduling.objectives import Objectives
 from badgerroute.scheduling.service_order import ServiceOrder
 from badgerroute.scheduling.shard import Shard
-from badgerroute.storage.records import lowest
+from badgerroute.storage.bitset import lowest
 
 log = logging.getLogger(__name__)
 HELD = timedelta(seconds=6)  # how long room that was made for an array waits for its tasks
--- a/badgerroute/scheduling/stealing.py
+++ b/badgerroute/scheduling/stealing.py
@@ -7,7 +7,8 @@
 from badgerroute.scheduling.capacities import room_of
 from badgerroute.scheduling.model import Job, allows
 from badgerroute.scheduling.shard import Shard
-from badgerroute.storage.records import TaskRange, give, lowest, span, trailing_ones
+from badgerroute.storage.bitset import lowest, span, trailing_ones
+from badgerroute.storage.task_ranges import TaskRange, assign_tasks
 
 UNCACHED_WAIT = timedelta(seconds=1)  # a task whose image the idle shard lacks is left here for so long
 
@@ -88,5 +89,5 @@
         first = lowest(tasks)
         length = trailing_ones(tasks >> first)
         tasks &= ~span(first, first + length)
-        ranges = give(ranges, first, first + length, shard)
+        ranges = assign_tasks(ranges, first, first + length, shard)
     return ranges
--- a/badgerroute/storage/records.py
+++ b/badgerroute/storage/records.py
@@ -1,22 +1,29 @@
-"""What is kept in the key-value store, and how it is written down."""
+"""The values that are stored in the key-value store, and their form there (JSON).
+
+Several versions of the controllers read and write the same store: names and forms stay as they are, and what a version
+adds has a default. `keys` says under which key each record stands.
+"""
 
-import base64
 from enum import StrEnum
-from typing import Any, NamedTuple
+from typing import Any
 
 import msgspec
 from msgspec import UNSET, Struct, UnsetType, field
 
 from badgerroute.protocol.users import Submission
+from badgerroute.storage.bitset import pack, span, trailing_ones, unpack
+from badgerroute.storage.task_ranges import TaskRange
+
+BITS_PER_CHARACTER = 6  # of a bit set that is written down in base64
+MIN_TASKS_AHEAD = 64
 
 
 class ShardLeaderRecord(Struct):
-    """Until the time of day `until` (seconds since 1970), a leader before this one may still act."""
+    """Which controller leads a shard. The revision of the key is the leader's term."""
 
     leader: str = field(name="owner")
-    until: float = 0.0
-    # written for its leader by the one before, which had stopped
-    transferred: bool = field(name="handed", default=False)
+    until: float = 0.0  # a time of day, in seconds since 1970: until then a leader before this one may still act
+    transferred: bool = field(name="handed", default=False)  # written by the leader before, which had stopped
 
 
 class AutoscalerLeaderRecord(Struct):
@@ -26,7 +33,7 @@
 
 
 class MachineRecord(Struct):
-    """A member of a shard."""
+    """A machine that is a member of a shard."""
 
     shard: int = field(name="part")
     address: str
@@ -36,13 +43,13 @@
 
 
 class TombstoneRecord(Struct):
-    """Machines of a shard that were deleted lately."""
+    """The names of machines of a shard that were deleted lately."""
 
     names: list[str]
 
 
 class DrainRecord(Struct):
-    """A machine that operators want empty by the time of day `deadline` (seconds since 1970)."""
+    """A machine that operators want empty by `deadline`, a time of day in seconds since 1970."""
 
     deadline: float
     delete: bool = False  # at the cloud, once it is empty
@@ -63,7 +70,7 @@
 
 
 class FinalStateRecord(Struct):
-    """A final state, kept for ever, and the time of day at which it was reached (0: written by an older version)."""
+    """A job's final state, kept for ever, and when it was reached, in seconds since 1970 (0: by an older version)."""
 
     state: JobState
     tasks: int
@@ -71,7 +78,7 @@
 
 
 class DonePage(Struct):
-    """Done tasks that did not fit their job's record: the bits of PAGE_TASKS tasks."""
+    """Done tasks that did not fit their job's record: the bits of `bitset.PAGE_TASKS` tasks, packed."""
 
     bits: str
 
@@ -82,14 +89,6 @@
     refs: list[str]
 
 
-class TaskRange(NamedTuple):
-    """The tasks from `first` to before `end` belong to `shard`. Stored as a list of three numbers."""
-
-    shard: int
-    first: int
-    end: int
-
-
 class JobRecord(Struct):
     """An unfinished job. Tasks below `base` are done; `bits` holds the others, task `base` first.
 
@@ -98,11 +97,11 @@
     """
 
     job: Submission
-    accepted: float
+    accepted: float  # when it was submitted, in seconds since 1970
     ranges: list[TaskRange]
     base: int = 0
     bits: str = ""
-    pages: int = 0  # keys that hold its predecessors, if these did not fit here
+    pages: int = 0  # how many keys hold its predecessors, if these did not fit here
     planned: list[TaskRange] | UnsetType = UNSET
 
     @property
@@ -116,8 +115,8 @@
 
     def done(self) -> int:
         """The done tasks that are written down here, as a bit set."""
-        low = (1 << self.base) - 1
-        return low | (unpack(self.bits) << self.base) if self.bits else low
+        below_base = (1 << self.base) - 1
+        return below_base | (unpack(self.bits) << self.base) if self.bits else below_base
 
     def with_done(self, done: int) -> "JobRecord":
         """The record with these tasks done; a job that makes progress is released."""
@@ -126,78 +125,31 @@
         return msgspec.structs.replace(self, ranges=self.assigned, planned=UNSET, base=base, bits=bits)
 
     def without_bits(self, done: int) -> "JobRecord":
-        """Only how far all is done; the other bits are on pages."""
+        """The record that only says how far all tasks are done; the other bits are on pages."""
         return msgspec.structs.replace(self, base=trailing_ones(done), bits="")
 
     def owned(self, shard: int) -> int:
         """The tasks that a shard owns, as a bit set."""
         owned = 0
-        for holder, first, end in self.assigned:
-            if holder == shard:
+        for owner, first, end in self.assigned:
+            if owner == shard:
                 owned |= span(first, end)
         return owned
 
 
-PAGE_TASKS = 4096  # so a page is small, whatever the limits: the same for all versions
-
-
-def pack(bits: int) -> str:
-    """A bit set as text."""
-    return base64.b64encode(bits.to_bytes((bits.bit_length() + 7) // 8, "little")).decode()
-
-
-def unpack(text: str) -> int:
-    """A bit set from its text."""
-    return int.from_bytes(base64.b64decode(text), "little")
-
-
-def page_of(done: int, number: int) -> int:
-    """The bits of a page's tasks."""
-    return (done >> (number * PAGE_TASKS)) & ((1 << PAGE_TASKS) - 1)
+def max_tasks_ahead(max_value_bytes: int) -> int:
+    """How far beyond its first unfinished task a job may start others, so that its record fits its key.
 
-
-def trailing_ones(bits: int) -> int:
-    """How many of the lowest bits are set without a gap."""
-    return (~bits & (bits + 1)).bit_length() - 1
-
-
-def span(first: int, end: int) -> int:
-    """The bits from `first` to before `end`."""
-    return ((1 << (end - first)) - 1) << first
-
-
-def lowest(bits: int) -> int:
-    """The number of the lowest bit that is set."""
-    return (bits & -bits).bit_length() - 1
-
-
-def give(ranges: list[TaskRange], first: int, end: int, shard: int) -> list[TaskRange]:
-    """The ranges after the tasks from `first` to before `end` have gone to `shard`, neighbours joined."""
-    pieces = [TaskRange(shard, first, end)]
-    for known in ranges:
-        before = known._replace(end=min(known.end, first))
-        after = known._replace(first=max(known.first, end))
-        pieces += [piece for piece in (before, after) if piece.first < piece.end]
-    pieces.sort(key=lambda piece: piece.first)
-    joined: list[TaskRange] = []
-    for piece in pieces:
-        if joined and joined[-1].shard == piece.shard and joined[-1].end == piece.first:
-            joined[-1] = joined[-1]._replace(end=piece.end)
-        else:
-            joined.append(piece)
-    return joined
-
-
-def window(max_value_bytes: int) -> int:
-    """How far beyond its first unfinished task a job may start others, so that its record fits its key."""
-    return max(64, max_value_bytes // 2 * 6)
+    Half of the value is for the bits of done tasks, half for everything else.
+    """
+    return max(MIN_TASKS_AHEAD, max_value_bytes // 2 * BITS_PER_CHARACTER)
 
 
 _decoders: dict[type, msgspec.json.Decoder] = {}
 
 
 def read(value: bytes, kind: type) -> Any:
-    """A record from its stored value."""
+    """Decode a stored value as a record of the class `kind`; msgspec.DecodeError if it is none."""
     decoder = _decoders.get(kind)
     if decoder is None:
         decoder = _decoders[kind] = msgspec.json.Decoder(kind)
@@ -205,5 +157,5 @@
 
 
 def write(record: Struct) -> msgspec.Raw:
-    """A record's value to be stored."""
+    """Encode a record as the value to be stored; nothing is sent to the store."""
     return msgspec.Raw(msgspec.json.encode(record))
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -19,7 +19,9 @@
 from badgerroute.scheduling.planner import Planner
 from badgerroute.scheduling.shard import Shard
 from badgerroute.settings import Scheduling
-from badgerroute.storage.records import JobRecord, MachineRecord, TaskRange, give, lowest, span, trailing_ones
+from badgerroute.storage.bitset import lowest, span, trailing_ones
+from badgerroute.storage.records import JobRecord, MachineRecord
+from badgerroute.storage.task_ranges import TaskRange, assign_tasks
 
 S = timedelta(seconds=1)
 KIND = MachineType("k8", 8.0, 0.0, 32.0, 10.0, 0.5, 1.0, 0.3, 20.0, ["a", "b"])
@@ -671,7 +673,7 @@
     ],
 )
 def test_ranges(ranges: list, first: int, end: int, shard_number: int, expected: list) -> None:
-    assert give([TaskRange(*one) for one in ranges], first, end, shard_number) == expected
+    assert assign_tasks([TaskRange(*one) for one in ranges], first, end, shard_number) == expected
 
 
 def test_bits() -> None:
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -11,7 +11,7 @@
 from badgerroute.coordination.shards import forecast
 from badgerroute.coordination.shards.machine_commands import MachineCommands
 from badgerroute.settings import Objective
-from badgerroute.storage import records
+from badgerroute.storage.task_ranges import TaskRange, assign_tasks
 from badgerroute.transport.http import Response
 from tests.standins.day import HOSTS, SECOND, Day, job
 
@@ -614,7 +614,7 @@
             for one in list(leader.shard.jobs.values()):
                 record = controller.job_store.active[one.ref]
                 thief = (leader.number + 1) % 3
-                moved = msgspec.structs.replace(record, ranges=[records.TaskRange(thief, 0, one.spec.tasks)])
+                moved = msgspec.structs.replace(record, ranges=[TaskRange(thief, 0, one.spec.tasks)])
                 day.loop.run(day.loop.spawn(leader.migration._write_steal([(one.ref, moved)], thief), "give"))
                 assert controller.job_store.active[one.ref].ranges == record.ranges
                 tried += bool(one.placed)
@@ -636,7 +636,7 @@
             top = one.waiting_bits.bit_length()
             record = controller.job_store.active["run-many"]
             thief = (leader.number + 1) % 3
-            moved = msgspec.structs.replace(record, ranges=records.give(record.ranges, top - 3, top, thief))
+            moved = msgspec.structs.replace(record, ranges=assign_tasks(record.ranges, top - 3, top, thief))
             real = leader.migration._store.transact
 
             async def transact(*args: object, leader=leader, one=one, real=real, top=top) -> int:
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -418,7 +418,7 @@
     "transport": set(),
     "protocol": set(),
     "storage": {"transport", "protocol", "settings"},
-    "scheduling": {"protocol", "settings", "storage.records"},
+    "scheduling": {"protocol", "settings", "storage.records", "storage.bitset", "storage.task_ranges"},
     "connectivity": {"protocol", "settings", "scheduling"},
     "coordination/jobs": {"transport", "protocol", "settings", "storage", "scheduling"},
     "coordination/leadership": {"transport", "protocol", "settings", "storage", "connectivity"},
@@ -464,7 +464,7 @@
 
 @pytest.mark.parametrize("layer", LAYERS)
 def test_dependencies_point_down(layer: str) -> None:
-    """Each layer imports itself and those below only; the pure core of the others nothing but the records."""
+    """Each layer imports itself and those below only; the pure core of `storage` only what records are made of."""
     allowed = tuple(f"badgerroute.{name}" for name in {layer.replace("/", "."), *LAYERS[layer]})
     for path in sorted((PACKAGE / layer).glob("*.py")):
         assert [name for name in imports_of(path) if not name.startswith(allowed)] == [], path.name
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -23,6 +23,7 @@
 from badgerroute.scheduling.shard import Shard
 from badgerroute.settings import Scheduling
 from badgerroute.storage import records
+from badgerroute.storage.task_ranges import assign_tasks
 from badgerroute.transport.clock import VirtualClock
 from badgerroute.transport.loop import CancelledError, Loop, Semaphore
 from tests.standins.day import HOSTS, SECOND, Day, DayLoop, job
@@ -106,7 +107,7 @@
     def give() -> None:
         record = controller.job_store.active["run-a"]
         top = leader.shard.jobs["run-a"].waiting_bits.bit_length()
-        moved = msgspec.structs.replace(record, ranges=records.give(record.ranges, top - 3, top, 1))
+        moved = msgspec.structs.replace(record, ranges=assign_tasks(record.ranges, top - 3, top, 1))
         assert moved.ranges != record.ranges
         day.loop.run(day.loop.spawn(leader.migration._write_steal([("run-a", moved)], 1), "give"))
         assert controller.job_store.active["run-a"].ranges != moved.ranges
--- a/tests/test_pipeline_edges.py
+++ b/tests/test_pipeline_edges.py
@@ -13,8 +13,9 @@
 from badgerroute.storage import records
 from badgerroute.storage.key_value_client import RequestRefusedError, StoreUnavailableError, put
 from badgerroute.storage.rate_limiter import Urgency
-from badgerroute.storage.records import JobState, TaskRange
+from badgerroute.storage.records import JobState
 from badgerroute.storage.size_limits import SizeLimits, TransactionSize
+from badgerroute.storage.task_ranges import TaskRange
 from tests.standins.day import HOSTS, SECOND, Day, job
 
 CANCEL = 36
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -29,7 +29,8 @@
 from badgerroute.scheduling.shard import Shard
 from badgerroute.settings import CloudLimits, Connectivity, OperatorSettings, Rebalancing, Team
 from badgerroute.storage.cloud_client import CloudClient
-from badgerroute.storage.records import JobRecord, TaskRange
+from badgerroute.storage.records import JobRecord
+from badgerroute.storage.task_ranges import TaskRange
 from badgerroute.transport.frames import MAX_FRAME
 from badgerroute.transport.http import Request, Response
 from tests.standins.day import HOSTS, SECOND, Day, job
