--- a/badgerroute/coordination/jobs/job_reader.py
+++ b/badgerroute/coordination/jobs/job_reader.py
@@ -51,7 +51,7 @@
             return JobLookup(final)
         lookup = await self._read_through(ref, urgency)
         if lookup is not None and self._job_store.waits(ref):
-            await self._replica.current()
+            await self._replica.wait_until_current()
             return await self._decide_waiting(ref) or await self._read_through(ref, urgency)
         return lookup
 
@@ -59,7 +59,7 @@
         """The same from our copy, once that has caught up with the key-value store: for the many who only look."""
         final = self._job_store.final(ref)
         if final is None:
-            await self._replica.current()
+            await self._replica.wait_until_current()
             if self._job_store.waits(ref):
                 lookup = await self._decide_waiting(ref)
                 if lookup is not None:
@@ -82,7 +82,9 @@
         left = sorted({ref for ref in refs if not self._job_store.knows(ref)})
         if not left:
             return []
-        await self._replica.current()  # from here on all that were unfinished when we were asked are in our copy
+        await (
+            self._replica.wait_until_current()
+        )  # from here on all that were unfinished when we were asked are in our copy
         left = [ref for ref in left if not self._job_store.knows(ref)]
         missing: list[str] = []
         while left:
--- a/badgerroute/coordination/shards/shard_leader.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -105,7 +105,7 @@
 
     async def _take_over(self) -> None:
         """Rebuild the shard from the key-value store and its machines before anything is placed."""
-        await self._replica.caught_up(self.shard.term)  # no write of the former leader comes after this
+        await self._replica.wait_for_revision(self.shard.term)  # no write of the former leader comes after this
         while not self._catalog:
             await self._loop.sleep(timedelta(milliseconds=100))
         now = self._loop.now()
--- a/badgerroute/rebalancing/drain_command.py
+++ b/badgerroute/rebalancing/drain_command.py
@@ -9,7 +9,8 @@
 
 from badgerroute.rebalancing.drain_requests import DrainAnswer, DrainOutcome, DrainRequests
 from badgerroute.settings import SettingsError, load
-from badgerroute.storage.key_value_client import KeyValueClient, StoreUnavailableError
+from badgerroute.storage.errors import StoreUnavailableError
+from badgerroute.storage.key_value_client import KeyValueClient
 from badgerroute.transport.clock import SystemClock
 from badgerroute.transport.loop import Loop, SelectorPoller
 from badgerroute.transport.net import TcpNetwork
--- a/badgerroute/rebalancing/drain_requests.py
+++ b/badgerroute/rebalancing/drain_requests.py
@@ -5,18 +5,12 @@
 from enum import StrEnum
 
 from badgerroute.storage import records
-from badgerroute.storage.key_value_client import (
-    CompareFailedError,
-    KeyValueClient,
-    OutcomeUnknownError,
-    StoreUnavailableError,
-    compare,
-    put,
-    remove,
-)
+from badgerroute.storage.errors import CompareFailedError, OutcomeUnknownError, StoreUnavailableError
+from badgerroute.storage.key_value_client import KeyValueClient
+from badgerroute.storage.keys import DRAINS, MACHINES, TOMBSTONES
+from badgerroute.storage.operations import compare, put, remove
 from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.storage.records import DrainRecord, TombstoneRecord
-from badgerroute.storage.replica import DRAINS, MACHINES, TOMBSTONES
 from badgerroute.transport.loop import Loop
 
 MAX_TRIES = 5
--- a/badgerroute/rebalancing/drains.py
+++ b/badgerroute/rebalancing/drains.py
@@ -6,17 +6,13 @@
 
 from badgerroute.scheduling.model import Machine
 from badgerroute.storage import records
-from badgerroute.storage.key_value_client import (
-    CompareFailedError,
-    KeyValueClient,
-    OutcomeUnknownError,
-    StoreUnavailableError,
-    compare,
-    remove,
-)
+from badgerroute.storage.errors import CompareFailedError, OutcomeUnknownError, StoreUnavailableError
+from badgerroute.storage.key_value_client import KeyValueClient
+from badgerroute.storage.keys import DRAINS, MACHINES
+from badgerroute.storage.operations import compare, remove
 from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.storage.records import DrainRecord
-from badgerroute.storage.replica import DRAINS, MACHINES, Replica
+from badgerroute.storage.replica import Replica
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
--- a/badgerroute/rebalancing/service.py
+++ b/badgerroute/rebalancing/service.py
@@ -18,7 +18,7 @@
 from badgerroute.scheduling.draining import Evacuation, evacuate
 from badgerroute.scheduling.model import ZERO
 from badgerroute.settings import Rebalancing, Settings
-from badgerroute.storage.replica import DRAINS
+from badgerroute.storage.keys import DRAINS
 from badgerroute.transport.loop import Loop, TaskGroup
 
 log = logging.getLogger(__name__)
--- /dev/null
+++ b/badgerroute/storage/entries.py
@@ -0,0 +1,86 @@
+"""The keys and values that a replica holds, indexed by prefix, with the revisions that order their changes."""
+
+import logging
+from collections.abc import Callable
+from typing import NamedTuple
+
+from msgspec import Struct
+
+from badgerroute.storage.keys import parent_prefix
+
+log = logging.getLogger(__name__)
+
+Listener = Callable[[str, bytes | None, int], None]
+"""Called with a key, its value (None: it was removed) and the revision of the change."""
+
+
+class Entry(Struct, frozen=True, gc=False):
+    """A key's value and the revision at which it last changed. There are thousands of them: no GC, no __dict__."""
+
+    value: bytes
+    revision: int
+
+
+class _Subscription(NamedTuple):
+    prefix: str
+    listener: Listener
+
+
+class ReplicaEntries:
+    """Entries by key. A change is applied only if it is newer than what is here, so changes may come in any order.
+
+    Invariant: `_keys_under[parent_prefix(key)]` holds `key` if and only if `by_key` does.
+    """
+
+    def __init__(self) -> None:
+        self.by_key: dict[str, Entry] = {}
+        self._keys_under: dict[str, dict[str, None]] = {}  # an ordered set of keys for each prefix
+        self._removed: dict[str, int] = {}  # revisions of removals that `forget_removals` has not reached yet
+        self._subscriptions: list[_Subscription] = []
+
+    def listen(self, prefix: str, listener: Listener) -> None:
+        """Call a listener for every change of a key that begins with this prefix."""
+        self._subscriptions.append(_Subscription(prefix, listener))
+
+    def revision_of(self, key: str) -> int:
+        """Revision of a key; 0 if it does not exist."""
+        entry = self.by_key.get(key)
+        return entry.revision if entry else 0
+
+    def under(self, prefix: str) -> list[str]:
+        """The keys right under a prefix that ends in a slash."""
+        return list(self._keys_under.get(prefix, ()))
+
+    def apply(self, key: str, value: bytes | None, revision: int) -> bool:
+        """Take in a change (`value` None: a removal) unless it is an old one; whether it was taken in."""
+        if revision <= self.revision_of(key) or revision <= self._removed.get(key, 0):
+            return False
+        if value is None:
+            self.drop(key)
+            self._removed[key] = revision
+        else:
+            if key not in self.by_key:
+                self._keys_under.setdefault(parent_prefix(key), {})[key] = None
+            self.by_key[key] = Entry(value, revision)
+            self._removed.pop(key, None)
+        self.notify(key, value, revision)
+        return True
+
+    def drop(self, key: str) -> None:
+        """Hold a key no longer; listeners are not called."""
+        if self.by_key.pop(key, None) is not None:
+            self._keys_under[parent_prefix(key)].pop(key, None)
+
+    def notify(self, key: str, value: bytes | None, revision: int) -> None:
+        """Call the listeners for a change. An error in one of them is logged and keeps no other from its call."""
+        for subscription in self._subscriptions:
+            if key.startswith(subscription.prefix):
+                try:
+                    subscription.listener(key, value, revision)
+                except Exception as error:
+                    log.error("event=listener_failed key=%s error=%r", key, error, exc_info=error)
+
+    def forget_removals(self, revision: int) -> None:
+        """All changes up to this revision were seen, so no older copy of a removed key will be applied."""
+        if self._removed:
+            self._removed = {key: removed for key, removed in self._removed.items() if removed > revision}
--- a/badgerroute/storage/replica.py
+++ b/badgerroute/storage/replica.py
@@ -5,105 +5,93 @@
 """
 
 import logging
-from collections.abc import Callable
 from datetime import timedelta
 
-from badgerroute.storage.key_value_client import KeyValueClient, StoreUnavailableError, WatchExpiredError
+from badgerroute.protocol.key_value import Changes
+from badgerroute.storage.entries import Entry, Listener, ReplicaEntries
+from badgerroute.storage.errors import StoreUnavailableError, WatchExpiredError
+from badgerroute.storage.key_value_client import KeyValueClient
+from badgerroute.storage.keys import (
+    AUTOSCALER_LEADER,
+    CATALOG,
+    DONE,
+    FINAL_STATES,
+    JOBS,
+    MACHINES,
+    PREDECESSORS,
+    PREFIX,
+    QUOTA_ALLOCATIONS,
+    SHARD_LEADERS,
+    TOMBSTONES,
+)
+from badgerroute.storage.read_barrier import ReadBarrier
 from badgerroute.transport.clock import ZERO
 from badgerroute.transport.loop import Future, Loop
 
 log = logging.getLogger(__name__)
-PREFIX = "b/"
-(
+# In this order: a job's pages before its record, so that they are there when it is. Final states are kept for ever and
+# are too many to hold.
+LOADED_PREFIXES = (
+    DONE,
+    PREDECESSORS,
     SHARD_LEADERS,
     AUTOSCALER_LEADER,
     JOBS,
-    FINAL_STATES,
     MACHINES,
     QUOTA_ALLOCATIONS,
     CATALOG,
     TOMBSTONES,
-    DONE,
-    PREDECESSORS,
-    DRAINS,
-) = (
-    "b/parts/",
-    "b/fleet",
-    "b/jobs/",
-    "b/past/",
-    "b/machines/",
-    "b/shares/",
-    "b/catalog",
-    "b/gone/",
-    "b/done/",
-    "b/before/",
-    "b/drains/",
 )
-# What jobs need beside their records is listed first, so that it is there when they are. Finished jobs are for ever,
-# and too many to hold.
-LISTED = (DONE, PREDECESSORS, SHARD_LEADERS, AUTOSCALER_LEADER, JOBS, MACHINES, QUOTA_ALLOCATIONS, CATALOG, TOMBSTONES)
-NOWHERE = PREFIX + "nowhere"  # a key that never exists
-BLOCK = timedelta(seconds=1)
-PAUSE = timedelta(milliseconds=150)  # between two watches: each one counts as a request
-READ_PAUSE = timedelta(milliseconds=80)  # between two questions how far the service is
-READ_LIMIT = timedelta(milliseconds=1500)
-
-Listener = Callable[[str, bytes | None, int], None]
-
-
-def _prefix(key: str) -> str:
-    return key[: key.rfind("/") + 1]
+WATCH_BLOCK = timedelta(seconds=1)  # how long the store may hold a watch that has nothing to tell
+WATCH_INTERVAL = timedelta(milliseconds=150)  # between two watches at least: each one counts as a request
+MAX_RETRY_DELAY = timedelta(seconds=1)
 
 
 class Replica:
     """A copy in memory of all keys, with listeners for their changes."""
 
     def __init__(self, loop: Loop, store: KeyValueClient) -> None:
-        self._loop, self._store = loop, store
-        self.entries: dict[str, tuple[bytes, int]] = {}
-        self._under: dict[str, dict[str, None]] = {}
-        self._deleted: dict[str, int] = {}  # removals that the watch has not covered yet
+        self._loop = loop
+        self._store = store
+        self._entries = ReplicaEntries()
+        self._barrier = ReadBarrier(loop, store)
+        self._loaded_prefixes: tuple[str, ...] = LOADED_PREFIXES
         self.revision = 0
-        self.ready = Future()
+        self.ready = Future()  # set once all keys were loaded
         self.last_confirmed = -timedelta(days=1)  # when the last watch that was answered had been sent
-        self._listeners: list[tuple[str, Listener]] = []
-        self._advanced: list[tuple[int, Future]] = []
-        self._readers: list[Future] = []
-        self._wanted = Future()
-        self._listed: tuple[str, ...] = LISTED
+
+    @property
+    def entries(self) -> dict[str, Entry]:
+        """All entries by key; not to be changed."""
+        return self._entries.by_key
 
     def list_first(self, prefix: str) -> None:
-        """Have a prefix loaded that is of use only to what is switched on; before everything else, so it is known."""
-        self._listed = (prefix, *self._listed)
+        """Load the keys of this prefix too, before all others; for what only an optional feature needs."""
+        self._loaded_prefixes = (prefix, *self._loaded_prefixes)
 
     def listen(self, prefix: str, listener: Listener) -> None:
-        """Have a listener told of every change under a prefix."""
-        self._listeners.append((prefix, listener))
+        """Call a listener for every change of a key that begins with this prefix."""
+        self._entries.listen(prefix, listener)
 
     def revision_of(self, key: str) -> int:
         """Revision of a key; 0 if it does not exist."""
-        item = self.entries.get(key)
-        return item[1] if item else 0
+        return self._entries.revision_of(key)
 
     def value(self, key: str) -> bytes | None:
-        """The value of a key, if it exists."""
-        item = self.entries.get(key)
-        return item[0] if item else None
+        """The value of a key; None if it does not exist."""
+        entry = self._entries.by_key.get(key)
+        return entry.value if entry else None
 
     def stored(self, key: str) -> bytes:
-        """The value of a key that exists."""
-        return self.entries[key][0]
+        """The value of a key that exists; KeyError otherwise."""
+        return self._entries.by_key[key].value
 
     def under(self, prefix: str) -> list[str]:
-        """The keys right under a prefix that ends in a slash. Asked for several times a second."""
-        return list(self._under.get(prefix, ()))
-
-    def _drop(self, key: str) -> None:
-        if self.entries.pop(key, None) is not None:
-            self._under[_prefix(key)].pop(key, None)
+        """The keys right under a prefix that ends in a slash. Cheap: it is called several times a second."""
+        return self._entries.under(prefix)
 
     def learn(self, key: str, value: bytes | None, revision: int) -> None:
-        """Take in a change known from elsewhere than the watch.
+        """Take in a change known from elsewhere than the watch (`value` None: a removal).
 
         What the watch has covered already is refused: an old copy of a message that arrives minutes late
         must not bring a removed key back.
@@ -111,112 +99,32 @@
         if revision > self.revision:
             self._apply(key, value, revision)
 
-    def _apply(self, key: str, value: bytes | None, revision: int) -> None:
-        if revision <= self.revision_of(key) or revision <= self._deleted.get(key, 0):
-            return
-        if value is None:
-            self._drop(key)
-            self._deleted[key] = revision
-        else:
-            if key not in self.entries:
-                self._under.setdefault(_prefix(key), {})[key] = None
-            self.entries[key] = (value, revision)
-            self._deleted.pop(key, None)
-        self._notify(key, value, revision)
-        if key.startswith(FINAL_STATES):
-            self._drop(key)
-
-    def _notify(self, key: str, value: bytes | None, revision: int) -> None:
-        for prefix, listener in self._listeners:
-            if key.startswith(prefix):
-                try:
-                    listener(key, value, revision)
-                except Exception as error:
-                    log.error("event=listener_failed key=%s error=%r", key, error, exc_info=error)
-
-    def _covered(self, revision: int) -> None:
-        self.revision = max(self.revision, revision)
-        if self._deleted:
-            self._deleted = {
-                key: entry_revision for key, entry_revision in self._deleted.items() if entry_revision > self.revision
-            }
-        if self._advanced:
-            waiting, self._advanced = self._advanced, []
-            for wanted, future in waiting:
-                if wanted <= self.revision:
-                    future.set()
-                else:
-                    self._advanced.append((wanted, future))
-
-    async def caught_up(self, revision: int) -> None:
-        """Wait until the watch has covered a revision."""
-        if self.revision < revision:
-            future = Future()
-            self._advanced.append((revision, future))
-            await future
-
-    async def current(self) -> None:
-        """Wait until all that the service had applied when this was called is taken in: what is read then is no older
-        than what anybody was told before. One question serves all who ask meanwhile.
-
-        A read of its own for each poll once used up the budget when a thousand small jobs were asked about.
+    async def wait_for_revision(self, revision: int) -> None:
+        """Wait, however long, until the watch has covered a revision."""
+        await self._barrier.wait_for_revision(revision)
+
+    async def wait_until_current(self) -> None:
+        """Wait until all that the store had applied when this was called is taken in.
+
+        StoreUnavailableError if the store does not answer or the watch lags behind.
         """
-        reader = Future()
-        self._readers.append(reader)
-        self._wanted.set()
-        if not await self._loop.first(reader, READ_LIMIT):
-            raise StoreUnavailableError("the watch lags behind")
-        await reader
+        await self._barrier.wait_until_current()
 
     async def answer_readers(self) -> None:
-        """Ask the service how far it is, for all who wait for that."""
-        while True:
-            await self._wanted
-            self._wanted = Future()
-            readers, self._readers = self._readers, []
-            try:
-                revision = await self._store.revision(NOWHERE)
-            except StoreUnavailableError as error:
-                for reader in readers:
-                    reader.fail(error)
-            else:
-                self._advanced += [(revision, reader) for reader in readers]
-                self._covered(self.revision)
-            await self._loop.sleep(READ_PAUSE)
-
-    async def _load(self) -> None:
-        started = self._loop.now()
-        fresh: dict[str, tuple[bytes, int]] = {}
-        revision: int | None = None
-        for prefix in self._listed:
-            items, at = await self._store.list(prefix)
-            revision = at if revision is None else min(revision, at)
-            for item in items:
-                fresh[item.key] = (bytes(item.value), item.revision)
-        assert revision is not None
-        for key in [
-            key for key, (_, entry_revision) in self.entries.items() if key not in fresh and entry_revision <= revision
-        ]:
-            self._drop(key)  # it went while nobody watched
-            self._notify(key, None, revision)
-        for key, (value, entry_revision) in fresh.items():
-            self._apply(key, value, entry_revision)
-        self._covered(revision)
-        self.last_confirmed = started
-        self.ready.set()
-        log.info("event=replica_loaded revision=%d keys=%d", revision, len(self.entries))
+        """Serve `wait_until_current`, for ever."""
+        await self._barrier.answer_readers()
 
     async def run(self) -> None:
-        """Load, then follow for ever."""
+        """Load all keys, then follow their changes, for ever."""
         loaded = False
-        delay = PAUSE
+        delay = WATCH_INTERVAL
         while True:
             started = self._loop.now()
             try:
                 if not loaded:
                     await self._load()
                     loaded = True
-                changes = await self._store.follow(PREFIX, self.revision, BLOCK)
+                changes = await self._store.follow(PREFIX, self.revision, WATCH_BLOCK)
             except WatchExpiredError:
                 log.info("event=watch_expired")
                 loaded = False
@@ -224,16 +132,54 @@
             except StoreUnavailableError as error:
                 log.info("event=watch_failed error=%s", error)
                 await self._loop.sleep(delay)
-                delay = min(2 * delay, timedelta(seconds=1))
+                delay = min(2 * delay, MAX_RETRY_DELAY)
                 continue
-            delay = PAUSE
-            for change in sorted(changes.changes, key=lambda change: change.revision):
-                if isinstance(change.put, str):
-                    self._apply(change.put, bytes(change.value), change.revision)
-                elif isinstance(change.removed, str):
-                    self._apply(change.removed, None, change.revision)
-            self._covered(changes.revision)
+            delay = WATCH_INTERVAL
+            self._apply_changes(changes)
             self.last_confirmed = started
-            rest = PAUSE - (self._loop.now() - started)
+            rest = WATCH_INTERVAL - (self._loop.now() - started)
             if rest > ZERO:
                 await self._loop.sleep(rest)
+
+    def _apply_changes(self, changes: Changes) -> None:
+        for change in sorted(changes.changes, key=lambda change: change.revision):
+            if isinstance(change.put, str):
+                self._apply(change.put, bytes(change.value), change.revision)
+            elif isinstance(change.removed, str):
+                self._apply(change.removed, None, change.revision)
+        self._cover(changes.revision)
+
+    def _apply(self, key: str, value: bytes | None, revision: int) -> None:
+        if self._entries.apply(key, value, revision) and key.startswith(FINAL_STATES):
+            self._entries.drop(key)  # listeners were called; the final states themselves are too many to hold
+
+    def _cover(self, revision: int) -> None:
+        """All changes up to this revision are taken in."""
+        self.revision = max(self.revision, revision)
+        self._entries.forget_removals(self.revision)
+        self._barrier.advance(self.revision)
+
+    async def _load(self) -> None:
+        started = self._loop.now()
+        loaded: dict[str, Entry] = {}
+        revisions: list[int] = []
+        for prefix in self._loaded_prefixes:
+            listed = await self._store.list(prefix)
+            revisions.append(listed.revision)
+            for item in listed.items:
+                loaded[item.key] = Entry(bytes(item.value), item.revision)
+        revision = min(revisions)
+        self._drop_missing(loaded, revision)
+        for key, entry in loaded.items():
+            self._apply(key, entry.value, entry.revision)
+        self._cover(revision)
+        self.last_confirmed = started
+        self.ready.set()
+        log.info("event=replica_loaded revision=%d keys=%d", revision, len(self.entries))
+
+    def _drop_missing(self, loaded: dict[str, Entry], revision: int) -> None:
+        """Drop the keys that were removed while there was no watch."""
+        missing = [key for key, entry in self.entries.items() if key not in loaded and entry.revision <= revision]
+        for key in missing:
+            self._entries.drop(key)
+            self._entries.notify(key, None, revision)
--- a/tests/test_pipeline_edges.py
+++ b/tests/test_pipeline_edges.py
@@ -11,7 +11,8 @@
 from badgerroute.scheduling.dependencies import Dependencies, FinalState
 from badgerroute.settings import LaterStoreLimits, StoreLimits
 from badgerroute.storage import records
-from badgerroute.storage.key_value_client import RequestRefusedError, StoreUnavailableError, put
+from badgerroute.storage.errors import RequestRefusedError, StoreUnavailableError
+from badgerroute.storage.operations import put
 from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.storage.records import JobState
 from badgerroute.storage.size_limits import SizeLimits, TransactionSize
--- a/tests/test_rebalancing_days.py
+++ b/tests/test_rebalancing_days.py
@@ -8,7 +8,8 @@
 from badgerroute.rebalancing.drain_requests import DrainAnswer, DrainOutcome, DrainRequests
 from badgerroute.rebalancing.service import Rebalancer
 from badgerroute.settings import OperatorSettings, Rebalancing, Team
-from badgerroute.storage.key_value_client import KeyValueClient, StoreUnavailableError
+from badgerroute.storage.errors import StoreUnavailableError
+from badgerroute.storage.key_value_client import KeyValueClient
 from tests.standins.day import HOSTS, SECOND, Day, job
 from tests.standins.history import History, wait_ratios
 from tests.standins.loads import hot_team
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,7 +14,8 @@
 from badgerroute.protocol import mesh
 from badgerroute.settings import LaterStoreLimits, StoreLimits
 from badgerroute.storage import records
-from badgerroute.storage.key_value_client import RequestRefusedError, put
+from badgerroute.storage.errors import RequestRefusedError
+from badgerroute.storage.operations import put
 from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.transport.loop import Loop
 from tests import test_meetings as meetings
--- a/tests/test_written_names.py
+++ b/tests/test_written_names.py
@@ -13,7 +13,7 @@
 from badgerroute.coordination.autoscaling import catalog
 from badgerroute.protocol import cloud, key_value, mesh, users, workers
 from badgerroute.settings import operator, platform
-from badgerroute.storage import records, replica
+from badgerroute.storage import keys, records
 
 # label, class, tag, whether it is an array, names in their order
 STRUCTS: list[tuple[str, type[Struct], str | None, bool, str]] = [
@@ -170,18 +170,18 @@
 ]
 
 KEYS = [
-    ("PREFIX", replica.PREFIX, "b/"),
-    ("PARTS", replica.SHARD_LEADERS, "b/parts/"),
-    ("FLEET", replica.AUTOSCALER_LEADER, "b/fleet"),
-    ("JOBS", replica.JOBS, "b/jobs/"),
-    ("FINAL_STATES", replica.FINAL_STATES, "b/past/"),
-    ("MACHINES", replica.MACHINES, "b/machines/"),
-    ("SHARES", replica.QUOTA_ALLOCATIONS, "b/shares/"),
-    ("CATALOG", replica.CATALOG, "b/catalog"),
-    ("DELETED", replica.TOMBSTONES, "b/gone/"),
-    ("DONE", replica.DONE, "b/done/"),
-    ("PREDECESSORS", replica.PREDECESSORS, "b/before/"),
-    ("DRAINS", replica.DRAINS, "b/drains/"),
+    ("PREFIX", keys.PREFIX, "b/"),
+    ("PARTS", keys.SHARD_LEADERS, "b/parts/"),
+    ("FLEET", keys.AUTOSCALER_LEADER, "b/fleet"),
+    ("JOBS", keys.JOBS, "b/jobs/"),
+    ("FINAL_STATES", keys.FINAL_STATES, "b/past/"),
+    ("MACHINES", keys.MACHINES, "b/machines/"),
+    ("SHARES", keys.QUOTA_ALLOCATIONS, "b/shares/"),
+    ("CATALOG", keys.CATALOG, "b/catalog"),
+    ("DELETED", keys.TOMBSTONES, "b/gone/"),
+    ("DONE", keys.DONE, "b/done/"),
+    ("PREDECESSORS", keys.PREDECESSORS, "b/before/"),
+    ("DRAINS", keys.DRAINS, "b/drains/"),
 ]
 
 
