--- a/badgerroute/protocol/cloud.py
+++ b/badgerroute/protocol/cloud.py
@@ -1,4 +1,4 @@
-"""Controllers -> cloud."""
+"""Controllers -> cloud: PROTOCOL, "Controller nodes -> cloud"."""
 
 from typing import Annotated, Literal
 
@@ -9,7 +9,7 @@
 
 
 class MachineType(Struct, frozen=True):
-    """A type of machine that can be rented."""
+    """A type of machine that can be rented (GET /catalog). Prices are per hour; `fetch_gb_per_s` is for images."""
 
     name: str = field(name="label")
     cpus: Amount
@@ -24,13 +24,13 @@
 
 
 class Catalog(Struct):
-    """The machine types there are."""
+    """The machine types that can be rented: response of GET /catalog."""
 
     types: list[MachineType] = field(name="breeds")
 
 
 class RentalRequest(Struct):
-    """Asks for machines; its name is never used again."""
+    """Asks for `count` machines: POST /rentals. Repeated under the same name it rents nothing more."""
 
     request: str = field(name="hire")
     type: str = field(name="breed")
@@ -40,19 +40,19 @@
 
 
 class Rented(Struct):
-    """The names of the machines that were rented."""
+    """The names of the machines that were rented: response of POST /rentals."""
 
     machines: list[str] = field(name="mounts")
 
 
 class Deletion(Struct):
-    """Machines to be deleted."""
+    """Machines to be deleted: POST /rentals/delete."""
 
     machines: list[str] = field(name="mounts")
 
 
 class ListedMachine(Struct):
-    """A machine as the cloud's list, which lags, has it."""
+    """A machine as the cloud's list has it, which lags (GET /rentals). `age_s`: how long it has been rented."""
 
     name: str = field(name="ref")
     address: str
@@ -64,7 +64,7 @@
 
 
 class MachineList(Struct):
-    """A page of the machine list."""
+    """A page of the machine list: response of GET /rentals."""
 
     machines: list[ListedMachine] = field(name="mounts")
     more: bool = False
--- a/badgerroute/protocol/key_value.py
+++ b/badgerroute/protocol/key_value.py
@@ -1,4 +1,7 @@
-"""Controllers -> key-value store."""
+"""Controllers -> key-value store: PROTOCOL, "Controller nodes -> state service".
+
+A revision counts all changes of the store; every change of one transaction has the same.
+"""
 
 from typing import Any
 
@@ -7,7 +10,7 @@
 
 
 class KeyValueEntry(Struct):
-    """A key with its value and the revision at which it last changed."""
+    """A key, its value and the revision at which it last changed: response of GET /kv/{key}, item of GET /kv."""
 
     key: str
     value: Raw = Raw(b"null")
@@ -16,13 +19,13 @@
 
 
 class KeyMissing(Struct):
-    """The answer for a key that does not exist."""
+    """The key does not exist (404 of GET /kv/{key}). `revision`: up to which changes had been applied by then."""
 
     revision: int = field(name="ledger", default=0)
 
 
 class KeyValuePage(Struct):
-    """A page of keys under a prefix."""
+    """A page of keys under a prefix, sorted: response of GET /kv. `more`: others follow the last of them."""
 
     items: list[KeyValueEntry] = field(name="rows")
     revision: int = field(name="ledger")
@@ -30,14 +33,14 @@
 
 
 class Compare(Struct):
-    """The revision that a key must have; 0: it must not exist."""
+    """Condition of POST /txn: the revision that a key must have; 0: it must not exist."""
 
     key: str
     revision: int = field(name="mark")
 
 
 class Put(Struct, omit_defaults=True):
-    """Writes a key, attached to a lease or to none."""
+    """Change of POST /txn: writes a key, attached to a lease or to none."""
 
     key: str = field(name="write")
     value: Any
@@ -45,39 +48,39 @@
 
 
 class Remove(Struct):
-    """Removes a key."""
+    """Change of POST /txn: removes a key."""
 
     key: str = field(name="remove")
 
 
 class Transaction(Struct):
-    """Changes that are applied together if all conditions hold."""
+    """Changes that are applied together if all conditions hold: POST /txn. Encoded only, never decoded."""
 
     conditions: list[Compare] = field(name="if")
-    changes: list[Put | Remove] = field(name="apply")  # encoded only, never decoded
+    changes: list[Put | Remove] = field(name="apply")
 
 
 class Applied(Struct):
-    """The revision at which a transaction was applied."""
+    """The revision at which a transaction was applied: 200 of POST /txn."""
 
     revision: int = field(name="ledger")
 
 
 class CompareFailed(Struct):
-    """The keys whose conditions did not hold."""
+    """The keys whose conditions did not hold, so that nothing was applied: 409 of POST /txn."""
 
     failed: list[str]
     revision: int = field(name="ledger", default=0)
 
 
 class Lease(Struct):
-    """A lease that was granted."""
+    """A lease that was granted: response of POST /grants."""
 
     lease: int = field(name="tether")
 
 
 class Change(Struct):
-    """One change of a watched key: either `put` or `removed` names the key."""
+    """One change of a watched key (GET /follow): either `put` or `removed` names the key."""
 
     revision: int = field(name="mark")
     put: str | UnsetType = field(name="write", default=UNSET)
@@ -86,14 +89,14 @@
 
 
 class Changes(Struct):
-    """What a watch has seen."""
+    """All changes up to `revision` since the one that was asked for: response of GET /follow."""
 
     revision: int = field(name="ledger")
     changes: list[Change] = field(name="log")
 
 
 class Refusal(Struct):
-    """Why a request is called malformed."""
+    """Why a request is called malformed: 400 of any request; of POST /txn also for a lease that has ended."""
 
     error: str = ""
 
--- a/badgerroute/protocol/mesh.py
+++ b/badgerroute/protocol/mesh.py
@@ -1,4 +1,9 @@
-"""Controllers <-> controllers: msgpack structs, one per frame. A lost message costs time, never safety."""
+"""Controllers <-> controllers: PROTOCOL, "Controller nodes <-> controller nodes".
+
+That section leaves the messages to the service, so they are defined here: msgpack structs, one per frame. A lost
+message costs time, never safety. Controllers of the version before send and read them too: names on the wire stay as
+they are, and what a version adds has a default.
+"""
 
 import msgspec
 from msgspec import UNSET, Struct, UnsetType, field
@@ -7,7 +12,7 @@
 
 
 class FreeCapacity(Struct, array_like=True):
-    """Machines with the same free room."""
+    """`count` machines of one kind, each with the same free resources."""
 
     type: str
     zone: str
@@ -37,57 +42,79 @@
 
 
 class ClassWaits(Struct, array_like=True):
-    """How long a team's tasks of one job class wait in one shard."""
+    """How long a team's tasks of one job class wait in one shard.
+
+    `oldest_s`: the longest that one of them has waited by now. `histogram`: of the milliseconds that they waited,
+    started lately or still waiting, as its library encodes it.
+    """
 
     team: str
     job_class: str
     waiting: int
-    oldest_s: float  # the longest that one of them has waited by now
-    histogram: str  # of the milliseconds that they waited, started lately or still waiting, as its library encodes it
+    oldest_s: float
+    histogram: str
 
 
 class ShardLoad(Struct):
-    """How evenly a shard's work is spread. Versions that know nothing of it leave it out."""
+    """How evenly a shard's work is spread. Versions that know nothing of it leave it out.
+
+    `machines_by_load`: how many machines are up to a tenth used, up to two tenths, and so on.
+    """
 
     waits: list[ClassWaits]
-    machines_by_load: list[int]  # how many machines are up to a tenth used, up to two tenths, and so on
+    machines_by_load: list[int]
 
 
 class ShardSummary(Struct):
-    """What the other shards need to know of one."""
+    """What the other shards need to know of one.
+
+    `images`: image -> free processors on machines that cache it: in all, and on one machine at most.
+    `beside`: image -> processors that each machine which caches it could offer if preemptible work were stopped.
+    `soft`: priority level -> capacities that a job of it would have if work of lower levels were stopped.
+    `freeing`: processors of small tasks that should end before a new machine could serve.
+    `running`: job -> how many of its tasks run. `used`: team -> its processors and accelerators in use.
+    `silent`: its leader has had no heartbeat in time of at least half of its machines.
+    """
 
     shard: int = field(name="part")
     term: int
     reconciled: bool = field(name="settled")
     machines: int
     capacities: list[FreeCapacity] = field(name="bins")
-    images: dict[str, tuple[float, float]]  # image -> free processors beside it: in all, and on one machine at most
-    beside: dict[str, list[float]]  # image -> processors on machines that cache it, lesser work than gangs not counted
-    soft: dict[int, list[FreeCapacity]]  # level -> room there would be for it if lesser work were stopped
+    images: dict[str, tuple[float, float]]
+    beside: dict[str, list[float]]
+    soft: dict[int, list[FreeCapacity]]
     demands: list[PendingDemand] = field(name="wants")
-    freeing: float  # processors of small tasks that should end before a new machine could serve
+    freeing: float
     running: dict[str, int]
     used: dict[str, tuple[float, float]]
-    silent: bool = False  # its leader has had no heartbeat in time of at least half of its machines
+    silent: bool = False
     load: ShardLoad | UnsetType = UNSET
 
 
 class Gossip(Struct, tag="gossip"):
-    """What a controller tells the others a few times a second."""
+    """What a controller tells the others a few times a second.
+
+    `store_reachable`: the key-value store answered it within the last seconds.
+    `isolated`: it wants no shard, because workers don't reach it or links have just come back.
+    `mode`: of `connectivity.modes`; older versions leave out this and what follows.
+    `hears`: the controllers whose gossip reaches it.
+    `relays`: it passes requests on, and takes those that are passed on.
+    """
 
     host: str
     lease: int
     ready: bool
-    store_reachable: bool = field(name="proved")  # the key-value store answered it within the last seconds
-    isolated: bool = field(name="deaf")  # it wants no shard: workers don't reach it, or links have just come back
+    store_reachable: bool = field(name="proved")
+    isolated: bool = field(name="deaf")
     shards: list[ShardSummary] = field(name="parts")
-    mode: str | UnsetType = UNSET  # of `connectivity.modes`; older versions leave out this and what follows
-    hears: list[str] | UnsetType = UNSET  # the controllers that it hears
-    relays: bool | UnsetType = UNSET  # it passes requests on, and takes those that are passed on
+    mode: str | UnsetType = UNSET
+    hears: list[str] | UnsetType = UNSET
+    relays: bool | UnsetType = UNSET
 
 
 class Push(Struct, tag="push"):
-    """A change in the key-value store, told early."""
+    """A change in the key-value store, sent before the watch reports it. `value` None: the key was removed."""
 
     key: str
     revision: int
@@ -95,25 +122,32 @@
 
 
 class StealRequest(Struct, tag="steal"):
-    """An idle shard asks a busy one for waiting tasks; the busy one's leader decides and writes."""
+    """An idle shard (`thief`) asks a busy one (`victim`) for waiting tasks; the busy one's leader decides and writes.
+
+    `short`: teams of which work waits at the thief already, for want of quota.
+    """
 
     victim: int
     thief: int
     capacities: list[FreeCapacity] = field(name="bins")
     images: dict[str, tuple[float, float]]
-    short: list[str] = []  # teams of which work waits at the thief already, for want of quota
+    short: list[str] = []
 
 
 class QuotaRequest(Struct, tag="lack"):
-    """A shard lacks quota of a team's limit; who has it unused may give it."""
+    """A shard lacks quota of a team's limit; a shard that does not use its own may give it.
+
+    `age_s`: of the oldest job that lacks it. `rank`: of the first of these jobs in the order of service; less comes
+    first. `used`: processors that the shard uses of the team's limit.
+    """
 
     shard: int = field(name="part")
     team: str
     cpus: float
     accelerators: float
-    age_s: float = 0.0  # of the oldest job that lacks it
-    rank: tuple[float, float, float] | None = None  # of the first of them in the order of service: less comes first
-    used: float = 0.0  # processors that the shard uses of the team's limit
+    age_s: float = 0.0
+    rank: tuple[float, float, float] | None = None
+    used: float = 0.0
 
 
 class MachineRequest(Struct, tag="borrow"):
@@ -133,10 +167,10 @@
 
 
 class ForwardedRequest(Struct, tag="forward"):
-    """A request that a controller can't answer itself, passed on to one that can."""
+    """A request that a controller can't answer itself, passed on to one that can. `number` counts those of `host`."""
 
     host: str
-    number: int  # of the sender's forwarded requests
+    number: int
     method: str
     path: str
     body: bytes
@@ -152,14 +186,14 @@
 
 
 class CancellationNotice(Struct, tag="withdrawn"):
-    """Jobs that are cancelled, with the revisions of their final states. Repeated until it is acknowledged."""
+    """Jobs that are cancelled, with the revisions of their final states. Sent again until it is acknowledged."""
 
     host: str
     jobs: list[tuple[str, int]]
 
 
 class CancellationAck(Struct, tag="withdrawn_heard"):
-    """These are known to be cancelled here too."""
+    """The receiver of a CancellationNotice treats these jobs as cancelled from now on."""
 
     host: str
     refs: list[str]
--- a/badgerroute/protocol/users.py
+++ b/badgerroute/protocol/users.py
@@ -1,4 +1,4 @@
-"""Users -> controllers: submissions, polls, cancellations."""
+"""Users -> controllers: PROTOCOL, "Users -> controller nodes"."""
 
 import re
 from enum import Enum
@@ -32,7 +32,7 @@
 
 
 class Submission(Struct, frozen=True, omit_defaults=True):
-    """A job as its user describes it."""
+    """A job as its user describes it: POST /v1/jobs. `predecessors`: jobs that have to be done before it starts."""
 
     ref: Text
     job_class: Text = field(name="herd")
@@ -54,7 +54,7 @@
     types: list[Text] | None = field(name="breeds", default=None)
     zone: Text | None = field(name="pasture", default=None)
     deadline_s: Amount | None = field(name="market_s", default=None)
-    predecessors: list[Text] | None = field(name="follows", default=None)  # jobs that have to be done before
+    predecessors: list[Text] | None = field(name="follows", default=None)
 
     @property
     def gang(self) -> bool:
@@ -62,26 +62,26 @@
         return self.kind == "group"
 
 
-_submission = msgspec.json.Decoder(Submission)
+_submission_decoder = msgspec.json.Decoder(Submission)
 
 
 def parse_submission(body: bytes) -> Submission:
     """A job from a request's body; MalformedError names the field that is wrong."""
-    job = decode(body, _submission)
+    job = decode(body, _submission_decoder)
     if not REF.match(job.ref):
-        raise MalformedError("ref: not a job id")
+        raise MalformedError.of_field("ref", "not a job id")
     if job.estimate_s == 0 and job.kind != "daemon":  # a daemon runs until it is cancelled: docs/questions.md
-        raise MalformedError("trek_s: must be above 0")
+        raise MalformedError.of_field("trek_s", "must be above 0")
     if job.cpus == 0 and job.accelerators == 0 and job.memory_gb == 0:
-        raise MalformedError("cpus: a task must take something of its machine")
+        raise MalformedError.of_field("cpus", "a task must take something of its machine")
     for ref in job.predecessors or ():
         if not REF.match(ref):
-            raise MalformedError(f"follows: not a job id: {ref}")
+            raise MalformedError.of_field("follows", f"not a job id: {ref}")
     return job
 
 
 class JobView(Struct, omit_defaults=True):
-    """A job's state as users see it."""
+    """A job's state as users see it: response of GET /v1/jobs/{id} and of POST /v1/jobs/{id}/cancel."""
 
     ref: str
     condition: Literal["queued", "running", "done", "withdrawn"]
--- a/badgerroute/protocol/workers.py
+++ b/badgerroute/protocol/workers.py
@@ -1,4 +1,7 @@
-"""Workers -> controllers (heartbeats) and controllers -> workers (commands)."""
+"""Workers -> controllers (heartbeats) and controllers -> workers (commands).
+
+PROTOCOL, "Workers -> controller nodes" and "Controller nodes -> workers".
+"""
 
 from typing import Annotated, Literal
 
@@ -13,7 +16,7 @@
 
 
 class TaskStatus(Struct):
-    """A task as its machine reports it."""
+    """A task as its machine reports it (`heads` of POST /checkin). `checkpointed`: its progress was saved."""
 
     task: TaskId = field(name="head")
     attempt: Count = field(name="try")
@@ -23,7 +26,11 @@
 
 
 class Heartbeat(Struct):
-    """A machine's heartbeat: what is on it, and which messages it has seen."""
+    """A machine's heartbeat: POST /checkin, and response of POST /do and GET /status.
+
+    `incarnation` increases whenever the machine's lease ends, `sequence` with every message of the machine.
+    `fencing_token` is the highest one that it has seen. `preemption_notice_s`: seconds until the cloud takes it away.
+    """
 
     machine: Text = field(name="mount")
     address: Text
@@ -37,24 +44,24 @@
     tasks: list[TaskStatus] = field(name="heads", default_factory=list)
 
     def newer_than(self, incarnation: int, sequence: int) -> bool:
-        """Whether the heartbeat was made after the message with this incarnation and number."""
+        """Whether the heartbeat was made after the message with this incarnation and sequence number."""
         return (self.incarnation, self.sequence) > (incarnation, sequence)
 
 
-_heartbeat = msgspec.json.Decoder(Heartbeat)
+_heartbeat_decoder = msgspec.json.Decoder(Heartbeat)
 
 
 def parse_heartbeat(body: bytes) -> Heartbeat:
     """A heartbeat from a message's body; MalformedError names the field that is wrong."""
-    heartbeat = decode(body, _heartbeat)
+    heartbeat = decode(body, _heartbeat_decoder)
     if max(heartbeat.incarnation, heartbeat.sequence, heartbeat.fencing_token) >= NO_LIMIT:
         raise MalformedError("a counter is out of range")
     host, _, port = heartbeat.address.rpartition(":")
     if not port.isdigit() or not 0 < int(port) < 65536 or not host:
-        raise MalformedError("address: not host:port")
+        raise MalformedError.of_field("address", "not host:port")
     for task in heartbeat.tasks:
         if task.attempt >= NO_LIMIT:
-            raise MalformedError("try: out of range")
+            raise MalformedError.of_field("try", "out of range")
     return heartbeat
 
 
@@ -65,7 +72,7 @@
 
 
 class Command(Struct, omit_defaults=True):
-    """What a machine is to do with one task."""
+    """What a machine is to do with one task (`calls`). `grace_s`: how long the task may save before it is killed."""
 
     kind: Literal["start", "halt", "clear"] = field(name="call")
     task: str = field(name="head")
@@ -74,14 +81,14 @@
 
 
 class HeartbeatResponse(Struct):
-    """The answer to a heartbeat, which renews the machine's lease."""
+    """The answer to a heartbeat, which renews the machine's lease: 200 of POST /checkin."""
 
     fencing_token: int = field(name="crook")
     commands: list[Command] = field(name="calls", default_factory=list)
 
 
 class DirectCommands(Struct):
-    """Commands sent to a machine's own address."""
+    """Commands sent to a machine's own address: POST /do. They do not renew its lease."""
 
     fencing_token: int = field(name="crook")
     incarnation: int = field(name="ride")
@@ -89,6 +96,6 @@
 
 
 class Redirect(Struct, omit_defaults=True):
-    """Tells a machine to heartbeat to another controller."""
+    """Tells a machine to heartbeat to another controller: 421 of POST /checkin."""
 
     leader: str | UnsetType = field(name="trail_boss", default=UNSET)
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -144,6 +144,24 @@
         parse_submission(BAD_JOBS[name])
 
 
+@pytest.mark.parametrize(
+    ("name", "field"),
+    [
+        ("ref='job 1'", "ref"),
+        ("heads='3'", "heads"),
+        ("trek_s=0", "trek_s"),
+        ("breeds=[1]", "breeds[0]"),
+        ("no crew", "crew"),
+        ("not json", ""),
+    ],
+)
+def test_a_bad_submission_names_its_field(name: str, field: str) -> None:
+    with pytest.raises(MalformedError) as caught:
+        parse_submission(BAD_JOBS[name])
+    assert caught.value.field == field
+    assert field in str(caught.value)
+
+
 @pytest.mark.parametrize(
     "body",
     [
