--- a/badgerroute/coordination/shards/migration.py
+++ b/badgerroute/coordination/shards/migration.py
@@ -162,7 +162,7 @@
     @staticmethod
     def _beside(job: Job, one: mesh_wire.ShardSummary) -> int:
         """How many of a gang's tasks could find their image in a shard."""
-        return min(job.spec.tasks, sum(room >= job.need.cpus for room in one.beside.get(job.spec.image, ())))
+        return min(job.spec.tasks, sum(room >= job.need.cpus for room in one.cached_image_cpus.get(job.spec.image, ())))
 
     async def on_steal(self, message: mesh_wire.StealRequest) -> None:
         """An idle shard wants work: give it tasks that wait here and fit there, in one conditional write."""
--- a/badgerroute/protocol/mesh.py
+++ b/badgerroute/protocol/mesh.py
@@ -69,7 +69,7 @@
     """What the other shards need to know of one.
 
     `images`: image -> free processors on machines that cache it: in all, and on one machine at most.
-    `beside`: image -> processors that each machine which caches it could offer if preemptible work were stopped.
+    `cached_image_cpus`: image -> processors that each machine with it cached could offer, preemptible work aside.
     `soft`: priority level -> capacities that a job of it would have if work of lower levels were stopped.
     `freeing`: processors of small tasks that should end before a new machine could serve.
     `running`: job -> how many of its tasks run. `used`: team -> its processors and accelerators in use.
@@ -82,7 +82,7 @@
     machines: int
     capacities: list[FreeCapacity] = field(name="bins")
     images: dict[str, tuple[float, float]]
-    beside: dict[str, list[float]]
+    cached_image_cpus: dict[str, list[float]] = field(name="beside")
     soft: dict[int, list[FreeCapacity]]
     demands: list[PendingDemand] = field(name="wants")
     freeing: float
