--- a/badgerroute/coordination/shards/migration.py
+++ b/badgerroute/coordination/shards/migration.py
@@ -116,7 +116,7 @@
                 continue
             others = [summary for summary in summaries if summary.shard != self.number and summary.reconciled]
             options = [summary for summary in others if holds_whole_job(job, summary.capacities)] or [
-                summary for summary in others if holds_whole_job(job, summary.soft.get(job.level, []))
+                summary for summary in others if holds_whole_job(job, summary.preemptible_capacities.get(job.level, []))
             ]
             record = self._job_store.active.get(job.ref)
             if record is None:
--- a/badgerroute/coordination/shards/summary.py
+++ b/badgerroute/coordination/shards/summary.py
@@ -110,7 +110,7 @@
         capacities=capacities,
         images=images,
         cached_image_cpus=planner.room_beside_images(max(levels, default=Priority.URGENT.level), MAX_IMAGE_MACHINES),
-        soft={level: _capacities(planner.room_without(level)) for level in levels},
+        preemptible_capacities={level: _capacities(planner.room_without(level)) for level in levels},
         demands=_demands(planner, now),
         freeing=0.0 if scales_out_ahead else planner.freeing(now),  # only renting by need looks at it
         running=running,
