--- a/badgerroute/coordination/shards/summary.py
+++ b/badgerroute/coordination/shards/summary.py
@@ -112,7 +112,7 @@
         cached_image_cpus=planner.room_beside_images(max(levels, default=Priority.URGENT.level), MAX_IMAGE_MACHINES),
         preemptible_capacities={level: _capacities(planner.room_without(level)) for level in levels},
         demands=_demands(planner, now),
-        freeing=0.0 if scales_out_ahead else planner.freeing(now),  # only renting by need looks at it
+        soon_free_cpus=0.0 if scales_out_ahead else planner.freeing(now),  # only renting by need looks at it
         running=running,
         used={team: (usage.cpus, usage.accelerators) for team, usage in shard.usage.items() if usage.tasks},
         silent=silent,
--- a/badgerroute/protocol/mesh.py
+++ b/badgerroute/protocol/mesh.py
@@ -71,7 +71,7 @@
     `images`: image -> free processors on machines that cache it: in all, and on one machine at most.
     `cached_image_cpus`: image -> processors that each machine with it cached could offer, preemptible work aside.
     `preemptible_capacities`: priority level -> capacities for a job of it if work of lower levels were stopped.
-    `freeing`: processors of small tasks that should end before a new machine could serve.
+    `soon_free_cpus`: processors of small tasks that should end before a new machine could serve.
     `running`: job -> how many of its tasks run. `used`: team -> its processors and accelerators in use.
     `silent`: its leader has had no heartbeat in time of at least half of its machines.
     """
@@ -85,7 +85,7 @@
     cached_image_cpus: dict[str, list[float]] = field(name="beside")
     preemptible_capacities: dict[int, list[FreeCapacity]] = field(name="soft")
     demands: list[PendingDemand] = field(name="wants")
-    freeing: float
+    soon_free_cpus: float = field(name="freeing")
     running: dict[str, int]
     used: dict[str, tuple[float, float]]
     silent: bool = False
--- a/badgerroute/scheduling/scale_out_planning.py
+++ b/badgerroute/scheduling/scale_out_planning.py
@@ -102,7 +102,7 @@
     ) -> dict[MachinePool, int]:
         """Machines that the waiting tasks need beyond the free room there is and is coming."""
         self._count_room(summaries, expected)
-        freeing_cpus = sum(shard.freeing for shard in summaries)
+        freeing_cpus = sum(shard.soon_free_cpus for shard in summaries)
         demands = [demand for shard in summaries for demand in shard.demands]
         self._least_need = Resources(
             min((demand.cpus for demand in demands), default=0.0),
