--- a/badgerroute/protocol/mesh.py
+++ b/badgerroute/protocol/mesh.py
@@ -124,14 +124,14 @@
 class StealRequest(Struct, tag="steal"):
     """An idle shard (`thief`) asks a busy one (`victim`) for waiting tasks; the busy one's leader decides and writes.
 
-    `short`: teams of which work waits at the thief already, for want of quota.
+    `teams_lacking_quota`: teams of which work waits at the thief already, for want of quota.
     """
 
     victim: int
     thief: int
     capacities: list[FreeCapacity] = field(name="bins")
     images: dict[str, tuple[float, float]]
-    short: list[str] = []
+    teams_lacking_quota: list[str] = field(name="short", default_factory=list)
 
 
 class QuotaRequest(Struct, tag="lack"):
