--- a/badgerroute/coordination/requests/job_service.py
+++ b/badgerroute/coordination/requests/job_service.py
@@ -21,7 +21,7 @@
 from badgerroute.protocol.common import MalformedError
 from badgerroute.protocol.mesh import ShardSummary
 from badgerroute.protocol.users import REF, Submission, parse_submission
-from badgerroute.storage.budget import Urgency
+from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.storage.replica import Replica
 from badgerroute.transport.http import Request, Response
 
--- a/badgerroute/coordination/requests/job_splitting.py
+++ b/badgerroute/coordination/requests/job_splitting.py
@@ -7,7 +7,7 @@
 from badgerroute.protocol.mesh import ShardSummary
 from badgerroute.protocol.users import Submission
 from badgerroute.scheduling.model import Resources, need_of
-from badgerroute.storage.records import TaskRange
+from badgerroute.storage.task_ranges import TaskRange
 
 MAX_QUEUE_IMBALANCE = 1.5  # queue of a shard for its size, compared to the shortest, up to which it is preferred
 MIN_TASK_CPUS = 0.01  # a task that asks for next to nothing counts as this much
@@ -94,7 +94,7 @@
     shards = range(len(weights))
 
     def slots_with_image(shard: int) -> int:
-        machines = by_shard[shard].beside.get(job.image, ()) if shard in by_shard else ()
+        machines = by_shard[shard].cached_image_cpus.get(job.image, ()) if shard in by_shard else ()
         return min(job.tasks, sum(cpus >= job.cpus for cpus in machines))
 
     fitting = [shard for shard in shards if weights[shard] >= job.tasks or slots_with_image(shard) >= job.tasks]
--- a/badgerroute/coordination/requests/responses.py
+++ b/badgerroute/coordination/requests/responses.py
@@ -1,7 +1,7 @@
 """Responses that every kind of request has in common, and the errors that each of them stands for."""
 
 from badgerroute.protocol.common import encode
-from badgerroute.storage.key_value_client import LeaseExpiredError, OutcomeUnknownError, StoreUnavailableError
+from badgerroute.storage.errors import LeaseExpiredError, OutcomeUnknownError, StoreUnavailableError
 from badgerroute.transport.http import Response
 
 # Errors of the key-value store after which nothing is known to have been decided: the user repeats the request.
--- a/badgerroute/coordination/shards/migration.py
+++ b/badgerroute/coordination/shards/migration.py
@@ -21,7 +21,6 @@
 from badgerroute.scheduling.shard import Shard
 from badgerroute.scheduling.stealing import StealSelection, given_ranges
 from badgerroute.storage import records
-from badgerroute.storage.budget import Urgency
 from badgerroute.storage.key_value_client import (
     CompareFailedError,
     LeaseExpiredError,
@@ -30,8 +29,9 @@
     compare,
     put,
 )
-from badgerroute.storage.records import TaskRange
+from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.storage.replica import JOBS
+from badgerroute.storage.task_ranges import TaskRange
 from badgerroute.transport.loop import TaskGroup
 
 log = logging.getLogger(__name__)
@@ -116,7 +116,7 @@
                 continue
             others = [summary for summary in summaries if summary.shard != self.number and summary.reconciled]
             options = [summary for summary in others if holds_whole_job(job, summary.capacities)] or [
-                summary for summary in others if holds_whole_job(job, summary.soft.get(job.level, []))
+                summary for summary in others if holds_whole_job(job, summary.preemptible_capacities.get(job.level, []))
             ]
             record = self._job_store.active.get(job.ref)
             if record is None:
@@ -162,7 +162,7 @@
     @staticmethod
     def _beside(job: Job, one: mesh_wire.ShardSummary) -> int:
         """How many of a gang's tasks could find their image in a shard."""
-        return min(job.spec.tasks, sum(room >= job.need.cpus for room in one.beside.get(job.spec.image, ())))
+        return min(job.spec.tasks, sum(room >= job.need.cpus for room in one.cached_image_cpus.get(job.spec.image, ())))
 
     async def on_steal(self, message: mesh_wire.StealRequest) -> None:
         """An idle shard wants work: give it tasks that wait here and fit there, in one conditional write."""
@@ -178,7 +178,7 @@
             if len(changes) >= min(MAX_JOBS_PER_STEAL, self._store.max_changes):
                 break
             record = self._job_store.active.get(job.ref)
-            if record is None or not self._may_be_stolen(job, record) or job.spec.team in message.short:
+            if record is None or not self._may_be_stolen(job, record) or job.spec.team in message.teams_lacking_quota:
                 continue
             taken = selection.choose(job)
             if taken:
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -144,6 +144,24 @@
         parse_submission(BAD_JOBS[name])
 
 
+@pytest.mark.parametrize(
+    ("name", "field"),
+    [
+        ("ref='job 1'", "ref"),
+        ("heads='3'", "heads"),
+        ("trek_s=0", "trek_s"),
+        ("breeds=[1]", "breeds[0]"),
+        ("no crew", "crew"),
+        ("not json", ""),
+    ],
+)
+def test_a_bad_submission_names_its_field(name: str, field: str) -> None:
+    with pytest.raises(MalformedError) as caught:
+        parse_submission(BAD_JOBS[name])
+    assert caught.value.field == field
+    assert field in str(caught.value)
+
+
 @pytest.mark.parametrize(
     "body",
     [
@@ -418,7 +436,7 @@
     "transport": set(),
     "protocol": set(),
     "storage": {"transport", "protocol", "settings"},
-    "scheduling": {"protocol", "settings", "storage.records"},
+    "scheduling": {"protocol", "settings", "storage.records", "storage.bitset", "storage.task_ranges"},
     "connectivity": {"protocol", "settings", "scheduling"},
     "coordination/jobs": {"transport", "protocol", "settings", "storage", "scheduling"},
     "coordination/leadership": {"transport", "protocol", "settings", "storage", "connectivity"},
@@ -464,7 +482,7 @@
 
 @pytest.mark.parametrize("layer", LAYERS)
 def test_dependencies_point_down(layer: str) -> None:
-    """Each layer imports itself and those below only; the pure core of the others nothing but the records."""
+    """Each layer imports itself and those below only; the pure core of `storage` only what records are made of."""
     allowed = tuple(f"badgerroute.{name}" for name in {layer.replace("/", "."), *LAYERS[layer]})
     for path in sorted((PACKAGE / layer).glob("*.py")):
         assert [name for name in imports_of(path) if not name.startswith(allowed)] == [], path.name
