--- a/badgerroute/connectivity/damping.py
+++ b/badgerroute/connectivity/damping.py
@@ -6,6 +6,8 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
+from badgerroute.settings import Connectivity
+
 ZERO = timedelta(0)
 PENALTY_PER_CHANGE = 1.0
 MAX_PENALTY = 8.0
@@ -26,6 +28,11 @@
     _penalty: float = 0.0
     _noted: timedelta = field(default=ZERO)
 
+    @classmethod
+    def from_settings(cls, settings: Connectivity) -> "FlapDamping":
+        """The damping that an operator has set."""
+        return cls(settings.settle, settings.longest_settle, settings.penalty_half_life)
+
     def penalty(self, now: timedelta) -> float:
         """What is left of the penalty."""
         half_lives = min((now - self._noted) / self.half_life, MAX_HALF_LIVES)
--- a/badgerroute/connectivity/mode_machine.py
+++ b/badgerroute/connectivity/mode_machine.py
@@ -22,7 +22,7 @@
     """Holds the mode. Starts out serving: a new process has lost nothing yet."""
 
     def __init__(self, damping: FlapDamping) -> None:
-        self._damping = damping
+        self.damping = damping
         self._good_since: timedelta | None = None  # since when nothing is missing; None: never lost anything, or is now
         self.mode = Mode.SERVING
 
@@ -32,14 +32,14 @@
         if mode_of(reachable, stable=True) in IMPAIRED:
             self._good_since = None
             if before not in IMPAIRED:
-                self._damping.note_change(now)
+                self.damping.note_change(now)
         elif before in IMPAIRED:
             self._good_since = now
         self.mode = mode_of(reachable, self._stable(now))
         return None if self.mode is before else ModeChange(before, self.mode, _cause(reachable, self.mode))
 
     def _stable(self, now: timedelta) -> bool:
-        return self._good_since is None or now - self._good_since >= self._damping.delay(now)
+        return self._good_since is None or now - self._good_since >= self.damping.delay(now)
 
 
 def _cause(reachable: Reachable, mode: Mode) -> str:
--- a/badgerroute/coordination/autoscaling/autoscaler.py
+++ b/badgerroute/coordination/autoscaling/autoscaler.py
@@ -7,7 +7,7 @@
 
 from badgerroute.connectivity.modes import Action
 from badgerroute.coordination.leadership.action_policy import ActionPolicy
-from badgerroute.coordination.leadership.leader_election import LeaderElection
+from badgerroute.coordination.leadership.leadership_state import LeadershipState
 from badgerroute.protocol.cloud import ListedMachine, MachineType
 from badgerroute.protocol.mesh import ShardSummary
 from badgerroute.scheduling.scale_out_planning import (
@@ -61,7 +61,7 @@
         loop: Loop,
         group: TaskGroup,
         cloud: CloudClient,
-        election: LeaderElection,
+        leadership_state: LeadershipState,
         policy: ActionPolicy,
         replica: Replica,
         catalog: dict[str, MachineType],
@@ -69,7 +69,7 @@
         on_deleted: Callable[[list[str]], None],
     ) -> None:
         self._settings, self._loop, self._group, self._cloud = settings, loop, group, cloud
-        self._election, self._replica, self._catalog = election, replica, catalog
+        self._leadership_state, self._replica, self._catalog = leadership_state, replica, catalog
         self._policy = policy
         self._summaries, self._on_deleted = summaries, on_deleted
         self._counter = 0
@@ -97,7 +97,7 @@
     def _belongs_to_others(self, name: str) -> bool:
         """It was thought useless, then came up after all and joined a shard of somebody else, who may use it by now."""
         value = self._replica.value(MACHINES + name)
-        return value is not None and records.read(value, MachineRecord).shard not in self._election.leaderships
+        return value is not None and records.read(value, MachineRecord).shard not in self._leadership_state.leaderships
 
     async def run_deletion(self) -> None:
         """Delete what is to be deleted, a batch at a time, while nobody else can hold our shards."""
@@ -127,7 +127,11 @@
         """Rent what is needed, while this controller holds the autoscaler leadership."""
         while True:
             await self._loop.sleep(ROUND)
-            if self._election.autoscaler_term is None or not self._policy.allows(Action.RENT) or not self._catalog:
+            if (
+                self._leadership_state.autoscaler_term is None
+                or not self._policy.allows(Action.RENT)
+                or not self._catalog
+            ):
                 self._list_at = None
                 continue
             try:
@@ -249,10 +253,10 @@
     async def _rent_in(self, place: MachinePool, count: int) -> int:
         """Rent some machines; how many are on their way. A lost answer is asked for again by the same name."""
         self._counter += 1
-        request = f"r-{self._election.autoscaler_term}-{self._counter}"
+        request = f"r-{self._leadership_state.autoscaler_term}-{self._counter}"
         count = min(count, MAX_MACHINES_PER_RENTAL)
         for _ in range(3):
-            if self._election.autoscaler_term is None:
+            if self._leadership_state.autoscaler_term is None:
                 return count
             try:
                 names = await self._cloud.rent(request, *place, count)
--- a/badgerroute/coordination/autoscaling/catalog.py
+++ b/badgerroute/coordination/autoscaling/catalog.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from badgerroute.coordination.leadership.leader_election import LeaderElection
+from badgerroute.coordination.leadership.leadership_state import LeadershipState
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
@@ -36,9 +36,15 @@
     """`types` are those known so far, by name; others may hold on to the dictionary, which is only added to."""
 
     def __init__(
-        self, loop: Loop, cloud: CloudClient, store: KeyValueClient, replica: Replica, election: LeaderElection
+        self, loop: Loop, cloud: CloudClient, store: KeyValueClient, replica: Replica, leadership_state: LeadershipState
     ) -> None:
-        self._loop, self._cloud, self._store, self._replica, self._election = loop, cloud, store, replica, election
+        self._loop, self._cloud, self._store, self._replica, self._leadership_state = (
+            loop,
+            cloud,
+            store,
+            replica,
+            leadership_state,
+        )
         self.types: dict[str, MachineType] = {}
         replica.listen(CATALOG, self._changed)
 
@@ -54,7 +60,7 @@
         await self._replica.ready
         while True:
             pause = REFRESH
-            if self._election.autoscaler_term is not None or not self.types:
+            if self._leadership_state.autoscaler_term is not None or not self.types:
                 try:
                     types = await self._cloud.catalog()
                 except (CloudUnavailableError, NoCapacityError) as trouble:
--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -5,7 +5,9 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from badgerroute.connectivity.modes import Action, Permission
+from badgerroute.connectivity.damping import FlapDamping
+from badgerroute.connectivity.mode_machine import ModeMachine
+from badgerroute.connectivity.modes import Action
 from badgerroute.coordination.autoscaling.autoscaler import Autoscaler
 from badgerroute.coordination.autoscaling.catalog import MachineCatalog
 from badgerroute.coordination.autoscaling.machine_tombstones import MachineTombstones
@@ -17,7 +19,12 @@
 from badgerroute.coordination.jobs.job_writer import JobWriter
 from badgerroute.coordination.jobs.record_paging import RecordPager
 from badgerroute.coordination.leadership.action_policy import ActionPolicy
-from badgerroute.coordination.leadership.leader_election import LeaderElection, Leadership
+from badgerroute.coordination.leadership.autoscaler_election import AutoscalerElection
+from badgerroute.coordination.leadership.leader_election import LeaderElection
+from badgerroute.coordination.leadership.leader_records import LeaderRecords
+from badgerroute.coordination.leadership.leadership_state import Leadership, LeadershipState
+from badgerroute.coordination.leadership.lease_keeper import LeaseKeeper
+from badgerroute.coordination.leadership.shard_transfer import ShardTransfer
 from badgerroute.coordination.membership.connectivity_monitor import ConnectivityMonitor
 from badgerroute.coordination.membership.forwarding import FIRST_NUMBERS, RequestForwarder
 from badgerroute.coordination.membership.leadership_transfer import LeadershipTransfer
@@ -71,24 +78,39 @@
         self.cloud = CloudClient(loop, network, settings.platform.endpoints.cloud, params.cloud, params.size)
         self.replica = Replica(loop, self.store)
         self.mesh = Mesh(settings, loop, network, group, lambda message: self.mesh_dispatcher.receive(message))
+        self.leadership_state = LeadershipState(settings, loop, self.replica)
+        self.leadership_state.register(self)
+        self.leader_records = LeaderRecords(self.store, self.replica)
+        self.mode_machine = ModeMachine(FlapDamping.from_settings(settings.operator.connectivity))
+        self.policy = ActionPolicy(self.leadership_state, self.mode_machine)
         self.election = LeaderElection(
-            settings, loop, self.store, self.replica, self._on_elected, self._on_deposed, self._campaign_permission
+            settings=settings,
+            loop=loop,
+            replica=self.replica,
+            leadership_state=self.leadership_state,
+            leader_records=self.leader_records,
+            lease_keeper=LeaseKeeper(settings, loop, self.store, self.leadership_state),
+            autoscaler_election=AutoscalerElection(
+                self.store, self.replica, self.leadership_state, settings.platform.host_name
+            ),
+            policy=self.policy,
         )
-        self.policy = ActionPolicy(self.election, lambda: self.monitor.mode)
+        self.shard_transfer = ShardTransfer(self.leadership_state, self.leader_records)
         hosts = [peer.host_name for peer in settings.platform.peers]
         self.cancellation_broadcast = CancellationBroadcast(
             loop, settings.platform.host_name, hosts, self.mesh.send, params.workers.cancel
         )
-        self.machine_catalog = MachineCatalog(loop, self.cloud, self.store, self.replica, self.election)
+        self.machine_catalog = MachineCatalog(loop, self.cloud, self.store, self.replica, self.leadership_state)
         self.catalog = self.machine_catalog.types
         self.leaders: dict[int, ShardLeader] = {}
-        self.peers = Peers(settings, loop, self.election, self.leaders)
+        self.peers = Peers(settings, loop, self.leader_records, self.leaders)
         self.monitor = ConnectivityMonitor(
             settings=settings,
             loop=loop,
             network=network,
             replica=self.replica,
-            election=self.election,
+            leadership_state=self.leadership_state,
+            mode_machine=self.mode_machine,
             peers=self.peers,
             leaders=self.leaders,
             sample=random.Random(settings.platform.host_name).sample,
@@ -105,7 +127,7 @@
         self.requests = ShardRequests(
             loop=loop,
             group=group,
-            election=self.election,
+            leader_records=self.leader_records,
             policy=self.policy,
             peers=self.peers,
             mesh=self.mesh,
@@ -114,7 +136,8 @@
         self.leadership_transfer = LeadershipTransfer(
             settings=settings,
             loop=loop,
-            election=self.election,
+            leadership_state=self.leadership_state,
+            shard_transfer=self.shard_transfer,
             policy=self.policy,
             peers=self.peers,
             monitor=self.monitor,
@@ -133,8 +156,8 @@
             replica=self.replica,
             job_store=self.job_store,
             job_reader=self.job_reader,
-            owned=lambda shard: shard in self.election.leaderships,
-            tidies=lambda: self.election.autoscaler_term is not None and self.policy.allows(Action.CLEAN_UP),
+            owned=lambda shard: shard in self.leadership_state.leaderships,
+            tidies=lambda: self.leadership_state.autoscaler_term is not None and self.policy.allows(Action.CLEAN_UP),
             turn=settings.home,
         )
         self.autoscaler = Autoscaler(
@@ -142,7 +165,7 @@
             loop=loop,
             group=group,
             cloud=self.cloud,
-            election=self.election,
+            leadership_state=self.leadership_state,
             policy=self.policy,
             replica=self.replica,
             catalog=self.catalog,
@@ -218,6 +241,7 @@
             semaphore=self._semaphore,
             store=self.store,
             replica=self.replica,
+            leadership_state=self.leadership_state,
             election=self.election,
             policy=self.policy,
             resumed_at=self.monitor.resumed_at,
@@ -269,12 +293,14 @@
             self._group.run_forever(make, name, second)
         await Future()
 
-    def _on_elected(self, shard: int, leadership: Leadership) -> None:
+    def elected(self, shard: int, leadership: Leadership) -> None:
+        """Start acting for a shard."""
         leader = ShardLeader(shard, leadership, self._context)
         self.leaders[shard] = leader
         leader.start()
 
-    def _on_deposed(self, shard: int) -> None:
+    def deposed(self, shard: int) -> None:
+        """Stop acting for a shard."""
         leader = self.leaders.pop(shard, None)
         if leader is not None:
             log.info("event=shard_released shard=%d", shard)
@@ -282,7 +308,7 @@
             leader.close()
 
     def _leadership_condition(self, shard: int) -> Compare | None:
-        return self.election.condition(shard) if shard in self.election.leaderships else None
+        return self.leadership_state.condition(shard) if shard in self.leadership_state.leaderships else None
 
     # -- what the watch says
 
@@ -321,7 +347,7 @@
         while True:
             await self._loop.sleep(GOSSIP)
             self.store.divide_rates(self.peers.in_use())
-            if self.election.lease is not None:
+            if self.leadership_state.lease is not None:
                 self.mesh.broadcast(self._gossip())
             self.cancellation_broadcast.repeat()
 
@@ -329,7 +355,7 @@
         shards = [leader.summary() for leader in self.leaders.values() if leader.ready]
         return mesh_wire.Gossip(
             self.settings.platform.host_name,
-            self.election.lease or 0,
+            self.leadership_state.lease or 0,
             bool(self.catalog) and self.replica.ready.done,
             self.monitor.reaches_store(),
             not self.policy.allows(Action.RECEIVE_SHARD),
@@ -361,9 +387,6 @@
         deadline = self._loop.now() + self.settings.operator.scheduling.round
         return lambda: self._loop.now() > deadline
 
-    def _campaign_permission(self) -> Permission:
-        return self.policy.permission(Action.CAMPAIGN)
-
     # -- mesh
 
     def _push(self, key: str, value: bytes | None, revision: int) -> None:
--- a/badgerroute/coordination/leadership/action_policy.py
+++ b/badgerroute/coordination/leadership/action_policy.py
@@ -1,34 +1,37 @@
-"""The one place that says whether an action may be taken now: by the mode, and by the last confirmation of our
-leadership.
-"""
+"""Decides whether an action may be taken now, by the connectivity mode and the last confirmation of leadership.
 
-from collections.abc import Callable
+No other module reads the proofs of leadership (`within_grace`, `lease_surely_valid`): a test checks that.
+"""
 
-from badgerroute.connectivity.modes import PERMISSIONS, Action, Mode, Permission
-from badgerroute.coordination.leadership.leader_election import LeaderElection
+from badgerroute.connectivity.mode_machine import ModeMachine
+from badgerroute.connectivity.modes import PERMISSIONS, Action, Permission
+from badgerroute.coordination.leadership.leadership_state import LeadershipState
 
 
 class ActionPolicy:
-    """Asked in the step that acts, after everything that may wait."""
+    """Authorizes actions.
+
+    To be asked in the very step that acts, after every await: an answer holds only until the next one.
+    """
 
-    def __init__(self, election: LeaderElection, mode: Callable[[], Mode]) -> None:
-        self._election, self._mode = election, mode
+    def __init__(self, leadership_state: LeadershipState, mode_machine: ModeMachine) -> None:
+        self._state, self._mode_machine = leadership_state, mode_machine
 
     def permission(self, action: Action) -> Permission:
-        """What the table of modes says."""
-        return PERMISSIONS[self._mode()][action]
+        """The permission that the current mode gives."""
+        return PERMISSIONS[self._mode_machine.mode][action]
 
     def allows(self, action: Action) -> bool:
-        """Whether the action may be taken, as far as it concerns no shard in particular."""
+        """Whether an action that concerns no shard in particular may be taken now."""
         match self.permission(action):
             case Permission.ALLOWED | Permission.RELUCTANT:
                 return True
             case Permission.WITHIN_GRACE:
-                return self._election.within_grace()
+                return self._state.within_grace()
             case Permission.WHILE_CERTAIN:
-                return self._election.lease_surely_valid()
+                return self._state.lease_surely_valid()
         return False
 
     def allows_for(self, shard: int, action: Action) -> bool:
-        """Whether the action may be taken for a shard, which must be ours."""
-        return shard in self._election.leaderships and self.allows(action)
+        """Whether an action may be taken now for a shard, which this controller must lead."""
+        return shard in self._state.leaderships and self.allows(action)
--- /dev/null
+++ b/badgerroute/coordination/leadership/autoscaler_election.py
@@ -0,0 +1,51 @@
+"""The election of the controller that runs the autoscaler, one for the whole cluster."""
+
+import logging
+
+from badgerroute.coordination.leadership.leadership_state import LeadershipState
+from badgerroute.storage import records
+from badgerroute.storage.budget import Urgency
+from badgerroute.storage.key_value_client import CompareFailedError, KeyValueClient, compare, put
+from badgerroute.storage.records import AutoscalerLeaderRecord
+from badgerroute.storage.replica import AUTOSCALER_LEADER, Replica
+
+log = logging.getLogger(__name__)
+
+
+class AutoscalerElection:
+    """Campaigns for the autoscaler's key, and gives the autoscaler up when the key is another's."""
+
+    def __init__(self, store: KeyValueClient, replica: Replica, leadership_state: LeadershipState, host: str) -> None:
+        self._store, self._replica, self._state, self._host = store, replica, leadership_state, host
+        replica.listen(AUTOSCALER_LEADER, self._record_changed)
+
+    async def campaign(self) -> None:
+        """Write the key if it is free, or if it is from an earlier run of this controller.
+
+        Raises LeaseExpiredError, StoreUnavailableError or OutcomeUnknownError.
+        """
+        if self._state.autoscaler_term is not None or self._led_by_another():
+            return
+        record = records.write(AutoscalerLeaderRecord(self._host))
+        lease = self._state.lease
+        try:
+            term = await self._store.transact(
+                [compare(AUTOSCALER_LEADER, self._replica.revision_of(AUTOSCALER_LEADER))],
+                [put(AUTOSCALER_LEADER, record, lease)],
+                Urgency.LEADERSHIP,
+            )
+        except CompareFailedError:
+            return  # another controller was elected; the watch will say which
+        if lease != self._state.lease:
+            return  # the lease ended meanwhile, and the key with it
+        self._state.autoscaler_term = term
+        self._replica.learn(AUTOSCALER_LEADER, bytes(record), term)
+        log.info("event=autoscaler_elected term=%d", term)
+
+    def _led_by_another(self) -> bool:
+        value = self._replica.value(AUTOSCALER_LEADER)
+        return value is not None and records.read(value, AutoscalerLeaderRecord).leader != self._host
+
+    def _record_changed(self, key: str, value: bytes | None, revision: int) -> None:
+        if self._state.autoscaler_term is not None and revision > self._state.autoscaler_term:
+            self._state.autoscaler_term = None
--- /dev/null
+++ b/badgerroute/coordination/leadership/shard_transfer.py
@@ -0,0 +1,41 @@
+"""Transfers the leadership of a shard to another controller."""
+
+import logging
+
+from badgerroute.coordination.leadership.leader_records import LeaderRecords
+from badgerroute.coordination.leadership.leadership_state import LeadershipState
+from badgerroute.storage.key_value_client import (
+    CompareFailedError,
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    StoreUnavailableError,
+)
+from badgerroute.storage.records import ShardLeaderRecord
+
+log = logging.getLogger(__name__)
+
+
+class ShardTransfer:
+    """Carries a transfer out; when to transfer which shard is decided in `coordination.membership`."""
+
+    def __init__(self, leadership_state: LeadershipState, leader_records: LeaderRecords) -> None:
+        self._state, self._records = leadership_state, leader_records
+
+    async def transfer(self, shard: int, host: str, lease: int) -> None:
+        """Make another host the leader of a shard, under that host's lease.
+
+        This controller stops acting for the shard before it writes. A transfer that fails is logged, and leaves the
+        shard to the next election.
+        """
+        leadership = self._state.leaderships.get(shard)
+        if leadership is None or shard in self._records.pending:
+            return
+        with self._records.pending_write(shard):
+            self._state.step_down(shard)
+            record = ShardLeaderRecord(host, self._records.grace_end(shard), transferred=True)
+            try:
+                term = await self._records.write(shard, record, leadership.term, lease)
+                self._records.learn(shard, record, term)
+                log.info("event=leadership_transferred shard=%d to=%s", shard, host)
+            except (StoreUnavailableError, OutcomeUnknownError, CompareFailedError, LeaseExpiredError) as error:
+                log.info("event=leadership_transfer_failed shard=%d error=%s", shard, error)
--- a/badgerroute/coordination/membership/connectivity_monitor.py
+++ b/badgerroute/coordination/membership/connectivity_monitor.py
@@ -4,13 +4,12 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from badgerroute.connectivity.damping import FlapDamping
 from badgerroute.connectivity.links import STATE_SERVICE, Link
 from badgerroute.connectivity.mode_machine import ModeMachine
 from badgerroute.connectivity.modes import Mode, Reachable
 from badgerroute.connectivity.process_pause import PauseDetector
 from badgerroute.connectivity.worker_link import WorkerLink
-from badgerroute.coordination.leadership.leader_election import NEVER, LeaderElection
+from badgerroute.coordination.leadership.leadership_state import NEVER, LeadershipState
 from badgerroute.coordination.membership.peers import Peers
 from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.settings import Settings
@@ -37,18 +36,17 @@
         loop: Loop,
         network: Network,
         replica: Replica,
-        election: LeaderElection,
+        leadership_state: LeadershipState,
+        mode_machine: ModeMachine,
         peers: Peers,
         leaders: dict[int, ShardLeader],
         sample: Callable[[list[str], int], list[str]],
     ) -> None:
-        self._loop, self._network, self._replica, self._election = loop, network, replica, election
+        self._loop, self._network, self._replica, self._leadership_state = loop, network, replica, leadership_state
         self._peers, self._leaders, self._sample = peers, leaders, sample
         self._has_peers = settings.params.size > 1
         self._host = settings.platform.host_name
-        connectivity = settings.operator.connectivity
-        self._damping = FlapDamping(connectivity.settle, connectivity.longest_settle, connectivity.penalty_half_life)
-        self._machine = ModeMachine(self._damping)
+        self._mode_machine = mode_machine
         self._pause_detector = PauseDetector(TICK, loop.now())
         self._store_link = Link(STATE_SERVICE, loop.now())
         self.worker_link = WorkerLink()
@@ -56,7 +54,7 @@
     @property
     def mode(self) -> Mode:
         """What this controller reaches."""
-        return self._machine.mode
+        return self._mode_machine.mode
 
     def resumed_at(self) -> timedelta:
         """The end of this process's last pause, or its start."""
@@ -64,7 +62,7 @@
 
     def reaches_store(self) -> bool:
         """Whether the key-value store has answered a renewal and a watch lately."""
-        last_confirmed = self._election.last_confirmed
+        last_confirmed = self._leadership_state.last_confirmed
         if last_confirmed > NEVER:
             self._store_link.heard(last_confirmed)
         return not self._store_link.suspected(self._loop.now())
@@ -90,7 +88,7 @@
         self.worker_link.update(
             {leader.number: leader.silent() for leader in self._leaders.values() if leader.ready}, now
         )
-        change = self._machine.update(self._reachable(), now)
+        change = self._mode_machine.update(self._reachable(), now)
         if change is not None:
             log.info(
                 "event=mode_changed host=%s from=%s to=%s cause=%s settle=%.1f",
@@ -98,7 +96,7 @@
                 change.before.value,
                 change.after.value,
                 change.cause,
-                self._damping.delay(now).total_seconds(),
+                self._mode_machine.damping.delay(now).total_seconds(),
             )
 
     def _reachable(self) -> Reachable:
@@ -115,7 +113,7 @@
         while True:
             await self._loop.sleep(PROBE_PERIOD)
             now = self._loop.now()
-            if self.worker_link.lost and self.worker_link.lost_for(now) >= self._damping.extra(now):
+            if self.worker_link.lost and self.worker_link.lost_for(now) >= self._mode_machine.damping.extra(now):
                 await self._probe_some()
 
     async def _probe_some(self) -> None:
--- a/badgerroute/coordination/membership/leadership_transfer.py
+++ b/badgerroute/coordination/membership/leadership_transfer.py
@@ -6,7 +6,8 @@
 from badgerroute.connectivity.modes import Action
 from badgerroute.connectivity.transfer_target import Candidate, choose_receiver
 from badgerroute.coordination.leadership.action_policy import ActionPolicy
-from badgerroute.coordination.leadership.leader_election import LeaderElection
+from badgerroute.coordination.leadership.leadership_state import LeadershipState
+from badgerroute.coordination.leadership.shard_transfer import ShardTransfer
 from badgerroute.coordination.membership.connectivity_monitor import ConnectivityMonitor
 from badgerroute.coordination.membership.peers import Peer, Peers
 from badgerroute.coordination.shards.shard_leader import ShardLeader
@@ -19,19 +20,21 @@
 
 
 class LeadershipTransfer:
-    """Only shards that are ours are handed over, by `LeaderElection.leadership_transfer`."""
+    """Only shards that are ours are handed over, by `ShardTransfer`."""
 
     def __init__(
         self,
         settings: Settings,
         loop: Loop,
-        election: LeaderElection,
+        leadership_state: LeadershipState,
+        shard_transfer: ShardTransfer,
         policy: ActionPolicy,
         peers: Peers,
         monitor: ConnectivityMonitor,
         leaders: dict[int, ShardLeader],
     ) -> None:
-        self._settings, self._loop, self._election, self._policy = settings, loop, election, policy
+        self._settings, self._loop, self._policy = settings, loop, policy
+        self._leadership_state, self._shard_transfer = leadership_state, shard_transfer
         self._peers, self._monitor, self._leaders = peers, monitor, leaders
         self._worker_link = monitor.worker_link
         self._relay_for = settings.operator.connectivity.relay_for
@@ -46,14 +49,14 @@
     # -- shards whose home controller is there again
 
     async def _return_to_home(self) -> None:
-        for shard in list(self._election.leaderships):
+        for shard in list(self._leadership_state.leaderships):
             host = self._home(shard)
             peer = self._peers.get(host)
             leader = self._leaders.get(shard)
             # A peer that has lost the key-value store still names the lease it once had. Its shard was handed to it
             # again and again, each time given up first and claimed anew, and was paused for as long as the cut.
             if peer is not None and peer.fit() and leader is not None and leader.shard.reconciled:
-                await self._election.transfer(shard, host, peer.gossip.lease)
+                await self._shard_transfer.transfer(shard, host, peer.gossip.lease)
                 return
 
     def _home(self, shard: int) -> str:
@@ -104,4 +107,4 @@
         host = receiver.gossip.host
         log.warning("event=workers_declared_unreachable shard=%d to=%s", leader.number, host)
         self._worker_link.shard_given_up(leader.number)
-        await self._election.transfer(leader.number, host, receiver.gossip.lease)
+        await self._shard_transfer.transfer(leader.number, host, receiver.gossip.lease)
--- a/badgerroute/coordination/membership/peers.py
+++ b/badgerroute/coordination/membership/peers.py
@@ -7,7 +7,7 @@
 
 from badgerroute.connectivity.links import PEER, Link
 from badgerroute.connectivity.modes import Mode
-from badgerroute.coordination.leadership.leader_election import LeaderElection
+from badgerroute.coordination.leadership.leader_records import LeaderRecords
 from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.protocol import mesh as mesh_wire
 from badgerroute.settings import Settings
@@ -40,9 +40,9 @@
     """The other controllers as they were last heard, and our own shards beside theirs."""
 
     def __init__(
-        self, settings: Settings, loop: Loop, election: LeaderElection, leaders: dict[int, ShardLeader]
+        self, settings: Settings, loop: Loop, leader_records: LeaderRecords, leaders: dict[int, ShardLeader]
     ) -> None:
-        self._settings, self._loop, self._election, self._leaders = settings, loop, election, leaders
+        self._settings, self._loop, self._leader_records, self._leaders = settings, loop, leader_records, leaders
         hosts = [peer.host_name for peer in settings.platform.peers]
         self.links = {host: Link(PEER, loop.now()) for host in hosts}
         self._known: dict[str, Peer] = {}
@@ -81,7 +81,7 @@
 
         A controller that has lost the key-value store learns only from the peers who came after it.
         """
-        host, term = self._election.leader(shard), self._election.known_term(shard)
+        host, term = self._leader_records.leader(shard), self._leader_records.term(shard)
         for name, peer in self.heard().items():
             for summary in peer.gossip.shards:
                 if summary.shard == shard and summary.term > term:
@@ -94,7 +94,7 @@
         Right after the start nobody has been heard yet, so none is counted out then.
         """
         now = self._loop.now()
-        led = {self._election.leader(shard) for shard in range(self._settings.params.size)}
+        led = {self._leader_records.leader(shard) for shard in range(self._settings.params.size)}
         return 1 + sum(host in led or not link.gone(now) for host, link in self.links.items())
 
     def running(self, ref: str) -> int:
--- a/badgerroute/coordination/requests/shard_requests.py
+++ b/badgerroute/coordination/requests/shard_requests.py
@@ -7,7 +7,7 @@
 
 from badgerroute.connectivity.modes import Action
 from badgerroute.coordination.leadership.action_policy import ActionPolicy
-from badgerroute.coordination.leadership.leader_election import LeaderElection
+from badgerroute.coordination.leadership.leader_records import LeaderRecords
 from badgerroute.coordination.membership.mesh import Mesh
 from badgerroute.coordination.membership.peers import Peers
 from badgerroute.coordination.shards.shard_leader import ShardLeader
@@ -25,13 +25,13 @@
         self,
         loop: Loop,
         group: TaskGroup,
-        election: LeaderElection,
+        leader_records: LeaderRecords,
         policy: ActionPolicy,
         peers: Peers,
         mesh: Mesh,
         leaders: dict[int, ShardLeader],
     ) -> None:
-        self._loop, self._group, self._election, self._policy = loop, group, election, policy
+        self._loop, self._group, self._leader_records, self._policy = loop, group, leader_records, policy
         self._peers, self._mesh, self._leaders = peers, mesh, leaders
 
     async def run_stealing(self) -> None:
@@ -62,7 +62,7 @@
         if victim in self._leaders:
             self._group.spawn(self._leaders[victim].migration.on_steal(message), "steal")
         else:
-            host = self._election.leader(victim)
+            host = self._leader_records.leader(victim)
             if host is not None:
                 self._mesh.send(host, message)
 
--- a/badgerroute/coordination/shards/leader_context.py
+++ b/badgerroute/coordination/shards/leader_context.py
@@ -9,6 +9,7 @@
 from badgerroute.coordination.jobs.record_paging import RecordPager
 from badgerroute.coordination.leadership.action_policy import ActionPolicy
 from badgerroute.coordination.leadership.leader_election import LeaderElection
+from badgerroute.coordination.leadership.leadership_state import LeadershipState
 from badgerroute.coordination.quotas.quota_allocator import QuotaAllocator
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.mesh import MachineRequest, QuotaRequest
@@ -31,6 +32,7 @@
     semaphore: Semaphore  # how many commands may be on their way to machines at once
     store: KeyValueClient
     replica: Replica
+    leadership_state: LeadershipState
     election: LeaderElection
     policy: ActionPolicy
     resumed_at: Callable[[], timedelta]  # the end of this process's last pause
--- a/badgerroute/coordination/shards/machine_commands.py
+++ b/badgerroute/coordination/shards/machine_commands.py
@@ -4,6 +4,7 @@
 from collections.abc import Callable
 from datetime import timedelta
 
+from badgerroute.coordination.leadership.leader_election import LeadershipNotGainedError
 from badgerroute.coordination.shards.leader_context import LeaderContext
 from badgerroute.protocol.common import MalformedError, encode
 from badgerroute.protocol.workers import Command, DirectCommands, Heartbeat, parse_heartbeat
@@ -81,13 +82,12 @@
         self._raising = Future()
         raised = False
         try:
-            term = await self._election.raise_term(self._shard.number)
+            self._shard.term = await self._election.raise_term(self._shard.number)
+            raised = True
+        except LeadershipNotGainedError:
+            pass  # the old term stands, and the result says so
         except (StoreUnavailableError, OutcomeUnknownError, LeaseExpiredError) as error:
             log.info("event=term_raise_failed shard=%d error=%s", self._shard.number, error)
-        else:
-            if term is not None:
-                self._shard.term = term
-                raised = True
         finally:
             self._raising.set(raised)
             self._raising = None
--- a/badgerroute/coordination/shards/machine_transfers.py
+++ b/badgerroute/coordination/shards/machine_transfers.py
@@ -32,7 +32,7 @@
 
     def __init__(self, shard: Shard, context: LeaderContext, group: TaskGroup, active: Callable[[], bool]) -> None:
         self._shard, self._loop, self._group, self._active = shard, context.loop, group, active
-        self._store, self._replica, self._election = context.store, context.replica, context.election
+        self._store, self._replica, self._leadership_state = context.store, context.replica, context.leadership_state
         self._policy = context.policy
         self._publish = context.publish
 
@@ -52,7 +52,7 @@
         if not given:
             return
         puts = [self._transfer(machine, message.shard) for machine in given]
-        conditions = [self._election.condition(self._shard.number)]
+        conditions = [self._leadership_state.condition(self._shard.number)]
         conditions += [compare(change.key, self._replica.revision_of(change.key)) for change in puts]
         try:
             at = await self._store.transact(conditions, puts, Urgency.PROGRESS)
@@ -103,7 +103,7 @@
                 item = await self._store.get(key, Urgency.COMPLETE)
                 if item is None or records.read(bytes(item.value), MachineRecord).shard != self._shard.number:
                     return  # the watch brings it
-                conditions = [self._election.condition(self._shard.number), compare(key, item.revision)]
+                conditions = [self._leadership_state.condition(self._shard.number), compare(key, item.revision)]
                 at = await self._store.transact(conditions, [put(key, item.value)], Urgency.COMPLETE)
                 self._replica.learn(key, bytes(item.value), at)
                 machine.draining = False
--- a/badgerroute/coordination/shards/member_registry.py
+++ b/badgerroute/coordination/shards/member_registry.py
@@ -25,7 +25,7 @@
     """Writes new members down, several in one transaction."""
 
     def __init__(self, context: LeaderContext, group: TaskGroup) -> None:
-        self._loop, self._group, self._election = context.loop, group, context.election
+        self._loop, self._group, self._leadership_state = context.loop, group, context.leadership_state
         self._store, self._replica, self._publish = context.store, context.replica, context.publish
         self._waiting: dict[str, tuple[MachineRecord, Future]] = {}
         self._running = False
@@ -64,11 +64,11 @@
         batch = {
             name: record
             for name, record in batch.items()
-            if record.shard in self._election.leaderships and not self._replica.revision_of(MACHINES + name)
+            if record.shard in self._leadership_state.leaderships and not self._replica.revision_of(MACHINES + name)
         }
         if not batch:
             return set()
-        conditions = [self._election.condition(shard) for shard in {record.shard for record in batch.values()}]
+        conditions = [self._leadership_state.condition(shard) for shard in {record.shard for record in batch.values()}]
         conditions += [compare(MACHINES + name, 0) for name in batch]
         values = {MACHINES + name: records.write(record) for name, record in batch.items()}
         try:
--- a/badgerroute/coordination/shards/migration.py
+++ b/badgerroute/coordination/shards/migration.py
@@ -65,7 +65,7 @@
     ) -> None:
         self.number, self.shard, self.planner = shard.number, shard, planner
         self._loop, self._group = context.loop, group
-        self._store, self._replica, self._election = context.store, context.replica, context.election
+        self._store, self._replica, self._leadership_state = context.store, context.replica, context.leadership_state
         self._policy = context.policy
         self._job_store, self._job_reader, self._pager = context.job_store, context.job_reader, context.pager
         self._publish, self._ask_machines = context.publish, context.request_machines
@@ -196,7 +196,7 @@
         writes = [write for ref, record in changes if (write := self._reserve(ref, record)) is not None]
         if not writes:
             return
-        conditions = [self._election.condition(self.number), *(write.condition for write in writes)]
+        conditions = [self._leadership_state.condition(self.number), *(write.condition for write in writes)]
         puts = [write.put for write in writes]
         try:
             at = await self._store.transact(conditions, puts, Urgency.PROGRESS)
--- a/badgerroute/coordination/shards/shard_leader.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -7,7 +7,7 @@
 from badgerroute.connectivity import worker_silence
 from badgerroute.connectivity.modes import Action
 from badgerroute.coordination.jobs.job_writer import Progress
-from badgerroute.coordination.leadership.leader_election import Leadership
+from badgerroute.coordination.leadership.leadership_state import Leadership
 from badgerroute.coordination.shards import summary
 from badgerroute.coordination.shards.fencing import Fencing
 from badgerroute.coordination.shards.leader_context import LeaderContext
@@ -56,7 +56,11 @@
     def __init__(self, number: int, leadership: Leadership, context: LeaderContext) -> None:
         self.number = number
         self._settings, self._loop, self._replica = context.settings, context.loop, context.replica
-        self._election, self._job_store, self._catalog = context.election, context.job_store, context.catalog
+        self._leadership_state, self._job_store, self._catalog = (
+            context.leadership_state,
+            context.job_store,
+            context.catalog,
+        )
         self._policy, self._resumed_at = context.policy, context.resumed_at
         self._progressed, self._delete = context.progressed, context.delete_machines
         params = self._settings.params
@@ -280,7 +284,7 @@
             log_state(self.shard)
 
     def _expire(self, now: timedelta) -> None:
-        lost = self.shard.expire(now, self._election.last_confirmed, self._settings.machine_lease, self.grace)
+        lost = self.shard.expire(now, self._leadership_state.last_confirmed, self._settings.machine_lease, self.grace)
         for machine in lost:
             machine.lost_at = now
         if lost:
--- a/badgerroute/coordination/shards/tombstone_writer.py
+++ b/badgerroute/coordination/shards/tombstone_writer.py
@@ -34,7 +34,7 @@
     def __init__(self, shard: Shard, context: LeaderContext) -> None:
         self._shard, self._publish = shard, context.publish
         self._loop, self._store, self._replica = context.loop, context.store, context.replica
-        self._election = context.election
+        self._leadership_state = context.leadership_state
         self._most_members = 0
         self._names_per_page = max(1, min(NAMES_PER_PAGE, self._store.max_value_bytes // MACHINE_NAME_BYTES))
 
@@ -47,14 +47,17 @@
         for name in names:
             self._shard.remove_machine(name, now)
         self._shard.reconcile()
-        while names and self._shard.number in self._election.leaderships:
+        while names and self._shard.number in self._leadership_state.leaderships:
             key, known = self._page()
             batch = names[: min(self._store.max_changes - 1, self._names_per_page - len(known), MAX_MACHINES_PER_WRITE)]
             gone = records.write(TombstoneRecord([*known, *(name for name in batch if name not in known)]))
             members = [MACHINES + name for name in batch if self._replica.revision_of(MACHINES + name)]
             changes: list[Put | Remove] = [put(key, gone), *(remove(key) for key in members)]
             # On the page as we know it: carried out late, an older write of it would strike newer names off.
-            conditions = [self._election.condition(self._shard.number), compare(key, self._replica.revision_of(key))]
+            conditions = [
+                self._leadership_state.condition(self._shard.number),
+                compare(key, self._replica.revision_of(key)),
+            ]
             try:
                 at = await self._store.transact(conditions, changes, Urgency.PROGRESS)
             except (StoreUnavailableError, OutcomeUnknownError, CompareFailedError, LeaseExpiredError) as error:
--- a/badgerroute/rebalancing/service.py
+++ b/badgerroute/rebalancing/service.py
@@ -235,7 +235,7 @@
         assert self._controller is not None and self._drains is not None
         while True:
             await self._loop.sleep(ORPHANS_LOOKED_FOR)
-            if self._controller.election.autoscaler_term is not None and self._controller.policy.allows(
+            if self._controller.leadership_state.autoscaler_term is not None and self._controller.policy.allows(
                 Action.CLEAN_UP
             ):
                 await self._drains.remove_orphans()
--- a/tests/standins/cuts.py
+++ b/tests/standins/cuts.py
@@ -60,7 +60,7 @@
     @staticmethod
     def _acts(controller: Controller, shard: int) -> bool:
         leader = controller.leaders.get(shard)
-        return leader is not None and leader.ready and controller.election.may_lead(shard)
+        return leader is not None and leader.ready and controller.leadership_state.may_lead(shard)
 
     def _note(self, host: str, controller: Controller) -> None:
         if not hasattr(controller, "monitor"):
--- a/tests/standins/production.py
+++ b/tests/standins/production.py
@@ -27,6 +27,7 @@
     "leader": "owner",
     "leaders": "owners",
     "election": "claims",
+    "leadership_state": "claims",
     "leaderships": "parts",
     "may_lead": "acting",
     "store": "state",
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable
 from datetime import timedelta
 from pathlib import Path
+from types import SimpleNamespace
 
 import pytest
 
@@ -195,7 +196,7 @@
         assert PERMISSIONS[mode][action] in permissions, action
 
 
-class _Election:
+class _LeadershipState:
     def __init__(self, within_grace: bool, lease_surely_valid: bool) -> None:
         self.leaderships = {1: None}
         self._within_grace, self._lease_surely_valid = within_grace, lease_surely_valid
@@ -210,7 +211,8 @@
 @pytest.mark.parametrize(("within_grace", "lease_surely_valid"), [(True, True), (True, False), (False, False)])
 def test_the_policy_reads_the_table(within_grace: bool, lease_surely_valid: bool) -> None:
     for mode, action in itertools.product(Mode, Action):
-        policy = ActionPolicy(_Election(within_grace, lease_surely_valid), lambda mode=mode: mode)  # type: ignore[arg-type]
+        state, mode_machine = _LeadershipState(within_grace, lease_surely_valid), SimpleNamespace(mode=mode)
+        policy = ActionPolicy(state, mode_machine)  # type: ignore[arg-type]
         expected = {
             Permission.ALLOWED: True,
             Permission.RELUCTANT: True,
@@ -235,9 +237,9 @@
 
 def test_no_action_goes_round_the_policy() -> None:
     """The proofs behind the permissions are asked for by the gate alone, and every action is asked for somewhere."""
-    policy, election = "coordination/leadership/action_policy.py", "coordination/leadership/leader_election.py"
+    policy, state = "coordination/leadership/action_policy.py", "coordination/leadership/leadership_state.py"
     proofs = attribute_uses({"within_grace", "lease_surely_valid", "may_lead"})
-    assert set().union(*proofs.values()) <= {policy, election}
+    assert set().union(*proofs.values()) <= {policy, state}
     assert set(attribute_uses({action.name for action in Action})) == {action.name for action in Action}
 
 
--- a/tests/test_connectivity_days.py
+++ b/tests/test_connectivity_days.py
@@ -85,10 +85,10 @@
     away = []
     for _ in range(4):
         cut()
-        assert day.until(lambda: not day.controllers[host][0].election.leaderships, 30)
+        assert day.until(lambda: not day.controllers[host][0].leadership_state.leaderships, 30)
         heal()
         began = day.loop.now()
-        assert day.until(lambda: bool(day.controllers[host][0].election.leaderships), 120)
+        assert day.until(lambda: bool(day.controllers[host][0].leadership_state.leaderships), 120)
         away.append((day.loop.now() - began) / SECOND)
     assert away[0] < 16 and away[-1] > 1.2 * away[0] and away[-1] < 90, away
     assert day.finish(300) == [] and day.rules.broken == []
@@ -124,7 +124,9 @@
 
 
 def heirs(day: Day, host: str, shard: int) -> Iterator[Controller]:
-    return (one for name, (one, _) in day.controllers.items() if name != host and shard in one.election.leaderships)
+    return (
+        one for name, (one, _) in day.controllers.items() if name != host and shard in one.leadership_state.leaderships
+    )
 
 
 def led(day: Day, host: str, shard: int) -> bool:
@@ -368,19 +370,21 @@
     day = cluster(5, operator)
     counts = play(day, lambda day: hold(day, from_workers(day, HOSTS[:1], "hold"), 60))
     assert counts.hand_overs == 1 and counts.relayed > 30 and counts.killed_by_lease == []
-    assert day.until(lambda: day.controllers[HOSTS[0]][0].election.leaderships != {}, 60), "and home again afterwards"
+    assert day.until(lambda: day.controllers[HOSTS[0]][0].leadership_state.leaderships != {}, 60), (
+        "and home again afterwards"
+    )
 
 
 def test_shards_of_an_unheard_controller_go_to_different_peers() -> None:
     """By load: a controller with two shards does not give both to the same peer."""
     day = cluster(6, NO_RELAY_SERVES)
     day.restart(HOSTS[1], 30 * SECOND)
-    assert day.until(lambda: sum(len(one.election.leaderships) for one, _ in day.controllers.values()) == 3, 20)
-    busy = max(day.controllers, key=lambda host: len(day.controllers[host][0].election.leaderships))
+    assert day.until(lambda: sum(len(one.leadership_state.leaderships) for one, _ in day.controllers.values()) == 3, 20)
+    busy = max(day.controllers, key=lambda host: len(day.controllers[host][0].leadership_state.leaderships))
     idle = next(host for host in day.controllers if host != busy)
     day.run(12)
     hold(day, from_workers(day, [busy], "reset"), 14)
-    assert day.controllers[idle][0].election.leaderships, idle
+    assert day.controllers[idle][0].leadership_state.leaderships, idle
     day.run(30)
     assert day.finish(300) == [] and day.rules.broken == []
 
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -252,7 +252,7 @@
         assert up is not None and up.status == 503, "the load balancer is told"
         day.run(22)
         controller = day.controllers[host][0]
-        assert not any(controller.election.may_lead(shard) for shard in range(3)), "it stops in time"
+        assert not any(controller.leadership_state.may_lead(shard) for shard in range(3)), "it stops in time"
         for others in (peers, state) if workers_first else (state, peers):
             for other in others:
                 day.world.heal(host, other)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -84,13 +84,14 @@
 def test_an_outranked_leader_stands_down_while_it_asks_for_a_higher_term() -> None:
     day = Day(seed=3)
     day.run(5)
-    election = day.controllers[HOSTS[0]][0].election
-    term = election.leaderships[0].term
-    election._writing.add(0)
+    controller = day.controllers[HOSTS[0]][0]
+    election, leaderships = controller.election, controller.leadership_state.leaderships
+    term = leaderships[0].term
+    controller.leader_records.pending.add(0)
     election.step_down_if_outranked(0, term)
-    assert 0 in election.leaderships, "its own term is no news"
+    assert 0 in leaderships, "its own term is no news"
     election.step_down_if_outranked(0, term + 5)
-    assert 0 not in election.leaderships
+    assert 0 not in leaderships
 
 
 def test_a_leader_that_lost_its_leadership_gives_nothing_away(caplog: pytest.LogCaptureFixture) -> None:
@@ -101,7 +102,7 @@
     day.run(2)
     controller = day.controllers[HOSTS[0]][0]
     leader = controller.leaders[0]
-    controller.election._step_down(0)
+    controller.leadership_state.step_down(0)
 
     def give() -> None:
         record = controller.job_store.active["run-a"]
--- a/tests/test_left_waiting.py
+++ b/tests/test_left_waiting.py
@@ -134,11 +134,11 @@
     controller = day.controllers[host][0]
     day.store.revision += 1
     early = {"owner": host, "until": day.clock.today().timestamp() - 50}
-    day.store.items["b/parts/0"] = (early, day.store.revision, controller.election.lease)
+    day.store.items["b/parts/0"] = (early, day.store.revision, controller.leadership_state.lease)
     day.store.log.append({"write": "b/parts/0", "value": early, "mark": day.store.revision})
     day.store._notify()
     day.run(3)
-    leadership = controller.election.leaderships[0]
+    leadership = controller.leadership_state.leaderships[0]
     assert leadership.term > day.store.revision - 20
     assert leadership.grace >= controller.settings.grace - SECOND / 10
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -128,7 +128,7 @@
         monkeypatch.setattr("badgerroute.settings.Settings.grace", property(lambda self: 60 * SECOND))
     else:
         monkeypatch.setattr(
-            "badgerroute.coordination.leadership.leader_election.LeaderElection.last_confirmed",
+            "badgerroute.coordination.leadership.leadership_state.LeadershipState.last_confirmed",
             property(lambda self: self._loop.now()),
         )
     day = gap(0.0, 14, 58, "cut", well)
@@ -149,8 +149,9 @@
     day.run(0.3)
     assert day.cancel("run-a", host=others(leader)[0]) == "withdrawn"
     day.run(12)
-    assert controller.election.lease is not None and day.loop.now() - controller.election._last_confirmed < 2 * SECOND
-    assert controller.election.last_confirmed <= asked + SECOND, "the proof is as old as the last answered watch"
+    state = controller.leadership_state
+    assert state.lease is not None and day.loop.now() - state.lease_confirmed_at < 2 * SECOND
+    assert state.last_confirmed <= asked + SECOND, "the proof is as old as the last answered watch"
     day.run(CANCEL)
     assert not on_machines(day, "run-a")
     day.store.unwatched.clear()
