--- a/badgerroute/connectivity/__init__.py
+++ b/badgerroute/connectivity/__init__.py
@@ -1,4 +1,6 @@
 """What a controller can reach, and what it may do when that is only a part.
 
-Pure: no I/O and no clock of its own. Imports the scheduling models, the settings and the mesh messages.
+Owns failure detection, the connectivity modes with their table of permissions, flap damping, and the routes of
+heartbeats that reach the wrong controller. Pure: no I/O, and the time is always an argument. May import protocol,
+settings and scheduling.
 """
--- a/badgerroute/connectivity/mode_machine.py
+++ b/badgerroute/connectivity/mode_machine.py
@@ -1,59 +1,74 @@
-"""The mode that a controller is in, and when it changes."""
+"""The state machine of a controller's connectivity mode."""
 
 from dataclasses import dataclass
 from datetime import timedelta
+from enum import Enum
 
 from badgerroute.connectivity.damping import FlapDamping
-from badgerroute.connectivity.modes import Mode, Reachable, mode_of
+from badgerroute.connectivity.modes import Mode, Reachability, mode_of
 
 IMPAIRED = frozenset({Mode.STORE_UNREACHABLE, Mode.WORKERS_UNREACHABLE, Mode.ISOLATED})
 
 
+class ModeCause(Enum):
+    """Why a mode was entered. The values stand in the log."""
+
+    OUTAGE = "no_controller_reaches_the_state_service"
+    STORE_AND_PEERS_SUSPECTED = "state_service_and_siblings_silent"
+    STORE_SUSPECTED = "state_service_silent"
+    STORE_AND_WORKERS_UNREACHABLE = "state_service_and_workers_silent"
+    WORKERS_REPORT_TO_PEERS = "workers_report_to_siblings"
+    LINKS_RESTORED = "links_are_back"
+    LINKS_STABLE = "links_are_good"
+
+
 @dataclass(frozen=True, slots=True)
 class ModeChange:
     """A change of mode, with its cause for the log."""
 
     before: Mode
     after: Mode
-    cause: str
+    cause: ModeCause
 
 
 class ModeMachine:
-    """Holds the mode. Starts out serving: a new process has lost nothing yet."""
+    """Holds the mode. Begins with SERVING: a new process has lost nothing yet."""
 
     def __init__(self, damping: FlapDamping) -> None:
         self.damping = damping
-        self._good_since: timedelta | None = None  # since when nothing is missing; None: never lost anything, or is now
+        self._good_since: timedelta | None = (
+            None  # since when nothing is missing; None: nothing was lost yet, or is now
+        )
         self.mode = Mode.SERVING
 
-    def update(self, reachable: Reachable, now: timedelta) -> ModeChange | None:
-        """Take in what is reachable; the change that follows, if any."""
+    def update(self, reachability: Reachability, now: timedelta) -> ModeChange | None:
+        """Take in what is reachable; returns the change of mode that follows, if any."""
         before = self.mode
-        if mode_of(reachable, stable=True) in IMPAIRED:
+        if mode_of(reachability, stable=True) in IMPAIRED:
             self._good_since = None
             if before not in IMPAIRED:
-                self.damping.note_change(now)
+                self.damping.record_loss(now)
         elif before in IMPAIRED:
             self._good_since = now
-        self.mode = mode_of(reachable, self._stable(now))
-        return None if self.mode is before else ModeChange(before, self.mode, _cause(reachable, self.mode))
+        self.mode = mode_of(reachability, self._stable(now))
+        return None if self.mode is before else ModeChange(before, self.mode, _cause(reachability, self.mode))
 
     def _stable(self, now: timedelta) -> bool:
         return self._good_since is None or now - self._good_since >= self.damping.delay(now)
 
 
-def _cause(reachable: Reachable, mode: Mode) -> str:
+def _cause(reachability: Reachability, mode: Mode) -> ModeCause:
     match mode:
         case Mode.OUTAGE:
-            return "no_controller_reaches_the_state_service"
-        case Mode.STORE_UNREACHABLE | Mode.ISOLATED if not reachable.peers:
-            return "state_service_and_siblings_silent"
+            return ModeCause.OUTAGE
+        case Mode.STORE_UNREACHABLE | Mode.ISOLATED if not reachability.peers:
+            return ModeCause.STORE_AND_PEERS_SUSPECTED
         case Mode.STORE_UNREACHABLE:
-            return "state_service_silent"
+            return ModeCause.STORE_SUSPECTED
         case Mode.ISOLATED:
-            return "state_service_and_workers_silent"
+            return ModeCause.STORE_AND_WORKERS_UNREACHABLE
         case Mode.WORKERS_UNREACHABLE:
-            return "workers_report_to_siblings"
+            return ModeCause.WORKERS_REPORT_TO_PEERS
         case Mode.RECOVERING:
-            return "links_are_back"
-    return "links_are_good"
+            return ModeCause.LINKS_RESTORED
+    return ModeCause.LINKS_STABLE
--- a/badgerroute/connectivity/modes.py
+++ b/badgerroute/connectivity/modes.py
@@ -13,8 +13,8 @@
 
     SERVING = "serving"  # key-value store and workers
     RECOVERING = "recovering"  # both again, but not for long enough yet
-    OUTAGE = "outage"  # no key-value store, as for every peer that is heard
-    STORE_UNREACHABLE = "unrecorded"  # no key-value store, while a peer has it or none is heard
+    OUTAGE = "outage"  # no key-value store, as for every peer that is not suspected
+    STORE_UNREACHABLE = "unrecorded"  # no key-value store, while a peer has it or all are suspected
     WORKERS_UNREACHABLE = "unheard"  # key-value store, but no workers
     ISOLATED = "isolated"  # neither
 
@@ -36,7 +36,7 @@
     TRANSFER_MACHINES = "lend_machines"
     RENT = "rent"
     RETURN_IDLE = "return_idle"
-    GIVE_UP_MACHINE = "give_up_machine"  # have a machine deleted because it is silent
+    GIVE_UP_MACHINE = "give_up_machine"  # have a machine deleted because its heartbeats stay out
     DELETE = "delete"  # at the cloud, whatever the reason
     CAMPAIGN = "claim"
     TRANSFER_SHARD = "hand_over"
@@ -49,7 +49,7 @@
     ALLOWED = "allowed"
     WITHIN_GRACE = "within_grace"  # until the last confirmation of our leadership is G old
     WHILE_CERTAIN = "while_certain"  # until our lease may have ended since the last proof
-    RELUCTANT = "reluctant"  # after those had the chance who reach more
+    RELUCTANT = "reluctant"  # after the controllers that reach more have had their chance
     FROM_MEMORY = "from_memory"  # only as far as nothing has to be read
     REFUSED = "refused"
 
@@ -85,26 +85,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reachable:
+class Reachability:
     """What a controller can reach at a moment."""
 
     store: bool
     workers: bool
-    peers: bool  # one at least is heard, or there are none
-    peer_with_store: bool  # one that is heard reaches the key-value store
+    peers: bool  # one at least is not suspected, or there are none
+    peer_with_store: bool  # one that is not suspected reaches the key-value store
 
     @property
-    def alone(self) -> bool:
-        """Whether the key-value store is missing here and, as far as can be known, not everywhere."""
+    def lacks_store_alone(self) -> bool:
+        """Whether this controller lacks the key-value store while, as far as it can know, others reach it."""
         return not self.store and (self.peer_with_store or not self.peers)
 
 
-def mode_of(reachable: Reachable, stable: bool) -> Mode:
-    """The mode that follows; `stable`: the links have been good for long enough."""
-    if not reachable.store:
-        if not reachable.alone:
+def mode_of(reachability: Reachability, stable: bool) -> Mode:
+    """The mode that follows from what is reachable; `stable`: the links have been good for long enough."""
+    if not reachability.store:
+        if not reachability.lacks_store_alone:
             return Mode.OUTAGE
-        return Mode.STORE_UNREACHABLE if reachable.workers else Mode.ISOLATED
-    if not reachable.workers:
+        return Mode.STORE_UNREACHABLE if reachability.workers else Mode.ISOLATED
+    if not reachability.workers:
         return Mode.WORKERS_UNREACHABLE
     return Mode.SERVING if stable else Mode.RECOVERING
--- a/badgerroute/connectivity/process_pause.py
+++ b/badgerroute/connectivity/process_pause.py
@@ -1,4 +1,4 @@
-"""Recognises that the own process was paused: a periodic duty comes much later than it was due."""
+"""Detects that this process was paused: a periodic task runs much later than it was due."""
 
 from datetime import timedelta
 
@@ -7,16 +7,16 @@
 
 
 class PauseDetector:
-    """Told of every turn of a duty that is due once a period."""
+    """To be ticked by a task that runs once a `period`."""
 
     def __init__(self, period: timedelta, now: timedelta) -> None:
-        self._period, self._turn = period, now
-        self.resumed_at = now  # the end of the last pause, or the start
+        self._period, self._last_tick = period, now
+        self.resumed_at = now  # the end of the last pause, or the start of the process
 
-    def turn(self, now: timedelta) -> timedelta:
-        """Note a turn; how long the process was paused before it, zero if it did not."""
-        late = now - self._turn - self._period
-        self._turn = now
+    def tick(self, now: timedelta) -> timedelta:
+        """Record a run of the task; returns how long the process was paused before it, zero if it was not."""
+        late = now - self._last_tick - self._period
+        self._last_tick = now
         if late < MIN_PAUSE:
             return ZERO
         self.resumed_at = now
--- a/badgerroute/connectivity/transfer_target.py
+++ b/badgerroute/connectivity/transfer_target.py
@@ -1,25 +1,33 @@
-"""To which peer a leader that its workers don't reach hands a shard."""
+"""Chooses the peer to which a leader transfers a shard whose workers don't reach it."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
-class Candidate:
-    """A peer that may own a shard."""
+class TransferCandidate:
+    """A peer that may lead a shard."""
 
     host: str
-    machines_heard: int  # of the shard
-    machines_owned: int  # of all its shards
+    machines_reporting: int  # machines of the shard that send their heartbeats to it
+    machines_led: int  # of all its shards
 
 
-def choose_receiver(candidates: list[Candidate], machines: int) -> Candidate | None:
-    """The peer that would own fewest machines, among those that hear at least half as many as the one hearing most.
+def choose_transfer_target(candidates: list[TransferCandidate], shard_machines: int) -> TransferCandidate | None:
+    """The least loaded peer among those to which at least half as many machines report as to the best reached one.
 
-    `machines`: how many the shard has, which its new leader gets on top of what it owns.
+    `shard_machines`: how many the shard has, which its new leader gets on top of what it leads. None: the shard's
+    machines report to no candidate.
     """
-    hearing = [candidate for candidate in candidates if candidate.machines_heard > 0]
-    if not hearing:
+    reached = [candidate for candidate in candidates if candidate.machines_reporting > 0]
+    if not reached:
         return None
-    most = max(candidate.machines_heard for candidate in hearing)
-    close = [candidate for candidate in hearing if 2 * candidate.machines_heard >= most]
-    return min(close, key=lambda one: (one.machines_owned + machines, -one.machines_heard, one.host))
+    most = max(candidate.machines_reporting for candidate in reached)
+    eligible = [candidate for candidate in reached if 2 * candidate.machines_reporting >= most]
+    return min(
+        eligible,
+        key=lambda candidate: (
+            candidate.machines_led + shard_machines,
+            -candidate.machines_reporting,
+            candidate.host,
+        ),
+    )
--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -26,10 +26,11 @@
 from badgerroute.coordination.leadership.lease_keeper import LeaseKeeper
 from badgerroute.coordination.leadership.shard_transfer import ShardTransfer
 from badgerroute.coordination.membership.connectivity_monitor import ConnectivityMonitor
-from badgerroute.coordination.membership.forwarding import FIRST_NUMBERS, RequestForwarder
+from badgerroute.coordination.membership.forwarding import FIRST_NUMBER_RANGE, RequestForwarder
 from badgerroute.coordination.membership.leadership_transfer import LeadershipTransfer
 from badgerroute.coordination.membership.mesh import Mesh
 from badgerroute.coordination.membership.peers import Peers
+from badgerroute.coordination.membership.worker_prober import WorkerProber
 from badgerroute.coordination.quotas.quota_allocator import QuotaAllocator
 from badgerroute.coordination.requests.heartbeat_handler import HeartbeatHandler
 from badgerroute.coordination.requests.http_api import HttpApi
@@ -107,20 +108,25 @@
         self.monitor = ConnectivityMonitor(
             settings=settings,
             loop=loop,
-            network=network,
-            replica=self.replica,
             leadership_state=self.leadership_state,
             mode_machine=self.mode_machine,
             peers=self.peers,
             leaders=self.leaders,
+        )
+        self.worker_prober = WorkerProber(
+            loop=loop,
+            network=network,
+            replica=self.replica,
+            worker_link=self.monitor.worker_link,
+            damping=self.mode_machine.damping,
             sample=random.Random(settings.platform.host_name).sample,
         )
         self.forwarder = RequestForwarder(
             loop=loop,
             group=group,
             host=settings.platform.host_name,
-            most=settings.operator.connectivity.relays_at_once,
-            first_number=random.SystemRandom().randrange(FIRST_NUMBERS),
+            max_concurrent=settings.operator.connectivity.relays_at_once,
+            first_number=random.SystemRandom().randrange(FIRST_NUMBER_RANGE),
             send=self.mesh.send,
             handle=lambda request, relay: self.api.handle_forwarded(request, relay),
         )
@@ -285,7 +291,7 @@
             (self.autoscaler.run_deletion, "delete"),
             (self.scale_in.run, "idle"),
             (self.monitor.run, "connectivity"),
-            (self.monitor.probe, "probe"),
+            (self.worker_prober.run, "probe"),
             (self.dependency_resolver.resolve, "resolve"),
             (self.dependency_resolver.cancel_downstream, "withdraw"),
             (self.dependency_resolver.tidy, "tidy"),
@@ -346,7 +352,7 @@
     async def _run_gossip(self) -> None:
         while True:
             await self._loop.sleep(GOSSIP)
-            self.store.divide_rates(self.peers.in_use())
+            self.store.divide_rates(self.peers.store_clients())
             if self.leadership_state.lease is not None:
                 self.mesh.broadcast(self._gossip())
             self.cancellation_broadcast.repeat()
@@ -361,7 +367,7 @@
             not self.policy.allows(Action.RECEIVE_SHARD),
             shards,
             self.monitor.mode.value,
-            list(self.peers.heard()),
+            list(self.peers.reachable()),
             self.settings.operator.connectivity.relay,
         )
 
--- a/badgerroute/coordination/membership/connectivity_monitor.py
+++ b/badgerroute/coordination/membership/connectivity_monitor.py
@@ -1,59 +1,47 @@
-"""Gathers what this controller reaches, keeps its mode, and finds out when workers can be reached again."""
+"""Judges the links of this controller a few times a second, and keeps its connectivity mode."""
 
 import logging
-from collections.abc import Callable
 from datetime import timedelta
 
-from badgerroute.connectivity.links import STATE_SERVICE, Link
+from badgerroute.connectivity.failure_detector import STORE_TIMEOUT, FailureDetector
 from badgerroute.connectivity.mode_machine import ModeMachine
-from badgerroute.connectivity.modes import Mode, Reachable
+from badgerroute.connectivity.modes import Mode, Reachability
 from badgerroute.connectivity.process_pause import PauseDetector
 from badgerroute.connectivity.worker_link import WorkerLink
 from badgerroute.coordination.leadership.leadership_state import NEVER, LeadershipState
 from badgerroute.coordination.membership.peers import Peers
 from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.settings import Settings
-from badgerroute.storage import records
-from badgerroute.storage.records import MachineRecord
-from badgerroute.storage.replica import MACHINES, Replica
-from badgerroute.transport.http import Client, NoAnswerError
 from badgerroute.transport.loop import Loop
-from badgerroute.transport.net import Network
 
 log = logging.getLogger(__name__)
-TICK = timedelta(milliseconds=250)
-PROBE_PERIOD = timedelta(seconds=2)
-PROBED_MACHINES = 3
-PROBE_LIMIT = timedelta(seconds=1)
+CHECK_INTERVAL = timedelta(milliseconds=250)
 
 
 class ConnectivityMonitor:
-    """`sample` draws some of a list, for the machines to probe."""
+    """Gathers what this controller reaches: the key-value store, its peers, and its workers."""
 
     def __init__(
         self,
+        *,
         settings: Settings,
         loop: Loop,
-        network: Network,
-        replica: Replica,
         leadership_state: LeadershipState,
         mode_machine: ModeMachine,
         peers: Peers,
         leaders: dict[int, ShardLeader],
-        sample: Callable[[list[str], int], list[str]],
     ) -> None:
-        self._loop, self._network, self._replica, self._leadership_state = loop, network, replica, leadership_state
-        self._peers, self._leaders, self._sample = peers, leaders, sample
+        self._loop, self._leadership_state, self._mode_machine = loop, leadership_state, mode_machine
+        self._peers, self._leaders = peers, leaders
         self._has_peers = settings.params.size > 1
         self._host = settings.platform.host_name
-        self._mode_machine = mode_machine
-        self._pause_detector = PauseDetector(TICK, loop.now())
-        self._store_link = Link(STATE_SERVICE, loop.now())
+        self._pause_detector = PauseDetector(CHECK_INTERVAL, loop.now())
+        self._store_detector = FailureDetector(STORE_TIMEOUT, loop.now())
         self.worker_link = WorkerLink()
 
     @property
     def mode(self) -> Mode:
-        """What this controller reaches."""
+        """The mode that follows from what this controller reaches."""
         return self._mode_machine.mode
 
     def resumed_at(self) -> timedelta:
@@ -61,75 +49,52 @@
         return self._pause_detector.resumed_at
 
     def reaches_store(self) -> bool:
-        """Whether the key-value store has answered a renewal and a watch lately."""
+        """Whether the key-value store has answered a lease renewal and a watch lately."""
         last_confirmed = self._leadership_state.last_confirmed
         if last_confirmed > NEVER:
-            self._store_link.heard(last_confirmed)
-        return not self._store_link.suspected(self._loop.now())
+            self._store_detector.heartbeat(last_confirmed)
+        return not self._store_detector.suspected(self._loop.now())
 
-    def alone(self) -> bool:
-        """Whether users are served better elsewhere: only this controller lacks the key-value store."""
-        return self._reachable().alone
+    def lacks_store_alone(self) -> bool:
+        """Whether users are served better elsewhere: of all controllers only this one lacks the key-value store."""
+        return self._reachability().lacks_store_alone
 
     async def run(self) -> None:
-        """Judge the links a few times a second."""
+        """Judge the links a few times a second, for as long as the controller runs."""
         while True:
-            await self._loop.sleep(TICK)
+            await self._loop.sleep(CHECK_INTERVAL)
             self.update()
 
     def update(self) -> None:
-        """Judge the links now."""
+        """Judge the links now, and change the mode accordingly."""
         now = self._loop.now()
-        process_pause = self._pause_detector.turn(now)
+        process_pause = self._pause_detector.tick(now)
         if process_pause:
-            log.info("event=process_paused host=%s seconds=%.1f", self._host, process_pause.total_seconds())
-            for link in (self._store_link, *self._peers.links.values()):
-                link.excuse(process_pause, now)
+            self._discount_pause(process_pause, now)
         self.worker_link.update(
             {leader.number: leader.silent() for leader in self._leaders.values() if leader.ready}, now
         )
-        change = self._mode_machine.update(self._reachable(), now)
+        change = self._mode_machine.update(self._reachability(), now)
         if change is not None:
             log.info(
                 "event=mode_changed host=%s from=%s to=%s cause=%s settle=%.1f",
                 self._host,
                 change.before.value,
                 change.after.value,
-                change.cause,
+                change.cause.value,
                 self._mode_machine.damping.delay(now).total_seconds(),
             )
 
-    def _reachable(self) -> Reachable:
-        heard = self._peers.heard().values()
-        return Reachable(
+    def _discount_pause(self, process_pause: timedelta, now: timedelta) -> None:
+        log.info("event=process_paused host=%s seconds=%.1f", self._host, process_pause.total_seconds())
+        for detector in (self._store_detector, *self._peers.failure_detectors.values()):
+            detector.discount_pause(process_pause, now)
+
+    def _reachability(self) -> Reachability:
+        peers = self._peers.reachable().values()
+        return Reachability(
             store=self.reaches_store(),
             workers=not self.worker_link.lost,
-            peers=bool(heard) or not self._has_peers,
-            peer_with_store=any(peer.gossip.store_reachable for peer in heard),
+            peers=bool(peers) or not self._has_peers,
+            peer_with_store=any(peer.gossip.store_reachable for peer in peers),
         )
-
-    async def probe(self) -> None:
-        """Find out when workers can be reached again: they have no reason to heartbeat to us by themselves."""
-        while True:
-            await self._loop.sleep(PROBE_PERIOD)
-            now = self._loop.now()
-            if self.worker_link.lost and self.worker_link.lost_for(now) >= self._mode_machine.damping.extra(now):
-                await self._probe_some()
-
-    async def _probe_some(self) -> None:
-        members = self._replica.under(MACHINES)
-        for key in self._sample(members, min(PROBED_MACHINES, len(members))):
-            value = self._replica.value(key)
-            if value is not None and await self._answers(records.read(value, MachineRecord).address):
-                log.info("event=workers_probed again=%s", key.removeprefix(MACHINES))
-                self.worker_link.reached(self._loop.now())
-                return
-
-    async def _answers(self, address: str) -> bool:
-        client = Client(self._loop, self._network, address, most_idle=1, connect=PROBE_LIMIT)
-        try:
-            return (await client.request("GET", "/status", b"", PROBE_LIMIT)).status == 200
-        except NoAnswerError:
-            return False
-        finally:
-            client.drop()
--- a/badgerroute/coordination/membership/forwarding.py
+++ b/badgerroute/coordination/membership/forwarding.py
@@ -1,7 +1,7 @@
-"""Requests that this controller can't answer itself, passed over the mesh to one that can.
+"""Forwards requests that this controller can't answer itself over the mesh to one that can.
 
-Nothing is decided on the way. Whoever answers does so by its own claims and its own reading of the key-value store, and
-a request that was passed on once is not passed on again. A message that is lost costs time.
+Nothing is decided on the way. The controller that answers does so by its own leaderships and its own view of the
+key-value store, and does not forward the request again. A message that is lost costs time.
 """
 
 import logging
@@ -14,55 +14,58 @@
 
 log = logging.getLogger(__name__)
 Handler = Callable[[Request, str], Awaitable[Response]]
-FIRST_NUMBERS = 1 << 48  # to draw the first of from
+FIRST_NUMBER_RANGE = 1 << 48  # to draw the number of the first request from
 
 
 class RequestForwarder:
-    """Both ends of it: `send` queues a message for a peer, `handle` answers a request that a peer passed on."""
+    """Both ends of forwarding: `send` queues a message for a peer, `handle` answers a request that a peer forwarded.
+
+    At most `max_concurrent` requests are on their way in each direction.
+    """
 
     def __init__(
         self,
         loop: Loop,
         group: TaskGroup,
         host: str,
-        most: int,
+        max_concurrent: int,
         first_number: int,
         send: Callable[[str, Message], None],
         handle: Handler,
     ) -> None:
-        self._loop, self._group, self._host, self._most = loop, group, host, most
+        self._loop, self._group, self._host, self._max_concurrent = loop, group, host, max_concurrent
         self._send, self._handle = send, handle
-        self._next = first_number  # drawn, so that the answer to an earlier life of this process fits no request
-        self._waiting: dict[tuple[str, int], Future] = {}
+        self._last_number = first_number  # random, so that a response to an earlier run of this process fits no request
+        self._pending: dict[tuple[str, int], Future] = {}  # (peer, request number) -> its response
         self._serving = 0
-        self.dropped = 0  # requests that came while as many as may be were under way
+        self.dropped = 0  # requests refused because `max_concurrent` were on their way
 
     async def forward(self, target: str, request: Request, limit: timedelta) -> Response | None:
-        """A peer's answer; None if none came in time, or too many requests are on their way."""
-        if len(self._waiting) >= self._most:
+        """A peer's response; None if none came within the limit, or too many requests are on their way."""
+        if len(self._pending) >= self._max_concurrent:
             self.dropped += 1
             return None
-        self._next += 1
-        key = (target, self._next)
-        answered = self._waiting[key] = Future()
+        self._last_number += 1
+        number = self._last_number
+        answered = self._pending[target, number] = Future()
         try:
-            self._send(target, ForwardedRequest(self._host, self._next, request.method, request.path, request.body))
+            self._send(target, ForwardedRequest(self._host, number, request.method, request.path, request.body))
             if not await self._loop.first(answered, limit):
                 return None
             response: ForwardedResponse = answered.result
             return Response(response.status, response.body)
         finally:
-            del self._waiting[key]
+            del self._pending[target, number]
 
     def on_response(self, message: ForwardedResponse) -> None:
-        """A peer's answer has come. One that is late, or came before, is of no use to anybody."""
-        answered = self._waiting.get((message.host, message.number))
+        """Take in a peer's response. A late or repeated one has no request waiting, and is ignored."""
+        answered = self._pending.get((message.host, message.number))
         if answered is not None:
             answered.set(message)
 
     def on_request(self, message: ForwardedRequest) -> None:
-        """A peer passes a request on to us."""
-        if self._serving >= self._most:
+        """Answer a request that a peer forwarded, in a task of its own."""
+        if self._serving >= self._max_concurrent:
             self.dropped += 1
             return
         self._serving += 1
--- a/badgerroute/coordination/membership/leadership_transfer.py
+++ b/badgerroute/coordination/membership/leadership_transfer.py
@@ -1,10 +1,10 @@
-"""When a shard is handed to another controller: to the one whose home it is, or to one that its workers reach."""
+"""Decides when a shard is transferred: to its home controller, or to a controller that its workers reach."""
 
 import logging
 from datetime import timedelta
 
 from badgerroute.connectivity.modes import Action
-from badgerroute.connectivity.transfer_target import Candidate, choose_receiver
+from badgerroute.connectivity.transfer_target import TransferCandidate, choose_transfer_target
 from badgerroute.coordination.leadership.action_policy import ActionPolicy
 from badgerroute.coordination.leadership.leadership_state import LeadershipState
 from badgerroute.coordination.leadership.shard_transfer import ShardTransfer
@@ -16,14 +16,15 @@
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
-ROUND = timedelta(seconds=2)
+TRANSFER_INTERVAL = timedelta(seconds=2)
 
 
 class LeadershipTransfer:
-    """Only shards that are ours are handed over, by `ShardTransfer`."""
+    """Transfers shards that this controller leads, at most one a round, by `ShardTransfer`."""
 
     def __init__(
         self,
+        *,
         settings: Settings,
         loop: Loop,
         leadership_state: LeadershipState,
@@ -33,78 +34,80 @@
         monitor: ConnectivityMonitor,
         leaders: dict[int, ShardLeader],
     ) -> None:
-        self._settings, self._loop, self._policy = settings, loop, policy
+        self._hosts, self._loop, self._policy = settings.hosts, loop, policy
         self._leadership_state, self._shard_transfer = leadership_state, shard_transfer
         self._peers, self._monitor, self._leaders = peers, monitor, leaders
         self._worker_link = monitor.worker_link
         self._relay_for = settings.operator.connectivity.relay_for
 
     async def run(self) -> None:
-        """Hand over one shard a round: first what its workers can't report here, else what has its home elsewhere."""
+        """Transfer one shard a round: first one whose workers can't report here, else one with its home elsewhere."""
         while True:
-            await self._loop.sleep(ROUND)
+            await self._loop.sleep(TRANSFER_INTERVAL)
             if self._policy.allows(Action.TRANSFER_SHARD) and not await self._transfer_without_workers():
                 await self._return_to_home()
 
-    # -- shards whose home controller is there again
+    # -- shards whose home controller is back
 
     async def _return_to_home(self) -> None:
         for shard in list(self._leadership_state.leaderships):
             host = self._home(shard)
-            peer = self._peers.get(host)
+            peer = self._peers.reachable_peer(host)
             leader = self._leaders.get(shard)
-            # A peer that has lost the key-value store still names the lease it once had. Its shard was handed to it
-            # again and again, each time given up first and claimed anew, and was paused for as long as the cut.
-            if peer is not None and peer.fit() and leader is not None and leader.shard.reconciled:
+            # A peer that has lost the key-value store still reports the lease it once had. Without this check the shard
+            # would be given up and claimed anew in every round, for as long as the cut lasts.
+            if peer is None or not peer.may_receive_shard():
+                continue
+            if leader is not None and leader.shard.reconciled:
                 await self._shard_transfer.transfer(shard, host, peer.gossip.lease)
                 return
 
     def _home(self, shard: int) -> str:
-        hosts = self._settings.hosts
-        return hosts[shard] if shard < len(hosts) else ""
+        return self._hosts[shard] if shard < len(self._hosts) else ""
 
-    # -- shards whose workers don't reach us
+    # -- shards whose workers don't reach this controller
 
-    async def on_misrouted_heartbeat(self, misdirected: MisroutedHeartbeat) -> None:
+    async def on_misrouted_heartbeat(self, message: MisroutedHeartbeat) -> None:
         """A machine of ours reported to a peer that did not relay the heartbeat: if many do, the shard goes there."""
-        leader = self._leaders.get(misdirected.shard)
-        if leader is None or not leader.ready or not leader.missed(misdirected.machine):
-            return  # new machines report anywhere; they say nothing of us
-        self._worker_link.note_elsewhere(
-            misdirected.shard, misdirected.machine, misdirected.host, self._loop.now(), relayed=False
+        leader = self._leaders.get(message.shard)
+        if leader is None or not leader.ready or not leader.missed(message.machine):
+            return  # new machines report to any controller; that proves nothing
+        self._worker_link.record_peer_heartbeat(
+            message.shard, message.machine, message.host, self._loop.now(), relayed=False
         )
         self._monitor.update()
         if self._policy.allows(Action.TRANSFER_SHARD):
             await self._transfer_without_workers()
 
     async def _transfer_without_workers(self) -> bool:
-        """Hand a shard over that relaying does not serve, or has served for long enough; whether there was one."""
+        """Transfer a shard that relaying does not serve, or has served for long enough; whether there was one."""
         now = self._loop.now()
-        long_enough = self._worker_link.lost_for(now) >= self._relay_for
+        relayed_long_enough = self._worker_link.lost_for(now) >= self._relay_for
         for leader in list(self._leaders.values()):
-            silent = leader.silent() if leader.ready else 0
-            relayed = None if long_enough else False
-            if not self._worker_link.lost or not self._worker_link.missing(leader.number, silent, now, relayed):
+            if not self._workers_lost(leader, now, unrelayed_only=not relayed_long_enough):
                 continue
-            receiver = self._receiver(leader, now)
-            if receiver is not None:
-                await self._transfer(leader, receiver)
+            target = self._transfer_target(leader, now)
+            if target is not None:
+                await self._transfer(leader, target)
                 return True
         return False
 
-    def _receiver(self, leader: ShardLeader, now: timedelta) -> Peer | None:
-        fit = {host: peer for host, peer in self._peers.heard().items() if peer.fit()}
-        hosts = self._worker_link.hosts(leader.number, now)
+    def _workers_lost(self, leader: ShardLeader, now: timedelta, unrelayed_only: bool) -> bool:
+        overdue = leader.silent() if leader.ready else 0
+        return self._worker_link.lost and self._worker_link.shard_suspected(leader.number, overdue, now, unrelayed_only)
+
+    def _transfer_target(self, leader: ShardLeader, now: timedelta) -> Peer | None:
+        eligible = {host: peer for host, peer in self._peers.reachable().items() if peer.may_receive_shard()}
         candidates = [
-            Candidate(host, heard, sum(shard.machines for shard in fit[host].gossip.shards))
-            for host, heard in hosts.items()
-            if host in fit
+            TransferCandidate(host, machines, sum(shard.machines for shard in eligible[host].gossip.shards))
+            for host, machines in self._worker_link.machines_by_peer(leader.number, now).items()
+            if host in eligible
         ]
-        chosen = choose_receiver(candidates, len(leader.shard.machines))
-        return None if chosen is None else fit[chosen.host]
+        target = choose_transfer_target(candidates, len(leader.shard.machines))
+        return None if target is None else eligible[target.host]
 
-    async def _transfer(self, leader: ShardLeader, receiver: Peer) -> None:
-        host = receiver.gossip.host
+    async def _transfer(self, leader: ShardLeader, target: Peer) -> None:
+        host = target.gossip.host
         log.warning("event=workers_declared_unreachable shard=%d to=%s", leader.number, host)
-        self._worker_link.shard_given_up(leader.number)
-        await self._shard_transfer.transfer(leader.number, host, receiver.gossip.lease)
+        self._worker_link.forget_shard(leader.number)
+        await self._shard_transfer.transfer(leader.number, host, target.gossip.lease)
--- a/badgerroute/coordination/membership/mesh.py
+++ b/badgerroute/coordination/membership/mesh.py
@@ -1,57 +1,22 @@
 """The mesh: one kept connection to each peer, for messages that may be lost."""
 
-import logging
-from collections import deque
 from collections.abc import Callable
 from datetime import timedelta
-from functools import partial
-
-import msgspec
 
+from badgerroute.coordination.membership.mesh_listener import MeshListener
+from badgerroute.coordination.membership.peer_connection import PeerConnection
 from badgerroute.protocol import mesh as wire
 from badgerroute.settings import Settings
-from badgerroute.transport.frames import FrameReader, frame
-from badgerroute.transport.loop import Future, Loop, TaskGroup, TimeLimitError
-from badgerroute.transport.net import Listener, Network, Stream
-
-log = logging.getLogger(__name__)
-MAX_QUEUED_BYTES = 4 << 20  # for one peer: the frames of thousands of machines that come at once, and no more
-SILENCE = timedelta(seconds=20)
-WRITE_LIMIT = timedelta(seconds=3)
-ACK_EVERY = timedelta(seconds=1)
-WORKERS_UNREACHABLE = timedelta(seconds=4)  # a link on which nothing was acknowledged for so long is opened anew
-ACK = frame(b"")
-
-
-class _Link:
-    """What is on its way to one peer. While it can't be reached, old messages make way for new ones."""
-
-    def __init__(self, host: str, address: str) -> None:
-        self.host, self.address = host, address
-        self.queue: deque[bytes] = deque()
-        self.queued_bytes = 0
-        self.wake = Future()
-        self.unacknowledged: timedelta | None = None  # since when what we wrote has not been acknowledged
-        self.lost: Exception | None = None  # why the other side will hear no more on this connection
-
-    def add(self, data: bytes) -> None:
-        """Queue a frame; the oldest make way for it if there are too many."""
-        self.queue.append(data)
-        self.queued_bytes += len(data)
-        while self.queued_bytes > MAX_QUEUED_BYTES:
-            self.queued_bytes -= len(self.queue.popleft())
-        self.wake.set()
+from badgerroute.transport.frames import frame
+from badgerroute.transport.loop import Loop, TaskGroup
+from badgerroute.transport.net import Network
 
-    def take_all(self) -> bytes:
-        """All that is queued, to be written at once."""
-        data = b"".join(self.queue)
-        self.queue.clear()
-        self.queued_bytes = 0
-        return data
+RESTART_PAUSE = timedelta(seconds=1)
+INCOMING_PER_PEER = 4  # connections: those that a peer has given up may still be open on this side
 
 
 class Mesh:
-    """Connections to and from the other controllers."""
+    """Sends messages to the other controllers, and receives theirs."""
 
     def __init__(
         self,
@@ -62,109 +27,28 @@
         receive: Callable[[wire.Message], None],
     ) -> None:
         self._loop, self._network, self._group, self._receive = loop, network, group, receive
-        self._links = {peer.host_name: _Link(peer.host_name, peer.endpoint) for peer in settings.platform.peers}
         self._address = settings.platform.mesh_addr
-        self._incoming = 0
-        self._most_incoming = 4 * max(1, len(self._links)) + 4
+        self._connections = {
+            peer.host_name: PeerConnection(peer.host_name, peer.endpoint, loop, network, group)
+            for peer in settings.platform.peers
+        }
 
     def start(self) -> None:
         """Listen, and keep a connection to each peer."""
-        listener = self._network.listen(self._address)
-        self._group.spawn(self._accept(listener), "mesh-accept")
-        for link in self._links.values():
-            self._group.run_forever(partial(self._speak, link), f"mesh-{link.host}", timedelta(seconds=1))
+        max_incoming = INCOMING_PER_PEER * (max(1, len(self._connections)) + 1)
+        listener = MeshListener(self._loop, self._group, max_incoming, self._receive)
+        self._group.spawn(listener.accept_all(self._network.listen(self._address)), "mesh-accept")
+        for connection in self._connections.values():
+            self._group.run_forever(connection.run, f"mesh-{connection.host}", RESTART_PAUSE)
 
     def send(self, host: str, message: wire.Message) -> None:
-        """Queue a message for one peer."""
-        link = self._links.get(host)
-        if link is not None:
-            link.add(frame(wire.encoder.encode(message)))
+        """Queue a message for one peer. A host that is no peer is ignored."""
+        connection = self._connections.get(host)
+        if connection is not None:
+            connection.queue.add(frame(wire.encoder.encode(message)))
 
     def broadcast(self, message: wire.Message) -> None:
         """Queue a message for every peer."""
         data = frame(wire.encoder.encode(message))
-        for link in self._links.values():
-            link.add(data)
-
-    async def _speak(self, link: _Link) -> None:
-        while True:
-            try:
-                stream = await self._network.connect(link.address, timedelta(seconds=1))
-            except (OSError, TimeLimitError) as error:
-                log.debug("event=mesh_connect_failed peer=%s error=%s", link.host, error)
-                link.take_all()
-                await self._loop.sleep(timedelta(milliseconds=500))
-                continue
-            link.unacknowledged = link.lost = None
-            acks = self._group.spawn(self._acknowledged(link, stream), "mesh-acks")
-            try:
-                while True:
-                    if not link.queue:
-                        link.wake = Future()
-                        await link.wake
-                    if link.lost is not None:
-                        raise link.lost
-                    if link.unacknowledged is None:
-                        link.unacknowledged = self._loop.now()
-                    elif self._loop.now() - link.unacknowledged > WORKERS_UNREACHABLE:
-                        raise TimeLimitError("nothing is acknowledged")
-                    with self._loop.limit(WRITE_LIMIT):
-                        await stream.write(link.take_all())
-            except (OSError, TimeLimitError) as error:
-                log.info("event=mesh_connection_lost peer=%s error=%s", link.host, error)
-            finally:
-                acks.cancel()
-                stream.close()
-
-    async def _acknowledged(self, link: _Link, stream: Stream) -> None:
-        """Notice that a peer hears us, or that it has closed the connection.
-
-        Writing does not tell. A peer gave up on a controller that was paused for half a minute; that one wrote into
-        the closed connection for the rest of the day, and since nobody heard of it, nothing was ever handed back to it.
-        """
-        reader = FrameReader(stream)
-        try:
-            while True:
-                await reader.next()
-                link.unacknowledged = None
-        except OSError as error:
-            link.lost = error
-            link.wake.set()
-
-    async def _accept(self, listener: Listener) -> None:
-        try:
-            while True:
-                stream = await listener.accept()
-                if self._incoming >= self._most_incoming:
-                    stream.close()
-                    continue
-                self._incoming += 1
-                self._group.spawn(self._hear(stream), "mesh-in")
-        finally:
-            listener.close()
-
-    async def _hear(self, stream: Stream) -> None:
-        reader = FrameReader(stream)
-        acknowledged = self._loop.now()
-        try:
-            while True:
-                with self._loop.limit(SILENCE):
-                    data = await reader.next()
-                if self._loop.now() - acknowledged >= ACK_EVERY:
-                    acknowledged = self._loop.now()
-                    with self._loop.limit(WRITE_LIMIT):
-                        await stream.write(ACK)
-                try:
-                    message = wire.decoder.decode(data)
-                except msgspec.DecodeError as error:
-                    log.warning("event=mesh_message_rejected error=%s", error)
-                    continue
-                try:
-                    self._receive(message)
-                except Exception as error:
-                    log.error("event=mesh_message_failed error=%r", error, exc_info=error)
-        except (OSError, TimeLimitError) as error:
-            log.debug("event=mesh_connection_closed error=%s", error)
-        finally:
-            stream.close()
-            self._incoming -= 1
+        for connection in self._connections.values():
+            connection.queue.add(data)
--- /dev/null
+++ b/badgerroute/coordination/membership/peer_connection.py
@@ -0,0 +1,77 @@
+"""The outgoing connection to one peer, opened anew whenever it is lost."""
+
+import logging
+from datetime import timedelta
+
+from badgerroute.coordination.membership.send_queue import SendQueue
+from badgerroute.transport.frames import FrameReader
+from badgerroute.transport.loop import Loop, TaskGroup, TimeLimitError
+from badgerroute.transport.net import Network, Stream
+
+log = logging.getLogger(__name__)
+CONNECT_LIMIT = timedelta(seconds=1)
+RECONNECT_PAUSE = timedelta(milliseconds=500)
+WRITE_LIMIT = timedelta(seconds=3)
+ACK_TIMEOUT = timedelta(seconds=4)  # a connection on which nothing was acknowledged for so long is opened anew
+
+
+class PeerConnection:
+    """Sends the queued frames to one peer, over one connection at a time."""
+
+    def __init__(self, host: str, address: str, loop: Loop, network: Network, group: TaskGroup) -> None:
+        self.host, self._address = host, address
+        self._loop, self._network, self._group = loop, network, group
+        self.queue = SendQueue()
+        self._unacknowledged_since: timedelta | None = None  # None: all that was written has been acknowledged
+        self._closed_by_peer: OSError | None = None  # how the peer's side of the connection ended
+
+    async def run(self) -> None:
+        """Keep a connection and send what is queued, for as long as the controller runs."""
+        while True:
+            try:
+                stream = await self._network.connect(self._address, CONNECT_LIMIT)
+            except (OSError, TimeLimitError) as error:
+                log.debug("event=mesh_connect_failed peer=%s error=%s", self.host, error)
+                self.queue.take_all()
+                await self._loop.sleep(RECONNECT_PAUSE)
+                continue
+            await self._send_until_lost(stream)
+
+    async def _send_until_lost(self, stream: Stream) -> None:
+        self._unacknowledged_since = self._closed_by_peer = None
+        ack_reader = self._group.spawn(self._read_acks(stream), "mesh-acks")
+        try:
+            while True:
+                await self.queue.wait()
+                self._check_alive()
+                with self._loop.limit(WRITE_LIMIT):
+                    await stream.write(self.queue.take_all())
+        except (OSError, TimeLimitError) as error:
+            log.info("event=mesh_connection_lost peer=%s error=%s", self.host, error)
+        finally:
+            ack_reader.cancel()
+            stream.close()
+
+    def _check_alive(self) -> None:
+        """Raises the error that ended the connection, or TimeLimitError if acknowledgements stay out."""
+        if self._closed_by_peer is not None:
+            raise self._closed_by_peer
+        if self._unacknowledged_since is None:
+            self._unacknowledged_since = self._loop.now()
+        elif self._loop.now() - self._unacknowledged_since > ACK_TIMEOUT:
+            raise TimeLimitError("nothing is acknowledged")
+
+    async def _read_acks(self, stream: Stream) -> None:
+        """Record that the peer receives our frames, or that it has closed the connection.
+
+        Writing does not show that: bytes written into a connection that the peer gave up vanish without an error, and
+        the peers would take this controller for dead as long as it keeps the connection.
+        """
+        reader = FrameReader(stream)
+        try:
+            while True:
+                await reader.next()
+                self._unacknowledged_since = None
+        except OSError as error:
+            self._closed_by_peer = error
+            self.queue.wake()
--- /dev/null
+++ b/badgerroute/coordination/membership/worker_prober.py
@@ -0,0 +1,66 @@
+"""Finds out when workers can be reached again, which have no reason to heartbeat here by themselves."""
+
+import logging
+from collections.abc import Callable
+from datetime import timedelta
+
+from badgerroute.connectivity.damping import FlapDamping
+from badgerroute.connectivity.worker_link import WorkerLink
+from badgerroute.storage import records
+from badgerroute.storage.records import MachineRecord
+from badgerroute.storage.replica import MACHINES, Replica
+from badgerroute.transport.http import Client, NoAnswerError
+from badgerroute.transport.loop import Loop
+from badgerroute.transport.net import Network
+
+log = logging.getLogger(__name__)
+PROBE_INTERVAL = timedelta(seconds=2)
+PROBED_MACHINES = 3  # in each round
+PROBE_LIMIT = timedelta(seconds=1)  # for the connection, and again for the answer
+OK = 200
+
+
+class WorkerProber:
+    """Asks some machines for their status while the worker link is lost.
+
+    `sample` draws so many elements of a list. Flapping links are probed only after the extra delay of `damping`.
+    """
+
+    def __init__(
+        self,
+        *,
+        loop: Loop,
+        network: Network,
+        replica: Replica,
+        worker_link: WorkerLink,
+        damping: FlapDamping,
+        sample: Callable[[list[str], int], list[str]],
+    ) -> None:
+        self._loop, self._network, self._replica = loop, network, replica
+        self._worker_link, self._damping, self._sample = worker_link, damping, sample
+
+    async def run(self) -> None:
+        """Probe once an interval while the link is lost, for as long as the controller runs."""
+        while True:
+            await self._loop.sleep(PROBE_INTERVAL)
+            now = self._loop.now()
+            if self._worker_link.lost and self._worker_link.lost_for(now) >= self._damping.extra_delay(now):
+                await self._probe_sample()
+
+    async def _probe_sample(self) -> None:
+        members = self._replica.under(MACHINES)
+        for key in self._sample(members, min(PROBED_MACHINES, len(members))):
+            value = self._replica.value(key)
+            if value is not None and await self._answers(records.read(value, MachineRecord).address):
+                log.info("event=workers_probed again=%s", key.removeprefix(MACHINES))
+                self._worker_link.machine_reached(self._loop.now())
+                return
+
+    async def _answers(self, address: str) -> bool:
+        client = Client(self._loop, self._network, address, most_idle=1, connect=PROBE_LIMIT)
+        try:
+            return (await client.request("GET", "/status", b"", PROBE_LIMIT)).status == OK
+        except NoAnswerError:
+            return False
+        finally:
+            client.drop()
--- a/badgerroute/coordination/requests/heartbeat_handler.py
+++ b/badgerroute/coordination/requests/heartbeat_handler.py
@@ -58,7 +58,7 @@
         except MalformedError as problem:
             return error(400, str(problem))
         if relay is None and not self._leaders:
-            self._worker_link.reached(self._loop.now())
+            self._worker_link.machine_reached(self._loop.now())
         if heartbeat.machine in self._tombstones:
             return retry_later("this machine was deleted")  # a late copy, whatever it says
         shard = self._shard_of(heartbeat.machine)
@@ -73,7 +73,9 @@
         if not leader.ready or not self._policy.allows_for(leader.number, Action.ANSWER_HEARTBEAT):
             return retry_later("not acting for this machine now")
         if relay is not None and leader.missed(heartbeat.machine):
-            self._worker_link.note_elsewhere(leader.number, heartbeat.machine, relay, self._loop.now(), relayed=True)
+            self._worker_link.record_peer_heartbeat(
+                leader.number, heartbeat.machine, relay, self._loop.now(), relayed=True
+            )
         result = await leader.answer_heartbeat(heartbeat, relay is not None)
         return retry_later("can't act on this report now") if result is None else answer(200, result)
 
@@ -81,7 +83,7 @@
         host = self._peers.leader(shard)
         if host is None or host == self._host:
             return answer(421, Redirect())
-        peer = self._peers.get(host)
+        peer = self._peers.reachable_peer(host)
         lacks_workers = self._lacks_workers(peer, shard)
         relayed = await self._relay(request, heartbeat, peer, lacks_workers)
         if relayed is not None:
@@ -101,7 +103,7 @@
         The leader decides, in its own term. Its answer reaches the worker as the answer to this very report, within the
         time that the worker waits, or not at all: docs/safety.md.
         """
-        if not self._relays or peer is None or not peer.takes_forwarded(self._host):
+        if not self._relays or peer is None or not peer.accepts_forwarded_from(self._host):
             return None
         host, busy = peer.gossip.host, bool(heartbeat.tasks)
         route = self.routes.decide(heartbeat.machine, host, lacks_workers, busy, self._loop.now())
--- a/badgerroute/coordination/requests/http_api.py
+++ b/badgerroute/coordination/requests/http_api.py
@@ -54,6 +54,6 @@
         """
         if not self._replica.ready.done:
             return retry_later("not ready")
-        if self._monitor.alone():
+        if self._monitor.lacks_store_alone():
             return retry_later("cut off from the state service")
         return answer(200, {"state": "up"})
--- a/badgerroute/coordination/requests/job_request_handler.py
+++ b/badgerroute/coordination/requests/job_request_handler.py
@@ -83,8 +83,8 @@
             return None
         able = [
             peer
-            for peer in self._peers.heard().values()
-            if peer.gossip.ready and peer.gossip.store_reachable and peer.takes_forwarded(self._host)
+            for peer in self._peers.reachable().values()
+            if peer.gossip.ready and peer.gossip.store_reachable and peer.accepts_forwarded_from(self._host)
         ]
         if not able:
             return None
--- a/badgerroute/coordination/requests/mesh_dispatcher.py
+++ b/badgerroute/coordination/requests/mesh_dispatcher.py
@@ -62,7 +62,7 @@
                 self._cancellation_broadcast.known_to(message.host, message.refs)
 
     def _on_gossip(self, message: wire.Gossip) -> None:
-        self._peers.hear(message)
+        self._peers.receive_gossip(message)
         for summary in message.shards:
             self._election.step_down_if_outranked(summary.shard, summary.term)
 
--- a/badgerroute/coordination/shards/shard_leader.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from badgerroute.connectivity import worker_silence
+from badgerroute.connectivity import overdue_heartbeats
 from badgerroute.connectivity.modes import Action
 from badgerroute.coordination.jobs.job_writer import Progress
 from badgerroute.coordination.leadership.leadership_state import Leadership
@@ -331,14 +331,16 @@
         """Whether a machine is a member whose heartbeat should have come by now."""
         machine = self.shard.machines.get(name)
         heartbeat, now = self._settings.params.workers.heartbeat_interval, self._loop.now()
-        return machine is not None and worker_silence.overdue(machine, self.shard, heartbeat, self._resumed_at(), now)
+        return machine is not None and overdue_heartbeats.is_overdue(
+            machine, self.shard, heartbeat, self._resumed_at(), now
+        )
 
     def silent(self) -> int:
         """How many machines' heartbeats are overdue, if half of all or more are. As seldom made anew as a summary."""
         now = self._loop.now()
         if self._silence is None or now - self._silence.at >= self._kept():
             heartbeat = self._settings.params.workers.heartbeat_interval
-            silent = worker_silence.silent(self.shard, heartbeat, self._resumed_at(), now)
+            silent = overdue_heartbeats.count_overdue(self.shard, heartbeat, self._resumed_at(), now)
             self._silence = SilenceReading(now, silent)
         return self._silence.machines
 
--- a/badgerroute/rebalancing/service.py
+++ b/badgerroute/rebalancing/service.py
@@ -155,9 +155,7 @@
         peers = self._controller.peers
         own = {leader.number: leader.summary() for leader in self._controller.leaders.values() if leader.ready}
         readings = [ShardReading(summary, ZERO) for summary in own.values()]
-        readings += [
-            ShardReading(summary, age) for summary, age in peers.last_heard_shards() if summary.shard not in own
-        ]
+        readings += [ShardReading(summary, age) for summary, age in peers.shard_reports() if summary.shard not in own]
         self.view = FleetView(readings, self._rebalancing.stale)
         # Asked for at every turn of every job, so worked out once: a percentile looks at all that is counted.
         self._urgencies = {team: self._urgency_of(team) for team in self.view.teams}
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -11,13 +11,13 @@
 
 import badgerroute
 from badgerroute.connectivity.damping import FlapDamping
-from badgerroute.connectivity.links import PEER, STATE_SERVICE, Link
+from badgerroute.connectivity.failure_detector import PEER_TIMEOUT, STORE_TIMEOUT, FailureDetector
 from badgerroute.connectivity.mode_machine import ModeMachine
-from badgerroute.connectivity.modes import PERMISSIONS, Action, Mode, Permission, Reachable, mode_of
+from badgerroute.connectivity.modes import PERMISSIONS, Action, Mode, Permission, Reachability, mode_of
 from badgerroute.connectivity.process_pause import PauseDetector
-from badgerroute.connectivity.relay_routes import BOUNCED_WITHIN, FORGOTTEN, RelayRoutes, Route
-from badgerroute.connectivity.transfer_target import Candidate, choose_receiver
-from badgerroute.connectivity.worker_link import TRIAL, WorkerLink
+from badgerroute.connectivity.relay_routes import FAILED_REDIRECT, ROUTE_TTL, RelayRoutes, Route
+from badgerroute.connectivity.transfer_target import TransferCandidate, choose_transfer_target
+from badgerroute.connectivity.worker_link import PROBATION, WorkerLink
 from badgerroute.coordination.leadership.action_policy import ActionPolicy
 from badgerroute.coordination.membership.forwarding import RequestForwarder
 from badgerroute.protocol.mesh import ForwardedRequest, ForwardedResponse
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize(
-    ("interval", "jitter", "patience"),
+    ("interval", "jitter", "timeout"),
     [
         (0.5, 0.0, 3.0),  # what is regular is suspected after the least silence that the bounds allow
         (0.5, 0.3, 3.0),
@@ -43,44 +43,45 @@
         (2.9, 0.1, None),
     ],
 )
-def test_patience_follows_the_delays_that_were_seen(interval: float, jitter: float, patience: float | None) -> None:
-    link, now = Link(PEER, 0 * SECOND), 0 * SECOND
+def test_patience_follows_the_delays_that_were_seen(interval: float, jitter: float, timeout: float | None) -> None:
+    link, now = FailureDetector(PEER_TIMEOUT, 0 * SECOND), 0 * SECOND
     for turn in range(60):
         now += (interval + (jitter if turn % 2 else -jitter)) * SECOND
-        link.heard(now)
-    if patience is None:
-        assert PEER.least < link.patience <= PEER.most
+        link.heartbeat(now)
+    if timeout is None:
+        assert PEER_TIMEOUT.least < link.timeout <= PEER_TIMEOUT.most
     else:
-        assert link.patience == patience * SECOND
-    assert not link.suspected(now + link.patience - SECOND / 100)
-    assert link.suspected(now + link.patience)
-    assert not link.gone(now + PEER.most - SECOND / 100) and link.gone(now + PEER.most)
+        assert link.timeout == timeout * SECOND
+    assert not link.suspected(now + link.timeout - SECOND / 100)
+    assert link.suspected(now + link.timeout)
+    longest = now + PEER_TIMEOUT.most
+    assert not link.presumed_dead(longest - SECOND / 100) and link.presumed_dead(longest)
 
 
 def test_a_cut_does_not_make_the_next_go_unnoticed() -> None:
-    link = Link(STATE_SERVICE, 0 * SECOND)
+    link = FailureDetector(STORE_TIMEOUT, 0 * SECOND)
     for now in (1, 2, 3, 40, 41, 42, 80, 81, 82, 83, 84):
-        link.heard(now * SECOND)
-    assert link.patience <= STATE_SERVICE.most and link.suspected(90 * SECOND)
+        link.heartbeat(now * SECOND)
+    assert link.timeout <= STORE_TIMEOUT.most and link.suspected(90 * SECOND)
 
 
 def test_signs_of_life_that_come_late_change_nothing() -> None:
-    link = Link(PEER, 0 * SECOND)
-    link.heard(5 * SECOND)
-    link.heard(4 * SECOND)
-    assert link.silence(6 * SECOND) == SECOND
+    link = FailureDetector(PEER_TIMEOUT, 0 * SECOND)
+    link.heartbeat(5 * SECOND)
+    link.heartbeat(4 * SECOND)
+    assert link.heartbeat_age(6 * SECOND) == SECOND
 
 
 def test_a_standstill_of_our_own_is_nobody_elses_silence() -> None:
-    detector, link = PauseDetector(SECOND / 4, 0 * SECOND), Link(PEER, 0 * SECOND)
-    link.heard(10 * SECOND)
-    assert detector.turn(SECOND / 4) == 0 * SECOND
+    detector, link = PauseDetector(SECOND / 4, 0 * SECOND), FailureDetector(PEER_TIMEOUT, 0 * SECOND)
+    link.heartbeat(10 * SECOND)
+    assert detector.tick(SECOND / 4) == 0 * SECOND
     for turn in range(2, 41):
-        assert detector.turn(turn * SECOND / 4) == 0 * SECOND
-    standstill = detector.turn(18 * SECOND)
+        assert detector.tick(turn * SECOND / 4) == 0 * SECOND
+    standstill = detector.tick(18 * SECOND)
     assert standstill == 7.75 * SECOND and detector.resumed_at == 18 * SECOND
     assert link.suspected(18 * SECOND)
-    link.excuse(standstill, 18 * SECOND)
+    link.discount_pause(standstill, 18 * SECOND)
     assert not link.suspected(18 * SECOND)
 
 
@@ -90,11 +91,11 @@
 def test_damping_grows_is_bounded_and_decays() -> None:
     damping = FlapDamping(4 * SECOND, 60 * SECOND, 30 * SECOND)
     assert damping.delay(0 * SECOND) == 4 * SECOND
-    damping.note_change(SECOND)
+    damping.record_loss(SECOND)
     assert damping.delay(SECOND) == 4 * SECOND, "one loss costs no more than to settle"
     delays = []
     for turn in range(12):
-        damping.note_change((2 + turn) * SECOND)
+        damping.record_loss((2 + turn) * SECOND)
         delays.append(damping.delay((2 + turn) * SECOND))
     assert delays == sorted(delays) and delays[-1] == 60 * SECOND
     later = [damping.delay((13 + 30 * turn) * SECOND) for turn in range(8)]
@@ -104,7 +105,7 @@
 
 # -- modes
 
-GOOD = Reachable(store=True, workers=True, peers=True, peer_with_store=True)
+GOOD = Reachability(store=True, workers=True, peers=True, peer_with_store=True)
 
 
 @pytest.mark.parametrize(
@@ -125,15 +126,15 @@
 def test_mode_follows_what_is_reached(
     store: bool, workers: bool, peers: bool, peer_with_store: bool, mode: Mode
 ) -> None:
-    reachable = Reachable(store, workers, peers, peer_with_store)
+    reachable = Reachability(store, workers, peers, peer_with_store)
     assert mode_of(reachable, stable=True) is mode
     unstable = mode_of(reachable, stable=False)
     assert unstable is (Mode.RECOVERING if mode is Mode.SERVING else mode)
 
 
-WORKERS_UNREACHABLE = Reachable(True, False, True, True)
-STORE_UNREACHABLE = Reachable(False, True, True, True)
-OUTAGE = Reachable(False, True, True, False)
+WORKERS_UNREACHABLE = Reachability(True, False, True, True)
+STORE_UNREACHABLE = Reachability(False, True, True, True)
+OUTAGE = Reachability(False, True, True, False)
 NO_WORKERS, NO_STORE = Mode.WORKERS_UNREACHABLE, Mode.STORE_UNREACHABLE
 SERVING, RECOVERING = Mode.SERVING, Mode.RECOVERING
 
@@ -152,7 +153,7 @@
          [NO_WORKERS, RECOVERING, NO_WORKERS, RECOVERING, RECOVERING, SERVING]),
     ],
 )  # fmt: skip
-def test_modes_over_time(steps: list[tuple[float, Reachable]], modes: list[Mode]) -> None:
+def test_modes_over_time(steps: list[tuple[float, Reachability]], modes: list[Mode]) -> None:
     machine = ModeMachine(FlapDamping(4 * SECOND, 60 * SECOND, 30 * SECOND))
     seen = []
     for at, reachable in steps:
@@ -250,15 +251,15 @@
     link = WorkerLink()
     link.update({0: 8}, 0 * SECOND)
     assert not link.lost, "machines that are silent to everybody say nothing of us"
-    link.note_elsewhere(0, "host-1", "b", SECOND, relayed=True)
+    link.record_peer_heartbeat(0, "host-1", "b", SECOND, relayed=True)
     link.update({0: 8}, SECOND)
     assert not link.lost, "one may be chance"
-    link.note_elsewhere(0, "host-2", "c", SECOND, relayed=False)
+    link.record_peer_heartbeat(0, "host-2", "c", SECOND, relayed=False)
     link.update({0: 8}, SECOND)
     assert link.lost and link.lost_for(3 * SECOND) == 2 * SECOND
-    assert link.hosts(0, 2 * SECOND) == {"b": 1, "c": 1}
-    assert not link.missing(0, 8, SECOND, relayed=False) and link.missing(0, 8, SECOND)
-    assert link.hosts(0, 9 * SECOND) == {}, "evidence grows old"
+    assert link.machines_by_peer(0, 2 * SECOND) == {"b": 1, "c": 1}
+    assert not link.shard_suspected(0, 8, SECOND, unrelayed_only=True) and link.shard_suspected(0, 8, SECOND)
+    assert link.machines_by_peer(0, 9 * SECOND) == {}, "evidence grows old"
     link.update({0: 0}, 9 * SECOND)
     assert not link.lost
 
@@ -268,16 +269,16 @@
 
     def note(now: timedelta) -> None:
         for machine in ("host-1", "host-2"):
-            link.note_elsewhere(0, machine, "b", now, relayed=True)
+            link.record_peer_heartbeat(0, machine, "b", now, relayed=True)
         link.update({0: 2}, now)
 
     note(SECOND)
     assert link.lost
-    link.reached(2 * SECOND)
+    link.machine_reached(2 * SECOND)
     assert not link.lost
     note(3 * SECOND)
     assert not link.lost, "they are on trial"
-    note(2 * SECOND + TRIAL)
+    note(2 * SECOND + PROBATION)
     assert link.lost, "and did not come"
     link.update({}, 20 * SECOND)
     assert link.lost, "without a shard nothing is heard either way"
@@ -299,7 +300,7 @@
         [(0, False, False, REDIRECT), (6, False, True, RELAY), (15, False, True, RELAY), (16, False, True, REDIRECT),
          (22, False, True, RELAY), (41, False, True, RELAY), (42, False, True, REDIRECT)],
         # After long it is no longer the same stay.
-        [(0, False, False, REDIRECT), (BOUNCED_WITHIN / SECOND, False, False, REDIRECT)],
+        [(0, False, False, REDIRECT), (FAILED_REDIRECT / SECOND, False, False, REDIRECT)],
         # Once the leader hears workers again, every machine is sent there within the spread.
         [(0, True, True, RELAY), (5, False, True, None), (9, False, True, REDIRECT), (14, False, True, RELAY),
          (15, False, True, RELAY)],
@@ -331,7 +332,7 @@
     for number in range(4000):
         routes.decide(f"host-{number:06d}", "a", False, True, number * SECOND / 100)
     assert len(routes) == 4000
-    routes.decide("host-x", "a", False, True, 3 * FORGOTTEN)
+    routes.decide("host-x", "a", False, True, 3 * ROUTE_TTL)
     assert len(routes) == 1
 
 
@@ -342,15 +343,15 @@
     ("candidates", "chosen"),
     [
         ([], None),
-        ([Candidate("b", 0, 5)], None),
-        ([Candidate("b", 4, 50), Candidate("c", 3, 10)], "c"),  # by load
-        ([Candidate("b", 9, 50), Candidate("c", 3, 10)], "b"),  # which hears the machines
-        ([Candidate("b", 4, 10), Candidate("c", 5, 10)], "c"),
-        ([Candidate("c", 4, 10), Candidate("b", 4, 10)], "b"),
+        ([TransferCandidate("b", 0, 5)], None),
+        ([TransferCandidate("b", 4, 50), TransferCandidate("c", 3, 10)], "c"),  # by load
+        ([TransferCandidate("b", 9, 50), TransferCandidate("c", 3, 10)], "b"),  # which hears the machines
+        ([TransferCandidate("b", 4, 10), TransferCandidate("c", 5, 10)], "c"),
+        ([TransferCandidate("c", 4, 10), TransferCandidate("b", 4, 10)], "b"),
     ],
 )
-def test_receiver_of_a_shard(candidates: list[Candidate], chosen: str | None) -> None:
-    receiver = choose_receiver(candidates, 20)
+def test_receiver_of_a_shard(candidates: list[TransferCandidate], chosen: str | None) -> None:
+    receiver = choose_transfer_target(candidates, 20)
     assert (receiver.host if receiver else None) == chosen
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -6,10 +6,10 @@
 import msgspec
 import pytest
 
+from badgerroute.connectivity.overdue_heartbeats import count_overdue
 from badgerroute.connectivity.relay_routes import RelayRoutes, Route
-from badgerroute.connectivity.worker_silence import silent
 from badgerroute.coordination.membership.forwarding import RequestForwarder
-from badgerroute.coordination.membership.mesh import MAX_QUEUED_BYTES, _Link
+from badgerroute.coordination.membership.send_queue import MAX_QUEUED_BYTES, SendQueue
 from badgerroute.coordination.shards import summary as summary_module
 from badgerroute.coordination.shards.fencing import Fencing
 from badgerroute.coordination.shards.shard_leader import SUMMARY_KEPT_PER_MACHINE
@@ -209,14 +209,14 @@
 
 
 def test_a_burst_of_changes_reaches_a_slow_peer_but_memory_is_bounded() -> None:
-    link = _Link("drover-1", "drover-1:8081")
+    queue = SendQueue()
     for _ in range(MANY):
-        link.add(b"x" * 200)
-    assert len(link.queue) == MANY, "one for each machine that comes up"
+        queue.add(b"x" * 200)
+    assert len(queue) == MANY, "one for each machine that comes up"
     for _ in range(100):
-        link.add(b"x" * 100_000)
-    assert link.queued_bytes <= MAX_QUEUED_BYTES
-    assert len(link.take_all()) <= MAX_QUEUED_BYTES and link.queued_bytes == 0
+        queue.add(b"x" * 100_000)
+    assert queue.queued_bytes <= MAX_QUEUED_BYTES
+    assert len(queue.take_all()) <= MAX_QUEUED_BYTES and queue.queued_bytes == 0
 
 
 def test_settings_allow_for_the_fleet() -> None:
@@ -265,7 +265,7 @@
     costs = []
     for machines in (FEW, MANY):
         shard, _ = busy_shard(machines)
-        costs.append(calls_in(lambda shard=shard: silent(shard, SECOND, 0 * SECOND, 2 * SECOND)))
+        costs.append(calls_in(lambda shard=shard: count_overdue(shard, SECOND, 0 * SECOND, 2 * SECOND)))
     assert costs[1] < 5 * costs[0]
     assert SUMMARY_KEPT_PER_MACHINE * MANY == 2 * SECOND, "an owner keeps a reading for so long"
 
