--- a/badgerroute/coordination/autoscaling/catalog.py
+++ b/badgerroute/coordination/autoscaling/catalog.py
@@ -5,20 +5,22 @@
 
 import msgspec
 
-from badgerroute.coordination.leadership.leader_election import LeaderElection
+from badgerroute.coordination.leadership.leadership_state import LeadershipState
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.storage import records
-from badgerroute.storage.cloud_client import CloudClient, CloudUnavailableError, NoCapacityError
-from badgerroute.storage.key_value_client import (
+from badgerroute.storage.cloud_client import CloudClient
+from badgerroute.storage.errors import (
+    CloudUnavailableError,
     CompareFailedError,
-    KeyValueClient,
+    NoCapacityError,
     OutcomeUnknownError,
     StoreUnavailableError,
-    compare,
-    put,
 )
+from badgerroute.storage.key_value_client import KeyValueClient
+from badgerroute.storage.keys import CATALOG
+from badgerroute.storage.operations import compare, put
 from badgerroute.storage.rate_limiter import Urgency
-from badgerroute.storage.replica import CATALOG, Replica
+from badgerroute.storage.replica import Replica
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
@@ -36,9 +38,15 @@
     """`types` are those known so far, by name; others may hold on to the dictionary, which is only added to."""
 
     def __init__(
-        self, loop: Loop, cloud: CloudClient, store: KeyValueClient, replica: Replica, election: LeaderElection
+        self, loop: Loop, cloud: CloudClient, store: KeyValueClient, replica: Replica, leadership_state: LeadershipState
     ) -> None:
-        self._loop, self._cloud, self._store, self._replica, self._election = loop, cloud, store, replica, election
+        self._loop, self._cloud, self._store, self._replica, self._leadership_state = (
+            loop,
+            cloud,
+            store,
+            replica,
+            leadership_state,
+        )
         self.types: dict[str, MachineType] = {}
         replica.listen(CATALOG, self._changed)
 
@@ -54,7 +62,7 @@
         await self._replica.ready
         while True:
             pause = REFRESH
-            if self._election.autoscaler_term is not None or not self.types:
+            if self._leadership_state.autoscaler_term is not None or not self.types:
                 try:
                     types = await self._cloud.catalog()
                 except (CloudUnavailableError, NoCapacityError) as trouble:
--- a/badgerroute/coordination/shards/member_registry.py
+++ b/badgerroute/coordination/shards/member_registry.py
@@ -5,17 +5,11 @@
 
 from badgerroute.coordination.shards.leader_context import LeaderContext
 from badgerroute.storage import records
-from badgerroute.storage.key_value_client import (
-    CompareFailedError,
-    LeaseExpiredError,
-    OutcomeUnknownError,
-    StoreUnavailableError,
-    compare,
-    put,
-)
+from badgerroute.storage.errors import CompareFailedError, LeaseExpiredError, OutcomeUnknownError, StoreUnavailableError
+from badgerroute.storage.keys import MACHINES
+from badgerroute.storage.operations import compare, put
 from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.storage.records import MachineRecord
-from badgerroute.storage.replica import MACHINES
 from badgerroute.transport.loop import Future, TaskGroup
 
 log = logging.getLogger(__name__)
@@ -25,7 +19,7 @@
     """Writes new members down, several in one transaction."""
 
     def __init__(self, context: LeaderContext, group: TaskGroup) -> None:
-        self._loop, self._group, self._election = context.loop, group, context.election
+        self._loop, self._group, self._leadership_state = context.loop, group, context.leadership_state
         self._store, self._replica, self._publish = context.store, context.replica, context.publish
         self._waiting: dict[str, tuple[MachineRecord, Future]] = {}
         self._running = False
@@ -64,11 +58,11 @@
         batch = {
             name: record
             for name, record in batch.items()
-            if record.shard in self._election.leaderships and not self._replica.revision_of(MACHINES + name)
+            if record.shard in self._leadership_state.leaderships and not self._replica.revision_of(MACHINES + name)
         }
         if not batch:
             return set()
-        conditions = [self._election.condition(shard) for shard in {record.shard for record in batch.values()}]
+        conditions = [self._leadership_state.condition(shard) for shard in {record.shard for record in batch.values()}]
         conditions += [compare(MACHINES + name, 0) for name in batch]
         values = {MACHINES + name: records.write(record) for name, record in batch.items()}
         try:
--- a/badgerroute/coordination/shards/migration.py
+++ b/badgerroute/coordination/shards/migration.py
@@ -21,16 +21,10 @@
 from badgerroute.scheduling.shard import Shard
 from badgerroute.scheduling.stealing import StealSelection, given_ranges
 from badgerroute.storage import records
-from badgerroute.storage.key_value_client import (
-    CompareFailedError,
-    LeaseExpiredError,
-    OutcomeUnknownError,
-    StoreUnavailableError,
-    compare,
-    put,
-)
+from badgerroute.storage.errors import CompareFailedError, LeaseExpiredError, OutcomeUnknownError, StoreUnavailableError
+from badgerroute.storage.keys import JOBS
+from badgerroute.storage.operations import compare, put
 from badgerroute.storage.rate_limiter import Urgency
-from badgerroute.storage.replica import JOBS
 from badgerroute.storage.task_ranges import TaskRange
 from badgerroute.transport.loop import TaskGroup
 
@@ -65,7 +59,7 @@
     ) -> None:
         self.number, self.shard, self.planner = shard.number, shard, planner
         self._loop, self._group = context.loop, group
-        self._store, self._replica, self._election = context.store, context.replica, context.election
+        self._store, self._replica, self._leadership_state = context.store, context.replica, context.leadership_state
         self._policy = context.policy
         self._job_store, self._job_reader, self._pager = context.job_store, context.job_reader, context.pager
         self._publish, self._ask_machines = context.publish, context.request_machines
@@ -196,7 +190,7 @@
         writes = [write for ref, record in changes if (write := self._reserve(ref, record)) is not None]
         if not writes:
             return
-        conditions = [self._election.condition(self.number), *(write.condition for write in writes)]
+        conditions = [self._leadership_state.condition(self.number), *(write.condition for write in writes)]
         puts = [write.put for write in writes]
         try:
             at = await self._store.transact(conditions, puts, Urgency.PROGRESS)
--- a/badgerroute/coordination/shards/shard_leader.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -4,10 +4,10 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from badgerroute.connectivity import worker_silence
+from badgerroute.connectivity import overdue_heartbeats
 from badgerroute.connectivity.modes import Action
 from badgerroute.coordination.jobs.job_writer import Progress
-from badgerroute.coordination.leadership.leader_election import Leadership
+from badgerroute.coordination.leadership.leadership_state import Leadership
 from badgerroute.coordination.shards import summary
 from badgerroute.coordination.shards.fencing import Fencing
 from badgerroute.coordination.shards.leader_context import LeaderContext
@@ -28,8 +28,8 @@
 from badgerroute.scheduling.scale_out_planning import scales_out_ahead
 from badgerroute.scheduling.shard import Shard
 from badgerroute.storage import records
+from badgerroute.storage.keys import MACHINES
 from badgerroute.storage.records import MachineRecord
-from badgerroute.storage.replica import MACHINES
 from badgerroute.transport.loop import TaskGroup
 
 log = logging.getLogger(__name__)
@@ -56,7 +56,11 @@
     def __init__(self, number: int, leadership: Leadership, context: LeaderContext) -> None:
         self.number = number
         self._settings, self._loop, self._replica = context.settings, context.loop, context.replica
-        self._election, self._job_store, self._catalog = context.election, context.job_store, context.catalog
+        self._leadership_state, self._job_store, self._catalog = (
+            context.leadership_state,
+            context.job_store,
+            context.catalog,
+        )
         self._policy, self._resumed_at = context.policy, context.resumed_at
         self._progressed, self._delete = context.progressed, context.delete_machines
         params = self._settings.params
@@ -280,7 +284,7 @@
             log_state(self.shard)
 
     def _expire(self, now: timedelta) -> None:
-        lost = self.shard.expire(now, self._election.last_confirmed, self._settings.machine_lease, self.grace)
+        lost = self.shard.expire(now, self._leadership_state.last_confirmed, self._settings.machine_lease, self.grace)
         for machine in lost:
             machine.lost_at = now
         if lost:
@@ -327,14 +331,16 @@
         """Whether a machine is a member whose heartbeat should have come by now."""
         machine = self.shard.machines.get(name)
         heartbeat, now = self._settings.params.workers.heartbeat_interval, self._loop.now()
-        return machine is not None and worker_silence.overdue(machine, self.shard, heartbeat, self._resumed_at(), now)
+        return machine is not None and overdue_heartbeats.is_overdue(
+            machine, self.shard, heartbeat, self._resumed_at(), now
+        )
 
     def silent(self) -> int:
         """How many machines' heartbeats are overdue, if half of all or more are. As seldom made anew as a summary."""
         now = self._loop.now()
         if self._silence is None or now - self._silence.at >= self._kept():
             heartbeat = self._settings.params.workers.heartbeat_interval
-            silent = worker_silence.silent(self.shard, heartbeat, self._resumed_at(), now)
+            silent = overdue_heartbeats.count_overdue(self.shard, heartbeat, self._resumed_at(), now)
             self._silence = SilenceReading(now, silent)
         return self._silence.machines
 
--- a/badgerroute/rebalancing/service.py
+++ b/badgerroute/rebalancing/service.py
@@ -155,9 +155,7 @@
         peers = self._controller.peers
         own = {leader.number: leader.summary() for leader in self._controller.leaders.values() if leader.ready}
         readings = [ShardReading(summary, ZERO) for summary in own.values()]
-        readings += [
-            ShardReading(summary, age) for summary, age in peers.last_heard_shards() if summary.shard not in own
-        ]
+        readings += [ShardReading(summary, age) for summary, age in peers.shard_reports() if summary.shard not in own]
         self.view = FleetView(readings, self._rebalancing.stale)
         # Asked for at every turn of every job, so worked out once: a percentile looks at all that is counted.
         self._urgencies = {team: self._urgency_of(team) for team in self.view.teams}
@@ -235,7 +233,7 @@
         assert self._controller is not None and self._drains is not None
         while True:
             await self._loop.sleep(ORPHANS_LOOKED_FOR)
-            if self._controller.election.autoscaler_term is not None and self._controller.policy.allows(
+            if self._controller.leadership_state.autoscaler_term is not None and self._controller.policy.allows(
                 Action.CLEAN_UP
             ):
                 await self._drains.remove_orphans()
--- a/badgerroute/storage/key_value_client.py
+++ b/badgerroute/storage/key_value_client.py
@@ -17,7 +17,6 @@
     StoreUnavailableError,
     WatchExpiredError,
 )
-from badgerroute.storage.operations import compare, put, remove
 from badgerroute.storage.rate_limiter import RateLimitExceededError, Urgency
 from badgerroute.storage.service_caller import ErrorTypes, ServiceCaller, ServiceRequest
 from badgerroute.storage.size_limits import SizeLimits, TransactionSize
@@ -26,19 +25,6 @@
 from badgerroute.transport.loop import Loop
 from badgerroute.transport.net import Network
 
-__all__ = [
-    "CompareFailedError",
-    "KeyValueClient",
-    "LeaseExpiredError",
-    "OutcomeUnknownError",
-    "RequestRefusedError",
-    "StoreUnavailableError",
-    "WatchExpiredError",
-    "compare",
-    "put",
-    "remove",
-]
-
 log = logging.getLogger(__name__)
 ANSWER_LIMIT = timedelta(milliseconds=1500)
 WATCH_MARGIN = timedelta(seconds=3)  # that the answer of a watch may come later than it was asked to
