--- a/badgerroute/coordination/autoscaling/autoscaler.py
+++ b/badgerroute/coordination/autoscaling/autoscaler.py
@@ -20,15 +20,11 @@
 )
 from badgerroute.settings import Settings
 from badgerroute.storage import records
-from badgerroute.storage.cloud_client import (
-    MAX_MACHINES_PER_DELETION,
-    MAX_MACHINES_PER_RENTAL,
-    CloudClient,
-    CloudUnavailableError,
-    NoCapacityError,
-)
+from badgerroute.storage.cloud_client import MAX_MACHINES_PER_DELETION, MAX_MACHINES_PER_RENTAL, CloudClient
+from badgerroute.storage.errors import CloudUnavailableError, NoCapacityError
+from badgerroute.storage.keys import MACHINES
 from badgerroute.storage.records import MachineRecord
-from badgerroute.storage.replica import MACHINES, Replica
+from badgerroute.storage.replica import Replica
 from badgerroute.transport.loop import Loop, TaskGroup
 
 log = logging.getLogger(__name__)
--- a/badgerroute/coordination/autoscaling/catalog.py
+++ b/badgerroute/coordination/autoscaling/catalog.py
@@ -8,17 +8,19 @@
 from badgerroute.coordination.leadership.leader_election import LeaderElection
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.storage import records
-from badgerroute.storage.cloud_client import CloudClient, CloudUnavailableError, NoCapacityError
-from badgerroute.storage.key_value_client import (
+from badgerroute.storage.cloud_client import CloudClient
+from badgerroute.storage.errors import (
+    CloudUnavailableError,
     CompareFailedError,
-    KeyValueClient,
+    NoCapacityError,
     OutcomeUnknownError,
     StoreUnavailableError,
-    compare,
-    put,
 )
+from badgerroute.storage.key_value_client import KeyValueClient
+from badgerroute.storage.keys import CATALOG
+from badgerroute.storage.operations import compare, put
 from badgerroute.storage.rate_limiter import Urgency
-from badgerroute.storage.replica import CATALOG, Replica
+from badgerroute.storage.replica import Replica
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
--- a/badgerroute/coordination/jobs/dependency_resolver.py
+++ b/badgerroute/coordination/jobs/dependency_resolver.py
@@ -12,19 +12,13 @@
 from badgerroute.coordination.jobs.job_store import JobStore
 from badgerroute.protocol.key_value import Put, Remove
 from badgerroute.storage import records
-from badgerroute.storage.key_value_client import (
-    CompareFailedError,
-    KeyValueClient,
-    LeaseExpiredError,
-    OutcomeUnknownError,
-    StoreUnavailableError,
-    compare,
-    put,
-    remove,
-)
+from badgerroute.storage.errors import CompareFailedError, LeaseExpiredError, OutcomeUnknownError, StoreUnavailableError
+from badgerroute.storage.key_value_client import KeyValueClient
+from badgerroute.storage.keys import FINAL_STATES, JOBS
+from badgerroute.storage.operations import compare, put, remove
 from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.storage.records import FinalStateRecord, JobRecord, JobState
-from badgerroute.storage.replica import FINAL_STATES, JOBS, Replica
+from badgerroute.storage.replica import Replica
 from badgerroute.transport.clock import ZERO
 from badgerroute.transport.loop import Loop
 
--- a/badgerroute/coordination/jobs/job_reader.py
+++ b/badgerroute/coordination/jobs/job_reader.py
@@ -9,10 +9,12 @@
 from badgerroute.protocol.key_value import KeyValueEntry
 from badgerroute.protocol.users import JobView
 from badgerroute.storage import records
-from badgerroute.storage.key_value_client import KeyValueClient, StoreUnavailableError
+from badgerroute.storage.errors import StoreUnavailableError
+from badgerroute.storage.key_value_client import KeyValueClient
+from badgerroute.storage.keys import FINAL_STATES, JOBS
 from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.storage.records import FinalStateRecord, JobRecord, JobState
-from badgerroute.storage.replica import FINAL_STATES, JOBS, Replica
+from badgerroute.storage.replica import Replica
 from badgerroute.transport.loop import Loop
 
 MAX_LOOKUP_ROUNDS = 40  # for one answer; each but the last brings up jobs further back
--- a/badgerroute/coordination/jobs/job_store.py
+++ b/badgerroute/coordination/jobs/job_store.py
@@ -11,8 +11,9 @@
 from badgerroute.scheduling.inheritance import Inherited
 from badgerroute.storage import records
 from badgerroute.storage.bitset import PAGE_TASKS, unpack
+from badgerroute.storage.keys import DONE, FINAL_STATES, JOBS, PREDECESSORS
 from badgerroute.storage.records import DonePage, FinalStateRecord, JobRecord, JobState, PredecessorsPage
-from badgerroute.storage.replica import DONE, FINAL_STATES, JOBS, PREDECESSORS, Replica
+from badgerroute.storage.replica import Replica
 
 log = logging.getLogger(__name__)
 MAX_FINAL_STATES_REMEMBERED = 20_000
--- a/badgerroute/coordination/jobs/job_writer.py
+++ b/badgerroute/coordination/jobs/job_writer.py
@@ -13,20 +13,19 @@
 from badgerroute.protocol.key_value import Compare, Put, Remove
 from badgerroute.protocol.users import Submission
 from badgerroute.storage import records
-from badgerroute.storage.key_value_client import (
+from badgerroute.storage.errors import (
     CompareFailedError,
-    KeyValueClient,
     LeaseExpiredError,
     OutcomeUnknownError,
     RequestRefusedError,
     StoreUnavailableError,
-    compare,
-    put,
-    remove,
 )
+from badgerroute.storage.key_value_client import KeyValueClient
+from badgerroute.storage.keys import FINAL_STATES, JOBS
+from badgerroute.storage.operations import compare, put, remove
 from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.storage.records import FinalStateRecord, JobRecord, JobState
-from badgerroute.storage.replica import FINAL_STATES, JOBS, Replica
+from badgerroute.storage.replica import Replica
 from badgerroute.storage.task_ranges import TaskRange
 from badgerroute.transport.loop import Loop
 
--- a/badgerroute/coordination/jobs/record_paging.py
+++ b/badgerroute/coordination/jobs/record_paging.py
@@ -10,18 +10,13 @@
 from badgerroute.protocol.users import Submission
 from badgerroute.storage import records
 from badgerroute.storage.bitset import PAGE_TASKS, pack, page_of, trailing_ones
-from badgerroute.storage.key_value_client import (
-    CompareFailedError,
-    KeyValueClient,
-    LeaseExpiredError,
-    OutcomeUnknownError,
-    StoreUnavailableError,
-    compare,
-    put,
-)
+from badgerroute.storage.errors import CompareFailedError, LeaseExpiredError, OutcomeUnknownError, StoreUnavailableError
+from badgerroute.storage.key_value_client import KeyValueClient
+from badgerroute.storage.keys import DONE, JOBS, PREDECESSORS
+from badgerroute.storage.operations import compare, put
 from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.storage.records import DonePage, JobRecord, PredecessorsPage
-from badgerroute.storage.replica import DONE, JOBS, PREDECESSORS, Replica
+from badgerroute.storage.replica import Replica
 
 log = logging.getLogger(__name__)
 MAX_PREDECESSORS = 1000
--- a/badgerroute/coordination/leadership/leader_election.py
+++ b/badgerroute/coordination/leadership/leader_election.py
@@ -12,17 +12,12 @@
 from badgerroute.protocol.key_value import Compare
 from badgerroute.settings import Settings
 from badgerroute.storage import records
-from badgerroute.storage.key_value_client import (
-    CompareFailedError,
-    KeyValueClient,
-    LeaseExpiredError,
-    OutcomeUnknownError,
-    StoreUnavailableError,
-    compare,
-    put,
-)
+from badgerroute.storage.errors import CompareFailedError, LeaseExpiredError, OutcomeUnknownError, StoreUnavailableError
+from badgerroute.storage.key_value_client import KeyValueClient
+from badgerroute.storage.keys import AUTOSCALER_LEADER, SHARD_LEADERS
+from badgerroute.storage.operations import compare, put
 from badgerroute.storage.rate_limiter import Urgency
-from badgerroute.storage.replica import AUTOSCALER_LEADER, SHARD_LEADERS, Replica
+from badgerroute.storage.replica import Replica
 from badgerroute.transport.clock import ZERO
 from badgerroute.transport.loop import Future, Loop
 
--- a/badgerroute/coordination/membership/connectivity_monitor.py
+++ b/badgerroute/coordination/membership/connectivity_monitor.py
@@ -15,8 +15,9 @@
 from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.settings import Settings
 from badgerroute.storage import records
+from badgerroute.storage.keys import MACHINES
 from badgerroute.storage.records import MachineRecord
-from badgerroute.storage.replica import MACHINES, Replica
+from badgerroute.storage.replica import Replica
 from badgerroute.transport.http import Client, NoAnswerError
 from badgerroute.transport.loop import Loop
 from badgerroute.transport.net import Network
--- a/badgerroute/coordination/quotas/quota_allocator.py
+++ b/badgerroute/coordination/quotas/quota_allocator.py
@@ -15,18 +15,13 @@
 from badgerroute.scheduling.model import EPSILON, Resources
 from badgerroute.settings import Settings, Team
 from badgerroute.storage import records
-from badgerroute.storage.key_value_client import (
-    CompareFailedError,
-    KeyValueClient,
-    LeaseExpiredError,
-    OutcomeUnknownError,
-    StoreUnavailableError,
-    compare,
-    put,
-)
+from badgerroute.storage.errors import CompareFailedError, LeaseExpiredError, OutcomeUnknownError, StoreUnavailableError
+from badgerroute.storage.key_value_client import KeyValueClient
+from badgerroute.storage.keys import QUOTA_ALLOCATIONS
+from badgerroute.storage.operations import compare, put
 from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.storage.records import QuotaRecord
-from badgerroute.storage.replica import QUOTA_ALLOCATIONS, Replica
+from badgerroute.storage.replica import Replica
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
--- a/badgerroute/coordination/requests/heartbeat_handler.py
+++ b/badgerroute/coordination/requests/heartbeat_handler.py
@@ -18,7 +18,8 @@
 from badgerroute.protocol.workers import Heartbeat, Redirect, parse_heartbeat
 from badgerroute.settings import Settings
 from badgerroute.storage import records
-from badgerroute.storage.replica import MACHINES, Replica
+from badgerroute.storage.keys import MACHINES
+from badgerroute.storage.replica import Replica
 from badgerroute.transport.http import Request, Response
 from badgerroute.transport.loop import Loop
 
--- a/badgerroute/coordination/requests/job_service.py
+++ b/badgerroute/coordination/requests/job_service.py
@@ -15,7 +15,7 @@
 from badgerroute.protocol.users import REF, Submission, parse_submission
 from badgerroute.scheduling.model import Resources, capacity_of, need_of
 from badgerroute.settings import Params, Team
-from badgerroute.storage.key_value_client import LeaseExpiredError, OutcomeUnknownError, StoreUnavailableError
+from badgerroute.storage.errors import LeaseExpiredError, OutcomeUnknownError, StoreUnavailableError
 from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.storage.replica import Replica
 from badgerroute.transport.http import Request, Response
--- a/badgerroute/coordination/shards/forecast.py
+++ b/badgerroute/coordination/shards/forecast.py
@@ -18,8 +18,9 @@
 from badgerroute.scheduling.objectives import Objectives
 from badgerroute.settings import Settings, Team
 from badgerroute.storage import records
+from badgerroute.storage.keys import MACHINES
 from badgerroute.storage.records import JobRecord
-from badgerroute.storage.replica import MACHINES, Replica
+from badgerroute.storage.replica import Replica
 from badgerroute.transport.loop import Loop
 
 STARVING_AFTER = timedelta(seconds=160)  # a job that has not begun by then comes first, however late it is
--- a/badgerroute/coordination/shards/machine_commands.py
+++ b/badgerroute/coordination/shards/machine_commands.py
@@ -9,7 +9,7 @@
 from badgerroute.protocol.workers import Command, DirectCommands, Heartbeat, parse_heartbeat
 from badgerroute.scheduling.model import Machine
 from badgerroute.scheduling.shard import Shard
-from badgerroute.storage.key_value_client import LeaseExpiredError, OutcomeUnknownError, StoreUnavailableError
+from badgerroute.storage.errors import LeaseExpiredError, OutcomeUnknownError, StoreUnavailableError
 from badgerroute.transport.http import Client, NoAnswerError
 from badgerroute.transport.loop import Future
 
--- a/badgerroute/coordination/shards/machine_transfers.py
+++ b/badgerroute/coordination/shards/machine_transfers.py
@@ -11,17 +11,11 @@
 from badgerroute.scheduling.model import Machine, allows, need_of
 from badgerroute.scheduling.shard import Shard
 from badgerroute.storage import records
-from badgerroute.storage.key_value_client import (
-    CompareFailedError,
-    LeaseExpiredError,
-    OutcomeUnknownError,
-    StoreUnavailableError,
-    compare,
-    put,
-)
+from badgerroute.storage.errors import CompareFailedError, LeaseExpiredError, OutcomeUnknownError, StoreUnavailableError
+from badgerroute.storage.keys import MACHINES
+from badgerroute.storage.operations import compare, put
 from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.storage.records import MachineRecord
-from badgerroute.storage.replica import MACHINES
 from badgerroute.transport.loop import TaskGroup
 
 log = logging.getLogger(__name__)
--- a/badgerroute/coordination/shards/member_registry.py
+++ b/badgerroute/coordination/shards/member_registry.py
@@ -5,17 +5,11 @@
 
 from badgerroute.coordination.shards.leader_context import LeaderContext
 from badgerroute.storage import records
-from badgerroute.storage.key_value_client import (
-    CompareFailedError,
-    LeaseExpiredError,
-    OutcomeUnknownError,
-    StoreUnavailableError,
-    compare,
-    put,
-)
+from badgerroute.storage.errors import CompareFailedError, LeaseExpiredError, OutcomeUnknownError, StoreUnavailableError
+from badgerroute.storage.keys import MACHINES
+from badgerroute.storage.operations import compare, put
 from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.storage.records import MachineRecord
-from badgerroute.storage.replica import MACHINES
 from badgerroute.transport.loop import Future, TaskGroup
 
 log = logging.getLogger(__name__)
--- a/badgerroute/coordination/shards/migration.py
+++ b/badgerroute/coordination/shards/migration.py
@@ -21,16 +21,10 @@
 from badgerroute.scheduling.shard import Shard
 from badgerroute.scheduling.stealing import StealSelection, given_ranges
 from badgerroute.storage import records
-from badgerroute.storage.key_value_client import (
-    CompareFailedError,
-    LeaseExpiredError,
-    OutcomeUnknownError,
-    StoreUnavailableError,
-    compare,
-    put,
-)
+from badgerroute.storage.errors import CompareFailedError, LeaseExpiredError, OutcomeUnknownError, StoreUnavailableError
+from badgerroute.storage.keys import JOBS
+from badgerroute.storage.operations import compare, put
 from badgerroute.storage.rate_limiter import Urgency
-from badgerroute.storage.replica import JOBS
 from badgerroute.storage.task_ranges import TaskRange
 from badgerroute.transport.loop import TaskGroup
 
--- a/badgerroute/coordination/shards/progress_flusher.py
+++ b/badgerroute/coordination/shards/progress_flusher.py
@@ -7,7 +7,7 @@
 from badgerroute.coordination.jobs.job_writer import JobWriter, LeadershipCheck, Progress
 from badgerroute.coordination.shards.forecast import JobForecast
 from badgerroute.coordination.shards.shard_leader import ShardLeader
-from badgerroute.storage.key_value_client import LeaseExpiredError, OutcomeUnknownError, StoreUnavailableError
+from badgerroute.storage.errors import LeaseExpiredError, OutcomeUnknownError, StoreUnavailableError
 from badgerroute.transport.loop import Future, Loop
 
 log = logging.getLogger(__name__)
--- a/badgerroute/coordination/shards/shard_leader.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -28,8 +28,8 @@
 from badgerroute.scheduling.scale_out_planning import scales_out_ahead
 from badgerroute.scheduling.shard import Shard
 from badgerroute.storage import records
+from badgerroute.storage.keys import MACHINES
 from badgerroute.storage.records import MachineRecord
-from badgerroute.storage.replica import MACHINES
 from badgerroute.transport.loop import TaskGroup
 
 log = logging.getLogger(__name__)
--- a/badgerroute/coordination/shards/tombstone_writer.py
+++ b/badgerroute/coordination/shards/tombstone_writer.py
@@ -7,18 +7,11 @@
 from badgerroute.protocol.key_value import Put, Remove
 from badgerroute.scheduling.shard import Shard
 from badgerroute.storage import records
-from badgerroute.storage.key_value_client import (
-    CompareFailedError,
-    LeaseExpiredError,
-    OutcomeUnknownError,
-    StoreUnavailableError,
-    compare,
-    put,
-    remove,
-)
+from badgerroute.storage.errors import CompareFailedError, LeaseExpiredError, OutcomeUnknownError, StoreUnavailableError
+from badgerroute.storage.keys import MACHINES, TOMBSTONES
+from badgerroute.storage.operations import compare, put, remove
 from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.storage.records import TombstoneRecord
-from badgerroute.storage.replica import MACHINES, TOMBSTONES
 
 log = logging.getLogger(__name__)
 RETRY_PAUSE = timedelta(seconds=1)
