--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -7,15 +7,21 @@
 
 from badgerroute.connectivity.modes import Action, Permission
 from badgerroute.coordination.autoscaling.autoscaler import Autoscaler
+from badgerroute.coordination.autoscaling.autoscaler_authority import AutoscalerAuthority
 from badgerroute.coordination.autoscaling.catalog import MachineCatalog
 from badgerroute.coordination.autoscaling.machine_tombstones import MachineTombstones
 from badgerroute.coordination.autoscaling.scale_in import ScaleIn
 from badgerroute.coordination.jobs.cancellation_broadcast import CancellationBroadcast
-from badgerroute.coordination.jobs.dependency_resolver import DependencyResolver
+from badgerroute.coordination.jobs.downstream_cancellation import DownstreamCancellation
+from badgerroute.coordination.jobs.job_listeners import JobChangeNotifier
 from badgerroute.coordination.jobs.job_reader import JobReader
 from badgerroute.coordination.jobs.job_store import JobStore
 from badgerroute.coordination.jobs.job_writer import JobWriter
+from badgerroute.coordination.jobs.page_garbage_collector import PageGarbageCollector
+from badgerroute.coordination.jobs.peer_messaging import ChangeBroadcast
+from badgerroute.coordination.jobs.progress_writer import ProgressWriter
 from badgerroute.coordination.jobs.record_paging import RecordPager
+from badgerroute.coordination.jobs.upstream_resolver import UpstreamResolver
 from badgerroute.coordination.leadership.action_policy import ActionPolicy
 from badgerroute.coordination.leadership.leader_election import LeaderElection, Leadership
 from badgerroute.coordination.membership.connectivity_monitor import ConnectivityMonitor
@@ -77,7 +83,7 @@
         self.policy = ActionPolicy(self.election, lambda: self.monitor.mode)
         hosts = [peer.host_name for peer in settings.platform.peers]
         self.cancellation_broadcast = CancellationBroadcast(
-            loop, settings.platform.host_name, hosts, self.mesh.send, params.workers.cancel
+            loop, settings.platform.host_name, hosts, self.mesh, params.workers.cancel
         )
         self.machine_catalog = MachineCatalog(loop, self.cloud, self.store, self.replica, self.election)
         self.catalog = self.machine_catalog.types
@@ -120,22 +126,48 @@
             monitor=self.monitor,
             leaders=self.leaders,
         )
-        self.job_store = JobStore(self.replica, self._push, self._notify_leaders, self.cancellation_broadcast.learned)
+        self.change_broadcast = ChangeBroadcast(self.mesh)
+        self.job_store = JobStore(
+            self.replica, self.change_broadcast, JobChangeNotifier(self.leaders), self.cancellation_broadcast
+        )
         self.job_reader = JobReader(loop, self.store, self.replica, self.job_store)
         self.pager = RecordPager(self.store, self.replica, self.job_store, self.catalog)
-        self.job_writer = JobWriter(loop, self.store, self.replica, self.job_store, self.job_reader, self.pager)
+        self.job_writer = JobWriter(
+            loop=loop,
+            store=self.store,
+            replica=self.replica,
+            job_store=self.job_store,
+            reader=self.job_reader,
+            pager=self.pager,
+        )
+        self.progress_writer = ProgressWriter(
+            loop=loop,
+            store=self.store,
+            replica=self.replica,
+            job_store=self.job_store,
+            reader=self.job_reader,
+            pager=self.pager,
+        )
         self.quota_allocator = QuotaAllocator(
             settings, loop, self.store, self.replica, self._push, self._leadership_condition
         )
-        self.dependency_resolver = DependencyResolver(
+        self.upstream_resolver = UpstreamResolver(loop, self.job_store, self.job_reader)
+        self.downstream_cancellation = DownstreamCancellation(
+            loop=loop,
+            store=self.store,
+            replica=self.replica,
+            job_store=self.job_store,
+            election=self.election,
+            home_shard=settings.home,
+        )
+        self.autoscaler_authority = AutoscalerAuthority(self.election, self.policy)
+        self.page_garbage_collector = PageGarbageCollector(
             loop=loop,
             store=self.store,
             replica=self.replica,
             job_store=self.job_store,
             job_reader=self.job_reader,
-            owned=lambda shard: shard in self.election.leaderships,
-            tidies=lambda: self.election.autoscaler_term is not None and self.policy.allows(Action.CLEAN_UP),
-            turn=settings.home,
+            permission=self.autoscaler_authority,
         )
         self.autoscaler = Autoscaler(
             settings=settings,
@@ -153,7 +185,7 @@
             settings, loop, self.job_store, self.replica, self.catalog, self.leaders, self.peers.summaries
         )
         self.progress_flusher = ProgressFlusher(
-            loop, self.leaders, self.job_store, self.job_writer, self.forecast, self._leadership_condition
+            loop, self.leaders, self.job_store, self.progress_writer, self.forecast, self._leadership_condition
         )
         self.scale_in = ScaleIn(
             settings, loop, self.policy, self.job_store, self.catalog, self.leaders, self.autoscaler.delete
@@ -262,9 +294,9 @@
             (self.scale_in.run, "idle"),
             (self.monitor.run, "connectivity"),
             (self.monitor.probe, "probe"),
-            (self.dependency_resolver.resolve, "resolve"),
-            (self.dependency_resolver.cancel_downstream, "withdraw"),
-            (self.dependency_resolver.tidy, "tidy"),
+            (self.upstream_resolver.run, "resolve"),
+            (self.downstream_cancellation.run, "withdraw"),
+            (self.page_garbage_collector.run, "tidy"),
         ):
             self._group.run_forever(make, name, second)
         await Future()
@@ -323,7 +355,7 @@
             self.store.divide_rates(self.peers.in_use())
             if self.election.lease is not None:
                 self.mesh.broadcast(self._gossip())
-            self.cancellation_broadcast.repeat()
+            self.cancellation_broadcast.resend()
 
     def _gossip(self) -> mesh_wire.Gossip:
         shards = [leader.summary() for leader in self.leaders.values() if leader.ready]
--- a/badgerroute/coordination/jobs/cancellation_broadcast.py
+++ b/badgerroute/coordination/jobs/cancellation_broadcast.py
@@ -1,60 +1,87 @@
-"""Confirmed cancellations, told to every peer until it says that it has heard.
+"""Cancellations, sent to every peer until it acknowledges them.
 
-A leader that the key-value store refuses alone learns of no cancellation by its watch, and a push may be lost with its
-link. So whoever comes to know that a job is cancelled tells each peer again and again, also when a link returns:
-not only the controller that told the user, since that one may end right after its answer.
+A leader that cannot reach the key-value store learns of no cancellation by its watch, and a push may be lost with its
+connection. So every controller that learns of a cancellation sends it to each peer repeatedly, also after a connection
+returns: not only the one that answered the user, since that one may end right after its answer.
 """
 
-from collections.abc import Callable, Iterable
+from collections.abc import Iterable
+from dataclasses import dataclass
 from datetime import timedelta
 
-from badgerroute.protocol.mesh import CancellationNotice, Message
+from badgerroute.coordination.jobs.peer_messaging import PeerMessenger
+from badgerroute.protocol.mesh import CancellationNotice
 from badgerroute.transport.loop import Loop
 
-AGAIN = timedelta(milliseconds=900)  # a peer that has not acknowledged by then is told once more
-MAX_CANCELLATIONS_PER_MESSAGE = 200  # jobs in one message
-MAX_UNACKNOWLEDGED_CANCELLATIONS = 4000  # for one peer: they hasten what the watch and G bring about in any case
+RESEND_INTERVAL = timedelta(milliseconds=900)
+MAX_CANCELLATIONS_PER_MESSAGE = 200
+# For one peer. Dropping one is safe: the watch, or the end of the grace period, brings about the same later.
+MAX_UNACKNOWLEDGED_CANCELLATIONS = 4000
+
+
+@dataclass(slots=True)
+class _UnacknowledgedCancellation:
+    """A cancellation that a peer has not acknowledged. Times are of the loop's clock."""
+
+    revision: int  # of the job's final state
+    learned_at: timedelta
+    sent_at: timedelta | None  # None: not sent yet
+
+    def send_due(self, now: timedelta) -> bool:
+        """Whether it is to be sent, or sent again."""
+        return self.sent_at is None or now - self.sent_at >= RESEND_INTERVAL
 
 
 class CancellationBroadcast:
-    """`kept` is for how long telling is of use: after that, a peer that still acts has a later proof."""
+    """Cancellations that peers have not acknowledged, for each peer.
+
+    `retention` is for how long a notice is of use: after that, a peer that still acts on the job has later proof that
+    it leads the shard.
+    """
 
     def __init__(
-        self, loop: Loop, me: str, peers: Iterable[str], send: Callable[[str, Message], None], kept: timedelta
+        self, loop: Loop, own_host: str, peers: Iterable[str], messenger: PeerMessenger, retention: timedelta
     ) -> None:
-        self._loop, self._me, self._send, self._kept = loop, me, send, kept
-        # peer -> job -> revision of its final state, when it was learned, when it was last told
-        self._untold: dict[str, dict[str, tuple[int, timedelta, timedelta | None]]] = {host: {} for host in peers}
+        self._loop, self._own_host, self._messenger, self._retention = loop, own_host, messenger, retention
+        # peer -> job -> its cancellation, the oldest first
+        self._unacknowledged: dict[str, dict[str, _UnacknowledgedCancellation]] = {host: {} for host in peers}
+
+    def job_cancelled(self, ref: str, revision: int, confirming: bool) -> None:
+        """A job is cancelled by a final state of this revision.
 
-    def learned(self, ref: str, revision: int, at_once: bool) -> None:
-        """A job is cancelled. `at_once`: a user is about to be told so."""
+        `confirming`: a user is about to be answered so, and the peers are notified before that.
+        """
         now = self._loop.now()
-        for host, untold in self._untold.items():
-            if ref in untold:
+        for host, pending in self._unacknowledged.items():
+            if ref in pending:
                 continue
-            untold[ref] = (revision, now, now if at_once else None)
-            if len(untold) > MAX_UNACKNOWLEDGED_CANCELLATIONS:
-                del untold[next(iter(untold))]
-            if at_once:
-                self._send(host, CancellationNotice(self._me, [(ref, revision)]))
-
-    def known_to(self, host: str, refs: Iterable[str]) -> None:
-        """A peer acknowledged these, or told us of them itself."""
-        untold = self._untold.get(host)
-        if untold:
+            pending[ref] = _UnacknowledgedCancellation(revision, now, now if confirming else None)
+            if len(pending) > MAX_UNACKNOWLEDGED_CANCELLATIONS:
+                del pending[next(iter(pending))]
+            if confirming:
+                self._messenger.send(host, CancellationNotice(self._own_host, [(ref, revision)]))
+
+    def acknowledged(self, host: str, refs: Iterable[str]) -> None:
+        """A peer has acknowledged these cancellations, or has sent notice of them itself."""
+        pending = self._unacknowledged.get(host)
+        if pending:
             for ref in refs:
-                untold.pop(ref, None)
+                pending.pop(ref, None)
 
-    def repeat(self) -> None:
-        """Tell the peers what they have not acknowledged. Called a few times a second."""
+    def resend(self) -> None:
+        """Send the peers what they have not acknowledged. Called a few times a second."""
         now = self._loop.now()
-        for host, untold in self._untold.items():
-            for ref in [ref for ref, (_, learned, _) in untold.items() if now - learned > self._kept]:
-                del untold[ref]
-            due = [ref for ref, (_, _, told) in untold.items() if told is None or now - told >= AGAIN][
-                :MAX_CANCELLATIONS_PER_MESSAGE
-            ]
+        for host, pending in self._unacknowledged.items():
+            self._remove_expired(pending, now)
+            due = [ref for ref, cancellation in pending.items() if cancellation.send_due(now)]
+            due = due[:MAX_CANCELLATIONS_PER_MESSAGE]
             for ref in due:
-                untold[ref] = (*untold[ref][:2], now)
+                pending[ref].sent_at = now
             if due:
-                self._send(host, CancellationNotice(self._me, [(ref, untold[ref][0]) for ref in due]))
+                jobs = [(ref, pending[ref].revision) for ref in due]
+                self._messenger.send(host, CancellationNotice(self._own_host, jobs))
+
+    def _remove_expired(self, pending: dict[str, _UnacknowledgedCancellation], now: timedelta) -> None:
+        expired = [ref for ref, cancellation in pending.items() if now - cancellation.learned_at > self._retention]
+        for ref in expired:
+            del pending[ref]
--- /dev/null
+++ b/badgerroute/coordination/jobs/downstream_cancellation.py
@@ -0,0 +1,102 @@
+"""Background task that writes the final states of jobs whose predecessors are cancelled.
+
+Any controller can resume it from the records alone. Its writes are conditional, and what they hold follows from final
+states, so it does not matter which controller does it, or whether two do.
+"""
+
+import logging
+from collections.abc import Container
+from datetime import timedelta
+from typing import Protocol
+
+from badgerroute.coordination.jobs.job_store import JobStore
+from badgerroute.coordination.jobs.job_transaction import WRITE_ERRORS, JobTransaction
+from badgerroute.storage.budget import Urgency
+from badgerroute.storage.key_value_client import KeyValueClient
+from badgerroute.storage.records import FinalStateRecord, JobRecord, JobState
+from badgerroute.storage.replica import JOBS, Replica
+from badgerroute.transport.clock import ZERO
+from badgerroute.transport.loop import Loop
+
+log = logging.getLogger(__name__)
+INTERVAL = timedelta(milliseconds=200)
+RETRY_PAUSE = 2 * INTERVAL
+NON_LEADER_DELAY = timedelta(seconds=3)  # before a controller that does not lead the job's first shard writes it too
+CHANGES_PER_JOB = 2
+
+
+class ShardLeaderships(Protocol):
+    """Which shards this controller leads."""
+
+    @property
+    def leaderships(self) -> Container[int]:
+        """Their numbers."""
+
+
+class DownstreamCancellation:
+    """Cancels dependents.
+
+    The leader of a job's first tasks comes first and the others after it, each later by its home shard, so that their
+    writes do not conflict.
+    """
+
+    def __init__(
+        self,
+        *,
+        loop: Loop,
+        store: KeyValueClient,
+        replica: Replica,
+        job_store: JobStore,
+        election: ShardLeaderships,
+        home_shard: int,
+    ) -> None:
+        self._loop, self._store, self._replica, self._job_store = loop, store, replica, job_store
+        self._election = election
+        self._non_leader_delay = NON_LEADER_DELAY + home_shard * NON_LEADER_DELAY / 3
+        self._cancelled_since: dict[str, timedelta] = {}  # cancelled jobs whose own records are still to be replaced
+
+    async def run(self) -> None:
+        """Write the final states that are due, for ever."""
+        while True:
+            await self._loop.sleep(INTERVAL)
+            due = self._due()
+            while due:
+                batch_size = max(1, self._store.max_changes // CHANGES_PER_JOB)
+                batch, due = due[:batch_size], due[batch_size:]
+                try:
+                    await self._cancel(batch)
+                except WRITE_ERRORS as error:
+                    log.info("event=cancellation_delayed jobs=%d error=%s", len(batch), error)
+                    await self._loop.sleep(RETRY_PAUSE)
+                    break
+
+    def _due(self) -> list[str]:
+        now, cancelled = self._loop.now(), self._job_store.dependencies.cancelled
+        self._cancelled_since = {ref: self._cancelled_since.get(ref, now) for ref in cancelled}
+        return [ref for ref, since in self._cancelled_since.items() if now - since >= self._delay(ref)]
+
+    def _delay(self, ref: str) -> timedelta:
+        record = self._job_store.active.get(ref)
+        if record is not None and record.assigned and record.assigned[0].shard in self._election.leaderships:
+            return ZERO
+        return self._non_leader_delay
+
+    async def _cancel(self, refs: list[str]) -> None:
+        jobs = self._unfinished(refs)
+        if not jobs:
+            return
+        today = self._loop.clock.today().timestamp()
+        transaction = JobTransaction(self._store, self._replica, self._job_store)
+        for ref, record in jobs.items():
+            transaction.require_unchanged(JOBS + ref)
+            transaction.finish_job(ref, FinalStateRecord(JobState.CANCELLED, record.job.tasks, today))
+        await transaction.commit(Urgency.COMPLETE)
+        log.info("event=downstream_jobs_cancelled jobs=%s", ",".join(jobs))
+
+    def _unfinished(self, refs: list[str]) -> dict[str, JobRecord]:
+        """The records of those jobs that the replica still holds."""
+        return {
+            ref: record
+            for ref in refs
+            if (record := self._job_store.active.get(ref)) is not None and self._replica.revision_of(JOBS + ref)
+        }
--- a/badgerroute/coordination/jobs/job_reader.py
+++ b/badgerroute/coordination/jobs/job_reader.py
@@ -1,10 +1,11 @@
-"""Look-ups of jobs: what the key-value store says of them now, or our copy once that has caught up with it."""
+"""Look-ups of jobs: in the key-value store as it is now, or in the replica once that has caught up with it."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 from datetime import timedelta
 from itertools import islice
 
+from badgerroute.coordination.jobs.job_lookup import ActiveJob, FinishedJob, JobCondition, JobLookup, UnknownJob
 from badgerroute.coordination.jobs.job_store import JobStore
 from badgerroute.protocol.key_value import KeyValueEntry
 from badgerroute.protocol.users import JobView
@@ -15,124 +16,137 @@
 from badgerroute.storage.replica import FINAL_STATES, JOBS, Replica
 from badgerroute.transport.loop import Loop
 
-MAX_LOOKUP_ROUNDS = 40  # for one answer; each but the last brings up jobs further back
+MAX_LOOKUP_ROUNDS = 40  # for one answer; each but the last finds predecessors of predecessors
 MAX_LOOKUPS_PER_ROUND = 500
 FINAL_STATES_PER_PAGE = 100
-REMOVAL_PAUSE = timedelta(milliseconds=50)
+REMOVAL_PAUSE = timedelta(milliseconds=50)  # for the watch to report which final state replaced a removed record
 
 
 @dataclass(frozen=True, slots=True)
-class JobLookup:
-    """What was found of a job: its record at a revision while it is unfinished, else its final state."""
+class _FinalStatesPage:
+    """Some final states in the order of their keys, and which of the jobs asked for lie in their range."""
 
-    state: JobState
-    record: JobRecord | None = None
-    revision: int = 0
+    decided: list[str]
+    entries: dict[str, KeyValueEntry]
 
 
 def _key_before(key: str) -> str:
-    """A string after which, in the order of keys, this key comes first: no job's name holds a tilde."""
+    """A string that sorts before this key, with no other key between them: no job's name holds a tilde."""
     return key[:-1] + chr(ord(key[-1]) - 1) + "~"
 
 
 class JobReader:
-    """Every answer is no older than what any controller had told anybody when it was asked for."""
+    """Every answer is no older than what any controller had answered anybody when the question came.
+
+    All look-ups raise StoreUnavailableError if that cannot be guaranteed now; the same question may be asked again.
+    """
 
     def __init__(self, loop: Loop, store: KeyValueClient, replica: Replica, job_store: JobStore) -> None:
         self._loop, self._store, self._replica, self._job_store = loop, store, replica, job_store
 
-    async def look_up(self, ref: str, urgency: Urgency = Urgency.READ) -> JobLookup | None:
-        """A job as the key-value store has it now; None: nobody submitted such a job.
+    async def look_up(self, ref: str, urgency: Urgency = Urgency.READ) -> JobLookup:
+        """A job as the key-value store has it now.
 
         A job moves only from `jobs` to the final states, in one transaction, so looking in this order misses none.
         """
         final = self._job_store.final(ref)
         if final is not None:
-            return JobLookup(final)
+            return FinishedJob(final)
         lookup = await self._read_through(ref, urgency)
-        if lookup is not None and self._job_store.waits(ref):
+        if not isinstance(lookup, UnknownJob) and self._job_store.waits(ref):
             await self._replica.current()
-            return await self._decide_waiting(ref) or await self._read_through(ref, urgency)
+            return await self._look_up_waiting(ref) or await self._read_through(ref, urgency)
         return lookup
 
-    async def current(self, ref: str) -> JobLookup | None:
-        """The same from our copy, once that has caught up with the key-value store: for the many who only look."""
+    async def look_up_replicated(self, ref: str) -> JobLookup:
+        """A job as the replica has it once that has caught up. One question to the store serves all who poll."""
         final = self._job_store.final(ref)
         if final is None:
             await self._replica.current()
             if self._job_store.waits(ref):
-                lookup = await self._decide_waiting(ref)
+                lookup = await self._look_up_waiting(ref)
                 if lookup is not None:
                     return lookup
             final = self._job_store.final(ref)
         if final is not None:
-            return JobLookup(final)
+            return FinishedJob(final)
         record = self._job_store.active.get(ref)
         if record is not None:
-            return JobLookup(JobState.ACTIVE, record, self._replica.revision_of(JOBS + ref))
-        return await self._look_up_final_state(ref, Urgency.READ)
+            return ActiveJob(record, self._replica.revision_of(JOBS + ref))
+        return await self._read_final_state(ref, Urgency.READ)
 
-    async def unaccepted(self, refs: Iterable[str], urgency: Urgency) -> list[str]:
-        """Which of these jobs nobody ever accepted: the key-value store says so, not our memory.
+    async def find_unknown(self, refs: Iterable[str], urgency: Urgency) -> list[str]:
+        """Which of these jobs no controller ever accepted, by the key-value store and not by our memory.
 
-        Of the others it is known afterwards that they are unfinished, or how they ended. One question serves many: a
-        page of final states settles every job up to its last key. Looked up one by one, a hundred predecessors used up
-        the budget of reads for seconds.
+        Of the others the job store has afterwards that they are unfinished, or how they ended. A page of final states
+        decides every job up to its last key: single look-ups would exhaust the budget of reads for seconds.
         """
-        left = sorted({ref for ref in refs if not self._job_store.knows(ref)})
-        if not left:
+        remaining = self._not_accepted(refs)
+        if not remaining:
             return []
-        await self._replica.current()  # from here on all that were unfinished when we were asked are in our copy
-        left = [ref for ref in left if not self._job_store.knows(ref)]
-        missing: list[str] = []
-        while left:
-            limit = FINAL_STATES_PER_PAGE if len(left) > 1 else 1
-            page = await self._store.page(FINAL_STATES, _key_before(FINAL_STATES + left[0]), limit, urgency)
-            items = {item.key.removeprefix(FINAL_STATES): item for item in page.items}
-            last = max(items, default="")
-            decided = [ref for ref in left if ref <= last] if page.more else left
-            if not decided:
-                raise StoreUnavailableError("an empty page that is not the last")
-            for ref in decided:
-                if ref in items:
-                    self._remember_final_state(ref, items[ref])
+        await self._replica.current()  # from here on the replica has all jobs that were unfinished at the call
+        remaining = self._not_accepted(remaining)
+        unknown: list[str] = []
+        while remaining:
+            page = await self._final_states_page(remaining, urgency)
+            for ref in page.decided:
+                if ref in page.entries:
+                    self._remember_final_state(ref, page.entries[ref])
                 else:
-                    missing.append(ref)
-            left = left[len(decided) :]
-        return missing
-
-    async def state_after_acceptance(self, ref: str) -> str:
-        """What to say of a job that was just accepted. `queued`, as far as can be told now, is no promise."""
+                    unknown.append(ref)
+            remaining = remaining[len(page.decided) :]
+        return unknown
+
+    def _not_accepted(self, refs: Iterable[str]) -> list[str]:
+        return sorted({ref for ref in refs if not self._job_store.is_accepted(ref)})
+
+    async def _final_states_page(self, refs: list[str], urgency: Urgency) -> _FinalStatesPage:
+        """The final states from the first of these jobs on, which are sorted."""
+        limit = FINAL_STATES_PER_PAGE if len(refs) > 1 else 1
+        page = await self._store.page(FINAL_STATES, _key_before(FINAL_STATES + refs[0]), limit, urgency)
+        entries = {entry.key.removeprefix(FINAL_STATES): entry for entry in page.items}
+        last = max(entries, default="")
+        decided = [ref for ref in refs if ref <= last] if page.more else refs
+        if not decided:
+            raise StoreUnavailableError("an empty page that is not the last")
+        return _FinalStatesPage(decided, entries)
+
+    async def condition_after_acceptance(self, ref: str) -> JobCondition:
+        """What to answer for a job that was just accepted. QUEUED is what can be said now, and no promise."""
         try:
-            # It may have its final state by now: a peer withdrew it as soon as it saw the record.
-            lookup = await self._decide_waiting(ref) or await self.look_up(ref)
+            # A peer may have cancelled it as soon as it saw the record.
+            lookup = await self._look_up_waiting(ref) or await self.look_up(ref)
         except StoreUnavailableError:
-            return "queued"
-        return "withdrawn" if lookup is not None and lookup.state is JobState.CANCELLED else "queued"
+            return JobCondition.QUEUED
+        cancelled = isinstance(lookup, FinishedJob) and lookup.state is JobState.CANCELLED
+        return JobCondition.CANCELLED if cancelled else JobCondition.QUEUED
 
     async def refresh(self, keys: Iterable[str]) -> None:
-        """Read back keys whose state is in doubt."""
+        """Read back keys whose values are in doubt."""
         for key in keys:
-            item = await self._store.get(key, Urgency.COMPLETE)
-            if item is not None:
-                self._replica.learn(key, bytes(item.value), item.revision)
+            entry = await self._store.get(key, Urgency.COMPLETE)
+            if entry is not None:
+                self._replica.learn(key, bytes(entry.value), entry.revision)
             elif key.startswith(JOBS):
                 self._job_store.forget_record(key.removeprefix(JOBS))
                 await self._loop.sleep(REMOVAL_PAUSE)
 
-    def view(self, ref: str, lookup: JobLookup, running: int) -> JobView:
-        """What a user is shown; `running` tasks are as last heard."""
-        if lookup.record is None:
-            return JobView(ref, "done" if lookup.state is JobState.DONE else "withdrawn")
-        done = self._job_store.done(ref, lookup.record).bit_count()
-        running = min(running, lookup.record.job.tasks - done)
-        return JobView(ref, "running" if running else "queued", done, running)
-
-    async def _decide_waiting(self, ref: str) -> JobLookup | None:
-        """What stands of a job that waits, from our copy. None: it is over, or never was.
-
-        It is cancelled if any job that it needs is, directly or through others, though its own record is still there.
-        Some node may have said so already, so what we don't know of these jobs has to be found out first.
+    def view(self, ref: str, lookup: ActiveJob | FinishedJob, running: int) -> JobView:
+        """What a user is shown; `running` is how many tasks run, as last reported."""
+        if isinstance(lookup, FinishedJob):
+            done = lookup.state is JobState.DONE
+            return JobView(ref, JobCondition.DONE.value if done else JobCondition.CANCELLED.value)
+        done_tasks = self._job_store.done(ref, lookup.record).bit_count()
+        running = min(running, lookup.record.job.tasks - done_tasks)
+        if running:
+            return JobView(ref, JobCondition.RUNNING.value, done_tasks, running)
+        return JobView(ref, JobCondition.QUEUED.value, done_tasks, running)
+
+    async def _look_up_waiting(self, ref: str) -> ActiveJob | FinishedJob | None:
+        """A job that waits for others, as the replica has it; None if the replica has no record of it.
+
+        It is cancelled if any job that it needs is, directly or through others, though its own record still exists.
+        Another controller may have answered so already, so predecessors that are not known here are looked up first.
         """
         dependencies = self._job_store.dependencies
         for _ in range(MAX_LOOKUP_ROUNDS):
@@ -140,33 +154,34 @@
             if record is None:
                 return None
             if ref in dependencies.cancelled:
-                return JobLookup(JobState.CANCELLED)
-            if self._job_store.lacks_predecessors(ref):
+                return FinishedJob(JobState.CANCELLED)
+            if self._job_store.has_missing_dependencies(ref):
                 raise StoreUnavailableError("what the job waits for is not known yet")
-            unknown = list(islice(dependencies.unknown_ancestors(ref, self._job_store.active), MAX_LOOKUPS_PER_ROUND))
-            if not unknown:
-                return JobLookup(JobState.ACTIVE, record, self._replica.revision_of(JOBS + ref))
-            if missing := await self.unaccepted(unknown, Urgency.READ):
-                raise StoreUnavailableError(f"{missing[0]} is not known")
+            undetermined = dependencies.unknown_ancestors(ref, self._job_store.active)
+            batch = list(islice(undetermined, MAX_LOOKUPS_PER_ROUND))
+            if not batch:
+                return ActiveJob(record, self._replica.revision_of(JOBS + ref))
+            if unknown := await self.find_unknown(batch, Urgency.READ):
+                raise StoreUnavailableError(f"{unknown[0]} is not known")
         raise StoreUnavailableError("too many jobs to look up")
 
-    async def _read_through(self, ref: str, urgency: Urgency) -> JobLookup | None:
-        item = await self._store.get(JOBS + ref, urgency)
-        if item is None:
-            return await self._look_up_final_state(ref, urgency)
-        self._replica.learn(item.key, bytes(item.value), item.revision)
-        return JobLookup(JobState.ACTIVE, records.read(bytes(item.value), JobRecord), item.revision)
-
-    async def _look_up_final_state(self, ref: str, urgency: Urgency) -> JobLookup | None:
-        item = await self._store.get(FINAL_STATES + ref, urgency)
-        if item is None:
-            return None
-        return JobLookup(self._remember_final_state(ref, item), None, item.revision)
-
-    def _remember_final_state(self, ref: str, item: KeyValueEntry) -> JobState:
-        final = records.read(bytes(item.value), FinalStateRecord)
-        self._job_store.remember(ref, final, item.revision)
-        # It left `jobs` in the same transaction. Until the watch says so, a controller that had just told a user that
-        # the job is cancelled could still have started a task of it.
-        self._replica.learn(JOBS + ref, None, item.revision)
+    async def _read_through(self, ref: str, urgency: Urgency) -> JobLookup:
+        entry = await self._store.get(JOBS + ref, urgency)
+        if entry is None:
+            return await self._read_final_state(ref, urgency)
+        self._replica.learn(entry.key, bytes(entry.value), entry.revision)
+        return ActiveJob(records.read(bytes(entry.value), JobRecord), entry.revision)
+
+    async def _read_final_state(self, ref: str, urgency: Urgency) -> FinishedJob | UnknownJob:
+        entry = await self._store.get(FINAL_STATES + ref, urgency)
+        if entry is None:
+            return UnknownJob()
+        return FinishedJob(self._remember_final_state(ref, entry))
+
+    def _remember_final_state(self, ref: str, entry: KeyValueEntry) -> JobState:
+        final = records.read(bytes(entry.value), FinalStateRecord)
+        self._job_store.learn_final_state(ref, final, entry.revision)
+        # The record went in the same transaction. Until the watch reports that, this controller could still start a
+        # task of a job that another one has already confirmed to be cancelled.
+        self._replica.learn(JOBS + ref, None, entry.revision)
         return final.state
--- /dev/null
+++ b/badgerroute/coordination/jobs/page_index.py
@@ -0,0 +1,81 @@
+"""Index of the pages: keys that hold what does not fit into the records of their jobs."""
+
+from collections.abc import Iterable
+
+from badgerroute.storage import records
+from badgerroute.storage.records import DonePage, JobRecord, PredecessorsPage
+from badgerroute.storage.replica import DONE, PREDECESSORS, Replica
+
+
+def page_key(prefix: str, ref: str, number: int) -> str:
+    """The key of a page of a job: `prefix` is DONE or PREDECESSORS."""
+    return f"{prefix}{ref}/{number}"
+
+
+class PageIndex:
+    """The page keys of each job, and the done tasks that the pages hold. Kept up to date by the replica.
+
+    A page is written before the record that needs it, so a job may have pages and no record, for a while or for ever.
+    """
+
+    def __init__(self, replica: Replica) -> None:
+        self._replica = replica
+        self._keys: dict[str, set[str]] = {}  # job -> keys of its pages
+        self._done: dict[str, int] = {}  # job -> the done tasks on its pages, as a bit set
+        replica.listen(DONE, self._done_page_changed)
+        replica.listen(PREDECESSORS, self._predecessors_page_changed)
+
+    def jobs(self) -> Iterable[str]:
+        """The jobs that have pages."""
+        return self._keys
+
+    def keys(self, ref: str) -> Iterable[str]:
+        """The keys of a job's pages."""
+        return self._keys.get(ref, ())
+
+    def done(self, ref: str) -> int:
+        """The done tasks that a job's pages hold, as a bit set."""
+        return self._done.get(ref, 0)
+
+    def forget_done(self, ref: str) -> None:
+        """The job is over: nobody asks for its tasks any more."""
+        self._done.pop(ref, None)
+
+    def has_predecessors(self, ref: str, record: JobRecord) -> bool:
+        """Whether all pages are there that name a job's predecessors."""
+        return all(
+            self._replica.value(page_key(PREDECESSORS, ref, number)) is not None for number in range(record.pages)
+        )
+
+    def predecessors(self, ref: str, record: JobRecord) -> list[str]:
+        """A job's predecessors, of its record and of its pages, which must all be there."""
+        predecessors = list(record.job.predecessors or ())
+        for number in range(record.pages):
+            page = self._replica.stored(page_key(PREDECESSORS, ref, number))
+            predecessors += records.read(page, PredecessorsPage).refs
+        return predecessors
+
+    def _done_page_changed(self, key: str, value: bytes | None, revision: int) -> None:
+        ref = job_of_page(key, DONE)
+        self._page_changed(ref, key, value)
+        if value is not None:
+            number = int(key.rpartition("/")[2])
+            bits = records.unpack(records.read(value, DonePage).bits) << (number * records.PAGE_TASKS)
+            self._done[ref] = self._done.get(ref, 0) | bits
+
+    def _predecessors_page_changed(self, key: str, value: bytes | None, revision: int) -> None:
+        self._page_changed(job_of_page(key, PREDECESSORS), key, value)
+
+    def _page_changed(self, ref: str, key: str, value: bytes | None) -> None:
+        if value is not None:
+            self._keys.setdefault(ref, set()).add(key)
+        elif ref in self._keys:
+            self._keys[ref].discard(key)
+            if not self._keys[ref]:
+                del self._keys[ref]
+                self._done.pop(ref, None)
+
+
+def job_of_page(key: str, prefix: str) -> str:
+    """The job that a page belongs to."""
+    return key.removeprefix(prefix).rpartition("/")[0]
--- /dev/null
+++ b/badgerroute/coordination/jobs/progress_writer.py
@@ -0,0 +1,125 @@
+"""Makes the progress of jobs durable: their done tasks, and their final states once all tasks are done."""
+
+import logging
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+from badgerroute.coordination.jobs.job_reader import JobReader
+from badgerroute.coordination.jobs.job_store import JobStore
+from badgerroute.coordination.jobs.job_transaction import JobTransaction
+from badgerroute.coordination.jobs.record_paging import RecordPager
+from badgerroute.protocol.key_value import Compare
+from badgerroute.storage.budget import Urgency
+from badgerroute.storage.key_value_client import (
+    CompareFailedError,
+    KeyValueClient,
+    LeaseExpiredError,
+    OutcomeUnknownError,
+)
+from badgerroute.storage.records import FinalStateRecord, JobRecord, JobState
+from badgerroute.storage.replica import JOBS, Replica
+from badgerroute.transport.loop import Loop
+
+log = logging.getLogger(__name__)
+MAX_TRANSACTION_BYTES = 40_000  # of a transaction's 64 KiB
+MAX_PROGRESS_TRIES = 5
+CHANGES_OF_A_COMPLETION = 2  # a record removed, a final state put
+
+# The condition under which this controller leads a shard; None: it does not.
+LeadershipCheck = Callable[[int], Compare | None]
+
+
+@dataclass(slots=True)
+class Progress:
+    """Newly done tasks of one job, as a bit set, with the shards that reported them."""
+
+    ref: str
+    done: int
+    shards: set[int]
+
+
+@dataclass(slots=True)
+class ProgressTransaction:
+    """A transaction of progress, and the jobs that it completes."""
+
+    transaction: JobTransaction
+    completed: list[JobRecord] = field(default_factory=list)
+
+
+class ProgressWriter:
+    """Writes progress for the leaders of this controller's shards."""
+
+    def __init__(
+        self,
+        *,
+        loop: Loop,
+        store: KeyValueClient,
+        replica: Replica,
+        job_store: JobStore,
+        reader: JobReader,
+        pager: RecordPager,
+    ) -> None:
+        self._loop, self._store, self._replica = loop, store, replica
+        self._job_store, self._reader, self._pager = job_store, reader, pager
+
+    def _today(self) -> float:
+        return self._loop.clock.today().timestamp()
+
+    async def write_progress(self, batch: list[Progress], leadership_check: LeadershipCheck) -> None:
+        """Write done tasks and completed jobs, in one transaction; what does not fit it is left for the next call.
+
+        Raises StoreUnavailableError if nothing was written. Progress that was not written stays with its leader, which
+        passes it again.
+        """
+        for _ in range(MAX_PROGRESS_TRIES):
+            progress = self._transaction(batch, leadership_check)
+            if not len(progress.transaction):
+                return
+            try:
+                await progress.transaction.commit(Urgency.COMPLETE)
+            except CompareFailedError as error:
+                await self._reader.refresh(error.failed)
+            except OutcomeUnknownError:
+                await self._reader.refresh(progress.transaction.keys)
+            except LeaseExpiredError:
+                return
+            else:
+                self._log_completed(progress.completed)
+                return
+
+    def _transaction(self, batch: list[Progress], leadership_check: LeadershipCheck) -> ProgressTransaction:
+        transaction = JobTransaction(self._store, self._replica, self._job_store)
+        pending = ProgressTransaction(transaction)
+        for progress in batch:
+            room = self._store.max_changes - len(transaction)
+            if transaction.value_bytes > MAX_TRANSACTION_BYTES or room < CHANGES_OF_A_COMPLETION:
+                break
+            record = self._job_store.active.get(progress.ref)
+            conditions = [leadership_check(shard) for shard in progress.shards]
+            leaderships = [condition for condition in conditions if condition is not None]
+            if record is None or len(leaderships) < len(progress.shards):
+                continue  # cancelled meanwhile, or the shard has another leader now
+            for condition in leaderships:
+                transaction.require(condition)
+            transaction.require_unchanged(JOBS + progress.ref)
+            self._add_progress(pending, progress, record, room)
+        return pending
+
+    def _add_progress(self, pending: ProgressTransaction, progress: Progress, record: JobRecord, room: int) -> None:
+        transaction = pending.transaction
+        durable = self._job_store.done(progress.ref, record)
+        done = durable | progress.done
+        if done.bit_count() >= record.job.tasks:
+            final = FinalStateRecord(JobState.DONE, record.job.tasks, self._today())
+            transaction.finish_job(progress.ref, final)
+            pending.completed.append(record)
+        elif done != durable:
+            for change in self._pager.progress(progress.ref, record, durable, done)[:room]:
+                if change.key != JOBS + progress.ref:
+                    transaction.require_unchanged(change.key)
+                transaction.put(change.key, change.value)
+
+    def _log_completed(self, completed: list[JobRecord]) -> None:
+        for record in completed:
+            took = self._today() - record.accepted
+            log.info("event=job_completed job=%s class=%s took=%.1f", record.job.ref, record.job.job_class, took)
--- a/badgerroute/coordination/jobs/record_paging.py
+++ b/badgerroute/coordination/jobs/record_paging.py
@@ -1,4 +1,4 @@
-"""Keeps jobs' records within the size of a value: what does not fit goes to further keys, called pages."""
+"""Keeps the records of jobs within the size limit of a value: what does not fit goes to further keys, the pages."""
 
 import logging
 from collections.abc import Container
@@ -6,55 +6,50 @@
 
 import msgspec
 
-from badgerroute.coordination.jobs.job_store import JobStore, page_key
+from badgerroute.coordination.jobs.job_store import JobStore
+from badgerroute.coordination.jobs.job_transaction import WRITE_ERRORS, JobTransaction
+from badgerroute.coordination.jobs.page_index import page_key
 from badgerroute.protocol.users import Submission
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
-from badgerroute.storage.key_value_client import (
-    CompareFailedError,
-    KeyValueClient,
-    LeaseExpiredError,
-    OutcomeUnknownError,
-    StoreUnavailableError,
-    compare,
-    put,
-)
+from badgerroute.storage.key_value_client import KeyValueClient, StoreUnavailableError, compare
 from badgerroute.storage.records import DonePage, JobRecord, PredecessorsPage
 from badgerroute.storage.replica import DONE, JOBS, PREDECESSORS, Replica
 
 log = logging.getLogger(__name__)
 MAX_PREDECESSORS = 1000
-CONDITIONS_OF_A_NEW_JOB = 2
-PAGE_REFS = 24  # predecessors on a page: the same at every node, since each may write a page of a repeated submission
+CONDITIONS_OF_A_NEW_JOB = 2  # neither a record nor a final state exists
+# The same in every controller, since each may write a page of a repeated submission.
+PREDECESSORS_PER_PAGE = 24
 
 
 class RecordTooLargeError(Exception):
-    """A job can never be stored: the text tells its user why."""
+    """A job can never be stored. The text says why, for its user, who may submit a smaller one."""
 
 
 @dataclass(frozen=True, slots=True)
 class KeyValue:
-    """A key and the value that it is to have."""
+    """A key and the value that is to be written to it."""
 
     key: str
     value: msgspec.Raw
 
     @property
     def size(self) -> int:
-        """Of the value, in bytes."""
+        """The size of the value, in bytes."""
         return len(bytes(self.value))
 
 
 @dataclass(frozen=True, slots=True)
 class CompactRecord:
-    """A record that fits, and the pages for what did not."""
+    """A record that fits the size limit, and the pages for what did not fit."""
 
     record: JobRecord
     pages: list[KeyValue]
 
 
 class RecordPager:
-    """`known_types` are the machine types there are."""
+    """Splits records into records and pages. `known_types` are the names of the machine types that the cloud has."""
 
     def __init__(
         self, store: KeyValueClient, replica: Replica, job_store: JobStore, known_types: Container[str]
@@ -67,13 +62,14 @@
 
     @property
     def max_predecessors(self) -> int:
-        """How many a job may have: the write of its record is conditional on each of their pages."""
-        return min(MAX_PREDECESSORS, PAGE_REFS * (self._store.max_conditions - CONDITIONS_OF_A_NEW_JOB))
+        """How many predecessors a job may have: its record is written on condition of each of their pages."""
+        return min(MAX_PREDECESSORS, PREDECESSORS_PER_PAGE * (self._store.max_conditions - CONDITIONS_OF_A_NEW_JOB))
 
     def compact(self, record: JobRecord) -> CompactRecord:
-        """A new job's record, with its predecessors on pages if they do not fit it.
+        """A new job's record, with its predecessors on pages if they do not fit.
 
-        RecordTooLargeError: it will never fit. StateUnavailableError: it does not while the service refuses so much.
+        Raises RecordTooLargeError if it never fits; StoreUnavailableError if it does not while the key-value store
+        refuses values that its announced limits allow.
         """
         pages: list[KeyValue] = []
         if record.job.predecessors and not self.fits(record):
@@ -91,41 +87,48 @@
     @staticmethod
     def _predecessor_pages(job: Submission) -> list[KeyValue]:
         refs = list(dict.fromkeys(job.predecessors or ()))
-        batches = [refs[first : first + PAGE_REFS] for first in range(0, len(refs), PAGE_REFS)]
+        batches = [refs[first : first + PREDECESSORS_PER_PAGE] for first in range(0, len(refs), PREDECESSORS_PER_PAGE)]
         return [
             KeyValue(page_key(PREDECESSORS, job.ref, number), records.write(PredecessorsPage(batch)))
             for number, batch in enumerate(batches)
         ]
 
     def _without_unknown_types(self, record: JobRecord) -> JobRecord:
-        """Without the machine types that there are not, if the record is too large with them."""
+        """Drop the machine types that the cloud lacks, if the record is too large with them."""
         types = [name for name in record.job.types or () if name in self._known_types]
         if not types or self.fits(record):
             return record
         return msgspec.structs.replace(record, job=msgspec.structs.replace(record.job, types=types))
 
-    def progress(self, ref: str, record: JobRecord, known: int, done: int) -> list[KeyValue]:
-        """What to write for a job with these tasks done: its record, or if that would be too large, pages beside it."""
+    def progress(self, ref: str, record: JobRecord, durable: int, done: int) -> list[KeyValue]:
+        """What to write when the done tasks grow from `durable` to `done`, both bit sets.
+
+        That is the record, or pages if the record would become too large.
+        """
         whole = record.with_done(done)
         if self.fits(whole):
             return [KeyValue(JOBS + ref, records.write(whole))]
-        fresh, paged = done & ~known, self._job_store.paged(ref)
+        new, paged = done & ~durable, self._job_store.pages.done(ref)
         pages = []
-        for number in range(-(-record.job.tasks // records.PAGE_TASKS)):
-            bits = records.page_of(fresh, number)
+        for number in range(self._done_page_count(record)):
+            bits = records.page_of(new, number)
             if bits:
                 pages.append(self._done_page(ref, number, records.page_of(paged, number) | bits))
         return pages
 
+    @staticmethod
+    def _done_page_count(record: JobRecord) -> int:
+        return -(-record.job.tasks // records.PAGE_TASKS)
+
     @staticmethod
     def _done_page(ref: str, number: int, bits: int) -> KeyValue:
         return KeyValue(page_key(DONE, ref, number), records.write(DonePage(records.pack(bits))))
 
     async def page_out(self, ref: str) -> None:
-        """Make a record that an older version left too large small enough to be written again.
+        """Shrink a record that an older version left too large to be written again.
 
         The bits of done tasks go to pages, in as many writes as it takes, and the record itself last. Until then it
-        holds them too, and from then on the pages do, so none is lost wherever this stops. It may be done by anybody.
+        holds them too, and from then on the pages do, so none is lost wherever this stops. Any controller may do it.
         """
         record, revision = self._job_store.active.get(ref), self._replica.revision_of(JOBS + ref)
         if record is None:
@@ -137,34 +140,30 @@
             return
         pages = self._missing_pages(ref, record, done)
         changes = [*pages, KeyValue(JOBS + ref, records.write(small))]
-        for first in range(0, len(changes), self._store.max_changes):
-            if not await self._write(ref, revision, changes[first : first + self._store.max_changes]):
-                return
+        try:
+            for first in range(0, len(changes), self._store.max_changes):
+                await self._write(ref, revision, changes[first : first + self._store.max_changes])
+        except WRITE_ERRORS as error:
+            log.info("event=record_paging_delayed job=%s error=%s", ref, error)
+            return
         log.info("event=record_paged_out job=%s pages=%d", ref, len(pages))
 
     def _missing_pages(self, ref: str, record: JobRecord, done: int) -> list[KeyValue]:
-        """Pages with done tasks that no page says yet."""
-        known = self._job_store.paged(ref)
+        """Pages of the done tasks that no page has yet."""
+        paged = self._job_store.pages.done(ref)
         first = records.trailing_ones(done) // records.PAGE_TASKS
-        numbers = range(first, -(-record.job.tasks // records.PAGE_TASKS))
         return [
             self._done_page(ref, number, records.page_of(done, number))
-            for number in numbers
-            if records.page_of(done, number) != records.page_of(known, number)
+            for number in range(first, self._done_page_count(record))
+            if records.page_of(done, number) != records.page_of(paged, number)
         ]
 
-    async def _write(self, ref: str, revision: int, changes: list[KeyValue]) -> bool:
-        """Write some of a record's pages, or at last the record; whether they are written."""
-        conditions = [compare(JOBS + ref, revision)]
-        conditions += [
-            compare(change.key, self._replica.revision_of(change.key)) for change in changes if change.key != JOBS + ref
-        ]
-        puts = [put(change.key, change.value) for change in changes]
-        try:
-            applied = await self._store.transact(conditions, puts, Urgency.PROGRESS)
-        except (CompareFailedError, StoreUnavailableError, OutcomeUnknownError, LeaseExpiredError) as error:
-            log.info("event=record_paging_delayed job=%s error=%s", ref, error)
-            return False
+    async def _write(self, ref: str, revision: int, changes: list[KeyValue]) -> None:
+        """Write pages of a job, or at last its record, as long as that has this revision."""
+        transaction = JobTransaction(self._store, self._replica, self._job_store)
+        transaction.require(compare(JOBS + ref, revision))
         for change in changes:
-            self._job_store.published(change.key, bytes(change.value), applied)
-        return True
+            if change.key != JOBS + ref:
+                transaction.require_unchanged(change.key)
+            transaction.put(change.key, change.value)
+        await transaction.commit(Urgency.PROGRESS)
--- /dev/null
+++ b/badgerroute/coordination/jobs/upstream_resolver.py
@@ -0,0 +1,47 @@
+"""Background task that finds out how the predecessors of waiting jobs ended."""
+
+import logging
+from datetime import timedelta
+
+from badgerroute.coordination.jobs.job_reader import JobReader
+from badgerroute.coordination.jobs.job_store import JobStore
+from badgerroute.storage.budget import Urgency
+from badgerroute.storage.key_value_client import StoreUnavailableError
+from badgerroute.transport.loop import Loop
+
+log = logging.getLogger(__name__)
+INTERVAL = timedelta(milliseconds=200)
+RETRY_PAUSE = 5 * INTERVAL
+REPEAT_INTERVAL = timedelta(seconds=2)  # before the same predecessor is looked up again
+MAX_LOOKUPS_PER_ROUND = 500
+
+
+class UpstreamResolver:
+    """Looks up predecessors whose final states this controller does not know.
+
+    The watch does not report jobs that were over before a start, and messages of peers may be lost.
+    """
+
+    def __init__(self, loop: Loop, job_store: JobStore, job_reader: JobReader) -> None:
+        self._loop, self._job_store, self._job_reader = loop, job_store, job_reader
+        self._looked_up: dict[str, timedelta] = {}  # predecessor -> when it was last looked up
+
+    async def run(self) -> None:
+        """Look up unknown predecessors, for ever. The job store learns the results."""
+        while True:
+            await self._loop.sleep(INTERVAL)
+            unknown = self._due()
+            if not unknown:
+                continue
+            self._looked_up.update(dict.fromkeys(unknown, self._loop.now()))
+            try:
+                await self._job_reader.find_unknown(unknown, Urgency.COMPLETE)
+            except StoreUnavailableError as error:
+                log.info("event=upstream_lookup_failed jobs=%d error=%s", len(unknown), error)
+                await self._loop.sleep(RETRY_PAUSE)
+
+    def _due(self) -> list[str]:
+        now = self._loop.now()
+        self._looked_up = {ref: at for ref, at in self._looked_up.items() if now - at < REPEAT_INTERVAL}
+        unknown = [ref for ref in self._job_store.unknown_predecessors() if ref not in self._looked_up]
+        return unknown[:MAX_LOOKUPS_PER_ROUND]
--- a/badgerroute/coordination/requests/job_service.py
+++ b/badgerroute/coordination/requests/job_service.py
@@ -3,7 +3,14 @@
 import logging
 from collections.abc import Callable
 
-from badgerroute.coordination.jobs.job_reader import JobLookup, JobReader
+from badgerroute.coordination.jobs.job_lookup import (
+    ActiveJob,
+    FinishedJob,
+    JobCondition,
+    UnknownJob,
+    UnknownJobError,
+)
+from badgerroute.coordination.jobs.job_reader import JobReader
 from badgerroute.coordination.jobs.job_store import JobStore
 from badgerroute.coordination.jobs.job_writer import JobWriter
 from badgerroute.coordination.jobs.record_paging import RecordPager, RecordTooLargeError
@@ -74,31 +81,35 @@
             return await self._refused(job, str(too_large))
         if accepted:
             # One that names a job which is cancelled by now is accepted all the same, and cancelled at once.
-            state = await self._job_reader.state_after_acceptance(job.ref) if job.predecessors else "queued"
-            return answer(201, {"ref": job.ref, "condition": state})
+            condition = JobCondition.QUEUED
+            if job.predecessors:
+                condition = await self._job_reader.condition_after_acceptance(job.ref)
+            return answer(201, {"ref": job.ref, "condition": condition})
         lookup = await self._job_reader.look_up(job.ref, Urgency.SUBMIT)
-        return retry_later("undecided") if lookup is None else self._state_answer(200, job.ref, lookup)
+        if isinstance(lookup, UnknownJob):
+            return retry_later("undecided")
+        return self._state_answer(200, job.ref, lookup)
 
     async def _refused(self, job: Submission, problem: str) -> Response:
         """Whoever accepted it may have known better: only a job that nobody knows can be refused."""
         lookup = await self._job_reader.look_up(job.ref, Urgency.SUBMIT)
-        if lookup is not None:
+        if not isinstance(lookup, UnknownJob):
             return self._state_answer(200, job.ref, lookup)
         log.info("event=submission_refused job=%s team=%s error=%s", job.ref, job.team, problem)
         return error(422, problem)
 
     async def _known(self, job: Submission) -> Response | None:
-        if not self._job_store.knows(job.ref):
+        if not self._job_store.is_accepted(job.ref):
             return None
         lookup = await self._job_reader.look_up(job.ref, Urgency.SUBMIT)
-        return None if lookup is None else self._state_answer(200, job.ref, lookup)
+        return None if isinstance(lookup, UnknownJob) else self._state_answer(200, job.ref, lookup)
 
-    def _state_answer(self, status: int, ref: str, lookup: JobLookup) -> Response:
+    def _state_answer(self, status: int, ref: str, lookup: ActiveJob | FinishedJob) -> Response:
         return answer(status, self._job_reader.view(ref, lookup, self._running(ref)))
 
     async def _unaccepted(self, job: Submission) -> str | None:
         """Users name only jobs that were accepted, by any node, in whatever state they are by now."""
-        missing = await self._job_reader.unaccepted(job.predecessors or (), Urgency.SUBMIT)
+        missing = await self._job_reader.find_unknown(job.predecessors or (), Urgency.SUBMIT)
         return f"follows {', '.join(missing[:3])}, which nobody accepted" if missing else None
 
     def _impossible(self, job: Submission) -> str | None:
@@ -133,18 +144,20 @@
         if not self._replica.ready.done:
             return retry_later("starting")
         try:
-            lookup = await self._job_reader.current(ref)
+            lookup = await self._job_reader.look_up_replicated(ref)
         except (StoreUnavailableError, OutcomeUnknownError) as trouble:
             log.debug("event=poll_deferred job=%s error=%s", ref, trouble)
             return retry_later("the state service can't be reached")
-        return error(404, "no such job") if lookup is None else self._state_answer(200, ref, lookup)
+        if isinstance(lookup, UnknownJob):
+            return error(404, "no such job")
+        return self._state_answer(200, ref, lookup)
 
     def poll_from_memory(self, ref: str) -> Response | None:
         """Answer a question that needs no reading: a final state that is known here. None: it does need that."""
         if not REF.match(ref):
             return error(404, "no such job")
         final = self._job_store.final(ref)
-        return None if final is None else self._state_answer(200, ref, JobLookup(final))
+        return None if final is None else self._state_answer(200, ref, FinishedJob(final))
 
     async def cancel(self, ref: str) -> Response:
         """Answer a cancellation."""
@@ -152,7 +165,9 @@
             return error(404, "no such job")
         try:
             state = await self._job_writer.cancel(ref)
+        except UnknownJobError:
+            return error(404, "no such job")
         except (StoreUnavailableError, OutcomeUnknownError, LeaseExpiredError) as trouble:
             log.info("event=cancellation_deferred job=%s error=%s", ref, trouble)
             return retry_later("the state service can't be reached")
-        return error(404, "no such job") if state is None else answer(200, {"ref": ref, "condition": state})
+        return answer(200, {"ref": ref, "condition": state})
--- a/badgerroute/coordination/requests/mesh_dispatcher.py
+++ b/badgerroute/coordination/requests/mesh_dispatcher.py
@@ -59,7 +59,7 @@
             case wire.CancellationNotice():
                 self._on_cancellation(message)
             case wire.CancellationAck():
-                self._cancellation_broadcast.known_to(message.host, message.refs)
+                self._cancellation_broadcast.acknowledged(message.host, message.refs)
 
     def _on_gossip(self, message: wire.Gossip) -> None:
         self._peers.hear(message)
@@ -73,10 +73,10 @@
     def _on_cancellation(self, message: wire.CancellationNotice) -> None:
         """Act on it in this very step, though the key-value store may not answer us; then say that we have heard."""
         refs = [ref for ref, _ in message.jobs]
-        self._cancellation_broadcast.known_to(message.host, refs)
+        self._cancellation_broadcast.acknowledged(message.host, refs)
         if not self._replica.ready.done:
             return  # not acknowledged, so it comes again
         for ref, revision in message.jobs:
             self._job_store.learn_cancelled(ref, revision)
-        self._cancellation_broadcast.known_to(message.host, refs)
+        self._cancellation_broadcast.acknowledged(message.host, refs)
         self._mesh.send(message.host, wire.CancellationAck(self._host, refs))
--- a/badgerroute/coordination/shards/leader_context.py
+++ b/badgerroute/coordination/shards/leader_context.py
@@ -5,7 +5,8 @@
 from datetime import timedelta
 
 from badgerroute.coordination.jobs.job_reader import JobReader
-from badgerroute.coordination.jobs.job_store import JobStore, Publish
+from badgerroute.coordination.jobs.job_store import JobStore
+from badgerroute.coordination.jobs.peer_messaging import Publish
 from badgerroute.coordination.jobs.record_paging import RecordPager
 from badgerroute.coordination.leadership.action_policy import ActionPolicy
 from badgerroute.coordination.leadership.leader_election import LeaderElection
--- a/badgerroute/coordination/shards/progress_flusher.py
+++ b/badgerroute/coordination/shards/progress_flusher.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 from badgerroute.coordination.jobs.job_store import JobStore
-from badgerroute.coordination.jobs.job_writer import JobWriter, LeadershipCheck, Progress
+from badgerroute.coordination.jobs.progress_writer import LeadershipCheck, Progress, ProgressWriter
 from badgerroute.coordination.shards.forecast import JobForecast
 from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.storage.key_value_client import LeaseExpiredError, OutcomeUnknownError, StoreUnavailableError
@@ -22,12 +22,12 @@
         loop: Loop,
         leaders: dict[int, ShardLeader],
         job_store: JobStore,
-        job_writer: JobWriter,
+        progress_writer: ProgressWriter,
         forecast: JobForecast,
         leadership_check: LeadershipCheck,
     ) -> None:
         self._loop, self._leaders, self._leadership_check = loop, leaders, leadership_check
-        self._job_store, self._job_writer, self._forecast = job_store, job_writer, forecast
+        self._job_store, self._progress_writer, self._forecast = job_store, progress_writer, forecast
         self._wanted = Future()
 
     def progressed(self) -> None:
@@ -74,4 +74,4 @@
             return record.job.tasks - done.bit_count(), self._forecast.time_left(record)
 
         batch = sorted(merged.values(), key=order)
-        await self._job_writer.write_progress(batch, self._leadership_check)
+        await self._progress_writer.write_progress(batch, self._leadership_check)
--- a/badgerroute/coordination/shards/shard_leader.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -6,7 +6,7 @@
 
 from badgerroute.connectivity import worker_silence
 from badgerroute.connectivity.modes import Action
-from badgerroute.coordination.jobs.job_writer import Progress
+from badgerroute.coordination.jobs.progress_writer import Progress
 from badgerroute.coordination.leadership.leader_election import Leadership
 from badgerroute.coordination.shards import summary
 from badgerroute.coordination.shards.fencing import Fencing
@@ -68,7 +68,7 @@
             lambda team: quota_allocator.of(number, team),
             now,
             params.workers.lease,
-            self._job_store.undecided,
+            self._job_store.release_pending,
             context.guidance(number),
         )
         objectives = Objectives(params.objectives)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -191,25 +191,27 @@
     day = Day(seed=23)
     sent: list[tuple[str, list]] = []
 
-    def send(host: str, message: CancellationNotice) -> None:
-        sent.append((host, message.jobs))
-
-    told = CancellationBroadcast(day.loop, "me", ["one", "two"], send, CANCEL * SECOND)
-    told.learned("run-1", 7, at_once=True)
-    told.learned("run-2", 9, at_once=False)
+    class Messenger:
+        @staticmethod
+        def send(host: str, message: CancellationNotice) -> None:
+            sent.append((host, message.jobs))
+
+    broadcast = CancellationBroadcast(day.loop, "me", ["one", "two"], Messenger(), CANCEL * SECOND)
+    broadcast.job_cancelled("run-1", 7, confirming=True)
+    broadcast.job_cancelled("run-2", 9, confirming=False)
     assert sent == [("one", [("run-1", 7)]), ("two", [("run-1", 7)])]
-    told.known_to("one", ["run-1"])
+    broadcast.acknowledged("one", ["run-1"])
     sent.clear()
-    told.repeat()
+    broadcast.resend()
     assert sent == [("one", [("run-2", 9)]), ("two", [("run-2", 9)])]
     sent.clear()
     day.run(1)
-    told.known_to("one", ["run-2"])
-    told.repeat()
+    broadcast.acknowledged("one", ["run-2"])
+    broadcast.resend()
     assert sent == [("two", [("run-1", 7), ("run-2", 9)])]
     sent.clear()
     day.run(40)
-    told.repeat()
+    broadcast.resend()
     assert sent == [], "of no use any more"
 
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from badgerroute.coordination.jobs.job_writer import JobWriter, Progress
+from badgerroute.coordination.jobs.progress_writer import Progress, ProgressWriter
 from badgerroute.settings import Objective
 from badgerroute.transport.http import Client, NoAnswerError
 from tests.standins.day import HOSTS, SECOND, Day, job
@@ -217,14 +217,14 @@
     day = Day(seed=24, machines=9, objectives=[Objective("finished", 0.9, "soon", within_s=60.0)])
     day.run(5)
     batches: list[list[str]] = []
-    real = JobWriter.write_progress
+    real = ProgressWriter.write_progress
 
-    async def write(self: JobWriter, batch: list[Progress], election: object) -> None:
+    async def write(self: ProgressWriter, batch: list[Progress], election: object) -> None:
         complete = [one.ref for one in batch if one.done.bit_count() == 1]
         batches.append(complete)
         await real(self, batch, election)
 
-    monkeypatch.setattr(JobWriter, "write_progress", write)
+    monkeypatch.setattr(ProgressWriter, "write_progress", write)
     for number in range(24):
         day.submit(job(f"run-{number}", heads=1, herd="soon" if number % 4 == 3 else "batch", trek_s=8.0))
     assert day.finish() == []
--- a/tests/test_pipeline_edges.py
+++ b/tests/test_pipeline_edges.py
@@ -244,14 +244,14 @@
     day.submit(job("run-c", heads=6, trek_s=18.0, follows=refs[:2]))
     assert day.until(lambda: len(day.rules.on) == 18, 30)
     starts = day.rules.starts
-    real, until = JobReader.unaccepted, day.loop.now() + 15 * SECOND
+    real, until = JobReader.find_unknown, day.loop.now() + 15 * SECOND
 
     async def hindered(self: JobReader, names: list[str], urgency: Urgency) -> list[str]:
         if self._loop.now() < until:
             raise StoreUnavailableError("hindered")
         return await real(self, names, urgency)
 
-    monkeypatch.setattr(JobReader, "unaccepted", hindered)
+    monkeypatch.setattr(JobReader, "find_unknown", hindered)
     for host in HOSTS:
         day.restart(host, SECOND)
     day.submit(job("run-other", heads=4, trek_s=1.0))
@@ -268,9 +268,13 @@
     day.submit(job("run-b", heads=1, follows=["run-a"]))
     day.run(1)
     store = day.controllers[HOSTS[0]][0].job_store
-    assert not store.undecided("run-b") and not store.undecided("run-a") and not store.undecided("run-none")
+    assert (
+        not store.release_pending("run-b")
+        and not store.release_pending("run-a")
+        and not store.release_pending("run-none")
+    )
     day.cancel("run-a")
-    assert not store.undecided("run-b")
+    assert not store.release_pending("run-b")
 
 
 def test_a_final_state_without_a_time_leaves_the_arrival() -> None:
@@ -368,6 +372,6 @@
         return accepted
 
     controller.job_writer.accept = slowly
-    response = wait_for(day, controller.users._accept(submission("run-b", ["run-a"])))
+    response = wait_for(day, controller.job_service._accept(submission("run-b", ["run-a"])))
     assert "b/past/run-b" in day.store.items
     assert response.status == 201 and b"withdrawn" in response.body
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -7,8 +7,10 @@
 import msgspec
 import pytest
 
-from badgerroute.coordination.jobs.dependency_resolver import DependencyResolver
-from badgerroute.coordination.jobs.job_reader import JobLookup, JobReader
+from badgerroute.coordination.jobs.downstream_cancellation import DownstreamCancellation
+from badgerroute.coordination.jobs.job_lookup import ActiveJob
+from badgerroute.coordination.jobs.job_reader import JobReader
+from badgerroute.coordination.jobs.upstream_resolver import UpstreamResolver
 from badgerroute.protocol.users import Submission
 from badgerroute.scheduling.dependencies import Dependencies, FinalState
 from badgerroute.scheduling.inheritance import LOOKS_BETWEEN_CLOCKS, InheritancePass, Inherited
@@ -316,11 +318,11 @@
 def test_what_a_controller_has_forgotten_is_looked_up(monkeypatch: pytest.MonkeyPatch) -> None:
     """Another node has said that a job is cancelled with its predecessor, whose end a restarted one does not know."""
 
-    async def never(self: DependencyResolver) -> None:
+    async def never(self: DownstreamCancellation | UpstreamResolver) -> None:
         await self._loop.sleep(timedelta(days=1))
 
-    monkeypatch.setattr(DependencyResolver, "cancel_downstream", never)  # so the dependents' own records stay
-    monkeypatch.setattr(DependencyResolver, "resolve", never)
+    monkeypatch.setattr(DownstreamCancellation, "run", never)  # so the dependents' own records stay
+    monkeypatch.setattr(UpstreamResolver, "run", never)
     day = Day(seed=51)
     day.run(5)
     day.submit(job("run-a", heads=1, trek_s=90.0))
@@ -476,9 +478,9 @@
     assert timedelta(seconds=0) == 0 * SECOND
 
 
-async def looks_at_the_record_only(self: JobReader, ref: str) -> JobLookup:
+async def looks_at_the_record_only(self: JobReader, ref: str) -> ActiveJob:
     """A cheat: what a job's predecessors came to is not asked for."""
-    return JobLookup(JobState.ACTIVE, self._job_store.active.get(ref) or records.JobRecord(submission_of(ref), 0.0, []))
+    return ActiveJob(self._job_store.active.get(ref) or records.JobRecord(submission_of(ref), 0.0, []), 0)
 
 
 def submission_of(ref: str) -> Submission:
@@ -491,7 +493,7 @@
     ("target", "cheat", "rule"),
     [
         ("badgerroute.coordination.jobs.job_store.JobStore.waits", lambda self, ref: False, "too_early"),
-        ("badgerroute.coordination.jobs.job_reader.JobReader.current", looks_at_the_record_only, "orphaned"),
+        ("badgerroute.coordination.jobs.job_reader.JobReader.look_up_replicated", looks_at_the_record_only, "orphaned"),
     ],
     ids=["starts what waits", "forgets dependents"],
 )
