--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -30,6 +30,7 @@
 from badgerroute.coordination.membership.mesh import Mesh
 from badgerroute.coordination.membership.peers import Peers
 from badgerroute.coordination.quotas.quota_allocator import QuotaAllocator
+from badgerroute.coordination.quotas.quota_store import QuotaStore
 from badgerroute.coordination.requests.heartbeat_handler import HeartbeatHandler
 from badgerroute.coordination.requests.http_api import HttpApi
 from badgerroute.coordination.requests.job_request_handler import JobRequestHandler
@@ -148,9 +149,8 @@
             reader=self.job_reader,
             pager=self.pager,
         )
-        self.quota_allocator = QuotaAllocator(
-            settings, loop, self.store, self.replica, self._push, self._leadership_condition
-        )
+        quota_store = QuotaStore(loop, self.store, self.replica, self.change_broadcast)
+        self.quota_allocator = QuotaAllocator(settings, loop, quota_store, self.election)
         self.upstream_resolver = UpstreamResolver(loop, self.job_store, self.job_reader)
         self.downstream_cancellation = DownstreamCancellation(
             loop=loop,
--- a/badgerroute/coordination/quotas/__init__.py
+++ b/badgerroute/coordination/quotas/__init__.py
@@ -1,4 +1,5 @@
-"""The shards' shares of each team's limit.
+"""Quotas: the limits of teams, divided among the shards.
 
-Owns the quota records. Imports nothing of the other coordination packages.
+Owns the quota records in the key-value store. May import the transport, protocol, settings, storage and scheduling
+packages, and no other package of `coordination`: what it needs of those is passed in, as protocols declared here.
 """
--- a/badgerroute/coordination/quotas/quota_allocator.py
+++ b/badgerroute/coordination/quotas/quota_allocator.py
@@ -1,188 +1,127 @@
-"""Teams' limits, divided among the shards as shares.
+"""Allocation of teams' quotas to shards.
 
-One key per team holds every shard's share, and their sum never exceeds the limit. A shard's leader starts tasks only
-within its share, raises its own from what nobody holds, and lowers its own, or gives it to another shard, only by
-what is unused.
+The shards' allocations of a team never exceed its limit together. A shard's leader starts tasks only within the shard's
+allocation. It raises that from what no shard holds, and lowers it, or transfers some to another shard, only by what is
+unused.
 """
 
 import logging
-from collections.abc import Callable
+from collections.abc import Container
 from datetime import timedelta
 from math import inf
+from typing import Protocol
 
+from badgerroute.coordination.quotas.quota_allocation import QuotaAllocation, available_part
+from badgerroute.coordination.quotas.quota_store import QuotaStore
 from badgerroute.protocol.key_value import Compare
-from badgerroute.protocol.mesh import QuotaRequest
-from badgerroute.scheduling.model import EPSILON, Resources
+from badgerroute.scheduling.model import Resources
 from badgerroute.settings import Settings, Team
-from badgerroute.storage import records
-from badgerroute.storage.budget import Urgency
-from badgerroute.storage.key_value_client import (
-    CompareFailedError,
-    KeyValueClient,
-    LeaseExpiredError,
-    OutcomeUnknownError,
-    StoreUnavailableError,
-    compare,
-    put,
-)
-from badgerroute.storage.records import QuotaRecord
-from badgerroute.storage.replica import QUOTA_ALLOCATIONS, Replica
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
-NONE = (0.0, 0.0)
-ASK_AGAIN = timedelta(seconds=1)
+REQUEST_INTERVAL = timedelta(seconds=1)
+
+
+class ShardLeaderships(Protocol):
+    """Which shards this controller leads."""
+
+    @property
+    def leaderships(self) -> Container[int]:
+        """Their numbers."""
+
+    def condition(self, shard: int) -> Compare:
+        """The condition of a write that this controller leads a shard, which it does as far as it knows."""
 
 
 class QuotaAllocator:
-    """The shares that shards hold of teams' limits, as they are written down."""
-
-    def __init__(
-        self,
-        settings: Settings,
-        loop: Loop,
-        store: KeyValueClient,
-        replica: Replica,
-        pushed: Callable[[str, bytes | None, int], None],
-        condition: Callable[[int], Compare | None],
-    ) -> None:
-        self._loop, self._store, self._replica = loop, store, replica
-        self._pushed, self._leadership_condition = pushed, condition
-        self.teams: dict[str, Team] = {team.name: team for team in settings.params.teams}
-        self._records: dict[str, QuotaRecord] = {}
-        self._asked: dict[tuple[int, str], timedelta] = {}
-        self._writing: set[str] = set()
-        self._committed: dict[tuple[int, str], tuple[float, float]] = {}  # lower bound while a write is on its way
-        replica.listen(QUOTA_ALLOCATIONS, self._changed)
-
-    def _changed(self, key: str, value: bytes | None, revision: int) -> None:
-        team = key.removeprefix(QUOTA_ALLOCATIONS)
-        if value is None:
-            self._records.pop(team, None)
-        else:
-            self._records[team] = records.read(value, QuotaRecord)
-
-    def _record(self, team: str) -> QuotaRecord:
-        return self._records.get(team) or QuotaRecord({})
-
-    def of(self, shard: int, team: str) -> tuple[float, float]:
-        """What a shard may use of a team's limit; what has none needs no shares."""
+    """Reads and changes the allocations of the shards that this controller leads.
+
+    `_transferring` has, while a transfer is being written, what is left to the shard that gives: from then on nothing
+    may start in the part that goes, though the write may not be applied yet.
+    """
+
+    def __init__(self, settings: Settings, loop: Loop, quota_store: QuotaStore, election: ShardLeaderships) -> None:
+        self._loop, self._quota_store, self._election = loop, quota_store, election
+        self._teams: dict[str, Team] = {team.name: team for team in settings.params.teams}
+        self._limits = {name: QuotaAllocation(*team.limits) for name, team in self._teams.items()}
+        self._requested_at: dict[tuple[int, str], timedelta] = {}  # (shard, team)
+        self._transferring: dict[tuple[int, str], QuotaAllocation] = {}  # (shard, team)
+
+    # -- queries
+
+    def usable_quota(self, shard: int, team: str) -> QuotaAllocation:
+        """How much a shard may use for a team; infinite where the team has no limit."""
         allocation = self._allocation(shard, team)
-        if team not in self.teams:
+        limit = self._limits.get(team)
+        if limit is None or inf not in limit:
             return allocation
-        cpus, gpus = self.teams[team].limits
-        return inf if cpus == inf else allocation[0], inf if gpus == inf else allocation[1]
-
-    def _allocation(self, shard: int, team: str) -> tuple[float, float]:
-        """A shard's share as it is written down. While we give some away, it counts as given already."""
-        allocation = self._record(team).allocations.get(str(shard), NONE)
-        low = self._committed.get((shard, team))
-        return allocation if low is None else (min(allocation[0], low[0]), min(allocation[1], low[1]))
-
-    def unallocated(self, team: str) -> Resources:
-        """What of a team's limit no shard holds."""
-        cpus, gpus = self.teams[team].limits
-        held = self._record(team).allocations.values()
+        return QuotaAllocation(
+            inf if limit.cpus == inf else allocation.cpus,
+            inf if limit.accelerators == inf else allocation.accelerators,
+        )
+
+    def _allocation(self, shard: int, team: str) -> QuotaAllocation:
+        """What a shard holds; while some of it is being transferred, without that."""
+        allocation = self._quota_store.allocations(team).of_shard(shard)
+        remaining = self._transferring.get((shard, team))
+        return allocation if remaining is None else allocation.minimum(remaining)
+
+    def _unallocated(self, team: str) -> Resources:
+        """What no shard holds of a team's limit."""
+        return Resources(*self._limits[team].reduced_by(self._quota_store.allocations(team).total()))
+
+    def _without_unlimited(self, team: str, lack: Resources) -> Resources:
+        """What is lacking, without the kinds that the team has no limit for."""
+        limit = self._limits[team]
         return Resources(
-            cpus - sum(allocation[0] for allocation in held), gpus - sum(allocation[1] for allocation in held)
+            0.0 if limit.cpus == inf else lack.cpus, 0.0 if limit.accelerators == inf else lack.accelerators
         )
 
-    def _limited(self, team: str, lack: Resources) -> Resources:
-        """What is lacking of that which has a limit."""
-        cpus, gpus = self.teams[team].limits
-        return Resources(0.0 if cpus == inf else lack.cpus, 0.0 if gpus == inf else lack.accelerators)
+    # -- changes
 
     async def allocate(self, shard: int, team: str, lack: Resources) -> bool:
-        """Take what is lacking from what nobody holds; whether all of it was there."""
-        if team not in self.teams or team in self._writing:
+        """Raise a shard's allocation by what it lacks, as far as no shard holds it; whether all of it was there."""
+        if not self._may_write(team):
             return False
-        free, lack = self.unallocated(team), self._limited(team, lack)
-        cpus = max(0.0, min(lack.cpus, free.cpus))
-        gpus = max(0.0, min(lack.accelerators, free.accelerators))
-        if cpus > EPSILON or gpus > EPSILON:
-            allocation = self._allocation(shard, team)
-            await self._write(team, shard, {shard: (allocation[0] + cpus, allocation[1] + gpus)})
-        return cpus >= lack.cpus - EPSILON and gpus >= lack.accelerators - EPSILON
-
-    def ask(
-        self,
-        shard: int,
-        team: str,
-        lack: Resources,
-        age: timedelta,
-        rank: tuple[float, float, float] | None,
-        used: float,
-    ) -> QuotaRequest | None:
-        """The question to the peers, not more than once in a while."""
+        lack = self._without_unlimited(team, lack)
+        increase = available_part(lack, self._unallocated(team))
+        if not increase.is_negligible():
+            await self._write(team, shard, {shard: self._allocation(shard, team).increased_by(increase)})
+        return increase.covers(lack)
+
+    def begin_request(self, shard: int, team: str) -> bool:
+        """Whether a shard may ask its peers for a team's quota now. If so, not again before REQUEST_INTERVAL."""
         now = self._loop.now()
-        if now - self._asked.get((shard, team), -ASK_AGAIN) < ASK_AGAIN:
-            return None
-        self._asked[shard, team] = now
-        return QuotaRequest(shard, team, lack.cpus, lack.accelerators, age.total_seconds(), rank, used)
-
-    async def transfer(self, giver: int, taker: int, team: str, lack: Resources, cancel_deletion: Resources) -> None:
-        """Move some of a shard's unused quota to another shard."""
-        if team not in self.teams or team in self._writing or giver == taker:
+        if now - self._requested_at.get((shard, team), -REQUEST_INTERVAL) < REQUEST_INTERVAL:
+            return False
+        self._requested_at[shard, team] = now
+        return True
+
+    async def transfer(self, giver: int, taker: int, team: str, lack: Resources, surplus: Resources) -> None:
+        """Move quota from a shard of this controller to another one that lacks it; `surplus` is what can be spared."""
+        if not self._may_write(team) or giver == taker:
             return
-        lack = self._limited(team, lack)
-        cpus = max(0.0, min(lack.cpus, cancel_deletion.cpus))
-        gpus = max(0.0, min(lack.accelerators, cancel_deletion.accelerators))
-        if cpus <= EPSILON and gpus <= EPSILON:
+        amount = available_part(self._without_unlimited(team, lack), surplus)
+        if amount.is_negligible():
             return
-        mine = self._allocation(giver, team)
-        other = self._record(team).allocations.get(str(taker), NONE)
-        low = (mine[0] - cpus, mine[1] - gpus)
-        self._committed[giver, team] = low  # from now on nothing starts in what is being given
+        remaining = self._allocation(giver, team).reduced_by(amount)
+        increased = self._quota_store.allocations(team).of_shard(taker).increased_by(amount)
+        self._transferring[giver, team] = remaining
         try:
-            moved = await self._write(team, giver, {giver: low, taker: (other[0] + cpus, other[1] + gpus)})
-            if moved:
-                log.info("event=quota_moved team=%s from=%d to=%d cpus=%.1f", team, giver, taker, cpus)
+            if await self._write(team, giver, {giver: remaining, taker: increased}):
+                log.info("event=quota_moved team=%s from=%d to=%d cpus=%.1f", team, giver, taker, amount.cpus)
         finally:
-            self._committed.pop((giver, team), None)
+            self._transferring.pop((giver, team), None)
 
-    async def _write(self, team: str, writer: int, changed: dict[int, tuple[float, float]]) -> bool:
-        condition = self._leadership_condition(writer)
-        if condition is None:
-            return False
-        allocations = dict(self._record(team).allocations)
-        for shard, allocation in changed.items():
-            allocations[str(shard)] = (round(allocation[0], 6), round(allocation[1], 6))
-        cpus, gpus = self.teams[team].limits
-        if (
-            sum(allocation[0] for allocation in allocations.values()) > cpus + EPSILON
-            or sum(allocation[1] for allocation in allocations.values()) > gpus + EPSILON
-        ):
-            return False
-        key = QUOTA_ALLOCATIONS + team
-        value = records.write(QuotaRecord(allocations))
-        revision = self._replica.revision_of(key)
-        self._writing.add(team)
-        try:
-            at = await self._store.transact([condition, compare(key, revision)], [put(key, value)], Urgency.COMPLETE)
-        except (CompareFailedError, OutcomeUnknownError) as error:
-            log.debug("event=quota_reconciliation_failed team=%s error=%s", team, error)
-            await self._reconcile(key, revision, unknown=isinstance(error, OutcomeUnknownError))
+    def _may_write(self, team: str) -> bool:
+        return team in self._teams and team not in self._quota_store.writing
+
+    async def _write(self, team: str, writer: int, changed: dict[int, QuotaAllocation]) -> bool:
+        """Change some shards' allocations in the name of the shard `writer`; whether it was written."""
+        if writer not in self._election.leaderships:
             return False
-        except (StoreUnavailableError, LeaseExpiredError):
+        leadership = self._election.condition(writer)
+        allocations = self._quota_store.allocations(team).replaced(changed)
+        if allocations.total().exceeds(self._limits[team]):
             return False
-        finally:
-            self._writing.discard(team)
-        self._replica.learn(key, bytes(value), at)
-        self._pushed(key, bytes(value), at)
-        return True
-
-    async def _reconcile(self, key: str, revision: int, unknown: bool) -> None:
-        """Read the key back. While a lost transaction may still be applied, rewriting the key rules that out."""
-        while True:
-            try:
-                item = await self._store.get(key, Urgency.COMPLETE)
-                if item is not None:
-                    self._replica.learn(key, bytes(item.value), item.revision)
-                if not unknown or (item.revision if item else 0) != revision:
-                    return
-                value = item.value if item else records.write(QuotaRecord({}))
-                at = await self._store.transact([compare(key, revision)], [put(key, value)], Urgency.COMPLETE)
-                self._replica.learn(key, bytes(value), at)
-                return
-            except (CompareFailedError, OutcomeUnknownError, StoreUnavailableError):
-                await self._loop.sleep(timedelta(milliseconds=300))
+        return await self._quota_store.write(team, allocations, leadership)
--- /dev/null
+++ b/badgerroute/coordination/quotas/quota_store.py
@@ -0,0 +1,105 @@
+"""The quota records: one key per team, which holds the allocations of all shards, so that their sum can be checked."""
+
+import logging
+from datetime import timedelta
+from typing import Protocol
+
+import msgspec
+
+from badgerroute.coordination.quotas.quota_allocation import NO_ALLOCATIONS, TeamAllocations
+from badgerroute.protocol.key_value import Compare, KeyValueEntry
+from badgerroute.storage import records
+from badgerroute.storage.budget import Urgency
+from badgerroute.storage.key_value_client import (
+    CompareFailedError,
+    KeyValueClient,
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    StoreUnavailableError,
+    compare,
+    put,
+)
+from badgerroute.storage.records import QuotaRecord
+from badgerroute.storage.replica import QUOTA_ALLOCATIONS, Replica
+from badgerroute.transport.loop import Loop
+
+log = logging.getLogger(__name__)
+RETRY_PAUSE = timedelta(milliseconds=300)
+
+
+class ChangePublisher(Protocol):
+    """Is given every write of this controller that the key-value store has applied."""
+
+    def publish(self, key: str, value: bytes | None, revision: int) -> None:
+        """A key has this value since a revision."""
+
+
+class QuotaStore:
+    """The allocations of every team as the replica has them, and conditional writes of them.
+
+    Invariant: for a team that is in `writing`, the replica may be behind a write of this controller.
+    """
+
+    def __init__(self, loop: Loop, store: KeyValueClient, replica: Replica, publisher: ChangePublisher) -> None:
+        self._loop, self._store, self._replica, self._publisher = loop, store, replica, publisher
+        self._allocations: dict[str, TeamAllocations] = {}
+        self.writing: set[str] = set()
+        replica.listen(QUOTA_ALLOCATIONS, self._record_changed)
+
+    def _record_changed(self, key: str, value: bytes | None, revision: int) -> None:
+        team = key.removeprefix(QUOTA_ALLOCATIONS)
+        if value is None:
+            self._allocations.pop(team, None)
+        else:
+            self._allocations[team] = TeamAllocations(records.read(value, QuotaRecord))
+
+    def allocations(self, team: str) -> TeamAllocations:
+        """What the shards hold of a team's limit."""
+        return self._allocations.get(team, NO_ALLOCATIONS)
+
+    async def write(self, team: str, allocations: TeamAllocations, leadership: Compare) -> bool:
+        """Replace a team's record if this controller still leads the shard and nobody has changed the record.
+
+        False: it was not written. If the outcome was unknown, this returns only after that is decided.
+        """
+        key = QUOTA_ALLOCATIONS + team
+        value = records.write(allocations.record())
+        revision = self._replica.revision_of(key)
+        self.writing.add(team)
+        try:
+            conditions = [leadership, compare(key, revision)]
+            applied = await self._store.transact(conditions, [put(key, value)], Urgency.COMPLETE)
+        except (CompareFailedError, OutcomeUnknownError) as error:
+            log.debug("event=quota_reconciliation_failed team=%s error=%s", team, error)
+            await self._reconcile(key, revision, outcome_unknown=isinstance(error, OutcomeUnknownError))
+            return False
+        except (StoreUnavailableError, LeaseExpiredError):
+            return False
+        finally:
+            self.writing.discard(team)
+        self._replica.learn(key, bytes(value), applied)
+        self._publisher.publish(key, bytes(value), applied)
+        return True
+
+    async def _reconcile(self, key: str, revision: int, outcome_unknown: bool) -> None:
+        """Read the key back until that succeeds, and decide a transaction whose outcome is unknown."""
+        while True:
+            try:
+                current = await self._read_back(key)
+                if outcome_unknown and (current.revision if current else 0) == revision:
+                    value = current.value if current else records.write(QuotaRecord({}))
+                    await self._rewrite(key, revision, value)
+                return
+            except (CompareFailedError, OutcomeUnknownError, StoreUnavailableError):
+                await self._loop.sleep(RETRY_PAUSE)
+
+    async def _read_back(self, key: str) -> KeyValueEntry | None:
+        entry = await self._store.get(key, Urgency.COMPLETE)
+        if entry is not None:
+            self._replica.learn(key, bytes(entry.value), entry.revision)
+        return entry
+
+    async def _rewrite(self, key: str, revision: int, value: msgspec.Raw) -> None:
+        """Write a key with the value that it has: the lost transaction can't be applied after that."""
+        applied = await self._store.transact([compare(key, revision)], [put(key, value)], Urgency.COMPLETE)
+        self._replica.learn(key, bytes(value), applied)
--- a/badgerroute/coordination/shards/quota_exchange.py
+++ b/badgerroute/coordination/shards/quota_exchange.py
@@ -40,9 +40,18 @@
                 if first is None:
                     continue
                 used = self._shard.usage[team].cpus
-                message = self._quota_allocator.ask(self._shard.number, team, first.lack, first.age, first.rank, used)
-                if message is not None:
-                    self._ask(message)
+                if self._quota_allocator.begin_request(self._shard.number, team):
+                    self._ask(
+                        mesh_wire.QuotaRequest(
+                            self._shard.number,
+                            team,
+                            first.lack.cpus,
+                            first.lack.accelerators,
+                            first.age.total_seconds(),
+                            first.rank,
+                            used,
+                        )
+                    )
 
     def _first_short(self, team: str) -> QuotaShortage | None:
         """What those of a team's jobs lack that come first in the order of service."""
@@ -62,7 +71,7 @@
         team = message.team
         if not self._shard.reconciled or not self._policy.allows_for(self._shard.number, Action.MOVE_QUOTA):
             return
-        cpus, gpus = self._quota_allocator.of(self._shard.number, team)
+        cpus, gpus = self._quota_allocator.usable_quota(self._shard.number, team)
         used = self._shard.usage[team]
         lack = Resources(message.cpus, message.accelerators)
         cancel_deletion = Resources(cpus - used.cpus, gpus - used.accelerators)
@@ -115,7 +124,7 @@
                 0
             ]  # free by now, but not for us
             more = (self._shard.usage[message.team].cpus + kept.cpus - message.used) / 2
-            if more <= UNEVEN * self._quota_allocator.of(self._shard.number, message.team)[0]:
+            if more <= UNEVEN * self._quota_allocator.usable_quota(self._shard.number, message.team).cpus:
                 return None
             wanted = Resources(min(wanted.cpus, more), wanted.accelerators)
         missing = Resources(
--- a/badgerroute/coordination/shards/shard_leader.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -65,7 +65,7 @@
         self.shard = Shard(
             number,
             leadership.term,
-            lambda team: quota_allocator.of(number, team),
+            lambda team: quota_allocator.usable_quota(number, team),
             now,
             params.workers.lease,
             self._job_store.release_pending,
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -683,7 +683,7 @@
 
     async def write(self: QuotaAllocator, team: str, writer: int, changed: dict) -> bool:
         if len(changed) == 2:
-            seen.append((self.of(writer, team)[0], changed[writer][0]))
+            seen.append((self.usable_quota(writer, team).cpus, changed[writer].cpus))
         return await real(self, team, writer, changed)
 
     monkeypatch.setattr(QuotaAllocator, "_write", write)
