--- a/badgerroute/coordination/autoscaling/catalog.py
+++ b/badgerroute/coordination/autoscaling/catalog.py
@@ -1,4 +1,4 @@
-"""The machine types there are: asked of the cloud, and kept where a restart in an outage of the cloud finds them."""
+"""The catalog of machine types: read from the cloud, and stored for a restart during an outage of the cloud."""
 
 import logging
 from datetime import timedelta
@@ -22,64 +22,73 @@
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
-REFRESH = timedelta(seconds=60)
-RETRY = timedelta(seconds=2)
+REFRESH_INTERVAL = timedelta(seconds=60)
+RETRY_PAUSE = timedelta(seconds=2)
 
 
 class CatalogRecord(msgspec.Struct):
-    """Machine types as they are stored."""
+    """Machine types as they are stored. A key may hold all of them, or one where all are too large for a value."""
 
     types: list[MachineType]
 
 
 class MachineCatalog:
-    """`types` are those known so far, by name; others may hold on to the dictionary, which is only added to."""
+    """The machine types known so far: `types`, by name.
+
+    Other objects keep references to that dictionary. Types are added and updated in it, never removed.
+    """
 
     def __init__(
         self, loop: Loop, cloud: CloudClient, store: KeyValueClient, replica: Replica, election: LeaderElection
     ) -> None:
         self._loop, self._cloud, self._store, self._replica, self._election = loop, cloud, store, replica, election
         self.types: dict[str, MachineType] = {}
-        replica.listen(CATALOG, self._changed)
+        replica.listen(CATALOG, self._record_changed)
 
-    def _changed(self, key: str, value: bytes | None, revision: int) -> None:
+    def _record_changed(self, key: str, value: bytes | None, revision: int) -> None:
         if value is not None:
             self._learn(records.read(value, CatalogRecord).types)
 
     def _learn(self, types: list[MachineType]) -> None:
-        self.types.update({kind.name: kind for kind in types})
+        self.types.update({machine_type.name: machine_type for machine_type in types})
 
     async def run(self) -> None:
-        """Learn the machine types, and keep them where a restart in an outage of the cloud finds them."""
+        """Keep the catalog up to date, for ever: the autoscaler leader does, and whoever knows no types yet."""
         await self._replica.ready
         while True:
-            pause = REFRESH
+            pause = REFRESH_INTERVAL
             if self._election.autoscaler_term is not None or not self.types:
                 try:
-                    types = await self._cloud.catalog()
-                except (CloudUnavailableError, NoCapacityError) as trouble:
-                    log.info("event=catalog_fetch_failed error=%s", trouble)
-                    pause = RETRY
-                else:
-                    fresh = set(self.types) != {kind.name for kind in types}
-                    self._learn(types)
-                    if fresh or not any(key.startswith(CATALOG) for key in self._replica.entries):
-                        await self._persist(types)
+                    await self._refresh()
+                except (CloudUnavailableError, NoCapacityError) as error:
+                    log.info("event=catalog_fetch_failed error=%s", error)
+                    pause = RETRY_PAUSE
             await self._loop.sleep(pause)
 
-    async def _persist(self, types: list[MachineType]) -> None:
-        """In one key, or in one for each type where that would be too large: every version reads both."""
+    async def _refresh(self) -> None:
+        types = await self._cloud.catalog()
+        names_changed = set(self.types) != {machine_type.name for machine_type in types}
+        self._learn(types)
+        if names_changed or not any(key.startswith(CATALOG) for key in self._replica.entries):
+            await self._store_types(types)
+
+    async def _store_types(self, types: list[MachineType]) -> None:
+        """Write one key, or one for each type where that would be too large: every version reads both forms."""
         values = {CATALOG: records.write(CatalogRecord(types))}
         if len(bytes(values[CATALOG])) > self._store.max_value_bytes:
-            values = {f"{CATALOG}/{kind.name}": records.write(CatalogRecord([kind])) for kind in types}
+            values = {
+                f"{CATALOG}/{machine_type.name}": records.write(CatalogRecord([machine_type])) for machine_type in types
+            }
         for key, value in values.items():
-            if self._replica.value(key) == bytes(value) or len(bytes(value)) > self._store.max_value_bytes:
-                continue
-            try:
-                at = await self._store.transact(
-                    [compare(key, self._replica.revision_of(key))], [put(key, value)], Urgency.PROGRESS
-                )
-            except (StoreUnavailableError, OutcomeUnknownError, CompareFailedError) as trouble:
-                log.debug("event=catalog_write_failed error=%s", trouble)
-            else:
-                self._replica.learn(key, bytes(value), at)
+            if self._replica.value(key) != bytes(value) and len(bytes(value)) <= self._store.max_value_bytes:
+                await self._write(key, value)
+
+    async def _write(self, key: str, value: msgspec.Raw) -> None:
+        """Write one key. After a failure, a later refresh writes it if no catalog is stored, or if the types change."""
+        unchanged = compare(key, self._replica.revision_of(key))
+        try:
+            revision = await self._store.transact([unchanged], [put(key, value)], Urgency.PROGRESS)
+        except (StoreUnavailableError, OutcomeUnknownError, CompareFailedError) as error:
+            log.debug("event=catalog_write_failed error=%s", error)
+        else:
+            self._replica.learn(key, bytes(value), revision)
--- /dev/null
+++ b/badgerroute/coordination/autoscaling/machine_deletion.py
@@ -0,0 +1,81 @@
+"""Deletion of machines at the cloud. Every controller deletes members of its own shards; the autoscaler leader also
+deletes machines that never became members.
+"""
+
+import logging
+from collections.abc import Iterable
+from datetime import timedelta
+from typing import Protocol
+
+from badgerroute.connectivity.modes import Action
+from badgerroute.coordination.autoscaling.machine_ownership import MachineOwnership
+from badgerroute.coordination.leadership.action_policy import ActionPolicy
+from badgerroute.storage.cloud_client import (
+    MAX_MACHINES_PER_DELETION,
+    CloudClient,
+    CloudUnavailableError,
+    NoCapacityError,
+)
+from badgerroute.transport.loop import Loop
+
+log = logging.getLogger(__name__)
+INTERVAL = timedelta(milliseconds=200)
+RETRY_PAUSE = timedelta(seconds=1)
+
+
+class MachineDeletionListener(Protocol):
+    """Acts on deletions that the cloud has confirmed."""
+
+    def machines_deleted(self, names: list[str]) -> None:
+        """These machines, and all that ran on them, are gone."""
+
+
+class MachineDeletionQueue:
+    """Machines to be deleted, in the order of the requests.
+
+    A machine stays in the queue until the cloud confirms its deletion, until it turns out to be a member of a shard
+    with another leader, or until the deletion is cancelled.
+    """
+
+    def __init__(
+        self,
+        *,
+        loop: Loop,
+        cloud: CloudClient,
+        policy: ActionPolicy,
+        ownership: MachineOwnership,
+        listeners: Iterable[MachineDeletionListener],
+    ) -> None:
+        self._loop, self._cloud, self._policy, self._ownership = loop, cloud, policy, ownership
+        self._listeners = tuple(listeners)
+        self._queue: dict[str, None] = {}
+
+    def delete(self, names: Iterable[str]) -> None:
+        """Have machines deleted."""
+        self._queue.update(dict.fromkeys(names))
+
+    def cancel(self, names: Iterable[str]) -> None:
+        """Take machines off the queue, since another leader decides about them now."""
+        for name in names:
+            self._queue.pop(name, None)
+
+    async def run(self) -> None:
+        """Delete the queued machines, a batch at a time, for ever."""
+        while True:
+            await self._loop.sleep(INTERVAL)
+            self.cancel([name for name in self._queue if self._ownership.has_other_leader(name)])
+            names = list(self._queue)[:MAX_MACHINES_PER_DELETION]
+            # Only while no other controller can lead our shards: docs/incidents.md tells of a controller that deleted,
+            # after a pause, what a new leader used.
+            if not names or not self._policy.allows(Action.DELETE):
+                continue
+            try:
+                await self._cloud.delete(names)
+            except (CloudUnavailableError, NoCapacityError) as error:
+                log.info("event=machine_deletion_failed machines=%d error=%s", len(names), error)
+                await self._loop.sleep(RETRY_PAUSE)
+                continue
+            log.info("event=machines_deleted machines=%s", ",".join(names))
+            self.cancel(names)
+            for listener in self._listeners:
+                listener.machines_deleted(names)
--- /dev/null
+++ b/badgerroute/coordination/autoscaling/machine_ownership.py
@@ -0,0 +1,22 @@
+"""Whose a machine is, by the members' records."""
+
+from badgerroute.coordination.leadership.leader_election import LeaderElection
+from badgerroute.storage import records
+from badgerroute.storage.records import MachineRecord
+from badgerroute.storage.replica import MACHINES, Replica
+
+
+class MachineOwnership:
+    """Tells the members of this controller's shards from those of other controllers."""
+
+    def __init__(self, replica: Replica, election: LeaderElection) -> None:
+        self._replica, self._election = replica, election
+
+    def members(self) -> set[str]:
+        """The names of the members of all shards."""
+        return {key.removeprefix(MACHINES) for key in self._replica.under(MACHINES)}
+
+    def has_other_leader(self, name: str) -> bool:
+        """Whether a machine is a member of a shard that another controller leads, which may use the machine by now."""
+        value = self._replica.value(MACHINES + name)
+        return value is not None and records.read(value, MachineRecord).shard not in self._election.leaderships
--- a/badgerroute/coordination/autoscaling/machine_tombstones.py
+++ b/badgerroute/coordination/autoscaling/machine_tombstones.py
@@ -1,16 +1,16 @@
-"""The names of machines that were deleted: what still comes from them can only be a late copy."""
+"""Names of deleted machines: a message that still comes from one of them can only be a late copy."""
 
 from collections.abc import Iterable
 
-KEPT_PER_MACHINE = 2  # names that are kept, for each machine that there may be; copies come minutes late, not weeks
+TOMBSTONES_PER_MACHINE = 2  # for each machine that there may be; copies come minutes late, not weeks
 
 
 class MachineTombstones:
-    """Keeps the newest of them."""
+    """The names of the machines that were deleted last, up to a number that the size of the fleet gives."""
 
     def __init__(self, most_machines: int) -> None:
-        self._most = KEPT_PER_MACHINE * most_machines
-        self._names: dict[str, None] = {}  # oldest first
+        self._capacity = TOMBSTONES_PER_MACHINE * most_machines
+        self._names: dict[str, None] = {}  # the oldest first
 
     def __contains__(self, name: str) -> bool:
         return name in self._names
@@ -19,7 +19,7 @@
         return len(self._names)
 
     def add(self, names: Iterable[str]) -> None:
-        """Remember these, and forget the oldest if there are too many."""
+        """Add names, and remove the oldest if there are too many."""
         self._names.update(dict.fromkeys(names))
-        while len(self._names) > self._most:
+        while len(self._names) > self._capacity:
             del self._names[next(iter(self._names))]
--- a/badgerroute/coordination/autoscaling/scale_in.py
+++ b/badgerroute/coordination/autoscaling/scale_in.py
@@ -1,10 +1,11 @@
-"""Machines that nothing needs are returned, where one can be had again in time."""
+"""The scale-in loop: leaders return idle machines, unless machines must be up before the work comes."""
 
 import logging
-from collections.abc import Callable
+from collections.abc import Mapping
 from datetime import timedelta
 
 from badgerroute.connectivity.modes import Action
+from badgerroute.coordination.autoscaling.machine_deletion import MachineDeletionQueue
 from badgerroute.coordination.jobs.job_store import JobStore
 from badgerroute.coordination.leadership.action_policy import ActionPolicy
 from badgerroute.coordination.shards.shard_leader import ShardLeader
@@ -15,54 +16,60 @@
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
-ROUND = timedelta(seconds=2)
-NO_JOBS = 2  # there is nothing that a warm cache could be of use to: it is waited so much less
+INTERVAL = timedelta(seconds=2)
+# The idle time is divided by this if there are no jobs, since no job could use the images that the machines cache.
+IDLE_DIVISOR_WITHOUT_JOBS = 2
 
 
 class ScaleIn:
-    """`delete` has machines deleted at the cloud."""
+    """Returns the idle machines of this controller's shards.
+
+    `leaders` is the map of the shards' leaders, which changes while this is in use.
+    """
 
     def __init__(
         self,
+        *,
         settings: Settings,
         loop: Loop,
         policy: ActionPolicy,
         job_store: JobStore,
         catalog: dict[str, MachineType],
-        leaders: dict[int, ShardLeader],
-        delete: Callable[[list[str]], None],
+        leaders: Mapping[int, ShardLeader],
+        deletion_queue: MachineDeletionQueue,
     ) -> None:
         self._settings, self._loop, self._policy, self._job_store = settings, loop, policy, job_store
-        self._catalog, self._leaders, self._delete = catalog, leaders, delete
+        self._catalog, self._leaders, self._deletion_queue = catalog, leaders, deletion_queue
 
     async def run(self) -> None:
-        """Look for idle machines every other second."""
+        """Return machines that have been idle for long enough, for ever."""
         while True:
-            await self._loop.sleep(ROUND)
+            await self._loop.sleep(INTERVAL)
             if not self._catalog or scales_out_ahead(self._settings, self._catalog):
                 continue
-            idle = self._settings.operator.fleet.idle
-            if not self._job_store.active:
-                idle /= NO_JOBS
+            max_idle = self._max_idle()
             for leader in list(self._leaders.values()):
-                if (
-                    leader.ready
-                    and leader.shard.reconciled
-                    and self._policy.allows_for(leader.number, Action.RETURN_IDLE)
-                ):
-                    self._return(leader, idle)
+                if self._may_return_machines(leader):
+                    self._return_idle(leader, max_idle)
+
+    def _max_idle(self) -> timedelta:
+        max_idle = self._settings.operator.fleet.idle
+        return max_idle if self._job_store.active else max_idle / IDLE_DIVISOR_WITHOUT_JOBS
+
+    def _may_return_machines(self, leader: ShardLeader) -> bool:
+        return leader.ready and leader.shard.reconciled and self._policy.allows_for(leader.number, Action.RETURN_IDLE)
 
-    def _return(self, leader: ShardLeader, idle: timedelta) -> None:
-        machines = [machine for machine in leader.shard.machines.values() if self._useless(machine, idle)]
+    def _return_idle(self, leader: ShardLeader, max_idle: timedelta) -> None:
+        machines = [machine for machine in leader.shard.machines.values() if self._is_unneeded(machine, max_idle)]
         for machine in machines:
             machine.draining = True  # from here on nothing starts on it
         if machines:
             names = [machine.name for machine in machines]
             log.info("event=machines_scaled_in shard=%d machines=%s", leader.number, ",".join(names))
-            self._delete(names)
+            self._deletion_queue.delete(names)
 
-    def _useless(self, machine: Machine, idle: timedelta) -> bool:
+    def _is_unneeded(self, machine: Machine, max_idle: timedelta) -> bool:
         since = machine.idle_since
-        if since is None or self._loop.now() - since <= idle:
+        if since is None or self._loop.now() - since <= max_idle:
             return False
         return machine.alive and machine.empty and not machine.held_for
--- /dev/null
+++ b/badgerroute/coordination/autoscaling/scale_out.py
@@ -0,0 +1,140 @@
+"""The scale-out loop: the autoscaler leader rents the machines that are needed."""
+
+import logging
+from datetime import timedelta
+from typing import Protocol
+
+from badgerroute.coordination.autoscaling.autoscaler_authority import AutoscalerAuthority
+from badgerroute.coordination.autoscaling.machine_inventory import MachineInventory
+from badgerroute.coordination.autoscaling.machine_ownership import MachineOwnership
+from badgerroute.coordination.autoscaling.pending_machines import PendingMachines, PendingRental
+from badgerroute.coordination.autoscaling.rental_backoff import RentalBackoff
+from badgerroute.coordination.leadership.leader_election import LeaderElection
+from badgerroute.protocol.cloud import MachineType
+from badgerroute.protocol.mesh import ShardSummary
+from badgerroute.scheduling.scale_out_planning import (
+    MachinePool,
+    ScaleOutPlan,
+    machine_pools,
+    price_per_cpu,
+    scales_out_ahead,
+)
+from badgerroute.settings import Settings
+from badgerroute.storage.cloud_client import (
+    MAX_MACHINES_PER_RENTAL,
+    CloudClient,
+    CloudUnavailableError,
+    NoCapacityError,
+)
+from badgerroute.transport.loop import Loop
+
+log = logging.getLogger(__name__)
+INTERVAL = timedelta(seconds=1)
+MAX_RENTAL_TRIES = 3
+
+
+class SummarySource(Protocol):
+    """Knows the state of all shards, as last reported."""
+
+    def summaries(self) -> list[ShardSummary]:
+        """One summary for each shard that has reported."""
+
+
+class ScaleOut:
+    """Rents machines by a plan for the waiting tasks, up to the fleet's limit.
+
+    Request names are made of the autoscaler leadership's term and `_request_count`, so no name is ever used twice.
+    """
+
+    def __init__(
+        self,
+        *,
+        settings: Settings,
+        loop: Loop,
+        cloud: CloudClient,
+        election: LeaderElection,
+        authority: AutoscalerAuthority,
+        ownership: MachineOwnership,
+        catalog: dict[str, MachineType],
+        summary_source: SummarySource,
+        pending: PendingMachines,
+        inventory: MachineInventory,
+    ) -> None:
+        self._settings, self._loop, self._cloud = settings, loop, cloud
+        self._election, self._authority, self._ownership = election, authority, ownership
+        self._catalog, self._summary_source = catalog, summary_source
+        self._pending, self._inventory = pending, inventory
+        self._backoff = RentalBackoff(loop)
+        self._request_count = 0
+
+    async def run(self) -> None:
+        """Rent what is needed, for ever, whenever this controller is the autoscaler leader."""
+        while True:
+            await self._loop.sleep(INTERVAL)
+            if not self._authority.may_rent() or not self._catalog:
+                self._inventory.reset()
+                continue
+            try:
+                await self._inventory.refresh()
+                await self._scale_out()
+            except CloudUnavailableError as error:
+                log.info("event=cloud_request_failed error=%s", error)
+
+    async def _scale_out(self) -> None:
+        """One round: the cheapest pools come first."""
+        members = self._ownership.members()
+        self._pending.started(members)
+        room = self._settings.operator.fleet.most_machines - len(members) - self._pending.machine_count()
+        if room <= 0:
+            return
+        for pool, count in sorted(self._planned().items(), key=lambda item: price_per_cpu(item[0], self._catalog)):
+            count = min(count, room)
+            if count > 0:
+                room -= await self._rent(pool, count)
+
+    def _planned(self) -> dict[MachinePool, int]:
+        """What to ask for: all there is if machines must be up before the work comes, else what the work needs."""
+        if scales_out_ahead(self._settings, self._catalog):
+            pools = machine_pools(self._catalog)
+            return {pool: MAX_MACHINES_PER_RENTAL for pool in pools if self._backoff.allows(pool)}
+        teams = self._settings.params.teams
+        plan = ScaleOutPlan(self._catalog, teams, self._backoff.allows, MAX_MACHINES_PER_RENTAL)
+        return plan.machines_wanted(self._summary_source.summaries(), self._pending.expected())
+
+    async def _rent(self, pool: MachinePool, count: int) -> int:
+        """Rent up to so many machines; how many are, or may be, on their way.
+
+        After a lost answer the same request is sent again, by its name, so that it is carried out once.
+        """
+        self._request_count += 1
+        request = f"r-{self._election.autoscaler_term}-{self._request_count}"
+        count = min(count, MAX_MACHINES_PER_RENTAL)
+        for _ in range(MAX_RENTAL_TRIES):
+            if self._election.autoscaler_term is None:
+                return count
+            try:
+                names = await self._cloud.rent(request, *pool, count)
+            except NoCapacityError:
+                names = []
+            except CloudUnavailableError as error:
+                log.info("event=scale_out_failed request=%s error=%s", request, error)
+                await self._loop.sleep(INTERVAL)
+                continue
+            self._rented(request, pool, count, names)
+            return len(names)
+        self._pending.add(request, PendingRental(pool, count, self._loop.now()))
+        return count
+
+    def _rented(self, request: str, pool: MachinePool, asked: int, names: list[str]) -> None:
+        now = self._loop.now()
+        for name in names:
+            self._pending.add(name, PendingRental(pool, 1, now))
+        if names:
+            log.info(
+                "event=machines_rented request=%s type=%s zone=%s spot=%s asked=%d got=%d",
+                request,
+                *pool,
+                asked,
+                len(names),
+            )
+        self._backoff.record(pool, asked, len(names))
--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -6,11 +6,16 @@
 from datetime import timedelta
 
 from badgerroute.connectivity.modes import Action, Permission
-from badgerroute.coordination.autoscaling.autoscaler import Autoscaler
 from badgerroute.coordination.autoscaling.autoscaler_authority import AutoscalerAuthority
 from badgerroute.coordination.autoscaling.catalog import MachineCatalog
+from badgerroute.coordination.autoscaling.deletion_recorder import DeletionRecorder
+from badgerroute.coordination.autoscaling.machine_deletion import MachineDeletionQueue
+from badgerroute.coordination.autoscaling.machine_inventory import MachineInventory, max_list_age
+from badgerroute.coordination.autoscaling.machine_ownership import MachineOwnership
 from badgerroute.coordination.autoscaling.machine_tombstones import MachineTombstones
+from badgerroute.coordination.autoscaling.pending_machines import PendingMachines
 from badgerroute.coordination.autoscaling.scale_in import ScaleIn
+from badgerroute.coordination.autoscaling.scale_out import ScaleOut
 from badgerroute.coordination.jobs.cancellation_broadcast import CancellationBroadcast
 from badgerroute.coordination.jobs.downstream_cancellation import DownstreamCancellation
 from badgerroute.coordination.jobs.job_listeners import JobChangeNotifier
@@ -169,17 +174,34 @@
             job_reader=self.job_reader,
             permission=self.autoscaler_authority,
         )
-        self.autoscaler = Autoscaler(
+        self.tombstones = MachineTombstones(settings.operator.fleet.most_machines)
+        machine_ownership = MachineOwnership(self.replica, self.election)
+        pending_machines = PendingMachines(loop, self.catalog, max_list_age(settings))
+        self.deletion_queue = MachineDeletionQueue(
+            loop=loop,
+            cloud=self.cloud,
+            policy=self.policy,
+            ownership=machine_ownership,
+            listeners=[pending_machines, DeletionRecorder(self.tombstones, self.leaders, group)],
+        )
+        self.scale_out = ScaleOut(
             settings=settings,
             loop=loop,
-            group=group,
             cloud=self.cloud,
             election=self.election,
-            policy=self.policy,
-            replica=self.replica,
+            authority=self.autoscaler_authority,
+            ownership=machine_ownership,
             catalog=self.catalog,
-            summaries=self.peers.summaries,
-            on_deleted=self._on_machines_deleted,
+            summary_source=self.peers,
+            pending=pending_machines,
+            inventory=MachineInventory(
+                settings=settings,
+                loop=loop,
+                cloud=self.cloud,
+                ownership=machine_ownership,
+                pending=pending_machines,
+                deletion_queue=self.deletion_queue,
+            ),
         )
         self.forecast = JobForecast(
             settings, loop, self.job_store, self.replica, self.catalog, self.leaders, self.peers.summaries
@@ -188,7 +210,13 @@
             loop, self.leaders, self.job_store, self.progress_writer, self.forecast, self._leadership_condition
         )
         self.scale_in = ScaleIn(
-            settings, loop, self.policy, self.job_store, self.catalog, self.leaders, self.autoscaler.delete
+            settings=settings,
+            loop=loop,
+            policy=self.policy,
+            job_store=self.job_store,
+            catalog=self.catalog,
+            leaders=self.leaders,
+            deletion_queue=self.deletion_queue,
         )
         self.job_service = JobService(
             params=params,
@@ -201,7 +229,6 @@
             summaries=self.peers.summaries,
             running=self.peers.running,
         )
-        self.tombstones = MachineTombstones(settings.operator.fleet.most_machines)
         self.heartbeat_handler = HeartbeatHandler(
             settings=settings,
             loop=loop,
@@ -261,7 +288,7 @@
             publish=self._push,
             guidance=guidance,
             progressed=self.progress_flusher.progressed,
-            delete_machines=self.autoscaler.delete,
+            delete_machines=self.deletion_queue.delete,
             request_quota=self.requests.request_quota,
             request_machines=self.requests.request_machines,
         )
@@ -289,8 +316,8 @@
             (self._run_forecast, "forecast"),
             (self.requests.run_stealing, "steal"),
             (self.leadership_transfer.run, "hand-over"),
-            (self.autoscaler.run_scale_out, "rent"),
-            (self.autoscaler.run_deletion, "delete"),
+            (self.scale_out.run, "rent"),
+            (self.deletion_queue.run, "delete"),
             (self.scale_in.run, "idle"),
             (self.monitor.run, "connectivity"),
             (self.monitor.probe, "probe"),
@@ -310,7 +337,7 @@
         leader = self.leaders.pop(shard, None)
         if leader is not None:
             log.info("event=shard_released shard=%d", shard)
-            self.autoscaler.cancel_deletion(leader.shard.machines)
+            self.deletion_queue.cancel(leader.shard.machines)
             leader.close()
 
     def _leadership_condition(self, shard: int) -> Compare | None:
@@ -338,15 +365,6 @@
         if value is not None:
             self.tombstones.add(records.read(value, records.TombstoneRecord).names)
 
-    def _on_machines_deleted(self, names: list[str]) -> None:
-        self.tombstones.add(names)
-        members = {name for leader in self.leaders.values() for name in leader.shard.machines}
-        for number, leader in enumerate(list(self.leaders.values())):
-            # One that never was a member is remembered by any of our shards.
-            mine = [name for name in names if name in leader.shard.machines or (not number and name not in members)]
-            if mine:
-                self._group.spawn(leader.tombstone_writer.forget(mine), "forget")
-
     # -- background tasks
 
     async def _run_gossip(self) -> None:
--- a/badgerroute/rebalancing/service.py
+++ b/badgerroute/rebalancing/service.py
@@ -229,7 +229,7 @@
             plan = Evacuation(drain.deadline, HEARTBEATS_OF_MARGIN * self._heartbeat, patient=True)
             evacuate(shard, machine, plan, now, entry.leader.planner.run_time, entry.guidance.fetch_time)
             if entry.drains.emptied(machine) and drain.delete:
-                self._controller.autoscaler.delete([name])
+                self._controller.deletion_queue.delete([name])
 
     async def _remove_orphans(self) -> None:
         assert self._controller is not None and self._drains is not None
--- a/tests/standins/production.py
+++ b/tests/standins/production.py
@@ -31,7 +31,7 @@
     "may_lead": "acting",
     "store": "state",
     "peers": "siblings",
-    "autoscaler": "fleet",
+    "deletion_queue": "fleet",
     "reconciled": "settled",
 }
 CLASSES = (
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -232,7 +232,7 @@
             for name in doomed:
                 day.site.remove_worker(name)
             for controller, _ in list(day.controllers.values()):  # each strikes off what is not its own
-                controller.autoscaler.delete(sorted(doomed))
+                controller.deletion_queue.delete(sorted(doomed))
         day.run(5)
     day.send_copies(30, doomed)
     day.run(2)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -132,18 +132,18 @@
             day.world.cut(host, other, "hold")
         day.run(6)
         assert 0 in controller.leaders, "it acts on for G"
-        controller.autoscaler.delete([name])
+        controller.deletion_queue.delete([name])
         day.run(5)
         assert name in day.site.workers
         for other in others:
             day.world.heal(host, other)
     else:
-        controller.autoscaler.delete([name])
+        controller.deletion_queue.delete([name])
         day.loop.freeze(host, 12)
         day.run(13)
     day.run(20)
     assert name in day.site.workers, "it was a new owner's to decide about"
-    controller.autoscaler.delete([name])
+    controller.deletion_queue.delete([name])
     day.run(3)
     assert name not in day.site.workers
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -207,7 +207,7 @@
     mine, other = (day.controllers[host][0] for host in HOSTS[:2])
     theirs = next(iter(other.leaders[1].shard.machines))
     own = next(iter(mine.leaders[0].shard.machines))
-    mine.autoscaler.delete([theirs, own])
+    mine.deletion_queue.delete([theirs, own])
     day.run(3)
     assert theirs in day.site.workers and own not in day.site.workers
 
--- a/tests/test_rebalancing_days.py
+++ b/tests/test_rebalancing_days.py
@@ -318,7 +318,7 @@
     controller = next(
         one for one, _ in day.controllers.values() if second in next(iter(one.leaders.values())).shard.machines
     )
-    controller.autoscaler.delete([second])
+    controller.deletion_queue.delete([second])
     assert day.until(lambda: "b/machines/" + second not in day.store.items, 20)
     assert ask_drain(day, second).answer is DrainAnswer.GONE
     day.store.outage(True)
