--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -8,16 +8,27 @@
 from badgerroute.connectivity.damping import FlapDamping
 from badgerroute.connectivity.mode_machine import ModeMachine
 from badgerroute.connectivity.modes import Action
-from badgerroute.coordination.autoscaling.autoscaler import Autoscaler
+from badgerroute.coordination.autoscaling.autoscaler_authority import AutoscalerAuthority
 from badgerroute.coordination.autoscaling.catalog import MachineCatalog
+from badgerroute.coordination.autoscaling.deletion_recorder import DeletionRecorder
+from badgerroute.coordination.autoscaling.machine_deletion import MachineDeletionQueue
+from badgerroute.coordination.autoscaling.machine_inventory import MachineInventory, max_list_age
+from badgerroute.coordination.autoscaling.machine_ownership import MachineOwnership
 from badgerroute.coordination.autoscaling.machine_tombstones import MachineTombstones
+from badgerroute.coordination.autoscaling.pending_machines import PendingMachines
 from badgerroute.coordination.autoscaling.scale_in import ScaleIn
+from badgerroute.coordination.autoscaling.scale_out import ScaleOut
 from badgerroute.coordination.jobs.cancellation_broadcast import CancellationBroadcast
-from badgerroute.coordination.jobs.dependency_resolver import DependencyResolver
+from badgerroute.coordination.jobs.downstream_cancellation import DownstreamCancellation
+from badgerroute.coordination.jobs.job_listeners import JobChangeNotifier
 from badgerroute.coordination.jobs.job_reader import JobReader
 from badgerroute.coordination.jobs.job_store import JobStore
 from badgerroute.coordination.jobs.job_writer import JobWriter
+from badgerroute.coordination.jobs.page_garbage_collector import PageGarbageCollector
+from badgerroute.coordination.jobs.peer_messaging import ChangeBroadcast
+from badgerroute.coordination.jobs.progress_writer import ProgressWriter
 from badgerroute.coordination.jobs.record_paging import RecordPager
+from badgerroute.coordination.jobs.upstream_resolver import UpstreamResolver
 from badgerroute.coordination.leadership.action_policy import ActionPolicy
 from badgerroute.coordination.leadership.autoscaler_election import AutoscalerElection
 from badgerroute.coordination.leadership.leader_election import LeaderElection
@@ -32,6 +43,7 @@
 from badgerroute.coordination.membership.peers import Peers
 from badgerroute.coordination.membership.worker_prober import WorkerProber
 from badgerroute.coordination.quotas.quota_allocator import QuotaAllocator
+from badgerroute.coordination.quotas.quota_store import QuotaStore
 from badgerroute.coordination.requests.admission import AdmissionControl
 from badgerroute.coordination.requests.heartbeat_handler import HeartbeatHandler
 from badgerroute.coordination.requests.http_api import HttpApi
@@ -101,7 +113,7 @@
         self.shard_transfer = ShardTransfer(self.leadership_state, self.leader_records)
         hosts = [peer.host_name for peer in settings.platform.peers]
         self.cancellation_broadcast = CancellationBroadcast(
-            loop, settings.platform.host_name, hosts, self.mesh.send, params.workers.cancel
+            loop, settings.platform.host_name, hosts, self.mesh, params.workers.cancel
         )
         self.machine_catalog = MachineCatalog(loop, self.cloud, self.store, self.replica, self.leadership_state)
         self.catalog = self.machine_catalog.types
@@ -150,43 +162,91 @@
             monitor=self.monitor,
             leaders=self.leaders,
         )
-        self.job_store = JobStore(self.replica, self._push, self._notify_leaders, self.cancellation_broadcast.learned)
+        self.change_broadcast = ChangeBroadcast(self.mesh)
+        self.job_store = JobStore(
+            self.replica, self.change_broadcast, JobChangeNotifier(self.leaders), self.cancellation_broadcast
+        )
         self.job_reader = JobReader(loop, self.store, self.replica, self.job_store)
         self.pager = RecordPager(self.store, self.replica, self.job_store, self.catalog)
-        self.job_writer = JobWriter(loop, self.store, self.replica, self.job_store, self.job_reader, self.pager)
-        self.quota_allocator = QuotaAllocator(
-            settings, loop, self.store, self.replica, self._push, self._leadership_condition
+        self.job_writer = JobWriter(
+            loop=loop,
+            store=self.store,
+            replica=self.replica,
+            job_store=self.job_store,
+            reader=self.job_reader,
+            pager=self.pager,
+        )
+        self.progress_writer = ProgressWriter(
+            loop=loop,
+            store=self.store,
+            replica=self.replica,
+            job_store=self.job_store,
+            reader=self.job_reader,
+            pager=self.pager,
+        )
+        quota_store = QuotaStore(loop, self.store, self.replica, self.change_broadcast)
+        self.quota_allocator = QuotaAllocator(settings, loop, quota_store, self.leadership_state)
+        self.upstream_resolver = UpstreamResolver(loop, self.job_store, self.job_reader)
+        self.downstream_cancellation = DownstreamCancellation(
+            loop=loop,
+            store=self.store,
+            replica=self.replica,
+            job_store=self.job_store,
+            leadership_state=self.leadership_state,
+            home_shard=settings.home,
         )
-        self.dependency_resolver = DependencyResolver(
+        self.autoscaler_authority = AutoscalerAuthority(self.leadership_state, self.policy)
+        self.page_garbage_collector = PageGarbageCollector(
             loop=loop,
             store=self.store,
             replica=self.replica,
             job_store=self.job_store,
             job_reader=self.job_reader,
-            owned=lambda shard: shard in self.leadership_state.leaderships,
-            tidies=lambda: self.leadership_state.autoscaler_term is not None and self.policy.allows(Action.CLEAN_UP),
-            turn=settings.home,
+            permission=self.autoscaler_authority,
         )
-        self.autoscaler = Autoscaler(
+        self.tombstones = MachineTombstones(settings.operator.fleet.most_machines)
+        machine_ownership = MachineOwnership(self.replica, self.leadership_state)
+        pending_machines = PendingMachines(loop, self.catalog, max_list_age(settings))
+        self.deletion_queue = MachineDeletionQueue(
+            loop=loop,
+            cloud=self.cloud,
+            policy=self.policy,
+            ownership=machine_ownership,
+            listeners=[pending_machines, DeletionRecorder(self.tombstones, self.leaders, group)],
+        )
+        self.scale_out = ScaleOut(
             settings=settings,
             loop=loop,
-            group=group,
             cloud=self.cloud,
             leadership_state=self.leadership_state,
-            policy=self.policy,
-            replica=self.replica,
+            authority=self.autoscaler_authority,
+            ownership=machine_ownership,
             catalog=self.catalog,
-            summaries=self.peers.summaries,
-            on_deleted=self._on_machines_deleted,
+            summary_source=self.peers,
+            pending=pending_machines,
+            inventory=MachineInventory(
+                settings=settings,
+                loop=loop,
+                cloud=self.cloud,
+                ownership=machine_ownership,
+                pending=pending_machines,
+                deletion_queue=self.deletion_queue,
+            ),
         )
         self.forecast = JobForecast(
             settings, loop, self.job_store, self.replica, self.catalog, self.leaders, self.peers.summaries
         )
         self.progress_flusher = ProgressFlusher(
-            loop, self.leaders, self.job_store, self.job_writer, self.forecast, self._leadership_condition
+            loop, self.leaders, self.job_store, self.progress_writer, self.forecast, self._leadership_condition
         )
         self.scale_in = ScaleIn(
-            settings, loop, self.policy, self.job_store, self.catalog, self.leaders, self.autoscaler.delete
+            settings=settings,
+            loop=loop,
+            policy=self.policy,
+            job_store=self.job_store,
+            catalog=self.catalog,
+            leaders=self.leaders,
+            deletion_queue=self.deletion_queue,
         )
         admission = AdmissionControl(params.teams, self.catalog, self.pager)
         self.job_service = JobService(
@@ -200,7 +260,6 @@
             summaries=self.peers.summaries,
             running=self.peers.running,
         )
-        self.tombstones = MachineTombstones(settings.operator.fleet.most_machines)
         self.heartbeat_handler = HeartbeatHandler(
             settings=settings,
             loop=loop,
@@ -262,7 +321,7 @@
             publish=self._push,
             guidance=guidance,
             progressed=self.progress_flusher.progressed,
-            delete_machines=self.autoscaler.delete,
+            delete_machines=self.deletion_queue.delete,
             request_quota=self.requests.request_quota,
             request_machines=self.requests.request_machines,
         )
@@ -290,14 +349,14 @@
             (self._run_forecast, "forecast"),
             (self.requests.run_stealing, "steal"),
             (self.leadership_transfer.run, "hand-over"),
-            (self.autoscaler.run_scale_out, "rent"),
-            (self.autoscaler.run_deletion, "delete"),
+            (self.scale_out.run, "rent"),
+            (self.deletion_queue.run, "delete"),
             (self.scale_in.run, "idle"),
             (self.monitor.run, "connectivity"),
             (self.worker_prober.run, "probe"),
-            (self.dependency_resolver.resolve, "resolve"),
-            (self.dependency_resolver.cancel_downstream, "withdraw"),
-            (self.dependency_resolver.tidy, "tidy"),
+            (self.upstream_resolver.run, "resolve"),
+            (self.downstream_cancellation.run, "withdraw"),
+            (self.page_garbage_collector.run, "tidy"),
         ):
             self._group.run_forever(make, name, second)
         await Future()
@@ -313,7 +372,7 @@
         leader = self.leaders.pop(shard, None)
         if leader is not None:
             log.info("event=shard_released shard=%d", shard)
-            self.autoscaler.cancel_deletion(leader.shard.machines)
+            self.deletion_queue.cancel(leader.shard.machines)
             leader.close()
 
     def _leadership_condition(self, shard: int) -> Compare | None:
@@ -341,15 +400,6 @@
         if value is not None:
             self.tombstones.add(records.read(value, records.TombstoneRecord).names)
 
-    def _on_machines_deleted(self, names: list[str]) -> None:
-        self.tombstones.add(names)
-        members = {name for leader in self.leaders.values() for name in leader.shard.machines}
-        for number, leader in enumerate(list(self.leaders.values())):
-            # One that never was a member is remembered by any of our shards.
-            mine = [name for name in names if name in leader.shard.machines or (not number and name not in members)]
-            if mine:
-                self._group.spawn(leader.tombstone_writer.forget(mine), "forget")
-
     # -- background tasks
 
     async def _run_gossip(self) -> None:
@@ -358,7 +408,7 @@
             self.store.divide_rates(self.peers.store_clients())
             if self.leadership_state.lease is not None:
                 self.mesh.broadcast(self._gossip())
-            self.cancellation_broadcast.repeat()
+            self.cancellation_broadcast.resend()
 
     def _gossip(self) -> mesh_wire.Gossip:
         shards = [leader.summary() for leader in self.leaders.values() if leader.ready]
--- a/badgerroute/coordination/requests/job_service.py
+++ b/badgerroute/coordination/requests/job_service.py
@@ -3,7 +3,8 @@
 import logging
 from collections.abc import Callable
 
-from badgerroute.coordination.jobs.job_reader import JobLookup, JobReader
+from badgerroute.coordination.jobs.job_lookup import ActiveJob, FinishedJob, JobCondition, UnknownJob, UnknownJobError
+from badgerroute.coordination.jobs.job_reader import JobReader
 from badgerroute.coordination.jobs.job_store import JobStore
 from badgerroute.coordination.jobs.job_writer import JobWriter
 from badgerroute.coordination.jobs.record_paging import RecordTooLargeError
@@ -83,14 +84,14 @@
 
     async def _answer_to_repetition(self, job: Submission) -> Response | None:
         """The state of a job that was accepted before; None if this controller does not know it."""
-        if not self._job_store.knows(job.ref):
+        if not self._job_store.is_accepted(job.ref):
             return None
         lookup = await self._job_reader.look_up(job.ref, Urgency.SUBMIT)
-        return None if lookup is None else self._state_response(200, job.ref, lookup)
+        return None if isinstance(lookup, UnknownJob) else self._state_response(200, job.ref, lookup)
 
     async def _check_upstream_jobs(self, job: Submission) -> None:
         """Users may name only jobs that were accepted, by any controller, in whatever state these are by now."""
-        missing = await self._job_reader.unaccepted(job.predecessors or (), Urgency.SUBMIT)
+        missing = await self._job_reader.find_unknown(job.predecessors or (), Urgency.SUBMIT)
         if missing:
             raise JobRefusedError(f"follows {', '.join(missing[:3])}, which nobody accepted")
 
@@ -102,10 +103,14 @@
             raise JobRefusedError(str(too_large)) from too_large
         if accepted:
             # One that names a cancelled job is accepted all the same, and cancelled at once.
-            state = await self._job_reader.state_after_acceptance(job.ref) if job.predecessors else "queued"
-            return answer(201, {"ref": job.ref, "condition": state})
+            condition = JobCondition.QUEUED
+            if job.predecessors:
+                condition = await self._job_reader.condition_after_acceptance(job.ref)
+            return answer(201, {"ref": job.ref, "condition": condition})
         lookup = await self._job_reader.look_up(job.ref, Urgency.SUBMIT)
-        return retry_later("undecided") if lookup is None else self._state_response(200, job.ref, lookup)
+        if isinstance(lookup, UnknownJob):
+            return retry_later("undecided")
+        return self._state_response(200, job.ref, lookup)
 
     async def _refuse(self, job: Submission, reason: str) -> Response:
         """Refuse a job that nobody knows.
@@ -117,7 +122,7 @@
         except UNDECIDED_ERRORS as failure:
             log.info("event=submission_deferred job=%s error=%s", job.ref, failure)
             return store_unreachable()
-        if lookup is not None:
+        if not isinstance(lookup, UnknownJob):
             return self._state_response(200, job.ref, lookup)
         log.info("event=submission_refused job=%s team=%s error=%s", job.ref, job.team, reason)
         return error(422, reason)
@@ -131,18 +136,18 @@
         if not self._replica.ready.done:
             return retry_later("starting")
         try:
-            lookup = await self._job_reader.current(ref)
+            lookup = await self._job_reader.look_up_replicated(ref)
         except UNDECIDED_ERRORS as failure:
             log.debug("event=poll_deferred job=%s error=%s", ref, failure)
             return store_unreachable()
-        return no_such_job() if lookup is None else self._state_response(200, ref, lookup)
+        return no_such_job() if isinstance(lookup, UnknownJob) else self._state_response(200, ref, lookup)
 
     def poll_from_memory(self, ref: str) -> Response | None:
         """Answer a question whose answer is in memory: a final state. None: the key-value store has to be read."""
         if not REF.match(ref):
             return no_such_job()
         final = self._job_store.final(ref)
-        return None if final is None else self._state_response(200, ref, JobLookup(final))
+        return None if final is None else self._state_response(200, ref, FinishedJob(final))
 
     async def cancel(self, ref: str) -> Response:
         """Answer a cancellation."""
@@ -150,10 +155,12 @@
             return no_such_job()
         try:
             state = await self._job_writer.cancel(ref)
+        except UnknownJobError:
+            return no_such_job()
         except UNDECIDED_ERRORS as failure:
             log.info("event=cancellation_deferred job=%s error=%s", ref, failure)
             return store_unreachable()
-        return no_such_job() if state is None else answer(200, {"ref": ref, "condition": state})
+        return answer(200, {"ref": ref, "condition": state})
 
-    def _state_response(self, status: int, ref: str, lookup: JobLookup) -> Response:
+    def _state_response(self, status: int, ref: str, lookup: ActiveJob | FinishedJob) -> Response:
         return answer(status, self._job_reader.view(ref, lookup, self._running(ref)))
--- a/badgerroute/coordination/shards/shard_leader.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -6,8 +6,8 @@
 
 from badgerroute.connectivity import overdue_heartbeats
 from badgerroute.connectivity.modes import Action
-from badgerroute.coordination.jobs.job_writer import Progress
-from badgerroute.coordination.leadership.leadership_state import Leadership
+from badgerroute.coordination.jobs.progress_writer import Progress
+from badgerroute.coordination.leadership.leader_election import Leadership
 from badgerroute.coordination.shards import summary
 from badgerroute.coordination.shards.fencing import Fencing
 from badgerroute.coordination.shards.leader_context import LeaderContext
@@ -69,10 +69,10 @@
         self.shard = Shard(
             number,
             leadership.term,
-            lambda team: quota_allocator.of(number, team),
+            lambda team: quota_allocator.usable_quota(number, team),
             now,
             params.workers.lease,
-            self._job_store.undecided,
+            self._job_store.release_pending,
             context.guidance(number),
         )
         objectives = Objectives(params.objectives)
--- a/tests/standins/production.py
+++ b/tests/standins/production.py
@@ -32,7 +32,7 @@
     "may_lead": "acting",
     "store": "state",
     "peers": "siblings",
-    "autoscaler": "fleet",
+    "deletion_queue": "fleet",
     "reconciled": "settled",
 }
 CLASSES = (
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -233,7 +233,7 @@
             for name in doomed:
                 day.site.remove_worker(name)
             for controller, _ in list(day.controllers.values()):  # each strikes off what is not its own
-                controller.autoscaler.delete(sorted(doomed))
+                controller.deletion_queue.delete(sorted(doomed))
         day.run(5)
     day.send_copies(30, doomed)
     day.run(2)
@@ -684,7 +684,7 @@
 
     async def write(self: QuotaAllocator, team: str, writer: int, changed: dict) -> bool:
         if len(changed) == 2:
-            seen.append((self.of(writer, team)[0], changed[writer][0]))
+            seen.append((self.usable_quota(writer, team).cpus, changed[writer].cpus))
         return await real(self, team, writer, changed)
 
     monkeypatch.setattr(QuotaAllocator, "_write", write)
