--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -31,9 +31,16 @@
 from badgerroute.coordination.requests.mesh_dispatcher import MeshDispatcher
 from badgerroute.coordination.requests.shard_requests import ShardRequests
 from badgerroute.coordination.shards.forecast import JobForecast
-from badgerroute.coordination.shards.leader_context import LeaderContext
+from badgerroute.coordination.shards.leader_context import (
+    JobAccess,
+    LeaderContext,
+    LeadershipAccess,
+    MachineAccess,
+    PeerRequests,
+)
 from badgerroute.coordination.shards.progress_flusher import ProgressFlusher
-from badgerroute.coordination.shards.shard_leader import ShardLeader
+from badgerroute.coordination.shards.shard_leaders import LeaderLifecycle, ShardLeaders
+from badgerroute.coordination.shards.shard_storage import ShardStorage
 from badgerroute.protocol import mesh as mesh_wire
 from badgerroute.protocol.key_value import Compare
 from badgerroute.scheduling.guidance import NEUTRAL, Guidance
@@ -81,7 +88,7 @@
         )
         self.machine_catalog = MachineCatalog(loop, self.cloud, self.store, self.replica, self.election)
         self.catalog = self.machine_catalog.types
-        self.leaders: dict[int, ShardLeader] = {}
+        self.leaders = ShardLeaders(group)
         self.peers = Peers(settings, loop, self.election, self.leaders)
         self.monitor = ConnectivityMonitor(
             settings=settings,
@@ -120,7 +127,9 @@
             monitor=self.monitor,
             leaders=self.leaders,
         )
-        self.job_store = JobStore(self.replica, self._push, self._notify_leaders, self.cancellation_broadcast.learned)
+        self.job_store = JobStore(
+            self.replica, self._push, self.leaders.job_changed, self.cancellation_broadcast.learned
+        )
         self.job_reader = JobReader(loop, self.store, self.replica, self.job_store)
         self.pager = RecordPager(self.store, self.replica, self.job_store, self.catalog)
         self.job_writer = JobWriter(loop, self.store, self.replica, self.job_store, self.job_reader, self.pager)
@@ -153,7 +162,12 @@
             settings, loop, self.job_store, self.replica, self.catalog, self.leaders, self.peers.summaries
         )
         self.progress_flusher = ProgressFlusher(
-            loop, self.leaders, self.job_store, self.job_writer, self.forecast, self._leadership_condition
+            loop=loop,
+            leaders=self.leaders,
+            job_store=self.job_store,
+            job_writer=self.job_writer,
+            forecast=self.forecast,
+            leadership_check=self._leadership_condition,
         )
         self.scale_in = ScaleIn(
             settings, loop, self.policy, self.job_store, self.catalog, self.leaders, self.autoscaler.delete
@@ -210,32 +224,32 @@
         self._server = Server(
             loop, group, self.api.handle, max(16, sockets - direct - RESERVED_SOCKETS - 8 * params.size)
         )
-        self._context = LeaderContext(
+        context = LeaderContext(
             settings=settings,
             loop=loop,
-            network=network,
             group=group,
-            semaphore=self._semaphore,
-            store=self.store,
-            replica=self.replica,
-            election=self.election,
-            policy=self.policy,
-            resumed_at=self.monitor.resumed_at,
-            job_store=self.job_store,
-            job_reader=self.job_reader,
-            pager=self.pager,
-            quota_allocator=self.quota_allocator,
-            catalog=self.catalog,
-            publish=self._push,
+            storage=ShardStorage(self.store, self.replica, self._push),
+            leadership=LeadershipAccess(self.election, self.policy, self.monitor.resumed_at),
+            jobs=JobAccess(
+                job_store=self.job_store,
+                job_reader=self.job_reader,
+                pager=self.pager,
+                quota_allocator=self.quota_allocator,
+                progressed=self.progress_flusher.progressed,
+            ),
+            machines=MachineAccess(
+                network=network,
+                semaphore=self._semaphore,
+                catalog=self.catalog,
+                delete_machines=self.autoscaler.delete,
+            ),
+            peer_requests=PeerRequests(self.requests.request_quota, self.requests.request_machines),
             guidance=guidance,
-            progressed=self.progress_flusher.progressed,
-            delete_machines=self.autoscaler.delete,
-            request_quota=self.requests.request_quota,
-            request_machines=self.requests.request_machines,
         )
-        self.replica.listen(DONE, self._page_changed)
-        self.replica.listen(JOBS, self._job_changed)
-        self.replica.listen(MACHINES, self._machine_changed)
+        self._leader_lifecycle = LeaderLifecycle(self.leaders, context, self.autoscaler.cancel_deletion)
+        self.replica.listen(DONE, self.leaders.done_page_changed)
+        self.replica.listen(JOBS, self.leaders.job_record_changed)
+        self.replica.listen(MACHINES, self.leaders.machine_record_changed)
         self.replica.listen(TOMBSTONES, self._tombstones_changed)
 
     # -- life
@@ -270,50 +284,23 @@
         await Future()
 
     def _on_elected(self, shard: int, leadership: Leadership) -> None:
-        leader = ShardLeader(shard, leadership, self._context)
-        self.leaders[shard] = leader
-        leader.start()
+        self._leader_lifecycle.elected(shard, leadership)
 
     def _on_deposed(self, shard: int) -> None:
-        leader = self.leaders.pop(shard, None)
-        if leader is not None:
-            log.info("event=shard_released shard=%d", shard)
-            self.autoscaler.cancel_deletion(leader.shard.machines)
-            leader.close()
+        self._leader_lifecycle.deposed(shard)
 
     def _leadership_condition(self, shard: int) -> Compare | None:
         return self.election.condition(shard) if shard in self.election.leaderships else None
 
     # -- what the watch says
 
-    def _job_changed(self, key: str, value: bytes | None, revision: int) -> None:
-        self._notify_leaders(key.removeprefix(JOBS))
-
-    def _page_changed(self, key: str, value: bytes | None, revision: int) -> None:
-        self._notify_leaders(key.removeprefix(DONE).rpartition("/")[0])
-
-    def _notify_leaders(self, ref: str) -> None:
-        for leader in self.leaders.values():
-            if leader.ready:
-                leader.job_changed(ref)
-
-    def _machine_changed(self, key: str, value: bytes | None, revision: int) -> None:
-        for leader in self.leaders.values():
-            if leader.ready:
-                leader.machine_changed(key.removeprefix(MACHINES), value)
-
     def _tombstones_changed(self, key: str, value: bytes | None, revision: int) -> None:
         if value is not None:
             self.tombstones.add(records.read(value, records.TombstoneRecord).names)
 
     def _on_machines_deleted(self, names: list[str]) -> None:
         self.tombstones.add(names)
-        members = {name for leader in self.leaders.values() for name in leader.shard.machines}
-        for number, leader in enumerate(list(self.leaders.values())):
-            # One that never was a member is remembered by any of our shards.
-            mine = [name for name in names if name in leader.shard.machines or (not number and name not in members)]
-            if mine:
-                self._group.spawn(leader.tombstone_writer.forget(mine), "forget")
+        self.leaders.machines_deleted(names)
 
     # -- background tasks
 
--- a/badgerroute/coordination/membership/connectivity_monitor.py
+++ b/badgerroute/coordination/membership/connectivity_monitor.py
@@ -88,7 +88,7 @@
             for link in (self._store_link, *self._peers.links.values()):
                 link.excuse(process_pause, now)
         self.worker_link.update(
-            {leader.number: leader.silent() for leader in self._leaders.values() if leader.ready}, now
+            {leader.number: leader.silent_machines() for leader in self._leaders.values() if leader.ready}, now
         )
         change = self._machine.update(self._reachable(), now)
         if change is not None:
--- a/badgerroute/coordination/membership/leadership_transfer.py
+++ b/badgerroute/coordination/membership/leadership_transfer.py
@@ -65,7 +65,7 @@
     async def on_misrouted_heartbeat(self, misdirected: MisroutedHeartbeat) -> None:
         """A machine of ours reported to a peer that did not relay the heartbeat: if many do, the shard goes there."""
         leader = self._leaders.get(misdirected.shard)
-        if leader is None or not leader.ready or not leader.missed(misdirected.machine):
+        if leader is None or not leader.ready or not leader.heartbeat_overdue(misdirected.machine):
             return  # new machines report anywhere; they say nothing of us
         self._worker_link.note_elsewhere(
             misdirected.shard, misdirected.machine, misdirected.host, self._loop.now(), relayed=False
@@ -79,7 +79,7 @@
         now = self._loop.now()
         long_enough = self._worker_link.lost_for(now) >= self._relay_for
         for leader in list(self._leaders.values()):
-            silent = leader.silent() if leader.ready else 0
+            silent = leader.silent_machines() if leader.ready else 0
             relayed = None if long_enough else False
             if not self._worker_link.lost or not self._worker_link.missing(leader.number, silent, now, relayed):
                 continue
--- a/badgerroute/coordination/requests/heartbeat_handler.py
+++ b/badgerroute/coordination/requests/heartbeat_handler.py
@@ -12,6 +12,7 @@
 from badgerroute.coordination.membership.mesh import Mesh
 from badgerroute.coordination.membership.peers import Peer, Peers
 from badgerroute.coordination.requests.responses import answer, error, retry_later
+from badgerroute.coordination.shards.heartbeat_responder import HeartbeatRefusal
 from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.protocol.common import MalformedError
 from badgerroute.protocol.mesh import MisroutedHeartbeat
@@ -72,10 +73,12 @@
     async def _answer(self, leader: ShardLeader, heartbeat: Heartbeat, relay: str | None) -> Response:
         if not leader.ready or not self._policy.allows_for(leader.number, Action.ANSWER_HEARTBEAT):
             return retry_later("not acting for this machine now")
-        if relay is not None and leader.missed(heartbeat.machine):
+        if relay is not None and leader.heartbeat_overdue(heartbeat.machine):
             self._worker_link.note_elsewhere(leader.number, heartbeat.machine, relay, self._loop.now(), relayed=True)
         result = await leader.answer_heartbeat(heartbeat, relay is not None)
-        return retry_later("can't act on this report now") if result is None else answer(200, result)
+        if isinstance(result, HeartbeatRefusal):
+            return retry_later("can't act on this report now")
+        return answer(200, result)
 
     async def _not_ours(self, request: Request, heartbeat: Heartbeat, shard: int) -> Response:
         host = self._peers.leader(shard)
--- a/badgerroute/coordination/requests/shard_requests.py
+++ b/badgerroute/coordination/requests/shard_requests.py
@@ -42,7 +42,7 @@
                 if not leader.ready or not leader.shard.reconciled:
                     continue
                 if self._policy.allows_for(leader.number, Action.GIVE_WORK):
-                    await leader.migration.pass_on_gangs(self._peers.summaries())
+                    await leader.gang_migration.migrate_unplaceable(self._peers.summaries())
                 if self._policy.allows_for(leader.number, Action.STEAL):
                     self._steal_for(leader)
 
@@ -50,8 +50,8 @@
         capacities, images = leader.idle_capacities()
         if not capacities:
             return
-        short = leader.migration.short_teams()
-        if leader.migration.has_work_for(capacities, short):
+        short = leader.work_stealing.teams_short_of_quota()
+        if leader.work_stealing.has_work_for(capacities, short):
             return
         victim = busiest_shard(self._peers.summaries(), leader.number, capacities, short)
         if victim is not None:
@@ -60,7 +60,7 @@
     def steal_from(self, victim: int, message: StealRequest) -> None:
         """Ask a shard, ours or a peer's, for waiting tasks."""
         if victim in self._leaders:
-            self._group.spawn(self._leaders[victim].migration.on_steal(message), "steal")
+            self._group.spawn(self._leaders[victim].work_stealing.on_steal(message), "steal")
         else:
             host = self._election.leader(victim)
             if host is not None:
@@ -70,7 +70,7 @@
         """A peer's shard asks one of ours for waiting tasks."""
         leader = self._leaders.get(message.victim)
         if leader is not None and leader.ready:
-            self._group.spawn(leader.migration.on_steal(message), "steal")
+            self._group.spawn(leader.work_stealing.on_steal(message), "steal")
 
     def request_machines(self, message: MachineRequest) -> None:
         """Ask every other shard for empty machines."""
--- /dev/null
+++ b/badgerroute/coordination/shards/job_sync.py
@@ -0,0 +1,32 @@
+"""Stored records of jobs, taken into the shard in memory as the replica shows them."""
+
+from datetime import timedelta
+
+from badgerroute.coordination.jobs.job_store import JobStore
+from badgerroute.scheduling.model import ZERO
+from badgerroute.scheduling.shard import Shard
+from badgerroute.transport.loop import Loop
+
+
+class JobSync:
+    """Jobs of one shard. `window`: how far beyond its first unfinished task a job may start others."""
+
+    def __init__(self, *, shard: Shard, loop: Loop, job_store: JobStore, window: int) -> None:
+        self._shard, self._loop, self._job_store, self._window = shard, loop, job_store, window
+
+    def job_changed(self, ref: str) -> None:
+        """A job's record is new, changed or gone."""
+        record = self._job_store.active.get(ref)
+        if record is None:
+            self._shard.drop_job(ref)
+            return
+        if self._job_store.waits(ref):
+            return  # until this controller itself has seen it released, nothing of it is there
+        now = self._loop.now()
+        arrival = self._job_store.effective_arrival(ref, record)
+        age = timedelta(seconds=self._loop.clock.today().timestamp() - arrival)
+        held_back = timedelta(seconds=arrival - record.accepted)
+        done = self._job_store.done(ref, record)
+        job = self._shard.add_job(record, now - max(ZERO, age), self._window, now, done, held_back)
+        if job is not None:
+            self._shard.set_level(job, self._job_store.level(ref))
--- a/badgerroute/coordination/shards/leader_context.py
+++ b/badgerroute/coordination/shards/leader_context.py
@@ -1,47 +1,72 @@
-"""What the shards of one controller share: its clients, its view of the world, and whom they tell of what."""
+"""What the leaders of one controller's shards share, in bundles of which each part of a leader gets what it needs."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
 from datetime import timedelta
 
 from badgerroute.coordination.jobs.job_reader import JobReader
-from badgerroute.coordination.jobs.job_store import JobStore, Publish
+from badgerroute.coordination.jobs.job_store import JobStore
 from badgerroute.coordination.jobs.record_paging import RecordPager
 from badgerroute.coordination.leadership.action_policy import ActionPolicy
 from badgerroute.coordination.leadership.leader_election import LeaderElection
 from badgerroute.coordination.quotas.quota_allocator import QuotaAllocator
+from badgerroute.coordination.shards.shard_storage import ShardStorage
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.mesh import MachineRequest, QuotaRequest
 from badgerroute.scheduling.guidance import Guidance
 from badgerroute.settings import Settings
-from badgerroute.storage.key_value_client import KeyValueClient
-from badgerroute.storage.replica import Replica
 from badgerroute.transport.loop import Loop, Semaphore, TaskGroup
 from badgerroute.transport.net import Network
 
 
 @dataclass(frozen=True, slots=True)
-class LeaderContext:
-    """Collaborators of every leader."""
+class LeadershipAccess:
+    """Which shards this controller leads, and what it may do for them now."""
 
-    settings: Settings
-    loop: Loop
-    network: Network
-    group: TaskGroup
-    semaphore: Semaphore  # how many commands may be on their way to machines at once
-    store: KeyValueClient
-    replica: Replica
     election: LeaderElection
     policy: ActionPolicy
     resumed_at: Callable[[], timedelta]  # the end of this process's last pause
+
+
+@dataclass(frozen=True, slots=True)
+class JobAccess:
+    """This controller's jobs, and how they are read and written."""
+
     job_store: JobStore
     job_reader: JobReader
     pager: RecordPager
     quota_allocator: QuotaAllocator
-    catalog: dict[str, MachineType]
-    publish: Publish  # tells the peers of a change of ours
-    progressed: Callable[[], None]  # there is progress to be written down
+    progressed: Callable[[], None]  # called when there is progress to be written
+
+
+@dataclass(frozen=True, slots=True)
+class MachineAccess:
+    """How machines are reached, and deleted."""
+
+    network: Network
+    semaphore: Semaphore  # how many commands may be on their way to machines at once
+    catalog: dict[str, MachineType]  # empty until it has been read
     delete_machines: Callable[[list[str]], None]
-    guidance: Callable[[int], Guidance]  # for a shard, by its number
+
+
+@dataclass(frozen=True, slots=True)
+class PeerRequests:
+    """Requests to the leaders of all other shards."""
+
     request_quota: Callable[[QuotaRequest], None]
     request_machines: Callable[[MachineRequest], None]
+
+
+@dataclass(frozen=True, slots=True)
+class LeaderContext:
+    """Everything that the leaders of one controller's shards share."""
+
+    settings: Settings
+    loop: Loop
+    group: TaskGroup  # of the controller
+    storage: ShardStorage
+    leadership: LeadershipAccess
+    jobs: JobAccess
+    machines: MachineAccess
+    peer_requests: PeerRequests
+    guidance: Callable[[int], Guidance]  # for a shard, by its number
--- a/badgerroute/coordination/shards/machine_commands.py
+++ b/badgerroute/coordination/shards/machine_commands.py
@@ -1,46 +1,59 @@
-"""Commands sent to machines' own addresses, and the terms that let machines accept them."""
+"""Commands sent to machines' own addresses. Never starts: these go out in answers to heartbeats only."""
 
 import logging
 from collections.abc import Callable
 from datetime import timedelta
 
-from badgerroute.coordination.shards.leader_context import LeaderContext
+from badgerroute.coordination.shards.heartbeat_intake import HeartbeatIntake
+from badgerroute.coordination.shards.term_raiser import TermRaiser
 from badgerroute.protocol.common import MalformedError, encode
 from badgerroute.protocol.workers import Command, DirectCommands, Heartbeat, parse_heartbeat
 from badgerroute.scheduling.model import Machine
 from badgerroute.scheduling.shard import Shard
-from badgerroute.storage.key_value_client import LeaseExpiredError, OutcomeUnknownError, StoreUnavailableError
-from badgerroute.transport.http import Client, NoAnswerError
-from badgerroute.transport.loop import Future
+from badgerroute.transport.http import Client, NoAnswerError, Response
+from badgerroute.transport.loop import Loop, Semaphore
+from badgerroute.transport.net import Network
 
 log = logging.getLogger(__name__)
-DIRECT_LIMIT = timedelta(seconds=2)
-DIRECT_CONNECT = timedelta(seconds=1)
-RAISE_LIMIT = timedelta(seconds=1)
+REQUEST_LIMIT = timedelta(seconds=2)
+CONNECT_LIMIT = timedelta(seconds=1)
 MAX_SENDS = 2  # the second in a higher term, if the first met a higher token
+ACCEPTED = 200
+TERM_OUTDATED = 409  # the machine has seen a higher fencing token; its task list comes all the same
 
 
 class MachineCommands:
-    """`received` takes in the task list that a machine answers with."""
+    """Sends commands to the machines of one shard, and takes in the task lists that they answer with.
 
-    def __init__(self, shard: Shard, context: LeaderContext, received: Callable[[Machine, Heartbeat], None]) -> None:
-        self._shard, self._received = shard, received
-        self._loop, self._network, self._semaphore = context.loop, context.network, context.semaphore
-        self._election = context.election
-        self._raising: Future | None = None
+    `semaphore` bounds how many commands of the whole controller are under way.
+    """
+
+    def __init__(
+        self,
+        *,
+        shard: Shard,
+        loop: Loop,
+        network: Network,
+        semaphore: Semaphore,
+        term_raiser: TermRaiser,
+        intake: HeartbeatIntake,
+    ) -> None:
+        self._shard, self._loop, self._network, self._semaphore = shard, loop, network, semaphore
+        self._term_raiser, self._intake = term_raiser, intake
 
     async def send(
         self, machine: Machine, commands: list[Command], urgent: bool = False, leaves: Callable[[], None] | None = None
     ) -> bool:
-        """Send commands to a machine's own address; never starts, since these may be carried out minutes late.
+        """Send commands to a machine's own address; whether it accepted them in the shard's term.
 
-        Only so many at a time, and nothing stays open: a leader of everything has a thousand members, and every one of
-        them holds a connection to us already. `leaves` is called when the turn has come.
+        Starts are left out, since these may be carried out minutes late. `leaves` is called when the turn has come:
+        only so many commands are under way at a time, and nothing stays open, for a leader of everything has a
+        thousand members, and every one of them holds a connection to us already.
         """
         async with self._semaphore.acquire(urgent):
             if leaves is not None:
                 leaves()
-            client = Client(self._loop, self._network, machine.address, most_idle=1, connect=DIRECT_CONNECT)
+            client = Client(self._loop, self._network, machine.address, most_idle=1, connect=CONNECT_LIMIT)
             try:
                 return await self._send(client, machine, commands)
             finally:
@@ -51,44 +64,28 @@
         for _ in range(MAX_SENDS):
             body = encode(DirectCommands(self._shard.term, machine.incarnation, commands))
             try:
-                response = await client.request("POST", "/do", body, DIRECT_LIMIT)
+                response = await client.request("POST", "/do", body, REQUEST_LIMIT)
             except NoAnswerError:
                 return False
-            if response.status not in (200, 409):
-                return False
-            try:
-                heartbeat = parse_heartbeat(response.body)
-            except MalformedError as error:
-                log.warning("event=direct_response_rejected machine=%s error=%s", machine.name, error)
-                return False
-            if self._shard.machines.get(machine.name) is not machine or heartbeat.machine != machine.name:
+            heartbeat = self._heartbeat_of(machine, response)
+            if heartbeat is None:
                 return False
-            self._received(machine, heartbeat)
-            if response.status == 200:
+            self._intake.apply(machine, heartbeat, periodic=False)
+            if response.status == ACCEPTED:
                 return True
-            if heartbeat.fencing_token > self._shard.term and not await self.raise_term():
+            if heartbeat.fencing_token > self._shard.term and not await self._term_raiser.raise_term():
                 return False
         return False
 
-    async def raise_term(self) -> bool:
-        """Get a term above the token that some machine has seen elsewhere."""
-        if self._raising is not None:
-            # Whoever waits with others must learn how it went. Once they took it for granted, and a leader cut off from
-            # the key-value store answered hundreds of machines in its old term: they dropped the answers, stayed there
-            # all the same, and their leases ran out.
-            raising = self._raising
-            return await self._loop.first(raising, RAISE_LIMIT) and raising.result
-        self._raising = Future()
-        raised = False
+    def _heartbeat_of(self, machine: Machine, response: Response) -> Heartbeat | None:
+        """The task list in a machine's answer; None if there is none, or none of this member."""
+        if response.status not in (ACCEPTED, TERM_OUTDATED):
+            return None
         try:
-            term = await self._election.raise_term(self._shard.number)
-        except (StoreUnavailableError, OutcomeUnknownError, LeaseExpiredError) as error:
-            log.info("event=term_raise_failed shard=%d error=%s", self._shard.number, error)
-        else:
-            if term is not None:
-                self._shard.term = term
-                raised = True
-        finally:
-            self._raising.set(raised)
-            self._raising = None
-        return raised
+            heartbeat = parse_heartbeat(response.body)
+        except MalformedError as error:
+            log.warning("event=direct_response_rejected machine=%s error=%s", machine.name, error)
+            return None
+        if self._shard.machines.get(machine.name) is not machine or heartbeat.machine != machine.name:
+            return None
+        return heartbeat
--- /dev/null
+++ b/badgerroute/coordination/shards/machine_sync.py
@@ -0,0 +1,31 @@
+"""Stored records of machines, taken into the shard in memory as the replica shows them."""
+
+from badgerroute.coordination.shards.gang_migration import GangMigration
+from badgerroute.protocol.cloud import MachineType
+from badgerroute.scheduling.shard import Shard
+from badgerroute.storage import records
+from badgerroute.storage.records import MachineRecord
+from badgerroute.transport.loop import Loop
+
+
+class MachineSync:
+    """Members of one shard."""
+
+    def __init__(
+        self, *, shard: Shard, loop: Loop, catalog: dict[str, MachineType], gang_migration: GangMigration
+    ) -> None:
+        self._shard, self._loop, self._catalog, self._gang_migration = shard, loop, catalog, gang_migration
+
+    def machine_changed(self, name: str, value: bytes | None) -> None:
+        """A machine's record is new, changed or gone (None)."""
+        now = self._loop.now()
+        record = records.read(value, MachineRecord) if value else None
+        member = self._shard.machines.get(name)
+        if record is None or record.shard != self._shard.number:
+            if member is not None:
+                self._shard.remove_machine(name, now)
+            return
+        kind = self._catalog.get(record.type)
+        if member is None and kind is not None:
+            machine = self._shard.add_machine(name, record, kind, now)
+            machine.held_for = self._gang_migration.gang_to_hold_for(now)
--- a/badgerroute/coordination/shards/machine_transfers.py
+++ b/badgerroute/coordination/shards/machine_transfers.py
@@ -1,44 +1,43 @@
 """Machine transfers: the leader of empty machines gives them to a shard that is too small for a gang, in one write."""
 
 import logging
-from collections.abc import Callable
 from datetime import timedelta
 
 from badgerroute.connectivity.modes import Action
-from badgerroute.coordination.shards.leader_context import LeaderContext
+from badgerroute.coordination.leadership.leader_election import LeaderElection
+from badgerroute.coordination.shards.leader_status import LeaderStatus
+from badgerroute.coordination.shards.shard_storage import WRITE_ERRORS, ShardStorage, WriteOutcome
 from badgerroute.protocol.key_value import Put
 from badgerroute.protocol.mesh import MachineRequest
 from badgerroute.scheduling.model import Machine, allows, need_of
 from badgerroute.scheduling.shard import Shard
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
-from badgerroute.storage.key_value_client import (
-    CompareFailedError,
-    LeaseExpiredError,
-    OutcomeUnknownError,
-    StoreUnavailableError,
-    compare,
-    put,
-)
+from badgerroute.storage.key_value_client import compare, put
 from badgerroute.storage.records import MachineRecord
 from badgerroute.storage.replica import MACHINES
-from badgerroute.transport.loop import TaskGroup
+from badgerroute.transport.loop import Loop, TaskGroup
 
 log = logging.getLogger(__name__)
+RECONCILE_RETRY = timedelta(milliseconds=500)
 
 
 class MachineTransfers:
-    """`active` tells whether the shard's leader is still the one it was."""
+    """Answers other shards' requests for machines with those of this shard that are empty."""
 
-    def __init__(self, shard: Shard, context: LeaderContext, group: TaskGroup, active: Callable[[], bool]) -> None:
-        self._shard, self._loop, self._group, self._active = shard, context.loop, group, active
-        self._store, self._replica, self._election = context.store, context.replica, context.election
-        self._policy = context.policy
-        self._publish = context.publish
-
-    def _acting(self) -> bool:
-        """A leader that has ended must give nothing away, even if this controller holds the shard again."""
-        return self._active() and self._policy.allows_for(self._shard.number, Action.TRANSFER_MACHINES)
+    def __init__(
+        self,
+        *,
+        shard: Shard,
+        loop: Loop,
+        group: TaskGroup,
+        storage: ShardStorage,
+        election: LeaderElection,
+        status: LeaderStatus,
+    ) -> None:
+        self._shard, self._loop, self._group, self._status = shard, loop, group, status
+        self._storage, self._replica, self._store = storage, storage.replica, storage.store
+        self._election = election
 
     async def transfer(self, message: MachineRequest) -> None:
         """Give empty machines to a shard that is too small for a gang, in one conditional write.
@@ -46,34 +45,27 @@
         Only a machine with nothing on it and no start on its way is given, and from before the write on nothing
         starts on it here.
         """
-        if not self._shard.reconciled or not self._acting():
+        if not self._shard.reconciled or not self._status.allows(Action.TRANSFER_MACHINES):
             return
-        given = self._transferable(message)
-        if not given:
+        machines = self._transferable(message)
+        if not machines:
             return
-        puts = [self._transfer(machine, message.shard) for machine in given]
+        changes = [self._transfer(machine, message.shard) for machine in machines]
         conditions = [self._election.condition(self._shard.number)]
-        conditions += [compare(change.key, self._replica.revision_of(change.key)) for change in puts]
-        try:
-            at = await self._store.transact(conditions, puts, Urgency.PROGRESS)
-        except (CompareFailedError, StoreUnavailableError, LeaseExpiredError) as error:
-            log.debug("event=machine_transfer_failed shard=%d error=%s", self._shard.number, error)
-            for machine in given:
-                machine.draining = False
-        except OutcomeUnknownError:
-            # It may yet be applied, so these machines are of no use here until a write of ours rules that out.
-            for machine in given:
-                self._group.spawn(self._reconcile_machine(machine), "settle-lend")
-        else:
-            log.info(
-                "event=machines_transferred shard=%d to=%d machines=%s",
-                self._shard.number,
-                message.shard,
-                ",".join(machine.name for machine in given),
-            )
-            for change in puts:
-                self._replica.learn(change.key, bytes(change.value), at)
-                self._publish(change.key, bytes(change.value), at)
+        conditions += [compare(change.key, self._replica.revision_of(change.key)) for change in changes]
+        result = await self._storage.try_write(conditions, changes, Urgency.PROGRESS)
+        match result.outcome:
+            case WriteOutcome.APPLIED:
+                self._log_transferred(machines, message.shard)
+                self._storage.record_applied(changes, result.revision)
+            case WriteOutcome.NOT_APPLIED:
+                log.debug("event=machine_transfer_failed shard=%d error=%s", self._shard.number, result.error)
+                for machine in machines:
+                    machine.draining = False
+            case WriteOutcome.UNKNOWN:
+                # It may yet be applied, so these machines are of no use here until a write of ours rules that out.
+                for machine in machines:
+                    self._group.spawn(self._reconcile(machine), "settle-lend")
 
     def _transferable(self, message: MachineRequest) -> list[Machine]:
         """Empty machines for as many of the gang's tasks as are asked for."""
@@ -96,7 +88,12 @@
         record = MachineRecord(shard, machine.address, machine.kind.name, machine.zone, machine.spot)
         return put(MACHINES + machine.name, records.write(record))
 
-    async def _reconcile_machine(self, machine: Machine) -> None:
+    def _log_transferred(self, machines: list[Machine], shard: int) -> None:
+        names = ",".join(machine.name for machine in machines)
+        log.info("event=machines_transferred shard=%d to=%d machines=%s", self._shard.number, shard, names)
+
+    async def _reconcile(self, machine: Machine) -> None:
+        """Rewrite a machine's record as it is until the lost transaction can't be applied any more."""
         key = MACHINES + machine.name
         while self._shard.machines.get(machine.name) is machine:
             try:
@@ -104,9 +101,9 @@
                 if item is None or records.read(bytes(item.value), MachineRecord).shard != self._shard.number:
                     return  # the watch brings it
                 conditions = [self._election.condition(self._shard.number), compare(key, item.revision)]
-                at = await self._store.transact(conditions, [put(key, item.value)], Urgency.COMPLETE)
-                self._replica.learn(key, bytes(item.value), at)
+                revision = await self._store.transact(conditions, [put(key, item.value)], Urgency.COMPLETE)
+                self._replica.learn(key, bytes(item.value), revision)
                 machine.draining = False
                 return
-            except (StoreUnavailableError, OutcomeUnknownError, CompareFailedError, LeaseExpiredError):
-                await self._loop.sleep(timedelta(milliseconds=500))
+            except WRITE_ERRORS:
+                await self._loop.sleep(RECONCILE_RETRY)
--- a/badgerroute/coordination/shards/member_registry.py
+++ b/badgerroute/coordination/shards/member_registry.py
@@ -1,66 +1,74 @@
-"""New members of a shard, written down before the first start is sent to them."""
+"""New members of a shard, written to the key-value store before the first start is sent to them."""
 
 import logging
+from dataclasses import dataclass, field
 from datetime import timedelta
 
-from badgerroute.coordination.shards.leader_context import LeaderContext
+from badgerroute.coordination.leadership.leader_election import LeaderElection
+from badgerroute.coordination.shards.shard_storage import WRITE_ERRORS, ShardStorage
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
-from badgerroute.storage.key_value_client import (
-    CompareFailedError,
-    LeaseExpiredError,
-    OutcomeUnknownError,
-    StoreUnavailableError,
-    compare,
-    put,
-)
+from badgerroute.storage.key_value_client import CompareFailedError, compare, put
 from badgerroute.storage.records import MachineRecord
 from badgerroute.storage.replica import MACHINES
-from badgerroute.transport.loop import Future, TaskGroup
+from badgerroute.transport.loop import Future, Loop, TaskGroup
 
 log = logging.getLogger(__name__)
+BATCH_DELAY = timedelta(milliseconds=20)  # machines that come up together are written together
+
+
+@dataclass(frozen=True, slots=True)
+class _Registration:
+    """A new member's record; the future tells whether it was written."""
+
+    record: MachineRecord
+    written: Future = field(default_factory=Future)
 
 
 class MemberRegistry:
-    """Writes new members down, several in one transaction."""
+    """Writes the records of new members, several in one transaction."""
 
-    def __init__(self, context: LeaderContext, group: TaskGroup) -> None:
-        self._loop, self._group, self._election = context.loop, group, context.election
-        self._store, self._replica, self._publish = context.store, context.replica, context.publish
-        self._waiting: dict[str, tuple[MachineRecord, Future]] = {}
+    def __init__(self, *, loop: Loop, group: TaskGroup, election: LeaderElection, storage: ShardStorage) -> None:
+        self._loop, self._group, self._election = loop, group, election
+        self._storage, self._replica, self._store = storage, storage.replica, storage.store
+        self._queue: dict[str, _Registration] = {}  # by machine
         self._running = False
 
     def add(self, name: str, record: MachineRecord) -> Future:
-        """Queue a new member; the future tells whether it was written down."""
-        queued = self._waiting.get(name)
-        if queued is None:
-            queued = self._waiting[name] = (record, Future())
-        return queued[1]
+        """Queue a new member; the future tells whether its record was written."""
+        registration = self._queue.get(name)
+        if registration is None:
+            registration = self._queue[name] = _Registration(record)
+        return registration.written
 
     def start(self) -> None:
         """Begin to write what is queued, unless that is under way."""
-        if not self._running and self._waiting:
+        if not self._running and self._queue:
             self._running = True
             self._group.spawn(self._run(), "registrar")
 
     async def _run(self) -> None:
         try:
-            await self._loop.sleep(timedelta(milliseconds=20))  # machines that come up together go in together
-            while self._waiting:
-                names = list(self._waiting)[: self._store.max_changes]
-                batch = {name: self._waiting.pop(name) for name in names}
-                written: set[str] = set()
-                try:
-                    written = await self._write({name: record for name, (record, _) in batch.items()})
-                except (StoreUnavailableError, OutcomeUnknownError, CompareFailedError, LeaseExpiredError) as error:
-                    log.info("event=machine_registration_failed machines=%d error=%s", len(batch), error)
-                finally:
-                    for name, (_, future) in batch.items():
-                        future.set(name in written)
+            await self._loop.sleep(BATCH_DELAY)
+            while self._queue:
+                names = list(self._queue)[: self._store.max_changes]
+                await self._register({name: self._queue.pop(name) for name in names})
         finally:
             self._running = False
 
+    async def _register(self, batch: dict[str, _Registration]) -> None:
+        """Write one batch, and tell whoever waits for its members."""
+        written: set[str] = set()
+        try:
+            written = await self._write({name: registration.record for name, registration in batch.items()})
+        except WRITE_ERRORS as error:
+            log.info("event=machine_registration_failed machines=%d error=%s", len(batch), error)
+        finally:
+            for name, registration in batch.items():
+                registration.written.set(name in written)
+
     async def _write(self, batch: dict[str, MachineRecord]) -> set[str]:
+        """The members that were written: those of our shards that have no record yet. All of them or none."""
         batch = {
             name: record
             for name, record in batch.items()
@@ -70,16 +78,17 @@
             return set()
         conditions = [self._election.condition(shard) for shard in {record.shard for record in batch.values()}]
         conditions += [compare(MACHINES + name, 0) for name in batch]
-        values = {MACHINES + name: records.write(record) for name, record in batch.items()}
+        changes = [put(MACHINES + name, records.write(record)) for name, record in batch.items()]
         try:
-            at = await self._store.transact(conditions, [put(*item) for item in values.items()], Urgency.SUBMIT)
+            await self._storage.write(conditions, changes, Urgency.SUBMIT)
         except CompareFailedError as error:
-            for key in error.failed:
-                item = await self._store.get(key, Urgency.SUBMIT)
-                if item is not None:
-                    self._replica.learn(key, bytes(item.value), item.revision)
+            await self._read_again(error.failed)
             raise
-        for key, value in values.items():
-            self._replica.learn(key, bytes(value), at)
-            self._publish(key, bytes(value), at)
         return set(batch)
+
+    async def _read_again(self, keys: list[str]) -> None:
+        """Take what stands at keys that were not as expected into the replica."""
+        for key in keys:
+            item = await self._store.get(key, Urgency.SUBMIT)
+            if item is not None:
+                self._replica.learn(key, bytes(item.value), item.revision)
--- a/badgerroute/coordination/shards/progress_flusher.py
+++ b/badgerroute/coordination/shards/progress_flusher.py
@@ -1,6 +1,7 @@
-"""Writes the leaders' progress down, in batches."""
+"""Writes the progress of all leaders' jobs to the key-value store, in batches."""
 
 import logging
+from collections.abc import Mapping
 from datetime import timedelta
 
 from badgerroute.coordination.jobs.job_store import JobStore
@@ -11,16 +12,20 @@
 from badgerroute.transport.loop import Future, Loop
 
 log = logging.getLogger(__name__)
-FLUSH = timedelta(milliseconds=300)
+FLUSH_INTERVAL = timedelta(milliseconds=300)
 
 
 class ProgressFlusher:
-    """`leadership_check` is the condition under which a shard is ours."""
+    """Merges the progress of the shards that one job lies in, and writes it.
+
+    `leadership_check` is the condition under which a shard is ours.
+    """
 
     def __init__(
         self,
+        *,
         loop: Loop,
-        leaders: dict[int, ShardLeader],
+        leaders: Mapping[int, ShardLeader],
         job_store: JobStore,
         job_writer: JobWriter,
         forecast: JobForecast,
@@ -28,50 +33,53 @@
     ) -> None:
         self._loop, self._leaders, self._leadership_check = loop, leaders, leadership_check
         self._job_store, self._job_writer, self._forecast = job_store, job_writer, forecast
-        self._wanted = Future()
+        self._requested = Future()
 
     def progressed(self) -> None:
-        """There is progress to be written down."""
-        self._wanted.set()
+        """There is progress to be written."""
+        self._requested.set()
 
     async def run(self) -> None:
-        """Write progress down in batches: at once when a job may be complete, else once in a while."""
+        """Write progress in batches: at once when a job may be complete, else once in a while."""
         while True:
-            await self._wanted
-            self._wanted = Future()
+            await self._requested
+            self._requested = Future()
             try:
                 await self._write()
-            except (StoreUnavailableError, OutcomeUnknownError, LeaseExpiredError) as trouble:
-                log.info("event=progress_delayed error=%s", trouble)
-                self._wanted.set()
-            if any(leader.progress for leader in self._leaders.values()):
-                self._wanted.set()
-            await self._loop.sleep(FLUSH)
+            except (StoreUnavailableError, OutcomeUnknownError, LeaseExpiredError) as error:
+                log.info("event=progress_delayed error=%s", error)
+                self._requested.set()
+            if any(leader.has_progress() for leader in self._leaders.values()):
+                self._requested.set()
+            await self._loop.sleep(FLUSH_INTERVAL)
 
     async def _write(self) -> None:
+        merged = self._merged()
+        if merged:
+            batch = sorted(merged.values(), key=self._order)
+            await self._job_writer.write_progress(batch, self._leadership_check)
+
+    def _merged(self) -> dict[str, Progress]:
+        """The progress to write now, by job: tasks of one job may be done in several of our shards."""
         merged: dict[str, Progress] = {}
         for leader in self._leaders.values():
-            for progress in leader.batch():
-                known = merged.get(progress.ref)
-                if known is None:
+            for progress in leader.take_progress():
+                earlier = merged.get(progress.ref)
+                if earlier is None:
                     merged[progress.ref] = progress
                 else:
-                    known.done |= progress.done
-                    known.shards |= progress.shards
-        if not merged:
-            return
-
-        def order(one: Progress) -> tuple[int, timedelta]:
-            """Jobs that are complete come first, and of these the ones that will soon be late.
+                    earlier.done |= progress.done
+                    earlier.shards |= progress.shards
+        return merged
 
-            When a thousand small jobs ended together, writing that down took two minutes, and larger ones that had been
-            done in time were told done too late.
-            """
-            record = self._job_store.active.get(one.ref)
-            if record is None:
-                return 0, timedelta.max
-            done = self._job_store.done(one.ref, record) | one.done
-            return record.job.tasks - done.bit_count(), self._forecast.time_left(record)
+    def _order(self, progress: Progress) -> tuple[int, timedelta]:
+        """Jobs that are complete come first, and of these the ones that will soon be late.
 
-        batch = sorted(merged.values(), key=order)
-        await self._job_writer.write_progress(batch, self._leadership_check)
+        Writing a thousand small jobs that end together may take minutes: larger ones that were done in time must not
+        be recorded as done too late.
+        """
+        record = self._job_store.active.get(progress.ref)
+        if record is None:
+            return 0, timedelta.max
+        done = self._job_store.done(progress.ref, record) | progress.done
+        return record.job.tasks - done.bit_count(), self._forecast.time_left(record)
--- a/badgerroute/coordination/shards/quota_exchange.py
+++ b/badgerroute/coordination/shards/quota_exchange.py
@@ -1,18 +1,20 @@
-"""How a shard comes by teams' quotas, and what it gives of its own to other shards."""
+"""Quota exchange: how a shard gets quota of teams' limits, and what it gives of its own to other shards."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
 from datetime import timedelta
 
 from badgerroute.connectivity.modes import Action
-from badgerroute.coordination.shards.leader_context import LeaderContext
-from badgerroute.protocol import mesh as mesh_wire
-from badgerroute.scheduling.model import ZERO, Resources
+from badgerroute.coordination.leadership.action_policy import ActionPolicy
+from badgerroute.coordination.quotas.quota_allocator import QuotaAllocator
+from badgerroute.protocol.mesh import QuotaRequest
+from badgerroute.scheduling.model import ZERO, Job, Resources
 from badgerroute.scheduling.planner import Planner
 from badgerroute.scheduling.shard import Shard
+from badgerroute.transport.loop import Loop
 
 RESERVATION_TTL = timedelta(seconds=2.5)  # what another shard lacks is asked for every second
-UNEVEN = 0.15  # of our share: what we may use more than a shard whose jobs are our equals
+UNEVEN = 0.15  # of our quota: what we may use more than a shard whose jobs are our equals
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,82 +27,100 @@
 
 
 class QuotaExchange:
-    """One shard's dealings in shares."""
+    """Exchanges one shard's quota with the others; `request_quota` asks all of them."""
 
-    def __init__(self, shard: Shard, planner: Planner, context: LeaderContext) -> None:
-        self._shard, self._planner = shard, planner
-        self._loop, self._policy, self._quota_allocator = context.loop, context.policy, context.quota_allocator
-        self._ask: Callable[[mesh_wire.QuotaRequest], None] = context.request_quota
+    def __init__(
+        self,
+        *,
+        shard: Shard,
+        planner: Planner,
+        loop: Loop,
+        policy: ActionPolicy,
+        quota_allocator: QuotaAllocator,
+        request_quota: Callable[[QuotaRequest], None],
+    ) -> None:
+        self._shard, self._planner, self._loop = shard, planner, loop
+        self._policy, self._quota_allocator = policy, quota_allocator
+        self._request_quota = request_quota
 
     async def seek(self) -> None:
-        """Take what the shard's teams lack from what nobody holds, or ask the peers for it."""
+        """Take what the shard's teams lack from what no shard holds, or ask the other shards for it."""
         for team, lack in self._planner.take_shortages().items():
-            if not await self._quota_allocator.allocate(self._shard.number, team, lack):
-                first = self._first_short(team)
-                if first is None:
-                    continue
-                used = self._shard.usage[team].cpus
-                message = self._quota_allocator.ask(self._shard.number, team, first.lack, first.age, first.rank, used)
-                if message is not None:
-                    self._ask(message)
-
-    def _first_short(self, team: str) -> QuotaShortage | None:
-        """What those of a team's jobs lack that come first in the order of service."""
-        short = [job for job in self._shard.jobs.values() if job.spec.team == team and self._shard.short_of_quota(job)]
-        if not short:
+            if await self._quota_allocator.allocate(self._shard.number, team, lack):
+                continue
+            shortage = self._first_shortage(team)
+            if shortage is None:
+                continue
+            used = self._shard.usage[team].cpus
+            request = self._quota_allocator.ask(
+                self._shard.number, team, shortage.lack, shortage.age, shortage.rank, used
+            )
+            if request is not None:
+                self._request_quota(request)
+
+    def _first_shortage(self, team: str) -> QuotaShortage | None:
+        """What those of a team's jobs lack that come first in the order of service; None if none lacks quota."""
+        waiting = [
+            job for job in self._shard.jobs.values() if job.spec.team == team and self._shard.short_of_quota(job)
+        ]
+        if not waiting:
             return None
-        rank, now, lack = min(self._planner.rank(job) for job in short), self._loop.now(), Resources()
-        first = [job for job in short if self._planner.rank(job) == rank]
+        rank = min(self._planner.rank(job) for job in waiting)
+        now = self._loop.now()
+        lack = Resources()
+        first = [job for job in waiting if self._planner.rank(job) == rank]
         for job in first:
             count = job.startable
             lack.cpus += count * job.need.cpus
             lack.accelerators += count * job.need.accelerators
         return QuotaShortage(rank, lack, max(now - job.accepted for job in first))
 
-    async def grant(self, message: mesh_wire.QuotaRequest) -> None:
-        """Another shard lacks quota: give what we neither use nor can use soon, or what it has the better use for."""
+    async def grant(self, message: QuotaRequest) -> None:
+        """Another shard lacks quota: give it what is neither used nor soon usable here, or what it has the better
+        claim to.
+        """
         team = message.team
         if not self._shard.reconciled or not self._policy.allows_for(self._shard.number, Action.MOVE_QUOTA):
             return
-        cpus, gpus = self._quota_allocator.of(self._shard.number, team)
+        cpus, accelerators = self._quota_allocator.of(self._shard.number, team)
         used = self._shard.usage[team]
         lack = Resources(message.cpus, message.accelerators)
-        cancel_deletion = Resources(cpus - used.cpus, gpus - used.accelerators)
-        keep = self._quota_to_yield(message, lack, cancel_deletion)
-        if keep is None:
-            cancel_deletion.take(self._soon(message))
+        unused = Resources(cpus - used.cpus, accelerators - used.accelerators)
+        yielded = self._quota_to_yield(message, lack, unused)
+        if yielded is None:
+            unused.take(self._usable_soon(message))
         else:
-            lack = keep
-        await self._quota_allocator.transfer(self._shard.number, message.shard, team, lack, cancel_deletion)
+            lack = yielded
+        await self._quota_allocator.transfer(self._shard.number, message.shard, team, lack, unused)
 
-    def _soon(self, message: mesh_wire.QuotaRequest) -> Resources:
-        """What a team's jobs that wait here could use of its share."""
-        soon = Resources()
+    def _usable_soon(self, message: QuotaRequest) -> Resources:
+        """What a team's jobs that wait here could use of this shard's quota."""
+        usable = Resources()
         for job in self._shard.jobs.values():
             if job.spec.team != message.team:
                 continue
-            if self._shard.short_of_quota(job) and (message.age_s, -message.shard) > (
-                (self._loop.now() - job.accepted).total_seconds(),
-                -self._shard.number,
-            ):
-                # What is kept for it does not suffice either. Two gangs once waited for ever, each of them beside a
-                # fraction of the limit that was too small for it; now what there is goes to the older one.
+            if self._shard.short_of_quota(job) and self._is_older(message, job):
+                # What is kept for it here does not suffice either: what there is goes to the older one, so that no two
+                # gangs wait for ever, each with a fraction of the limit that is too small for it.
                 continue
             count = job.startable
             if count:
                 room = self._shard.room_for(job)
-                soon.cpus += min(count, room) * job.need.cpus
-                soon.accelerators += min(count, room) * job.need.accelerators
-        return soon
+                usable.cpus += min(count, room) * job.need.cpus
+                usable.accelerators += min(count, room) * job.need.accelerators
+        return usable
+
+    def _is_older(self, message: QuotaRequest, job: Job) -> bool:
+        """Whether the requester's oldest job has waited longer than ours; among equals the lower shard is first."""
+        age_s = (self._loop.now() - job.accepted).total_seconds()
+        return (message.age_s, -message.shard) > (age_s, -self._shard.number)
 
-    def _quota_to_yield(
-        self, message: mesh_wire.QuotaRequest, lack: Resources, cancel_deletion: Resources
-    ) -> Resources | None:
-        """How much of our share another shard should have though work waits for it here; None: nothing.
+    def _quota_to_yield(self, message: QuotaRequest, lack: Resources, unused: Resources) -> Resources | None:
+        """How much quota another shard should have though work waits for it here; None: nothing.
 
         All that it lacks, if its jobs come before ours; if they are equal, so much that both use the same. What is not
-        free yet is kept for it as our tasks end. A shard that had come to hold a limit kept it as long as it had work,
-        and urgent jobs in another shard waited behind its idle ones.
+        free yet is kept for it as our tasks end. Without this a shard would keep quota for as long as it has work,
+        while urgent jobs wait in another shard.
         """
         ranks = [
             self._planner.rank(job)
@@ -111,17 +131,24 @@
             return None
         wanted = lack.copy()
         if message.rank == min(ranks):
-            kept = self._shard.reserved_for_peers.get(message.team, (Resources(), ZERO))[
-                0
-            ]  # free by now, but not for us
-            more = (self._shard.usage[message.team].cpus + kept.cpus - message.used) / 2
-            if more <= UNEVEN * self._quota_allocator.of(self._shard.number, message.team)[0]:
+            surplus = self._surplus(message)
+            if surplus <= UNEVEN * self._quota_allocator.of(self._shard.number, message.team)[0]:
                 return None
-            wanted = Resources(min(wanted.cpus, more), wanted.accelerators)
+            wanted = Resources(min(wanted.cpus, surplus), wanted.accelerators)
+        self._reserve_missing(message.team, wanted, unused)
+        return wanted
+
+    def _surplus(self, message: QuotaRequest) -> float:
+        """Processors that this shard would have to give so that both use the same."""
+        # What is reserved for a peer is free by now, but not for our jobs.
+        reserved, _ = self._shard.reserved_for_peers.get(message.team, (Resources(), ZERO))
+        return (self._shard.usage[message.team].cpus + reserved.cpus - message.used) / 2
+
+    def _reserve_missing(self, team: str, wanted: Resources, unused: Resources) -> None:
+        """Keep what is wanted beyond the unused quota for the other shard, as our tasks end."""
+        used = self._shard.usage[team]
         missing = Resources(
-            max(0.0, wanted.cpus - cancel_deletion.cpus), max(0.0, wanted.accelerators - cancel_deletion.accelerators)
+            min(max(0.0, wanted.cpus - unused.cpus), used.cpus),
+            min(max(0.0, wanted.accelerators - unused.accelerators), used.accelerators),
         )
-        used = self._shard.usage[message.team]
-        missing = Resources(min(missing.cpus, used.cpus), min(missing.accelerators, used.accelerators))
-        self._shard.reserve_for_peer(message.team, missing, self._loop.now() + RESERVATION_TTL)
-        return wanted
+        self._shard.reserve_for_peer(team, missing, self._loop.now() + RESERVATION_TTL)
--- a/badgerroute/coordination/shards/shard_log.py
+++ b/badgerroute/coordination/shards/shard_log.py
@@ -1,12 +1,22 @@
-"""Where a shard stands, for people on call."""
+"""The state of a shard in the log, for people on call."""
 
 import logging
 from collections import Counter
+from datetime import timedelta
 
 from badgerroute.coordination.shards.cpu_usage import cpu_usage
 from badgerroute.scheduling.shard import Shard
+from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
+LOG_INTERVAL = timedelta(seconds=10)
+
+
+async def log_state_repeatedly(loop: Loop, shard: Shard) -> None:
+    """Log a shard's state at regular intervals."""
+    while True:
+        await loop.sleep(LOG_INTERVAL)
+        log_state(shard)
 
 
 def log_state(shard: Shard) -> None:
--- /dev/null
+++ b/badgerroute/coordination/shards/shard_storage.py
@@ -0,0 +1,78 @@
+"""A leader's conditional writes, and how their outcomes reach the replica and the peers."""
+
+from collections.abc import Iterable, Sequence
+from dataclasses import dataclass
+from enum import Enum
+
+from badgerroute.coordination.jobs.job_store import Publish
+from badgerroute.protocol.key_value import Compare, Put, Remove
+from badgerroute.storage.budget import Urgency
+from badgerroute.storage.key_value_client import (
+    CompareFailedError,
+    KeyValueClient,
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    StoreUnavailableError,
+)
+from badgerroute.storage.replica import Replica
+
+# What a conditional write may raise. A refused request is a StoreUnavailableError too: nothing was applied.
+WRITE_ERRORS = (StoreUnavailableError, OutcomeUnknownError, CompareFailedError, LeaseExpiredError)
+
+
+class WriteOutcome(Enum):
+    """What is known of a conditional write after its answer, or the lack of one."""
+
+    APPLIED = "applied"
+    NOT_APPLIED = "not applied"  # and it can't be applied later
+    UNKNOWN = "unknown"  # it may have been applied, or may yet be, until another write has changed its keys
+
+
+@dataclass(frozen=True, slots=True)
+class WriteResult:
+    """The outcome of a conditional write; `revision` is that of the written keys if it was applied."""
+
+    outcome: WriteOutcome
+    revision: int = 0
+    error: Exception | None = None
+
+    @property
+    def condition_failed(self) -> bool:
+        """Whether some key was not as the write required, so that the local copy may be outdated."""
+        return isinstance(self.error, CompareFailedError)
+
+
+@dataclass(frozen=True, slots=True)
+class ShardStorage:
+    """The key-value store as leaders write it; `publish` sends an applied change to the peers."""
+
+    store: KeyValueClient
+    replica: Replica
+    publish: Publish
+
+    async def write(self, conditions: Iterable[Compare], changes: Sequence[Put | Remove], urgency: Urgency) -> None:
+        """Apply changes under conditions, then record and publish them.
+
+        Raises one of `WRITE_ERRORS`; after `OutcomeUnknownError` the changes may still be applied later.
+        """
+        revision = await self.store.transact(conditions, changes, urgency)
+        self.record_applied(changes, revision)
+
+    async def try_write(
+        self, conditions: Iterable[Compare], changes: Sequence[Put | Remove], urgency: Urgency
+    ) -> WriteResult:
+        """Apply changes under conditions. The caller acts on each outcome, and records what was applied."""
+        try:
+            revision = await self.store.transact(conditions, changes, urgency)
+        except OutcomeUnknownError as error:
+            return WriteResult(WriteOutcome.UNKNOWN, error=error)
+        except (CompareFailedError, StoreUnavailableError, LeaseExpiredError) as error:
+            return WriteResult(WriteOutcome.NOT_APPLIED, error=error)
+        return WriteResult(WriteOutcome.APPLIED, revision)
+
+    def record_applied(self, changes: Sequence[Put | Remove], revision: int) -> None:
+        """Take changes that were applied into the replica and publish them, one after the other."""
+        for change in changes:
+            value = bytes(change.value) if isinstance(change, Put) else None
+            self.replica.learn(change.key, value, revision)
+            self.publish(change.key, value, revision)
--- a/badgerroute/coordination/shards/summary.py
+++ b/badgerroute/coordination/shards/summary.py
@@ -1,39 +1,54 @@
-"""What a shard tells the others: its free room, where images lie, what waits in it."""
+"""The summary of a shard for the others: its free room, which images are cached where, what waits in it."""
 
 from collections import Counter
 from collections.abc import Callable
 from datetime import timedelta
+from typing import NamedTuple
 
-from badgerroute.protocol.mesh import FreeCapacity, PendingDemand, ShardSummary
+from badgerroute.protocol.mesh import FreeCapacity, ImageCapacity, PendingDemand, ShardSummary
 from badgerroute.protocol.users import Priority
 from badgerroute.scheduling.model import Machine, Resources
 from badgerroute.scheduling.planner import Planner
 from badgerroute.scheduling.shard import Shard
 
-MIN_DEMANDS = 200  # that are told of, however small a shard is
+MIN_DEMANDS = 200  # jobs whose waiting tasks are in a summary, however small the shard is
 MACHINES_PER_DEMAND = 2
-MAX_CAPACITY_GROUPS = 500  # kinds of free room that are told apart
+MAX_CAPACITY_GROUPS = 500  # groups of machines with the same free room in a summary
 ROUNDING_STEPS = (0.25, 1.0, 4.0, 16.0)  # of processors and GB, tried in turn where there are more
-MAX_IMAGE_MACHINES = 16  # machines that cache an image, of which the others are told
+MAX_IMAGE_MACHINES = 16  # machines that cache an image in a summary
+MIN_FREE_CPUS = 1e-6  # less is a rounding error
 
+# Plain tuples, since one of each is made for every machine several times a second.
+MachineRoom = tuple[Machine, Resources]  # a machine, and the room on it
+CapacityKey = tuple[str, str, bool, float, float, float]  # the fields of `FreeCapacity` before its count
 
-def idle_capacities(shard: Shard) -> tuple[list[FreeCapacity], dict[str, tuple[float, float]]]:
-    """The free room of a shard's machines, and where images lie in it."""
-    images: dict[str, tuple[float, float]] = {}
-    rooms: list[tuple[Machine, Resources]] = []
+
+class IdleCapacity(NamedTuple):
+    """The free room of a shard's machines, and the images that are cached beside it."""
+
+    capacities: list[FreeCapacity]
+    images: dict[str, ImageCapacity]
+
+
+def idle_capacities(shard: Shard) -> IdleCapacity:
+    """The free room of a shard's machines on which something may start now."""
+    total: dict[str, float] = {}  # by image
+    largest: dict[str, float] = {}
+    rooms: list[MachineRoom] = []
     for machine in shard.machines.values():
-        if not machine.usable or machine.held_for is not None or machine.free.cpus < 1e-6:
+        if not machine.usable or machine.held_for is not None or machine.free.cpus < MIN_FREE_CPUS:
             continue
-        free = machine.free
-        rooms.append((machine, free))
+        free_cpus = machine.free.cpus
+        rooms.append((machine, machine.free))
         for image in machine.images:
-            total, most = images.get(image, (0.0, 0.0))
-            images[image] = (total + free.cpus, max(most, free.cpus))
-    return _capacities(rooms), images
+            total[image] = total.get(image, 0.0) + free_cpus
+            largest[image] = max(largest.get(image, 0.0), free_cpus)
+    images = {image: ImageCapacity(total[image], largest[image]) for image in total}
+    return IdleCapacity(_capacities(rooms), images)
 
 
 def max_demands(machines: int) -> int:
-    """How many jobs' waiting tasks are told of: at 4,000 machines more of them can start at once than at 100."""
+    """How many jobs' waiting tasks a summary has: at 4,000 machines more of them can start at once than at 100."""
     return max(MIN_DEMANDS, machines // MACHINES_PER_DEMAND)
 
 
@@ -41,9 +56,7 @@
     return round(amount, 3)
 
 
-def _group(
-    rooms: list[tuple[Machine, Resources]], rounded: Callable[[float], float]
-) -> Counter[tuple[str, str, bool, float, float, float]]:
+def _group(rooms: list[MachineRoom], rounded: Callable[[float], float]) -> Counter[CapacityKey]:
     return Counter(
         (
             machine.kind.name,
@@ -57,11 +70,11 @@
     )
 
 
-def _capacities(rooms: list[tuple[Machine, Resources]]) -> list[FreeCapacity]:
+def _capacities(rooms: list[MachineRoom]) -> list[FreeCapacity]:
     """Machines by their free room.
 
-    Where thousands of machines all have a different room, it is rounded down: what is told stays small, and whoever
-    asks for it is judged by the exact room again.
+    Where thousands of machines all have a different room, it is rounded down: the summary stays small, and whoever
+    asks for the room is judged by the exact figures again.
     """
     counts = _group(rooms, _exactly)
     for step in ROUNDING_STEPS:
@@ -95,7 +108,11 @@
 def summarize(
     shard: Shard, planner: Planner, levels: set[int], scales_out_ahead: bool, now: timedelta, silent: bool = False
 ) -> ShardSummary:
-    """`levels`: those of the gangs there are, which others may want to make room for here."""
+    """The summary of a shard as it is now; it looks at every machine and every waiting job.
+
+    `levels`: priority levels of the gangs there are, which other shards may want to make room for here. `silent`:
+    whether the heartbeats of at least half of the machines are overdue.
+    """
     capacities, images = idle_capacities(shard)
     running = {
         job.ref: count
--- a/badgerroute/coordination/shards/tombstone_writer.py
+++ b/badgerroute/coordination/shards/tombstone_writer.py
@@ -1,24 +1,19 @@
-"""What is remembered of deleted machines, so that a late copy of a heartbeat does not make a member of one again."""
+"""Tombstones: a late copy of a deleted machine's heartbeat must not make a member of it again."""
 
 import logging
 from datetime import timedelta
+from typing import NamedTuple
 
-from badgerroute.coordination.shards.leader_context import LeaderContext
+from badgerroute.coordination.leadership.leader_election import LeaderElection
+from badgerroute.coordination.shards.shard_storage import WRITE_ERRORS, ShardStorage
 from badgerroute.protocol.key_value import Put, Remove
 from badgerroute.scheduling.shard import Shard
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
-from badgerroute.storage.key_value_client import (
-    CompareFailedError,
-    LeaseExpiredError,
-    OutcomeUnknownError,
-    StoreUnavailableError,
-    compare,
-    put,
-    remove,
-)
+from badgerroute.storage.key_value_client import compare, put, remove
 from badgerroute.storage.records import TombstoneRecord
 from badgerroute.storage.replica import MACHINES, TOMBSTONES
+from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
 RETRY_PAUSE = timedelta(seconds=1)
@@ -28,57 +23,66 @@
 MIN_PAGES = 4
 
 
+class _Page(NamedTuple):
+    """A page of tombstones: its key, and the names that it has."""
+
+    key: str
+    names: list[str]
+
+
 class TombstoneWriter:
-    """One shard's deleted machines, in pages of its own."""
+    """Writes one shard's deleted machines down, in pages of its own."""
 
-    def __init__(self, shard: Shard, context: LeaderContext) -> None:
-        self._shard, self._publish = shard, context.publish
-        self._loop, self._store, self._replica = context.loop, context.store, context.replica
-        self._election = context.election
+    def __init__(self, *, shard: Shard, loop: Loop, storage: ShardStorage, election: LeaderElection) -> None:
+        self._shard, self._loop, self._election = shard, loop, election
+        self._storage, self._replica, self._store = storage, storage.replica, storage.store
         self._most_members = 0
         self._names_per_page = max(1, min(NAMES_PER_PAGE, self._store.max_value_bytes // MACHINE_NAME_BYTES))
 
     async def forget(self, names: list[str]) -> None:
-        """Machines that the cloud says are gone: their tasks are too.
+        """Remove machines that the cloud says are gone, and their tasks, and write their tombstones.
 
-        They are written down as gone, so that a late copy of a heartbeat does not make a member of one again.
+        Repeated until everything is written or the shard is not led here any more.
         """
         now = self._loop.now()
         for name in names:
             self._shard.remove_machine(name, now)
         self._shard.reconcile()
         while names and self._shard.number in self._election.leaderships:
-            key, known = self._page()
-            batch = names[: min(self._store.max_changes - 1, self._names_per_page - len(known), MAX_MACHINES_PER_WRITE)]
-            gone = records.write(TombstoneRecord([*known, *(name for name in batch if name not in known)]))
-            members = [MACHINES + name for name in batch if self._replica.revision_of(MACHINES + name)]
-            changes: list[Put | Remove] = [put(key, gone), *(remove(key) for key in members)]
-            # On the page as we know it: carried out late, an older write of it would strike newer names off.
-            conditions = [self._election.condition(self._shard.number), compare(key, self._replica.revision_of(key))]
+            page = self._page()
+            room = self._names_per_page - len(page.names)
+            batch = names[: min(self._store.max_changes - 1, room, MAX_MACHINES_PER_WRITE)]
             try:
-                at = await self._store.transact(conditions, changes, Urgency.PROGRESS)
-            except (StoreUnavailableError, OutcomeUnknownError, CompareFailedError, LeaseExpiredError) as error:
+                await self._write(page, batch)
+            except WRITE_ERRORS as error:
                 log.info("event=tombstone_write_failed machines=%d error=%s", len(batch), error)
                 await self._loop.sleep(RETRY_PAUSE)
                 continue
-            for one, value in ((key, bytes(gone)), *((member, None) for member in members)):
-                self._replica.learn(one, value, at)
-                self._publish(one, value, at)
             names = names[len(batch) :]
 
-    def _page(self) -> tuple[str, list[str]]:
-        """Where the next deleted machines are written down, and what stands there.
+    async def _write(self, page: _Page, batch: list[str]) -> None:
+        """Add a batch to a page, and remove the machines' records in the same transaction."""
+        key = page.key
+        tombstones = records.write(TombstoneRecord([*page.names, *(name for name in batch if name not in page.names)]))
+        members = [MACHINES + name for name in batch if self._replica.revision_of(MACHINES + name)]
+        changes: list[Put | Remove] = [put(key, tombstones), *(remove(member) for member in members)]
+        # On the page as it is in the replica: applied late, an older write of it would remove newer names.
+        conditions = [self._election.condition(self._shard.number), compare(key, self._replica.revision_of(key))]
+        await self._storage.write(conditions, changes, Urgency.PROGRESS)
+
+    def _page(self) -> _Page:
+        """The page for the next deleted machines.
 
-        A page is small, since each deletion writes one anew; there are pages for twice as many machines as we have ever
-        had at once, and when all are full the oldest begins anew.
+        A page is small, since each deletion writes one anew; there are pages for twice as many machines as the shard
+        has ever had at once, and when all are full the oldest begins anew.
         """
         prefix = f"{TOMBSTONES}{self._shard.number}/"
         pages = sorted(self._replica.under(prefix), key=self._replica.revision_of)
         self._most_members = max(self._most_members, len(self._shard.machines))
         if pages:
-            known = records.read(self._replica.stored(pages[-1]), TombstoneRecord).names
-            if len(known) < self._names_per_page:
-                return pages[-1], known
+            names = records.read(self._replica.stored(pages[-1]), TombstoneRecord).names
+            if len(names) < self._names_per_page:
+                return _Page(pages[-1], names)
         if len(pages) < max(MIN_PAGES, -(-2 * self._most_members // self._names_per_page)):
-            return f"{prefix}{len(pages)}", []
-        return pages[0], []
+            return _Page(f"{prefix}{len(pages)}", [])
+        return _Page(pages[0], [])
--- a/badgerroute/protocol/mesh.py
+++ b/badgerroute/protocol/mesh.py
@@ -1,5 +1,7 @@
 """Controllers <-> controllers: msgpack structs, one per frame. A lost message costs time, never safety."""
 
+from typing import NamedTuple
+
 import msgspec
 from msgspec import UNSET, Struct, UnsetType, field
 
@@ -18,6 +20,13 @@
     count: int
 
 
+class ImageCapacity(NamedTuple):
+    """Free processors on the machines that cache an image: in all, and on one machine at most. On the wire an array."""
+
+    total_cpus: float
+    largest_cpus: float
+
+
 class PendingDemand(Struct, array_like=True):
     """Waiting tasks of one job in one shard."""
 
@@ -61,7 +70,7 @@
     reconciled: bool = field(name="settled")
     machines: int
     capacities: list[FreeCapacity] = field(name="bins")
-    images: dict[str, tuple[float, float]]  # image -> free processors beside it: in all, and on one machine at most
+    images: dict[str, ImageCapacity]  # by image
     beside: dict[str, list[float]]  # image -> processors on machines that cache it, lesser work than gangs not counted
     soft: dict[int, list[FreeCapacity]]  # level -> room there would be for it if lesser work were stopped
     demands: list[PendingDemand] = field(name="wants")
@@ -100,7 +109,7 @@
     victim: int
     thief: int
     capacities: list[FreeCapacity] = field(name="bins")
-    images: dict[str, tuple[float, float]]
+    images: dict[str, ImageCapacity]
     short: list[str] = []  # teams of which work waits at the thief already, for want of quota
 
 
--- a/badgerroute/scheduling/stealing.py
+++ b/badgerroute/scheduling/stealing.py
@@ -1,5 +1,6 @@
 """Which waiting tasks a shard gives to an idle one. Pure: what is chosen is written and given elsewhere."""
 
+from collections.abc import Container
 from dataclasses import dataclass
 from datetime import timedelta
 
@@ -23,9 +24,7 @@
 class StealSelection:
     """Chooses for one steal request; each choice uses up some of the room that was offered."""
 
-    def __init__(
-        self, shard: Shard, capacities: list[FreeCapacity], images: dict[str, tuple[float, float]], now: timedelta
-    ) -> None:
+    def __init__(self, shard: Shard, capacities: list[FreeCapacity], images: Container[str], now: timedelta) -> None:
         self._shard, self._images, self._now = shard, images, now
         self._offers = [_Offer(capacity, capacity.count) for capacity in capacities]
 
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -9,6 +9,7 @@
 from badgerroute.coordination.quotas.quota_allocator import QuotaAllocator
 from badgerroute.coordination.requests.job_service import JobService, answer
 from badgerroute.coordination.shards import forecast
+from badgerroute.coordination.shards.job_transfers import Reassignment
 from badgerroute.coordination.shards.machine_commands import MachineCommands
 from badgerroute.settings import Objective
 from badgerroute.storage import records
@@ -615,7 +616,7 @@
                 record = controller.job_store.active[one.ref]
                 thief = (leader.number + 1) % 3
                 moved = msgspec.structs.replace(record, ranges=[records.TaskRange(thief, 0, one.spec.tasks)])
-                day.loop.run(day.loop.spawn(leader.migration._write_steal([(one.ref, moved)], thief), "give"))
+                day.loop.run(day.loop.spawn(leader.job_transfers.write([Reassignment(one.ref, moved)], thief), "give"))
                 assert controller.job_store.active[one.ref].ranges == record.ranges
                 tried += bool(one.placed)
     assert tried
@@ -637,7 +638,7 @@
             record = controller.job_store.active["run-many"]
             thief = (leader.number + 1) % 3
             moved = msgspec.structs.replace(record, ranges=records.give(record.ranges, top - 3, top, thief))
-            real = leader.migration._store.transact
+            real = leader.job_transfers._store.transact
 
             async def transact(*args: object, leader=leader, one=one, real=real, top=top) -> int:
                 nonlocal looked
@@ -647,8 +648,10 @@
                 return await real(*args)
 
             with monkeypatch.context() as patch:
-                patch.setattr(leader.migration._store, "transact", transact)
-                day.loop.run(day.loop.spawn(leader.migration._write_steal([("run-many", moved)], thief), "give"))
+                patch.setattr(leader.job_transfers._store, "transact", transact)
+                day.loop.run(
+                    day.loop.spawn(leader.job_transfers.write([Reassignment("run-many", moved)], thief), "give")
+                )
             assert one.giving == 0
     assert looked == 3
     assert day.finish(400) == []
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,6 +12,8 @@
 
 from badgerroute.coordination import controller as controller_module
 from badgerroute.coordination.shards import tombstone_writer as tombstone_writer_module
+from badgerroute.coordination.shards.heartbeat_responder import HeartbeatRefusal
+from badgerroute.coordination.shards.job_transfers import Reassignment
 from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.coordination.shards.summary import summarize
 from badgerroute.protocol.cloud import MachineType
@@ -61,9 +63,9 @@
 
     async def answer_heartbeat(
         self: ShardLeader, heartbeat: Heartbeat, relayed: bool = False
-    ) -> HeartbeatResponse | None:
+    ) -> HeartbeatResponse | HeartbeatRefusal:
         answer = await real(self, heartbeat, relayed)
-        if answer is not None:
+        if isinstance(answer, HeartbeatResponse):
             answered.append(answer.fencing_token >= heartbeat.fencing_token)
         return answer
 
@@ -108,7 +110,7 @@
         top = leader.shard.jobs["run-a"].waiting_bits.bit_length()
         moved = msgspec.structs.replace(record, ranges=records.give(record.ranges, top - 3, top, 1))
         assert moved.ranges != record.ranges
-        day.loop.run(day.loop.spawn(leader.migration._write_steal([("run-a", moved)], 1), "give"))
+        day.loop.run(day.loop.spawn(leader.job_transfers.write([Reassignment("run-a", moved)], 1), "give"))
         assert controller.job_store.active["run-a"].ranges != moved.ranges
 
     give()
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -12,8 +12,8 @@
 from badgerroute.coordination.membership.mesh import MAX_QUEUED_BYTES, _Link
 from badgerroute.coordination.shards import summary as summary_module
 from badgerroute.coordination.shards.fencing import Fencing
-from badgerroute.coordination.shards.shard_leader import SUMMARY_KEPT_PER_MACHINE
 from badgerroute.coordination.shards.summary import summarize
+from badgerroute.coordination.shards.summary_cache import READING_AGE_PER_MACHINE
 from badgerroute.protocol import mesh
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.mesh import FreeCapacity, PendingDemand, ShardLoad, ShardSummary
@@ -232,7 +232,7 @@
 def test_takeover_and_restart_of_all(machines: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """One controller takes all shards over, then all restart: no lease runs out, and nobody is taken for silent."""
     called_silent: list[str] = []
-    monkeypatch.setattr(Fencing, "_give_up", lambda self, machine: called_silent.append(machine.name))
+    monkeypatch.setattr(Fencing, "_delete_unresponsive", lambda self, machine: called_silent.append(machine.name))
     monkeypatch.setattr(
         HeartbeatReconciler, "_mark_unreachable", lambda self, machine: called_silent.append(machine.name)
     )
@@ -267,7 +267,7 @@
         shard, _ = busy_shard(machines)
         costs.append(calls_in(lambda shard=shard: silent(shard, SECOND, 0 * SECOND, 2 * SECOND)))
     assert costs[1] < 5 * costs[0]
-    assert SUMMARY_KEPT_PER_MACHINE * MANY == 2 * SECOND, "an owner keeps a reading for so long"
+    assert READING_AGE_PER_MACHINE * MANY == 2 * SECOND, "an owner keeps a reading for so long"
 
 
 def test_a_relayed_heartbeat_costs_the_same_at_any_size() -> None:
