--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -159,7 +159,13 @@
             on_deleted=self._on_machines_deleted,
         )
         self.forecast = JobForecast(
-            settings, loop, self.job_store, self.replica, self.catalog, self.leaders, self.peers.summaries
+            settings=settings,
+            loop=loop,
+            job_store=self.job_store,
+            replica=self.replica,
+            catalog=self.catalog,
+            leaders=self.leaders,
+            summaries=self.peers.summaries,
         )
         self.progress_flusher = ProgressFlusher(
             loop=loop,
--- a/badgerroute/coordination/requests/heartbeat_handler.py
+++ b/badgerroute/coordination/requests/heartbeat_handler.py
@@ -121,7 +121,7 @@
         mode = None if peer is None else peer.mode
         if mode in (Mode.WORKERS_UNREACHABLE, Mode.RECOVERING):
             return mode is Mode.WORKERS_UNREACHABLE
-        return any(summary.shard == shard and summary.silent for summary in self._peers.summaries())
+        return any(summary.shard == shard and summary.workers_silent for summary in self._peers.summaries())
 
     def _shard_of(self, name: str) -> int:
         value = self._replica.value(MACHINES + name)
--- a/badgerroute/coordination/requests/job_splitting.py
+++ b/badgerroute/coordination/requests/job_splitting.py
@@ -73,7 +73,7 @@
         by_shard = {summary.shard: summary for summary in summaries}
 
         def beside(shard: int) -> int:
-            rooms = by_shard[shard].beside.get(job.image, ()) if shard in by_shard else ()
+            rooms = by_shard[shard].cpus_near_images.get(job.image, ()) if shard in by_shard else ()
             return min(job.tasks, sum(room >= job.cpus for room in rooms))
 
         fitting = [shard for shard in range(size) if shares[shard] >= job.tasks or beside(shard) >= job.tasks]
--- a/badgerroute/coordination/requests/shard_requests.py
+++ b/badgerroute/coordination/requests/shard_requests.py
@@ -97,7 +97,7 @@
 
 
 def busiest_shard(
-    summaries: list[ShardSummary], thief: int, capacities: list[FreeCapacity], short: set[str]
+    summaries: list[ShardSummary], thief: int, capacities: list[FreeCapacity], teams_short_of_quota: set[str]
 ) -> int | None:
     """The shard where most waits that would fit the thief's room.
 
@@ -107,7 +107,8 @@
         summary.shard: sum(
             demand.count * max(demand.cpus, demand.accelerators)
             for demand in summary.demands
-            if demand.team not in short and any(fits_capacity(demand, capacity) for capacity in capacities)
+            if demand.team not in teams_short_of_quota
+            and any(fits_capacity(demand, capacity) for capacity in capacities)
         )
         for summary in summaries
         if summary.shard != thief and summary.reconciled
--- a/badgerroute/coordination/shards/cpu_usage.py
+++ b/badgerroute/coordination/shards/cpu_usage.py
@@ -1,11 +1,11 @@
-"""What a shard's processors are used for, by cause, for people on call and for accounting."""
+"""What a shard's processors are used for, by cause, for on-call engineers and for accounting."""
 
 from dataclasses import asdict, dataclass
 
 from badgerroute.scheduling.model import Phase
 from badgerroute.scheduling.shard import Shard
 
-PHASES = {
+CAUSES = {  # phase of a task -> field of `CpuUsage`
     Phase.RESERVED: "starting",
     Phase.SENT: "starting",
     Phase.FETCHING: "fetching",
@@ -17,10 +17,10 @@
 
 @dataclass(slots=True)
 class CpuUsage:
-    """Processors by what they do at one moment."""
+    """Processors by what they do at one moment. The names are the keys of the log line."""
 
     running: float = 0.0
-    starting: float = 0.0  # told to start a task, or about to be
+    starting: float = 0.0  # a task there has its start command, or is about to get it
     fetching: float = 0.0  # taken by a task that waits for its image
     waiting: float = 0.0  # taken by a gang's task that waits for the others
     saving: float = 0.0
@@ -35,17 +35,17 @@
 
 def cpu_usage(shard: Shard) -> CpuUsage:
     """The processors of a shard's machines, each counted once."""
-    use = CpuUsage()
+    usage = CpuUsage()
     for machine in shard.machines.values():
         for placement in machine.placements.values():
-            cause = PHASES[placement.phase]
-            setattr(use, cause, getattr(use, cause) + placement.job.need.cpus)
+            cause = CAUSES[placement.phase]
+            setattr(usage, cause, getattr(usage, cause) + placement.job.need.cpus)
         if not machine.usable:
-            use.unusable += machine.free.cpus
+            usage.unusable += machine.free.cpus
         elif machine.held_for is not None:
-            use.held += machine.free.cpus
+            usage.held += machine.free.cpus
         elif machine.placements:
-            use.beside += machine.free.cpus
+            usage.beside += machine.free.cpus
         else:
-            use.empty += machine.free.cpus
-    return use
+            usage.empty += machine.free.cpus
+    return usage
--- /dev/null
+++ b/badgerroute/coordination/shards/deadline_tiers.py
@@ -0,0 +1,87 @@
+"""Tiers of jobs that are not gangs: which of their due times each of them can still meet, given all the others."""
+
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass, field
+from datetime import timedelta
+
+from badgerroute.coordination.jobs.job_store import JobStore
+from badgerroute.coordination.shards.job_estimates import JobEstimates
+from badgerroute.coordination.shards.shard_leader import ShardLeader
+from badgerroute.coordination.shards.small_task_capacity import SmallTaskCapacity
+from badgerroute.protocol.mesh import ShardSummary
+from badgerroute.scheduling.deadline_feasibility import Load, tiers
+from badgerroute.settings import Team
+from badgerroute.storage.records import JobRecord
+
+STARVING_AFTER = timedelta(seconds=160)  # a job that has not begun by then comes first, however late it is
+STARVING_TIER = -1  # of such a job
+
+
+@dataclass(frozen=True, slots=True)
+class OpenWork:
+    """Unfinished jobs in the order of their arrival, whatever shards they lie in."""
+
+    tasks_left: dict[str, int] = field(default_factory=dict)  # by job
+    guaranteed: dict[str, bool] = field(default_factory=dict)  # by job: whether it lies within its team's guarantee
+
+
+class DeadlineTiers:
+    """Works out the tier of each job: how many of its due times it will miss (see `deadline_feasibility`)."""
+
+    def __init__(
+        self,
+        *,
+        job_store: JobStore,
+        teams: Mapping[str, Team],
+        estimates: JobEstimates,
+        capacity: SmallTaskCapacity,
+        leaders: Mapping[int, ShardLeader],
+        summaries: Callable[[], list[ShardSummary]],
+    ) -> None:
+        self._job_store, self._teams, self._estimates = job_store, teams, estimates
+        self._capacity, self._leaders, self._summaries = capacity, leaders, summaries
+
+    def compute(self, work: OpenWork, inherited_due: Mapping[str, float]) -> dict[str, float]:
+        """Job -> tier. `inherited_due`: job -> time of day by which its dependents need it."""
+        processors = self._capacity.processors()
+        running = self._running_tasks()
+        today = self._estimates.time_of_day()
+        failing = {job.ref for leader in self._leaders.values() for job in leader.shard.jobs.values() if job.failing}
+        groups: dict[tuple[int, bool], list[Load]] = {}  # by level, and whether within the guarantee
+        starving: set[str] = set()
+        for ref, tasks_left in work.tasks_left.items():
+            record = self._job_store.active[ref]
+            if record.job.gang or record.job.cpus <= 0 or ref in failing:
+                continue
+            arrival = self._job_store.effective_arrival(ref, record)
+            age = timedelta(seconds=max(0.0, today - arrival))
+            at_once = self._tasks_at_once(record, processors)
+            begun = record.job.tasks - tasks_left + running.get(ref, 0)
+            if age > STARVING_AFTER and begun < min(record.job.tasks, at_once):
+                starving.add(ref)
+            due = self._estimates.dues_left(record, age)
+            if ref in inherited_due:
+                due.append(timedelta(seconds=inherited_due[ref] - today))
+            group = (-self._job_store.level(ref), not work.guaranteed[ref])
+            groups.setdefault(group, []).append(self._load(record, tasks_left, at_once, due))
+        found = tiers([groups[group] for group in sorted(groups)], processors)
+        found.update(dict.fromkeys(starving, STARVING_TIER))
+        return found
+
+    def _running_tasks(self) -> dict[str, int]:
+        """Job -> its tasks that run, in all shards."""
+        running: dict[str, int] = {}
+        for summary in self._summaries():
+            for ref, count in summary.running.items():
+                running[ref] = running.get(ref, 0) + count
+        return running
+
+    def _tasks_at_once(self, record: JobRecord, processors: float) -> int:
+        """How many of a job's tasks may run at once, by its team's limit and the fleet."""
+        limit = min(processors, self._teams[record.job.team].limits[0])
+        return max(1, int(limit / record.job.cpus))
+
+    def _load(self, record: JobRecord, tasks_left: int, at_once: int, due: list[timedelta]) -> Load:
+        run_time = self._estimates.run_time(record)
+        waves = -(-tasks_left // at_once)
+        return Load(record.job.ref, tasks_left * record.job.cpus * run_time, waves * run_time, sorted(due))
--- a/badgerroute/coordination/shards/gang_migration.py
+++ b/badgerroute/coordination/shards/gang_migration.py
@@ -78,7 +78,9 @@
     def _candidates(job: Job, others: list[ShardSummary]) -> list[ShardSummary]:
         """Shards with room for the whole gang; if there is none, those that could make room by preemption."""
         free = [summary for summary in others if holds_whole_job(job, summary.capacities)]
-        return free or [summary for summary in others if holds_whole_job(job, summary.soft.get(job.level, []))]
+        return free or [
+            summary for summary in others if holds_whole_job(job, summary.preemptible_capacities.get(job.level, []))
+        ]
 
     @staticmethod
     def _best(job: Job, candidates: list[ShardSummary]) -> int:
@@ -123,5 +125,5 @@
 
 def tasks_with_image(job: Job, summary: ShardSummary) -> int:
     """How many of a gang's tasks could find their image in a shard."""
-    free_cpus = summary.beside.get(job.spec.image, ())
+    free_cpus = summary.cpus_near_images.get(job.spec.image, ())
     return min(job.spec.tasks, sum(cpus >= job.need.cpus for cpus in free_cpus))
--- /dev/null
+++ b/badgerroute/coordination/shards/job_estimates.py
@@ -0,0 +1,47 @@
+"""How long jobs should take, and how long they have, by what the shards of this controller have seen."""
+
+from collections.abc import Mapping
+from datetime import timedelta
+
+from badgerroute.coordination.jobs.job_store import JobStore
+from badgerroute.coordination.shards.shard_leader import ShardLeader
+from badgerroute.scheduling import delay_scheduling
+from badgerroute.scheduling.model import ZERO
+from badgerroute.scheduling.objectives import Objectives
+from badgerroute.storage.records import JobRecord
+from badgerroute.transport.loop import Loop
+
+
+class JobEstimates:
+    """Estimates for jobs of which any shard, or none, may be led here."""
+
+    def __init__(
+        self, *, loop: Loop, job_store: JobStore, leaders: Mapping[int, ShardLeader], objectives: Objectives
+    ) -> None:
+        self._loop, self._job_store, self._leaders, self._objectives = loop, job_store, leaders, objectives
+
+    def time_of_day(self) -> float:
+        """Now, in seconds, as stored records have it."""
+        return self._loop.clock.today().timestamp()
+
+    def run_time(self, record: JobRecord) -> timedelta:
+        """How long one of a job's tasks should run, corrected by how such jobs ran in our shards."""
+        correction = 1.0
+        for leader in self._leaders.values():
+            correction = leader.shard.estimates.correction(record.job.job_class)
+            job = leader.shard.jobs.get(record.job.ref)
+            if job is not None:
+                return delay_scheduling.run_time(job, correction)
+        return timedelta(seconds=record.job.estimate_s * correction)
+
+    def dues_left(self, record: JobRecord, age: timedelta) -> list[timedelta]:
+        """How long a job of this age has until each of its due times; negative for those that have passed."""
+        arrival = self._job_store.effective_arrival(record.job.ref, record)
+        held_back = timedelta(seconds=arrival - record.accepted)
+        return [due - age for due in self._objectives.due(record.job, held_back)]
+
+    def time_left(self, record: JobRecord) -> timedelta:
+        """Until the next time by which the job should be complete; `timedelta.max` if there is none."""
+        arrival = self._job_store.effective_arrival(record.job.ref, record)
+        age = timedelta(seconds=self.time_of_day() - arrival)
+        return min((left for left in self.dues_left(record, age) if left > ZERO), default=timedelta.max)
--- a/badgerroute/coordination/shards/scheduling_rounds.py
+++ b/badgerroute/coordination/shards/scheduling_rounds.py
@@ -1,4 +1,4 @@
-"""The periodic round of decisions for a shard, beside what is decided with each heartbeat."""
+"""The periodic round of decisions for a shard; the others are made with each heartbeat."""
 
 from datetime import timedelta
 
--- a/badgerroute/coordination/shards/shard_leader.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -94,7 +94,7 @@
     # -- readings
 
     def idle_capacities(self) -> summary.IdleCapacity:
-        """The shard's free room, and the images that are cached beside it."""
+        """The shard's free room, and the images cached on those machines."""
         return summary.idle_capacities(self.shard)
 
     def summary(self) -> ShardSummary:
--- a/badgerroute/coordination/shards/summary.py
+++ b/badgerroute/coordination/shards/summary.py
@@ -24,7 +24,7 @@
 
 
 class IdleCapacity(NamedTuple):
-    """The free room of a shard's machines, and the images that are cached beside it."""
+    """The free room of a shard's machines, and the images cached on those machines."""
 
     capacities: list[FreeCapacity]
     images: dict[str, ImageCapacity]
@@ -106,12 +106,17 @@
 
 
 def summarize(
-    shard: Shard, planner: Planner, levels: set[int], scales_out_ahead: bool, now: timedelta, silent: bool = False
+    shard: Shard,
+    planner: Planner,
+    levels: set[int],
+    scales_out_ahead: bool,
+    now: timedelta,
+    workers_silent: bool = False,
 ) -> ShardSummary:
     """The summary of a shard as it is now; it looks at every machine and every waiting job.
 
-    `levels`: priority levels of the gangs there are, which other shards may want to make room for here. `silent`:
-    whether the heartbeats of at least half of the machines are overdue.
+    `levels`: priority levels of the gangs there are, which other shards may want to make room for here.
+    `workers_silent`: whether the heartbeats of at least half of the machines are overdue.
     """
     capacities, images = idle_capacities(shard)
     running = {
@@ -126,12 +131,12 @@
         machines=len(shard.machines),
         capacities=capacities,
         images=images,
-        beside=planner.room_beside_images(max(levels, default=Priority.URGENT.level), MAX_IMAGE_MACHINES),
-        soft={level: _capacities(planner.room_without(level)) for level in levels},
+        cpus_near_images=planner.room_beside_images(max(levels, default=Priority.URGENT.level), MAX_IMAGE_MACHINES),
+        preemptible_capacities={level: _capacities(planner.room_without(level)) for level in levels},
         demands=_demands(planner, now),
         freeing=0.0 if scales_out_ahead else planner.freeing(now),  # only renting by need looks at it
         running=running,
         used={team: (usage.cpus, usage.accelerators) for team, usage in shard.usage.items() if usage.tasks},
-        silent=silent,
+        workers_silent=workers_silent,
         load=shard.guidance.load(shard, now),
     )
--- a/badgerroute/coordination/shards/summary_cache.py
+++ b/badgerroute/coordination/shards/summary_cache.py
@@ -64,8 +64,10 @@
         if self._summary is None or now - self._summary.at >= self._reading_age():
             ahead = scales_out_ahead(self._settings, self._catalog)
             levels = {self._job_store.level(ref) for ref, record in self._job_store.schedulable() if record.job.gang}
-            silent = self.silent_machines() > 0
-            self._summary = _SummaryReading(now, summarize(self._shard, self._planner, levels, ahead, now, silent))
+            workers_silent = self.silent_machines() > 0
+            self._summary = _SummaryReading(
+                now, summarize(self._shard, self._planner, levels, ahead, now, workers_silent)
+            )
         return self._summary.summary
 
     def silent_machines(self) -> int:
--- a/badgerroute/coordination/shards/work_stealing.py
+++ b/badgerroute/coordination/shards/work_stealing.py
@@ -90,7 +90,7 @@
             if len(reassignments) >= min(MAX_JOBS_PER_STEAL, self._store.max_changes):
                 break
             record = self._job_store.active.get(job.ref)
-            if record is None or not self._may_be_stolen(job, record) or job.spec.team in message.short:
+            if record is None or not self._may_be_stolen(job, record) or job.spec.team in message.teams_short_of_quota:
                 continue
             tasks = selection.choose(job)
             if tasks:
--- a/badgerroute/protocol/mesh.py
+++ b/badgerroute/protocol/mesh.py
@@ -71,13 +71,16 @@
     machines: int
     capacities: list[FreeCapacity] = field(name="bins")
     images: dict[str, ImageCapacity]  # by image
-    beside: dict[str, list[float]]  # image -> processors on machines that cache it, lesser work than gangs not counted
-    soft: dict[int, list[FreeCapacity]]  # level -> room there would be for it if lesser work were stopped
+    # Image -> processors on machines that cache it, lesser work than gangs not counted.
+    cpus_near_images: dict[str, list[float]] = field(name="beside")
+    # Level -> room there would be for it if lesser work were stopped.
+    preemptible_capacities: dict[int, list[FreeCapacity]] = field(name="soft")
     demands: list[PendingDemand] = field(name="wants")
     freeing: float  # processors of small tasks that should end before a new machine could serve
     running: dict[str, int]
     used: dict[str, tuple[float, float]]
-    silent: bool = False  # its leader has had no heartbeat in time of at least half of its machines
+    # Its leader has had no heartbeat in time of at least half of its machines.
+    workers_silent: bool = field(name="silent", default=False)
     load: ShardLoad | UnsetType = UNSET
 
 
@@ -110,7 +113,8 @@
     thief: int
     capacities: list[FreeCapacity] = field(name="bins")
     images: dict[str, ImageCapacity]
-    short: list[str] = []  # teams of which work waits at the thief already, for want of quota
+    # Teams of which work waits at the thief already, for want of quota.
+    teams_short_of_quota: list[str] = field(name="short", default_factory=list)
 
 
 class QuotaRequest(Struct, tag="lack"):
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -8,7 +8,7 @@
 
 from badgerroute.coordination.quotas.quota_allocator import QuotaAllocator
 from badgerroute.coordination.requests.job_service import JobService, answer
-from badgerroute.coordination.shards import forecast
+from badgerroute.coordination.shards import deadline_tiers
 from badgerroute.coordination.shards.job_transfers import Reassignment
 from badgerroute.coordination.shards.machine_commands import MachineCommands
 from badgerroute.settings import Objective
@@ -665,8 +665,8 @@
 
     Of a team without a limit, so that only the order of the jobs decides, and not how a limit happens to be divided.
     """
-    assert 1.5 * forecast.STARVING_AFTER <= 240 * SECOND, "the largest too begin within four minutes"
-    monkeypatch.setattr(forecast, "STARVING_AFTER", starving * SECOND)
+    assert 1.5 * deadline_tiers.STARVING_AFTER <= 240 * SECOND, "the largest too begin within four minutes"
+    monkeypatch.setattr(deadline_tiers, "STARVING_AFTER", starving * SECOND)
     day = Day(seed=seed, capacity=0, objectives=[Objective("deadline", 0.9, "batch")])
     day.run(4)
     day.submit(job("run-big", crew="guests", heads=1000, rank="idle", trek_s=5.0, market_s=30.0))
