--- a/badgerroute/coordination/autoscaling/machine_tombstones.py
+++ b/badgerroute/coordination/autoscaling/machine_tombstones.py
@@ -2,6 +2,9 @@
 
 from collections.abc import Iterable
 
+from badgerroute.storage import records
+from badgerroute.storage.records import TombstoneRecord
+
 TOMBSTONES_PER_MACHINE = 2  # for each machine that there may be; copies come minutes late, not weeks
 
 
@@ -18,6 +21,11 @@
     def __len__(self) -> int:
         return len(self._names)
 
+    def record_changed(self, key: str, value: bytes | None, revision: int) -> None:
+        """Listener of the replica, for keys under `TOMBSTONES`. Names stay when a record goes."""
+        if value is not None:
+            self.add(records.read(value, TombstoneRecord).names)
+
     def add(self, names: Iterable[str]) -> None:
         """Add names, and remove the oldest if there are too many."""
         self._names.update(dict.fromkeys(names))
--- a/badgerroute/coordination/leadership/leadership_state.py
+++ b/badgerroute/coordination/leadership/leadership_state.py
@@ -71,6 +71,10 @@
             raise NotLeaderError(shard)
         return term_condition(shard, leadership.term)
 
+    def condition_if_led(self, shard: int) -> Compare | None:
+        """The same; None if this controller does not lead the shard."""
+        return self.condition(shard) if shard in self.leaderships else None
+
     @property
     def last_confirmed(self) -> timedelta:
         """The latest time at which no other controller can have led a shard of ours.
--- /dev/null
+++ b/badgerroute/coordination/leadership/subsystem.py
@@ -0,0 +1,48 @@
+"""Builds what decides which shards this controller leads, and what it may do for them."""
+
+from dataclasses import dataclass
+
+from badgerroute.connectivity.damping import FlapDamping
+from badgerroute.connectivity.mode_machine import ModeMachine
+from badgerroute.coordination.leadership.action_policy import ActionPolicy
+from badgerroute.coordination.leadership.autoscaler_election import AutoscalerElection
+from badgerroute.coordination.leadership.leader_election import LeaderElection
+from badgerroute.coordination.leadership.leader_records import LeaderRecords
+from badgerroute.coordination.leadership.leadership_state import LeadershipState
+from badgerroute.coordination.leadership.lease_keeper import LeaseKeeper
+from badgerroute.coordination.leadership.shard_transfer import ShardTransfer
+from badgerroute.settings import Settings
+from badgerroute.storage.subsystem import Storage
+from badgerroute.transport.loop import Loop
+
+
+@dataclass(frozen=True, slots=True)
+class LeadershipSubsystem:
+    """`state` is what this controller leads; `policy` what it may do now, by its mode and the last confirmation."""
+
+    state: LeadershipState
+    records: LeaderRecords
+    mode_machine: ModeMachine
+    policy: ActionPolicy
+    election: LeaderElection
+    shard_transfer: ShardTransfer
+
+
+def build_leadership(settings: Settings, loop: Loop, storage: Storage) -> LeadershipSubsystem:
+    """Nothing is led before `LeaderElection.run`."""
+    state = LeadershipState(settings, loop, storage.replica)
+    records = LeaderRecords(storage.store, storage.replica)
+    mode_machine = ModeMachine(FlapDamping.from_settings(settings.operator.connectivity))
+    policy = ActionPolicy(state, mode_machine)
+    host = settings.platform.host_name
+    election = LeaderElection(
+        settings=settings,
+        loop=loop,
+        replica=storage.replica,
+        leadership_state=state,
+        leader_records=records,
+        lease_keeper=LeaseKeeper(settings, loop, storage.store, state),
+        autoscaler_election=AutoscalerElection(storage.store, storage.replica, state, host),
+        policy=policy,
+    )
+    return LeadershipSubsystem(state, records, mode_machine, policy, election, ShardTransfer(state, records))
--- a/badgerroute/coordination/membership/leadership_transfer.py
+++ b/badgerroute/coordination/membership/leadership_transfer.py
@@ -70,7 +70,7 @@
     async def on_misrouted_heartbeat(self, message: MisroutedHeartbeat) -> None:
         """A machine of ours reported to a peer that did not relay the heartbeat: if many do, the shard goes there."""
         leader = self._leaders.get(message.shard)
-        if leader is None or not leader.ready or not leader.missed(message.machine):
+        if leader is None or not leader.ready or not leader.heartbeat_overdue(message.machine):
             return  # new machines report to any controller; that proves nothing
         self._worker_link.record_peer_heartbeat(
             message.shard, message.machine, message.host, self._loop.now(), relayed=False
@@ -93,7 +93,7 @@
         return False
 
     def _workers_lost(self, leader: ShardLeader, now: timedelta, unrelayed_only: bool) -> bool:
-        overdue = leader.silent() if leader.ready else 0
+        overdue = leader.silent_machines() if leader.ready else 0
         return self._worker_link.lost and self._worker_link.shard_suspected(leader.number, overdue, now, unrelayed_only)
 
     def _transfer_target(self, leader: ShardLeader, now: timedelta) -> Peer | None:
--- a/badgerroute/protocol/mesh.py
+++ b/badgerroute/protocol/mesh.py
@@ -5,6 +5,8 @@
 they are, and what a version adds has a default.
 """
 
+from typing import NamedTuple
+
 import msgspec
 from msgspec import UNSET, Struct, UnsetType, field
 
@@ -23,6 +25,13 @@
     count: int
 
 
+class ImageCapacity(NamedTuple):
+    """Free processors on the machines that cache an image: in all, and on one machine at most. On the wire an array."""
+
+    total_cpus: float
+    largest_cpus: float
+
+
 class PendingDemand(Struct, array_like=True):
     """Waiting tasks of one job in one shard."""
 
@@ -68,12 +77,12 @@
 class ShardSummary(Struct):
     """What the other shards need to know of one.
 
-    `images`: image -> free processors on machines that cache it: in all, and on one machine at most.
+    `images`: image -> free processors on machines that cache it.
     `cached_image_cpus`: image -> processors that each machine with it cached could offer, preemptible work aside.
     `preemptible_capacities`: priority level -> capacities for a job of it if work of lower levels were stopped.
     `soon_free_cpus`: processors of small tasks that should end before a new machine could serve.
     `running`: job -> how many of its tasks run. `used`: team -> its processors and accelerators in use.
-    `silent`: its leader has had no heartbeat in time of at least half of its machines.
+    `workers_silent`: its leader has had no heartbeat in time of at least half of its machines.
     """
 
     shard: int = field(name="part")
@@ -81,14 +90,14 @@
     reconciled: bool = field(name="settled")
     machines: int
     capacities: list[FreeCapacity] = field(name="bins")
-    images: dict[str, tuple[float, float]]
+    images: dict[str, ImageCapacity]
     cached_image_cpus: dict[str, list[float]] = field(name="beside")
     preemptible_capacities: dict[int, list[FreeCapacity]] = field(name="soft")
     demands: list[PendingDemand] = field(name="wants")
     soon_free_cpus: float = field(name="freeing")
     running: dict[str, int]
     used: dict[str, tuple[float, float]]
-    silent: bool = False
+    workers_silent: bool = field(name="silent", default=False)
     load: ShardLoad | UnsetType = UNSET
 
 
@@ -130,7 +139,7 @@
     victim: int
     thief: int
     capacities: list[FreeCapacity] = field(name="bins")
-    images: dict[str, tuple[float, float]]
+    images: dict[str, ImageCapacity]
     teams_lacking_quota: list[str] = field(name="short", default_factory=list)
 
 
--- a/badgerroute/rebalancing/service.py
+++ b/badgerroute/rebalancing/service.py
@@ -95,9 +95,9 @@
     def attach(self, controller: Controller, group: TaskGroup) -> None:
         """Begin the duty beside a controller that has not loaded its replica yet."""
         self._controller = controller
-        self._drains = DrainRegistry(self._loop, controller.replica, controller.store)
-        controller.replica.list_first(DRAINS)
-        controller.replica.listen(DRAINS, self._drain_changed)
+        self._drains = DrainRegistry(self._loop, controller.storage.replica, controller.storage.store)
+        controller.storage.replica.list_first(DRAINS)
+        controller.storage.replica.listen(DRAINS, self._drain_changed)
         group.run_forever(self._run, "rebalance", timedelta(seconds=1))
         group.run_forever(self._log_view, "rebalance-view", timedelta(seconds=1))
         group.run_forever(self._remove_orphans, "drain-orphans", timedelta(seconds=1))
@@ -124,12 +124,12 @@
         for number, leader in leaders.items():
             if leader.ready and number not in self._duties:
                 self._duties[number] = self._new_shard(number, leader)
-        policy = self._controller.policy
+        policy = self._controller.leadership.policy
         return [entry for number, entry in self._duties.items() if policy.allows_for(number, Action.START)]
 
     def _may_ask(self, leader: ShardLeader) -> bool:
         """Whether a shard may ask others for work."""
-        policy = self._controller.policy if self._controller is not None else None
+        policy = self._controller.leadership.policy if self._controller is not None else None
         return leader.shard.reconciled and policy is not None and policy.allows_for(leader.number, Action.STEAL)
 
     def _new_shard(self, number: int, leader: ShardLeader) -> _ShardRebalancing:
@@ -152,7 +152,7 @@
         if self._view_at is not None and now - self._view_at < VIEW_KEPT:
             return
         self._view_at = now
-        peers = self._controller.peers
+        peers = self._controller.membership.peers
         own = {leader.number: leader.summary() for leader in self._controller.leaders.values() if leader.ready}
         readings = [ShardReading(summary, ZERO) for summary in own.values()]
         readings += [ShardReading(summary, age) for summary, age in peers.shard_reports() if summary.shard not in own]
@@ -181,7 +181,7 @@
                     sorted({demand.team for shard in others for demand in shard.demands} - {request.team}),
                 )
                 log.info("event=work_requested shard=%d from=%d team=%s", own.shard, request.victim, request.team)
-                self._controller.requests.steal_from(request.victim, message)
+                self._controller.requests.shard_requests.steal_from(request.victim, message)
 
     async def _log_view(self) -> None:
         while True:
@@ -227,13 +227,14 @@
             plan = Evacuation(drain.deadline, HEARTBEATS_OF_MARGIN * self._heartbeat, patient=True)
             evacuate(shard, machine, plan, now, entry.leader.planner.run_time, entry.guidance.fetch_time)
             if entry.drains.emptied(machine) and drain.delete:
-                self._controller.deletion_queue.delete([name])
+                self._controller.autoscaling.deletion_queue.delete([name])
 
     async def _remove_orphans(self) -> None:
         assert self._controller is not None and self._drains is not None
         while True:
             await self._loop.sleep(ORPHANS_LOOKED_FOR)
-            if self._controller.leadership_state.autoscaler_term is not None and self._controller.policy.allows(
-                Action.CLEAN_UP
+            if (
+                self._controller.leadership_state.autoscaler_term is not None
+                and self._controller.leadership.policy.allows(Action.CLEAN_UP)
             ):
                 await self._drains.remove_orphans()
--- /dev/null
+++ b/badgerroute/storage/subsystem.py
@@ -0,0 +1,27 @@
+"""The clients of the outside services, and the replica of the key-value store: what everything else is built on."""
+
+from dataclasses import dataclass
+
+from badgerroute.settings import Settings
+from badgerroute.storage.cloud_client import CloudClient
+from badgerroute.storage.key_value_client import KeyValueClient
+from badgerroute.storage.replica import Replica
+from badgerroute.transport.loop import Loop
+from badgerroute.transport.net import Network
+
+
+@dataclass(frozen=True, slots=True)
+class Storage:
+    """One controller's access to the key-value store and the cloud."""
+
+    store: KeyValueClient
+    replica: Replica
+    cloud: CloudClient
+
+
+def build_storage(settings: Settings, loop: Loop, network: Network) -> Storage:
+    """Clients whose request rates are a controller's portion of what the services take."""
+    params, endpoints = settings.params, settings.platform.endpoints
+    store = KeyValueClient(loop, network, endpoints.state, params.state, params.size)
+    cloud = CloudClient(loop, network, endpoints.cloud, params.cloud, params.size)
+    return Storage(store, Replica(loop, store), cloud)
--- a/tests/standins/cuts.py
+++ b/tests/standins/cuts.py
@@ -63,12 +63,12 @@
         return leader is not None and leader.ready and controller.leadership_state.may_lead(shard)
 
     def _note(self, host: str, controller: Controller) -> None:
-        if not hasattr(controller, "monitor"):
+        if not hasattr(controller, "membership"):
             return  # an older version
         modes = self.counts.modes.setdefault(host, [])
-        if not modes or modes[-1] != controller.monitor.mode.value:
-            modes.append(controller.monitor.mode.value)
-        self._relayed_of[id(controller)] = controller.heartbeat_handler.relayed
+        if not modes or modes[-1] != controller.membership.monitor.mode.value:
+            modes.append(controller.membership.monitor.mode.value)
+        self._relayed_of[id(controller)] = controller.requests.heartbeat_handler.relayed
 
     async def _ask(self) -> None:
         """A user that asks another node every half second about a job that waits: a job nobody knows needs a read."""
--- a/tests/test_connectivity_days.py
+++ b/tests/test_connectivity_days.py
@@ -439,13 +439,13 @@
 
     def install(day: Day) -> Callable:
         def on_start(controller: Controller) -> None:
-            real = controller.forwarder.on_request
+            real = controller.membership.forwarder.on_request
 
             def on_request(message: ForwardedRequest) -> None:
                 real(message)
                 change(day, controller, message)
 
-            controller.forwarder.on_request = on_request  # type: ignore[method-assign]
+            controller.membership.forwarder.on_request = on_request  # type: ignore[method-assign]
 
         return on_start
 
@@ -459,8 +459,8 @@
 
         def again(host: str = host) -> None:
             if host in day.controllers:
-                day.controllers[host][0].forwarder._group.spawn(
-                    day.controllers[host][0].forwarder._answer(message), "copy"
+                day.controllers[host][0].membership.forwarder._group.spawn(
+                    day.controllers[host][0].membership.forwarder._answer(message), "copy"
                 )
 
         day.loop.later(timedelta(seconds=delay), again)
@@ -488,11 +488,11 @@
     day.run(5)
     heartbeat = day.site.workers["host-000001"].heartbeat()
     body = str(heartbeat).replace("'", '"').replace("None", "null").replace("True", "true").replace("False", "false")
-    desk_of = {host: one.heartbeat_handler for host, (one, _) in day.controllers.items()}
+    desk_of = {host: one.requests.heartbeat_handler for host, (one, _) in day.controllers.items()}
     leader = next(host for host, desk in desk_of.items() if desk._shard_of("host-000001") in desk._leaders)
     sent: list[str] = []
     for one, _ in day.controllers.values():
-        monkeypatch.setattr(one.forwarder, "_send", lambda target, message: sent.append(target))
+        monkeypatch.setattr(one.membership.forwarder, "_send", lambda target, message: sent.append(target))
     for host in others(leader):
         routine = day.loop.spawn(desk_of[host].handle(Request("POST", "/checkin", "", body.encode()), leader), "r")
         assert day.loop.run(routine).status == 503
@@ -504,7 +504,7 @@
     day = cluster(3)
     lost = 0
     for one, _ in day.controllers.values():
-        real = one.forwarder.on_response
+        real = one.membership.forwarder.on_response
 
         def on_response(message: ForwardedResponse, real: Callable = real) -> None:
             nonlocal lost
@@ -513,7 +513,7 @@
             else:
                 real(message)
 
-        monkeypatch.setattr(one.forwarder, "on_response", on_response)
+        monkeypatch.setattr(one.membership.forwarder, "on_response", on_response)
     play(day, lambda day: hold(day, from_workers(day, HOSTS[:1], "hold"), 30))
     assert lost >= 5
 
@@ -581,7 +581,7 @@
     cut, heal = between(day, [host], [*others(host), f"state-{host}"], "hold")
     cut()
     day.run(4)
-    assert day.controllers[host][0].monitor.mode.value == "unrecorded"
+    assert day.controllers[host][0].membership.monitor.mode.value == "unrecorded"
     controller = day.controllers[host][0]
     sent = [placement for one in controller.leaders[shard].shard.machines.values() for placement in one.placements]
     day.run(4)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -7,9 +7,9 @@
 import pytest
 
 from badgerroute.coordination.quotas.quota_allocator import QuotaAllocator
-from badgerroute.coordination.requests.job_service import JobService
-from badgerroute.coordination.requests.responses import answer
-from badgerroute.coordination.shards import forecast
+from badgerroute.coordination.requests.job_service import JobService, answer
+from badgerroute.coordination.shards import deadline_tiers
+from badgerroute.coordination.shards.job_transfers import Reassignment
 from badgerroute.coordination.shards.machine_commands import MachineCommands
 from badgerroute.settings import Objective
 from badgerroute.storage.task_ranges import TaskRange, assign_tasks
@@ -233,7 +233,7 @@
             for name in doomed:
                 day.site.remove_worker(name)
             for controller, _ in list(day.controllers.values()):  # each strikes off what is not its own
-                controller.deletion_queue.delete(sorted(doomed))
+                controller.autoscaling.deletion_queue.delete(sorted(doomed))
         day.run(5)
     day.send_copies(30, doomed)
     day.run(2)
@@ -613,11 +613,11 @@
     for controller, _ in day.controllers.values():
         for leader in controller.leaders.values():
             for one in list(leader.shard.jobs.values()):
-                record = controller.job_store.active[one.ref]
+                record = controller.jobs.store.active[one.ref]
                 thief = (leader.number + 1) % 3
                 moved = msgspec.structs.replace(record, ranges=[TaskRange(thief, 0, one.spec.tasks)])
-                day.loop.run(day.loop.spawn(leader.migration._write_steal([(one.ref, moved)], thief), "give"))
-                assert controller.job_store.active[one.ref].ranges == record.ranges
+                day.loop.run(day.loop.spawn(leader.job_transfers.write([Reassignment(one.ref, moved)], thief), "give"))
+                assert controller.jobs.store.active[one.ref].ranges == record.ranges
                 tried += bool(one.placed)
     assert tried
     assert day.finish() == []
@@ -635,10 +635,10 @@
         for leader in controller.leaders.values():
             one = leader.shard.jobs["run-many"]
             top = one.waiting_bits.bit_length()
-            record = controller.job_store.active["run-many"]
+            record = controller.jobs.store.active["run-many"]
             thief = (leader.number + 1) % 3
             moved = msgspec.structs.replace(record, ranges=assign_tasks(record.ranges, top - 3, top, thief))
-            real = leader.migration._store.transact
+            real = leader.job_transfers._store.transact
 
             async def transact(*args: object, leader=leader, one=one, real=real, top=top) -> int:
                 nonlocal looked
@@ -648,8 +648,10 @@
                 return await real(*args)
 
             with monkeypatch.context() as patch:
-                patch.setattr(leader.migration._store, "transact", transact)
-                day.loop.run(day.loop.spawn(leader.migration._write_steal([("run-many", moved)], thief), "give"))
+                patch.setattr(leader.job_transfers._store, "transact", transact)
+                day.loop.run(
+                    day.loop.spawn(leader.job_transfers.write([Reassignment("run-many", moved)], thief), "give")
+                )
             assert one.giving == 0
     assert looked == 3
     assert day.finish(400) == []
@@ -663,8 +665,8 @@
 
     Of a team without a limit, so that only the order of the jobs decides, and not how a limit happens to be divided.
     """
-    assert 1.5 * forecast.STARVING_AFTER <= 240 * SECOND, "the largest too begin within four minutes"
-    monkeypatch.setattr(forecast, "STARVING_AFTER", starving * SECOND)
+    assert 1.5 * deadline_tiers.STARVING_AFTER <= 240 * SECOND, "the largest too begin within four minutes"
+    monkeypatch.setattr(deadline_tiers, "STARVING_AFTER", starving * SECOND)
     day = Day(seed=seed, capacity=0, objectives=[Objective("deadline", 0.9, "batch")])
     day.run(4)
     day.submit(job("run-big", crew="guests", heads=1000, rank="idle", trek_s=5.0, market_s=30.0))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,8 +10,10 @@
 import msgspec
 import pytest
 
-from badgerroute.coordination import controller as controller_module
+from badgerroute.coordination import socket_budget
 from badgerroute.coordination.shards import tombstone_writer as tombstone_writer_module
+from badgerroute.coordination.shards.heartbeat_responder import HeartbeatRefusal
+from badgerroute.coordination.shards.job_transfers import Reassignment
 from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.coordination.shards.summary import summarize
 from badgerroute.protocol.cloud import MachineType
@@ -62,9 +64,9 @@
 
     async def answer_heartbeat(
         self: ShardLeader, heartbeat: Heartbeat, relayed: bool = False
-    ) -> HeartbeatResponse | None:
+    ) -> HeartbeatResponse | HeartbeatRefusal:
         answer = await real(self, heartbeat, relayed)
-        if answer is not None:
+        if isinstance(answer, HeartbeatResponse):
             answered.append(answer.fencing_token >= heartbeat.fencing_token)
         return answer
 
@@ -86,9 +88,9 @@
     day = Day(seed=3)
     day.run(5)
     controller = day.controllers[HOSTS[0]][0]
-    election, leaderships = controller.election, controller.leadership_state.leaderships
+    election, leaderships = controller.leadership.election, controller.leadership_state.leaderships
     term = leaderships[0].term
-    controller.leader_records.pending.add(0)
+    controller.leadership.records.pending.add(0)
     election.step_down_if_outranked(0, term)
     assert 0 in leaderships, "its own term is no news"
     election.step_down_if_outranked(0, term + 5)
@@ -106,12 +108,12 @@
     controller.leadership_state.step_down(0)
 
     def give() -> None:
-        record = controller.job_store.active["run-a"]
+        record = controller.jobs.store.active["run-a"]
         top = leader.shard.jobs["run-a"].waiting_bits.bit_length()
         moved = msgspec.structs.replace(record, ranges=assign_tasks(record.ranges, top - 3, top, 1))
         assert moved.ranges != record.ranges
-        day.loop.run(day.loop.spawn(leader.migration._write_steal([("run-a", moved)], 1), "give"))
-        assert controller.job_store.active["run-a"].ranges != moved.ranges
+        day.loop.run(day.loop.spawn(leader.job_transfers.write([Reassignment("run-a", moved)], 1), "give"))
+        assert controller.jobs.store.active["run-a"].ranges != moved.ranges
 
     give()
     day.run(3)
@@ -134,26 +136,26 @@
             day.world.cut(host, other, "hold")
         day.run(6)
         assert 0 in controller.leaders, "it acts on for G"
-        controller.deletion_queue.delete([name])
+        controller.autoscaling.deletion_queue.delete([name])
         day.run(5)
         assert name in day.site.workers
         for other in others:
             day.world.heal(host, other)
     else:
-        controller.deletion_queue.delete([name])
+        controller.autoscaling.deletion_queue.delete([name])
         day.loop.freeze(host, 12)
         day.run(13)
     day.run(20)
     assert name in day.site.workers, "it was a new owner's to decide about"
-    controller.deletion_queue.delete([name])
+    controller.autoscaling.deletion_queue.delete([name])
     day.run(3)
     assert name not in day.site.workers
 
 
 def test_commands_to_machines_share_few_sockets(monkeypatch: pytest.MonkeyPatch) -> None:
     """One controller takes over all shards: a connection to each member at once would leave none for anybody else."""
-    monkeypatch.setattr(controller_module, "MAX_DIRECT_COMMANDS", 8)
-    monkeypatch.setattr(controller_module, "SOCKETS_PER_DIRECT_COMMAND", 1000)  # so that eight it is at 600 sockets
+    monkeypatch.setattr(socket_budget, "MAX_DIRECT_COMMANDS", 8)
+    monkeypatch.setattr(socket_budget, "SOCKETS_PER_DIRECT_COMMAND", 1000)  # so that eight it is at 600 sockets
     day = Day(seed=5, machines=60)
     day.run(6)
     for host in HOSTS[1:]:
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -145,7 +145,7 @@
     controller = day.controllers[leader][0]
     day.store.unwatched.add(leader)
     heal = cut(day, leader, others(leader), "reset")
-    asked = controller.replica.last_confirmed
+    asked = controller.storage.replica.last_confirmed
     day.run(0.3)
     assert day.cancel("run-a", host=others(leader)[0]) == "withdrawn"
     day.run(12)
@@ -163,7 +163,7 @@
 def test_a_watch_counts_from_when_it_was_asked() -> None:
     day = Day(seed=22)
     day.run(12)
-    replica = day.controllers[HOSTS[0]][0].replica
+    replica = day.controllers[HOSTS[0]][0].storage.replica
     ages = []  # of the proof, at the moment at which the watch that gives it is answered
     for _ in range(300):
         known = replica.last_confirmed
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -68,7 +68,7 @@
     day = Day(seed=14)
     day.run(5)
     day.submit(job("run-a", heads=40, trek_s=30.0))
-    state = day.controllers[HOSTS[0]][0].store
+    state = day.controllers[HOSTS[0]][0].storage.store
     before = state.requests
     polls = [day.loop.spawn(_poll(day, HOSTS[0], "run-a"), "poll") for _ in range(200)]
     day.run(1)
@@ -185,7 +185,7 @@
 def test_what_a_dead_controller_can_not_use_serves_the_others() -> None:
     day = Day(seed=22)
     day.run(10)
-    states = {host: controller.store for host, (controller, _) in day.controllers.items()}
+    states = {host: controller.storage.store for host, (controller, _) in day.controllers.items()}
     full = states[HOSTS[0]].rates.changes.rate
     day.crash(HOSTS[2])
     day.run(3)
@@ -207,7 +207,7 @@
     mine, other = (day.controllers[host][0] for host in HOSTS[:2])
     theirs = next(iter(other.leaders[1].shard.machines))
     own = next(iter(mine.leaders[0].shard.machines))
-    mine.deletion_queue.delete([theirs, own])
+    mine.autoscaling.deletion_queue.delete([theirs, own])
     day.run(3)
     assert theirs in day.site.workers and own not in day.site.workers
 
--- a/tests/test_pipeline_edges.py
+++ b/tests/test_pipeline_edges.py
@@ -76,7 +76,7 @@
 def test_a_mistaken_refusal_does_not_squeeze_a_controller_for_good() -> None:
     day = Day(seed=71)
     day.run(4)
-    state = day.controllers[HOSTS[0]][0].store
+    state = day.controllers[HOSTS[0]][0].storage.store
     before = state.max_changes, state.max_value_bytes
     day.store.refusing = True
 
@@ -132,10 +132,10 @@
     day.run(6)
     refs = finished(day, 100, state)
     controller = day.controllers[HOSTS[0]][0]
-    before, began = controller.store.requests, day.loop.now()
+    before, began = controller.storage.store.requests, day.loop.now()
     response = day.ask("POST", "/v1/jobs", job("run-new", heads=1, follows=refs), host=HOSTS[0])
     assert response.status == 201 and day.loop.now() - began < timedelta(milliseconds=400)
-    assert controller.store.requests - before < 40
+    assert controller.storage.store.requests - before < 40
     day.site.jobs["run-new"] = job("run-new", heads=1, follows=refs)
     day.accepted.add("run-new")
     for host in HOSTS:
@@ -160,7 +160,7 @@
     day = Day(seed=75, later=LOWER)
     day.run(5)
     refs = finished(day, 460)
-    most = day.controllers[HOSTS[0]][0].pager.max_predecessors
+    most = day.controllers[HOSTS[0]][0].jobs.pager.max_predecessors
     assert most == 24 * 18
     response = day.ask("POST", "/v1/jobs", job("run-a", follows=refs), host=HOSTS[0])
     assert response.status == 422 and str(most).encode() in response.body
@@ -188,7 +188,7 @@
     day.run(5)
     one, two = (day.controllers[host][0] for host in HOSTS[:2])
     ranges = [TaskRange(0, 0, 6)]
-    assert wait_for(day, one.job_writer.accept(submission("run-a", many("m", 60)), ranges))
+    assert wait_for(day, one.jobs.writer.accept(submission("run-a", many("m", 60)), ranges))
     stored = {key: item for key, item in day.store.items.items() if key.startswith("b/before/run-a/")}
     assert len(stored) == 3
     assert wait_for(day, two.job_writer.accept(submission("run-a", many("n", 90)), ranges)) is False
@@ -200,7 +200,7 @@
     day = Day(seed=77, later=LOWER)
     day.run(5)
     one, two = (day.controllers[host][0] for host in HOSTS[:2])
-    real = one.job_writer._write_pages
+    real = one.jobs.writer._write_pages
 
     async def interrupted(*args: object) -> list:
         conditions = await real(*args)
@@ -208,12 +208,12 @@
         await two.job_writer._write_pages(compact.pages, args[1])
         return conditions
 
-    one.job_writer._write_pages = interrupted
+    one.jobs.writer._write_pages = interrupted
     ranges = [TaskRange(0, 0, 6)]
-    assert wait_for(day, one.job_writer.accept(submission("run-a", many("m", 60)), ranges)) is False
+    assert wait_for(day, one.jobs.writer.accept(submission("run-a", many("m", 60)), ranges)) is False
     assert "b/jobs/run-a" not in day.store.items
-    one.job_writer._write_pages = real
-    assert wait_for(day, one.job_writer.accept(submission("run-a", many("m", 60)), ranges))
+    one.jobs.writer._write_pages = real
+    assert wait_for(day, one.jobs.writer.accept(submission("run-a", many("m", 60)), ranges))
     pages = [day.store.items[f"b/before/run-a/{number}"][0]["refs"] for number in range(3)]
     assert sum(pages, []) == many("m", 60)
 
@@ -223,8 +223,8 @@
     day.run(5)
     controller = day.controllers[HOSTS[0]][0]
     for turn in range(4):  # cut short again and again, with another list each time
-        compact = controller.pager.compact(records.JobRecord(submission("run-a", many("m", 60 + turn)), 0.0, []))
-        wait_for(day, controller.job_writer._write_pages(compact.pages, []))
+        compact = controller.jobs.pager.compact(records.JobRecord(submission("run-a", many("m", 60 + turn)), 0.0, []))
+        wait_for(day, controller.jobs.writer._write_pages(compact.pages, []))
         day.restart(HOSTS[turn % 3], SECOND)
         day.run(8)
         controller = day.controllers[HOSTS[0]][0]
@@ -269,7 +269,7 @@
     day.submit(job("run-a", heads=1, trek_s=30.0))
     day.submit(job("run-b", heads=1, follows=["run-a"]))
     day.run(1)
-    store = day.controllers[HOSTS[0]][0].job_store
+    store = day.controllers[HOSTS[0]][0].jobs.store
     assert (
         not store.release_pending("run-b")
         and not store.release_pending("run-a")
@@ -366,14 +366,14 @@
     day.cancel("run-a")
     day.run(CANCEL + 2)
     controller = day.controllers[HOSTS[0]][0]
-    accept = controller.job_writer.accept
+    accept = controller.jobs.writer.accept
 
     async def slowly(*args: object) -> bool:
         accepted = await accept(*args)
         await day.loop.sleep(8 * SECOND)
         return accepted
 
-    controller.job_writer.accept = slowly
-    response = wait_for(day, controller.job_service._accept(submission("run-b", ["run-a"])))
+    controller.jobs.writer.accept = slowly
+    response = wait_for(day, controller.requests.job_service._accept(submission("run-b", ["run-a"])))
     assert "b/past/run-b" in day.store.items
     assert response.status == 201 and b"withdrawn" in response.body
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -12,8 +12,8 @@
 from badgerroute.coordination.membership.send_queue import MAX_QUEUED_BYTES, SendQueue
 from badgerroute.coordination.shards import summary as summary_module
 from badgerroute.coordination.shards.fencing import Fencing
-from badgerroute.coordination.shards.shard_leader import SUMMARY_KEPT_PER_MACHINE
 from badgerroute.coordination.shards.summary import summarize
+from badgerroute.coordination.shards.summary_cache import READING_AGE_PER_MACHINE
 from badgerroute.protocol import mesh
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.mesh import FreeCapacity, PendingDemand, ShardLoad, ShardSummary
@@ -233,7 +233,7 @@
 def test_takeover_and_restart_of_all(machines: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """One controller takes all shards over, then all restart: no lease runs out, and nobody is taken for silent."""
     called_silent: list[str] = []
-    monkeypatch.setattr(Fencing, "_give_up", lambda self, machine: called_silent.append(machine.name))
+    monkeypatch.setattr(Fencing, "_delete_unresponsive", lambda self, machine: called_silent.append(machine.name))
     monkeypatch.setattr(
         HeartbeatReconciler, "_mark_unreachable", lambda self, machine: called_silent.append(machine.name)
     )
@@ -246,9 +246,9 @@
         day.crash(host)
     heir = day.controllers[HOSTS[0]][0]
     assert day.until(lambda: len(heir.leaders) == len(HOSTS) and reconciled(day), 15), "one holds everything"
-    requests = heir.store.requests
+    requests = heir.storage.store.requests
     day.run(3)
-    assert heir.store.requests - requests < 150, "its requests do not follow its machines"
+    assert heir.storage.store.requests - requests < 150, "its requests do not follow its machines"
     assert day.sockets(HOSTS[0]) < machines + 300
     day.crash(HOSTS[0])
     for host in HOSTS:
@@ -256,7 +256,7 @@
     assert day.until(lambda: reconciled(day), 15)
     pages = -(-machines // 500)
     for controller, _ in day.controllers.values():
-        assert controller.store.requests < 120 + 3 * pages
+        assert controller.storage.store.requests < 120 + 3 * pages
     assert {worker.incarnation for worker in day.site.workers.values()} == {1}, "no lease ran out"
     assert called_silent == []
     assert day.rules.broken == []
@@ -268,7 +268,7 @@
         shard, _ = busy_shard(machines)
         costs.append(calls_in(lambda shard=shard: count_overdue(shard, SECOND, 0 * SECOND, 2 * SECOND)))
     assert costs[1] < 5 * costs[0]
-    assert SUMMARY_KEPT_PER_MACHINE * MANY == 2 * SECOND, "an owner keeps a reading for so long"
+    assert READING_AGE_PER_MACHINE * MANY == 2 * SECOND, "an owner keeps a reading for so long"
 
 
 def test_a_relayed_heartbeat_costs_the_same_at_any_size() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -260,21 +260,21 @@
     day.store.revision = 1
     day.store.items["b/jobs/run-big"] = (left_by_an_old_version(40000, missing, [[0, 0, 40000]], None), 1, None)
     day.run(4)
-    job_store = day.controllers[HOSTS[0]][0].job_store
+    job_store = day.controllers[HOSTS[0]][0].jobs.store
     before = job_store.done("run-big", job_store.active["run-big"])
     day.store.lower(day.settings[HOSTS[0]].params.state)
     day.store.late_writes = 0.4
     for turn in range(60):
         for controller, _ in day.controllers.values():
-            day.group.spawn(controller.pager.page_out("run-big"), "page-out")
+            day.group.spawn(controller.jobs.pager.page_out("run-big"), "page-out")
         day.run(1)
         if turn == 25:
             day.restart(HOSTS[1], SECOND)
         if turn == 40:
             day.store.late_writes = 0.0
         for controller, _ in day.controllers.values():
-            record = controller.job_store.active.get("run-big")
-            assert record is None or controller.job_store.done("run-big", record) == before
+            record = controller.jobs.store.active.get("run-big")
+            assert record is None or controller.jobs.store.done("run-big", record) == before
     assert day.store.items["b/jobs/run-big"][0]["bits"] == ""
     assert day.store.too_large == []
 
@@ -285,7 +285,7 @@
 def test_the_lower_rate_counts_once_it_shows(write_rps: float | None, refused: int, lowered: bool) -> None:
     day = Day(seed=63, later=LaterStoreLimits(write_rps=write_rps))
     day.run(3)
-    state = day.controllers[HOSTS[0]][0].store
+    state = day.controllers[HOSTS[0]][0].storage.store
     full = state.rates.changes.rate
     for _ in range(refused):
         state.rates.count_refusal()
@@ -297,7 +297,7 @@
     day = Day(seed=64, value_kb=16.0, txn_ops=16)
     day.run(4)
     day.store.limits = StoreLimits(100, 40, 1.5, 4)
-    state = day.controllers[HOSTS[0]][0].store
+    state = day.controllers[HOSTS[0]][0].storage.store
 
     async def write(changes: int) -> None:
         await state.transact([], [put(f"b/x/{one}", "y" * 100) for one in range(changes)], Urgency.COMPLETE)
