--- a/tests/test_pipeline_edges.py
+++ b/tests/test_pipeline_edges.py
@@ -191,7 +191,7 @@
     assert wait_for(day, one.jobs.writer.accept(submission("run-a", many("m", 60)), ranges))
     stored = {key: item for key, item in day.store.items.items() if key.startswith("b/before/run-a/")}
     assert len(stored) == 3
-    assert wait_for(day, two.job_writer.accept(submission("run-a", many("n", 90)), ranges)) is False
+    assert wait_for(day, two.jobs.writer.accept(submission("run-a", many("n", 90)), ranges)) is False
     assert {key: item for key, item in day.store.items.items() if key.startswith("b/before/run-a/")} == stored
 
 
@@ -204,8 +204,8 @@
 
     async def interrupted(*args: object) -> list:
         conditions = await real(*args)
-        compact = two.pager.compact(records.JobRecord(submission("run-a", many("n", 60)), 0.0, []))
-        await two.job_writer._write_pages(compact.pages, args[1])
+        compact = two.jobs.pager.compact(records.JobRecord(submission("run-a", many("n", 60)), 0.0, []))
+        await two.jobs.writer._write_pages(compact.pages, args[1])
         return conditions
 
     one.jobs.writer._write_pages = interrupted
