--- a/badgerroute/coordination/membership/forwarding.py
+++ b/badgerroute/coordination/membership/forwarding.py
@@ -4,7 +4,6 @@
 key-value store, and does not forward the request again. A message that is lost costs time.
 """
 
-import logging
 from collections.abc import Awaitable, Callable
 from datetime import timedelta
 
@@ -12,7 +11,6 @@
 from badgerroute.transport.http import Request, Response
 from badgerroute.transport.loop import Future, Loop, TaskGroup
 
-log = logging.getLogger(__name__)
 Handler = Callable[[Request, str], Awaitable[Response]]
 FIRST_NUMBER_RANGE = 1 << 48  # to draw the number of the first request from
 
