--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -160,7 +160,7 @@
         before = machine.mode
         change = machine.update(reachable, at * SECOND)
         assert (change is None) == (machine.mode is before)
-        assert change is None or (change.before, change.after, bool(change.cause)) == (before, machine.mode, True)
+        assert change is None or (change.before, change.after, bool(change.cause.value)) == (before, machine.mode, True)
         seen.append(machine.mode)
     assert seen == modes
 
