--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -5,7 +5,7 @@
 from badgerroute.coordination.controller import Controller
 from badgerroute.coordination.leadership.leader_election import ClaimFailure, LeadershipNotGainedError
 from badgerroute.coordination.leadership.leadership_state import Leadership, NotLeaderError
-from badgerroute.storage.key_value_client import compare
+from badgerroute.storage.operations import compare
 from tests.standins.day import HOSTS, Day
 
 
@@ -19,7 +19,7 @@
 
 
 def raise_term(day: Day, controller: Controller, shard: int) -> int:
-    return day.loop.run(day.loop.spawn(controller.election.raise_term(shard), "raise"))
+    return day.loop.run(day.loop.spawn(controller.leadership.election.raise_term(shard), "raise"))
 
 
 def test_a_raised_term_is_higher_and_is_what_writes_are_conditional_on() -> None:
@@ -44,7 +44,7 @@
     day, controller = elected_controller()
     before = dict(controller.leadership_state.leaderships)
     if pending:
-        controller.leader_records.pending.add(shard)
+        controller.leadership.records.pending.add(shard)
     if not lease:
         controller.leadership_state.lease = None
     with pytest.raises(LeadershipNotGainedError) as caught:
@@ -65,7 +65,7 @@
     with pytest.raises(LeadershipNotGainedError) as caught:
         raise_term(day, controller, 0)
     assert caught.value.reason is ClaimFailure.COMPARE_FAILED
-    assert not controller.leader_records.pending
+    assert not controller.leadership.records.pending
 
 
 def test_a_shard_that_is_not_led_has_no_condition() -> None:
