--- /dev/null
+++ b/badgerroute/transport/http_messages.py
@@ -0,0 +1,57 @@
+"""HTTP/1.1 requests and responses, and how a response is sent."""
+
+from dataclasses import dataclass, field
+from urllib.parse import unquote_plus
+
+REASONS = {
+    200: "OK",
+    201: "Created",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    409: "Conflict",
+    421: "Misdirected Request",
+    422: "Unprocessable Content",
+    429: "Too Many Requests",
+    500: "Internal Server Error",
+    503: "Service Unavailable",
+}
+
+
+@dataclass(slots=True)
+class Request:
+    """An HTTP request that was read whole. `keep`: the connection stays open after the response."""
+
+    method: str
+    path: str
+    query: str
+    body: bytes = b""
+    keep: bool = True
+
+
+@dataclass(slots=True)
+class Response:
+    """An HTTP response. `keep`: the connection stays open after it."""
+
+    status: int
+    body: bytes = b""
+    headers: dict[str, str] = field(default_factory=dict)
+    keep: bool = True
+
+
+def parse_query(query: str) -> dict[str, str]:
+    """The parameters of a query string; of a repeated one the last."""
+    pairs = (part.partition("=") for part in query.split("&") if part)
+    return {unquote_plus(name): unquote_plus(value) for name, _, value in pairs}
+
+
+def encode_response(response: Response, keep: bool) -> bytes:
+    """The bytes of a response."""
+    lines = [f"HTTP/1.1 {response.status} {REASONS.get(response.status, 'Status')}"]
+    if response.body:
+        lines.append("Content-Type: application/json")
+    lines.append(f"Content-Length: {len(response.body)}")
+    lines.extend(f"{name}: {value}" for name, value in response.headers.items())
+    if not keep:
+        lines.append("Connection: close")
+    return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1") + response.body
