--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -207,11 +207,11 @@
 
 def test_a_wrong_name_would_be_found() -> None:
     assert unknown_modules("`badgerroute/nowhere.py` `Loop`") == ["no module badgerroute/nowhere.py"]
-    assert unknown_modules("`badgerroute/transport/loop.py` `Loop.now`, `Lop`") == [
-        "no class Lop in badgerroute/transport/loop.py"
+    assert unknown_modules("`badgerroute/transport/event_loop.py` `Loop.now`, `Lop`") == [
+        "no class Lop in badgerroute/transport/event_loop.py"
     ]
-    assert unknown_modules("`badgerroute/transport/loop.py` `Loop.then`") == [
-        "no Loop.then in badgerroute/transport/loop.py"
+    assert unknown_modules("`badgerroute/transport/event_loop.py` `Loop.then`") == [
+        "no Loop.then in badgerroute/transport/event_loop.py"
     ]
     assert unknown_names("`Loop.now`, `Loop.then`, `Loops`, `run_never`") == ["Loop.then", "Loops", "run_never"]
 
