--- a/badgerroute/settings/__init__.py
+++ b/badgerroute/settings/__init__.py
@@ -1,4 +1,8 @@
-"""The settings of a controller: the platform's (TOML), the operators' own (HCL), and what follows from both."""
+"""The settings of a controller: the platform's (TOML), the operators' own (HCL), and what follows from both.
+
+Owns the names, forms and limits of all settings; their values are read once, at the start, and do not change. It knows
+no keys. Imports no other package.
+"""
 
 from badgerroute.settings.derived import Settings
 from badgerroute.settings.loading import SettingsError, load, load_operator, load_platform
