--- a/badgerroute/connectivity/overdue_heartbeats.py
+++ b/badgerroute/connectivity/overdue_heartbeats.py
@@ -28,7 +28,7 @@
 def count_overdue(shard: ShardView, heartbeat_interval: timedelta, resumed_at: timedelta, now: timedelta) -> int:
     """How many machines' heartbeats are overdue, if half of all or more are, else 0; lost machines don't count."""
     # A machine that was fenced by a direct command has not reported yet, and is not lost for that: if it did not count,
-    # a cut right after a takeover would go unnoticed (docs/incidents.md).
+    # a cut right after a failover would go unnoticed (docs/incidents.md).
     expected = [machine for machine in shard.machines.values() if machine.alive or machine.lost_at is None]
     overdue = sum(is_overdue(machine, shard, heartbeat_interval, resumed_at, now) for machine in expected)
     return overdue if len(expected) >= MIN_MACHINES and 2 * overdue >= len(expected) else 0
--- a/badgerroute/coordination/autoscaling/machine_inventory.py
+++ b/badgerroute/coordination/autoscaling/machine_inventory.py
@@ -41,7 +41,7 @@
         self._min_interval = max(MIN_LIST_INTERVAL, settings.params.cloud.list_lag / 2)
         self._unclaimed_timeout = 2 * max_list_age(settings) + settings.params.workers.lease
         self._listed_at: timedelta | None = None  # when the list was last asked for; None: not in this term
-        self._listing_time = timedelta(0)  # that a list of all machines takes at our share of the calls
+        self._listing_time = timedelta(0)  # that a list of all machines takes at this controller's rate of calls
         self._unclaimed_since: dict[str, timedelta] = {}  # machines that run, and are no shard's member
 
     def reset(self) -> None:
--- a/badgerroute/coordination/jobs/downstream_cancellation.py
+++ b/badgerroute/coordination/jobs/downstream_cancellation.py
@@ -35,7 +35,7 @@
 
 
 class DownstreamCancellation:
-    """Cancels dependents.
+    """Cancels the jobs downstream of cancelled ones.
 
     The leader of a job's first tasks comes first and the others after it, each later by its home shard, so that their
     writes do not conflict.
--- a/badgerroute/coordination/leadership/leader_election.py
+++ b/badgerroute/coordination/leadership/leader_election.py
@@ -127,7 +127,7 @@
         await self._autoscaler_election.campaign()
 
     def _campaign_delay(self) -> timedelta:
-        """Lets the controller with the fewest shards go first, which settles most races.
+        """Lets the controller with the fewest shards go first, which decides most races.
 
         A controller that no worker reaches leaves a free shard to others, if there are any.
         """
@@ -146,7 +146,7 @@
 
         A record under this controller's own name is from an earlier run of it, which is over, or was transferred here
         by a leader that had stopped before. A leader before that may have been cut off, so the time in the record is
-        kept. Without a transfer that does not suffice: a claim of ours for the absent key may have been carried out
+        kept. Without a transfer that does not suffice: a write of ours for the absent key may have been carried out
         seconds late, after somebody else had led the shard and been cut off, and then the time in it is too early.
         """
         grace_end = record.until if record is not None else 0.0
--- a/badgerroute/coordination/membership/leadership_transfer.py
+++ b/badgerroute/coordination/membership/leadership_transfer.py
@@ -55,7 +55,7 @@
             peer = self._peers.reachable_peer(host)
             leader = self._leaders.get(shard)
             # A peer that has lost the key-value store still reports the lease it once had. Without this check the shard
-            # would be given up and claimed anew in every round, for as long as the cut lasts.
+            # would be given up and won again in every round, for as long as the cut lasts.
             if peer is None or not peer.may_receive_shard():
                 continue
             if leader is not None and leader.shard.reconciled:
--- a/badgerroute/coordination/quotas/quota_allocator.py
+++ b/badgerroute/coordination/quotas/quota_allocator.py
@@ -37,7 +37,7 @@
     """Reads and changes the allocations of the shards that this controller leads.
 
     `_transferring` has, while a transfer is being written, what is left to the shard that gives: from then on nothing
-    may start in the part that goes, though the write may not be applied yet.
+    may start within the quota that is given away, though the write may not be applied yet.
     """
 
     def __init__(
--- a/badgerroute/coordination/requests/heartbeat_handler.py
+++ b/badgerroute/coordination/requests/heartbeat_handler.py
@@ -104,8 +104,8 @@
         """The leader's own answer to a heartbeat that can't reach it; None if the heartbeat is not to be relayed, or in
         vain.
 
-        The leader decides, in its own term. Its answer reaches the worker as the answer to this very report, within the
-        time that the worker waits, or not at all: docs/safety.md.
+        The leader decides, in its own term. Its answer reaches the worker as the answer to this very heartbeat, within
+        the time that the worker waits, or not at all: docs/safety.md.
         """
         if not self._relays or peer is None or not peer.accepts_forwarded_from(self._host):
             return None
--- a/badgerroute/coordination/requests/shard_requests.py
+++ b/badgerroute/coordination/requests/shard_requests.py
@@ -101,7 +101,7 @@
 ) -> int | None:
     """The shard where most waits that would fit the thief's room.
 
-    What fits nowhere there once drew every request to itself, while a third shard's work waited beside room for it.
+    Work that fits none of it does not count: it would draw every request, while work of a third shard could run.
     """
     waiting = {
         summary.shard: sum(
--- a/badgerroute/coordination/shards/fencing.py
+++ b/badgerroute/coordination/shards/fencing.py
@@ -14,7 +14,7 @@
 
 log = logging.getLogger(__name__)
 FENCE_RETRY = timedelta(milliseconds=700)
-SILENCE_LIMIT = timedelta(seconds=3.5)  # a member that is silent for so long after a takeover is deleted at the cloud
+SILENCE_LIMIT = timedelta(seconds=3.5)  # a member that is silent for so long after a failover is deleted at the cloud
 LONG_SILENCE_LIMIT = 5 * SILENCE_LIMIT
 
 
--- a/badgerroute/coordination/shards/leader_context.py
+++ b/badgerroute/coordination/shards/leader_context.py
@@ -1,4 +1,4 @@
-"""What the leaders of one controller's shards share, in bundles of which each part of a leader gets what it needs."""
+"""What the leaders of one controller's shards share, grouped so that each component gets only what it needs."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
--- a/badgerroute/coordination/shards/leader_parts.py
+++ b/badgerroute/coordination/shards/leader_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a shard's leader, built in the order in which they need each other."""
+"""Builds the components of a shard's leader, in the order in which they need each other."""
 
 from dataclasses import dataclass
 from functools import partial
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderCore:
-    """What every part of one leader builds on; `group` has all its tasks."""
+    """What every component of one leader is built from; `group` runs all its tasks."""
 
     context: LeaderContext
     group: TaskGroup
@@ -230,7 +230,7 @@
 
 
 def build_failover(core: LeaderCore, link: MachineLink, job_sync: JobSync, machine_sync: MachineSync) -> Failover:
-    """What takes the shard over."""
+    """What carries the failover out."""
     context = core.context
     return Failover(
         shard=core.shard,
@@ -254,7 +254,7 @@
 
 
 def build_summary_cache(core: LeaderCore) -> SummaryCache:
-    """The readings for other shards and for other parts of the controller."""
+    """The readings for other shards and for the rest of the controller."""
     context = core.context
     return SummaryCache(
         settings=context.settings,
--- a/badgerroute/coordination/shards/machine_commands.py
+++ b/badgerroute/coordination/shards/machine_commands.py
@@ -46,9 +46,9 @@
     ) -> bool:
         """Send commands to a machine's own address; whether it accepted them in the shard's term.
 
-        Starts are left out, since these may be carried out minutes late. `leaves` is called when the turn has come:
-        only so many commands are under way at a time, and nothing stays open, for a leader of everything has a
-        thousand members, and every one of them holds a connection to us already.
+        Starts are left out, since these may be carried out minutes late. `leaves` is called once the semaphore
+        admits the command, which may take seconds. No connection stays open afterwards: the leader of all shards has a
+        thousand members, each of which holds a connection to us already.
         """
         async with self._semaphore.acquire(urgent):
             if leaves is not None:
--- a/badgerroute/coordination/shards/quota_exchange.py
+++ b/badgerroute/coordination/shards/quota_exchange.py
@@ -84,8 +84,8 @@
         return QuotaShortage(rank, lack, max(now - job.accepted for job in first))
 
     async def grant(self, message: QuotaRequest) -> None:
-        """Another shard lacks quota: give it what is neither used nor soon usable here, or what it has the better
-        claim to.
+        """Another shard lacks quota: give it what is neither used nor soon usable here, or what its jobs need
+        before ours.
         """
         team = message.team
         if not self._shard.reconciled or not self._policy.allows_for(self._shard.number, Action.MOVE_QUOTA):
--- a/badgerroute/coordination/shards/shard_leader.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -48,11 +48,11 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the shard has been taken over, and is still led."""
+        """Whether the failover is complete, and the shard still led."""
         return self._status.ready
 
     def start(self) -> None:
-        """Begin to take the shard over."""
+        """Begin the failover."""
         self.group.spawn(self._run(), "takeover")
 
     async def _run(self) -> None:
--- a/badgerroute/coordination/shards/shard_leaders.py
+++ b/badgerroute/coordination/shards/shard_leaders.py
@@ -24,7 +24,7 @@
         self._group = group
 
     def ready(self) -> Iterator[ShardLeader]:
-        """The leaders that have taken their shard over."""
+        """The leaders whose failover is complete."""
         return (leader for leader in self.values() if leader.ready)
 
     def job_changed(self, ref: str) -> None:
@@ -73,7 +73,7 @@
         self._leaders, self._context, self._deletion = leaders, context, deletion
 
     def elected(self, shard: int, leadership: Leadership) -> None:
-        """This controller has won a shard: begin to take it over."""
+        """This controller has won a shard: begin the failover."""
         leader = ShardLeader(shard, leadership, self._context)
         self._leaders[shard] = leader
         leader.start()
--- a/badgerroute/rebalancing/drain_requests.py
+++ b/badgerroute/rebalancing/drain_requests.py
@@ -1,4 +1,4 @@
-"""Operators' requests to drain machines, written to the key-value store: any controller that owns one acts by them."""
+"""Operators' requests to drain machines, written to the key-value store. The machine's leader acts on them."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -37,9 +37,9 @@
 
 
 class DrainRequests:
-    """Each request is one conditional write, and a lost answer is settled by reading back.
+    """Each request is one conditional write. After a lost answer, the keys are read back.
 
-    StateUnavailableError: nothing is known, the request may be repeated.
+    Raises StoreUnavailableError if the outcome is not known; the request may be repeated.
     """
 
     def __init__(self, loop: Loop, store: KeyValueClient) -> None:
--- a/badgerroute/rebalancing/service.py
+++ b/badgerroute/rebalancing/service.py
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class _ShardRebalancing:
-    """What is kept for one owned shard."""
+    """What is kept for one shard that this controller leads."""
 
     leader: ShardLeader
     guidance: ShardGuidance
@@ -117,7 +117,7 @@
                 self._round(entry, now, over)
 
     def _refresh_shards(self) -> list[_ShardRebalancing]:
-        """Of the shards that are owned and may be acted for; what belonged to former leaders is dropped."""
+        """Of the shards that are led here and may be acted for; what belonged to former leaders is dropped."""
         assert self._controller is not None
         leaders = self._controller.leaders
         self._duties = {number: entry for number, entry in self._duties.items() if leaders.get(number) is entry.leader}
--- a/badgerroute/rebalancing/shard_guidance.py
+++ b/badgerroute/rebalancing/shard_guidance.py
@@ -32,7 +32,7 @@
         self._drain_deadline = drain_deadline
         self.waits = RecentWaits(window, loop.now())
         self.rates = FetchRates()
-        self.usage: dict[str, Usage] = {}  # the shard's own books
+        self.usage: dict[str, Usage] = {}  # the shard's own use of quota, by team
         self.local: LocalWaits | None = None
         self._mean, self._mean_at = 0.0, -timedelta(days=1)
 
--- a/badgerroute/scheduling/delay_scheduling.py
+++ b/badgerroute/scheduling/delay_scheduling.py
@@ -1,4 +1,4 @@
-"""The delay ladder: how far from its image a waiting task may go by now.
+"""Delay scheduling: how far from its cached image a waiting task may be started by now.
 
 After algorithm 2 of the paper: a machine that caches the image at once; one in a zone that caches it after
 tau * p; any after 2 * tau * p. No wait is longer than fetching the image would take, and a task whose image
--- a/badgerroute/scheduling/dependencies.py
+++ b/badgerroute/scheduling/dependencies.py
@@ -1,7 +1,7 @@
 """Jobs that wait for others: which are released, which are cancelled with a predecessor, what they hand back to it.
 
 Everything is derived from final states, which are durable and never change, so every controller that decides comes to
-the same answer at any time, after any takeover. Nothing is counted that could be wrong.
+the same answer at any time, after any failover. Nothing is counted that could be wrong.
 """
 
 from collections.abc import Callable, Container, Iterable, Iterator
--- a/badgerroute/scheduling/failures.py
+++ b/badgerroute/scheduling/failures.py
@@ -49,7 +49,7 @@
     def _seems_failing(job: Job) -> bool:
         """Whether the job's failures are its own: no task of it was ever done, and it fails wherever it goes.
 
-        Many machines may be sick at once, so it must have failed on more of them than it runs on.
+        Many machines may be faulty at once, so it must have failed on more of them than it runs on.
         """
         if job.failing or job.done | job.done_here:
             return job.failing
@@ -69,7 +69,7 @@
     def _blame_job(self, job: Job, machine: Machine, now: timedelta) -> None:
         """A mistake in the job: probe it seldom, and hold nothing of it against the machines.
 
-        A few such jobs once had dozens of machines called sick, drained and deleted, with all that ran on them.
+        Else a few such jobs would have dozens of machines quarantined, drained and deleted, with all that runs on them.
         """
         if not job.failing:
             log.info(
--- a/badgerroute/scheduling/heartbeat_reconciliation.py
+++ b/badgerroute/scheduling/heartbeat_reconciliation.py
@@ -210,8 +210,8 @@
     def _keep_undecided(self, machine: Machine, task: tuple[str, int, int]) -> None:
         """A task of a job of which we don't know yet whether it was released: left as it is until we do.
 
-        A shard that was taken over before its leader had looked up how predecessors ended stopped such tasks as
-        orphans. Nothing is placed meanwhile: not this task, which runs already, nor others, since it counts against its
+        A new leader may not have looked up yet how predecessors ended: it must not stop such tasks as orphans. Nothing
+        is placed meanwhile: not this task, which runs already, nor others, since it counts against its
         team.
         """
         machine.undecided.add(task)
@@ -240,7 +240,7 @@
             self._finished(message, job, index, placement)
         elif placement is not None and cause == "alone" and self._may_rejoin(placement):
             # The others may still be fetching the image, which takes longer than a task waits for its gang where images
-            # are large or machines slow. Stopping them all gave those fetches up, and gangs began anew up to 16 times.
+            # are large or machines slow. Stopping them all would give those fetches up, and the gang would begin anew.
             placement.phase, placement.sent = Phase.RESERVED, None
             placement.rejoined += 1
         elif placement is not None:
@@ -275,8 +275,8 @@
         message.machine.failed_jobs.clear()
         if placement is not None:
             message.events.freed = True
-            # A controller that was paused once took its own pause for run time: what it expected of the class was far
-            # too long, and jobs that had barely begun were sorted behind all others as late.
+            # A run counts only if its start and its end were seen promptly: a pause of this controller in between makes
+            # it look longer, and jobs of its class would be expected to be late (docs/incidents.md).
             if placement.running_since is not None and placement.timed and message.prompt and fresh >> index & 1:
                 run = message.now - placement.running_since
                 job.run_sum += run
--- a/badgerroute/scheduling/model.py
+++ b/badgerroute/scheduling/model.py
@@ -207,7 +207,7 @@
     def forget_image(self, image: str) -> None:
         """A task that waited for an image is gone: if no other waits for it, the machine has given the fetch up.
 
-        Machines were once taken to cache what they had only begun to fetch, and gangs went there for it in vain.
+        Else it would be taken to cache what it only began to fetch, and gangs would be placed there for it in vain.
         """
         if image not in self.complete and image in self.images:
             if all(placement.job.spec.image != image for placement in self.placements.values()):
--- a/badgerroute/scheduling/shard.py
+++ b/badgerroute/scheduling/shard.py
@@ -109,7 +109,7 @@
         done: int | None = None,
         held_back: timedelta = ZERO,
     ) -> Job | None:
-        """Take over a job's record, new or changed; None if none of its tasks is ours.
+        """Take in a job's record, new or changed; None if none of its tasks is ours.
 
         `accepted` is when its times begin to count: its release, if it waited for others, for as long as `held_back`.
         `done` are its done tasks, if they are not all in the record.
@@ -201,7 +201,7 @@
         )
 
     def place(self, job: Job, index: int, attempt: int, machine: Machine, now: timedelta, phase: Phase) -> Placement:
-        """Put an attempt of a task on a machine's books."""
+        """Record an attempt of a task as placed on a machine."""
         placement = Placement(job, index, attempt, machine, phase, now)
         if phase is Phase.RESERVED:
             self.guidance.task_placed(job, now - job.requeued.get(index, job.accepted), now)
@@ -214,7 +214,7 @@
         return placement
 
     def forget(self, placement: Placement) -> None:
-        """Strike a placement off the books."""
+        """Remove a placement from its machine and its job."""
         machine, job = placement.machine, placement.job
         if machine.placements.pop(placement.key, None) is None:
             return
--- a/badgerroute/scheduling/stealing.py
+++ b/badgerroute/scheduling/stealing.py
@@ -44,7 +44,7 @@
             return 0
         fitting, used = self._find_room(job, wanted)
         # An array that must stay in one shard may run there a few at a time. Where none of its tasks has any room, it
-        # once waited for a shard that could hold all of them, beside one with room for some.
+        # goes to a shard with room for some, in place of waiting for one that could hold all of them.
         few = whole and not job.gang and not room_here
         count = min(fitting, wanted)
         if count <= 0 or (whole and fitting < wanted and not few):
--- a/badgerroute/scheduling/utilization_feedback.py
+++ b/badgerroute/scheduling/utilization_feedback.py
@@ -11,7 +11,7 @@
 
 
 def next_desire(desire: float, granted: float, use: float, starved: bool, delta: float, rho: float) -> float:
-    """`use` is the booked share of what was granted; `starved` says that tasks waited."""
+    """The next desire. `use` is the fraction of the granted slots that was in use; `starved`: tasks waited."""
     if use < delta and not starved:
         return max(1.0, desire / rho)
     if desire > granted:
--- a/badgerroute/settings/operator.py
+++ b/badgerroute/settings/operator.py
@@ -89,7 +89,7 @@
 
 
 class Connectivity(Struct, frozen=True, forbid_unknown_fields=True):
-    """What controllers do for one another while one reaches only a part of the rest. See docs/connectivity.md."""
+    """What controllers do for each other while one of them reaches only some others. See docs/connectivity.md."""
 
     relay: bool = False
     relay_s: Annotated[float, Meta(ge=0, le=3600)] = 45.0
--- a/badgerroute/storage/cloud_client.py
+++ b/badgerroute/storage/cloud_client.py
@@ -24,7 +24,7 @@
 
 
 class CloudClient:
-    """Client of the cloud, within the share of its rate limit that one of `size` controllers has.
+    """Client of the cloud, whose rate limit is divided equally among `size` controllers.
 
     All requests raise CloudUnavailableError if there is no usable answer.
     """
--- a/badgerroute/storage/key_value_client.py
+++ b/badgerroute/storage/key_value_client.py
@@ -54,7 +54,7 @@
 
 
 class KeyValueClient:
-    """Client of the key-value store, within the share of its limits that one of `size` controllers has.
+    """Client of the key-value store, whose limits are divided equally among `size` controllers.
 
     Every request may raise StoreUnavailableError; a write OutcomeUnknownError too. The watch and the leadership have
     connections of their own, so that they don't wait behind other requests.
--- a/badgerroute/storage/store_rates.py
+++ b/badgerroute/storage/store_rates.py
@@ -22,7 +22,7 @@
 
 
 class StoreRates:
-    """One controller's share of the store's rate limits.
+    """One controller's portion of the store's rate limits.
 
     The settings may announce lower limits that the store will have from some moment on. Nobody says when that is:
     answers of 429 in quick succession show it, and the lower limits are kept to from then on.
@@ -56,7 +56,7 @@
             self._lower()
 
     def _share(self, rate: float) -> float:
-        """One client's part of a rate; its burst is what it may use in one second."""
+        """One client's portion of a rate; its burst is what it may use in one second."""
         return rate * SAFETY_FACTOR / self._clients
 
     def _lower(self) -> None:
