--- a/badgerroute/coordination/autoscaling/scale_in.py
+++ b/badgerroute/coordination/autoscaling/scale_in.py
@@ -65,4 +65,4 @@
         since = machine.idle_since
         if since is None or self._loop.now() - since <= idle:
             return False
-        return machine.alive and machine.empty and not machine.held_for
+        return machine.alive and machine.empty and not machine.reserved_for
--- a/badgerroute/coordination/quotas/quota_allocator.py
+++ b/badgerroute/coordination/quotas/quota_allocator.py
@@ -12,7 +12,7 @@
 
 from badgerroute.protocol.key_value import Compare
 from badgerroute.protocol.mesh import QuotaRequest
-from badgerroute.scheduling.model import EPSILON, Resources
+from badgerroute.scheduling.resources import EPSILON, Resources
 from badgerroute.settings import Settings, Team
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
--- a/badgerroute/coordination/requests/admission.py
+++ b/badgerroute/coordination/requests/admission.py
@@ -3,7 +3,7 @@
 from badgerroute.coordination.jobs.record_paging import RecordPager
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.users import Submission
-from badgerroute.scheduling.model import Resources, capacity_of, need_of
+from badgerroute.scheduling.resources import Resources, capacity_of, need_of
 from badgerroute.settings import Team
 
 
--- a/badgerroute/coordination/requests/job_splitting.py
+++ b/badgerroute/coordination/requests/job_splitting.py
@@ -6,7 +6,7 @@
 
 from badgerroute.protocol.mesh import ShardSummary
 from badgerroute.protocol.users import Submission
-from badgerroute.scheduling.model import Resources, need_of
+from badgerroute.scheduling.resources import Resources, need_of
 from badgerroute.storage.records import TaskRange
 
 MAX_QUEUE_IMBALANCE = 1.5  # queue of a shard for its size, compared to the shortest, up to which it is preferred
--- a/badgerroute/coordination/shards/cpu_usage.py
+++ b/badgerroute/coordination/shards/cpu_usage.py
@@ -2,8 +2,8 @@
 
 from dataclasses import asdict, dataclass
 
-from badgerroute.scheduling.model import Phase
 from badgerroute.scheduling.shard import Shard
+from badgerroute.scheduling.task_phase import Phase
 
 PHASES = {
     Phase.RESERVED: "starting",
@@ -42,7 +42,7 @@
             setattr(use, cause, getattr(use, cause) + placement.job.need.cpus)
         if not machine.usable:
             use.unusable += machine.free.cpus
-        elif machine.held_for is not None:
+        elif machine.reserved_for is not None:
             use.held += machine.free.cpus
         elif machine.placements:
             use.beside += machine.free.cpus
--- a/badgerroute/coordination/shards/forecast.py
+++ b/badgerroute/coordination/shards/forecast.py
@@ -14,8 +14,8 @@
 from badgerroute.scheduling import delay_scheduling
 from badgerroute.scheduling.deadline_feasibility import Load, tiers
 from badgerroute.scheduling.inheritance import InheritancePass, Inherited
-from badgerroute.scheduling.model import Resources, capacity_of, need_of
 from badgerroute.scheduling.objectives import Objectives
+from badgerroute.scheduling.resources import Resources, capacity_of, need_of
 from badgerroute.settings import Settings, Team
 from badgerroute.storage import records
 from badgerroute.storage.records import JobRecord
@@ -75,7 +75,7 @@
         for leader in self._leaders.values():
             for job in leader.shard.jobs.values():
                 job.guaranteed = within.get(job.ref, False)
-                job.tier = ranks.get(job.ref, 0)
+                job.lateness_tier = ranks.get(job.ref, 0)
                 active = self._job_store.active.get(job.ref)
                 if active is None:
                     continue
--- a/badgerroute/coordination/shards/machine_transfers.py
+++ b/badgerroute/coordination/shards/machine_transfers.py
@@ -8,7 +8,9 @@
 from badgerroute.coordination.shards.leader_context import LeaderContext
 from badgerroute.protocol.key_value import Put
 from badgerroute.protocol.mesh import MachineRequest
-from badgerroute.scheduling.model import Machine, allows, need_of
+from badgerroute.scheduling.model import Machine
+from badgerroute.scheduling.placement_constraints import allows
+from badgerroute.scheduling.resources import need_of
 from badgerroute.scheduling.shard import Shard
 from badgerroute.storage import records
 from badgerroute.storage.budget import Urgency
@@ -83,7 +85,7 @@
         for machine in self._shard.machines.values():
             if slots >= message.count or len(transferable) >= self._store.max_changes:
                 break
-            fits = machine.usable and machine.empty and machine.held_for is None and machine.free.holds(need)
+            fits = machine.usable and machine.empty and machine.reserved_for is None and machine.free.holds(need)
             if fits and allows(message.job, machine.kind.name, machine.zone, machine.spot):
                 slots += machine.free.times(need)
                 transferable.append(machine)
--- a/badgerroute/coordination/shards/migration.py
+++ b/badgerroute/coordination/shards/migration.py
@@ -16,7 +16,8 @@
 from badgerroute.protocol import mesh as mesh_wire
 from badgerroute.protocol.key_value import Compare, Put
 from badgerroute.scheduling.capacities import ANY_ZONE, holds_whole_job, slots_by_zone
-from badgerroute.scheduling.model import Job, allows
+from badgerroute.scheduling.model import Job
+from badgerroute.scheduling.placement_constraints import allows
 from badgerroute.scheduling.planner import Planner
 from badgerroute.scheduling.shard import Shard
 from badgerroute.scheduling.stealing import StealSelection, given_ranges
@@ -145,7 +146,7 @@
             if allows(job.spec, machine.kind.name, machine.zone, machine.spot):
                 here[machine.zone if job.spec.together else ANY_ZONE] += room.times(job.need)
         for machine in self.shard.machines.values():
-            if machine.held_for == job.ref:
+            if machine.reserved_for == job.ref:
                 here[machine.zone if job.spec.together else ANY_ZONE] += 1
         whole = here + sum((slots_by_zone(job, summary.capacities) for summary in others), Counter())
         if not whole:
@@ -227,13 +228,13 @@
             self._group.spawn(self._pager.page_out(ref), "page-out")
             return None
         given = job.owned & ~record.owned(self.number)
-        if given & (job.placed_bits | job.giving):
+        if given & (job.placed_bits | job.in_transfer):
             # Between the choice and this write a task of it was placed: once, a gang was passed on while the
             # write for the gang before it took its time, and ran in both shards.
             return None
         # Nothing of it starts here while the write is on its way. What we own may be read from the record again
         # meanwhile, by the settling of an earlier write for instance, so it is not enough to own it no more.
-        job.giving |= given
+        job.in_transfer |= given
         key = JOBS + ref
         return _AssignmentWrite(
             job, given, compare(key, self._replica.revision_of(key)), put(key, records.write(record))
@@ -241,7 +242,7 @@
 
     def _given(self, job: Job, given: int) -> None:
         """The outcome is known, and so is what we own."""
-        job.giving &= ~given
+        job.in_transfer &= ~given
         self._changed(job.ref)
 
     async def _refresh(self, keys: list[str]) -> None:
--- a/badgerroute/coordination/shards/quota_exchange.py
+++ b/badgerroute/coordination/shards/quota_exchange.py
@@ -7,8 +7,9 @@
 from badgerroute.connectivity.modes import Action
 from badgerroute.coordination.shards.leader_context import LeaderContext
 from badgerroute.protocol import mesh as mesh_wire
-from badgerroute.scheduling.model import ZERO, Resources
+from badgerroute.scheduling.model import ZERO
 from badgerroute.scheduling.planner import Planner
+from badgerroute.scheduling.resources import Resources
 from badgerroute.scheduling.shard import Shard
 
 RESERVATION_TTL = timedelta(seconds=2.5)  # what another shard lacks is asked for every second
--- a/badgerroute/coordination/shards/shard_leader.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -141,7 +141,7 @@
         kind = self._catalog.get(record.type)
         if known is None and kind is not None:
             machine = self.shard.add_machine(name, record, kind, now)
-            machine.held_for = self.migration.gathering(now)
+            machine.reserved_for = self.migration.gathering(now)
 
     def job_changed(self, ref: str) -> None:
         """A job's record is new, changed or gone."""
@@ -219,7 +219,7 @@
         ):
             # We made it a member, in this term, so nobody has ever been entitled to start anything on it:
             # there is no one to fence off.
-            machine.pristine = True
+            machine.never_commanded = True
         return machine
 
     def _answered_directly(self, machine: Machine, heartbeat: Heartbeat) -> None:
--- a/badgerroute/coordination/shards/shard_log.py
+++ b/badgerroute/coordination/shards/shard_log.py
@@ -19,7 +19,7 @@
         len(machines),
         sum(not machine.usable for machine in machines),
         sum(machine.empty for machine in machines),
-        sum(machine.held_for is not None for machine in machines),
+        sum(machine.reserved_for is not None for machine in machines),
         sum(machine.free.cpus for machine in machines),
         len(shard.jobs),
         sum(job.waiting_bits.bit_count() for job in shard.jobs.values()),
--- a/badgerroute/coordination/shards/summary.py
+++ b/badgerroute/coordination/shards/summary.py
@@ -6,8 +6,9 @@
 
 from badgerroute.protocol.mesh import FreeCapacity, PendingDemand, ShardSummary
 from badgerroute.protocol.users import Priority
-from badgerroute.scheduling.model import Machine, Resources
+from badgerroute.scheduling.model import Machine
 from badgerroute.scheduling.planner import Planner
+from badgerroute.scheduling.resources import Resources
 from badgerroute.scheduling.shard import Shard
 
 MIN_DEMANDS = 200  # that are told of, however small a shard is
@@ -22,7 +23,7 @@
     images: dict[str, tuple[float, float]] = {}
     rooms: list[tuple[Machine, Resources]] = []
     for machine in shard.machines.values():
-        if not machine.usable or machine.held_for is not None or machine.free.cpus < 1e-6:
+        if not machine.usable or machine.reserved_for is not None or machine.free.cpus < 1e-6:
             continue
         free = machine.free
         rooms.append((machine, free))
--- a/badgerroute/coordination/shards/urgent_stops.py
+++ b/badgerroute/coordination/shards/urgent_stops.py
@@ -1,8 +1,9 @@
 """Halts that don't wait for a machine's next heartbeat to carry them."""
 
 from badgerroute.coordination.shards.machine_commands import MachineCommands
-from badgerroute.scheduling.model import Machine, Phase
+from badgerroute.scheduling.model import Machine
 from badgerroute.scheduling.shard import Shard
+from badgerroute.scheduling.task_phase import Phase
 from badgerroute.transport.loop import Loop, TaskGroup
 
 MAX_DIRECT_CANCELLATIONS = (
--- a/badgerroute/rebalancing/moves.py
+++ b/badgerroute/rebalancing/moves.py
@@ -12,9 +12,11 @@
 
 from badgerroute.scheduling.draining import save_time
 from badgerroute.scheduling.guidance import Guidance
-from badgerroute.scheduling.model import EPSILON, ZERO, Job, Machine, Placement, Resources, allows
+from badgerroute.scheduling.model import ZERO, Job, Machine, Placement
+from badgerroute.scheduling.placement_constraints import allows
 from badgerroute.scheduling.placement_rules import PlacementRules
 from badgerroute.scheduling.planner import Planner
+from badgerroute.scheduling.resources import EPSILON, Resources
 from badgerroute.scheduling.shard import Shard
 from badgerroute.settings import Rebalancing
 
@@ -69,8 +71,8 @@
         self.count += 1
         self.cost += loss
         job = placement.job
-        job.moved_from = {name: until for name, until in job.moved_from.items() if until > now}
-        job.moved_from[placement.machine.name] = now + self.rest
+        job.no_return_until = {name: until for name, until in job.no_return_until.items() if until > now}
+        job.no_return_until[placement.machine.name] = now + self.rest
 
 
 class MovePlanner:
@@ -104,7 +106,7 @@
         needed = self._tasks_at_once(job)
         if job.placed and job.gang:
             return False
-        if any(machine.held_for == job.ref for machine in self._shard.machines.values()):
+        if any(machine.reserved_for == job.ref for machine in self._shard.machines.values()):
             return False  # room is on its way
         free = sum(machine.free.times(job.need) for machine in self._planner.candidates(job, now, free=True))
         return needed > 0 and free < needed
@@ -137,13 +139,13 @@
             machine
             for machine in self._shard.machines.values()
             if machine.usable
-            and machine.held_for is None
+            and machine.reserved_for is None
             and machine.avoid_until <= now
             and machine.free.cpus > EPSILON
         ]
         landings = heapq.nlargest(MAX_LANDINGS, free, key=lambda machine: machine.free.cpus)
         rooms = {machine.name: machine.free.copy() for machine in landings}
-        candidates = [machine for machine in self._planner.candidates(job, now) if machine.held_for is None]
+        candidates = [machine for machine in self._planner.candidates(job, now) if machine.reserved_for is None]
         options = []
         for machine in heapq.nlargest(MAX_CANDIDATES, candidates, key=lambda machine: machine.free.cpus):
             option = self._option(job, machine, rooms, now)
@@ -199,7 +201,7 @@
             other = self._shard.machines[name]
             if other is machine or not room.holds(job.need):
                 continue
-            if name in job.failed_on or job.moved_from.get(name, ZERO) > now:
+            if name in job.failed_on or job.no_return_until.get(name, ZERO) > now:
                 continue
             if not allows(job.spec, other.kind.name, other.zone, other.spot):
                 continue
@@ -249,8 +251,8 @@
         """Stop the victims with time to save; the room is kept for the job that they make way for."""
         machine = option.machine
         longest_save = max(save_time(victim.job) for victim in option.victims)
-        machine.held_for = job.ref
-        machine.held_until = now + longest_save + HEARTBEATS_PER_MOVE * self._heartbeat + HELD_AFTER_SAVE
+        machine.reserved_for = job.ref
+        machine.reserved_until = now + longest_save + HEARTBEATS_PER_MOVE * self._heartbeat + HELD_AFTER_SAVE
         for victim in option.victims:
             self.ledger.record(victim, option.loss / len(option.victims), now)
             self._shard.stop(victim, save_time(victim.job))
--- a/badgerroute/rebalancing/spreading.py
+++ b/badgerroute/rebalancing/spreading.py
@@ -66,7 +66,7 @@
     for machine in shard.machines.values():
         if cpus_left <= 0:
             break
-        if not machine.usable or machine.held_for is not None:
+        if not machine.usable or machine.reserved_for is not None:
             continue
         kind = machine.kind
         cpus = min(kind.cpus, max(request.cpus_per_task, cpus_left))
--- a/badgerroute/scheduling/array_placement.py
+++ b/badgerroute/scheduling/array_placement.py
@@ -7,11 +7,13 @@
 from itertools import groupby
 
 from badgerroute.scheduling import delay_scheduling, utilization_feedback
-from badgerroute.scheduling.model import Job, Machine, Phase, allows
+from badgerroute.scheduling.model import Job, Machine
+from badgerroute.scheduling.placement_constraints import allows
 from badgerroute.scheduling.placement_rules import PlacementRules
 from badgerroute.scheduling.preemption import Preemption
 from badgerroute.scheduling.service_order import ServiceOrder
 from badgerroute.scheduling.shard import Shard
+from badgerroute.scheduling.task_phase import Phase
 from badgerroute.storage.records import lowest
 
 log = logging.getLogger(__name__)
@@ -34,7 +36,7 @@
         self._order.refresh(now)
         if not machine.free.holds(self._order.least_need):
             return 0
-        spared = self._room_beside(machine) if not machine.placements and machine.held_for is None else None
+        spared = self._room_beside(machine) if not machine.placements and machine.reserved_for is None else None
         order = (
             self._order.jobs[self._cursor :] + self._order.jobs[: self._cursor] if self._cursor else self._order.jobs
         )
@@ -50,7 +52,7 @@
                     self._cursor = (self._cursor + looked) % max(1, len(self._order.jobs))
                     return started
                 looked += len(jobs)
-                if machine.held_for is not None:
+                if machine.reserved_for is not None:
                     jobs = self._outranking(machine, jobs, now)
                 if spared is not None:
                     jobs = [job for job in jobs if not self._fits_beside(job, spared, now)]
@@ -63,7 +65,7 @@
         return [
             other
             for other in self._shard.machines.values()
-            if other.placements and other.usable and other.held_for is None and other.zone == machine.zone
+            if other.placements and other.usable and other.reserved_for is None and other.zone == machine.zone
         ]
 
     def _fits_beside(self, job: Job, machines: list[Machine], now: timedelta) -> bool:
@@ -88,7 +90,7 @@
 
         Else the room would go back to the work that was just stopped, and be made again, for ever.
         """
-        holder = self._shard.jobs.get(machine.held_for or "")
+        holder = self._shard.jobs.get(machine.reserved_for or "")
         if holder is None or not holder.waiting_bits:
             return jobs
         return [job for job in jobs if job is holder or not self._preemption.may_stop(job, holder)]
@@ -117,7 +119,7 @@
             return False
         if job.failing and job.placed:
             return False
-        if machine.name in job.moved_from and job.moved_from[machine.name] > now:
+        if machine.name in job.no_return_until and job.no_return_until[machine.name] > now:
             return False
         if (
             machine.name in job.failed_on
@@ -128,7 +130,7 @@
             # Two fetches share the rate, and a whole gang would wait for it: on a machine that a gang all but fills,
             # one small task's image made its start come twice as late.
             return False
-        if locality is not delay_scheduling.LocalityLevel.CACHED and machine.held_for != job.ref:
+        if locality is not delay_scheduling.LocalityLevel.CACHED and machine.reserved_for != job.ref:
             bits = job.waiting_bits
             if not bits:
                 return False
--- a/badgerroute/scheduling/capacities.py
+++ b/badgerroute/scheduling/capacities.py
@@ -4,7 +4,9 @@
 from collections.abc import Iterable
 
 from badgerroute.protocol.mesh import FreeCapacity, PendingDemand
-from badgerroute.scheduling.model import Job, Resources, allows
+from badgerroute.scheduling.model import Job
+from badgerroute.scheduling.placement_constraints import allows
+from badgerroute.scheduling.resources import Resources
 
 ANY_ZONE = ""
 
--- a/badgerroute/scheduling/command_building.py
+++ b/badgerroute/scheduling/command_building.py
@@ -4,7 +4,8 @@
 from datetime import timedelta
 
 from badgerroute.protocol.workers import Command
-from badgerroute.scheduling.model import Machine, Phase, Placement
+from badgerroute.scheduling.model import HeartbeatNumber, Machine, Placement
+from badgerroute.scheduling.task_phase import Phase
 
 
 def build_commands(
@@ -41,8 +42,8 @@
 def _start(machine: Machine, placement: Placement, now: timedelta) -> Command:
     """Book a start as sent. It is outstanding until a later heartbeat confirms it or lacks it."""
     placement.phase = Phase.SENT
-    machine.listed = None  # the next list matters even if it is the same
-    placement.sent = (machine.incarnation, machine.sequence)
+    machine.last_task_list = None  # the next list matters even if it is the same
+    placement.sent = HeartbeatNumber(machine.incarnation, machine.sequence)
     if not placement.rejoined:
         placement.since = now
     machine.touch_image(placement.job.spec.image, placement.job.spec.image_gb)
--- a/badgerroute/scheduling/draining.py
+++ b/badgerroute/scheduling/draining.py
@@ -4,8 +4,9 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from badgerroute.scheduling.model import ZERO, Job, Machine, Phase, Placement
+from badgerroute.scheduling.model import ZERO, Job, Machine, Placement
 from badgerroute.scheduling.shard import Shard
+from badgerroute.scheduling.task_phase import Phase
 
 RunTime = Callable[[Job], timedelta]
 FetchTime = Callable[[Job, Machine], timedelta]
--- a/badgerroute/scheduling/gang_placement.py
+++ b/badgerroute/scheduling/gang_placement.py
@@ -5,12 +5,13 @@
 from datetime import timedelta
 
 from badgerroute.scheduling import delay_scheduling
-from badgerroute.scheduling.model import ZERO, Job, Machine, Phase
+from badgerroute.scheduling.model import ZERO, Job, Machine
 from badgerroute.scheduling.objectives import Objectives
 from badgerroute.scheduling.placement_rules import FETCH_SPREAD, PlacementRules
 from badgerroute.scheduling.preemption import Preemption
 from badgerroute.scheduling.service_order import ServiceOrder
 from badgerroute.scheduling.shard import Shard
+from badgerroute.scheduling.task_phase import Phase
 from badgerroute.storage.records import lowest
 
 log = logging.getLogger(__name__)
@@ -42,7 +43,7 @@
         placed = 0
         for job in self._order.jobs:
             if job.gang and not job.placed and machine.free.holds(job.need) and job.waiting_bits:
-                if machine.held_for not in (None, job.ref):
+                if machine.reserved_for not in (None, job.ref):
                     continue
                 if over():
                     self.cut_short += 1
@@ -77,7 +78,7 @@
         options: list[tuple[int, float, float, float, Machine]] = []
         blocked_by_locality = False
         for machine in self._preemption.candidates(job, now, free=True):
-            if not machine.free.holds(job.need) or machine.held_for not in (None, job.ref):
+            if not machine.free.holds(job.need) or machine.reserved_for not in (None, job.ref):
                 continue
             locality = delay_scheduling.locality_of(job, machine, self._order.images)
             if locality > self._rules.allowed(job, machine, wait):
@@ -113,8 +114,8 @@
             bits &= bits - 1
             self._shard.place(job, index, attempt, machine, now, Phase.RESERVED)
         for machine in self._shard.machines.values():
-            if machine.held_for == job.ref:
-                machine.held_for = None
+            if machine.reserved_for == job.ref:
+                machine.reserved_for = None
         return True
 
     def _choose(
@@ -160,7 +161,7 @@
             return False
         options = []
         for machine in self._preemption.candidates(job, now):
-            if job.spec.image in machine.images and machine.held_for in (None, job.ref):
+            if job.spec.image in machine.images and machine.reserved_for in (None, job.ref):
                 plan = self._preemption.clear_out(machine, job, now)
                 if plan is not None and plan[0] <= job.need.cpus * fetch.total_seconds():
                     options.append((plan[0], machine.name, machine, plan[1]))
@@ -168,7 +169,7 @@
 
     def unplaceable_gangs(self, now: timedelta) -> list[Job]:
         """Gangs that have waited long and for which no room could be made in this shard."""
-        holders = {machine.held_for for machine in self._shard.machines.values()}
+        holders = {machine.reserved_for for machine in self._shard.machines.values()}
         return [
             job
             for job in self._order.jobs
--- a/badgerroute/scheduling/heartbeat_reconciliation.py
+++ b/badgerroute/scheduling/heartbeat_reconciliation.py
@@ -11,8 +11,9 @@
 from badgerroute.protocol.workers import Heartbeat, TaskStatus, split_task
 from badgerroute.scheduling.events import Events
 from badgerroute.scheduling.failures import FailureTracker
-from badgerroute.scheduling.model import ZERO, Job, Machine, Phase, Placement
+from badgerroute.scheduling.model import ZERO, Job, Machine, Placement
 from badgerroute.scheduling.shard_state import ShardState
+from badgerroute.scheduling.task_phase import Phase
 
 log = logging.getLogger(__name__)
 PHASES = {
@@ -22,7 +23,7 @@
     "flushing": Phase.SAVING,
 }
 WITH_IMAGE = frozenset({"done", "alone"})  # ends of tasks that had got their image
-UNTAKEN = 2  # one answer may be lost on its way
+MAX_MISSED_STARTS = 2  # one answer may be lost on its way
 MAX_REJOINS = 12  # a gang one of whose machines has no image by then is placed anew
 
 
@@ -64,14 +65,19 @@
         prompt = machine.heard is not None and now - machine.heard <= self._shard.lease / 3
         message = Message(machine, heartbeat, periodic, prompt, now)
         self._note_machine(message)
-        if heartbeat.fencing_token < self._shard.fence and not machine.pristine:
+        if heartbeat.fencing_token < self._shard.fence and not machine.never_commanded:
             # Another leader's commands may still reach it: the list is true, but it is not the last word.
             machine.fenced = False
             return message.events
-        if machine.fenced and not machine.orphans and not machine.undecided and machine.listed == heartbeat.tasks:
+        if (
+            machine.fenced
+            and not machine.orphans
+            and not machine.undecided
+            and machine.last_task_list == heartbeat.tasks
+        ):
             return message.events  # most heartbeats say what the one before said
         machine.fenced = True
-        machine.listed = heartbeat.tasks
+        machine.last_task_list = heartbeat.tasks
         machine.exited.clear()
         machine.orphans.clear()
         machine.undecided.clear()
@@ -84,7 +90,7 @@
         """What a message says of the machine itself."""
         machine, heartbeat, now = message.machine, message.heartbeat, message.now
         if not message.periodic:
-            machine.unreachable, machine.untaken = False, 0  # it answered a command, so it hears us
+            machine.unreachable, machine.missed_starts = False, 0  # it answered a command, so it hears us
         if heartbeat.incarnation > machine.incarnation and machine.incarnation:
             # The lease expired in between: everything that was on the machine is dead.
             self._shard.lose_tasks(machine, now)
@@ -121,23 +127,23 @@
     def _release_absent(self, message: Message, present: set[tuple[str, int]]) -> None:
         """What should be on the machine, and is not listed, is gone; or did not arrive."""
         machine = message.machine
-        untaken = False
+        missed_start = False
         for key, placement in list(machine.placements.items()):
             if key in present or placement.phase is Phase.RESERVED:
                 continue
             if placement.phase is Phase.SENT:
                 if not message.confirms_absence(placement):
-                    machine.listed = None
+                    machine.last_task_list = None
                     continue
-                untaken = True
+                missed_start = True
             self._shard.release(placement, message.now)
             message.events.freed = True
-        if untaken:
-            machine.untaken += 1
-            if machine.untaken >= UNTAKEN:
+        if missed_start:
+            machine.missed_starts += 1
+            if machine.missed_starts >= MAX_MISSED_STARTS:
                 self._mark_unreachable(machine)
         elif machine.placements:
-            machine.untaken = 0
+            machine.missed_starts = 0
 
     def _mark_unreachable(self, machine: Machine) -> None:
         """Nothing more is placed there, or it would be started, found missing and started again for ever."""
@@ -226,7 +232,7 @@
         elif placement is not None and placement.phase is Phase.SENT and placement.rejoined:
             # It carries the number of the attempt that ended. Only a later heartbeat tells the two apart.
             if not message.confirms_absence(placement):
-                machine.listed = None
+                machine.last_task_list = None
                 return
         job = self._shard.jobs.get(ref)
         if job is None:
--- a/badgerroute/scheduling/model.py
+++ b/badgerroute/scheduling/model.py
@@ -1,97 +1,32 @@
-"""Machines, jobs and attempts as one shard sees them. Plain records: what decides lies in the modules beside."""
+"""The records of one shard: its machines, its jobs, and the placements that tie tasks to machines.
+
+Plain state and lookups; the decisions lie in the other modules of this package. The three classes stand in one module
+because each refers to the others: a placement names its job and its machine, and both list their placements.
+
+Times are points on this process's steady clock, as durations since its start. Bit sets are integers in which bit `i`
+stands for task number `i` of the job.
+"""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 from datetime import timedelta
-from enum import Enum
+from typing import NamedTuple
 
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.users import Submission
 from badgerroute.protocol.workers import TaskStatus
+from badgerroute.scheduling.resources import Resources
+from badgerroute.scheduling.task_phase import NO_IMAGE_YET, Phase
 from badgerroute.storage.records import lowest
 
-EPSILON = 1e-6
-MAX_TIMES = 1_000_000  # more tasks than a job may have
 ZERO = timedelta(0)
 
 
-class Phase(Enum):
-    """What an attempt of a task is at."""
-
-    RESERVED = "reserved"  # decided, not yet told to the machine
-    SENT = "sent"  # told in the answer to a heartbeat; only a later heartbeat shows whether it arrived
-    FETCHING = "fetching"
-    WAITING = "waiting"
-    RUNNING = "running"
-    SAVING = "flushing"
-
-
-NO_IMAGE_YET = frozenset({Phase.RESERVED, Phase.SENT, Phase.FETCHING})
-
-
-@dataclass(slots=True)
-class Resources:
-    """An amount of processors, accelerators and memory."""
-
-    cpus: float = 0.0
-    accelerators: float = 0.0
-    memory_gb: float = 0.0
-
-    def add(self, other: "Resources") -> None:
-        """Add another amount to this one."""
-        self.cpus += other.cpus
-        self.accelerators += other.accelerators
-        self.memory_gb += other.memory_gb
-
-    def take(self, other: "Resources") -> None:
-        """Take another amount from this one."""
-        self.cpus -= other.cpus
-        self.accelerators -= other.accelerators
-        self.memory_gb -= other.memory_gb
-
-    def holds(self, other: "Resources") -> bool:
-        """Whether another amount fits, rounding errors aside."""
-        return (
-            other.cpus <= self.cpus + EPSILON
-            and other.accelerators <= self.accelerators + EPSILON
-            and other.memory_gb <= self.memory_gb + EPSILON
-        )
-
-    def times(self, other: "Resources") -> int:
-        """How many of `other` fit."""
-        counts = [
-            (mine + EPSILON) / needed
-            for mine, needed in (
-                (self.cpus, other.cpus),
-                (self.accelerators, other.accelerators),
-                (self.memory_gb, other.memory_gb),
-            )
-            if needed > 0
-        ]
-        return max(0, int(min([MAX_TIMES, *counts])))
-
-    def copy(self) -> "Resources":
-        """The same amount, to be changed on its own."""
-        return Resources(self.cpus, self.accelerators, self.memory_gb)
-
-
-def need_of(job: Submission) -> Resources:
-    """What each task of a job takes."""
-    return Resources(job.cpus, job.accelerators, job.memory_gb)
+class HeartbeatNumber(NamedTuple):
+    """Which heartbeat of a machine: the incarnation of its worker, and the number within it."""
 
-
-def capacity_of(kind: MachineType) -> Resources:
-    """What an empty machine of a type has."""
-    return Resources(kind.cpus, kind.accelerators, kind.memory_gb)
-
-
-def allows(job: Submission, type_name: str, zone: str, spot: bool) -> bool:
-    """Whether the job may run on such a machine (its other tasks aside)."""
-    return (
-        (job.types is None or type_name in job.types)
-        and (job.zone is None or job.zone == zone)
-        and (job.spot or not spot)
-    )
+    incarnation: int
+    sequence: int
 
 
 @dataclass(slots=True)
@@ -99,26 +34,26 @@
     """One attempt of one task on one machine, from the decision until the machine is provably rid of it."""
 
     job: "Job"
-    index: int
+    index: int  # the task's number
     attempt: int
     machine: "Machine"
     phase: Phase
-    since: timedelta
+    since: timedelta  # when the start was decided; once it has gone out, when it did
     running_since: timedelta | None = None
-    sent: tuple[int, int] | None = None  # (incarnation, seq) of the heartbeat whose answer carried the start
-    grace: timedelta | None = None  # set: it is to stop, with so much time to save
-    stopped_at: timedelta | None = None
-    timed: bool = True  # its beginning was seen when it happened
-    rejoined: int = 0  # times that it was started again, by the same attempt number, to wait on for its gang
+    sent: HeartbeatNumber | None = None  # of the heartbeat whose answer carried the start
+    grace: timedelta | None = None  # set: the task is to stop, and has so much time to save its work
+    stopped_at: timedelta | None = None  # when the command to stop first went out
+    timed: bool = True  # its times are exact: no silence hid when it began to fetch or to run
+    rejoined: int = 0  # times that it was started again, with the same attempt number, to wait on for its gang
 
     @property
     def key(self) -> tuple[str, int]:
-        """The task, by job and number."""
+        """The job's reference and the task's number."""
         return self.job.ref, self.index
 
     @property
     def stopping(self) -> bool:
-        """Whether it was told, or is to be told, to stop."""
+        """Whether a command to stop it went out or is due."""
         return self.grace is not None
 
 
@@ -132,37 +67,47 @@
     zone: str
     spot: bool
     joined: timedelta
-    free: Resources
-    held: dict[int, Resources] = field(default_factory=dict)  # level -> what its tasks take of this machine
-    leaving: int = 0  # tasks that were told, or will be, to stop
-    incarnation: int = 0
+    free: Resources  # its capacity without what its placements take
+    allocated_by_level: dict[int, Resources] = field(default_factory=dict)  # priority level -> what its tasks take
+    leaving: int = 0  # tasks for which a command to stop went out or is due
+
+    # What its heartbeats showed
+    incarnation: int = 0  # of the last message taken in, as is `sequence`
     sequence: int = -1
-    fenced: bool = False  # it has seen our term, and we have seen its task list since
-    pristine: bool = False  # nobody has ever given it a command: there is nobody to fence off
-    highest_token_seen: int = 0
-    answered: timedelta | None = None  # when one of its heartbeats was last answered by us
-    heard: timedelta | None = None
+    alive: bool = False  # it sends heartbeats, and its lease is not over
+    heard: timedelta | None = None  # when its last message came, a heartbeat or the answer to a direct command
     last_heartbeat: timedelta | None = None  # when a heartbeat of it last came here, not through a peer
-    alive: bool = False
-    dead_incarnation: int = 0  # its lease ended in this incarnation: whatever still comes from it is an old copy
-    untaken: int = 0  # heartbeats in a row that lacked a start which an answer of ours had carried
-    unreachable: bool = False  # its heartbeats reach us, but it seems that our answers don't reach it
+    answered: timedelta | None = None  # when one of its heartbeats was last answered by this controller
+    preemption_notice: timedelta | None = None  # when the cloud takes it away
+    last_task_list: list[TaskStatus] | None = None  # None: the next list must be read even if it is the same
+
+    # Fencing and leases
+    fenced: bool = False  # it has seen this leader's term, and its task list was read since
+    never_commanded: bool = False  # no leader ever gave it a command, so there is none to fence off
+    highest_token_seen: int = 0
+    dead_incarnation: int = 0  # its lease ended in this incarnation: messages of it, or of earlier ones, are stale
+    missed_starts: int = 0  # heartbeats in a row that lacked a start which an answer had carried
+    unreachable: bool = False  # its heartbeats arrive here, but the answers seem not to reach it
     lost_at: timedelta | None = None  # when its lease was found to be over
-    preemption_notice: timedelta | None = None  # steady time at which the cloud takes it
-    draining: bool = False
-    drain_deadline: timedelta | None = None  # set: it is to be empty by then, and nothing more starts on it
-    placements: dict[tuple[str, int], Placement] = field(default_factory=dict)
-    listed: list[TaskStatus] | None = None  # the last task list, if all that it says has been taken in
+
+    # Tasks on it
+    placements: dict[tuple[str, int], Placement] = field(default_factory=dict)  # by Placement.key
     exited: set[tuple[str, int, int]] = field(default_factory=set)  # reported as exited, not cleared yet
-    orphans: set[tuple[str, int, int]] = field(default_factory=set)  # on it, but none of ours: to be halted
+    orphans: set[tuple[str, int, int]] = field(default_factory=set)  # on it, but not of this shard: to be halted
     undecided: set[tuple[str, int, int]] = field(default_factory=set)  # of jobs that may have been released: kept
+    failed_jobs: dict[str, timedelta] = field(default_factory=dict)  # job -> first failure since a task was done here
+
+    # Images
     images: dict[str, float] = field(default_factory=dict)  # image -> GB, least recently used first
-    complete: set[str] = field(default_factory=set)  # those of them that a task was seen to have got
-    failed_jobs: dict[str, timedelta] = field(default_factory=dict)  # since anything was done here -> first failure
-    held_for: str | None = None  # job that room was made for here
-    held_until: timedelta | None = None
+    complete: set[str] = field(default_factory=set)  # those of them whose fetch certainly ended
+
+    # Placement
+    draining: bool = False  # quarantined: nothing more starts on it
+    drain_deadline: timedelta | None = None  # set: it is to be empty by then, and nothing more starts on it
+    reserved_for: str | None = None  # the job for which free capacity is kept here
+    reserved_until: timedelta | None = None
     idle_since: timedelta | None = None
-    avoid_until: timedelta = ZERO
+    avoid_until: timedelta = ZERO  # after a failure or a refusal
 
     @property
     def usable(self) -> bool:
@@ -179,7 +124,7 @@
 
     @property
     def empty(self) -> bool:
-        """Whether nothing is on it, and nothing of it remains to be cleared."""
+        """Whether no task is on it, and no exit remains to be cleared."""
         return not self.placements and not self.exited and not self.orphans and not self.undecided
 
     def touch_image(self, image: str, size_gb: float) -> None:
@@ -205,9 +150,9 @@
         )
 
     def forget_image(self, image: str) -> None:
-        """A task that waited for an image is gone: if no other waits for it, the machine has given the fetch up.
+        """A task that waited for an image is gone: if no other waits for it, the machine gives the fetch up.
 
-        Machines were once taken to cache what they had only begun to fetch, and gangs went there for it in vain.
+        An image that was only begun must not count as cached, or gangs would be placed here to find it.
         """
         if image not in self.complete and image in self.images:
             if all(placement.job.spec.image != image for placement in self.placements.values()):
@@ -220,41 +165,49 @@
 
     ref: str
     spec: Submission
-    accepted: timedelta  # its acceptance, or its release if it waited for others, on this process's steady clock
-    owned: int  # bit sets of task numbers
-    done: int  # durable, all shards
-    window: int
-    need: Resources
+    accepted: timedelta  # when it was accepted, or released if it waited for other jobs
+    owned: int  # bit set: the tasks of this shard
+    done: int  # bit set: the tasks of all shards that are recorded as done
+    start_window: int  # array tasks start only in the window of so many numbers from the first that is not done
+    need: Resources  # of each task
     since: timedelta  # when its tasks here began to wait
-    done_here: int = 0  # reported done, not durable yet
+    done_here: int = 0  # bit set: reported done here, not recorded yet
+    in_transfer: int = 0  # bit set: passed to another shard by a write whose outcome is unknown; they must not start
+    placed: dict[int, Placement] = field(default_factory=dict)  # by task number
+    placed_bits: int = 0  # bit set: the keys of `placed`
+    requeued: dict[int, timedelta] = field(default_factory=dict)  # task number -> when it was last stopped
+    gang: bool = False
+    gang_attempt: int | None = None  # the attempt number that all tasks of a gang share
     written: timedelta = -timedelta(days=1)  # when its progress was last written down
-    placed: dict[int, Placement] = field(default_factory=dict)
-    placed_bits: int = 0
-    requeued: dict[int, timedelta] = field(default_factory=dict)
-    gang_attempt: int | None = None
-    guaranteed: bool = False
-    tier: float = 0  # due times that it will miss, and a half if it can wait; below 0: it has waited too long to begin
-    desire: float = 0.0
-    booked: float = 0.0  # since the period began: slots in use, summed over samples
-    granted: float = 0.0
+
+    # Order of service
+    level: int = 0  # of its priority, or of that of a job which depends on it
+    guaranteed: bool = False  # it lies within its team's guarantee
+    lateness_tier: float = 0  # due times it will miss, and a half if it can wait; below 0: it has waited too long
+    held_back: timedelta = ZERO  # from its acceptance to its release; its deadline counts from the acceptance
+    start_by: timedelta | None = None  # if it starts later, a job that depends on it will be late
+    blocked_until: timedelta = ZERO
+    no_return_until: dict[str, timedelta] = field(default_factory=dict)  # machine -> its moved tasks stay away so long
+    stopped: int = 0  # times that a gang was stopped for another job
+
+    # Utilization feedback (see utilization_feedback): the desire, and samples of the current period
+    desire: float = 0.0  # slots
+    booked: float = 0.0  # slots in use, summed over the samples
+    granted: float = 0.0  # slots it could have used, summed over the samples
     samples: int = 0
-    starved: bool = False  # tasks waited at some time of the period
-    period_began: timedelta | None = None
+    starved: bool = False  # in some sample, tasks waited
+    period_began: timedelta | None = None  # None: it has no desire yet
+
+    # Finished runs, for the mean run time
     run_sum: timedelta = ZERO
     run_count: int = 0
+
+    # Failures (see failures)
     failed_on: dict[str, int] = field(default_factory=dict)  # machine -> tasks of it that failed there
     failed_at: timedelta = ZERO
-    failing: bool = False  # it fails wherever it goes, so the fault is its own: tried now and then, a task at a time
+    failing: bool = False  # it fails on every machine, so it is itself at fault: one task at a time is tried
     probes: int = 0  # times that it was tried since
-    stopped: int = 0  # times that a gang was stopped for another job
-    moved_from: dict[str, timedelta] = field(default_factory=dict)  # machine -> until when its tasks don't go back
-    blocked_until: timedelta = ZERO
-    held_back: timedelta = ZERO  # how long it had to wait for others first; its deadline did not
-    start_by: timedelta | None = None  # later, and a job that needs it will be late
-    level: int = 0  # of its priority, or a dependent's; both are asked for at every turn, so they are kept ready
-    gang: bool = False
-    giving: int = 0  # on their way to another shard, by a write whose outcome we don't know yet: out of reach
-    _waiting: tuple[tuple[int, ...], int] = ((), 0)
+    _waiting: tuple[tuple[int, ...], int] = ((), 0)  # cache of `waiting_bits`: the bit sets it follows from, and it
 
     def __post_init__(self) -> None:
         self.level = self.spec.priority.level
@@ -262,23 +215,23 @@
 
     @property
     def waiting_bits(self) -> int:
-        """The tasks that could be started, as a bit set. Asked for far more often than it changes."""
-        made_of = (self.owned, self.done, self.done_here, self.placed_bits, self.giving)
-        if self._waiting[0] != made_of:
-            self._waiting = (made_of, self._find_waiting())
+        """Bit set: the tasks that could be started. Cached, since it is asked for far more often than it changes."""
+        inputs = (self.owned, self.done, self.done_here, self.placed_bits, self.in_transfer)
+        if self._waiting[0] != inputs:
+            self._waiting = (inputs, self._find_waiting())
         return self._waiting[1]
 
     def _find_waiting(self) -> int:
-        left = self.owned & ~(self.done | self.done_here | self.placed_bits | self.giving)
+        left = self.owned & ~(self.done | self.done_here | self.placed_bits | self.in_transfer)
         if left and not self.gang:
             finished = self.done | self.done_here
             base = lowest(~finished & (finished + 1))
-            left &= (1 << (base + self.window)) - 1
+            left &= (1 << (base + self.start_window)) - 1
         return left
 
     @property
     def startable(self) -> int:
-        """How many of its tasks are worth a place now: of a job that fails everywhere one at a time, or its gang."""
+        """How many of its tasks may start now: all that wait; of an array that fails everywhere, one at a time."""
         count = self.waiting_bits.bit_count()
         if self.failing and not self.gang:
             return min(count, 0 if self.placed else 1)
@@ -286,15 +239,15 @@
 
     @property
     def over(self) -> bool:
-        """Nothing of it is left here. What is done, but not durable yet, must still be written down.
+        """Whether nothing of it is left here.
 
-        While tasks are being given away, `owned` may be empty for a moment; a job forgotten then took the news of its
-        last tasks with it, and they were run again.
+        Tasks that are done but not recorded keep it alive: without their record they would be run again. So do tasks in
+        transfer, during which `owned` may be empty for a moment.
         """
-        return not self.owned and not self.placed and not self.done_here and not self.giving
+        return not self.owned and not self.placed and not self.done_here and not self.in_transfer
 
     def waited(self, index: int, now: timedelta) -> timedelta:
-        """How long a task has waited, since it was last stopped if it was."""
+        """How long a task has waited; if it was stopped, since it last was."""
         return now - self.requeued.get(index, self.since)
 
     def place(self, placement: Placement) -> None:
--- a/badgerroute/scheduling/placement_rules.py
+++ b/badgerroute/scheduling/placement_rules.py
@@ -3,8 +3,9 @@
 from datetime import timedelta
 
 from badgerroute.scheduling import delay_scheduling
-from badgerroute.scheduling.model import Job, Machine, Resources
+from badgerroute.scheduling.model import Job, Machine
 from badgerroute.scheduling.objectives import Objectives
+from badgerroute.scheduling.resources import Resources
 from badgerroute.scheduling.service_order import ServiceOrder
 from badgerroute.scheduling.shard import Shard
 from badgerroute.settings import Scheduling
--- a/badgerroute/scheduling/planner.py
+++ b/badgerroute/scheduling/planner.py
@@ -7,10 +7,11 @@
 from badgerroute.scheduling import delay_scheduling, utilization_feedback
 from badgerroute.scheduling.array_placement import ArrayPlacement
 from badgerroute.scheduling.gang_placement import GangPlacement
-from badgerroute.scheduling.model import Job, Machine, Resources
+from badgerroute.scheduling.model import Job, Machine
 from badgerroute.scheduling.objectives import Objectives
 from badgerroute.scheduling.placement_rules import PlacementRules
 from badgerroute.scheduling.preemption import Preemption
+from badgerroute.scheduling.resources import Resources
 from badgerroute.scheduling.service_order import ServiceOrder
 from badgerroute.scheduling.shard import Shard
 from badgerroute.settings import Scheduling
--- a/badgerroute/scheduling/preemption.py
+++ b/badgerroute/scheduling/preemption.py
@@ -5,10 +5,13 @@
 from datetime import timedelta
 
 from badgerroute.scheduling import delay_scheduling
-from badgerroute.scheduling.model import EPSILON, ZERO, Job, Machine, Phase, Placement, Resources, allows
+from badgerroute.scheduling.model import ZERO, Job, Machine, Placement
 from badgerroute.scheduling.objectives import Objectives
+from badgerroute.scheduling.placement_constraints import allows
+from badgerroute.scheduling.resources import EPSILON, Resources
 from badgerroute.scheduling.service_order import ServiceOrder
 from badgerroute.scheduling.shard import Shard
+from badgerroute.scheduling.task_phase import Phase
 from badgerroute.storage.records import lowest
 
 log = logging.getLogger(__name__)
@@ -37,7 +40,7 @@
             and machine.usable
             and machine.avoid_until <= now
             and machine.name not in job.failed_on
-            and job.moved_from.get(machine.name, ZERO) <= now
+            and job.no_return_until.get(machine.name, ZERO) <= now
             and allows(spec, machine.kind.name, machine.zone, machine.spot)
         ]
 
@@ -105,7 +108,7 @@
             return
         options: list[tuple[float, str, Machine, list[Placement]]] = []
         for machine in self.candidates(job, now):
-            if machine.held_for not in (None, job.ref):
+            if machine.reserved_for not in (None, job.ref):
                 continue
             plan = self.clear_out(machine, job, now)
             if plan is not None:
@@ -120,7 +123,7 @@
         Machines that are held for it already come first: else every round would make room on others, and more than
         the gang has use for.
         """
-        options.sort(key=lambda one: (one[2].held_for != job.ref, *one[:2]))
+        options.sort(key=lambda one: (one[2].reserved_for != job.ref, *one[:2]))
         if job.spec.together and options:
             zones: dict[str, list] = {}
             for one in options:
@@ -130,7 +133,7 @@
         if len(options) < tasks:
             return False
         for _, _, machine, victims in options[:tasks]:
-            machine.held_for, machine.held_until = job.ref, now + GANG_HELD
+            machine.reserved_for, machine.reserved_until = job.ref, now + GANG_HELD
             for victim in victims:
                 self._preempt(victim, job)
         return True
@@ -195,7 +198,7 @@
     def _stop_for_array(self, job: Job, wanted: int, now: timedelta) -> int:
         options = []
         for machine in self.candidates(job, now):
-            if machine.held_for is None:
+            if machine.reserved_for is None:
                 plan = self.clear_out(machine, job, now)
                 if plan is not None and plan[1]:
                     uncached = (
@@ -205,8 +208,8 @@
                     options.append((uncached, plan[0], machine.name, machine, plan[1]))
         options.sort(key=lambda one: one[:3])
         for _, _, _, machine, victims in options[:wanted]:
-            machine.held_for = job.ref
-            machine.held_until = now + HELD
+            machine.reserved_for = job.ref
+            machine.reserved_until = now + HELD
             for victim in victims:
                 self._preempt(victim, job)
         return min(wanted, len(options))
@@ -217,17 +220,17 @@
         A gang that was passed on, or fitted elsewhere, once left its machines held for ever: idle, and never returned.
         """
         for machine in self._shard.machines.values():
-            if machine.held_for is not None:
-                holder = self._shard.jobs.get(machine.held_for)
-                late = machine.held_until is not None and now > machine.held_until
+            if machine.reserved_for is not None:
+                holder = self._shard.jobs.get(machine.reserved_for)
+                late = machine.reserved_until is not None and now > machine.reserved_until
                 if late or holder is None or not holder.waiting_bits:
-                    machine.held_for = machine.held_until = None
+                    machine.reserved_for = machine.reserved_until = None
 
     def room_without(self, level: int) -> list[tuple[Machine, Resources]]:
         """What each machine could offer a job of a level: its free room and that of work which may be stopped."""
         machines = []
         for machine in self._shard.machines.values():
-            if machine.usable and machine.held_for is None:
+            if machine.usable and machine.reserved_for is None:
                 machines.append((machine, self.room_below(machine, level)))
         return machines
 
@@ -244,7 +247,7 @@
     def room_below(machine: Machine, level: int) -> Resources:
         """A machine's free room, and that of work below a level."""
         room = machine.free.copy()
-        for other, held in machine.held.items():
+        for other, held in machine.allocated_by_level.items():
             if other < level:
                 room.add(held)
         return room
--- a/badgerroute/scheduling/quota_ledger.py
+++ b/badgerroute/scheduling/quota_ledger.py
@@ -6,7 +6,8 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from badgerroute.scheduling.model import EPSILON, Job, Resources
+from badgerroute.scheduling.model import Job
+from badgerroute.scheduling.resources import EPSILON, Resources
 
 # A team's processors and accelerators that the shard may use.
 AllocationOf = Callable[[str], tuple[float, float]]
--- a/badgerroute/scheduling/scale_out_planning.py
+++ b/badgerroute/scheduling/scale_out_planning.py
@@ -11,8 +11,8 @@
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.mesh import PendingDemand, ShardSummary
 from badgerroute.scheduling.capacities import room_of
-from badgerroute.scheduling.model import Resources, capacity_of
 from badgerroute.scheduling.objectives import Objectives
+from badgerroute.scheduling.resources import Resources, capacity_of
 from badgerroute.settings import Settings, Team
 
 
--- a/badgerroute/scheduling/service_order.py
+++ b/badgerroute/scheduling/service_order.py
@@ -4,8 +4,9 @@
 from math import inf
 
 from badgerroute.scheduling import delay_scheduling
-from badgerroute.scheduling.model import Job, Resources
+from badgerroute.scheduling.model import Job
 from badgerroute.scheduling.objectives import Objectives
+from badgerroute.scheduling.resources import Resources
 from badgerroute.scheduling.shard import Shard
 
 ORDER_KEPT = timedelta(milliseconds=250)
@@ -45,7 +46,11 @@
         )
 
     def _tier(self, job: Job, now: timedelta) -> float:
-        return job.tier if job.tier < 0 else max(job.tier, self._objectives.missed(job, now, self.run_time(job)))
+        return (
+            job.lateness_tier
+            if job.lateness_tier < 0
+            else max(job.lateness_tier, self._objectives.missed(job, now, self.run_time(job)))
+        )
 
     def run_time(self, job: Job) -> timedelta:
         """How long a task of the job is expected to run."""
@@ -60,7 +65,7 @@
 
     def rank(self, job: Job) -> tuple[float, float, float]:
         """Where a job stands in the order of service, which is the same in all shards: less comes first."""
-        return float(-job.level), float(not job.guaranteed), float(self._tiers.get(job.ref, job.tier))
+        return float(-job.level), float(not job.guaranteed), float(self._tiers.get(job.ref, job.lateness_tier))
 
     def yields_to_gang(self, job: Job) -> bool:
         """Whether a gang that comes before a job lacks quota of their team's limit here.
--- a/badgerroute/scheduling/shard.py
+++ b/badgerroute/scheduling/shard.py
@@ -18,8 +18,11 @@
 from badgerroute.scheduling.guidance import NEUTRAL, Guidance
 from badgerroute.scheduling.heartbeat_reconciliation import HeartbeatReconciler
 from badgerroute.scheduling.lease_expiry import expire_leases
-from badgerroute.scheduling.model import ZERO, Job, Machine, Phase, Placement, Resources, allows, capacity_of
+from badgerroute.scheduling.model import ZERO, Job, Machine, Placement
+from badgerroute.scheduling.placement_constraints import allows
 from badgerroute.scheduling.quota_ledger import AllocationOf, QuotaLedger, Usage
+from badgerroute.scheduling.resources import Resources, capacity_of
+from badgerroute.scheduling.task_phase import Phase
 from badgerroute.storage.records import JobRecord, MachineRecord
 
 log = logging.getLogger(__name__)
@@ -94,7 +97,7 @@
         """Everything on the machine is provably dead."""
         for placement in list(machine.placements.values()):
             self.release(placement, now)
-        machine.listed = None
+        machine.last_task_list = None
         machine.exited.clear()
         machine.undecided.clear()
 
@@ -147,7 +150,7 @@
         if level == job.level:
             return
         for placement in job.placed.values():
-            held = placement.machine.held
+            held = placement.machine.allocated_by_level
             held[job.level].take(job.need)
             held.setdefault(level, Resources()).add(job.need)
         job.level = level
@@ -157,7 +160,7 @@
         job = self.jobs.get(ref)
         if job is None:
             return
-        job.owned = job.giving = job.done_here = 0
+        job.owned = job.in_transfer = job.done_here = 0
         for placement in list(job.placed.values()):
             if placement.phase is Phase.RESERVED:
                 self.forget(placement)
@@ -196,7 +199,7 @@
             machine.free.times(job.need)
             for machine in self.machines.values()
             if machine.usable
-            and machine.held_for in (None, job.ref)
+            and machine.reserved_for in (None, job.ref)
             and allows(job.spec, machine.kind.name, machine.zone, machine.spot)
         )
 
@@ -207,7 +210,7 @@
             self.guidance.task_placed(job, now - job.requeued.get(index, job.accepted), now)
         machine.placements[placement.key] = placement
         machine.free.take(job.need)
-        machine.held.setdefault(job.level, Resources()).add(job.need)
+        machine.allocated_by_level.setdefault(job.level, Resources()).add(job.need)
         machine.idle_since = None
         job.place(placement)
         self.quota.add(job)
@@ -219,14 +222,14 @@
         if machine.placements.pop(placement.key, None) is None:
             return
         machine.free.add(job.need)
-        machine.held[job.level].take(job.need)
+        machine.allocated_by_level[job.level].take(job.need)
         machine.leaving -= placement.stopping
         machine.forget_image(job.spec.image)
         job.unplace(placement.index)
         self.quota.remove(job)
         if not machine.placements:
             machine.free = capacity_of(machine.kind)
-            machine.held.clear()
+            machine.allocated_by_level.clear()
         if not job.placed:
             job.gang_attempt = None
             if job.over:
--- a/badgerroute/scheduling/shard_state.py
+++ b/badgerroute/scheduling/shard_state.py
@@ -5,7 +5,8 @@
 from typing import Protocol
 
 from badgerroute.scheduling.duration_estimates import DurationEstimates
-from badgerroute.scheduling.model import Job, Machine, Phase, Placement
+from badgerroute.scheduling.model import Job, Machine, Placement
+from badgerroute.scheduling.task_phase import Phase
 
 
 class ShardView(Protocol):
--- a/badgerroute/scheduling/stealing.py
+++ b/badgerroute/scheduling/stealing.py
@@ -5,7 +5,8 @@
 
 from badgerroute.protocol.mesh import FreeCapacity
 from badgerroute.scheduling.capacities import room_of
-from badgerroute.scheduling.model import Job, allows
+from badgerroute.scheduling.model import Job
+from badgerroute.scheduling.placement_constraints import allows
 from badgerroute.scheduling.shard import Shard
 from badgerroute.storage.records import TaskRange, give, lowest, span, trailing_ones
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -14,10 +14,12 @@
 from badgerroute.protocol.workers import Heartbeat, TaskStatus
 from badgerroute.scheduling import delay_scheduling, utilization_feedback
 from badgerroute.scheduling.deadline_feasibility import Load, tiers
-from badgerroute.scheduling.model import Job, Phase, Resources
+from badgerroute.scheduling.model import Job
 from badgerroute.scheduling.objectives import Objectives
 from badgerroute.scheduling.planner import Planner
+from badgerroute.scheduling.resources import Resources
 from badgerroute.scheduling.shard import Shard
+from badgerroute.scheduling.task_phase import Phase
 from badgerroute.settings import Scheduling
 from badgerroute.storage.records import JobRecord, MachineRecord, TaskRange, give, lowest, span, trailing_ones
 
@@ -319,7 +321,7 @@
 def test_late_jobs_come_last_unless_they_have_waited_too_long(tier: int, first: str) -> None:
     target = shard(1)
     near, far = add(target, submission("run-near", image="img-1")), add(target, submission("run-far", image="img-2"))
-    far.tier = tier
+    far.lateness_tier = tier
     target.machines["host-0"].touch_image("img-2", 5.0)  # its image is here, and still it waits
     planner = Planner(target, Scheduling(), Objectives([]))
     assert planner.fill(target.machines["host-0"], 100 * S, never) == 4
@@ -735,7 +737,7 @@
     machines = list(target.machines.values())
     for index, (machine, phase) in enumerate(zip(machines, (Phase.RUNNING, Phase.FETCHING, Phase.SENT), strict=False)):
         target.place(job, index, 99, machine, 0 * S, phase)
-    machines[1].held_for, machines[2].draining = "run-9", True
+    machines[1].reserved_for, machines[2].draining = "run-9", True
     use = cpu_usage(target)
     assert use == CpuUsage(running=2, fetching=2, starting=2, beside=6, held=6, unusable=6, empty=8)
     assert str(use).startswith("running=2 starting=2 fetching=2 waiting=0")
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -650,7 +650,7 @@
             with monkeypatch.context() as patch:
                 patch.setattr(leader.migration._store, "transact", transact)
                 day.loop.run(day.loop.spawn(leader.migration._write_steal([("run-many", moved)], thief), "give"))
-            assert one.giving == 0
+            assert one.in_transfer == 0
     assert looked == 3
     assert day.finish(400) == []
     assert day.rules.broken == []
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -17,10 +17,10 @@
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.users import parse_submission
 from badgerroute.protocol.workers import Heartbeat, HeartbeatResponse, TaskStatus
-from badgerroute.scheduling.model import Phase
 from badgerroute.scheduling.objectives import Objectives
 from badgerroute.scheduling.planner import Planner
 from badgerroute.scheduling.shard import Shard
+from badgerroute.scheduling.task_phase import Phase
 from badgerroute.settings import Scheduling
 from badgerroute.storage import records
 from badgerroute.transport.clock import VirtualClock
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -383,7 +383,7 @@
     for one, _ in day.controllers.values():
         for leader in one.leaders.values():
             for machine in leader.shard.machines.values():
-                assert all(abs(room.cpus) < 1e-6 for level, room in machine.held.items() if level == 2)
+                assert all(abs(room.cpus) < 1e-6 for level, room in machine.allocated_by_level.items() if level == 2)
     day.cancel("run-fill")
     assert day.finish() == []
     assert day.rules.broken == []
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -21,10 +21,11 @@
 from badgerroute.rebalancing.waits import MAX_CLASSES, RecentWaits
 from badgerroute.scheduling.draining import Evacuation, evacuate
 from badgerroute.scheduling.guidance import Guidance
-from badgerroute.scheduling.model import Job, Phase, Placement
+from badgerroute.scheduling.model import Job, Placement
 from badgerroute.scheduling.objectives import Objectives
 from badgerroute.scheduling.planner import Planner
 from badgerroute.scheduling.shard import Shard
+from badgerroute.scheduling.task_phase import Phase
 from badgerroute.settings import Rebalancing, Scheduling, SettingsError, load_operator
 from badgerroute.transport.clock import VirtualClock
 from badgerroute.transport.loop import Loop, VirtualPoller
@@ -382,8 +383,8 @@
     one, victim = crowded_shard()
     assert mover(one).round(10 * S, never) == 2
     assert [placement.grace for placement in stopping(one)] == [S, S]
-    assert one.machines["host-0"].held_for == "run-u"
-    assert victim.moved_from["host-0"] > 10 * S, "and it does not go back"
+    assert one.machines["host-0"].reserved_for == "run-u"
+    assert victim.no_return_until["host-0"] > 10 * S, "and it does not go back"
 
 
 def no_landing(one: Shard) -> None:
@@ -450,12 +451,12 @@
     assert moves.round(10 * S, never) == 2
     for placement in stopping(one):
         one.release(placement, 11 * S)
-    one.machines["host-0"].held_for = None
+    one.machines["host-0"].reserved_for = None
     assert planner_of(one).fill(one.machines["host-0"], 11 * S, never) == 1, "the urgent one only: nothing goes back"
     add(one, urgent(ref="run-u2"))
     assert moves.round(15 * S, never) == 0, "two more would be more than three in a period"
     assert moves.round(41 * S, never) == 2
-    assert moves.ledger.count == 4 and victim.moved_from
+    assert moves.ledger.count == 4 and victim.no_return_until
 
 
 # -- draining a machine
