--- a/badgerroute/rebalancing/local_waits.py
+++ b/badgerroute/rebalancing/local_waits.py
@@ -44,7 +44,7 @@
             for placement in machine.placements.values()
             if placement.running_since is not None and not placement.job.gang
         ]
-        for image in machine.complete:
+        for image in machine.fetched_images:
             self._found.setdefault(image, []).extend(ends)
 
     def _finish(self, now: timedelta) -> None:
--- a/badgerroute/rebalancing/moves.py
+++ b/badgerroute/rebalancing/moves.py
@@ -209,7 +209,7 @@
                 continue
             if job.spec.spread and not PlacementRules.zone_allowed(job, other.zone, 1):
                 continue
-            if job.spec.image in other.complete:
+            if job.spec.image in other.fetched_images:
                 return other
             best = best or other
         return best
@@ -226,7 +226,7 @@
     def _loss(self, placement: Placement, landing: Machine) -> float:
         job = placement.job
         loss = self._loss_at_least(placement)
-        if job.spec.image not in landing.complete:
+        if job.spec.image not in landing.fetched_images:
             fetch = self._guidance.fetch_time(job, landing)
             loss += fetch.total_seconds() * max(job.need.cpus, job.need.accelerators)
         return loss
--- a/badgerroute/scheduling/command_building.py
+++ b/badgerroute/scheduling/command_building.py
@@ -17,26 +17,25 @@
     command may be carried out late, and would clear the end of a task that was started again. `clearable` tells whether
     the end of a task, by job and number, is of no more use as evidence.
     """
-    commands = [_halt(ref, index, attempt, 0.0) for ref, index, attempt in machine.orphans]
+    commands = [Command("halt", orphan.task, orphan.attempt, 0.0) for orphan in machine.orphans]
     if starts:
         commands += [
-            Command("clear", f"{ref}/{index}", attempt)
-            for ref, index, attempt in machine.exited
-            if clearable(ref, index)
+            Command("clear", exited.task, exited.attempt)
+            for exited in machine.exited
+            if clearable(exited.ref, exited.number)
         ]
     for placement in machine.placements.values():
         if placement.grace is not None:
             if placement.stopped_at is None:
                 placement.stopped_at = now
-            grace_s = placement.grace.total_seconds()
-            commands.append(_halt(placement.job.ref, placement.index, placement.attempt, grace_s))
+            commands.append(_halt(placement, placement.grace))
         elif starts and placement.phase is Phase.RESERVED:
             commands.append(_start(machine, placement, now))
     return commands
 
 
-def _halt(ref: str, index: int, attempt: int, grace_s: float) -> Command:
-    return Command("halt", f"{ref}/{index}", attempt, grace_s)
+def _halt(placement: Placement, grace: timedelta) -> Command:
+    return Command("halt", f"{placement.job.ref}/{placement.index}", placement.attempt, grace.total_seconds())
 
 
 def _start(machine: Machine, placement: Placement, now: timedelta) -> Command:
--- a/badgerroute/scheduling/model.py
+++ b/badgerroute/scheduling/model.py
@@ -16,6 +16,7 @@
 from badgerroute.protocol.users import Submission
 from badgerroute.protocol.workers import TaskStatus
 from badgerroute.scheduling.resources import Resources
+from badgerroute.scheduling.task_attempt import TaskAttempt
 from badgerroute.scheduling.task_phase import NO_IMAGE_YET, Phase
 from badgerroute.storage.records import lowest
 
@@ -92,14 +93,14 @@
 
     # Tasks on it
     placements: dict[tuple[str, int], Placement] = field(default_factory=dict)  # by Placement.key
-    exited: set[tuple[str, int, int]] = field(default_factory=set)  # reported as exited, not cleared yet
-    orphans: set[tuple[str, int, int]] = field(default_factory=set)  # on it, but not of this shard: to be halted
-    undecided: set[tuple[str, int, int]] = field(default_factory=set)  # of jobs that may have been released: kept
+    exited: set[TaskAttempt] = field(default_factory=set)  # reported as exited, not cleared yet
+    orphans: set[TaskAttempt] = field(default_factory=set)  # on it, but not of this shard: to be halted
+    undecided: set[TaskAttempt] = field(default_factory=set)  # of jobs that may have been released: kept
     failed_jobs: dict[str, timedelta] = field(default_factory=dict)  # job -> first failure since a task was done here
 
     # Images
     images: dict[str, float] = field(default_factory=dict)  # image -> GB, least recently used first
-    complete: set[str] = field(default_factory=set)  # those of them whose fetch certainly ended
+    fetched_images: set[str] = field(default_factory=set)  # those of them whose fetch certainly ended
 
     # Placement
     draining: bool = False  # quarantined: nothing more starts on it
@@ -137,14 +138,14 @@
         while total > self.kind.cache_gb and len(self.images) > 1:
             oldest = next(iter(self.images))
             total -= self.images.pop(oldest)
-            self.complete.discard(oldest)
+            self.fetched_images.discard(oldest)
 
     def fetches(self, gangs_only: bool = False) -> bool:
         """Whether a task here waits for an image that is still to come."""
         return any(
             placement.running_since is None
             and placement.phase in NO_IMAGE_YET
-            and placement.job.spec.image not in self.complete
+            and placement.job.spec.image not in self.fetched_images
             for placement in self.placements.values()
             if placement.job.gang or not gangs_only
         )
@@ -154,7 +155,7 @@
 
         An image that was only begun must not count as cached, or gangs would be placed here to find it.
         """
-        if image not in self.complete and image in self.images:
+        if image not in self.fetched_images and image in self.images:
             if all(placement.job.spec.image != image for placement in self.placements.values()):
                 del self.images[image]
 
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -211,7 +211,7 @@
         placement = one.place(job, index, index + 1, one.machines[machine], since, Phase.RUNNING)
         placement.running_since = since
     one.machines[machine].touch_image(job.spec.image, 1.0)
-    one.machines[machine].complete.add(job.spec.image)
+    one.machines[machine].fetched_images.add(job.spec.image)
     return job
 
 
@@ -361,7 +361,7 @@
     """host-0 (zone a) is full of work that saves; host-1 (zone b) is empty; an urgent job must run in zone a."""
     one = shard(machines=2)
     victim = running(one, "run-v", "host-0", 0 * S, tasks=8, checkpoint_s=5.0, save_s=1.0, estimate_s=300.0)
-    one.machines["host-1"].complete.add(victim.spec.image)
+    one.machines["host-1"].fetched_images.add(victim.spec.image)
     add(one, urgent())
     return one, victim
 
@@ -419,7 +419,7 @@
 
 
 def dear_image(one: Shard) -> None:
-    one.machines["host-1"].complete.clear()
+    one.machines["host-1"].fetched_images.clear()
     replace(one, image_gb=100.0)
 
 
