--- a/badgerroute/coordination/shards/migration.py
+++ b/badgerroute/coordination/shards/migration.py
@@ -142,7 +142,7 @@
     def _request_machines(self, job: Job, now: timedelta, others: list[mesh_wire.ShardSummary]) -> None:
         """No shard could hold the gang: gather empty machines here until it fits."""
         here: Counter[str] = Counter()  # by zone, if it must lie in one
-        for machine, room in self.planner.room_without(job.level):
+        for machine, room in self.planner.reclaimable_by_machine(job.level):
             if allows(job.spec, machine.kind.name, machine.zone, machine.spot):
                 here[machine.zone if job.spec.together else ANY_ZONE] += room.times(job.need)
         for machine in self.shard.machines.values():
--- a/badgerroute/coordination/shards/quota_exchange.py
+++ b/badgerroute/coordination/shards/quota_exchange.py
@@ -35,7 +35,7 @@
 
     async def seek(self) -> None:
         """Take what the shard's teams lack from what nobody holds, or ask the peers for it."""
-        for team, lack in self._planner.take_shortages().items():
+        for team, lack in self._planner.collect_quota_shortfalls().items():
             if not await self._quota_allocator.allocate(self._shard.number, team, lack):
                 first = self._first_short(team)
                 if first is None:
--- a/badgerroute/coordination/shards/shard_leader.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -264,11 +264,11 @@
             self._evict_from_preempted(now)
             self.shard.expire_reservations(now)
             self.shard.reconcile()
-            self.planner.release_holds(now)
+            self.planner.release_reservations(now)
             if self._policy.allows_for(self.number, Action.START):
                 self.planner.gangs(now, over)
                 if not over():
-                    self.planner.make_room_for_arrays(now, over)
+                    self.planner.preempt_for_arrays(now, over)
             self.planner.feedback(now)
             self._urgent_stops.send()
             if self._policy.allows_for(self.number, Action.MOVE_QUOTA):
--- a/badgerroute/coordination/shards/summary.py
+++ b/badgerroute/coordination/shards/summary.py
@@ -89,7 +89,7 @@
             demand.job.spec.zone,
             demand.job.spec.spot,
         )
-        for demand in planner.shapes(now)[: max_demands(len(planner.shard.machines))]
+        for demand in planner.waiting_demands(now)[: max_demands(len(planner.shard.machines))]
     ]
 
 
@@ -110,8 +110,8 @@
         machines=len(shard.machines),
         capacities=capacities,
         images=images,
-        beside=planner.room_beside_images(max(levels, default=Priority.URGENT.level), MAX_IMAGE_MACHINES),
-        soft={level: _capacities(planner.room_without(level)) for level in levels},
+        beside=planner.reclaimable_cpus_by_image(max(levels, default=Priority.URGENT.level), MAX_IMAGE_MACHINES),
+        soft={level: _capacities(planner.reclaimable_by_machine(level)) for level in levels},
         demands=_demands(planner, now),
         freeing=0.0 if scales_out_ahead else planner.freeing(now),  # only renting by need looks at it
         running=running,
--- a/badgerroute/scheduling/array_placement.py
+++ b/badgerroute/scheduling/array_placement.py
@@ -1,4 +1,9 @@
-"""Array tasks: started on every heartbeat of a machine, in its free room, by delay scheduling and the jobs' desires."""
+"""Array tasks: started on every heartbeat of a machine, as far as its free capacity goes.
+
+The paper's algorithm 2 (Parades, section IV.D), procedure ONUPDATE(n, delta, tau) with `n` the machine that reports:
+first tasks whose image it caches, then those that delay scheduling lets go farther. Free slots go to the job that
+holds least, up to its desire (algorithm 1). Added here: what is left after all desires are served goes to any job.
+"""
 
 import heapq
 import logging
@@ -6,114 +11,119 @@
 from datetime import timedelta
 from itertools import groupby
 
-from badgerroute.scheduling import delay_scheduling, utilization_feedback
+from badgerroute.scheduling import utilization_feedback
+from badgerroute.scheduling.delay_scheduling import LocalityLevel, locality_of
+from badgerroute.scheduling.evictions import EvictionPlanner
 from badgerroute.scheduling.model import Job, Machine
 from badgerroute.scheduling.placement_constraints import allows
 from badgerroute.scheduling.placement_rules import PlacementRules
-from badgerroute.scheduling.preemption import Preemption
 from badgerroute.scheduling.service_order import ServiceOrder
 from badgerroute.scheduling.shard import Shard
 from badgerroute.scheduling.task_phase import Phase
 from badgerroute.storage.records import lowest
 
 log = logging.getLogger(__name__)
-BESIDE = timedelta(seconds=6)  # how long a small task passes by an empty machine for one in use
+SHARED_MACHINE_WAIT = timedelta(seconds=6)  # how long a small task waits for a machine in use, and passes empty ones
 
 
 class ArrayPlacement:
     """Fills machines of one shard with array tasks."""
 
-    def __init__(self, shard: Shard, order: ServiceOrder, rules: PlacementRules, preemption: Preemption) -> None:
-        self._shard, self._order, self._rules, self._preemption = shard, order, rules, preemption
-        self._cursor = 0
-        self.cut_short = 0  # rounds that ran out of time
+    def __init__(self, shard: Shard, order: ServiceOrder, rules: PlacementRules, evictions: EvictionPlanner) -> None:
+        self._shard, self._order, self._rules, self._evictions = shard, order, rules, evictions
+        self._cursor = 0  # position in the order of service from which the next round goes on
+        self.overrun_rounds = 0  # rounds that ran out of time
 
     def fill(self, machine: Machine, now: timedelta, over: Callable[[], bool]) -> int:
-        """Start array tasks in a machine's free room. `over` tells when the round's time is up."""
+        """Start array tasks on a machine; how many. `over` tells when the round's time is up."""
         shard = self._shard
         if not shard.reconciled or not machine.usable or machine.avoid_until > now:
             return 0
         self._order.refresh(now)
         if not machine.free.holds(self._order.least_need):
             return 0
-        spared = self._room_beside(machine) if not machine.placements and machine.reserved_for is None else None
-        order = (
-            self._order.jobs[self._cursor :] + self._order.jobs[: self._cursor] if self._cursor else self._order.jobs
-        )
+        is_empty = not machine.placements and machine.reserved_for is None
+        in_use = self._machines_in_use(machine) if is_empty else None
+        jobs = self._order.jobs
+        order = jobs[self._cursor :] + jobs[: self._cursor] if self._cursor else jobs
         started, looked = 0, 0
-        for beyond in (False, True):  # first within the jobs' desires; what is then left over, to any
+        for beyond_desire in (False, True):
             for _, members in groupby(order, key=self._order.group):
                 if not machine.free.holds(self._order.least_need):
                     self._cursor = 0
                     return started
-                jobs = [job for job in members if not job.gang and job.waiting_bits]
+                group = [job for job in members if not job.gang and job.waiting_bits]
                 if over():
-                    self.cut_short += 1
+                    self.overrun_rounds += 1
                     self._cursor = (self._cursor + looked) % max(1, len(self._order.jobs))
                     return started
-                looked += len(jobs)
-                if machine.reserved_for is not None:
-                    jobs = self._outranking(machine, jobs, now)
-                if spared is not None:
-                    jobs = [job for job in jobs if not self._fits_beside(job, spared, now)]
-                started += self._fill_class(machine, jobs, now, beyond)
+                looked += len(group)
+                group = self._admitted(group, machine, in_use, now)
+                started += self._fill_group(machine, group, now, beyond_desire)
         self._cursor = 0
         return started
 
-    def _room_beside(self, machine: Machine) -> list[Machine]:
-        """Machines in use with room left. Small tasks go there first, so that whole machines stay free for gangs."""
+    def _admitted(self, jobs: list[Job], machine: Machine, in_use: list[Machine] | None, now: timedelta) -> list[Job]:
+        """The jobs that may use a machine, which may be reserved, or empty and better left to gangs."""
+        if machine.reserved_for is not None:
+            jobs = self._outranking(machine, jobs)
+        if in_use is not None:
+            jobs = [job for job in jobs if not self._fits_in_use(job, in_use, now)]
+        return jobs
+
+    def _machines_in_use(self, machine: Machine) -> list[Machine]:
+        """Machines of its zone that run something. Small tasks go there first, and leave whole machines to gangs."""
         return [
             other
             for other in self._shard.machines.values()
             if other.placements and other.usable and other.reserved_for is None and other.zone == machine.zone
         ]
 
-    def _fits_beside(self, job: Job, machines: list[Machine], now: timedelta) -> bool:
+    def _fits_in_use(self, job: Job, machines: list[Machine], now: timedelta) -> bool:
         """Whether all that waits of a job would fit on machines in use, at its heartbeat or the one after."""
-        bits = job.waiting_bits
-        if not bits or now - job.requeued.get(lowest(bits), job.since) > BESIDE:
+        waiting = job.waiting_bits
+        if not waiting or now - job.requeued.get(lowest(waiting), job.since) > SHARED_MACHINE_WAIT:
             return False
-        left = bits.bit_count()
+        left = waiting.bit_count()
         for machine in machines:
             if allows(job.spec, machine.kind.name, machine.zone, machine.spot):
-                if (
-                    delay_scheduling.locality_of(job, machine, self._order.images)
-                    is delay_scheduling.LocalityLevel.CACHED
-                ):
+                if locality_of(job, machine, self._order.images) is LocalityLevel.CACHED:
                     left -= machine.free.times(job.need)
                     if left <= 0:
                         return True
         return False
 
-    def _outranking(self, machine: Machine, jobs: list[Job], now: timedelta) -> list[Job]:
-        """A machine that room was made on for a job takes only that job, and what outranks it.
+    def _outranking(self, machine: Machine, jobs: list[Job]) -> list[Job]:
+        """The jobs that may use a reserved machine: the one it is reserved for, and those that come before it.
 
-        Else the room would go back to the work that was just stopped, and be made again, for ever.
+        Else the capacity would go back to the work that was just stopped for it.
         """
-        holder = self._shard.jobs.get(machine.reserved_for or "")
-        if holder is None or not holder.waiting_bits:
+        reserver = self._shard.jobs.get(machine.reserved_for or "")
+        if reserver is None or not reserver.waiting_bits:
             return jobs
-        return [job for job in jobs if job is holder or not self._preemption.may_stop(job, holder)]
+        return [job for job in jobs if job is reserver or not self._evictions.may_stop(job, reserver)]
 
-    def _fill_class(self, machine: Machine, jobs: list[Job], now: timedelta, beyond: bool) -> int:
+    def _fill_group(self, machine: Machine, jobs: list[Job], now: timedelta, beyond_desire: bool) -> int:
+        """Start tasks of jobs that are served alike, nearest image first, each in the turn of the job's share."""
         started = 0
-        for locality in delay_scheduling.LocalityLevel:
+        for locality in LocalityLevel:
             queue: list[tuple[tuple[float, float], int, Job]] = []
             for number, job in enumerate(jobs):
-                if self._eligible(job, machine, locality, now, beyond):
+                if self._eligible(job, machine, locality, now, beyond_desire):
                     queue.append((self._order.turn(job), number, job))
             heapq.heapify(queue)
             while queue:
                 _, number, job = heapq.heappop(queue)
-                if not self._start_one(job, machine, now, beyond):
+                if not self._start_next_task(job, machine, now, beyond_desire):
                     continue
                 started += 1
                 heapq.heappush(queue, (self._order.turn(job), number, job))
         return started
 
     def _eligible(
-        self, job: Job, machine: Machine, locality: delay_scheduling.LocalityLevel, now: timedelta, beyond: bool
+        self, job: Job, machine: Machine, locality: LocalityLevel, now: timedelta, beyond_desire: bool
     ) -> bool:
+        """Whether a task of the job may start on the machine, at this distance from its image."""
         spec = job.spec
         if not machine.free.holds(job.need) or not allows(spec, machine.kind.name, machine.zone, machine.spot):
             return False
@@ -121,25 +131,24 @@
             return False
         if machine.name in job.no_return_until and job.no_return_until[machine.name] > now:
             return False
-        if (
-            machine.name in job.failed_on
-            or delay_scheduling.locality_of(job, machine, self._order.images) is not locality
-        ):
+        if machine.name in job.failed_on or locality_of(job, machine, self._order.images) is not locality:
             return False
-        if locality is not delay_scheduling.LocalityLevel.CACHED and machine.fetches(gangs_only=True):
-            # Two fetches share the rate, and a whole gang would wait for it: on a machine that a gang all but fills,
-            # one small task's image made its start come twice as late.
+        if locality is not LocalityLevel.CACHED and not self._may_fetch(job, machine, locality, now):
             return False
-        if locality is not delay_scheduling.LocalityLevel.CACHED and machine.reserved_for != job.ref:
-            bits = job.waiting_bits
-            if not bits:
-                return False
-            wait = job.waited(lowest(bits), now)
-            if self._rules.allowed(job, machine, wait) < locality:
-                return False
         if job.desire < 1.0:
             self._begin_desire(job, now)
-        return beyond or self._below_desire(job)
+        return beyond_desire or self._below_desire(job)
+
+    def _may_fetch(self, job: Job, machine: Machine, locality: LocalityLevel, now: timedelta) -> bool:
+        """Whether a task may start on a machine that must fetch its image."""
+        if machine.fetches(gangs_only=True):
+            return False  # two fetches share the rate, and a whole gang would wait for this one too
+        if machine.reserved_for == job.ref:
+            return True
+        waiting = job.waiting_bits
+        if not waiting:
+            return False
+        return self._rules.allowed(job, machine, job.waited(lowest(waiting), now)) >= locality
 
     def _below_desire(self, job: Job) -> bool:
         return len(job.placed) < job.desire or self._shard.guidance.may_exceed_desire(job)
@@ -147,18 +156,18 @@
     def _begin_desire(self, job: Job, now: timedelta) -> None:
         utilization_feedback.begin(job, now, job.waiting_bits.bit_count(), self._shard.room_for(job))
 
-    def _start_one(self, job: Job, machine: Machine, now: timedelta, beyond: bool) -> bool:
-        if not machine.free.holds(job.need) or not (beyond or self._below_desire(job)):
+    def _start_next_task(self, job: Job, machine: Machine, now: timedelta, beyond_desire: bool) -> bool:
+        if not machine.free.holds(job.need) or not (beyond_desire or self._below_desire(job)):
             return False
-        bits = job.waiting_bits
-        if not bits or (job.failing and job.placed) or not self._rules.zone_allowed(job, machine.zone, 1):
+        waiting = job.waiting_bits
+        if not waiting or (job.failing and job.placed) or not self._rules.zone_allowed(job, machine.zone, 1):
             return False
         if self._order.yields_to_gang(job):
             return False
         if not self._shard.fits_quota(job):
-            self._rules.lacks(job, bits.bit_count())
+            self._rules.note_shortfall(job, waiting.bit_count())
             return False
-        index = lowest(bits)
+        index = lowest(waiting)
         log.debug(
             "event=task_placed task=%s/%d machine=%s waited=%.1f",
             job.ref,
--- a/badgerroute/scheduling/capacities.py
+++ b/badgerroute/scheduling/capacities.py
@@ -11,8 +11,8 @@
 ANY_ZONE = ""
 
 
-def room_of(capacity: FreeCapacity) -> Resources:
-    """The free room of each of these machines."""
+def free_resources_of(capacity: FreeCapacity) -> Resources:
+    """What is free on each of these machines."""
     return Resources(capacity.cpus, capacity.accelerators, capacity.memory_gb)
 
 
@@ -22,7 +22,7 @@
         (demand.types is None or capacity.type in demand.types)
         and demand.zone in (None, capacity.zone)
         and (demand.spot or not capacity.spot)
-        and room_of(capacity).holds(Resources(demand.cpus, demand.accelerators, demand.memory_gb))
+        and free_resources_of(capacity).holds(Resources(demand.cpus, demand.accelerators, demand.memory_gb))
     )
 
 
@@ -32,7 +32,7 @@
     for capacity in capacities:
         if allows(job.spec, capacity.type, capacity.zone, capacity.spot):
             zone = capacity.zone if job.spec.together else ANY_ZONE
-            slots[zone] += capacity.count * room_of(capacity).times(job.need)
+            slots[zone] += capacity.count * free_resources_of(capacity).times(job.need)
     return slots
 
 
--- a/badgerroute/scheduling/delay_scheduling.py
+++ b/badgerroute/scheduling/delay_scheduling.py
@@ -1,8 +1,14 @@
-"""The delay ladder: how far from its image a waiting task may go by now.
+"""Delay scheduling: how far from its image a task may start, by how long it has waited.
 
-After algorithm 2 of the paper: a machine that caches the image at once; one in a zone that caches it after
-tau * p; any after 2 * tau * p. No wait is longer than fetching the image would take, and a task whose image
-nothing in the shard caches has nothing to wait for.
+After the paper's algorithm 2 (Parades, section IV.D), procedure ONUPDATE. Its symbols: `p` is the processing time of
+a task, here the mean of the job's finished runs; `tau` scales the waits (`scheduling.tau`). A task starts
+
+- at once on a machine that caches its image (the paper: node-local to its input);
+- after `tau * p` on a machine in a zone where some machine caches it (the paper: rack-local);
+- after `2 * tau * p` on any machine that fits (the paper: if also n.free >= 1 - delta).
+
+Changed here: no wait is longer than the fetch of the image would take, or `scheduling.wait_cap_s`, or what lets the
+task start when its user expects it; an image that no machine of the shard caches is not waited for.
 """
 
 from collections.abc import Iterable
@@ -12,6 +18,8 @@
 from badgerroute.scheduling.model import ZERO, Job, Machine
 from badgerroute.settings import Scheduling
 
+SLOWEST_GB_PER_S = 1e-6  # so that a machine type without a rate has a fetch time too
+
 
 class LocalityLevel(IntEnum):
     """How far from its image a task is started."""
@@ -41,7 +49,7 @@
 
 
 def run_time(job: Job, correction: float) -> timedelta:
-    """p: the mean run of the job's finished tasks, seeded by its user's (corrected) estimate."""
+    """The paper's `p`: the mean run of the job's finished tasks; until one has, its user's estimate, corrected."""
     if job.run_count:
         return job.run_sum / job.run_count
     return timedelta(seconds=job.spec.estimate_s * correction)
@@ -49,7 +57,7 @@
 
 def fetch_time(job: Job, machine: Machine) -> timedelta:
     """How long a machine takes to fetch a job's image, as its type says."""
-    return timedelta(seconds=job.spec.image_gb / max(machine.kind.fetch_gb_per_s, 1e-6))
+    return timedelta(seconds=job.spec.image_gb / max(machine.kind.fetch_gb_per_s, SLOWEST_GB_PER_S))
 
 
 def allowed(
@@ -63,8 +71,9 @@
 ) -> LocalityLevel:
     """The highest locality level that a task which has waited so long may use.
 
-    `start_within` is when the task is expected to start: it must not wait so long for a cached image that
-    fetching it elsewhere would come too late (ours).
+    `fetch` is how long the image would take to fetch, `correction` the factor by which runs of the job's class exceed
+    their estimates. `start_within` is when the task is expected to start: it must not wait so long for a cached image
+    that a fetch elsewhere would come too late.
     """
     if not images.cached(job.spec.image):
         return LocalityLevel.ANY
--- /dev/null
+++ b/badgerroute/scheduling/evictions.py
@@ -0,0 +1,126 @@
+"""Which tasks may be stopped for a job, on which machines, and at what cost. Decides nothing: see `preemption`."""
+
+from dataclasses import dataclass
+from datetime import timedelta
+from operator import itemgetter
+
+from badgerroute.scheduling.model import ZERO, Job, Machine, Placement
+from badgerroute.scheduling.placement_constraints import allows
+from badgerroute.scheduling.resources import EPSILON, Resources
+from badgerroute.scheduling.service_order import ServiceOrder
+from badgerroute.scheduling.shard import Shard
+from badgerroute.scheduling.task_phase import Phase
+
+LEAST_CPUS_COUNTED = 0.01  # so that tasks that take next to no processors have a cost too
+
+
+@dataclass(frozen=True, slots=True)
+class Eviction:
+    """The tasks to stop on a machine so that one task of a job fits there."""
+
+    machine: Machine
+    victims: list[Placement]
+    loss: float  # what is thrown away with them, in processor-seconds
+
+
+class EvictionPlanner:
+    """Finds the machines of one shard on which a job could run, and what would have to be stopped there."""
+
+    def __init__(self, shard: Shard, order: ServiceOrder) -> None:
+        self._shard, self._order = shard, order
+
+    def candidates(self, job: Job, now: timedelta, free: bool = False) -> list[Machine]:
+        """Machines that may run the job; `free`: only those with free processors for one of its tasks."""
+        spec, cpus = job.spec, job.need.cpus - EPSILON if free else -1.0
+        return [
+            machine
+            for machine in self._shard.machines.values()
+            if machine.free.cpus >= cpus
+            and machine.usable
+            and machine.avoid_until <= now
+            and machine.name not in job.failed_on
+            and job.no_return_until.get(machine.name, ZERO) <= now
+            and allows(spec, machine.kind.name, machine.zone, machine.spot)
+        ]
+
+    def may_stop(self, victim: Job, job: Job) -> bool:
+        """Whether a victim's tasks may be stopped for a job.
+
+        The order of service decides, as it decides who starts first. If two jobs could each stop the other, they would
+        do so in turn, and neither would ever be done.
+        """
+        if self._order.job_class(job) >= self._order.job_class(victim):
+            return False
+        return victim.level < job.level or victim.spec.team != job.spec.team
+
+    @staticmethod
+    def _loss(placement: Placement, now: timedelta) -> float:
+        """What stopping a task throws away, in processor-seconds: useful work, or the fetch so far.
+
+        It grows with every time that the job was stopped: else a gang that is always fetching, and so always the
+        cheapest to stop, would never run.
+        """
+        spec = placement.job.spec
+        if placement.running_since is None:
+            lost_s = (now - placement.since).total_seconds()
+        else:
+            ran_s = (now - placement.running_since).total_seconds()
+            lost_s = min(ran_s, spec.save_s + 1.0) if spec.checkpoint_s else ran_s
+        tasks = len(placement.job.placed) if spec.gang else 1
+        return lost_s * max(spec.cpus, LEAST_CPUS_COUNTED) * tasks * (1 + placement.job.stopped)
+
+    def cheapest(self, machine: Machine, job: Job, now: timedelta) -> Eviction | None:
+        """The cheapest tasks to stop so that one task of the job fits; none are needed if those that are stopping do.
+
+        None: the task would not fit whatever is stopped.
+        """
+        # Most machines run too little that may be stopped: that is seen without a look at each task.
+        if not machine.leaving and not self.reclaimable(machine, job.level + job.guaranteed).holds(job.need):
+            return None
+        available = machine.free.copy()
+        stoppable = []
+        for placement in machine.placements.values():
+            if placement.stopping:
+                available.add(placement.job.need)
+            elif placement.phase is not Phase.SENT and self.may_stop(placement.job, job):
+                stoppable.append((self._loss(placement, now), placement.key, placement))
+        victims: list[Placement] = []
+        if available.holds(job.need):
+            return Eviction(machine, victims, 0.0)
+        total_loss = 0.0
+        for loss, _, placement in sorted(stoppable, key=itemgetter(0, 1)):
+            victims.append(placement)
+            total_loss += loss
+            available.add(placement.job.need)
+            if available.holds(job.need):
+                return Eviction(machine, victims, total_loss)
+        return None
+
+    @staticmethod
+    def reclaimable(machine: Machine, level: int) -> Resources:
+        """What a machine could offer a job of a level: its free capacity and that of work below the level."""
+        total = machine.free.copy()
+        for other, allocated in machine.allocated_by_level.items():
+            if other < level:
+                total.add(allocated)
+        return total
+
+    def reclaimable_by_machine(self, level: int) -> list[tuple[Machine, Resources]]:
+        """What each usable machine that is not reserved could offer a job of a level."""
+        return [
+            (machine, self.reclaimable(machine, level))
+            for machine in self._shard.machines.values()
+            if machine.usable and machine.reserved_for is None
+        ]
+
+    def reclaimable_cpus_by_image(self, level: int, most: int) -> dict[str, list[float]]:
+        """For each image, the processors that machines which cache it could offer a job of a level, most first.
+
+        Machines that could offer less than half of their processors don't count; `most` machines an image at most.
+        """
+        found: dict[str, list[float]] = {}
+        for machine, resources in self.reclaimable_by_machine(level):
+            if 2 * resources.cpus >= machine.kind.cpus:
+                for image in machine.images:
+                    found.setdefault(image, []).append(resources.cpus)
+        return {image: sorted(cpus, reverse=True)[:most] for image, cpus in found.items()}
--- a/badgerroute/scheduling/failures.py
+++ b/badgerroute/scheduling/failures.py
@@ -49,7 +49,7 @@
     def _seems_failing(job: Job) -> bool:
         """Whether the job's failures are its own: no task of it was ever done, and it fails wherever it goes.
 
-        Many machines may be sick at once, so it must have failed on more of them than it runs on.
+        Many machines may be faulty at once, so it must have failed on more of them than it runs on.
         """
         if job.failing or job.done | job.done_here:
             return job.failing
@@ -67,19 +67,16 @@
             job.failed_on = {}
 
     def _blame_job(self, job: Job, machine: Machine, now: timedelta) -> None:
-        """A mistake in the job: probe it seldom, and hold nothing of it against the machines.
-
-        A few such jobs once had dozens of machines called sick, drained and deleted, with all that ran on them.
-        """
+        """The job itself fails: try it seldom, and count its failures against no machine, or good ones are drained."""
         if not job.failing:
             log.info(
                 "event=job_marked_failing job=%s shard=%d machines=%d", job.ref, self._shard.number, len(job.failed_on)
             )
             job.failing = True
             for name in job.failed_on:
-                one = self._shard.machines.get(name)
-                if one is not None and one.failed_jobs.pop(job.ref, None) is not None and not one.failed_jobs:
-                    one.avoid_until = ZERO
+                other = self._shard.machines.get(name)
+                if other is not None and other.failed_jobs.pop(job.ref, None) is not None and not other.failed_jobs:
+                    other.avoid_until = ZERO
         if now >= job.blocked_until:  # the rest of a wave that was started before says nothing new
             job.probes += 1
             job.blocked_until = now + min(MAX_BACKOFF, BACKOFF * 2 ** min(10, job.probes))
@@ -90,11 +87,11 @@
         failed, job.failed_on = job.failed_on, {}
         job.failing, job.probes, job.blocked_until = False, 0, ZERO
         for name, tasks in failed.items():
-            one = self._shard.machines.get(name)
-            if one is None or one is machine or job.ref not in one.failed_jobs:
+            other = self._shard.machines.get(name)
+            if other is None or other is machine or job.ref not in other.failed_jobs:
                 continue
-            if tasks >= QUARANTINE_TRIES or len(one.failed_jobs) >= QUARANTINE_JOBS:
-                self._quarantine(one, events)
+            if tasks >= QUARANTINE_TRIES or len(other.failed_jobs) >= QUARANTINE_JOBS:
+                self._quarantine(other, events)
 
     def _quarantine(self, machine: Machine, events: Events) -> None:
         if not machine.draining:
--- a/badgerroute/scheduling/gang_placement.py
+++ b/badgerroute/scheduling/gang_placement.py
@@ -1,10 +1,16 @@
-"""Gangs: placed whole in one round, beside their image if they can be."""
+"""Gangs: all tasks of a gang are placed in one round or none is, near copies of their image if possible.
+
+An addition to the paper, whose tasks start one by one (docs/design.md). Which machines are near enough follows from
+delay scheduling, as with arrays.
+"""
 
 import logging
 from collections.abc import Callable
 from datetime import timedelta
+from typing import NamedTuple
 
-from badgerroute.scheduling import delay_scheduling
+from badgerroute.scheduling.delay_scheduling import LocalityLevel, fetch_time, locality_of
+from badgerroute.scheduling.evictions import Eviction, EvictionPlanner
 from badgerroute.scheduling.model import ZERO, Job, Machine
 from badgerroute.scheduling.objectives import Objectives
 from badgerroute.scheduling.placement_rules import FETCH_SPREAD, PlacementRules
@@ -15,7 +21,17 @@
 from badgerroute.storage.records import lowest
 
 log = logging.getLogger(__name__)
-MANY = 1000.0  # more images than a machine caches
+FETCHING_PENALTY = 1000.0  # more than the images that a machine caches
+
+
+class _Option(NamedTuple):
+    """A machine on which a gang's task fits, best first in the order of the fields, then by name."""
+
+    locality: LocalityLevel
+    fetch_penalty: float
+    free_cpus: float
+    heard_s: float  # when it was last heard: the heartbeat that is due first carries the start first
+    machine: Machine
 
 
 class GangPlacement:
@@ -24,19 +40,25 @@
     def __init__(
         self,
         shard: Shard,
+        *,
         order: ServiceOrder,
         rules: PlacementRules,
+        evictions: EvictionPlanner,
         preemption: Preemption,
         objectives: Objectives,
         heartbeat: timedelta,
     ) -> None:
-        self._shard, self._order, self._rules, self._preemption = shard, order, rules, preemption
+        self._shard, self._order, self._rules = shard, order, rules
+        self._evictions, self._preemption = evictions, preemption
         self._objectives, self._heartbeat = objectives, heartbeat
-        self._cursor = 0
-        self.cut_short = 0  # rounds that ran out of time
+        self._cursor = 0  # position of the gang with which the next round goes on
+        self.overrun_rounds = 0  # rounds that ran out of time
 
     def place_on(self, machine: Machine, now: timedelta, over: Callable[[], bool]) -> int:
-        """Place the gangs for which a machine that reports may have been missing. Room is made in rounds only."""
+        """Place the gangs that may have lacked just this machine; how many. Nothing is stopped for them here.
+
+        `over` tells when the round's time is up.
+        """
         if not self._shard.reconciled or not machine.usable:
             return 0
         self._order.refresh(now)
@@ -46,13 +68,13 @@
                 if machine.reserved_for not in (None, job.ref):
                     continue
                 if over():
-                    self.cut_short += 1
+                    self.overrun_rounds += 1
                     return placed
-                placed += self._place_gang(job, now, make_room=False)
+                placed += self._place_gang(job, now, preempt=False)
         return placed
 
     def place(self, now: timedelta, over: Callable[[], bool]) -> int:
-        """Place waiting gangs, each whole or not at all."""
+        """Place waiting gangs, and stop work for those that have waited long; how many are placed."""
         if not self._shard.reconciled:
             return 0
         self._order.refresh(now)
@@ -62,78 +84,87 @@
         placed = 0
         for position in range(self._cursor, len(waiting)):
             if over():
-                self.cut_short += 1
+                self.overrun_rounds += 1
                 self._cursor = position
                 return placed
-            placed += self._place_gang(waiting[position], now, make_room=True)
+            placed += self._place_gang(waiting[position], now, preempt=True)
         self._cursor = 0
         return placed
 
-    def _place_gang(self, job: Job, now: timedelta, make_room: bool) -> bool:
+    def _place_gang(self, job: Job, now: timedelta, preempt: bool) -> bool:
         tasks = job.waiting_bits.bit_count()
-        if self._shard.fits_quota(job, tasks) < tasks:
-            self._rules.lacks(job, tasks)
+        if self._lacks_quota(job, tasks):
+            self._rules.note_shortfall(job, tasks)
             return False
         wait = now - job.since
-        options: list[tuple[int, float, float, float, Machine]] = []
+        options, blocked_by_locality = self._options(job, wait, now)
+        chosen = self._choose(job, tasks, options)
+        if chosen is None:
+            if preempt and not blocked_by_locality and not job.failing:
+                self._preemption.preempt_for_gang(job, tasks, now)
+            return False
+        if not job.failing and self._preempt_near_image(job, tasks, chosen, wait, now):
+            return False
+        self._start(job, chosen, wait, now)
+        return True
+
+    def _options(self, job: Job, wait: timedelta, now: timedelta) -> tuple[list[_Option], bool]:
+        """Machines on which a task fits and may start by now; and whether others are only too far from the image."""
+        options: list[_Option] = []
         blocked_by_locality = False
-        for machine in self._preemption.candidates(job, now, free=True):
+        for machine in self._evictions.candidates(job, now, free=True):
             if not machine.free.holds(job.need) or machine.reserved_for not in (None, job.ref):
                 continue
-            locality = delay_scheduling.locality_of(job, machine, self._order.images)
+            locality = locality_of(job, machine, self._order.images)
             if locality > self._rules.allowed(job, machine, wait):
                 blocked_by_locality = True
                 continue
-            # Where it must be fetched, on the machine with the fewest images: the others are worth more to others.
-            # One that fetches already shares its rate.
-            spoilt = 0.0
-            if locality is not delay_scheduling.LocalityLevel.CACHED:
-                spoilt = len(machine.images) + (MANY if machine.fetches() else 0.0)
-            # Among equals, on the one whose heartbeat is due first: the start goes out in the answer to it.
-            due = machine.heard.total_seconds() if machine.heard is not None else 0.0
-            options.append((locality, spoilt, machine.free.cpus, due, machine))
-        chosen = self._choose(job, tasks, options)
-        if chosen is None:
-            if make_room and not blocked_by_locality and not job.failing:
-                self._preemption.make_room_for_gang(job, tasks, now)
-            return False
-        if not job.failing and self._better_beside_image(job, tasks, chosen, wait, now):  # it waits for room there
-            return False
+            heard_s = machine.heard.total_seconds() if machine.heard is not None else 0.0
+            penalty = self._fetch_penalty(machine, locality)
+            options.append(_Option(locality, penalty, machine.free.cpus, heard_s, machine))
+        return options, blocked_by_locality
+
+    @staticmethod
+    def _fetch_penalty(machine: Machine, locality: LocalityLevel) -> float:
+        """How little a machine suits a fetch: it may evict one of its images, and one that fetches shares its rate."""
+        if locality is LocalityLevel.CACHED:
+            return 0.0
+        return len(machine.images) + (FETCHING_PENALTY if machine.fetches() else 0.0)
+
+    def _start(self, job: Job, machines: list[Machine], wait: timedelta, now: timedelta) -> None:
+        """Place all tasks of a gang, one for each entry of `machines`, and give up its reservations."""
         attempt = self._shard.next_attempt()
         log.debug(
             "event=gang_placed job=%s machines=%s waited=%.1f cached=%d",
             job.ref,
-            ",".join(machine.name for machine in chosen),
+            ",".join(machine.name for machine in machines),
             wait.total_seconds(),
-            sum(job.spec.image in machine.images for machine in chosen),
+            sum(job.spec.image in machine.images for machine in machines),
         )
         job.gang_attempt = attempt
-        bits = job.waiting_bits
-        for machine in chosen:
-            index = lowest(bits)
-            bits &= bits - 1
+        waiting = job.waiting_bits
+        for machine in machines:
+            index = lowest(waiting)
+            waiting &= waiting - 1
             self._shard.place(job, index, attempt, machine, now, Phase.RESERVED)
         for machine in self._shard.machines.values():
             if machine.reserved_for == job.ref:
                 machine.reserved_for = None
-        return True
 
-    def _choose(
-        self, job: Job, tasks: int, options: list[tuple[int, float, float, float, Machine]]
-    ) -> list[Machine] | None:
-        """Machines for all tasks of a gang: nearest image first, then the tightest fit."""
-        options = sorted(options, key=lambda one: (*one[:4], one[4].name))
+    def _choose(self, job: Job, tasks: int, options: list[_Option]) -> list[Machine] | None:
+        """Machines for all tasks of a gang, nearest image first, then the tightest fit; None if there are too few."""
+        options = sorted(options, key=lambda option: (*option[:4], option.machine.name))
         if not job.spec.together:
-            return self._take(job, tasks, [option[4] for option in options])
-        zones = dict.fromkeys(option[4].zone for option in options)
-        for zone in zones:
-            chosen = self._take(job, tasks, [option[4] for option in options if option[4].zone == zone])
+            return self._take(job, tasks, [option.machine for option in options])
+        for zone in dict.fromkeys(option.machine.zone for option in options):
+            chosen = self._take(job, tasks, [option.machine for option in options if option.machine.zone == zone])
             if chosen is not None:
                 return chosen
         return None
 
     @staticmethod
     def _take(job: Job, tasks: int, machines: list[Machine]) -> list[Machine] | None:
+        """The first machines that hold all tasks, each as often as it holds one; a spread gang's lie in two zones."""
         chosen: list[Machine] = []
         per_zone: dict[str, int] = {}
         most = (job.spec.tasks + 1) // 2 if job.spec.spread else tasks
@@ -147,28 +178,28 @@
                 chosen.append(machine)
         return chosen if len(chosen) == tasks else None
 
-    def _better_beside_image(
-        self, job: Job, tasks: int, chosen: list[Machine], wait: timedelta, now: timedelta
-    ) -> bool:
-        """Make room on machines that cache the image, where fetching it would come too late and cost no less."""
+    def _preempt_near_image(self, job: Job, tasks: int, chosen: list[Machine], wait: timedelta, now: timedelta) -> bool:
+        """Stop work on machines that cache the image, where a fetch would come too late and cost no less.
+
+        Whether it was done; the gang then waits for those machines.
+        """
         fetch = max(
-            (delay_scheduling.fetch_time(job, machine) for machine in chosen if job.spec.image not in machine.images),
-            default=ZERO,
+            (fetch_time(job, machine) for machine in chosen if job.spec.image not in machine.images), default=ZERO
         )
         # A gang starts with its last machine, whose fetch is slow; the start goes out in the answer to its next
         # heartbeat.
         if fetch == ZERO or wait + self._heartbeat + fetch * FETCH_SPREAD <= self._objectives.start_within(job):
             return False
-        options = []
-        for machine in self._preemption.candidates(job, now):
+        options: list[Eviction] = []
+        for machine in self._evictions.candidates(job, now):
             if job.spec.image in machine.images and machine.reserved_for in (None, job.ref):
-                plan = self._preemption.clear_out(machine, job, now)
-                if plan is not None and plan[0] <= job.need.cpus * fetch.total_seconds():
-                    options.append((plan[0], machine.name, machine, plan[1]))
-        return self._preemption.clear(job, tasks, options, now)
+                eviction = self._evictions.cheapest(machine, job, now)
+                if eviction is not None and eviction.loss <= job.need.cpus * fetch.total_seconds():
+                    options.append(eviction)
+        return self._preemption.evict_for_gang(job, tasks, options, now)
 
     def unplaceable_gangs(self, now: timedelta) -> list[Job]:
-        """Gangs that have waited long and for which no room could be made in this shard."""
+        """Gangs that have waited long and for which too little could be stopped in this shard."""
         holders = {machine.reserved_for for machine in self._shard.machines.values()}
         return [
             job
@@ -178,9 +209,9 @@
             and not job.failing
             and job.ref not in holders
             and job.waiting_bits
-            and now - job.since >= self._preemption.patience(job)
-            and not self._lacks_quota(job)  # else no other shard could place it either
+            and now - job.since >= self._preemption.wait_before_preemption(job)
+            and not self._lacks_quota(job, job.spec.tasks)  # else no other shard could place it either
         ]
 
-    def _lacks_quota(self, job: Job) -> bool:
-        return self._shard.fits_quota(job, job.spec.tasks) < job.spec.tasks
+    def _lacks_quota(self, job: Job, tasks: int) -> bool:
+        return self._shard.fits_quota(job, tasks) < tasks
--- a/badgerroute/scheduling/placement_rules.py
+++ b/badgerroute/scheduling/placement_rules.py
@@ -1,4 +1,4 @@
-"""What holds for gangs and arrays alike: delay scheduling by this shard's images, zones, and quota lacking."""
+"""What holds for gangs and arrays alike: delay scheduling by this shard's images, zones, and quota shortfalls."""
 
 from datetime import timedelta
 
@@ -14,14 +14,14 @@
 
 
 class PlacementRules:
-    """`short_of_quota` is what teams lacked of their limits since somebody last took it away."""
+    """Constraints on single placements. `quota_shortfalls`: by team, what its jobs lacked of its limit."""
 
     def __init__(
         self, shard: Shard, order: ServiceOrder, settings: Scheduling, objectives: Objectives, heartbeat: timedelta
     ) -> None:
         self._shard, self._order, self._settings = shard, order, settings
         self._objectives, self._heartbeat = objectives, heartbeat
-        self.short_of_quota: dict[str, Resources] = {}
+        self.quota_shortfalls: dict[str, Resources] = {}
 
     def allowed(self, job: Job, machine: Machine, wait: timedelta) -> delay_scheduling.LocalityLevel:
         """The highest locality level that a task which has waited so long may use on a machine."""
@@ -47,8 +47,8 @@
             return False
         return True
 
-    def lacks(self, job: Job, tasks: int) -> None:
+    def note_shortfall(self, job: Job, tasks: int) -> None:
         """Note what a job's team lacks of its limit for so many tasks."""
-        lack = self.short_of_quota.setdefault(job.spec.team, Resources())
-        lack.cpus = max(lack.cpus, job.need.cpus * tasks)
-        lack.accelerators = max(lack.accelerators, job.need.accelerators * tasks)
+        shortfall = self.quota_shortfalls.setdefault(job.spec.team, Resources())
+        shortfall.cpus = max(shortfall.cpus, job.need.cpus * tasks)
+        shortfall.accelerators = max(shortfall.accelerators, job.need.accelerators * tasks)
--- a/badgerroute/scheduling/planner.py
+++ b/badgerroute/scheduling/planner.py
@@ -1,4 +1,8 @@
-"""Rounds of decisions for one shard: fill a machine whose heartbeat came, place gangs, make room, apply feedback."""
+"""Rounds of decisions for one shard: fill a machine whose heartbeat came, place gangs, preempt, apply feedback.
+
+A facade. The paper's algorithms are in `array_placement` and `delay_scheduling` (Parades), `stealing` (SENDSTEAL) and
+`utilization_feedback` (Af); `gang_placement` and `preemption` are additions.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -6,6 +10,7 @@
 
 from badgerroute.scheduling import delay_scheduling, utilization_feedback
 from badgerroute.scheduling.array_placement import ArrayPlacement
+from badgerroute.scheduling.evictions import EvictionPlanner
 from badgerroute.scheduling.gang_placement import GangPlacement
 from badgerroute.scheduling.model import Job, Machine
 from badgerroute.scheduling.objectives import Objectives
@@ -18,8 +23,8 @@
 
 
 @dataclass(slots=True)
-class Shape:
-    """Waiting tasks of one kind: what the fleet and the other shards need to know of them."""
+class WaitingDemand:
+    """The tasks of a job that wait: what the autoscaler and the other shards need to know of them."""
 
     ref: str
     team: str
@@ -42,9 +47,20 @@
         self._settings = settings
         self._order = ServiceOrder(shard, objectives)
         self._rules = PlacementRules(shard, self._order, settings, objectives, heartbeat)
-        self._preemption = Preemption(shard, self._order, objectives, heartbeat)
-        self._gangs = GangPlacement(shard, self._order, self._rules, self._preemption, objectives, heartbeat)
-        self._arrays = ArrayPlacement(shard, self._order, self._rules, self._preemption)
+        self._evictions = EvictionPlanner(shard, self._order)
+        self._preemption = Preemption(
+            shard, order=self._order, evictions=self._evictions, objectives=objectives, heartbeat=heartbeat
+        )
+        self._gangs = GangPlacement(
+            shard,
+            order=self._order,
+            rules=self._rules,
+            evictions=self._evictions,
+            preemption=self._preemption,
+            objectives=objectives,
+            heartbeat=heartbeat,
+        )
+        self._arrays = ArrayPlacement(shard, self._order, self._rules, self._evictions)
 
     def rank(self, job: Job) -> tuple[float, float, float]:
         """See ServiceOrder."""
@@ -60,12 +76,12 @@
         return self._order.jobs
 
     def may_stop(self, victim: Job, job: Job) -> bool:
-        """See Preemption."""
-        return self._preemption.may_stop(victim, job)
+        """See EvictionPlanner."""
+        return self._evictions.may_stop(victim, job)
 
     def candidates(self, job: Job, now: timedelta, free: bool = False) -> list[Machine]:
-        """See Preemption."""
-        return self._preemption.candidates(job, now, free)
+        """See EvictionPlanner."""
+        return self._evictions.candidates(job, now, free)
 
     def fill(self, machine: Machine, now: timedelta, over: Callable[[], bool]) -> int:
         """See ArrayPlacement."""
@@ -83,31 +99,31 @@
         """See GangPlacement."""
         return self._gangs.unplaceable_gangs(now)
 
-    def make_room_for_arrays(self, now: timedelta, over: Callable[[], bool]) -> None:
+    def preempt_for_arrays(self, now: timedelta, over: Callable[[], bool]) -> None:
         """See Preemption."""
-        self._preemption.make_room_for_arrays(now, over)
+        self._preemption.preempt_for_arrays(now, over)
 
-    def release_holds(self, now: timedelta) -> None:
+    def release_reservations(self, now: timedelta) -> None:
         """See Preemption."""
-        self._preemption.release_holds(now)
+        self._preemption.release_reservations(now)
 
-    def room_without(self, level: int) -> list[tuple[Machine, Resources]]:
-        """See Preemption."""
-        return self._preemption.room_without(level)
+    def reclaimable_by_machine(self, level: int) -> list[tuple[Machine, Resources]]:
+        """See EvictionPlanner."""
+        return self._evictions.reclaimable_by_machine(level)
 
-    def room_beside_images(self, level: int, most: int) -> dict[str, list[float]]:
-        """See Preemption."""
-        return self._preemption.room_beside_images(level, most)
+    def reclaimable_cpus_by_image(self, level: int, most: int) -> dict[str, list[float]]:
+        """See EvictionPlanner."""
+        return self._evictions.reclaimable_cpus_by_image(level, most)
 
     @property
-    def cut_short(self) -> int:
+    def overrun_rounds(self) -> int:
         """Rounds that ran out of time."""
-        return self._gangs.cut_short + self._arrays.cut_short + self._preemption.cut_short
+        return self._gangs.overrun_rounds + self._arrays.overrun_rounds + self._preemption.overrun_rounds
 
-    def take_shortages(self) -> dict[str, Resources]:
-        """What teams lacked of their limits in the last rounds; asked for once."""
-        short, self._rules.short_of_quota = self._rules.short_of_quota, {}
-        return short
+    def collect_quota_shortfalls(self) -> dict[str, Resources]:
+        """By team, what its jobs lacked of its limit in the rounds since the last call."""
+        shortfalls, self._rules.quota_shortfalls = self._rules.quota_shortfalls, {}
+        return shortfalls
 
     def feedback(self, now: timedelta) -> None:
         """Sample every job, and give those whose period is over their next desire."""
@@ -118,14 +134,14 @@
             if now - job.period_began >= self._settings.period:
                 utilization_feedback.end_period(job, now, self._settings)
 
-    def shapes(self, now: timedelta) -> list[Shape]:
-        """The waiting tasks by job."""
-        shapes = []
+    def waiting_demands(self, now: timedelta) -> list[WaitingDemand]:
+        """The tasks that wait and may start, by job."""
+        demands = []
         for job in self.shard.jobs.values():
             count = job.startable
             if count and job.blocked_until <= now:
-                shapes.append(
-                    Shape(
+                demands.append(
+                    WaitingDemand(
                         job.ref,
                         job.spec.team,
                         job.need,
@@ -137,7 +153,7 @@
                         job,
                     )
                 )
-        return shapes
+        return demands
 
     def freeing(self, now: timedelta) -> float:
         """Processors of array tasks that should end before a new machine could boot and fetch an image."""
@@ -146,16 +162,16 @@
             if job.gang or not job.placed:
                 continue
             run = delay_scheduling.run_time(job, self.shard.estimates.correction(job.spec.job_class))
-            before: dict[str, timedelta] = {}  # machine type -> what runs since then will have ended
+            latest_starts: dict[str, timedelta] = {}  # machine type -> runs that began by then will have ended
             for placement in job.placed.values():
-                since = placement.running_since
-                if since is None:
+                running_since = placement.running_since
+                if running_since is None:
                     continue
                 kind = placement.machine.kind
-                latest = before.get(kind.name)
+                latest = latest_starts.get(kind.name)
                 if latest is None:
                     ready = timedelta(seconds=kind.boot_s) + delay_scheduling.fetch_time(job, placement.machine)
-                    latest = before[kind.name] = now + ready - run
-                if since < latest:
+                    latest = latest_starts[kind.name] = now + ready - run
+                if running_since < latest:
                     total += job.need.cpus
         return total
--- a/badgerroute/scheduling/scale_out_planning.py
+++ b/badgerroute/scheduling/scale_out_planning.py
@@ -10,7 +10,7 @@
 
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.mesh import PendingDemand, ShardSummary
-from badgerroute.scheduling.capacities import room_of
+from badgerroute.scheduling.capacities import free_resources_of
 from badgerroute.scheduling.objectives import Objectives
 from badgerroute.scheduling.resources import Resources, capacity_of
 from badgerroute.settings import Settings, Team
@@ -125,7 +125,7 @@
         for shard in summaries:
             for capacity in shard.capacities:
                 place = MachinePool(capacity.type, capacity.zone, capacity.spot)
-                self._groups.append(_CapacityGroup(place, room_of(capacity), capacity.count))
+                self._groups.append(_CapacityGroup(place, free_resources_of(capacity), capacity.count))
             for team, (cpus, accelerators) in shard.used.items():
                 self._used.setdefault(team, Resources()).add(Resources(cpus, accelerators))
         for machines in expected:
--- a/badgerroute/scheduling/service_order.py
+++ b/badgerroute/scheduling/service_order.py
@@ -1,4 +1,8 @@
-"""The one order in which a shard's jobs are served. It decides who starts first and who may stop whom."""
+"""The order in which a shard's jobs are served. It decides which starts first and which may preempt which.
+
+Within a group of equals it is the paper's fair scheduler (section IV.E): the job that holds least of the shard goes
+first. The groups are an addition: priority level, guarantee, and how late a job is (docs/design.md).
+"""
 
 from datetime import timedelta
 from math import inf
@@ -9,18 +13,19 @@
 from badgerroute.scheduling.resources import Resources
 from badgerroute.scheduling.shard import Shard
 
-ORDER_KEPT = timedelta(milliseconds=250)
+ORDER_KEPT = timedelta(milliseconds=250)  # how long an order that was worked out is used
+ACCELERATOR_WEIGHT = 8  # processors that one accelerator counts as, for what a job holds of the shard
 
 
 class ServiceOrder:
-    """Jobs that wait, first come those to be served first; kept for a moment, since every heartbeat asks for it."""
+    """The jobs that wait, in the order of service. Kept for a moment, since every heartbeat asks for it."""
 
     def __init__(self, shard: Shard, objectives: Objectives) -> None:
         self._shard, self._objectives = shard, objectives
         self.jobs: list[Job] = []
         self.least_need = Resources()  # no array task that waits takes less than this
         self.images = delay_scheduling.ImageLocations([])
-        self._tiers: dict[str, float] = {}
+        self._lateness_tiers: dict[str, float] = {}
         self._short_gangs: dict[str, list[Job]] = {}  # team -> gangs that wait for want of quota
         self._ordered_at = -timedelta(days=1)
 
@@ -33,46 +38,43 @@
         waiting = [job for job in self._shard.jobs.values() if job.waiting_bits and job.blocked_until <= now]
         for job in waiting:
             self._shard.clear_failures(job, now)
-        self._tiers = {job.ref: self._tier(job, now) for job in waiting}
+        self._lateness_tiers = {job.ref: self._lateness_tier(job, now) for job in waiting}
         waiting.sort(key=lambda job: (self.group(job), self._shard.guidance.precedence(job), job.accepted))
         self.jobs = waiting
         self._short_gangs = {}
         for job in waiting:
             if job.gang and not job.placed and not job.failing and self._shard.short_of_quota(job):
                 self._short_gangs.setdefault(job.spec.team, []).append(job)
-        arrays = [job.need for job in waiting if not job.gang]
+        needs = [job.need for job in waiting if not job.gang]
         self.least_need = Resources(
-            min((one.cpus for one in arrays), default=inf), 0.0, min((one.memory_gb for one in arrays), default=inf)
+            min((need.cpus for need in needs), default=inf), 0.0, min((need.memory_gb for need in needs), default=inf)
         )
 
-    def _tier(self, job: Job, now: timedelta) -> float:
-        return (
-            job.lateness_tier
-            if job.lateness_tier < 0
-            else max(job.lateness_tier, self._objectives.missed(job, now, self.run_time(job)))
-        )
+    def _lateness_tier(self, job: Job, now: timedelta) -> float:
+        if job.lateness_tier < 0:
+            return job.lateness_tier
+        return max(job.lateness_tier, self._objectives.missed(job, now, self.run_time(job)))
 
     def run_time(self, job: Job) -> timedelta:
         """How long a task of the job is expected to run."""
         return delay_scheduling.run_time(job, self._shard.estimates.correction(job.spec.job_class))
 
     def group(self, job: Job) -> tuple[int, bool, float]:
-        """Jobs among which the least held goes first: alike in class, and in how late they must be already.
+        """Jobs of one group take turns by what they hold: alike in class, and in how late they will be.
 
         What can still be done in time comes before what can't: a late job gains nothing by being less late.
         """
-        return (*self.job_class(job), self._tiers.get(job.ref, 0))
+        return (*self.job_class(job), self._lateness_tiers.get(job.ref, 0))
 
     def rank(self, job: Job) -> tuple[float, float, float]:
         """Where a job stands in the order of service, which is the same in all shards: less comes first."""
-        return float(-job.level), float(not job.guaranteed), float(self._tiers.get(job.ref, job.lateness_tier))
+        return float(-job.level), float(not job.guaranteed), float(self._lateness_tiers.get(job.ref, job.lateness_tier))
 
     def yields_to_gang(self, job: Job) -> bool:
         """Whether a gang that comes before a job lacks quota of their team's limit here.
 
-        What becomes free of the share, or comes from other shards, is then kept for the gang. It needs much at once:
-        the team's lesser tasks need little each. They took it piece by piece, and gangs waited for two minutes beside
-        room.
+        What becomes free of the quota, or comes from other shards, is then kept for the gang, which needs much at once.
+        The team's smaller tasks would take it piece by piece.
         """
         gangs = self._short_gangs.get(job.spec.team)
         return gangs is not None and any(self.job_class(gang) < self.job_class(job) for gang in gangs)
@@ -83,6 +85,6 @@
         return (-job.level, not job.guaranteed)
 
     def turn(self, job: Job) -> tuple[float, float]:
-        """Among equals, less comes first: by what is advised of their teams, then by what they hold of the shard."""
-        held = len(job.placed) * (job.need.cpus + 8 * job.need.accelerators)
+        """Among equals, less comes first: by the guidance on their teams, then by what they hold of the shard."""
+        held = len(job.placed) * (job.need.cpus + ACCELERATOR_WEIGHT * job.need.accelerators)
         return self._shard.guidance.precedence(job), held
--- a/badgerroute/scheduling/shard.py
+++ b/badgerroute/scheduling/shard.py
@@ -21,12 +21,11 @@
 from badgerroute.scheduling.model import ZERO, Job, Machine, Placement
 from badgerroute.scheduling.placement_constraints import allows
 from badgerroute.scheduling.quota_ledger import AllocationOf, QuotaLedger, Usage
-from badgerroute.scheduling.resources import Resources, capacity_of
+from badgerroute.scheduling.resources import Resources, capacity_of, need_of
 from badgerroute.scheduling.task_phase import Phase
 from badgerroute.storage.records import JobRecord, MachineRecord
 
 log = logging.getLogger(__name__)
-
 ATTEMPT_BITS = 24  # of an attempt's number, for the counter; the term stands above them
 
 
@@ -125,10 +124,9 @@
         if not owned:
             return None
         spec = record.job
-        need = Resources(spec.cpus, spec.accelerators, spec.memory_gb)
         # A gang that comes from another shard has waited there already.
         since = min(now, accepted) if spec.gang else now
-        job = Job(spec.ref, spec, accepted, owned, done, window, need, since, held_back=held_back)
+        job = Job(spec.ref, spec, accepted, owned, done, window, need_of(spec), since, held_back=held_back)
         self.jobs[spec.ref] = job
         return job
 
@@ -150,9 +148,9 @@
         if level == job.level:
             return
         for placement in job.placed.values():
-            held = placement.machine.allocated_by_level
-            held[job.level].take(job.need)
-            held.setdefault(level, Resources()).add(job.need)
+            allocated = placement.machine.allocated_by_level
+            allocated[job.level].take(job.need)
+            allocated.setdefault(level, Resources()).add(job.need)
         job.level = level
 
     def drop_job(self, ref: str) -> None:
@@ -292,13 +290,11 @@
             # An orphan's team is unknown, so what it uses can't be counted: wait until it is gone.
             self.reconciled = not self.unreconciled()
             if self.reconciled:
-                log.info(
-                    "event=shard_reconciled shard=%d term=%d machines=%d", self.number, self.term, len(self.machines)
-                )
+                machines = len(self.machines)
+                log.info("event=shard_reconciled shard=%d term=%d machines=%d", self.number, self.term, machines)
         return self.reconciled
 
     def unreconciled(self) -> list[Machine]:
         """Machines of which it is not certain what runs on them, or that run what can't be counted."""
-        return [
-            machine for machine in self.machines.values() if not machine.fenced or machine.orphans or machine.undecided
-        ]
+        machines = self.machines.values()
+        return [machine for machine in machines if not machine.fenced or machine.orphans or machine.undecided]
--- a/badgerroute/scheduling/stealing.py
+++ b/badgerroute/scheduling/stealing.py
@@ -1,10 +1,15 @@
-"""Which waiting tasks a shard gives to an idle one. Pure: what is chosen is written and given elsewhere."""
+"""Work stealing, the victim's side: which waiting tasks a shard gives to an idle one.
+
+After the paper's algorithm 2 (Parades, section IV.D), procedures STEAL, SENDSTEAL and ONRECEIVESTEAL(n): the thief has
+no task that waits, and offers its free capacity `n` to the victim, which decides. Changed here: one request offers many
+machines, and what is chosen is written by a conditional write elsewhere (`coordination.shards.migration`).
+"""
 
 from dataclasses import dataclass
 from datetime import timedelta
 
 from badgerroute.protocol.mesh import FreeCapacity
-from badgerroute.scheduling.capacities import room_of
+from badgerroute.scheduling.capacities import free_resources_of
 from badgerroute.scheduling.model import Job
 from badgerroute.scheduling.placement_constraints import allows
 from badgerroute.scheduling.shard import Shard
@@ -15,14 +20,14 @@
 
 @dataclass(slots=True)
 class _Offer:
-    """Machines of the idle shard with the same free room, and how many of them are not spoken for."""
+    """Machines of the idle shard with the same free capacity, and how many of them no task was chosen for."""
 
     capacity: FreeCapacity
     left: int
 
 
 class StealSelection:
-    """Chooses for one steal request; each choice uses up some of the room that was offered."""
+    """Chooses for one steal request; each choice uses up some of the capacity that was offered."""
 
     def __init__(
         self, shard: Shard, capacities: list[FreeCapacity], images: dict[str, tuple[float, float]], now: timedelta
@@ -34,27 +39,27 @@
         """The waiting tasks of a job that the other shard could start, as a bit set."""
         whole = job.gang or job.spec.together or job.spec.spread
         if whole and job.placed:
-            return 0  # placement rules look at all of the job's tasks: they stay in one shard
+            return 0  # its constraints concern all of the job's tasks, so they stay in one shard
         # Only machines that the job may use count: else its tasks would stay where none of them can ever run.
         waiting = job.waiting_bits
-        room_here = self._shard.room_for(job)
-        wanted = waiting.bit_count() - (0 if whole else min(room_here, waiting.bit_count()))
-        if whole and room_here >= wanted:
+        fitting_here = self._shard.room_for(job)
+        wanted = waiting.bit_count() - (0 if whole else min(fitting_here, waiting.bit_count()))
+        if whole and fitting_here >= wanted:
             return 0
         if job.spec.image not in self._images and self._now - job.since < UNCACHED_WAIT:
             return 0
-        fitting, used = self._find_room(job, wanted)
-        # An array that must stay in one shard may run there a few at a time. Where none of its tasks has any room, it
-        # once waited for a shard that could hold all of them, beside one with room for some.
-        few = whole and not job.gang and not room_here
+        fitting, used = self._fitting_offers(job, wanted)
+        # An array that must stay in one shard may run there a few at a time. If none of its tasks fits here, it does
+        # not wait for a shard that holds them all.
+        few_suffice = whole and not job.gang and not fitting_here
         count = min(fitting, wanted)
-        if count <= 0 or (whole and fitting < wanted and not few):
+        if count <= 0 or (whole and fitting < wanted and not few_suffice):
             return 0
         for offer, machines in used:
             offer.left -= machines
         return span(0, job.spec.tasks) & job.owned if whole else _highest(waiting, count)
 
-    def _find_room(self, job: Job, wanted: int) -> tuple[int, list[tuple[_Offer, int]]]:
+    def _fitting_offers(self, job: Job, wanted: int) -> tuple[int, list[tuple[_Offer, int]]]:
         """How many tasks fit, up to `wanted`, and how many machines of which offers they take."""
         fitting = 0
         used: list[tuple[_Offer, int]] = []
@@ -64,7 +69,7 @@
                 continue
             if not allows(job.spec, capacity.type, capacity.zone, capacity.spot):
                 continue
-            each = room_of(capacity).times(job.need)
+            each = free_resources_of(capacity).times(job.need)
             if not each:
                 continue
             machines = min(offer.left, -(-(wanted - fitting) // each))
--- a/badgerroute/scheduling/utilization_feedback.py
+++ b/badgerroute/scheduling/utilization_feedback.py
@@ -1,7 +1,15 @@
-"""Adaptive feedback (Af): how many slots a job wishes for in a shard during the next period.
+"""Adaptive feedback (Af): how many slots a job desires in a shard during the next period.
 
-After algorithm 1 of the paper (see docs/design.md): an inefficient period divides the desire by rho, an
-efficient and deprived one keeps it, an efficient and satisfied one multiplies it.
+After the paper's algorithm 1 (section IV.C). Its symbols: `q` counts periods of length `L` (`scheduling.period_s`);
+`d(q)` is the desire, `a(q)` the allocation, `u(q)` the utilization of period `q`; `delta` is the utilization below
+which a period is inefficient, `rho` the factor by which desires change. After a period that was
+
+- inefficient (`u < delta` and no task waited): `d / rho`;
+- efficient and deprived (`d > a`): `d`;
+- efficient and satisfied: `d * rho`.
+
+Changed here: utilization is the share of the desire that was in use, since workers report no load, and the first
+desire is not one slot (`begin`).
 """
 
 from datetime import timedelta
@@ -11,7 +19,7 @@
 
 
 def next_desire(desire: float, granted: float, use: float, starved: bool, delta: float, rho: float) -> float:
-    """`use` is the booked share of what was granted; `starved` says that tasks waited."""
+    """d(q) from d(q-1), a(q-1) and u(q-1), as `desire`, `granted` and `use`; `starved`: tasks waited."""
     if use < delta and not starved:
         return max(1.0, desire / rho)
     if desire > granted:
@@ -20,16 +28,19 @@
 
 
 def sample(job: Job, waiting: int) -> None:
-    """Take note of a job's state; called several times in a period."""
+    """Add a sample of the job's slots to the period's sums. `waiting`: its tasks that wait."""
     job.samples += 1
-    held = len(job.placed)
-    job.booked += held
-    job.granted += min(job.desire, held + (0 if waiting else job.desire))
+    in_use = len(job.placed)
+    job.booked += in_use
+    job.granted += min(job.desire, in_use + (0 if waiting else job.desire))
     job.starved = job.starved or waiting > 0
 
 
 def begin(job: Job, now: timedelta, waiting: int, free_slots: int) -> None:
-    """The first desire: the lesser of waiting tasks and free slots (the paper begins with one slot)."""
+    """Set the first desire: the lesser of waiting tasks and free slots, but one at least (the paper: one slot).
+
+    Doubling every period from one slot would take longer than most jobs run.
+    """
     job.desire = float(max(1, min(waiting, free_slots)))
     _restart(job, now)
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -142,7 +142,7 @@
     calls = iter([False, True])
     assert planner.fill(machine, 1 * S, lambda: next(calls)) == 1
     assert sorted(key[0] for key in machine.placements) == ["run-0", "run-1"]
-    assert planner.cut_short == 2
+    assert planner.overrun_rounds == 2
 
 
 # -- gangs, places, shares
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -141,9 +141,9 @@
 
     rounds = 0
     while rounds < 40 and len(set(looked)) < len(shard.jobs):
-        planner.make_room_for_arrays(300 * SECOND, over)
+        planner.preempt_for_arrays(300 * SECOND, over)
         rounds += 1
-    assert rounds > 5 and planner.cut_short >= 5
+    assert rounds > 5 and planner.overrun_rounds >= 5
     assert set(looked) >= {f"run-w{number}" for number in range(60)}, "every job has its turn"
 
 
