--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -528,7 +528,7 @@
 
 
 def places_anywhere(monkeypatch: pytest.MonkeyPatch) -> None:
-    for module in ("array_placement", "preemption"):
+    for module in ("array_placement", "evictions"):
         monkeypatch.setattr(f"badgerroute.scheduling.{module}.allows", lambda *place: True)
 
 
