--- a/badgerroute/rebalancing/fetch_rates.py
+++ b/badgerroute/rebalancing/fetch_rates.py
@@ -24,8 +24,8 @@
             return
         nominal = max(kind.fetch_gb_per_s, 1e-6)
         rate = min(nominal * MAX_FACTOR, max(nominal / MAX_FACTOR, image_gb / took.total_seconds()))
-        known = self._rates.get(kind.name, rate)
-        self._rates[kind.name] = known + SMOOTHING * (rate - known)
+        previous = self._rates.get(kind.name, rate)
+        self._rates[kind.name] = previous + SMOOTHING * (rate - previous)
         self._counts[kind.name] = self._counts.get(kind.name, 0) + 1
 
     def fetch_time(self, job: Job, machine: Machine) -> timedelta:
--- a/badgerroute/rebalancing/local_waits.py
+++ b/badgerroute/rebalancing/local_waits.py
@@ -1,4 +1,4 @@
-"""How soon machines that cache an image should have room for the tasks that wait for it."""
+"""How soon machines that cache an image should have capacity for the tasks that wait for it."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -16,7 +16,9 @@
 
     def __init__(self, shard: Shard, run_time: Callable[[Job], timedelta], valid_for: timedelta) -> None:
         self._shard, self._run_time, self._valid_for = shard, run_time, valid_for
-        self._ends: dict[str, list[timedelta]] = {}  # image -> when tasks beside it should end, soonest first
+        self._ends: dict[
+            str, list[timedelta]
+        ] = {}  # image -> when tasks on machines that cache it should end, soonest first
         self._waiting: dict[str, int] = {}  # image -> tasks that wait for it
         self._made_at: timedelta | None = None
         self._left: list[Machine] | None = None  # machines that the pass under way has not seen
@@ -29,14 +31,14 @@
             self._found = {}
         seen = 0
         while self._left:
-            self._look_at(self._left.pop(), now)
+            self._collect_ends(self._left.pop(), now)
             seen += 1
             if seen % MACHINES_BETWEEN_CLOCKS == 0 and over():
                 return False
         self._finish(now)
         return True
 
-    def _look_at(self, machine: Machine, now: timedelta) -> None:
+    def _collect_ends(self, machine: Machine, now: timedelta) -> None:
         if not machine.usable:
             return
         ends = [
@@ -57,7 +59,7 @@
         self._made_at = now
 
     def expected(self, job: Job, now: timedelta) -> timedelta | None:
-        """How long the last task that waits for a job's image should wait beside it; None: that is not known."""
+        """How long the last task that waits for a job's image should wait to run near it; None: unknown."""
         if self._made_at is None or now - self._made_at > self._valid_for or job.gang:
             return None
         waiting = self._waiting.get(job.spec.image, 0)
--- a/badgerroute/rebalancing/moves.py
+++ b/badgerroute/rebalancing/moves.py
@@ -1,15 +1,16 @@
 """Moving running work: tasks that save are stopped where their going lets others start, and start again elsewhere.
 
 A move obeys the preemption rules: it only ever stops what the order of service lets the waiting job stop. It differs
-from making room by force in that each stopped task has a place to go to, so it need not wait until patience ends.
+from preemption in that each stopped task has a machine to go to, so the job need not wait as long before it.
 """
 
 import heapq
 import logging
 from collections.abc import Callable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from datetime import timedelta
 
+from badgerroute.rebalancing.move_ledger import MoveLedger
 from badgerroute.scheduling.draining import save_time
 from badgerroute.scheduling.guidance import Guidance
 from badgerroute.scheduling.model import ZERO, Job, Machine, Placement
@@ -23,12 +24,10 @@
 log = logging.getLogger(__name__)
 HEARTBEATS_PER_MOVE = 2  # one carries the stop, another shows that the task is gone
 HEARTBEATS_BEFORE_MOVE = 2  # that a job waits before work is moved for it
-HELD_AFTER_SAVE = timedelta(seconds=5)  # how long the room is kept for the waiting job once the moved work is gone
+RESERVATION_AFTER_SAVE = timedelta(seconds=5)  # how long the machine stays reserved once the moved work is gone
 MAX_CANDIDATES = 64  # machines that are looked at for one job
-MAX_LANDINGS = 64  # machines to which work could go
-MAX_JOBS_LOOKED_AT = 16  # in one round, of those that find no room
-
-TaskKey = tuple[str, int]
+MAX_DESTINATIONS = 64  # machines to which work could go
+MAX_JOBS_LOOKED_AT = 16  # in one round, of those that fit nowhere
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,40 +40,6 @@
     loss: float
 
 
-@dataclass(slots=True)
-class MoveLedger:
-    """What was moved lately, so that nothing is moved to and fro and no period sees too many moves."""
-
-    period: timedelta
-    rest: timedelta
-    most: int  # moves in a period
-    moved: dict[TaskKey, timedelta] = field(default_factory=dict)
-    _recent: list[timedelta] = field(default_factory=list)
-    count: int = 0  # since the shard was taken over
-    cost: float = 0.0  # processor-seconds that the moves were expected to cost
-
-    def left(self, now: timedelta) -> int:
-        """How many moves this period still allows."""
-        self._recent = [at for at in self._recent if now - at < self.period]
-        return self.most - len(self._recent)
-
-    def resting(self, placement: Placement, now: timedelta) -> bool:
-        """Whether a task was moved so lately that it must not be moved again."""
-        moved_at = self.moved.get(placement.key)
-        return moved_at is not None and now - moved_at < self.rest
-
-    def record(self, placement: Placement, loss: float, now: timedelta) -> None:
-        """A task is moved; its job does not go back to that machine before it has rested."""
-        self.moved = {key: at for key, at in self.moved.items() if now - at < self.rest}
-        self.moved[placement.key] = now
-        self._recent.append(now)
-        self.count += 1
-        self.cost += loss
-        job = placement.job
-        job.no_return_until = {name: until for name, until in job.no_return_until.items() if until > now}
-        job.no_return_until[placement.machine.name] = now + self.rest
-
-
 class MovePlanner:
     """Chooses and begins moves within one shard."""
 
@@ -100,14 +65,14 @@
         return moved
 
     def _may_gain(self, job: Job, now: timedelta) -> bool:
-        """Whether a job has waited long enough for want of room, and of nothing else."""
+        """Whether a job has waited long enough, and lacks capacity and nothing else."""
         if job.failing or now - job.since < HEARTBEATS_BEFORE_MOVE * self._heartbeat or self._shard.short_of_quota(job):
             return False
         needed = self._tasks_at_once(job)
         if job.placed and job.gang:
             return False
         if any(machine.reserved_for == job.ref for machine in self._shard.machines.values()):
-            return False  # room is on its way
+            return False  # capacity is on its way
         free = sum(machine.free.times(job.need) for machine in self._planner.candidates(job, now, free=True))
         return needed > 0 and free < needed
 
@@ -134,7 +99,7 @@
         return victims
 
     def _options(self, job: Job, now: timedelta) -> list[MoveOption]:
-        """Each pair of machines can't be looked at where there are thousands: those with most free room come first."""
+        """Machines that could be cleared. Of thousands, only those with most free processors are looked at."""
         free = [
             machine
             for machine in self._shard.machines.values()
@@ -143,38 +108,38 @@
             and machine.avoid_until <= now
             and machine.free.cpus > EPSILON
         ]
-        landings = heapq.nlargest(MAX_LANDINGS, free, key=lambda machine: machine.free.cpus)
-        rooms = {machine.name: machine.free.copy() for machine in landings}
+        destinations = heapq.nlargest(MAX_DESTINATIONS, free, key=lambda machine: machine.free.cpus)
+        free_on = {machine.name: machine.free.copy() for machine in destinations}
         candidates = [machine for machine in self._planner.candidates(job, now) if machine.reserved_for is None]
         options = []
         for machine in heapq.nlargest(MAX_CANDIDATES, candidates, key=lambda machine: machine.free.cpus):
-            option = self._option(job, machine, rooms, now)
+            option = self._option(job, machine, free_on, now)
             if option is not None:
                 options.append(option)
         return options
 
-    def _option(self, job: Job, machine: Machine, rooms: dict[str, Resources], now: timedelta) -> MoveOption | None:
+    def _option(self, job: Job, machine: Machine, free_on: dict[str, Resources], now: timedelta) -> MoveOption | None:
         """The cheapest tasks to move off a machine so that the job fits, each with a place to go to; if there are."""
-        room = machine.free.copy()
+        available = machine.free.copy()
         victims: list[Placement] = []
-        landing_rooms: list[tuple[Machine, Resources]] = []
+        taken_from: list[tuple[Machine, Resources]] = []
         loss = 0.0
         for placement in sorted(machine.placements.values(), key=self._loss_at_least):
-            if room.holds(job.need):
+            if available.holds(job.need):
                 break
             if not self._movable(placement, job, now):
                 continue
-            landing = self._landing(placement, machine, rooms, now)
-            if landing is None:
+            destination = self._destination(placement, machine, free_on, now)
+            if destination is None:
                 continue
-            rooms[landing.name].take(placement.job.need)
-            landing_rooms.append((landing, placement.job.need))
+            free_on[destination.name].take(placement.job.need)
+            taken_from.append((destination, placement.job.need))
             victims.append(placement)
-            room.add(placement.job.need)
-            loss += self._loss(placement, landing)
-        if not victims or not room.holds(job.need):
-            for landing, taken in landing_rooms:
-                rooms[landing.name].add(taken)
+            available.add(placement.job.need)
+            loss += self._loss(placement, destination)
+        if not victims or not available.holds(job.need):
+            for destination, taken in taken_from:
+                free_on[destination.name].add(taken)
             return None
         natural = max(self._remaining(victim, now) for victim in victims)
         return MoveOption(machine, victims, natural, loss)
@@ -191,15 +156,15 @@
             and self._planner.may_stop(victim, job)
         )
 
-    def _landing(
-        self, placement: Placement, machine: Machine, rooms: dict[str, Resources], now: timedelta
+    def _destination(
+        self, placement: Placement, machine: Machine, free_on: dict[str, Resources], now: timedelta
     ) -> Machine | None:
-        """Where a task could start again, beside its image if possible."""
+        """Where a task could start again, on a machine that caches its image if possible."""
         job = placement.job
         best: Machine | None = None
-        for name, room in rooms.items():
+        for name, free in free_on.items():
             other = self._shard.machines[name]
-            if other is machine or not room.holds(job.need):
+            if other is machine or not free.holds(job.need):
                 continue
             if name in job.failed_on or job.no_return_until.get(name, ZERO) > now:
                 continue
@@ -223,11 +188,11 @@
         pause = save_time(placement.job) + HEARTBEATS_PER_MOVE * self._heartbeat
         return pause.total_seconds() * max(placement.job.need.cpus, placement.job.need.accelerators)
 
-    def _loss(self, placement: Placement, landing: Machine) -> float:
+    def _loss(self, placement: Placement, destination: Machine) -> float:
         job = placement.job
         loss = self._loss_at_least(placement)
-        if job.spec.image not in landing.fetched_images:
-            fetch = self._guidance.fetch_time(job, landing)
+        if job.spec.image not in destination.fetched_images:
+            fetch = self._guidance.fetch_time(job, destination)
             loss += fetch.total_seconds() * max(job.need.cpus, job.need.accelerators)
         return loss
 
@@ -248,11 +213,11 @@
         return []
 
     def _begin(self, option: MoveOption, job: Job, now: timedelta) -> None:
-        """Stop the victims with time to save; the room is kept for the job that they make way for."""
+        """Stop the victims with time to save; the machine is reserved for the job that they make way for."""
         machine = option.machine
         longest_save = max(save_time(victim.job) for victim in option.victims)
         machine.reserved_for = job.ref
-        machine.reserved_until = now + longest_save + HEARTBEATS_PER_MOVE * self._heartbeat + HELD_AFTER_SAVE
+        machine.reserved_until = now + longest_save + HEARTBEATS_PER_MOVE * self._heartbeat + RESERVATION_AFTER_SAVE
         for victim in option.victims:
             self.ledger.record(victim, option.loss / len(option.victims), now)
             self._shard.stop(victim, save_time(victim.job))
--- a/badgerroute/rebalancing/spreading.py
+++ b/badgerroute/rebalancing/spreading.py
@@ -60,7 +60,7 @@
 
 
 def offered_capacity(shard: Shard, request: WorkRequest) -> list[FreeCapacity]:
-    """Machines of a shard for so many tasks, as if they were free: some of their room soon will be."""
+    """Machines of a shard for so many tasks, as if they were free: some of their capacity soon will be."""
     cpus_left = request.tasks * request.cpus_per_task
     offered: list[FreeCapacity] = []
     for machine in shard.machines.values():
--- a/badgerroute/scheduling/deadline_feasibility.py
+++ b/badgerroute/scheduling/deadline_feasibility.py
@@ -35,7 +35,7 @@
         total += load.work / processors
         if total > load.due[number]:
             total += heapq.heappop(kept)[0] / processors
-    return [one[2] for one in kept]
+    return [load for _, _, load in kept]
 
 
 def _can_wait(load: Load, number: int) -> bool:
--- a/badgerroute/scheduling/dependencies.py
+++ b/badgerroute/scheduling/dependencies.py
@@ -126,11 +126,11 @@
         """Those of a job and of all that it waits for."""
         seen, queue = {ref}, [ref]
         while queue:
-            for one in self._left.get(queue.pop(), ()):
-                if one in seen:
+            for predecessor in self._left.get(queue.pop(), ()):
+                if predecessor in seen:
                     continue
-                seen.add(one)
-                if one in unfinished:
-                    queue.append(one)
+                seen.add(predecessor)
+                if predecessor in unfinished:
+                    queue.append(predecessor)
                 else:
-                    yield one
+                    yield predecessor
--- a/badgerroute/scheduling/draining.py
+++ b/badgerroute/scheduling/draining.py
@@ -43,7 +43,7 @@
 def evacuate(
     shard: Shard, machine: Machine, plan: Evacuation, now: timedelta, run_time: RunTime, fetch_time: FetchTime
 ) -> int:
-    """Stop what has to leave a machine by now; how many tasks were told to. A gang stops whole, wherever it is."""
+    """Stop what has to leave a machine by now; how many tasks that were. A gang stops whole, wherever it is."""
     stopped = 0
     for placement in list(machine.placements.values()):
         if machine.placements.get(placement.key) is not placement:
--- a/badgerroute/scheduling/inheritance.py
+++ b/badgerroute/scheduling/inheritance.py
@@ -50,8 +50,8 @@
         result = self.result
         if ref not in result:
             cancelled = self._graph.cancelled
-            dependents = [one for one in self._graph.dependents(ref) if one not in cancelled]
-            missing = [one for one in dependents if one not in result]
+            dependents = [dependent for dependent in self._graph.dependents(ref) if dependent not in cancelled]
+            missing = [dependent for dependent in dependents if dependent not in result]
             if missing:
                 self._stack.extend(missing)
                 return
@@ -60,9 +60,9 @@
 
     def _combined(self, ref: str, dependents: list[str]) -> Inherited:
         level, due = self._own(ref)
-        for one in dependents:
-            inherited = self.result[one]
+        for dependent in dependents:
+            inherited = self.result[dependent]
             level = max(level, inherited.level)
             if inherited.due != inf:
-                due = min(due, inherited.due - self._duration(one))
+                due = min(due, inherited.due - self._duration(dependent))
         return Inherited(level, due)
--- a/badgerroute/scheduling/scale_out_planning.py
+++ b/badgerroute/scheduling/scale_out_planning.py
@@ -1,6 +1,6 @@
-"""Which machines to rent: what waits beyond the free room that there is, and that is on its way.
+"""Which machines to rent: what waits beyond the free capacity that there is or that is on its way.
 
-Pure: it is told what the shards say, what is on its way and which places may be asked, and keeps nothing.
+Pure: the shards' summaries, the machines on their way and the places that may be asked are arguments.
 """
 
 from collections.abc import Callable
@@ -58,26 +58,26 @@
 
 @dataclass(slots=True)
 class _CapacityGroup:
-    """Machines in one place with the same free room: thousands of machines come in few kinds."""
+    """Machines in one place with the same free capacity: thousands of machines come in few kinds."""
 
     place: MachinePool
-    room: Resources
+    free: Resources  # of each
     count: int
 
     def fill(self, need: Resources, tasks: int) -> tuple[int, list["_CapacityGroup"]]:
         """Put up to so many tasks on these machines, one after the other; how many fit, and the groups that remain."""
-        each = self.room.times(need)
+        each = self.free.times(need)
         full = min(self.count, tasks // each)
         fitting = full * each
         partly = min(tasks - fitting, each) if full < self.count else 0
         remaining = [self._after(need, each, full), self._after(need, partly, 1 if partly else 0)]
-        remaining.append(_CapacityGroup(self.place, self.room, self.count - full - bool(partly)))
+        remaining.append(_CapacityGroup(self.place, self.free, self.count - full - bool(partly)))
         return fitting + partly, [group for group in remaining if group.count]
 
     def _after(self, need: Resources, tasks: int, machines: int) -> "_CapacityGroup":
-        room = self.room.copy()
-        room.take(Resources(need.cpus * tasks, need.accelerators * tasks, need.memory_gb * tasks))
-        return _CapacityGroup(self.place, room, machines)
+        free = self.free.copy()
+        free.take(Resources(need.cpus * tasks, need.accelerators * tasks, need.memory_gb * tasks))
+        return _CapacityGroup(self.place, free, machines)
 
 
 class ScaleOutPlan:
@@ -100,8 +100,8 @@
     def machines_wanted(
         self, summaries: list[ShardSummary], expected: list[ExpectedMachines]
     ) -> dict[MachinePool, int]:
-        """Machines that the waiting tasks need beyond the free room there is and is coming."""
-        self._count_room(summaries, expected)
+        """Machines that the waiting tasks need beyond the free capacity that there is or that is coming."""
+        self._count_capacity(summaries, expected)
         freeing_cpus = sum(shard.freeing for shard in summaries)
         demands = [demand for shard in summaries for demand in shard.demands]
         self._least_need = Resources(
@@ -121,7 +121,7 @@
                 self._fit(demand, count)
         return self._wanted
 
-    def _count_room(self, summaries: list[ShardSummary], expected: list[ExpectedMachines]) -> None:
+    def _count_capacity(self, summaries: list[ShardSummary], expected: list[ExpectedMachines]) -> None:
         for shard in summaries:
             for capacity in shard.capacities:
                 place = MachinePool(capacity.type, capacity.zone, capacity.spot)
@@ -134,7 +134,7 @@
                 self._groups.append(_CapacityGroup(machines.place, capacity_of(machine_type), machines.count))
 
     def _within_limit(self, demand: PendingDemand) -> int:
-        """How many of a demand's tasks its team's limit leaves room for; of a gang all or none."""
+        """How many of a demand's tasks its team's limit admits; of a gang all or none."""
         team = self._teams.get(demand.team)
         if team is None:
             return 0
@@ -151,9 +151,9 @@
         need = Resources(demand.cpus, demand.accelerators, demand.memory_gb)
         groups: list[_CapacityGroup] = []
         for group in self._groups:
-            if count > 0 and group.room.holds(need) and _place_allowed(demand, group.place):
+            if count > 0 and group.free.holds(need) and _place_allowed(demand, group.place):
                 fitting, remaining = group.fill(need, count)
-                groups += [left for left in remaining if left.room.holds(self._least_need)]
+                groups += [left for left in remaining if left.free.holds(self._least_need)]
                 count -= fitting
             else:
                 groups.append(group)
