--- a/badgerroute/coordination/quotas/quota_allocation.py
+++ b/badgerroute/coordination/quotas/quota_allocation.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from badgerroute.scheduling.model import EPSILON, Resources
+from badgerroute.scheduling.resources import EPSILON, Resources
 from badgerroute.storage.records import QuotaRecord
 
 DECIMALS = 6  # that are stored
--- a/badgerroute/coordination/quotas/quota_allocator.py
+++ b/badgerroute/coordination/quotas/quota_allocator.py
@@ -14,7 +14,7 @@
 from badgerroute.coordination.quotas.quota_allocation import QuotaAllocation, available_part
 from badgerroute.coordination.quotas.quota_store import QuotaStore
 from badgerroute.protocol.key_value import Compare
-from badgerroute.scheduling.model import Resources
+from badgerroute.scheduling.resources import Resources
 from badgerroute.settings import Settings, Team
 from badgerroute.transport.loop import Loop
 
--- a/badgerroute/coordination/shards/forecast.py
+++ b/badgerroute/coordination/shards/forecast.py
@@ -15,8 +15,8 @@
 from badgerroute.coordination.shards.small_task_capacity import SmallTaskCapacity
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.mesh import ShardSummary
-from badgerroute.scheduling.model import Resources
 from badgerroute.scheduling.objectives import Objectives
+from badgerroute.scheduling.resources import Resources
 from badgerroute.settings import Settings, Team
 from badgerroute.storage.records import JobRecord
 from badgerroute.storage.replica import Replica
@@ -98,7 +98,7 @@
         now, today = self._loop.now(), self._estimates.time_of_day()
         for job in leader.shard.jobs.values():
             job.guaranteed = work.guaranteed.get(job.ref, False)
-            job.tier = tiers.get(job.ref, 0)
+            job.lateness_tier = tiers.get(job.ref, 0)
             record = self._job_store.active.get(job.ref)
             if record is None:
                 continue
--- a/badgerroute/coordination/shards/gang_migration.py
+++ b/badgerroute/coordination/shards/gang_migration.py
@@ -12,7 +12,8 @@
 from badgerroute.coordination.shards.job_transfers import JobTransfers, Reassignment
 from badgerroute.protocol.mesh import MachineRequest, ShardSummary
 from badgerroute.scheduling.capacities import ANY_ZONE, holds_whole_job, slots_by_zone
-from badgerroute.scheduling.model import Job, allows
+from badgerroute.scheduling.model import Job
+from badgerroute.scheduling.placement_constraints import allows
 from badgerroute.scheduling.planner import Planner
 from badgerroute.scheduling.shard import Shard
 from badgerroute.storage.task_ranges import TaskRange
@@ -114,11 +115,11 @@
     def _slots_here(self, job: Job) -> Counter[str]:
         """Room for the gang's tasks in this shard, by zone if the gang must lie in one."""
         slots: Counter[str] = Counter()
-        for machine, room in self._planner.room_without(job.level):
+        for machine, room in self._planner.reclaimable_by_machine(job.level):
             if allows(job.spec, machine.kind.name, machine.zone, machine.spot):
                 slots[machine.zone if job.spec.together else ANY_ZONE] += room.times(job.need)
         for machine in self._shard.machines.values():
-            if machine.held_for == job.ref:
+            if machine.reserved_for == job.ref:
                 slots[machine.zone if job.spec.together else ANY_ZONE] += 1
         return slots
 
--- a/badgerroute/coordination/shards/heartbeat_responder.py
+++ b/badgerroute/coordination/shards/heartbeat_responder.py
@@ -104,7 +104,7 @@
         await self._loop.first(written, REGISTER_LIMIT)
         machine = self._shard.machines.get(heartbeat.machine)
         if machine is not None and _never_commanded(written, heartbeat):
-            machine.pristine = True
+            machine.never_commanded = True
         return machine
 
 
--- a/badgerroute/coordination/shards/job_transfers.py
+++ b/badgerroute/coordination/shards/job_transfers.py
@@ -107,21 +107,21 @@
             self._group.spawn(self._pager.page_out(ref), "page-out")
             return None
         tasks = job.owned & ~record.owned(self._shard.number)
-        if tasks & (job.placed_bits | job.giving):
+        if tasks & (job.placed_bits | job.in_transfer):
             # A task that was placed, or is already being given away, since the choice was made would run in both
             # shards: choices are made before other writes of the same round, which take their time.
             return None
         # Nothing of it starts here while the write is on its way. What this shard owns may be read from the record
         # again meanwhile, by the reconciliation of an earlier write for instance, so taking it off `owned` is not
         # enough.
-        job.giving |= tasks
+        job.in_transfer |= tasks
         key = JOBS + ref
         condition = compare(key, self._replica.revision_of(key))
         return _ReservedWrite(job, tasks, condition, put(key, records.write(record)))
 
     def _release(self, job: Job, tasks: int) -> None:
         """The outcome is known, and so is what this shard owns."""
-        job.giving &= ~tasks
+        job.in_transfer &= ~tasks
         self._job_sync.job_changed(job.ref)
 
     async def _refresh(self, keys: list[str]) -> None:
--- a/badgerroute/coordination/shards/machine_sync.py
+++ b/badgerroute/coordination/shards/machine_sync.py
@@ -28,4 +28,4 @@
         kind = self._catalog.get(record.type)
         if member is None and kind is not None:
             machine = self._shard.add_machine(name, record, kind, now)
-            machine.held_for = self._gang_migration.gang_to_hold_for(now)
+            machine.reserved_for = self._gang_migration.gang_to_hold_for(now)
--- a/badgerroute/coordination/shards/quota_exchange.py
+++ b/badgerroute/coordination/shards/quota_exchange.py
@@ -8,8 +8,9 @@
 from badgerroute.coordination.leadership.action_policy import ActionPolicy
 from badgerroute.coordination.quotas.quota_allocator import QuotaAllocator
 from badgerroute.protocol.mesh import QuotaRequest
-from badgerroute.scheduling.model import ZERO, Job, Resources
+from badgerroute.scheduling.model import ZERO, Job
 from badgerroute.scheduling.planner import Planner
+from badgerroute.scheduling.resources import Resources
 from badgerroute.scheduling.shard import Shard
 from badgerroute.transport.loop import Loop
 
@@ -45,7 +46,7 @@
 
     async def seek(self) -> None:
         """Take what the shard's teams lack from what no shard holds, or ask the other shards for it."""
-        for team, lack in self._planner.take_shortages().items():
+        for team, lack in self._planner.collect_quota_shortfalls().items():
             if await self._quota_allocator.allocate(self._shard.number, team, lack):
                 continue
             shortage = self._first_shortage(team)
--- a/badgerroute/coordination/shards/scheduling_rounds.py
+++ b/badgerroute/coordination/shards/scheduling_rounds.py
@@ -51,10 +51,10 @@
         self._machine_expiry.evacuate_preempted(now)
         self._shard.expire_reservations(now)
         self._shard.reconcile()
-        self._planner.release_holds(now)
+        self._planner.release_reservations(now)
         if self._policy.allows_for(self._shard.number, Action.START):
             self._planner.gangs(now, is_over)
             if not is_over():
-                self._planner.make_room_for_arrays(now, is_over)
+                self._planner.preempt_for_arrays(now, is_over)
         self._planner.feedback(now)
         self._urgent_stops.send()
--- a/badgerroute/coordination/shards/small_task_capacity.py
+++ b/badgerroute/coordination/shards/small_task_capacity.py
@@ -3,7 +3,7 @@
 from badgerroute.coordination.jobs.job_store import JobStore
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.users import Submission
-from badgerroute.scheduling.model import capacity_of, need_of
+from badgerroute.scheduling.resources import capacity_of, need_of
 from badgerroute.storage import records
 from badgerroute.storage.keys import MACHINES
 from badgerroute.storage.replica import Replica
--- a/badgerroute/coordination/shards/summary.py
+++ b/badgerroute/coordination/shards/summary.py
@@ -7,8 +7,9 @@
 
 from badgerroute.protocol.mesh import FreeCapacity, ImageCapacity, PendingDemand, ShardSummary
 from badgerroute.protocol.users import Priority
-from badgerroute.scheduling.model import Machine, Resources
+from badgerroute.scheduling.model import Machine
 from badgerroute.scheduling.planner import Planner
+from badgerroute.scheduling.resources import Resources
 from badgerroute.scheduling.shard import Shard
 
 MIN_DEMANDS = 200  # jobs whose waiting tasks are in a summary, however small the shard is
@@ -36,7 +37,7 @@
     largest: dict[str, float] = {}
     rooms: list[MachineRoom] = []
     for machine in shard.machines.values():
-        if not machine.usable or machine.held_for is not None or machine.free.cpus < MIN_FREE_CPUS:
+        if not machine.usable or machine.reserved_for is not None or machine.free.cpus < MIN_FREE_CPUS:
             continue
         free_cpus = machine.free.cpus
         rooms.append((machine, machine.free))
@@ -101,7 +102,7 @@
             demand.job.spec.zone,
             demand.job.spec.spot,
         )
-        for demand in planner.shapes(now)[: max_demands(len(planner.shard.machines))]
+        for demand in planner.waiting_demands(now)[: max_demands(len(planner.shard.machines))]
     ]
 
 
@@ -131,8 +132,10 @@
         machines=len(shard.machines),
         capacities=capacities,
         images=images,
-        cached_image_cpus=planner.room_beside_images(max(levels, default=Priority.URGENT.level), MAX_IMAGE_MACHINES),
-        preemptible_capacities={level: _capacities(planner.room_without(level)) for level in levels},
+        cached_image_cpus=planner.reclaimable_cpus_by_image(
+            max(levels, default=Priority.URGENT.level), MAX_IMAGE_MACHINES
+        ),
+        preemptible_capacities={level: _capacities(planner.reclaimable_by_machine(level)) for level in levels},
         demands=_demands(planner, now),
         soon_free_cpus=0.0 if scales_out_ahead else planner.freeing(now),  # only renting by need looks at it
         running=running,
--- a/badgerroute/rebalancing/spreading.py
+++ b/badgerroute/rebalancing/spreading.py
@@ -60,13 +60,13 @@
 
 
 def offered_capacity(shard: Shard, request: WorkRequest) -> list[FreeCapacity]:
-    """Machines of a shard for so many tasks, as if they were free: some of their room soon will be."""
+    """Machines of a shard for so many tasks, as if they were free: some of their capacity soon will be."""
     cpus_left = request.tasks * request.cpus_per_task
     offered: list[FreeCapacity] = []
     for machine in shard.machines.values():
         if cpus_left <= 0:
             break
-        if not machine.usable or machine.held_for is not None:
+        if not machine.usable or machine.reserved_for is not None:
             continue
         kind = machine.kind
         cpus = min(kind.cpus, max(request.cpus_per_task, cpus_left))
--- a/badgerroute/scheduling/__init__.py
+++ b/badgerroute/scheduling/__init__.py
@@ -1,6 +1,5 @@
-"""The pure core: what to start, what to stop and which machines to wish for in one shard.
+"""Scheduling decisions of one shard: what to start where, what to stop, what to ask for and what to give away.
 
-Owns the model in memory of one shard (machines, placements, jobs, quota in use, reservations) and the planner's state.
-No I/O and no clock of its own: the time is always an argument. It reads and writes no key. May import `protocol`,
-`settings`, and of `storage` the modules `records`, `bitset` and `task_ranges`.
+Owns the state of a shard (`shard`, `model`) and every decision on it. Pure: no I/O, and the time is an argument.
+Imports the messages (`protocol`), the settings and the stored records (`storage.records`).
 """
--- a/badgerroute/scheduling/draining.py
+++ b/badgerroute/scheduling/draining.py
@@ -4,8 +4,9 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from badgerroute.scheduling.model import ZERO, Job, Machine, Phase, Placement
+from badgerroute.scheduling.model import ZERO, Job, Machine, Placement
 from badgerroute.scheduling.shard import Shard
+from badgerroute.scheduling.task_phase import Phase
 
 RunTime = Callable[[Job], timedelta]
 FetchTime = Callable[[Job, Machine], timedelta]
@@ -42,7 +43,7 @@
 def evacuate(
     shard: Shard, machine: Machine, plan: Evacuation, now: timedelta, run_time: RunTime, fetch_time: FetchTime
 ) -> int:
-    """Stop what has to leave a machine by now; how many tasks were told to. A gang stops whole, wherever it is."""
+    """Stop what has to leave a machine by now; how many tasks that were. A gang stops whole, wherever it is."""
     stopped = 0
     for placement in list(machine.placements.values()):
         if machine.placements.get(placement.key) is not placement:
--- a/badgerroute/scheduling/shard.py
+++ b/badgerroute/scheduling/shard.py
@@ -18,12 +18,14 @@
 from badgerroute.scheduling.guidance import NEUTRAL, Guidance
 from badgerroute.scheduling.heartbeat_reconciliation import HeartbeatReconciler
 from badgerroute.scheduling.lease_expiry import expire_leases
-from badgerroute.scheduling.model import ZERO, Job, Machine, Phase, Placement, Resources, allows, capacity_of
+from badgerroute.scheduling.model import ZERO, Job, Machine, Placement
+from badgerroute.scheduling.placement_constraints import allows
 from badgerroute.scheduling.quota_ledger import AllocationOf, QuotaLedger, Usage
+from badgerroute.scheduling.resources import Resources, capacity_of, need_of
+from badgerroute.scheduling.task_phase import Phase
 from badgerroute.storage.records import JobRecord, MachineRecord
 
 log = logging.getLogger(__name__)
-
 ATTEMPT_BITS = 24  # of an attempt's number, for the counter; the term stands above them
 
 
@@ -94,7 +96,7 @@
         """Everything on the machine is provably dead."""
         for placement in list(machine.placements.values()):
             self.release(placement, now)
-        machine.listed = None
+        machine.last_task_list = None
         machine.exited.clear()
         machine.undecided.clear()
 
@@ -122,10 +124,9 @@
         if not owned:
             return None
         spec = record.job
-        need = Resources(spec.cpus, spec.accelerators, spec.memory_gb)
         # A gang that comes from another shard has waited there already.
         since = min(now, accepted) if spec.gang else now
-        job = Job(spec.ref, spec, accepted, owned, done, window, need, since, held_back=held_back)
+        job = Job(spec.ref, spec, accepted, owned, done, window, need_of(spec), since, held_back=held_back)
         self.jobs[spec.ref] = job
         return job
 
@@ -147,9 +148,9 @@
         if level == job.level:
             return
         for placement in job.placed.values():
-            held = placement.machine.held
-            held[job.level].take(job.need)
-            held.setdefault(level, Resources()).add(job.need)
+            allocated = placement.machine.allocated_by_level
+            allocated[job.level].take(job.need)
+            allocated.setdefault(level, Resources()).add(job.need)
         job.level = level
 
     def drop_job(self, ref: str) -> None:
@@ -157,7 +158,7 @@
         job = self.jobs.get(ref)
         if job is None:
             return
-        job.owned = job.giving = job.done_here = 0
+        job.owned = job.in_transfer = job.done_here = 0
         for placement in list(job.placed.values()):
             if placement.phase is Phase.RESERVED:
                 self.forget(placement)
@@ -196,7 +197,7 @@
             machine.free.times(job.need)
             for machine in self.machines.values()
             if machine.usable
-            and machine.held_for in (None, job.ref)
+            and machine.reserved_for in (None, job.ref)
             and allows(job.spec, machine.kind.name, machine.zone, machine.spot)
         )
 
@@ -207,7 +208,7 @@
             self.guidance.task_placed(job, now - job.requeued.get(index, job.accepted), now)
         machine.placements[placement.key] = placement
         machine.free.take(job.need)
-        machine.held.setdefault(job.level, Resources()).add(job.need)
+        machine.allocated_by_level.setdefault(job.level, Resources()).add(job.need)
         machine.idle_since = None
         job.place(placement)
         self.quota.add(job)
@@ -219,14 +220,14 @@
         if machine.placements.pop(placement.key, None) is None:
             return
         machine.free.add(job.need)
-        machine.held[job.level].take(job.need)
+        machine.allocated_by_level[job.level].take(job.need)
         machine.leaving -= placement.stopping
         machine.forget_image(job.spec.image)
         job.unplace(placement.index)
         self.quota.remove(job)
         if not machine.placements:
             machine.free = capacity_of(machine.kind)
-            machine.held.clear()
+            machine.allocated_by_level.clear()
         if not job.placed:
             job.gang_attempt = None
             if job.over:
@@ -289,13 +290,11 @@
             # An orphan's team is unknown, so what it uses can't be counted: wait until it is gone.
             self.reconciled = not self.unreconciled()
             if self.reconciled:
-                log.info(
-                    "event=shard_reconciled shard=%d term=%d machines=%d", self.number, self.term, len(self.machines)
-                )
+                machines = len(self.machines)
+                log.info("event=shard_reconciled shard=%d term=%d machines=%d", self.number, self.term, machines)
         return self.reconciled
 
     def unreconciled(self) -> list[Machine]:
         """Machines of which it is not certain what runs on them, or that run what can't be counted."""
-        return [
-            machine for machine in self.machines.values() if not machine.fenced or machine.orphans or machine.undecided
-        ]
+        machines = self.machines.values()
+        return [machine for machine in machines if not machine.fenced or machine.orphans or machine.undecided]
--- a/tests/test_connectivity_days.py
+++ b/tests/test_connectivity_days.py
@@ -8,6 +8,7 @@
 
 from badgerroute.coordination.controller import Controller
 from badgerroute.coordination.membership import connectivity_monitor
+from badgerroute.coordination.membership.forwarding import Handler
 from badgerroute.coordination.requests.heartbeat_handler import HeartbeatHandler
 from badgerroute.protocol.mesh import ForwardedRequest, ForwardedResponse
 from badgerroute.settings import Connectivity, OperatorSettings
@@ -441,8 +442,8 @@
         def on_start(controller: Controller) -> None:
             real = controller.membership.forwarder.on_request
 
-            def on_request(message: ForwardedRequest) -> None:
-                real(message)
+            def on_request(message: ForwardedRequest, handle: Handler) -> None:
+                real(message, handle)
                 change(day, controller, message)
 
             controller.membership.forwarder.on_request = on_request  # type: ignore[method-assign]
@@ -459,9 +460,9 @@
 
         def again(host: str = host) -> None:
             if host in day.controllers:
-                day.controllers[host][0].membership.forwarder._group.spawn(
-                    day.controllers[host][0].membership.forwarder._answer(message), "copy"
-                )
+                receiver = day.controllers[host][0]
+                forwarder, handle = receiver.membership.forwarder, receiver.requests.api.handle_forwarded
+                forwarder._group.spawn(forwarder._answer(message, handle), "copy")
 
         day.loop.later(timedelta(seconds=delay), again)
 
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -528,7 +528,7 @@
 
 
 def places_anywhere(monkeypatch: pytest.MonkeyPatch) -> None:
-    for module in ("array_placement", "preemption"):
+    for module in ("array_placement", "evictions"):
         monkeypatch.setattr(f"badgerroute.scheduling.{module}.allows", lambda *place: True)
 
 
@@ -652,7 +652,7 @@
                 day.loop.run(
                     day.loop.spawn(leader.job_transfers.write([Reassignment("run-many", moved)], thief), "give")
                 )
-            assert one.giving == 0
+            assert one.in_transfer == 0
     assert looked == 3
     assert day.finish(400) == []
     assert day.rules.broken == []
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -1,7 +1,7 @@
 """Quota arithmetic and the stored form of allocations."""
 
 from badgerroute.coordination.quotas.quota_allocation import QuotaAllocation, TeamAllocations, available_part
-from badgerroute.scheduling.model import Resources
+from badgerroute.scheduling.resources import Resources
 from badgerroute.storage import records
 from badgerroute.storage.records import QuotaRecord
 
