--- a/badgerroute/storage/key_value_client.py
+++ b/badgerroute/storage/key_value_client.py
@@ -83,7 +83,6 @@
         self._sizes = SizeLimits.of_store(limits)
         self.rates = StoreRates(loop, limits, size)
         self._caller = ServiceCaller(loop, self.rates.requests, "key-value store")
-        self.conflicts = 0
 
     @property
     def requests(self) -> int:
@@ -172,7 +171,6 @@
         body = encode(transaction)
         response = await self._call(ServiceRequest("POST", "/txn", urgency, limit, body), self._client, WRITE_ERRORS)
         if response.status == 409:
-            self.conflicts += 1
             raise CompareFailedError(self._caller.decode(response, wire.conflict_decoder, WRITE_ERRORS).failed)
         if response.status == 400 and wire.names_ended_lease(response.body):
             raise LeaseExpiredError("no such lease")
--- a/badgerroute/transport/clock.py
+++ b/badgerroute/transport/clock.py
@@ -8,7 +8,7 @@
 
 
 def seconds(value: float) -> timedelta:
-    """The wire's seconds as a `timedelta`."""
+    """So many seconds as a `timedelta`."""
     return timedelta(seconds=value)
 
 
@@ -19,7 +19,7 @@
         """Steady time: never goes back, may drift."""
 
     def today(self) -> datetime:
-        """Time of day, right only within the platform's bound."""
+        """Time of day; wrong by up to the bound that the platform settings give (`time_bound_ms`)."""
 
 
 class SystemClock:
@@ -35,7 +35,7 @@
 
 
 class VirtualClock:
-    """Time that moves only when told to, so that a day can be replayed in a moment."""
+    """Time that moves only by `advance`, so that a day can be replayed in a moment."""
 
     def __init__(self, start: datetime = datetime(2026, 1, 1, tzinfo=UTC)) -> None:
         self._start = start
--- a/badgerroute/transport/frames.py
+++ b/badgerroute/transport/frames.py
@@ -2,7 +2,8 @@
 
 from badgerroute.transport.net import Stream
 
-MAX_FRAME = 1 << 20
+MAX_FRAME_BYTES = 1 << 20  # without the length before it
+LENGTH_BYTES = 4
 
 
 class FrameReader:
@@ -15,15 +16,16 @@
         self._data = b""
 
     async def next(self) -> bytes:
-        """The next frame; ConnectionError at the end of the stream."""
+        """The payload of the next frame; ConnectionError at the end of the stream, or if the frame is too large."""
         while True:
-            if len(self._data) >= 4:
-                length = int.from_bytes(self._data[:4], "big")
-                if length > MAX_FRAME:
+            if len(self._data) >= LENGTH_BYTES:
+                length = int.from_bytes(self._data[:LENGTH_BYTES], "big")
+                if length > MAX_FRAME_BYTES:
                     raise ConnectionError("frame too large")
-                if len(self._data) >= 4 + length:
-                    frame, self._data = self._data[4 : 4 + length], self._data[4 + length :]
-                    return frame
+                end = LENGTH_BYTES + length
+                if len(self._data) >= end:
+                    payload, self._data = self._data[LENGTH_BYTES:end], self._data[end:]
+                    return payload
             chunk = await self._stream.read()
             if not chunk:
                 raise ConnectionError("closed")
@@ -32,4 +34,4 @@
 
 def frame(payload: bytes) -> bytes:
     """A payload with its length before it."""
-    return len(payload).to_bytes(4, "big") + payload
+    return len(payload).to_bytes(LENGTH_BYTES, "big") + payload
--- a/badgerroute/transport/net.py
+++ b/badgerroute/transport/net.py
@@ -1,4 +1,4 @@
-"""TCP streams over the loop. Tests put another network with the same three methods in this one's place."""
+"""TCP streams over the event loop. Tests use another `Network` in place of the real one."""
 
 import errno
 import logging
@@ -10,7 +10,8 @@
 from badgerroute.transport.loop import Loop, SelectorPoller
 
 log = logging.getLogger(__name__)
-CHUNK = 65536
+READ_BYTES = 65536  # at a time
+ACCEPT_PAUSE = timedelta(milliseconds=100)  # when the system has no sockets left
 BACKLOG = 4096  # all workers may connect at once when a controller takes over; the system may allow fewer
 
 
@@ -54,15 +55,18 @@
 
 
 class TcpStream:
+    """See Stream. OSError if the connection fails."""
+
     __slots__ = ("_poller", "_sock")
 
     def __init__(self, poller: SelectorPoller, sock: socket.socket) -> None:
-        self._poller, self._sock = poller, sock
+        self._poller = poller
+        self._sock = sock
 
     async def read(self) -> bytes:
         while True:
             try:
-                return self._sock.recv(CHUNK)
+                return self._sock.recv(READ_BYTES)
             except BlockingIOError:
                 await self._poller.wait(self._sock.fileno(), selectors.EVENT_READ)
 
@@ -81,8 +85,12 @@
 
 
 class TcpListener:
+    """See Listener."""
+
     def __init__(self, loop: Loop, poller: SelectorPoller, sock: socket.socket) -> None:
-        self._loop, self._poller, self._sock = loop, poller, sock
+        self._loop = loop
+        self._poller = poller
+        self._sock = sock
 
     async def accept(self) -> TcpStream:
         while True:
@@ -93,9 +101,9 @@
             except OSError as error:
                 if error.errno not in (errno.EMFILE, errno.ENFILE, errno.ECONNABORTED, errno.ENOMEM, errno.ENOBUFS):
                     raise
-                # Out of sockets: a busy loop on accept would burn the little processor time there is.
+                # Out of sockets: trying again at once would use up the little processor time there is.
                 log.warning("event=accept_failed error=%s", error)
-                await self._loop.sleep(timedelta(milliseconds=100))
+                await self._loop.sleep(ACCEPT_PAUSE)
             else:
                 sock.setblocking(False)
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -111,7 +119,8 @@
     """The network of the machine."""
 
     def __init__(self, loop: Loop, poller: SelectorPoller) -> None:
-        self._loop, self._poller = loop, poller
+        self._loop = loop
+        self._poller = poller
 
     async def connect(self, address: str, limit: timedelta) -> TcpStream:
         """See Network."""
@@ -119,15 +128,15 @@
         try:
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            code = sock.connect_ex(split(address))
-            if code not in (0, errno.EINPROGRESS):
-                raise OSError(code, "connect failed")
-            if code:
+            error_code = sock.connect_ex(split(address))
+            if error_code not in (0, errno.EINPROGRESS):
+                raise OSError(error_code, "connect failed")
+            if error_code:
                 with self._loop.limit(limit):
                     await self._poller.wait(sock.fileno(), selectors.EVENT_WRITE)
-                code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-                if code:
-                    raise OSError(code, "connect failed")
+                error_code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+                if error_code:
+                    raise OSError(error_code, "connect failed")
         except BaseException:
             if sock.fileno() >= 0:
                 self._poller.forget(sock.fileno())
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -31,7 +31,7 @@
 from badgerroute.storage.cloud_client import CloudClient
 from badgerroute.storage.records import JobRecord
 from badgerroute.storage.task_ranges import TaskRange
-from badgerroute.transport.frames import MAX_FRAME
+from badgerroute.transport.frames import MAX_FRAME_BYTES
 from badgerroute.transport.http import Request, Response
 from tests.standins.day import HOSTS, SECOND, Day, job
 from tests.test_fleet import busy_shard, calls_in
@@ -119,7 +119,7 @@
         assert len(told[0].demands) >= machines // 2
         exact = sum(machine.free.cpus for machine in shard.machines.values())
         assert 0.5 * exact < sum(capacity.cpus * capacity.count for capacity in told[0].capacities) <= exact + 1
-    assert sizes[1] < MAX_FRAME / 2
+    assert sizes[1] < MAX_FRAME_BYTES / 2
     assert costs[1] < 5.5 * costs[0], "a few steps a machine, and once more for each coarser rounding"
 
 
