--- a/badgerroute/storage/cloud_client.py
+++ b/badgerroute/storage/cloud_client.py
@@ -12,8 +12,6 @@
 from badgerroute.transport.loop import Loop
 from badgerroute.transport.net import Network
 
-__all__ = ["CloudClient", "CloudUnavailableError", "NoCapacityError"]
-
 ANSWER_LIMIT = timedelta(seconds=6)
 MAX_MACHINES_PER_RENTAL = 50
 MAX_MACHINES_PER_DELETION = 100
