--- a/badgerroute/connectivity/modes.py
+++ b/badgerroute/connectivity/modes.py
@@ -58,7 +58,7 @@
 _RELUCTANT, _MEMORY, _REFUSED = Permission.RELUCTANT, Permission.FROM_MEMORY, Permission.REFUSED
 _MODES = (Mode.SERVING, Mode.RECOVERING, Mode.OUTAGE, Mode.STORE_UNREACHABLE, Mode.WORKERS_UNREACHABLE, Mode.ISOLATED)
 _ROWS = {
-    #                        serving   recovering  outage    unrecorded unheard    isolated
+    # In the order of _MODES: serving, recovering, outage, store unreachable, workers unreachable, isolated.
     Action.ANSWER_HEARTBEAT: (_GRACE, _GRACE, _GRACE, _GRACE, _GRACE, _GRACE),
     Action.START: (_GRACE, _GRACE, _GRACE, _REFUSED, _GRACE, _REFUSED),
     Action.STOP: (_GRACE, _GRACE, _GRACE, _GRACE, _GRACE, _GRACE),
--- a/badgerroute/coordination/jobs/job_reader.py
+++ b/badgerroute/coordination/jobs/job_reader.py
@@ -86,9 +86,8 @@
         remaining = self._not_accepted(refs)
         if not remaining:
             return []
-        await (
-            self._replica.wait_until_current()
-        )  # from here on the replica has all jobs that were unfinished at the call
+        # From here on the replica has all jobs that were unfinished at the call.
+        await self._replica.wait_until_current()
         remaining = self._not_accepted(remaining)
         unknown: list[str] = []
         while remaining:
--- a/badgerroute/coordination/leadership/leader_election.py
+++ b/badgerroute/coordination/leadership/leader_election.py
@@ -20,9 +20,7 @@
 from badgerroute.transport.loop import Future, Loop
 
 log = logging.getLogger(__name__)
-HOME_PRIORITY_PERIOD = timedelta(
-    seconds=3
-)  # a shard that never had a leader is left to its home controller for so long
+HOME_PRIORITY_PERIOD = timedelta(seconds=3)  # for which a shard that never had a leader is left to its home controller
 RETRY = timedelta(milliseconds=250)
 RELUCTANT_DELAY = timedelta(seconds=1)
 DELAY_PER_SHARD = timedelta(milliseconds=80)  # by which a controller campaigns later for each shard that it leads
