--- a/tests/standins/day.py
+++ b/tests/standins/day.py
@@ -29,8 +29,8 @@
 from tests.standins import production
 from tests.standins.key_value_store import KeyValueStore
 from tests.standins.net import World
-from tests.standins.users import Lookers
-from tests.standins.waiting import Waiting
+from tests.standins.users import PollingUsers
+from tests.standins.waiting import StarvationWatch
 from tests.standins.workers import Kind, Site
 
 SECOND = timedelta(seconds=1)
@@ -169,8 +169,8 @@
         self.told: dict[str, str] = {}
         self.accepted: set[str] = set()
         self.change: Callable[[Controller], None] = lambda controller: None
-        self.lookers = Lookers(self)
-        self.waiting = Waiting(self)
+        self.polling_users = PollingUsers(self)
+        self.waiting = StarvationWatch(self)
         for host in HOSTS:
             self.start(host)
         self.group.spawn(self._sweep(), "sweep")
--- a/tests/standins/users.py
+++ b/tests/standins/users.py
@@ -17,7 +17,7 @@
 LOOKS = 12  # at each node, a few milliseconds apart
 
 
-class Lookers:
+class PollingUsers:
     """Once any node has said that a job is accepted, done or cancelled, no question asked later may get less."""
 
     def __init__(self, day: Day) -> None:
--- a/tests/standins/waiting.py
+++ b/tests/standins/waiting.py
@@ -13,7 +13,7 @@
 LONGEST = 90 * SECOND
 
 
-class Waiting:
+class StarvationWatch:
     def __init__(self, day: Day) -> None:
         self.day = day
         self._since: dict[str, timedelta] = {}  # job -> since when it waits although it could run
--- a/tests/standins/workers.py
+++ b/tests/standins/workers.py
@@ -277,7 +277,7 @@
             self._exit(task, "done")
 
 
-class Rules:
+class RuleChecker:
     """Watches for broken rules, from outside the controllers."""
 
     def __init__(self, site: "Site") -> None:
@@ -367,7 +367,7 @@
         self.booting: dict[str, tuple[Kind, str, bool]] = {}
         self.asked_at: dict[str, timedelta] = {}
         self.rented: dict[str, list[str]] = {}
-        self.rules = Rules(self)
+        self.rules = RuleChecker(self)
         self.group = TaskGroup(self.loop, "site")
         self.cloud_down = False
         self.copies: deque[tuple[str, bytes]] = deque(maxlen=4000)  # heartbeats as they were sent
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -72,7 +72,7 @@
     assert link.heartbeat_age(6 * SECOND) == SECOND
 
 
-def test_a_standstill_of_our_own_is_nobody_elses_silence() -> None:
+def test_a_pause_of_our_own_is_nobody_elses_silence() -> None:
     detector, link = PauseDetector(SECOND / 4, 0 * SECOND), FailureDetector(PEER_TIMEOUT, 0 * SECOND)
     link.heartbeat(10 * SECOND)
     assert detector.tick(SECOND / 4) == 0 * SECOND
--- a/tests/test_connectivity_days.py
+++ b/tests/test_connectivity_days.py
@@ -376,7 +376,7 @@
     )
 
 
-def test_shards_of_an_unheard_controller_go_to_different_peers() -> None:
+def test_shards_of_a_controller_without_workers_go_to_different_peers() -> None:
     """By load: a controller with two shards does not give both to the same peer."""
     day = cluster(6, NO_RELAY_SERVES)
     day.restart(HOSTS[1], 30 * SECOND)
@@ -392,7 +392,7 @@
 
 @pytest.mark.parametrize("seed", [*SEEDS, 3])
 @pytest.mark.parametrize("fault", ["refused", "crashed", "frozen"])
-def test_a_new_leader_whose_machines_have_yet_to_come_is_not_unheard(fault: str, seed: int) -> None:
+def test_a_new_leader_whose_machines_have_yet_to_come_reaches_its_workers(fault: str, seed: int) -> None:
     """They report to the former leader, or are relayed by it, for some seconds after a takeover."""
     day = cluster(seed)
     host = pick(day)
@@ -519,7 +519,7 @@
     assert lost >= 5
 
 
-def test_users_of_a_controller_without_state_service_are_answered_by_a_peer() -> None:
+def test_users_of_a_controller_without_the_store_are_answered_by_a_peer() -> None:
     day = cluster(4)
     day.store.refused.add(HOSTS[0])
     for step in range(8):
@@ -593,7 +593,7 @@
     assert day.finish(300) == [] and day.rules.broken == []
 
 
-def test_an_unheard_controller_deletes_no_machine_for_its_silence() -> None:
+def test_a_controller_without_workers_deletes_no_machine_for_its_silence() -> None:
     day = cluster(8)
     before = set(day.site.workers)
     hold(day, from_workers(day, HOSTS[:1], "hold"), 40)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -476,9 +476,9 @@
     async def send(self: MachineCommands, machine: object, commands: list, urgent: bool = False) -> bool:
         for placement in machine.placements.values():
             placement.phase = placement.phase.RESERVED
-        return await real(self, machine, Sneaky(self._shard.commands(machine, self._loop.now(), starts=True)))
+        return await real(self, machine, HiddenStarts(self._shard.commands(machine, self._loop.now(), starts=True)))
 
-    class Sneaky(list):
+    class HiddenStarts(list):
         def __iter__(self):  # hides from the filter that keeps starts out
             for one in list.__iter__(self):
                 yield type("Command", (), {"kind": "hidden", "inner": one})
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -40,7 +40,7 @@
     return [host for host, (one, _) in day.controllers.items() if shard in one.leaders]
 
 
-def test_a_shard_is_not_handed_to_a_peer_without_the_state_service() -> None:
+def test_a_shard_is_not_transferred_to_a_peer_without_the_store() -> None:
     """It still speaks to its peers, and names the lease that it had."""
     day = Day(seed=1)
     day.run(5)
@@ -84,7 +84,7 @@
     assert day.rules.broken == []
 
 
-def test_an_outranked_leader_stands_down_while_it_asks_for_a_higher_term() -> None:
+def test_an_outranked_leader_steps_down_while_it_asks_for_a_higher_term() -> None:
     day = Day(seed=3)
     day.run(5)
     controller = day.controllers[HOSTS[0]][0]
@@ -123,7 +123,7 @@
 
 
 @pytest.mark.parametrize("trouble", ["cut", "frozen"])
-def test_only_an_leader_that_is_certain_deletes_machines(trouble: str) -> None:
+def test_only_a_leader_whose_lease_is_surely_valid_deletes_machines(trouble: str) -> None:
     """It decided before it was paused or was cut off; by now the machine may be a new leader's."""
     day = Day(seed=10)
     day.run(5)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -253,7 +253,7 @@
     for name in list(day.site.workers)[:4]:
         day.site.remove_worker(name)
     for number in range(3):
-        day.group.spawn(day.lookers.submit(job(f"run-n{number}", heads=12, trek_s=10.0)), "user")
+        day.group.spawn(day.polling_users.submit(job(f"run-n{number}", heads=12, trek_s=10.0)), "user")
     yield 6
     for turn in range(3):
         day.restart(HOSTS[turn], SECOND / 3)
@@ -272,7 +272,7 @@
     cut_off[2].hung = cut_off[3].hung = True
     yield 0.5
     for number in range(2):
-        day.group.spawn(day.lookers.cancel(f"run-l{number}"), "user")
+        day.group.spawn(day.polling_users.cancel(f"run-l{number}"), "user")
     yield 0.5
     day.restart(HOSTS[2], 6 * SECOND)
     yield 9
@@ -290,7 +290,7 @@
     day.site.run_time = lambda ref: real(ref) if ref not in times else day.random.choice((1.0, 14.0, 30.0))
     for ref, number in times.items():
         day.submit(job(ref, heads=2 + number % 2, trek_s=14.0))
-        day.group.spawn(day.lookers.watch_end(ref, cancelled=number == 5), "user")
+        day.group.spawn(day.polling_users.watch_end(ref, cancelled=number == 5), "user")
     yield 8
     for host in HOSTS:
         day.restart(host, 2 * SECOND)
@@ -301,7 +301,7 @@
     """They come four a second, a quarter of them cancelled."""
     for number in range(120):
         one = job(f"run-o{number}", heads=1, trek_s=3.0, brand=f"img-{number % 3}")
-        day.group.spawn(day.lookers.submit(one, cancelled=number % 4 == 0), "user")
+        day.group.spawn(day.polling_users.submit(one, cancelled=number % 4 == 0), "user")
         if number == 60:
             day.restart(HOSTS[0], 2 * SECOND)
         yield 0.25
@@ -361,9 +361,9 @@
     """Users ask at all nodes within milliseconds after a job was accepted, ended or cancelled; some cancel at once."""
     for number in range(12):
         one = job(f"run-c{number}", heads=1 + number % 3, trek_s=2.0)
-        day.group.spawn(day.lookers.submit(one, cancelled=number % 3 == 0), "user")
+        day.group.spawn(day.polling_users.submit(one, cancelled=number % 3 == 0), "user")
         if number % 3:
-            day.group.spawn(day.lookers.watch_end(one["ref"], cancelled=number % 3 == 1), "user")
+            day.group.spawn(day.polling_users.watch_end(one["ref"], cancelled=number % 3 == 1), "user")
         yield 1
     yield 6
 
@@ -376,7 +376,7 @@
         day.submit(job(f"run-i{number}", heads=20, trek_s=8.0, rank="idle", crew="red"))
         day.submit(job(f"run-h{number}", gait="group", heads=2, cpus=5.0, rank="urgent", waypoint_s=2.0, pen_s=1.0))
         yield 2
-    day.group.spawn(day.lookers.cancel("run-u1"), "user")
+    day.group.spawn(day.polling_users.cancel("run-u1"), "user")
     day.restart(HOSTS[2], 3 * SECOND)
     yield 20
     day.world.slower = 1.0
@@ -389,8 +389,8 @@
     yield 3
     day.store.refused.add(HOSTS[1])
     for ref in ("run-a0", "run-g0"):
-        day.group.spawn(day.lookers.cancel(ref), "user")
-    day.group.spawn(day.lookers.submit(job("run-new", heads=3)), "user")
+        day.group.spawn(day.polling_users.cancel(ref), "user")
+    day.group.spawn(day.polling_users.submit(job("run-new", heads=3)), "user")
     yield 6
     day.store.outage(True)
     yield CANCEL + 9
@@ -405,8 +405,8 @@
     for number in range(8):
         day.store.drop_answers = 3
         one = job(f"run-d{number}", heads=2, trek_s=1.0)
-        day.group.spawn(day.lookers.submit(one, cancelled=number % 2 == 0), "user")
-        day.group.spawn(day.lookers.watch_end(one["ref"], cancelled=number % 4 == 1), "user")
+        day.group.spawn(day.polling_users.submit(one, cancelled=number % 2 == 0), "user")
+        day.group.spawn(day.polling_users.watch_end(one["ref"], cancelled=number % 4 == 1), "user")
         yield 2
     day.store.drop_answers = 0
     yield 10
@@ -420,7 +420,7 @@
         heal = cut(day, day.random.choice(list(day.site.workers)), HOSTS)
         if turn == 1:
             day.restart(HOSTS[turn], SECOND)
-        day.group.spawn(day.lookers.cancel(f"run-a{turn}"), "user")
+        day.group.spawn(day.polling_users.cancel(f"run-a{turn}"), "user")
         yield 6
         worker.hung = False
         heal()
@@ -446,7 +446,7 @@
     heal = cut(day, host, [f"state-{host}", *others(host)])
     yield 1
     for ref, node in (("run-a1", HOSTS[0]), ("run-b1", HOSTS[2]), ("run-g1", host)):
-        day.group.spawn(day.lookers.cancel(ref, host=node), "user")
+        day.group.spawn(day.polling_users.cancel(ref, host=node), "user")
     yield CANCEL
     heal()
     yield 6
@@ -460,7 +460,7 @@
     day.restart(HOSTS[0], 5 * SECOND)
     for turn, ref in enumerate(("run-a0", "run-x0", "run-b0", "run-x1", "run-g0")):
         yield (3.2, 0.7, 0.5, 1.6, 2.2)[turn]
-        day.group.spawn(day.lookers.cancel(ref), "user")
+        day.group.spawn(day.polling_users.cancel(ref), "user")
     yield 8
 
 
@@ -486,7 +486,7 @@
         day.restart(HOSTS[turn % 3], timedelta(seconds=day.random.choice((0.2, 1.0, 5.0))))
         yield 6
         if turn in (3, 7):
-            day.group.spawn(day.lookers.cancel(f"run-a{turn % 2}"), "user")
+            day.group.spawn(day.polling_users.cancel(f"run-a{turn % 2}"), "user")
             yield 4
             day.store.outage(False)
         yield 5
@@ -499,7 +499,7 @@
     heals = [cut(day, one, outside) for one in inside] + [cut(day, HOSTS[0], [f"state-{HOSTS[0]}"])]
     yield 1
     for ref in ("run-a0", "run-b2"):
-        day.group.spawn(day.lookers.cancel(ref, host=HOSTS[1]), "user")
+        day.group.spawn(day.polling_users.cancel(ref, host=HOSTS[1]), "user")
     yield CANCEL + 4
     for heal in heals:
         heal()
@@ -511,7 +511,7 @@
     day.store.late_writes = 0.3
     for number in range(8):
         one = job(f"run-w{number}", heads=3, trek_s=3.0)
-        day.group.spawn(day.lookers.submit(one, cancelled=number % 3 == 0), "user")
+        day.group.spawn(day.polling_users.submit(one, cancelled=number % 3 == 0), "user")
         if number == 4:
             day.restart(HOSTS[1], SECOND / 2)
         yield 3
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("resets", [True, False])
-def test_a_controller_that_stood_still_gets_its_shard_back(resets: bool) -> None:
+def test_a_controller_that_was_paused_gets_its_shard_back(resets: bool) -> None:
     """Its peers gave up its connections meanwhile. Whether a write tells it so depends on the network between."""
     day = Day(seed=11)
     day.world.resets = resets
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -466,7 +466,7 @@
         day.submit(job(f"run-c{number}-after", heads=2, follows=[f"run-a{number}", f"run-g{number}"], trek_s=4.0))
     pipelines(day)
     day.submit(job("run-last", heads=1, follows=["run-c0-after", "run-q3"]))
-    day.group.spawn(day.lookers.submit(job("run-soon", heads=1, follows=["run-p0-1"]), cancelled=True), "user")
+    day.group.spawn(day.polling_users.submit(job("run-soon", heads=1, follows=["run-p0-1"]), cancelled=True), "user")
     for pause in meeting(day):
         day.run(pause)
     assert day.finish(400) == []
--- a/tests/test_rebalancing_days.py
+++ b/tests/test_rebalancing_days.py
@@ -456,7 +456,9 @@
 
 
 @pytest.mark.cheats
-def test_the_history_checker_catches_an_leader_that_does_not_wait_for_proof(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_history_checker_catches_a_leader_that_does_not_wait_for_confirmation(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """A move that starts the task elsewhere at once, while it still saves where it was."""
     from badgerroute.scheduling.shard import Shard
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -144,7 +144,7 @@
 
 def cancellations(day: Day) -> Iterator[float]:
     for ref in ("run-a1", "run-b0", "run-g2"):
-        day.group.spawn(day.lookers.cancel(ref), "user")
+        day.group.spawn(day.polling_users.cancel(ref), "user")
     yield 0.2
 
 
