--- a/tests/standins/net.py
+++ b/tests/standins/net.py
@@ -25,7 +25,7 @@
         """Send bytes, or None for the end of the stream."""
         if self.held or self.world.is_held(self.source, self.target):
             self.held.append(data)
-            self.world.holding.add(self)
+            self.world.holding[self] = None
             return
         loop = self.world.loop
         self.arrives = max(self.arrives, loop.now() + self.world.delay())
@@ -114,7 +114,7 @@
         self.streams: list[tuple[str, str, VirtualStream, VirtualStream]] = []
         self.cuts: dict[frozenset[str], str] = {}
         self.one_way_cuts: set[tuple[str, str]] = set()  # what the first sends to the second is held
-        self.holding: set[Pipe] = set()
+        self.holding: dict[Pipe, None] = {}
         self.slower = 1.0  # times the usual delay
         self.resets = True  # False: what is written into a connection that the other side closed vanishes
 
@@ -133,10 +133,10 @@
 
     def heal(self, one: str, other: str) -> None:
         self.cuts.pop(frozenset((one, other)), None)
-        holding, self.holding = self.holding, set()
+        holding, self.holding = self.holding, {}
         for pipe in holding:
             if self.is_held(pipe.source, pipe.target):
-                self.holding.add(pipe)
+                self.holding[pipe] = None
             else:
                 pipe.release()
 
