--- a/badgerroute/connectivity/damping.py
+++ b/badgerroute/connectivity/damping.py
@@ -11,7 +11,7 @@
 ZERO = timedelta(0)
 PENALTY_PER_LOSS = 1.0
 MAX_PENALTY = 8.0
-MAX_HALF_LIVES = 64.0  # beyond these nothing of a penalty is left
+MAX_COUNTED_HALF_LIVES = 64.0  # beyond these nothing of a penalty is left
 
 
 @dataclass(slots=True)
@@ -35,7 +35,7 @@
 
     def penalty(self, now: timedelta) -> float:
         """The penalty, as far as it has not decayed."""
-        half_lives = min((now - self._last_loss) / self.half_life, MAX_HALF_LIVES)
+        half_lives = min((now - self._last_loss) / self.half_life, MAX_COUNTED_HALF_LIVES)
         return float(self._penalty * 0.5 ** max(0.0, half_lives))
 
     def record_loss(self, now: timedelta) -> None:
@@ -49,5 +49,5 @@
 
     def delay(self, now: timedelta) -> timedelta:
         """How long links must have been good by now. The first loss costs no more than `base_delay`."""
-        excess = max(0.0, self.penalty(now) - PENALTY_PER_LOSS)
-        return min(self.max_delay, self.base_delay * 2.0**excess)
+        penalty_beyond_first_loss = max(0.0, self.penalty(now) - PENALTY_PER_LOSS)
+        return min(self.max_delay, self.base_delay * 2.0**penalty_beyond_first_loss)
--- a/badgerroute/connectivity/failure_detector.py
+++ b/badgerroute/connectivity/failure_detector.py
@@ -39,14 +39,14 @@
     _interval: timedelta = field(default=ZERO)  # smoothed
     _deviation: timedelta = field(default=ZERO)  # smoothed
 
-    def heartbeat(self, at: timedelta) -> None:
+    def heartbeat(self, received_at: timedelta) -> None:
         """Record a heartbeat, or any other sign of life. One that is older than the last changes nothing."""
         if self.last_heartbeat is not None:
-            if at <= self.last_heartbeat:
+            if received_at <= self.last_heartbeat:
                 return
             # The length of a cut is not an interval: learned as one, it would delay the detection of the next cut.
-            self._learn(min(at - self.last_heartbeat, self.bounds.least))
-        self.last_heartbeat = at
+            self._learn(min(received_at - self.last_heartbeat, self.bounds.least))
+        self.last_heartbeat = received_at
 
     def _learn(self, interval: timedelta) -> None:
         error = interval - self._interval
--- a/badgerroute/connectivity/mode_machine.py
+++ b/badgerroute/connectivity/mode_machine.py
@@ -7,7 +7,7 @@
 from badgerroute.connectivity.damping import FlapDamping
 from badgerroute.connectivity.modes import Mode, Reachability, mode_of
 
-IMPAIRED = frozenset({Mode.STORE_UNREACHABLE, Mode.WORKERS_UNREACHABLE, Mode.ISOLATED})
+IMPAIRED_MODES = frozenset({Mode.STORE_UNREACHABLE, Mode.WORKERS_UNREACHABLE, Mode.ISOLATED})
 
 
 class ModeCause(Enum):
@@ -36,7 +36,7 @@
 
     def __init__(self, damping: FlapDamping) -> None:
         self.damping = damping
-        self._good_since: timedelta | None = (
+        self._links_good_since: timedelta | None = (
             None  # since when nothing is missing; None: nothing was lost yet, or is now
         )
         self.mode = Mode.SERVING
@@ -44,17 +44,17 @@
     def update(self, reachability: Reachability, now: timedelta) -> ModeChange | None:
         """Take in what is reachable; returns the change of mode that follows, if any."""
         before = self.mode
-        if mode_of(reachability, stable=True) in IMPAIRED:
-            self._good_since = None
-            if before not in IMPAIRED:
+        if mode_of(reachability, stable=True) in IMPAIRED_MODES:
+            self._links_good_since = None
+            if before not in IMPAIRED_MODES:
                 self.damping.record_loss(now)
-        elif before in IMPAIRED:
-            self._good_since = now
-        self.mode = mode_of(reachability, self._stable(now))
+        elif before in IMPAIRED_MODES:
+            self._links_good_since = now
+        self.mode = mode_of(reachability, self._links_stable(now))
         return None if self.mode is before else ModeChange(before, self.mode, _cause(reachability, self.mode))
 
-    def _stable(self, now: timedelta) -> bool:
-        return self._good_since is None or now - self._good_since >= self.damping.delay(now)
+    def _links_stable(self, now: timedelta) -> bool:
+        return self._links_good_since is None or now - self._links_good_since >= self.damping.delay(now)
 
 
 def _cause(reachability: Reachability, mode: Mode) -> ModeCause:
--- a/badgerroute/connectivity/process_pause.py
+++ b/badgerroute/connectivity/process_pause.py
@@ -15,9 +15,9 @@
 
     def tick(self, now: timedelta) -> timedelta:
         """Record a run of the task; returns how long the process was paused before it, zero if it was not."""
-        late = now - self._last_tick - self._period
+        delay = now - self._last_tick - self._period
         self._last_tick = now
-        if late < MIN_PAUSE:
+        if delay < MIN_PAUSE:
             return ZERO
         self.resumed_at = now
-        return late
+        return delay
--- a/badgerroute/connectivity/transfer_target.py
+++ b/badgerroute/connectivity/transfer_target.py
@@ -18,11 +18,11 @@
     `shard_machines`: how many the shard has, which its new leader gets on top of what it leads. None: the shard's
     machines report to no candidate.
     """
-    reached = [candidate for candidate in candidates if candidate.machines_reporting > 0]
-    if not reached:
+    reporting_candidates = [candidate for candidate in candidates if candidate.machines_reporting > 0]
+    if not reporting_candidates:
         return None
-    most = max(candidate.machines_reporting for candidate in reached)
-    eligible = [candidate for candidate in reached if 2 * candidate.machines_reporting >= most]
+    max_reporting = max(candidate.machines_reporting for candidate in reporting_candidates)
+    eligible = [candidate for candidate in reporting_candidates if 2 * candidate.machines_reporting >= max_reporting]
     return min(
         eligible,
         key=lambda candidate: (
--- a/badgerroute/connectivity/worker_link.py
+++ b/badgerroute/connectivity/worker_link.py
@@ -4,9 +4,9 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-EVIDENCE_TTL = timedelta(seconds=6)
-MIN_EVIDENCE = 2  # machines of a shard that heartbeat to peers, at least
-OVERDUE_PER_EVIDENCE = 8  # machines with overdue heartbeats for each that must heartbeat to a peer
+PEER_HEARTBEAT_TTL = timedelta(seconds=6)
+MIN_MACHINES_AT_PEERS = 2  # machines of a shard that heartbeat to peers, at least
+OVERDUE_PER_MACHINE_AT_PEERS = 8  # machines with overdue heartbeats for each that must heartbeat to a peer
 PROBATION = timedelta(seconds=8)  # after a machine answered us, its heartbeats get so long to come back here
 
 
@@ -15,7 +15,7 @@
     """The last heartbeat of one of our machines that reached a peer."""
 
     peer: str
-    at: timedelta
+    received_at: timedelta
     relayed: bool  # the peer passed it on to us, so the machine was answered
 
 
@@ -45,11 +45,13 @@
 
     def machines_by_peer(self, shard: int, now: timedelta) -> dict[str, int]:
         """The peers that a shard's machines heartbeat to, with the number of machines."""
-        return dict(Counter(heartbeat.peer for heartbeat in self._recent(shard, now)))
+        return dict(Counter(heartbeat.peer for heartbeat in self._recent_peer_heartbeats(shard, now)))
 
-    def _recent(self, shard: int, now: timedelta) -> list[_PeerHeartbeat]:
+    def _recent_peer_heartbeats(self, shard: int, now: timedelta) -> list[_PeerHeartbeat]:
         heartbeats = self._peer_heartbeats.get(shard, {})
-        for machine in [name for name, heartbeat in heartbeats.items() if now - heartbeat.at > EVIDENCE_TTL]:
+        for machine in [
+            name for name, heartbeat in heartbeats.items() if now - heartbeat.received_at > PEER_HEARTBEAT_TTL
+        ]:
             del heartbeats[machine]
         return list(heartbeats.values())
 
@@ -59,14 +61,16 @@
         `overdue`: how many of its machines' heartbeats are; `unrelayed_only`: count only machines whose heartbeats were
         not passed on to us.
         """
-        evidence = sum(not (unrelayed_only and heartbeat.relayed) for heartbeat in self._recent(shard, now))
-        return overdue > 0 and evidence >= max(MIN_EVIDENCE, overdue // OVERDUE_PER_EVIDENCE)
+        machines_at_peers = sum(
+            not (unrelayed_only and heartbeat.relayed) for heartbeat in self._recent_peer_heartbeats(shard, now)
+        )
+        return overdue > 0 and machines_at_peers >= max(MIN_MACHINES_AT_PEERS, overdue // OVERDUE_PER_MACHINE_AT_PEERS)
 
     def update(self, overdue_by_shard: dict[int, int], now: timedelta) -> None:
         """Judge the link anew. `overdue_by_shard`: of each shard that we lead, the members with overdue heartbeats."""
-        on_probation = self._probation_ends is not None and now < self._probation_ends
+        in_probation = self._probation_ends is not None and now < self._probation_ends
         if any(self.shard_suspected(shard, overdue, now) for shard, overdue in overdue_by_shard.items()):
-            if not self.lost and not on_probation:
+            if not self.lost and not in_probation:
                 self._lost_at = now
         elif overdue_by_shard and not any(overdue_by_shard.values()):
             self._lost_at = None
--- a/badgerroute/coordination/gossip.py
+++ b/badgerroute/coordination/gossip.py
@@ -14,7 +14,7 @@
 from badgerroute.storage.subsystem import Storage
 from badgerroute.transport.loop import Loop
 
-INTERVAL = timedelta(milliseconds=500)
+GOSSIP_INTERVAL = timedelta(milliseconds=500)
 
 
 class GossipTask:
@@ -39,8 +39,8 @@
     async def run(self) -> None:
         """Gossip for ever. A controller without a lease leads nothing, and says nothing."""
         while True:
-            await self._loop.sleep(INTERVAL)
-            self._storage.store.divide_rates(self._membership.peers.store_clients())
+            await self._loop.sleep(GOSSIP_INTERVAL)
+            self._storage.store.divide_rates(self._membership.peers.store_client_count())
             if self._leadership.state.lease is not None:
                 self._membership.mesh.broadcast(self._gossip())
             self._cancellation_broadcast.resend()
--- a/badgerroute/coordination/leadership/leader_election.py
+++ b/badgerroute/coordination/leadership/leader_election.py
@@ -21,9 +21,11 @@
 
 log = logging.getLogger(__name__)
 HOME_PRIORITY_PERIOD = timedelta(seconds=3)  # for which a shard that never had a leader is left to its home controller
-RETRY = timedelta(milliseconds=250)
-RELUCTANT_DELAY = timedelta(seconds=1)
-DELAY_PER_SHARD = timedelta(milliseconds=80)  # by which a controller campaigns later for each shard that it leads
+RETRY_DELAY = timedelta(milliseconds=250)
+RELUCTANT_CAMPAIGN_DELAY = timedelta(seconds=1)
+CAMPAIGN_DELAY_PER_LED_SHARD = timedelta(
+    milliseconds=80
+)  # by which a controller campaigns later for each shard that it leads
 
 
 class ClaimFailure(Enum):
@@ -83,7 +85,7 @@
                     await self._campaign_for_all()
             except (StoreUnavailableError, OutcomeUnknownError) as error:
                 log.info("event=election_delayed error=%s", error)
-                await self._loop.sleep(RETRY)
+                await self._loop.sleep(RETRY_DELAY)
                 continue
             except LeaseExpiredError:
                 self._lease_keeper.expired()
@@ -94,7 +96,7 @@
         # All controllers wake with the watch's event, so that they campaign at the same time and the one with the
         # fewest shards goes first. If each came at the end of its own pause, a loaded one could precede an idle one.
         pause = self._settings.operator.election.ttl / 4
-        await self._loop.first(self._shard_freed, min(pause, RETRY) if self._any_shard_free() else pause)
+        await self._loop.first(self._shard_freed, min(pause, RETRY_DELAY) if self._any_shard_free() else pause)
         self._shard_freed = Future()
 
     # -- campaign
@@ -130,16 +132,18 @@
         A controller that no worker reaches leaves a free shard to others, if there are any.
         """
         reluctant = self._policy.permission(Action.CAMPAIGN) is Permission.RELUCTANT
-        return DELAY_PER_SHARD * len(self._state.leaderships) + (RELUCTANT_DELAY if reluctant else ZERO)
+        return CAMPAIGN_DELAY_PER_LED_SHARD * len(self._state.leaderships) + (
+            RELUCTANT_CAMPAIGN_DELAY if reluctant else ZERO
+        )
 
     async def _campaign(self, shard: int) -> None:
         record = self._records.record(shard)
         if record is not None and record.leader != self._host:
             return
         with suppress(LeadershipNotGainedError):  # the next round tries again, if the shard is still free
-            await self._claim(shard, self._records.term(shard), self._new_grace_end(record))
+            await self._claim(shard, self._records.term(shard), self._grace_end_for_claim(record))
 
-    def _new_grace_end(self, record: ShardLeaderRecord | None) -> float:
+    def _grace_end_for_claim(self, record: ShardLeaderRecord | None) -> float:
         """The time of day until which an earlier leader may still act.
 
         A record under this controller's own name is from an earlier run of it, which is over, or was transferred here
@@ -188,10 +192,10 @@
             raise LeadershipNotGainedError(shard, ClaimFailure.LEASE_EXPIRED)
         if max(self._peer_terms.get(shard, 0), self._records.term(shard)) > term:
             raise LeadershipNotGainedError(shard, ClaimFailure.OUTRANKED)
-        self._lead(shard, record, term)
+        self._record_leadership(shard, record, term)
         return term
 
-    def _lead(self, shard: int, record: ShardLeaderRecord, term: int) -> None:
+    def _record_leadership(self, shard: int, record: ShardLeaderRecord, term: int) -> None:
         clock_difference = 2 * self._settings.params.time_bound_ms / 1000  # between two controllers, in seconds
         grace = timedelta(seconds=record.until - self._time_of_day() + clock_difference)
         leadership = Leadership(term, max(ZERO, grace))
--- a/badgerroute/coordination/leadership/leadership_state.py
+++ b/badgerroute/coordination/leadership/leadership_state.py
@@ -13,7 +13,7 @@
 from badgerroute.storage.replica import Replica
 from badgerroute.transport.loop import Loop
 
-NEVER = -timedelta(days=1)
+NEVER_CONFIRMED = -timedelta(days=1)
 
 
 @dataclass(slots=True)
@@ -56,7 +56,7 @@
         self.leaderships: dict[int, Leadership] = {}  # by shard
         self.autoscaler_term: int | None = None  # None: another controller runs the autoscaler, or none does
         self.lease: int | None = None  # None: not granted yet, or expired
-        self.lease_confirmed_at = NEVER  # when the last renewal that was answered had been sent
+        self.lease_confirmed_at = NEVER_CONFIRMED  # when the last renewal that was answered had been sent
 
     def register(self, listener: LeadershipListener) -> None:
         """Add a listener; to be done before the election runs. Listeners are called in the order of registration."""
@@ -117,7 +117,7 @@
     def lease_expired(self) -> None:
         """Give up everything that depended on the lease."""
         self.lease = None
-        self.lease_confirmed_at = NEVER
+        self.lease_confirmed_at = NEVER_CONFIRMED
         self.autoscaler_term = None
         for shard in list(self.leaderships):
             self.step_down(shard)
--- a/badgerroute/coordination/leadership/lease_keeper.py
+++ b/badgerroute/coordination/leadership/lease_keeper.py
@@ -9,7 +9,7 @@
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
-MAX_RENEWAL_TIME = timedelta(seconds=1.5)  # for one renewal, or half the time to live if that is shorter
+MAX_RENEWAL_TIMEOUT = timedelta(seconds=1.5)  # for one renewal, or half the time to live if that is shorter
 RENEWALS_PER_TTL = 5
 
 
@@ -35,7 +35,7 @@
         else:
             if sent_at - self._state.lease_confirmed_at < self._ttl / RENEWALS_PER_TTL:
                 return
-            await self._store.touch(self._state.lease, min(self._ttl / 2, MAX_RENEWAL_TIME))
+            await self._store.touch(self._state.lease, min(self._ttl / 2, MAX_RENEWAL_TIMEOUT))
         # The lease counts from when the store received the request, which is not before it was sent.
         self._state.lease_confirmed_at = sent_at
 
--- a/badgerroute/coordination/membership/connectivity_monitor.py
+++ b/badgerroute/coordination/membership/connectivity_monitor.py
@@ -8,7 +8,7 @@
 from badgerroute.connectivity.modes import Mode, Reachability
 from badgerroute.connectivity.process_pause import PauseDetector
 from badgerroute.connectivity.worker_link import WorkerLink
-from badgerroute.coordination.leadership.leadership_state import NEVER, LeadershipState
+from badgerroute.coordination.leadership.leadership_state import NEVER_CONFIRMED, LeadershipState
 from badgerroute.coordination.membership.peers import Peers
 from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.settings import Settings
@@ -51,7 +51,7 @@
     def reaches_store(self) -> bool:
         """Whether the key-value store has answered a lease renewal and a watch lately."""
         last_confirmed = self._leadership_state.last_confirmed
-        if last_confirmed > NEVER:
+        if last_confirmed > NEVER_CONFIRMED:
             self._store_detector.heartbeat(last_confirmed)
         return not self._store_detector.suspected(self._loop.now())
 
--- a/badgerroute/coordination/membership/forwarding.py
+++ b/badgerroute/coordination/membership/forwarding.py
@@ -12,7 +12,7 @@
 from badgerroute.transport.loop import Future, Loop, TaskGroup
 
 Handler = Callable[[Request, str], Awaitable[Response]]
-FIRST_NUMBER_RANGE = 1 << 48  # to draw the number of the first request from
+FIRST_REQUEST_NUMBER_RANGE = 1 << 48  # to draw the number of the first request from
 
 
 class RequestForwarder:
@@ -27,45 +27,47 @@
         group: TaskGroup,
         host: str,
         max_concurrent: int,
-        first_number: int,
+        first_request_number: int,
         send: Callable[[str, Message], None],
     ) -> None:
         self._loop, self._group, self._host, self._max_concurrent = loop, group, host, max_concurrent
         self._send = send
-        self._last_number = first_number  # random, so that a response to an earlier run of this process fits no request
-        self._pending: dict[tuple[str, int], Future] = {}  # (peer, request number) -> its response
-        self._serving = 0
+        self._last_request_number = (
+            first_request_number  # random, so that a response to an earlier run of this process fits no request
+        )
+        self._pending_responses: dict[tuple[str, int], Future] = {}  # (peer, request number) -> its response
+        self._requests_in_progress = 0
         self.dropped = 0  # requests refused because `max_concurrent` were on their way
 
     async def forward(self, target: str, request: Request, limit: timedelta) -> Response | None:
         """A peer's response; None if none came within the limit, or too many requests are on their way."""
-        if len(self._pending) >= self._max_concurrent:
+        if len(self._pending_responses) >= self._max_concurrent:
             self.dropped += 1
             return None
-        self._last_number += 1
-        number = self._last_number
-        answered = self._pending[target, number] = Future()
+        self._last_request_number += 1
+        number = self._last_request_number
+        response_future = self._pending_responses[target, number] = Future()
         try:
             self._send(target, ForwardedRequest(self._host, number, request.method, request.path, request.body))
-            if not await self._loop.first(answered, limit):
+            if not await self._loop.first(response_future, limit):
                 return None
-            response: ForwardedResponse = answered.result
+            response: ForwardedResponse = response_future.result
             return Response(response.status, response.body)
         finally:
-            del self._pending[target, number]
+            del self._pending_responses[target, number]
 
     def on_response(self, message: ForwardedResponse) -> None:
         """Take in a peer's response. A late or repeated one has no request waiting, and is ignored."""
-        answered = self._pending.get((message.host, message.number))
-        if answered is not None:
-            answered.set(message)
+        response_future = self._pending_responses.get((message.host, message.number))
+        if response_future is not None:
+            response_future.set(message)
 
     def on_request(self, message: ForwardedRequest, handle: Handler) -> None:
         """Have `handle` answer a request that a peer forwarded, in a task of its own, and send the response back."""
-        if self._serving >= self._max_concurrent:
+        if self._requests_in_progress >= self._max_concurrent:
             self.dropped += 1
             return
-        self._serving += 1
+        self._requests_in_progress += 1
         self._group.spawn(self._answer(message, handle), "forwarded")
 
     async def _answer(self, message: ForwardedRequest, handle: Handler) -> None:
@@ -75,4 +77,4 @@
             answer = ForwardedResponse(self._host, message.number, response.status, response.body)
             self._send(message.host, answer)
         finally:
-            self._serving -= 1
+            self._requests_in_progress -= 1
--- a/badgerroute/coordination/membership/leadership_transfer.py
+++ b/badgerroute/coordination/membership/leadership_transfer.py
@@ -38,7 +38,7 @@
         self._leadership_state, self._shard_transfer = leadership_state, shard_transfer
         self._peers, self._monitor, self._leaders = peers, monitor, leaders
         self._worker_link = monitor.worker_link
-        self._relay_for = settings.operator.connectivity.relay_for
+        self._max_relay_time = settings.operator.connectivity.relay_for
 
     async def run(self) -> None:
         """Transfer one shard a round: first one whose workers can't report here, else one with its home elsewhere."""
@@ -51,7 +51,7 @@
 
     async def _return_to_home(self) -> None:
         for shard in list(self._leadership_state.leaderships):
-            host = self._home(shard)
+            host = self._home_host(shard)
             peer = self._peers.reachable_peer(host)
             leader = self._leaders.get(shard)
             # A peer that has lost the key-value store still reports the lease it once had. Without this check the shard
@@ -62,7 +62,7 @@
                 await self._shard_transfer.transfer(shard, host, peer.gossip.lease)
                 return
 
-    def _home(self, shard: int) -> str:
+    def _home_host(self, shard: int) -> str:
         return self._hosts[shard] if shard < len(self._hosts) else ""
 
     # -- shards whose workers don't reach this controller
@@ -82,7 +82,7 @@
     async def _transfer_without_workers(self) -> bool:
         """Transfer a shard that relaying does not serve, or has served for long enough; whether there was one."""
         now = self._loop.now()
-        relayed_long_enough = self._worker_link.lost_for(now) >= self._relay_for
+        relayed_long_enough = self._worker_link.lost_for(now) >= self._max_relay_time
         for leader in list(self._leaders.values()):
             if not self._workers_lost(leader, now, unrelayed_only=not relayed_long_enough):
                 continue
--- a/badgerroute/coordination/membership/mesh.py
+++ b/badgerroute/coordination/membership/mesh.py
@@ -14,7 +14,7 @@
 RESTART_PAUSE = timedelta(seconds=1)
 MessageHandler = Callable[[wire.Message], None]
 
-INCOMING_PER_PEER = 4  # connections: those that a peer has given up may still be open on this side
+MAX_INCOMING_PER_PEER = 4  # connections: those that a peer has given up may still be open on this side
 
 
 class Mesh:
@@ -36,7 +36,7 @@
 
     def start(self, on_message: MessageHandler) -> None:
         """Listen, and keep a connection to each peer. `on_message` is called with every message that arrives."""
-        max_incoming = INCOMING_PER_PEER * (max(1, len(self._connections)) + 1)
+        max_incoming = MAX_INCOMING_PER_PEER * (max(1, len(self._connections)) + 1)
         listener = MeshListener(self._loop, self._group, max_incoming, on_message)
         self._group.spawn(listener.accept_all(self._network.listen(self._address)), "mesh-accept")
         for connection in self._connections.values():
--- a/badgerroute/coordination/membership/mesh_listener.py
+++ b/badgerroute/coordination/membership/mesh_listener.py
@@ -12,8 +12,8 @@
 from badgerroute.transport.net import Listener, Stream
 
 log = logging.getLogger(__name__)
-IDLE_LIMIT = timedelta(seconds=20)  # a connection on which nothing comes for so long is closed
-WRITE_LIMIT = timedelta(seconds=3)
+IDLE_TIMEOUT = timedelta(seconds=20)  # a connection on which nothing comes for so long is closed
+WRITE_TIMEOUT = timedelta(seconds=3)
 ACK_INTERVAL = timedelta(seconds=1)
 ACK = frame(b"")
 
@@ -46,11 +46,11 @@
         acknowledged_at = self._loop.now()
         try:
             while True:
-                with self._loop.limit(IDLE_LIMIT):
+                with self._loop.limit(IDLE_TIMEOUT):
                     data = await reader.next()
                 if self._loop.now() - acknowledged_at >= ACK_INTERVAL:
                     acknowledged_at = self._loop.now()
-                    with self._loop.limit(WRITE_LIMIT):
+                    with self._loop.limit(WRITE_TIMEOUT):
                         await stream.write(ACK)
                 self._handle(data)
         except (OSError, TimeLimitError) as error:
--- a/badgerroute/coordination/membership/peer_connection.py
+++ b/badgerroute/coordination/membership/peer_connection.py
@@ -9,9 +9,9 @@
 from badgerroute.transport.net import Network, Stream
 
 log = logging.getLogger(__name__)
-CONNECT_LIMIT = timedelta(seconds=1)
+CONNECT_TIMEOUT = timedelta(seconds=1)
 RECONNECT_PAUSE = timedelta(milliseconds=500)
-WRITE_LIMIT = timedelta(seconds=3)
+WRITE_TIMEOUT = timedelta(seconds=3)
 ACK_TIMEOUT = timedelta(seconds=4)  # a connection on which nothing was acknowledged for so long is opened anew
 
 
@@ -29,7 +29,7 @@
         """Keep a connection and send what is queued, for as long as the controller runs."""
         while True:
             try:
-                stream = await self._network.connect(self._address, CONNECT_LIMIT)
+                stream = await self._network.connect(self._address, CONNECT_TIMEOUT)
             except (OSError, TimeLimitError) as error:
                 log.debug("event=mesh_connect_failed peer=%s error=%s", self.host, error)
                 self.queue.take_all()
@@ -44,7 +44,7 @@
             while True:
                 await self.queue.wait()
                 self._check_alive()
-                with self._loop.limit(WRITE_LIMIT):
+                with self._loop.limit(WRITE_TIMEOUT):
                     await stream.write(self.queue.take_all())
         except (OSError, TimeLimitError) as error:
             log.info("event=mesh_connection_lost peer=%s error=%s", self.host, error)
--- a/badgerroute/coordination/membership/subsystem.py
+++ b/badgerroute/coordination/membership/subsystem.py
@@ -5,7 +5,7 @@
 
 from badgerroute.coordination.leadership.subsystem import LeadershipSubsystem
 from badgerroute.coordination.membership.connectivity_monitor import ConnectivityMonitor
-from badgerroute.coordination.membership.forwarding import FIRST_NUMBER_RANGE, RequestForwarder
+from badgerroute.coordination.membership.forwarding import FIRST_REQUEST_NUMBER_RANGE, RequestForwarder
 from badgerroute.coordination.membership.leadership_transfer import LeadershipTransfer
 from badgerroute.coordination.membership.mesh import Mesh
 from badgerroute.coordination.membership.peers import Peers
@@ -64,7 +64,7 @@
         group=group,
         host=host,
         max_concurrent=settings.operator.connectivity.relays_at_once,
-        first_number=random.SystemRandom().randrange(FIRST_NUMBER_RANGE),
+        first_request_number=random.SystemRandom().randrange(FIRST_REQUEST_NUMBER_RANGE),
         send=mesh.send,
     )
     leadership_transfer = LeadershipTransfer(
--- a/badgerroute/coordination/membership/worker_prober.py
+++ b/badgerroute/coordination/membership/worker_prober.py
@@ -16,9 +16,9 @@
 
 log = logging.getLogger(__name__)
 PROBE_INTERVAL = timedelta(seconds=2)
-PROBED_MACHINES = 3  # in each round
-PROBE_LIMIT = timedelta(seconds=1)  # for the connection, and again for the answer
-OK = 200
+MACHINES_PER_PROBE = 3  # in each round
+PROBE_TIMEOUT = timedelta(seconds=1)  # for the connection, and again for the answer
+STATUS_OK = 200
 
 
 class WorkerProber:
@@ -49,18 +49,18 @@
                 await self._probe_sample()
 
     async def _probe_sample(self) -> None:
-        members = self._replica.under(MACHINES)
-        for key in self._sample(members, min(PROBED_MACHINES, len(members))):
+        machine_keys = self._replica.under(MACHINES)
+        for key in self._sample(machine_keys, min(MACHINES_PER_PROBE, len(machine_keys))):
             value = self._replica.value(key)
-            if value is not None and await self._answers(records.read(value, MachineRecord).address):
+            if value is not None and await self._answers_status_request(records.read(value, MachineRecord).address):
                 log.info("event=workers_probed again=%s", key.removeprefix(MACHINES))
                 self._worker_link.machine_reached(self._loop.now())
                 return
 
-    async def _answers(self, address: str) -> bool:
-        client = Client(self._loop, self._network, address, most_idle=1, connect=PROBE_LIMIT)
+    async def _answers_status_request(self, address: str) -> bool:
+        client = Client(self._loop, self._network, address, most_idle=1, connect=PROBE_TIMEOUT)
         try:
-            return (await client.request("GET", "/status", b"", PROBE_LIMIT)).status == OK
+            return (await client.request("GET", "/status", b"", PROBE_TIMEOUT)).status == STATUS_OK
         except NoAnswerError:
             return False
         finally:
--- a/badgerroute/coordination/socket_budget.py
+++ b/badgerroute/coordination/socket_budget.py
@@ -23,7 +23,7 @@
 def divide_sockets(params: Params) -> SocketBudget:
     """The budget that follows from the settings."""
     sockets = params.resources.fd_limit
-    most = max(MAX_DIRECT_COMMANDS, sockets // SOCKETS_PER_DIRECT_COMMAND)
-    direct_commands = min(most, max(MIN_DIRECT_COMMANDS, sockets // 8))
+    max_direct_commands = max(MAX_DIRECT_COMMANDS, sockets // SOCKETS_PER_DIRECT_COMMAND)
+    direct_commands = min(max_direct_commands, max(MIN_DIRECT_COMMANDS, sockets // 8))
     reserved = RESERVED_SOCKETS + RESERVED_PER_CONTROLLER * params.size
     return SocketBudget(direct_commands, max(MIN_CONNECTIONS, sockets - direct_commands - reserved))
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -15,7 +15,7 @@
 from badgerroute.connectivity.mode_machine import ModeMachine
 from badgerroute.connectivity.modes import PERMISSIONS, Action, Mode, Permission, Reachability, mode_of
 from badgerroute.connectivity.process_pause import PauseDetector
-from badgerroute.connectivity.relay_routes import FAILED_REDIRECT, ROUTE_TTL, RelayRoutes, Route
+from badgerroute.connectivity.relay_routes import REDIRECT_FAILURE_WINDOW, ROUTE_TTL, RelayRoutes, Route
 from badgerroute.connectivity.transfer_target import TransferCandidate, choose_transfer_target
 from badgerroute.connectivity.worker_link import PROBATION, WorkerLink
 from badgerroute.coordination.leadership.action_policy import ActionPolicy
@@ -300,7 +300,7 @@
         [(0, False, False, REDIRECT), (6, False, True, RELAY), (15, False, True, RELAY), (16, False, True, REDIRECT),
          (22, False, True, RELAY), (41, False, True, RELAY), (42, False, True, REDIRECT)],
         # After long it is no longer the same stay.
-        [(0, False, False, REDIRECT), (FAILED_REDIRECT / SECOND, False, False, REDIRECT)],
+        [(0, False, False, REDIRECT), (REDIRECT_FAILURE_WINDOW / SECOND, False, False, REDIRECT)],
         # Once the leader hears workers again, every machine is sent there within the spread.
         [(0, True, True, RELAY), (5, False, True, None), (9, False, True, REDIRECT), (14, False, True, RELAY),
          (15, False, True, RELAY)],
