--- a/badgerroute/connectivity/failure_detector.py
+++ b/badgerroute/connectivity/failure_detector.py
@@ -18,8 +18,8 @@
 class TimeoutBounds:
     """The bounds of the learned timeout."""
 
-    least: timedelta
-    most: timedelta
+    minimum: timedelta
+    maximum: timedelta
 
 
 STORE_TIMEOUT = TimeoutBounds(timedelta(seconds=3), timedelta(seconds=6))
@@ -39,13 +39,13 @@
     _interval: timedelta = field(default=ZERO)  # smoothed
     _deviation: timedelta = field(default=ZERO)  # smoothed
 
-    def heartbeat(self, received_at: timedelta) -> None:
+    def record_heartbeat(self, received_at: timedelta) -> None:
         """Record a heartbeat, or any other sign of life. One that is older than the last changes nothing."""
         if self.last_heartbeat is not None:
             if received_at <= self.last_heartbeat:
                 return
             # The length of a cut is not an interval: learned as one, it would delay the detection of the next cut.
-            self._learn(min(received_at - self.last_heartbeat, self.bounds.least))
+            self._learn(min(received_at - self.last_heartbeat, self.bounds.minimum))
         self.last_heartbeat = received_at
 
     def _learn(self, interval: timedelta) -> None:
@@ -56,7 +56,7 @@
     @property
     def timeout(self) -> timedelta:
         """The time without a heartbeat after which the endpoint is suspected."""
-        return min(max(self._interval + DEVIATIONS * self._deviation, self.bounds.least), self.bounds.most)
+        return min(max(self._interval + DEVIATIONS * self._deviation, self.bounds.minimum), self.bounds.maximum)
 
     def heartbeat_age(self, now: timedelta) -> timedelta:
         """The time since the last heartbeat; since the endpoint is watched, if there was none."""
@@ -68,7 +68,7 @@
 
     def presumed_dead(self, now: timedelta) -> bool:
         """Whether the endpoint has missed heartbeats for longer than the longest timeout."""
-        return self.heartbeat_age(now) >= self.bounds.most
+        return self.heartbeat_age(now) >= self.bounds.maximum
 
     def discount_pause(self, process_pause: timedelta, now: timedelta) -> None:
         """Don't count a pause of this process, in which it could receive nothing, as missed heartbeats."""
--- a/badgerroute/coordination/leadership/leader_election.py
+++ b/badgerroute/coordination/leadership/leader_election.py
@@ -88,7 +88,7 @@
                 await self._loop.sleep(RETRY_DELAY)
                 continue
             except LeaseExpiredError:
-                self._lease_keeper.expired()
+                self._lease_keeper.drop_expired_lease()
                 continue
             await self._wait_for_free_shard()
 
@@ -105,7 +105,7 @@
         return any(self._may_campaign(shard) for shard in range(self._settings.params.size))
 
     def _may_campaign(self, shard: int) -> bool:
-        if shard in self._state.leaderships or shard in self._records.pending:
+        if shard in self._state.leaderships or shard in self._records.pending_writes:
             return False
         leader = self._records.leader(shard)
         if leader is not None:
@@ -170,7 +170,7 @@
         leadership = self._state.leaderships.get(shard)
         if leadership is None:
             raise LeadershipNotGainedError(shard, ClaimFailure.NOT_LEADER)
-        if shard in self._records.pending:
+        if shard in self._records.pending_writes:
             raise LeadershipNotGainedError(shard, ClaimFailure.WRITE_PENDING)
         log.info("event=term_raised shard=%d from=%d", shard, leadership.term)
         return await self._claim(shard, leadership.term, self._records.grace_end(shard))
@@ -226,6 +226,6 @@
         if value is None:
             self._shard_freed.set()
         leadership = self._state.leaderships.get(shard)
-        if leadership is not None and shard not in self._records.pending and revision > leadership.term:
+        if leadership is not None and shard not in self._records.pending_writes and revision > leadership.term:
             log.warning("event=leader_deposed shard=%d term=%d", shard, leadership.term)
             self._state.step_down(shard)
--- a/badgerroute/coordination/leadership/leader_records.py
+++ b/badgerroute/coordination/leadership/leader_records.py
@@ -41,7 +41,7 @@
 
     def __init__(self, store: KeyValueClient, replica: Replica) -> None:
         self._store, self._replica = store, replica
-        self.pending: set[int] = set()  # shards with a write of this controller on its way
+        self.pending_writes: set[int] = set()  # shards with a write of this controller on its way
 
     def record(self, shard: int) -> ShardLeaderRecord | None:
         """A shard's leader record, as far as is known here; None: the shard has no leader."""
@@ -65,11 +65,11 @@
     @contextmanager
     def pending_write(self, shard: int) -> Iterator[None]:
         """Marks a shard's record as being written in the body."""
-        self.pending.add(shard)
+        self.pending_writes.add(shard)
         try:
             yield
         finally:
-            self.pending.discard(shard)
+            self.pending_writes.discard(shard)
 
     async def write(self, shard: int, record: ShardLeaderRecord, expected_term: int, lease: int) -> int:
         """Write a shard's leader record under a lease, if its term is the expected one; returns the new term.
--- a/badgerroute/coordination/leadership/leadership_state.py
+++ b/badgerroute/coordination/leadership/leadership_state.py
@@ -114,7 +114,7 @@
         for listener in self._listeners:
             listener.deposed(shard)
 
-    def lease_expired(self) -> None:
+    def clear_lease(self) -> None:
         """Give up everything that depended on the lease."""
         self.lease = None
         self.lease_confirmed_at = NEVER_CONFIRMED
--- a/badgerroute/coordination/leadership/lease_keeper.py
+++ b/badgerroute/coordination/leadership/lease_keeper.py
@@ -39,7 +39,7 @@
         # The lease counts from when the store received the request, which is not before it was sent.
         self._state.lease_confirmed_at = sent_at
 
-    def expired(self) -> None:
+    def drop_expired_lease(self) -> None:
         """The lease has ended, and with it everything that this controller led."""
         log.warning("event=lease_expired shards=%s", sorted(self._state.leaderships))
-        self._state.lease_expired()
+        self._state.clear_lease()
--- a/badgerroute/coordination/leadership/shard_transfer.py
+++ b/badgerroute/coordination/leadership/shard_transfer.py
@@ -23,7 +23,7 @@
         shard to the next election.
         """
         leadership = self._state.leaderships.get(shard)
-        if leadership is None or shard in self._records.pending:
+        if leadership is None or shard in self._records.pending_writes:
             return
         with self._records.pending_write(shard):
             self._state.step_down(shard)
--- a/badgerroute/coordination/membership/connectivity_monitor.py
+++ b/badgerroute/coordination/membership/connectivity_monitor.py
@@ -52,7 +52,7 @@
         """Whether the key-value store has answered a lease renewal and a watch lately."""
         last_confirmed = self._leadership_state.last_confirmed
         if last_confirmed > NEVER_CONFIRMED:
-            self._store_detector.heartbeat(last_confirmed)
+            self._store_detector.record_heartbeat(last_confirmed)
         return not self._store_detector.suspected(self._loop.now())
 
     def lacks_store_alone(self) -> bool:
--- a/badgerroute/coordination/membership/forwarding.py
+++ b/badgerroute/coordination/membership/forwarding.py
@@ -37,12 +37,12 @@
         )
         self._pending_responses: dict[tuple[str, int], Future] = {}  # (peer, request number) -> its response
         self._requests_in_progress = 0
-        self.dropped = 0  # requests refused because `max_concurrent` were on their way
+        self.dropped_requests = 0  # requests refused because `max_concurrent` were on their way
 
     async def forward(self, target: str, request: Request, limit: timedelta) -> Response | None:
         """A peer's response; None if none came within the limit, or too many requests are on their way."""
         if len(self._pending_responses) >= self._max_concurrent:
-            self.dropped += 1
+            self.dropped_requests += 1
             return None
         self._last_request_number += 1
         number = self._last_request_number
@@ -65,7 +65,7 @@
     def on_request(self, message: ForwardedRequest, handle: Handler) -> None:
         """Have `handle` answer a request that a peer forwarded, in a task of its own, and send the response back."""
         if self._requests_in_progress >= self._max_concurrent:
-            self.dropped += 1
+            self.dropped_requests += 1
             return
         self._requests_in_progress += 1
         self._group.spawn(self._answer(message, handle), "forwarded")
--- a/badgerroute/coordination/membership/peers.py
+++ b/badgerroute/coordination/membership/peers.py
@@ -60,7 +60,7 @@
         """Take in what another controller reports. A host that is no peer is ignored."""
         failure_detector = self.failure_detectors.get(gossip.host)
         if failure_detector is not None:
-            failure_detector.heartbeat(self._loop.now())
+            failure_detector.record_heartbeat(self._loop.now())
             self._peers_by_host[gossip.host] = Peer(failure_detector, gossip)
 
     def reachable_peer(self, host: str) -> Peer | None:
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -47,34 +47,34 @@
     link, now = FailureDetector(PEER_TIMEOUT, 0 * SECOND), 0 * SECOND
     for turn in range(60):
         now += (interval + (jitter if turn % 2 else -jitter)) * SECOND
-        link.heartbeat(now)
+        link.record_heartbeat(now)
     if timeout is None:
-        assert PEER_TIMEOUT.least < link.timeout <= PEER_TIMEOUT.most
+        assert PEER_TIMEOUT.minimum < link.timeout <= PEER_TIMEOUT.maximum
     else:
         assert link.timeout == timeout * SECOND
     assert not link.suspected(now + link.timeout - SECOND / 100)
     assert link.suspected(now + link.timeout)
-    longest = now + PEER_TIMEOUT.most
+    longest = now + PEER_TIMEOUT.maximum
     assert not link.presumed_dead(longest - SECOND / 100) and link.presumed_dead(longest)
 
 
 def test_a_cut_does_not_make_the_next_go_unnoticed() -> None:
     link = FailureDetector(STORE_TIMEOUT, 0 * SECOND)
     for now in (1, 2, 3, 40, 41, 42, 80, 81, 82, 83, 84):
-        link.heartbeat(now * SECOND)
-    assert link.timeout <= STORE_TIMEOUT.most and link.suspected(90 * SECOND)
+        link.record_heartbeat(now * SECOND)
+    assert link.timeout <= STORE_TIMEOUT.maximum and link.suspected(90 * SECOND)
 
 
 def test_signs_of_life_that_come_late_change_nothing() -> None:
     link = FailureDetector(PEER_TIMEOUT, 0 * SECOND)
-    link.heartbeat(5 * SECOND)
-    link.heartbeat(4 * SECOND)
+    link.record_heartbeat(5 * SECOND)
+    link.record_heartbeat(4 * SECOND)
     assert link.heartbeat_age(6 * SECOND) == SECOND
 
 
 def test_a_pause_of_our_own_is_nobody_elses_silence() -> None:
     detector, link = PauseDetector(SECOND / 4, 0 * SECOND), FailureDetector(PEER_TIMEOUT, 0 * SECOND)
-    link.heartbeat(10 * SECOND)
+    link.record_heartbeat(10 * SECOND)
     assert detector.tick(SECOND / 4) == 0 * SECOND
     for turn in range(2, 41):
         assert detector.tick(turn * SECOND / 4) == 0 * SECOND
@@ -429,8 +429,8 @@
     requests = [ends.near.forward("a", Request("GET", "/v1/jobs/run-1", "", b""), SECOND) for _ in range(3)]
     routines = [ends.loop.spawn(request, "forward") for request in requests]
     assert [ends.loop.run(routine) for routine in routines] == [None, None, None]
-    assert len(ends.sent) == 2 and ends.near.dropped == 1
+    assert len(ends.sent) == 2 and ends.near.dropped_requests == 1
     for number in range(5):
         ends.far.on_request(ForwardedRequest("b", number, "GET", "/up", b""), ends._handle)
     ends.answers()
-    assert len(ends.handled) == 2 and ends.far.dropped == 3
+    assert len(ends.handled) == 2 and ends.far.dropped_requests == 3
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -90,7 +90,7 @@
     controller = day.controllers[HOSTS[0]][0]
     election, leaderships = controller.leadership.election, controller.leadership_state.leaderships
     term = leaderships[0].term
-    controller.leadership.records.pending.add(0)
+    controller.leadership.records.pending_writes.add(0)
     election.step_down_if_outranked(0, term)
     assert 0 in leaderships, "its own term is no news"
     election.step_down_if_outranked(0, term + 5)
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -44,7 +44,7 @@
     day, controller = elected_controller()
     before = dict(controller.leadership_state.leaderships)
     if pending:
-        controller.leadership.records.pending.add(shard)
+        controller.leadership.records.pending_writes.add(shard)
     if not lease:
         controller.leadership_state.lease = None
     with pytest.raises(LeadershipNotGainedError) as caught:
@@ -65,7 +65,7 @@
     with pytest.raises(LeadershipNotGainedError) as caught:
         raise_term(day, controller, 0)
     assert caught.value.reason is ClaimFailure.COMPARE_FAILED
-    assert not controller.leadership.records.pending
+    assert not controller.leadership.records.pending_writes
 
 
 def test_a_shard_that_is_not_led_has_no_condition() -> None:
@@ -92,7 +92,7 @@
     state.step_down(0)
     state.leaderships[0] = Leadership(99, controller.settings.grace)
     state.notify_elected(0)
-    state.lease_expired()
+    state.clear_lease()
     assert events == [("deposed", 0), ("elected", 0), ("deposed", 0)]
     assert state.lease is None and not state.leaderships and not state.within_grace()
     day.run(0.1)  # lets the tasks of the shard that was led for a moment end
