--- a/badgerroute/coordination/leadership/action_policy.py
+++ b/badgerroute/coordination/leadership/action_policy.py
@@ -1,6 +1,6 @@
-"""Decides whether an action may be taken now, by the connectivity mode and the last confirmation of leadership.
+"""Decides whether an action is allowed now, from the connectivity mode and the last confirmation of leadership.
 
-No other module reads the proofs of leadership (`within_grace`, `lease_surely_valid`): a test checks that.
+No other module outside `leadership_state` calls `within_grace` or `lease_surely_valid`; a test checks that.
 """
 
 from badgerroute.connectivity.mode_machine import ModeMachine
@@ -11,18 +11,18 @@
 class ActionPolicy:
     """Authorizes actions.
 
-    To be asked in the very step that acts, after every await: an answer holds only until the next one.
+    Callers must ask after every await, in the same step in which they act: the result can change during an await.
     """
 
     def __init__(self, leadership_state: LeadershipState, mode_machine: ModeMachine) -> None:
         self._state, self._mode_machine = leadership_state, mode_machine
 
     def permission(self, action: Action) -> Permission:
-        """The permission that the current mode gives."""
+        """Return the permission for an action in the current mode."""
         return PERMISSIONS[self._mode_machine.mode][action]
 
     def allows(self, action: Action) -> bool:
-        """Whether an action that concerns no shard in particular may be taken now."""
+        """Whether an action that is not tied to one shard is allowed now."""
         match self.permission(action):
             case Permission.ALLOWED | Permission.RELUCTANT:
                 return True
@@ -33,5 +33,5 @@
         return False
 
     def allows_for(self, shard: int, action: Action) -> bool:
-        """Whether an action may be taken now for a shard, which this controller must lead."""
+        """Whether an action for a shard is allowed now; never, unless this controller leads the shard."""
         return shard in self._state.leaderships and self.allows(action)
--- a/badgerroute/coordination/leadership/autoscaler_election.py
+++ b/badgerroute/coordination/leadership/autoscaler_election.py
@@ -1,4 +1,4 @@
-"""The election of the controller that runs the autoscaler, one for the whole cluster."""
+"""Elects the controller that runs the autoscaler. There is one autoscaler for the whole cluster."""
 
 import logging
 
@@ -16,14 +16,14 @@
 
 
 class AutoscalerElection:
-    """Campaigns for the autoscaler's key, and gives the autoscaler up when the key is another's."""
+    """Campaigns for the autoscaler leader key, and ends the autoscaler term when the key changes afterwards."""
 
     def __init__(self, store: KeyValueClient, replica: Replica, leadership_state: LeadershipState, host: str) -> None:
         self._store, self._replica, self._state, self._host = store, replica, leadership_state, host
         replica.listen(AUTOSCALER_LEADER, self._record_changed)
 
     async def campaign(self) -> None:
-        """Write the key if it is free, or if it is from an earlier run of this controller.
+        """Write the leader key if it does not exist, or was written by an earlier run of this controller.
 
         Raises LeaseExpiredError, StoreUnavailableError or OutcomeUnknownError.
         """
@@ -38,9 +38,9 @@
                 Urgency.LEADERSHIP,
             )
         except CompareFailedError:
-            return  # another controller was elected; the watch will say which
+            return  # another controller was elected; the watch will deliver its record
         if lease != self._state.lease:
-            return  # the lease ended meanwhile, and the key with it
+            return  # the lease ended during the write, and the key was deleted with it
         self._state.autoscaler_term = term
         self._replica.learn(AUTOSCALER_LEADER, bytes(record), term)
         log.info("event=autoscaler_elected term=%d", term)
--- a/badgerroute/coordination/leadership/leader_election.py
+++ b/badgerroute/coordination/leadership/leader_election.py
@@ -1,4 +1,4 @@
-"""The election of shard leaders: campaigns for free shards, raises terms, and steps down for a higher term."""
+"""Leader election: campaigns for shards without a leader, raises terms, and steps down for a higher term."""
 
 import logging
 from contextlib import suppress
@@ -20,29 +20,28 @@
 from badgerroute.transport.loop import Future, Loop
 
 log = logging.getLogger(__name__)
-HOME_PRIORITY_PERIOD = timedelta(seconds=3)  # for which a shard that never had a leader is left to its home controller
+# For this long after its start, a controller leaves shards that have had no leader yet to their home controllers.
+HOME_PRIORITY_PERIOD = timedelta(seconds=3)
 RETRY_DELAY = timedelta(milliseconds=250)
 RELUCTANT_CAMPAIGN_DELAY = timedelta(seconds=1)
-CAMPAIGN_DELAY_PER_LED_SHARD = timedelta(
-    milliseconds=80
-)  # by which a controller campaigns later for each shard that it leads
+CAMPAIGN_DELAY_PER_LED_SHARD = timedelta(milliseconds=80)  # extra delay of a campaign per shard already led
 
 
 class ClaimFailure(Enum):
-    """Why a leader record did not make this controller the leader."""
+    """Why this controller did not become the leader of a shard, or not in a higher term."""
 
-    NOT_LEADER = "the shard is not led here, so its term can't be raised"
-    WRITE_PENDING = "another write for the shard is on its way"
-    NO_LEASE = "there is no lease to write under"
-    COMPARE_FAILED = "another controller wrote before"
+    NOT_LEADER = "this controller does not lead the shard, so it can't raise the term"
+    WRITE_PENDING = "another write of the leader record is in flight"
+    NO_LEASE = "this controller has no lease"
+    COMPARE_FAILED = "another controller wrote the leader record first"
     LEASE_EXPIRED = "the lease ended during the write"
-    OUTRANKED = "another controller leads in a higher term by now"
+    OUTRANKED = "another controller already leads the shard in a higher term"
 
 
 class LeadershipNotGainedError(Exception):
     """This controller did not become the leader of a shard, or not in a higher term.
 
-    The caller must not act in a new term. The election tries again by itself.
+    The caller must not act in a new term. The election loop retries.
     """
 
     def __init__(self, shard: int, reason: ClaimFailure) -> None:
@@ -51,7 +50,7 @@
 
 
 class LeaderElection:
-    """Elects this controller for free shards; the result is in `LeadershipState`."""
+    """Campaigns for shards without a leader, and records the shards won in `LeadershipState`."""
 
     def __init__(
         self,
@@ -70,13 +69,13 @@
         self._autoscaler_election = autoscaler_election
         self._host = settings.platform.host_name
         self._started_at = loop.now()
-        self._shard_freed = Future()  # set when a shard has lost its leader
-        self._ever_led: set[int] = set()  # shards that have had a leader since this controller started
-        self._peer_terms: dict[int, int] = {}  # shard -> the highest term in which a peer said that it leads it
+        self._shard_freed = Future()  # set when a leader record is deleted
+        self._ever_led: set[int] = set()  # shards with a leader at some time since this controller started
+        self._peer_terms: dict[int, int] = {}  # shard -> the highest term that a peer reported as its own
         replica.listen(SHARD_LEADERS, self._record_changed)
 
     async def run(self) -> None:
-        """Keep the lease and campaign for free shards, for as long as the controller runs."""
+        """Renew the lease and campaign for shards without a leader, until cancelled."""
         await self._replica.ready
         while True:
             try:
@@ -93,8 +92,9 @@
             await self._wait_for_free_shard()
 
     async def _wait_for_free_shard(self) -> None:
-        # All controllers wake with the watch's event, so that they campaign at the same time and the one with the
-        # fewest shards goes first. If each came at the end of its own pause, a loaded one could precede an idle one.
+        # The watch event of a deleted leader record wakes all controllers at the same time, so the campaign delay lets
+        # the one with the fewest shards write first. If each only woke at its own interval, a controller with many
+        # shards could write before one with none.
         pause = self._settings.operator.election.ttl / 4
         await self._loop.first(self._shard_freed, min(pause, RETRY_DELAY) if self._any_shard_free() else pause)
         self._shard_freed = Future()
@@ -116,7 +116,7 @@
 
     async def _campaign_for_all(self) -> None:
         size, home = self._settings.params.size, self._settings.home
-        for offset in range(size):  # the home shard first
+        for offset in range(size):  # starts with the home shard
             shard = (home + offset) % size
             if not self._may_campaign(shard):
                 continue
@@ -127,9 +127,10 @@
         await self._autoscaler_election.campaign()
 
     def _campaign_delay(self) -> timedelta:
-        """Lets the controller with the fewest shards go first, which decides most races.
+        """Return how long to wait before campaigning for a shard other than the home shard.
 
-        A controller that no worker reaches leaves a free shard to others, if there are any.
+        The controller that leads the fewest shards waits least, and so wins most races. A controller that its workers
+        can't reach waits longer still, so that any other controller wins.
         """
         reluctant = self._policy.permission(Action.CAMPAIGN) is Permission.RELUCTANT
         return CAMPAIGN_DELAY_PER_LED_SHARD * len(self._state.leaderships) + (
@@ -140,16 +141,17 @@
         record = self._records.record(shard)
         if record is not None and record.leader != self._host:
             return
-        with suppress(LeadershipNotGainedError):  # the next round tries again, if the shard is still free
+        with suppress(LeadershipNotGainedError):  # retried in the next round if the shard still has no leader
             await self._claim(shard, self._records.term(shard), self._grace_end_for_claim(record))
 
     def _grace_end_for_claim(self, record: ShardLeaderRecord | None) -> float:
-        """The time of day until which an earlier leader may still act.
+        """Return the time of day until which an earlier leader may still act, for the new leader record.
 
-        A record under this controller's own name is from an earlier run of it, which is over, or was transferred here
-        by a leader that had stopped before. A leader before that may have been cut off, so the time in the record is
-        kept. Without a transfer that does not suffice: a write of ours for the absent key may have been carried out
-        seconds late, after somebody else had led the shard and been cut off, and then the time in it is too early.
+        A record that names this controller is from an earlier run of it, which has ended, or was written by a leader
+        that stepped down and transferred the shard here. A leader before that may have been cut off, so the time in the
+        record is kept as a minimum. It is sufficient only after a transfer. Otherwise the store may have applied a
+        delayed write of ours for the absent key after another controller led the shard and was cut off, and the time in
+        the record is then too early.
         """
         grace_end = record.until if record is not None else 0.0
         if record is not None and record.transferred:
@@ -162,10 +164,10 @@
     # -- terms
 
     async def raise_term(self, shard: int) -> int:
-        """Get a higher term for a shard that is led already, for a machine that has seen a higher fencing token.
+        """Obtain a higher term for a shard that this controller leads, and return it.
 
-        Returns the new term. Raises LeadershipNotGainedError, LeaseExpiredError, StoreUnavailableError or
-        OutcomeUnknownError; the old term then stands.
+        Needed when a machine has seen a fencing token above the current term. Raises LeadershipNotGainedError,
+        LeaseExpiredError, StoreUnavailableError or OutcomeUnknownError; the old term then remains in force.
         """
         leadership = self._state.leaderships.get(shard)
         if leadership is None:
@@ -176,7 +178,7 @@
         return await self._claim(shard, leadership.term, self._records.grace_end(shard))
 
     async def _claim(self, shard: int, expected_term: int, grace_end: float) -> int:
-        """Write this host as the leader if the term is the expected one; returns the new term."""
+        """Write this host as the leader if the shard's term is still `expected_term`, and return the new term."""
         lease = self._state.lease
         if lease is None:
             raise LeadershipNotGainedError(shard, ClaimFailure.NO_LEASE)
@@ -188,7 +190,7 @@
                 log.info("event=election_lost shard=%d", shard)
                 await self._records.refresh(shard)
                 raise LeadershipNotGainedError(shard, ClaimFailure.COMPARE_FAILED) from error
-        if lease != self._state.lease:  # the leadership ended with the lease
+        if lease != self._state.lease:  # the key was deleted with the lease
             raise LeadershipNotGainedError(shard, ClaimFailure.LEASE_EXPIRED)
         if max(self._peer_terms.get(shard, 0), self._records.term(shard)) > term:
             raise LeadershipNotGainedError(shard, ClaimFailure.OUTRANKED)
@@ -196,8 +198,8 @@
         return term
 
     def _record_leadership(self, shard: int, record: ShardLeaderRecord, term: int) -> None:
-        clock_difference = 2 * self._settings.params.time_bound_ms / 1000  # between two controllers, in seconds
-        grace = timedelta(seconds=record.until - self._time_of_day() + clock_difference)
+        max_clock_skew = 2 * self._settings.params.time_bound_ms / 1000  # seconds between the clocks of two controllers
+        grace = timedelta(seconds=record.until - self._time_of_day() + max_clock_skew)
         leadership = Leadership(term, max(ZERO, grace))
         newly_elected = shard not in self._state.leaderships
         self._state.leaderships[shard] = leadership
@@ -209,10 +211,11 @@
     # -- stepping down
 
     def step_down_if_outranked(self, shard: int, peer_term: int) -> None:
-        """A peer says that it leads a shard: if its term is higher than ours, step down without waiting for G.
+        """Step down from a shard that a peer reports to lead in a higher term, without waiting for the grace period G.
 
-        Also while a write of ours is on its way: a raise of our term is conditional on the old one, so it was applied
-        before the peer's election or never. A leader that can't reach the key-value store always has one on its way.
+        This applies also while a write of ours is in flight: raising our term is conditional on the old term, so the
+        write was applied before the peer's election or never will be. Waiting for it would not help, since a leader
+        that can't reach the key-value store always has a write in flight.
         """
         self._peer_terms[shard] = max(peer_term, self._peer_terms.get(shard, 0))
         leadership = self._state.leaderships.get(shard)
--- a/badgerroute/coordination/leadership/leader_records.py
+++ b/badgerroute/coordination/leadership/leader_records.py
@@ -1,7 +1,7 @@
-"""The shard leader records in the key-value store: who leads each shard, and in which term.
+"""The shard leader records in the key-value store, which name the leader of each shard.
 
-The key of a record is attached to its leader's lease, so it is removed when the lease ends. The record's revision is
-the shard's term, which is also the fencing token of the workers.
+The key of a record is attached to its leader's lease, so it is deleted when the lease ends. The revision of the key is
+the shard's term, which workers also use as the fencing token.
 """
 
 from collections.abc import Iterator
@@ -18,53 +18,53 @@
 
 
 def shard_leader_key(shard: int) -> str:
-    """The key of a shard's leader record."""
+    """Return the key of a shard's leader record."""
     return f"{SHARD_LEADERS}{shard}"
 
 
 def shard_of_key(key: str) -> int:
-    """The shard whose leader record has this key."""
+    """Return the shard whose leader record has this key."""
     return int(key.removeprefix(SHARD_LEADERS))
 
 
 def term_condition(shard: int, term: int) -> Compare:
-    """Holds as long as a shard is led in this term; term 0: as long as it has no leader."""
+    """Return a compare that holds while the shard is led in `term`, or has no leader if `term` is 0."""
     return compare(shard_leader_key(shard), term)
 
 
 class LeaderRecords:
-    """Reads leader records from the replica, and writes them conditionally.
+    """Reads leader records from the replica, and writes them conditionally to the store.
 
-    Invariant: this controller has at most one write per shard on its way; writers enter `pending_write` and check
-    `pending` before.
+    Invariant: this controller has at most one write per shard in flight. Writers check `pending_writes` first, and then
+    write within `pending_write`.
     """
 
     def __init__(self, store: KeyValueClient, replica: Replica) -> None:
         self._store, self._replica = store, replica
-        self.pending_writes: set[int] = set()  # shards with a write of this controller on its way
+        self.pending_writes: set[int] = set()  # shards with a write of this controller in flight
 
     def record(self, shard: int) -> ShardLeaderRecord | None:
-        """A shard's leader record, as far as is known here; None: the shard has no leader."""
+        """Return a shard's leader record from the replica, or None if the shard has no leader."""
         value = self._replica.value(shard_leader_key(shard))
         return records.read(value, ShardLeaderRecord) if value else None
 
     def leader(self, shard: int) -> str | None:
-        """The host that leads a shard, as far as is known here; None: the shard has no leader."""
+        """Return the host that leads a shard by the replica, or None if the shard has no leader."""
         record = self.record(shard)
         return None if record is None else record.leader
 
     def term(self, shard: int) -> int:
-        """The term of the last leader that is known here; 0 if there is none."""
+        """Return the term of the shard's leader by the replica, or 0 if there is none."""
         return self._replica.revision_of(shard_leader_key(shard))
 
     def grace_end(self, shard: int) -> float:
-        """The time of day until which an earlier leader may still act; 0 if there is no record."""
+        """Return the time of day until which an earlier leader may still act, or 0 if there is no record."""
         record = self.record(shard)
         return 0.0 if record is None else record.until
 
     @contextmanager
     def pending_write(self, shard: int) -> Iterator[None]:
-        """Marks a shard's record as being written in the body."""
+        """Mark a write of the shard's record as in flight for the duration of the `with` block."""
         self.pending_writes.add(shard)
         try:
             yield
@@ -72,10 +72,10 @@
             self.pending_writes.discard(shard)
 
     async def write(self, shard: int, record: ShardLeaderRecord, expected_term: int, lease: int) -> int:
-        """Write a shard's leader record under a lease, if its term is the expected one; returns the new term.
+        """Write a shard's leader record under a lease if the term is still `expected_term`, and return the new term.
 
-        Raises CompareFailedError (somebody else wrote before), LeaseExpiredError, StoreUnavailableError (nothing was
-        written) or OutcomeUnknownError (read back before the next write).
+        Raises CompareFailedError (another controller wrote first), LeaseExpiredError, StoreUnavailableError (nothing
+        was written) or OutcomeUnknownError (the record must be read back before the next write).
         """
         return await self._store.transact(
             [term_condition(shard, expected_term)],
@@ -84,7 +84,7 @@
         )
 
     def learn(self, shard: int, record: ShardLeaderRecord, term: int) -> None:
-        """Take a record that was just written into the replica, ahead of the watch."""
+        """Add a record that was just written to the replica, before the watch delivers it."""
         self._replica.learn(shard_leader_key(shard), bytes(records.write(record)), term)
 
     async def refresh(self, shard: int) -> None:
--- a/badgerroute/coordination/leadership/leadership_state.py
+++ b/badgerroute/coordination/leadership/leadership_state.py
@@ -1,6 +1,6 @@
-"""What this controller leads, and for how long it may act on that: read by whoever acts for a shard.
+"""The shards that this controller leads, and how recently that was confirmed.
 
-Changed only by the other modules of this package.
+Other packages read it before they act for a shard; only the modules of this package change it.
 """
 
 from dataclasses import dataclass
@@ -21,21 +21,21 @@
     """The leadership of one shard by this controller."""
 
     term: int
-    grace: timedelta  # counted from the election: how long earlier leaders may still act for the shard
+    grace: timedelta  # how long after the election earlier leaders may still act for the shard
 
 
 class LeadershipListener(Protocol):
-    """Notified of every shard that this controller begins or ceases to lead, in the step in which that happens."""
+    """Notified of every shard that this controller begins or ceases to lead, synchronously with the change."""
 
     def elected(self, shard: int, leadership: Leadership) -> None:
-        """This controller leads the shard from now on."""
+        """This controller has been elected leader of the shard."""
 
     def deposed(self, shard: int) -> None:
-        """This controller must not act for the shard any more."""
+        """This controller no longer leads the shard and must stop acting for it."""
 
 
 class NotLeaderError(Exception):
-    """A write was prepared for a shard that this controller does not lead (any more): it must not be sent."""
+    """Raised for a write for a shard that this controller does not lead; the write must not be sent."""
 
     def __init__(self, shard: int) -> None:
         super().__init__(f"this controller does not lead shard {shard}")
@@ -45,77 +45,78 @@
 class LeadershipState:
     """The shards that this controller leads, its lease, and when both were last confirmed.
 
-    Invariant: without a lease nothing is led. Times are readings of the loop's steady clock.
+    Invariant: a controller without a lease leads no shard. Times are readings of the event loop's monotonic clock.
     """
 
     def __init__(self, settings: Settings, loop: Loop, replica: Replica) -> None:
         self._loop, self._replica = loop, replica
-        self._grace = settings.grace  # computed from the settings, and needed with every heartbeat
+        self._grace = settings.grace  # cached: the property is computed, and every heartbeat needs it
         self._ttl = settings.operator.election.ttl
         self._listeners: list[LeadershipListener] = []
         self.leaderships: dict[int, Leadership] = {}  # by shard
-        self.autoscaler_term: int | None = None  # None: another controller runs the autoscaler, or none does
-        self.lease: int | None = None  # None: not granted yet, or expired
-        self.lease_confirmed_at = NEVER_CONFIRMED  # when the last renewal that was answered had been sent
+        self.autoscaler_term: int | None = None  # None while this controller does not run the autoscaler
+        self.lease: int | None = None  # None before the lease is granted and after it has expired
+        self.lease_confirmed_at = NEVER_CONFIRMED  # when the last acknowledged grant or renewal was sent
 
     def register(self, listener: LeadershipListener) -> None:
-        """Add a listener; to be done before the election runs. Listeners are called in the order of registration."""
+        """Add a listener before the election runs. Listeners are called in the order of registration."""
         self._listeners.append(listener)
 
-    # -- for whoever acts for a shard
+    # -- for other packages
 
     def condition(self, shard: int) -> Compare:
-        """The condition that every write for a shard must carry. Raises NotLeaderError."""
+        """Return the compare that every write for a shard must include. Raises NotLeaderError."""
         leadership = self.leaderships.get(shard)
         if leadership is None:
             raise NotLeaderError(shard)
         return term_condition(shard, leadership.term)
 
     def condition_if_led(self, shard: int) -> Compare | None:
-        """The same; None if this controller does not lead the shard."""
+        """Return `condition(shard)`, or None if this controller does not lead the shard."""
         return self.condition(shard) if shard in self.leaderships else None
 
     @property
     def last_confirmed(self) -> timedelta:
-        """The latest time at which no other controller can have led a shard of ours.
+        """The latest time at which this controller is known to have been the only leader of its shards.
 
-        The earlier of two confirmations: a renewed lease says nothing about changes that the watch has not delivered.
+        It is the earlier of the last lease renewal and the last watch response, since a renewed lease does not rule out
+        changes that the watch has not delivered yet.
         """
         return min(self.lease_confirmed_at, self._replica.last_confirmed)
 
     def within_grace(self) -> bool:
-        """Whether the last confirmation is recent enough to act on: docs/safety.md, G."""
+        """Whether the last confirmation is younger than the grace period, called G in docs/safety.md."""
         return self._loop.now() - self.last_confirmed < self._grace
 
     def lease_surely_valid(self) -> bool:
-        """Whether no other controller can lead a shard of ours even now: our lease can't have ended by now.
+        """Whether the lease can't have expired yet, so that no other controller can lead a shard of ours now.
 
-        Stricter than `within_grace`: within G this controller may still act, since its successor waits for G to end,
-        but it must not destroy what may belong to the successor.
+        This is stricter than `within_grace`. During the grace period this controller may still act, since its successor
+        waits for the period to end, but it must not destroy anything that may already belong to the successor.
         """
         return self._loop.now() - self.last_confirmed < self._ttl
 
     def may_lead(self, shard: int) -> bool:
-        """Whether this controller leads a shard and may act for it now."""
+        """Whether this controller leads a shard and is still within the grace period."""
         return shard in self.leaderships and self.within_grace()
 
-    # -- for this package
+    # -- for the modules of this package
 
     def notify_elected(self, shard: int) -> None:
-        """Tell the listeners of a shard that was added to `leaderships`."""
+        """Notify the listeners of a shard that was added to `leaderships`."""
         leadership = self.leaderships[shard]
         for listener in self._listeners:
             listener.elected(shard, leadership)
 
     def step_down(self, shard: int) -> None:
-        """Give up a shard, if it is led, and tell the listeners."""
+        """Stop leading a shard and notify the listeners; do nothing if the shard is not led."""
         if self.leaderships.pop(shard, None) is None:
             return
         for listener in self._listeners:
             listener.deposed(shard)
 
     def clear_lease(self) -> None:
-        """Give up everything that depended on the lease."""
+        """Forget the lease, and stop leading all shards and running the autoscaler, which depend on it."""
         self.lease = None
         self.lease_confirmed_at = NEVER_CONFIRMED
         self.autoscaler_term = None
--- a/badgerroute/coordination/leadership/lease_keeper.py
+++ b/badgerroute/coordination/leadership/lease_keeper.py
@@ -1,4 +1,4 @@
-"""Keeps this controller's lease at the key-value store."""
+"""Obtains and renews this controller's lease in the key-value store."""
 
 import logging
 from datetime import timedelta
@@ -9,12 +9,12 @@
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
-MAX_RENEWAL_TIMEOUT = timedelta(seconds=1.5)  # for one renewal, or half the time to live if that is shorter
+MAX_RENEWAL_TIMEOUT = timedelta(seconds=1.5)  # of one renewal; half the lease's time to live if that is shorter
 RENEWALS_PER_TTL = 5
 
 
 class LeaseKeeper:
-    """Has the lease granted and renewed, and records when it was last confirmed."""
+    """Requests and renews the lease, and records when it was last confirmed."""
 
     def __init__(
         self, settings: Settings, loop: Loop, store: KeyValueClient, leadership_state: LeadershipState
@@ -23,10 +23,10 @@
         self._ttl = settings.operator.election.ttl
 
     async def renew(self) -> None:
-        """Have the lease granted if there is none, else renewed if that is due.
+        """Request a lease if there is none; otherwise renew it if that is due.
 
-        Raises LeaseExpiredError (the caller calls `expired`), StoreUnavailableError or OutcomeUnknownError (the caller
-        retries).
+        Raises LeaseExpiredError (the caller must call `drop_expired_lease`), StoreUnavailableError or
+        OutcomeUnknownError (the caller may retry).
         """
         sent_at = self._loop.now()
         if self._state.lease is None:
@@ -36,10 +36,10 @@
             if sent_at - self._state.lease_confirmed_at < self._ttl / RENEWALS_PER_TTL:
                 return
             await self._store.touch(self._state.lease, min(self._ttl / 2, MAX_RENEWAL_TIMEOUT))
-        # The lease counts from when the store received the request, which is not before it was sent.
+        # The store starts the time to live when it receives the request, so counting from when it was sent is safe.
         self._state.lease_confirmed_at = sent_at
 
     def drop_expired_lease(self) -> None:
-        """The lease has ended, and with it everything that this controller led."""
+        """Forget a lease that has expired, and stop leading all shards."""
         log.warning("event=lease_expired shards=%s", sorted(self._state.leaderships))
         self._state.clear_lease()
--- a/badgerroute/coordination/leadership/shard_transfer.py
+++ b/badgerroute/coordination/leadership/shard_transfer.py
@@ -11,7 +11,7 @@
 
 
 class ShardTransfer:
-    """Carries a transfer out; when to transfer which shard is decided in `coordination.membership`."""
+    """Carries out leadership transfers; `coordination.membership` decides when to transfer which shard."""
 
     def __init__(self, leadership_state: LeadershipState, leader_records: LeaderRecords) -> None:
         self._state, self._records = leadership_state, leader_records
@@ -19,8 +19,8 @@
     async def transfer(self, shard: int, host: str, lease: int) -> None:
         """Make another host the leader of a shard, under that host's lease.
 
-        This controller stops acting for the shard before it writes. A transfer that fails is logged, and leaves the
-        shard to the next election.
+        This controller steps down before it writes the record. If the write fails, the failure is logged and the next
+        election chooses a leader for the shard.
         """
         leadership = self._state.leaderships.get(shard)
         if leadership is None or shard in self._records.pending_writes:
--- a/badgerroute/coordination/leadership/subsystem.py
+++ b/badgerroute/coordination/leadership/subsystem.py
@@ -1,4 +1,4 @@
-"""Builds what decides which shards this controller leads, and what it may do for them."""
+"""Builds the components for leader election and for checking whether an action is allowed."""
 
 from dataclasses import dataclass
 
@@ -18,7 +18,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LeadershipSubsystem:
-    """`state` is what this controller leads; `policy` what it may do now, by its mode and the last confirmation."""
+    """The components for shard leadership.
+
+    `state` holds the shards that this controller leads. `policy` decides which actions are allowed now, from the
+    connectivity mode and the last confirmation of leadership.
+    """
 
     state: LeadershipState
     records: LeaderRecords
@@ -29,7 +33,7 @@
 
 
 def build_leadership(settings: Settings, loop: Loop, storage: Storage) -> LeadershipSubsystem:
-    """Nothing is led before `LeaderElection.run`."""
+    """Build the components. The controller leads no shard before `LeaderElection.run` is started."""
     state = LeadershipState(settings, loop, storage.replica)
     records = LeaderRecords(storage.store, storage.replica)
     mode_machine = ModeMachine(FlapDamping.from_settings(settings.operator.connectivity))
