--- a/badgerroute/connectivity/damping.py
+++ b/badgerroute/connectivity/damping.py
@@ -1,6 +1,6 @@
-"""Damping of flapping links, after BGP's route flap damping (RFC 2439): a penalty that grows and decays.
+"""Damping of flapping links by a decaying penalty, modelled on BGP route flap damping (RFC 2439).
 
-It delays voluntary transfers alone. A shard that has no leader is campaigned for whatever the penalty.
+It only delays voluntary transfers of shards, never a campaign for a shard without a leader.
 """
 
 from dataclasses import dataclass, field
@@ -11,43 +11,43 @@
 ZERO = timedelta(0)
 PENALTY_PER_LOSS = 1.0
 MAX_PENALTY = 8.0
-MAX_COUNTED_HALF_LIVES = 64.0  # beyond these nothing of a penalty is left
+MAX_COUNTED_HALF_LIVES = 64.0  # the penalty is negligible after that; bounds the exponent
 
 
 @dataclass(slots=True)
 class FlapDamping:
-    """How long links must have been good before shards come back.
+    """Computes how long all links must have been up before this controller takes shards back.
 
-    That is `base_delay` without a penalty, and doubles with each point of it up to `max_delay`. The penalty halves in
-    each `half_life`.
+    Every lost link adds to a penalty, which halves in each `half_life`. The delay is `base_delay` after the first loss,
+    and doubles with each further point of penalty up to `max_delay`.
     """
 
     base_delay: timedelta
     max_delay: timedelta
     half_life: timedelta
-    _penalty: float = 0.0  # at the last loss
+    _penalty: float = 0.0  # as of the last loss
     _last_loss: timedelta = field(default=ZERO)
 
     @classmethod
     def from_settings(cls, settings: Connectivity) -> "FlapDamping":
-        """The damping that the operators have set."""
+        """Create the damping from the operator settings."""
         return cls(settings.settle, settings.longest_settle, settings.penalty_half_life)
 
     def penalty(self, now: timedelta) -> float:
-        """The penalty, as far as it has not decayed."""
+        """Return the penalty after decay."""
         half_lives = min((now - self._last_loss) / self.half_life, MAX_COUNTED_HALF_LIVES)
         return float(self._penalty * 0.5 ** max(0.0, half_lives))
 
     def record_loss(self, now: timedelta) -> None:
-        """A link was lost."""
+        """Increase the penalty because a link was lost."""
         self._penalty = min(MAX_PENALTY, self.penalty(now) + PENALTY_PER_LOSS)
         self._last_loss = now
 
     def extra_delay(self, now: timedelta) -> timedelta:
-        """How much `delay` exceeds `base_delay`."""
+        """Return by how much `delay` exceeds `base_delay`."""
         return max(ZERO, self.delay(now) - self.base_delay)
 
     def delay(self, now: timedelta) -> timedelta:
-        """How long links must have been good by now. The first loss costs no more than `base_delay`."""
+        """Return how long links must have been up. A first loss adds nothing to `base_delay`."""
         penalty_beyond_first_loss = max(0.0, self.penalty(now) - PENALTY_PER_LOSS)
         return min(self.max_delay, self.base_delay * 2.0**penalty_beyond_first_loss)
--- a/badgerroute/connectivity/failure_detector.py
+++ b/badgerroute/connectivity/failure_detector.py
@@ -1,8 +1,8 @@
-"""Detects that an endpoint has failed or is cut off: it is suspected when its heartbeats stay out for too long.
+"""Detects that an endpoint has failed or is unreachable: it is suspected once no heartbeat arrives within a timeout.
 
-The timeout is learned from the intervals between heartbeats, as TCP's retransmission timer is (Jacobson and Karels,
-1988): a smoothed interval plus four times its smoothed deviation, within bounds. docs/connectivity.md weighs it against
-phi accrual.
+The timeout adapts to the intervals between heartbeats, as TCP's retransmission timeout does (Jacobson and Karels,
+1988): a smoothed interval plus four times its smoothed deviation, within bounds. docs/connectivity.md compares this
+with the phi accrual detector.
 """
 
 from dataclasses import dataclass, field
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimeoutBounds:
-    """The bounds of the learned timeout."""
+    """The bounds of the adaptive timeout."""
 
     minimum: timedelta
     maximum: timedelta
@@ -28,23 +28,23 @@
 
 @dataclass(slots=True)
 class FailureDetector:
-    """Watches one endpoint. All times are readings of the caller's steady clock.
+    """Monitors one endpoint. All times are readings of the caller's monotonic clock.
 
-    Safety never rests on a suspicion: terms, the grace period and the workers' leases are measured elsewhere.
+    A suspicion may be wrong, so safety does not depend on it, but on terms, the grace period and the workers' leases.
     """
 
     bounds: TimeoutBounds
     watched_since: timedelta
-    last_heartbeat: timedelta | None = None  # None: no heartbeat has come yet
+    last_heartbeat: timedelta | None = None  # None before the first heartbeat
     _interval: timedelta = field(default=ZERO)  # smoothed
     _deviation: timedelta = field(default=ZERO)  # smoothed
 
     def record_heartbeat(self, received_at: timedelta) -> None:
-        """Record a heartbeat, or any other sign of life. One that is older than the last changes nothing."""
+        """Record a heartbeat or any other message of the endpoint. One older than the last is ignored."""
         if self.last_heartbeat is not None:
             if received_at <= self.last_heartbeat:
                 return
-            # The length of a cut is not an interval: learned as one, it would delay the detection of the next cut.
+            # A gap during a network partition is no regular interval: it would delay detection of the next partition.
             self._learn(min(received_at - self.last_heartbeat, self.bounds.minimum))
         self.last_heartbeat = received_at
 
@@ -59,18 +59,18 @@
         return min(max(self._interval + DEVIATIONS * self._deviation, self.bounds.minimum), self.bounds.maximum)
 
     def heartbeat_age(self, now: timedelta) -> timedelta:
-        """The time since the last heartbeat; since the endpoint is watched, if there was none."""
+        """Return the time since the last heartbeat, or since monitoring began if there was none."""
         return now - (self.watched_since if self.last_heartbeat is None else self.last_heartbeat)
 
     def suspected(self, now: timedelta) -> bool:
-        """Whether the endpoint has missed heartbeats for longer than its timeout."""
+        """Whether the last heartbeat is older than the timeout."""
         return self.heartbeat_age(now) >= self.timeout
 
     def presumed_dead(self, now: timedelta) -> bool:
-        """Whether the endpoint has missed heartbeats for longer than the longest timeout."""
+        """Whether the last heartbeat is older than the maximum timeout."""
         return self.heartbeat_age(now) >= self.bounds.maximum
 
     def discount_pause(self, process_pause: timedelta, now: timedelta) -> None:
-        """Don't count a pause of this process, in which it could receive nothing, as missed heartbeats."""
+        """Exclude a pause of this process, during which it could receive nothing, from the heartbeat's age."""
         if self.last_heartbeat is not None:
             self.last_heartbeat = min(now, self.last_heartbeat + process_pause)
--- a/badgerroute/connectivity/mode_machine.py
+++ b/badgerroute/connectivity/mode_machine.py
@@ -11,7 +11,7 @@
 
 
 class ModeCause(Enum):
-    """Why a mode was entered. The values stand in the log."""
+    """Why a mode was entered. The values are logged."""
 
     OUTAGE = "no_controller_reaches_the_state_service"
     STORE_AND_PEERS_SUSPECTED = "state_service_and_siblings_silent"
@@ -32,17 +32,16 @@
 
 
 class ModeMachine:
-    """Holds the mode. Begins with SERVING: a new process has lost nothing yet."""
+    """Holds the current mode. It starts as SERVING, since a new process has not lost any link yet."""
 
     def __init__(self, damping: FlapDamping) -> None:
         self.damping = damping
-        self._links_good_since: timedelta | None = (
-            None  # since when nothing is missing; None: nothing was lost yet, or is now
-        )
+        # When the last impaired mode ended. None during an impaired mode, and before the first one.
+        self._links_good_since: timedelta | None = None
         self.mode = Mode.SERVING
 
     def update(self, reachability: Reachability, now: timedelta) -> ModeChange | None:
-        """Take in what is reachable; returns the change of mode that follows, if any."""
+        """Update the mode from what is reachable, and return the change, or None if the mode stays."""
         before = self.mode
         if mode_of(reachability, stable=True) in IMPAIRED_MODES:
             self._links_good_since = None
--- a/badgerroute/connectivity/modes.py
+++ b/badgerroute/connectivity/modes.py
@@ -1,7 +1,7 @@
-"""The modes of a controller by what it can reach, and what it may do in each.
+"""The connectivity modes of a controller, and the actions that each mode allows.
 
-`PERMISSIONS` is the only place that says so. It narrows what docs/safety.md allows and never widens it: the grace
-period and the lease still bound every action that they bounded before.
+`PERMISSIONS` is the only definition of these permissions. It restricts the rules of docs/safety.md further and never
+relaxes them: the grace period and the lease limit every action in each mode as they do without modes.
 """
 
 from dataclasses import dataclass
@@ -11,16 +11,16 @@
 class Mode(Enum):
     """What a controller can reach."""
 
-    SERVING = "serving"  # key-value store and workers
-    RECOVERING = "recovering"  # both again, but not for long enough yet
-    OUTAGE = "outage"  # no key-value store, as for every peer that is not suspected
-    STORE_UNREACHABLE = "unrecorded"  # no key-value store, while a peer has it or all are suspected
-    WORKERS_UNREACHABLE = "unheard"  # key-value store, but no workers
-    ISOLATED = "isolated"  # neither
+    SERVING = "serving"  # reaches the key-value store and the workers
+    RECOVERING = "recovering"  # reaches both again, but has not done so for long enough
+    OUTAGE = "outage"  # no controller that is not suspected reaches the key-value store
+    STORE_UNREACHABLE = "unrecorded"  # lacks the key-value store; a peer reaches it, or all are suspected
+    WORKERS_UNREACHABLE = "unheard"  # reaches the key-value store, but not the workers
+    ISOLATED = "isolated"  # lacks the key-value store as STORE_UNREACHABLE does, and the workers
 
 
 class Action(Enum):
-    """What a controller does on behalf of the service."""
+    """An action of a controller that needs permission."""
 
     ANSWER_HEARTBEAT = "answer_report"
     START = "start"
@@ -30,27 +30,27 @@
     ANSWER_POLL = "answer_poll"
     STEAL = "steal"
     GIVE_WORK = "give_work"
-    MOVE_QUOTA = "move_share"  # of a team's limit, from or to a shard
+    MOVE_QUOTA = "move_share"  # of a team, from or to another shard
     ADD_MEMBER = "add_member"
-    CLEAN_UP = "clean_up"  # of records that concern no shard
+    CLEAN_UP = "clean_up"  # of records that belong to no shard
     TRANSFER_MACHINES = "lend_machines"
     RENT = "rent"
     RETURN_IDLE = "return_idle"
-    GIVE_UP_MACHINE = "give_up_machine"  # have a machine deleted because its heartbeats stay out
-    DELETE = "delete"  # at the cloud, whatever the reason
+    GIVE_UP_MACHINE = "give_up_machine"  # have a machine deleted because its heartbeats are missing
+    DELETE = "delete"  # a machine at the cloud, for any reason
     CAMPAIGN = "claim"
     TRANSFER_SHARD = "hand_over"
     RECEIVE_SHARD = "receive_part"
 
 
 class Permission(Enum):
-    """Whether an action is allowed, and until when."""
+    """Whether an action is allowed, and under which condition."""
 
     ALLOWED = "allowed"
-    WITHIN_GRACE = "within_grace"  # until the last confirmation of our leadership is G old
-    WHILE_CERTAIN = "while_certain"  # until our lease may have ended since the last proof
-    RELUCTANT = "reluctant"  # after the controllers that reach more have had their chance
-    FROM_MEMORY = "from_memory"  # only as far as nothing has to be read
+    WITHIN_GRACE = "within_grace"  # until the last confirmation of leadership is as old as the grace period
+    WHILE_CERTAIN = "while_certain"  # until the lease may have expired since the last confirmation
+    RELUCTANT = "reluctant"  # after a delay, so that controllers with better connectivity act first
+    FROM_MEMORY = "from_memory"  # only from memory, without reading from the key-value store
     REFUSED = "refused"
 
 
@@ -58,7 +58,7 @@
 _RELUCTANT, _MEMORY, _REFUSED = Permission.RELUCTANT, Permission.FROM_MEMORY, Permission.REFUSED
 _MODES = (Mode.SERVING, Mode.RECOVERING, Mode.OUTAGE, Mode.STORE_UNREACHABLE, Mode.WORKERS_UNREACHABLE, Mode.ISOLATED)
 _ROWS = {
-    # In the order of _MODES: serving, recovering, outage, store unreachable, workers unreachable, isolated.
+    # Columns in the order of _MODES: serving, recovering, outage, store unreachable, workers unreachable, isolated.
     Action.ANSWER_HEARTBEAT: (_GRACE, _GRACE, _GRACE, _GRACE, _GRACE, _GRACE),
     Action.START: (_GRACE, _GRACE, _GRACE, _REFUSED, _GRACE, _REFUSED),
     Action.STOP: (_GRACE, _GRACE, _GRACE, _GRACE, _GRACE, _GRACE),
@@ -86,21 +86,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Reachability:
-    """What a controller can reach at a moment."""
+    """What a controller can reach at one point in time."""
 
     store: bool
     workers: bool
-    peers: bool  # one at least is not suspected, or there are none
-    peer_with_store: bool  # one that is not suspected reaches the key-value store
+    peers: bool  # at least one peer is not suspected, or there are no peers
+    peer_with_store: bool  # at least one peer that is not suspected reaches the key-value store
 
     @property
     def lacks_store_alone(self) -> bool:
-        """Whether this controller lacks the key-value store while, as far as it can know, others reach it."""
+        """Whether this controller lacks the key-value store while a peer has it or all peers are suspected."""
         return not self.store and (self.peer_with_store or not self.peers)
 
 
 def mode_of(reachability: Reachability, stable: bool) -> Mode:
-    """The mode that follows from what is reachable; `stable`: the links have been good for long enough."""
+    """Return the mode for what is reachable; `stable` means that all links have been up for long enough."""
     if not reachability.store:
         if not reachability.lacks_store_alone:
             return Mode.OUTAGE
--- a/badgerroute/connectivity/process_pause.py
+++ b/badgerroute/connectivity/process_pause.py
@@ -1,20 +1,20 @@
-"""Detects that this process was paused: a periodic task runs much later than it was due."""
+"""Detects that this process was paused, from a periodic task that runs much later than scheduled."""
 
 from datetime import timedelta
 
-MIN_PAUSE = timedelta(seconds=1)  # less is ordinary load
+MIN_PAUSE = timedelta(seconds=1)  # shorter delays occur under normal load
 ZERO = timedelta(0)
 
 
 class PauseDetector:
-    """To be ticked by a task that runs once a `period`."""
+    """Measures the delay of a task that calls `tick` once in each `period`."""
 
     def __init__(self, period: timedelta, now: timedelta) -> None:
         self._period, self._last_tick = period, now
         self.resumed_at = now  # the end of the last pause, or the start of the process
 
     def tick(self, now: timedelta) -> timedelta:
-        """Record a run of the task; returns how long the process was paused before it, zero if it was not."""
+        """Record a run of the task, and return how long the process was paused before it, or zero."""
         delay = now - self._last_tick - self._period
         self._last_tick = now
         if delay < MIN_PAUSE:
--- a/badgerroute/connectivity/relay_routes.py
+++ b/badgerroute/connectivity/relay_routes.py
@@ -1,24 +1,24 @@
-"""For a controller that does not lead a machine's shard: whether to relay its heartbeat to the leader, or redirect it.
+"""Decides whether a controller that does not lead a machine's shard relays its heartbeat to the leader or redirects it.
 
-A machine that comes back soon after a redirect can't reach its leader, and its heartbeats are relayed from then on. Now
-and then it is redirected once more, with a delay that doubles, to find out whether the cut is over.
+A machine that returns soon after a redirect can't reach its leader, so its heartbeats are relayed afterwards. It is
+redirected again after a delay, which doubles each time, to find out whether it can reach its leader again.
 """
 
 from dataclasses import dataclass
 from datetime import timedelta
 from enum import Enum
 
-REDIRECT_FAILURE_WINDOW = timedelta(seconds=9)  # a worker gives a node up after 4 s, and tries the next 1 s later
+REDIRECT_FAILURE_WINDOW = timedelta(seconds=9)  # a worker times out after 4 s, and retries elsewhere 1 s later
 MIN_REDIRECT_DELAY = timedelta(seconds=10)
 MAX_REDIRECT_DELAY = timedelta(seconds=80)
 ROUTE_TTL = timedelta(seconds=120)
-REDIRECT_SPREAD_PERIOD = timedelta(seconds=4)  # over which machines go back to a leader that its workers reach again
+REDIRECT_SPREAD_PERIOD = timedelta(seconds=4)  # over which machines are redirected to a recovered leader
 REDIRECT_BUCKETS = 16
 NEVER = timedelta(0)
 
 
 class Route(Enum):
-    """What happens to a heartbeat of a machine whose shard another controller leads."""
+    """What to do with a heartbeat of a machine whose shard another controller leads."""
 
     REDIRECT = "redirect"
     RELAY = "relay"
@@ -27,32 +27,32 @@
 @dataclass(slots=True)
 class _MachineRoute:
     leader: str
-    last_heartbeat: timedelta  # that came here
+    last_heartbeat: timedelta  # received by this controller
     relayed: bool
-    next_redirect_at: timedelta  # when to redirect the machine once more
-    redirected_at: timedelta | None = None  # None: not redirected since its last heartbeat here
+    next_redirect_at: timedelta  # when to redirect the machine again
+    redirected_at: timedelta | None = None  # None if the last heartbeat here was relayed
     redirect_failed_at: timedelta = NEVER
     redirect_delay: timedelta = MIN_REDIRECT_DELAY
 
 
 class RelayRoutes:
-    """The routes of all machines that heartbeat here and are led elsewhere; one small entry for each."""
+    """The routes of all machines that send heartbeats here although another controller leads their shard."""
 
     def __init__(self) -> None:
         self._routes: dict[str, _MachineRoute] = {}  # by machine
         self._last_cleanup = NEVER
-        self._leaders_without_workers: set[str] = set()  # leaders that lacked their workers at the last heartbeat
-        self._leader_recovered_at: dict[str, timedelta] = {}  # leader -> when its workers reached it again
+        self._leaders_without_workers: set[str] = set()  # whose workers could not reach them at the last heartbeat
+        self._leader_recovered_at: dict[str, timedelta] = {}  # leader -> when its workers could reach it again
 
     def __len__(self) -> int:
         return len(self._routes)
 
     def decide(self, machine: str, leader: str, workers_unreachable: bool, has_tasks: bool, now: timedelta) -> Route:
-        """What to do with a heartbeat. `workers_unreachable`: its leader says that it lacks its workers; `busy`: it
-        names tasks.
+        """Decide whether to relay or redirect a heartbeat.
 
-        The first heartbeat of a busy machine is relayed: if it can't reach its leader, to find that out may take it
-        more than is left of its lease.
+        `workers_unreachable` means that the leader reports that its workers can't reach it; `has_tasks`, that the
+        heartbeat lists tasks. The first heartbeat of a machine with tasks is relayed: if the machine can't reach its
+        leader, a redirect might take longer to fail than its lease still lasts.
         """
         self._remove_expired_routes(now)
         self._record_leader_state(leader, workers_unreachable, now)
@@ -79,7 +79,7 @@
 
     @staticmethod
     def _record_return(route: _MachineRoute, now: timedelta) -> None:
-        """A machine that was redirected heartbeats here again: soon after that, it can't reach its leader."""
+        """Record that a redirected machine is back; if it returned soon, it could not reach its leader."""
         if route.redirected_at is not None and now - route.redirected_at < REDIRECT_FAILURE_WINDOW:
             if route.redirect_failed_at != NEVER:
                 route.redirect_delay = min(MAX_REDIRECT_DELAY, 2 * route.redirect_delay)
@@ -89,7 +89,7 @@
         route.redirected_at = None
 
     def _may_redirect(self, route: _MachineRoute, machine: str, now: timedelta) -> bool:
-        """Whether to redirect a machine to its leader: a few at a time once workers reach the leader again."""
+        """Whether to redirect a machine now. After the leader's recovery, the machines are spread over some seconds."""
         if not route.relayed:
             return True
         leader_recovered_at = self._leader_recovered_at.get(route.leader, NEVER)
--- a/badgerroute/connectivity/transfer_target.py
+++ b/badgerroute/connectivity/transfer_target.py
@@ -1,22 +1,22 @@
-"""Chooses the peer to which a leader transfers a shard whose workers don't reach it."""
+"""Chooses the peer to which a leader transfers a shard whose workers can't reach the leader."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class TransferCandidate:
-    """A peer that may lead a shard."""
+    """A peer that may become the leader of a shard."""
 
     host: str
-    machines_reporting: int  # machines of the shard that send their heartbeats to it
-    machines_led: int  # of all its shards
+    machines_reporting: int  # machines of the shard that send heartbeats to this peer
+    machines_led: int  # in all shards that the peer leads
 
 
 def choose_transfer_target(candidates: list[TransferCandidate], shard_machines: int) -> TransferCandidate | None:
-    """The least loaded peer among those to which at least half as many machines report as to the best reached one.
+    """Return the least loaded candidate that enough machines report to, or None if no machine reports to a candidate.
 
-    `shard_machines`: how many the shard has, which its new leader gets on top of what it leads. None: the shard's
-    machines report to no candidate.
+    Enough is at least half as many as report to the candidate with the most. `shard_machines` is the number of machines
+    in the shard, by which the load of its new leader grows.
     """
     reporting_candidates = [candidate for candidate in candidates if candidate.machines_reporting > 0]
     if not reporting_candidates:
--- a/badgerroute/connectivity/worker_link.py
+++ b/badgerroute/connectivity/worker_link.py
@@ -1,50 +1,51 @@
-"""Judges whether the workers reach this controller, by their overdue heartbeats and by those that reach peers."""
+"""Detects that workers can't reach this controller, from overdue heartbeats and from heartbeats sent to peers."""
 
 from collections import Counter
 from dataclasses import dataclass
 from datetime import timedelta
 
 PEER_HEARTBEAT_TTL = timedelta(seconds=6)
-MIN_MACHINES_AT_PEERS = 2  # machines of a shard that heartbeat to peers, at least
-OVERDUE_PER_MACHINE_AT_PEERS = 8  # machines with overdue heartbeats for each that must heartbeat to a peer
-PROBATION = timedelta(seconds=8)  # after a machine answered us, its heartbeats get so long to come back here
+MIN_MACHINES_AT_PEERS = 2  # of one shard
+OVERDUE_PER_MACHINE_AT_PEERS = 8  # overdue machines for each that must send heartbeats to peers
+PROBATION = timedelta(seconds=8)  # how long workers have to send heartbeats here again after one was reached
 
 
 @dataclass(frozen=True, slots=True)
 class _PeerHeartbeat:
-    """The last heartbeat of one of our machines that reached a peer."""
+    """The last heartbeat that one of our machines sent to a peer."""
 
     peer: str
     received_at: timedelta
-    relayed: bool  # the peer passed it on to us, so the machine was answered
+    relayed: bool  # the peer forwarded it to this controller, so the machine received a response
 
 
 class WorkerLink:
-    """The link from all workers to this controller.
+    """The state of the link from all workers to this controller.
 
-    Overdue heartbeats alone prove nothing, since the machines may be gone: peers must receive some of them.
+    Overdue heartbeats alone don't show that the link is lost, since the machines may have failed. Peers must also
+    receive heartbeats from some of these machines.
     """
 
     def __init__(self) -> None:
-        self._peer_heartbeats: dict[int, dict[str, _PeerHeartbeat]] = {}  # shard -> machine -> its last one
-        self._lost_at: timedelta | None = None  # None: the link is good
+        self._peer_heartbeats: dict[int, dict[str, _PeerHeartbeat]] = {}  # by shard and machine
+        self._lost_at: timedelta | None = None  # None while the link is up
         self._probation_ends: timedelta | None = None
 
     @property
     def lost(self) -> bool:
-        """Whether workers heartbeat to peers because they don't reach this controller."""
+        """Whether workers send heartbeats to peers because they can't reach this controller."""
         return self._lost_at is not None
 
     def lost_for(self, now: timedelta) -> timedelta:
-        """How long the link has been lost; zero if it is not."""
+        """Return how long the link has been lost, or zero if it is up."""
         return timedelta(0) if self._lost_at is None else now - self._lost_at
 
     def record_peer_heartbeat(self, shard: int, machine: str, peer: str, now: timedelta, relayed: bool) -> None:
-        """A member of one of our shards sent a heartbeat to a peer."""
+        """Record that a machine of a shard led here sent a heartbeat to a peer."""
         self._peer_heartbeats.setdefault(shard, {})[machine] = _PeerHeartbeat(peer, now, relayed)
 
     def machines_by_peer(self, shard: int, now: timedelta) -> dict[str, int]:
-        """The peers that a shard's machines heartbeat to, with the number of machines."""
+        """Return how many of a shard's machines send heartbeats to each peer."""
         return dict(Counter(heartbeat.peer for heartbeat in self._recent_peer_heartbeats(shard, now)))
 
     def _recent_peer_heartbeats(self, shard: int, now: timedelta) -> list[_PeerHeartbeat]:
@@ -56,10 +57,10 @@
         return list(heartbeats.values())
 
     def shard_suspected(self, shard: int, overdue: int, now: timedelta, unrelayed_only: bool = False) -> bool:
-        """Whether so many of a shard's machines heartbeat to peers that chance does not explain it.
+        """Whether so many of a shard's machines send heartbeats to peers that it is not a coincidence.
 
-        `overdue`: how many of its machines' heartbeats are; `unrelayed_only`: count only machines whose heartbeats were
-        not passed on to us.
+        `overdue` is the number of its machines with overdue heartbeats. With `unrelayed_only`, machines whose
+        heartbeats the peer relayed to this controller don't count.
         """
         machines_at_peers = sum(
             not (unrelayed_only and heartbeat.relayed) for heartbeat in self._recent_peer_heartbeats(shard, now)
@@ -67,7 +68,7 @@
         return overdue > 0 and machines_at_peers >= max(MIN_MACHINES_AT_PEERS, overdue // OVERDUE_PER_MACHINE_AT_PEERS)
 
     def update(self, overdue_by_shard: dict[int, int], now: timedelta) -> None:
-        """Judge the link anew. `overdue_by_shard`: of each shard that we lead, the members with overdue heartbeats."""
+        """Update the state of the link from the number of overdue machines in each shard led here."""
         in_probation = self._probation_ends is not None and now < self._probation_ends
         if any(self.shard_suspected(shard, overdue, now) for shard, overdue in overdue_by_shard.items()):
             if not self.lost and not in_probation:
@@ -76,11 +77,11 @@
             self._lost_at = None
 
     def machine_reached(self, now: timedelta) -> None:
-        """A machine answered us, or reported here though we lead no shard: heartbeats may come again."""
+        """Consider the link up: a machine answered a probe, or sent a heartbeat here while no shard is led here."""
         if self.lost:
             self._lost_at = None
             self._probation_ends = now + PROBATION
 
     def forget_shard(self, shard: int) -> None:
-        """A shard was transferred because its workers don't reach us."""
+        """Drop the records of a shard that was transferred because its workers can't reach this controller."""
         self._peer_heartbeats.pop(shard, None)
