--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -1,4 +1,4 @@
-"""One controller: its subsystems in the order in which they build on each other, and its background tasks."""
+"""Builds the subsystems of a controller in the order of their dependencies, and runs its background tasks."""
 
 import logging
 from collections.abc import Callable
@@ -29,11 +29,11 @@
 from badgerroute.transport.net import Network
 
 log = logging.getLogger(__name__)
-RESTART_PAUSE = timedelta(seconds=1)  # before a background task that failed begins again
+RESTART_PAUSE = timedelta(seconds=1)  # before a background task that failed is restarted
 
 
 class Controller:
-    """One controller process. Each subsystem is built from those before it; `run` starts them all."""
+    """One controller. Each subsystem depends only on those built before it; `run` starts them all."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         group: TaskGroup,
         guidance: Callable[[int], Guidance] = lambda shard: NEUTRAL,
     ) -> None:
-        """`guidance` makes the advice for a shard, by its number, when this controller begins to lead it."""
+        """Build all subsystems. `guidance` is called with each shard that this controller is elected to lead."""
         self.settings, self._loop, self._network, self._group = settings, loop, network, group
         sockets = divide_sockets(settings.params)
         self.leaders = ShardLeaders(group)  # empty until the first election
@@ -140,7 +140,7 @@
 
     @property
     def leadership_state(self) -> LeadershipState:
-        """Which shards this controller leads."""
+        """The shards that this controller leads."""
         return self.leadership.state
 
     @property
--- a/badgerroute/coordination/gossip.py
+++ b/badgerroute/coordination/gossip.py
@@ -1,4 +1,4 @@
-"""What this controller tells the others a few times a second."""
+"""Broadcasts the state of this controller to its peers periodically."""
 
 from collections.abc import Mapping
 from datetime import timedelta
@@ -18,7 +18,7 @@
 
 
 class GossipTask:
-    """Broadcasts the state of this controller and its shards, and what else is repeated until it is heard."""
+    """Broadcasts the state of this controller and its shards, and resends cancellations until they are received."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         self._leaders, self._catalog, self._cancellation_broadcast = leaders, catalog, cancellation_broadcast
 
     async def run(self) -> None:
-        """Gossip for ever. A controller without a lease leads nothing, and says nothing."""
+        """Broadcast gossip until cancelled. A controller without a lease leads no shard and sends no gossip."""
         while True:
             await self._loop.sleep(GOSSIP_INTERVAL)
             self._storage.store.divide_rates(self._membership.peers.store_client_count())
--- a/badgerroute/coordination/membership/connectivity_monitor.py
+++ b/badgerroute/coordination/membership/connectivity_monitor.py
@@ -1,4 +1,4 @@
-"""Judges the links of this controller a few times a second, and keeps its connectivity mode."""
+"""Checks the links of this controller periodically, and updates its connectivity mode."""
 
 import logging
 from datetime import timedelta
@@ -19,7 +19,7 @@
 
 
 class ConnectivityMonitor:
-    """Gathers what this controller reaches: the key-value store, its peers, and its workers."""
+    """Determines whether this controller reaches the key-value store, its peers, and its workers."""
 
     def __init__(
         self,
@@ -41,32 +41,32 @@
 
     @property
     def mode(self) -> Mode:
-        """The mode that follows from what this controller reaches."""
+        """The current connectivity mode."""
         return self._mode_machine.mode
 
     def resumed_at(self) -> timedelta:
-        """The end of this process's last pause, or its start."""
+        """Return when the last pause of this process ended, or when it started if there was none."""
         return self._pause_detector.resumed_at
 
     def reaches_store(self) -> bool:
-        """Whether the key-value store has answered a lease renewal and a watch lately."""
+        """Whether the key-value store has recently answered both a lease renewal and a watch."""
         last_confirmed = self._leadership_state.last_confirmed
         if last_confirmed > NEVER_CONFIRMED:
             self._store_detector.record_heartbeat(last_confirmed)
         return not self._store_detector.suspected(self._loop.now())
 
     def lacks_store_alone(self) -> bool:
-        """Whether users are served better elsewhere: of all controllers only this one lacks the key-value store."""
+        """Whether users should turn to another controller, since only this one can't reach the key-value store."""
         return self._reachability().lacks_store_alone
 
     async def run(self) -> None:
-        """Judge the links a few times a second, for as long as the controller runs."""
+        """Check the links every `CHECK_INTERVAL` until cancelled."""
         while True:
             await self._loop.sleep(CHECK_INTERVAL)
             self.update()
 
     def update(self) -> None:
-        """Judge the links now, and change the mode accordingly."""
+        """Check the links now, and update the mode."""
         now = self._loop.now()
         process_pause = self._pause_detector.tick(now)
         if process_pause:
--- a/badgerroute/coordination/membership/forwarding.py
+++ b/badgerroute/coordination/membership/forwarding.py
@@ -1,7 +1,7 @@
-"""Forwards requests that this controller can't answer itself over the mesh to one that can.
+"""Forwards requests that this controller can't answer itself to a peer over the mesh.
 
-Nothing is decided on the way. The controller that answers does so by its own leaderships and its own view of the
-key-value store, and does not forward the request again. A message that is lost costs time.
+The forwarding controller makes no decision about a request. The peer answers it by its own leaderships and its own view
+of the key-value store, and never forwards it again. If a message is lost, the request times out.
 """
 
 from collections.abc import Awaitable, Callable
@@ -12,13 +12,13 @@
 from badgerroute.transport.loop import Future, Loop, TaskGroup
 
 Handler = Callable[[Request, str], Awaitable[Response]]
-FIRST_REQUEST_NUMBER_RANGE = 1 << 48  # to draw the number of the first request from
+FIRST_REQUEST_NUMBER_RANGE = 1 << 48  # the first request number is random below this
 
 
 class RequestForwarder:
-    """Both ends of forwarding: `send` queues a message for a peer.
+    """Forwards requests to peers, and answers the requests that peers forward.
 
-    At most `max_concurrent` requests are on their way in each direction.
+    `send` queues a message for a peer. At most `max_concurrent` requests are in flight in each direction.
     """
 
     def __init__(
@@ -33,14 +33,14 @@
         self._loop, self._group, self._host, self._max_concurrent = loop, group, host, max_concurrent
         self._send = send
         self._last_request_number = (
-            first_request_number  # random, so that a response to an earlier run of this process fits no request
+            first_request_number  # random, so that a response to an earlier run of this process matches no request
         )
-        self._pending_responses: dict[tuple[str, int], Future] = {}  # (peer, request number) -> its response
+        self._pending_responses: dict[tuple[str, int], Future] = {}  # by peer and request number
         self._requests_in_progress = 0
-        self.dropped_requests = 0  # requests refused because `max_concurrent` were on their way
+        self.dropped_requests = 0  # requests not handled because `max_concurrent` were in flight
 
     async def forward(self, target: str, request: Request, limit: timedelta) -> Response | None:
-        """A peer's response; None if none came within the limit, or too many requests are on their way."""
+        """Return a peer's response, or None if none arrives within `limit` or too many requests are in flight."""
         if len(self._pending_responses) >= self._max_concurrent:
             self.dropped_requests += 1
             return None
@@ -57,13 +57,13 @@
             del self._pending_responses[target, number]
 
     def on_response(self, message: ForwardedResponse) -> None:
-        """Take in a peer's response. A late or repeated one has no request waiting, and is ignored."""
+        """Deliver a peer's response to the request that waits for it. A late or duplicate response is ignored."""
         response_future = self._pending_responses.get((message.host, message.number))
         if response_future is not None:
             response_future.set(message)
 
     def on_request(self, message: ForwardedRequest, handle: Handler) -> None:
-        """Have `handle` answer a request that a peer forwarded, in a task of its own, and send the response back."""
+        """Answer a request that a peer forwarded, by running `handle` in a background task."""
         if self._requests_in_progress >= self._max_concurrent:
             self.dropped_requests += 1
             return
--- a/badgerroute/coordination/membership/leadership_transfer.py
+++ b/badgerroute/coordination/membership/leadership_transfer.py
@@ -1,4 +1,4 @@
-"""Decides when a shard is transferred: to its home controller, or to a controller that its workers reach."""
+"""Decides when to transfer a shard: to its home controller, or to a controller that its workers can reach."""
 
 import logging
 from datetime import timedelta
@@ -20,7 +20,7 @@
 
 
 class LeadershipTransfer:
-    """Transfers shards that this controller leads, at most one a round, by `ShardTransfer`."""
+    """Transfers shards that this controller leads, at most one per round, using `ShardTransfer`."""
 
     def __init__(
         self,
@@ -41,21 +41,21 @@
         self._max_relay_time = settings.operator.connectivity.relay_for
 
     async def run(self) -> None:
-        """Transfer one shard a round: first one whose workers can't report here, else one with its home elsewhere."""
+        """Transfer at most one shard per round; shards whose workers can't reach this controller take precedence."""
         while True:
             await self._loop.sleep(TRANSFER_INTERVAL)
             if self._policy.allows(Action.TRANSFER_SHARD) and not await self._transfer_without_workers():
                 await self._return_to_home()
 
-    # -- shards whose home controller is back
+    # -- shards whose home controller is reachable again
 
     async def _return_to_home(self) -> None:
         for shard in list(self._leadership_state.leaderships):
             host = self._home_host(shard)
             peer = self._peers.reachable_peer(host)
             leader = self._leaders.get(shard)
-            # A peer that has lost the key-value store still reports the lease it once had. Without this check the shard
-            # would be given up and won again in every round, for as long as the cut lasts.
+            # A peer that can't reach the key-value store still reports its last lease. Without this check, the transfer
+            # would fail and the shard would be elected back here in every round until the peer recovers.
             if peer is None or not peer.may_receive_shard():
                 continue
             if leader is not None and leader.shard.reconciled:
@@ -65,13 +65,16 @@
     def _home_host(self, shard: int) -> str:
         return self._hosts[shard] if shard < len(self._hosts) else ""
 
-    # -- shards whose workers don't reach this controller
+    # -- shards whose workers can't reach this controller
 
     async def on_misrouted_heartbeat(self, message: MisroutedHeartbeat) -> None:
-        """A machine of ours reported to a peer that did not relay the heartbeat: if many do, the shard goes there."""
+        """Record that a machine of a shard led here sent a heartbeat to a peer, which did not relay it.
+
+        If many machines do so, the shard is transferred.
+        """
         leader = self._leaders.get(message.shard)
         if leader is None or not leader.ready or not leader.heartbeat_overdue(message.machine):
-            return  # new machines report to any controller; that proves nothing
+            return  # new machines contact any controller, so this says nothing about the link
         self._worker_link.record_peer_heartbeat(
             message.shard, message.machine, message.host, self._loop.now(), relayed=False
         )
@@ -80,7 +83,10 @@
             await self._transfer_without_workers()
 
     async def _transfer_without_workers(self) -> bool:
-        """Transfer a shard that relaying does not serve, or has served for long enough; whether there was one."""
+        """Transfer one shard whose workers can't reach this controller, and return whether there was one.
+
+        A shard whose heartbeats are relayed is transferred only after the maximum relay time.
+        """
         now = self._loop.now()
         relayed_long_enough = self._worker_link.lost_for(now) >= self._max_relay_time
         for leader in list(self._leaders.values()):
--- a/badgerroute/coordination/membership/mesh.py
+++ b/badgerroute/coordination/membership/mesh.py
@@ -1,4 +1,4 @@
-"""The mesh: one kept connection to each peer, for messages that may be lost."""
+"""The mesh: one persistent connection to each peer, for messages that may be lost."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -14,11 +14,11 @@
 RESTART_PAUSE = timedelta(seconds=1)
 MessageHandler = Callable[[wire.Message], None]
 
-MAX_INCOMING_PER_PEER = 4  # connections: those that a peer has given up may still be open on this side
+MAX_INCOMING_PER_PEER = 4  # connections that a peer has abandoned may still be open on this side
 
 
 class Mesh:
-    """Sends messages to the other controllers, and receives theirs."""
+    """Sends messages to the peers, and receives theirs."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         }
 
     def start(self, on_message: MessageHandler) -> None:
-        """Listen, and keep a connection to each peer. `on_message` is called with every message that arrives."""
+        """Listen, and maintain a connection to each peer. `on_message` is called with every message received."""
         max_incoming = MAX_INCOMING_PER_PEER * (max(1, len(self._connections)) + 1)
         listener = MeshListener(self._loop, self._group, max_incoming, on_message)
         self._group.spawn(listener.accept_all(self._network.listen(self._address)), "mesh-accept")
@@ -43,7 +43,7 @@
             self._group.run_forever(connection.run, f"mesh-{connection.host}", RESTART_PAUSE)
 
     def send(self, host: str, message: wire.Message) -> None:
-        """Queue a message for one peer. A host that is no peer is ignored."""
+        """Queue a message for one peer. The message is dropped if the host is not a peer."""
         connection = self._connections.get(host)
         if connection is not None:
             connection.queue.add(frame(wire.encoder.encode(message)))
--- a/badgerroute/coordination/membership/mesh_listener.py
+++ b/badgerroute/coordination/membership/mesh_listener.py
@@ -1,4 +1,4 @@
-"""The incoming connections of the mesh: decodes their messages and acknowledges them."""
+"""Accepts the incoming connections of the mesh, and decodes and acknowledges their messages."""
 
 import logging
 from collections.abc import Callable
@@ -12,14 +12,14 @@
 from badgerroute.transport.net import Listener, Stream
 
 log = logging.getLogger(__name__)
-IDLE_TIMEOUT = timedelta(seconds=20)  # a connection on which nothing comes for so long is closed
+IDLE_TIMEOUT = timedelta(seconds=20)  # a connection without messages for this long is closed
 WRITE_TIMEOUT = timedelta(seconds=3)
 ACK_INTERVAL = timedelta(seconds=1)
 ACK = frame(b"")
 
 
 class MeshListener:
-    """Accepts connections, `max_connections` at a time, and hands each message to `receive`."""
+    """Accepts up to `max_connections` at a time, and passes each message to `receive`."""
 
     def __init__(
         self, loop: Loop, group: TaskGroup, max_connections: int, receive: Callable[[wire.Message], None]
@@ -29,7 +29,7 @@
         self._max_connections = max_connections
 
     async def accept_all(self, listener: Listener) -> None:
-        """Accept connections until cancelled; closes the listener then. Connections beyond the limit are closed."""
+        """Accept connections until cancelled, then close the listener. Connections beyond the limit are closed."""
         try:
             while True:
                 stream = await listener.accept()
@@ -67,5 +67,5 @@
             return
         try:
             self._receive(message)
-        except Exception as error:  # a message that can't be handled must not cost the connection
+        except Exception as error:  # a failure to handle one message must not close the connection
             log.error("event=mesh_message_failed error=%r", error, exc_info=error)
--- a/badgerroute/coordination/membership/peer_connection.py
+++ b/badgerroute/coordination/membership/peer_connection.py
@@ -1,4 +1,4 @@
-"""The outgoing connection to one peer, opened anew whenever it is lost."""
+"""The outgoing connection to one peer, which is reopened whenever it is lost."""
 
 import logging
 from datetime import timedelta
@@ -12,7 +12,7 @@
 CONNECT_TIMEOUT = timedelta(seconds=1)
 RECONNECT_PAUSE = timedelta(milliseconds=500)
 WRITE_TIMEOUT = timedelta(seconds=3)
-ACK_TIMEOUT = timedelta(seconds=4)  # a connection on which nothing was acknowledged for so long is opened anew
+ACK_TIMEOUT = timedelta(seconds=4)  # without an acknowledgement for this long, the connection is reopened
 
 
 class PeerConnection:
@@ -22,11 +22,11 @@
         self.host, self._address = host, address
         self._loop, self._network, self._group = loop, network, group
         self.queue = SendQueue()
-        self._unacknowledged_since: timedelta | None = None  # None: all that was written has been acknowledged
-        self._closed_by_peer: OSError | None = None  # how the peer's side of the connection ended
+        self._unacknowledged_since: timedelta | None = None  # None if nothing was sent since the last acknowledgement
+        self._closed_by_peer: OSError | None = None  # the error with which the peer closed the connection
 
     async def run(self) -> None:
-        """Keep a connection and send what is queued, for as long as the controller runs."""
+        """Maintain a connection and send the queued frames until cancelled."""
         while True:
             try:
                 stream = await self._network.connect(self._address, CONNECT_TIMEOUT)
@@ -53,19 +53,20 @@
             stream.close()
 
     def _check_alive(self) -> None:
-        """Raises the error that ended the connection, or TimeLimitError if acknowledgements stay out."""
+        """Raise the error that closed the connection, or TimeLimitError if the peer no longer acknowledges frames."""
         if self._closed_by_peer is not None:
             raise self._closed_by_peer
         if self._unacknowledged_since is None:
             self._unacknowledged_since = self._loop.now()
         elif self._loop.now() - self._unacknowledged_since > ACK_TIMEOUT:
-            raise TimeLimitError("nothing is acknowledged")
+            raise TimeLimitError("no acknowledgement from the peer")
 
     async def _read_acks(self, stream: Stream) -> None:
-        """Record that the peer receives our frames, or that it has closed the connection.
+        """Record the peer's acknowledgements, and the error if it closes the connection.
 
-        Writing does not show that: bytes written into a connection that the peer gave up vanish without an error, and
-        the peers would take this controller for dead as long as it keeps the connection.
+        A successful write does not show that the peer receives anything: bytes written to a connection that the peer
+        has abandoned are lost without an error. The peer would suspect this controller for as long as the connection
+        is kept.
         """
         reader = FrameReader(stream)
         try:
--- a/badgerroute/coordination/membership/peers.py
+++ b/badgerroute/coordination/membership/peers.py
@@ -1,4 +1,4 @@
-"""The other controllers as they last reported, and with them the state of all shards."""
+"""The peers and the shards they lead, as of their last gossip."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -19,34 +19,34 @@
 
 @dataclass(slots=True)
 class Peer:
-    """Another controller, by its last gossip."""
+    """Another controller, as of its last gossip."""
 
     failure_detector: FailureDetector
     gossip: mesh_wire.Gossip
-    mode: Mode | None = field(init=False)  # None: its version does not report its mode
+    mode: Mode | None = field(init=False)  # None if its version does not report its mode
 
     def __post_init__(self) -> None:
         self.mode = MODE_BY_VALUE.get(self.gossip.mode) if isinstance(self.gossip.mode, str) else None
 
     def may_receive_shard(self) -> bool:
-        """Whether a shard may be transferred to it: it could write and serve it at once."""
+        """Whether a shard may be transferred to this peer, which could lead it immediately."""
         gossip = self.gossip
         return gossip.ready and gossip.store_reachable and gossip.lease > 0 and not gossip.isolated
 
     def accepts_forwarded_from(self, host: str) -> bool:
-        """Whether it answers requests that this host forwards, so far as it receives them."""
+        """Whether this peer answers requests that `host` forwards, provided that they arrive."""
         return self.gossip.relays is True and (self.gossip.hears is UNSET or host in self.gossip.hears)
 
 
 class ShardReport(NamedTuple):
-    """A peer's shard as last reported."""
+    """A shard as last reported by the peer that leads it."""
 
     summary: mesh_wire.ShardSummary
-    age: timedelta  # of the peer's last gossip
+    age: timedelta  # time since the peer's last gossip
 
 
 class Peers:
-    """The other controllers by their last gossip, and the shards that they and this controller lead."""
+    """Keeps the last gossip of each peer, and combines it with the shards that this controller leads."""
 
     def __init__(
         self, settings: Settings, loop: Loop, leader_records: LeaderRecords, leaders: dict[int, ShardLeader]
@@ -54,26 +54,26 @@
         self._settings, self._loop, self._leader_records, self._leaders = settings, loop, leader_records, leaders
         hosts = [peer.host_name for peer in settings.platform.peers]
         self.failure_detectors = {host: FailureDetector(PEER_TIMEOUT, loop.now()) for host in hosts}
-        self._peers_by_host: dict[str, Peer] = {}  # by host, also of peers that are suspected
+        self._peers_by_host: dict[str, Peer] = {}  # by host; includes suspected peers
 
     def receive_gossip(self, gossip: mesh_wire.Gossip) -> None:
-        """Take in what another controller reports. A host that is no peer is ignored."""
+        """Record the gossip of a peer. Gossip from a host that is not a peer is ignored."""
         failure_detector = self.failure_detectors.get(gossip.host)
         if failure_detector is not None:
             failure_detector.record_heartbeat(self._loop.now())
             self._peers_by_host[gossip.host] = Peer(failure_detector, gossip)
 
     def reachable_peer(self, host: str) -> Peer | None:
-        """A controller by its host; None if it never reported, or is suspected."""
+        """Return a peer by its host, or None if it has sent no gossip or is suspected."""
         peer = self._peers_by_host.get(host)
         return peer if peer is not None and not peer.failure_detector.suspected(self._loop.now()) else None
 
     def reachable(self) -> dict[str, Peer]:
-        """All controllers that have reported and are not suspected, by host."""
+        """Return the peers that have sent gossip and are not suspected, by host."""
         return {host: peer for host in self._peers_by_host if (peer := self.reachable_peer(host)) is not None}
 
     def summaries(self) -> list[mesh_wire.ShardSummary]:
-        """One summary of each shard whose leader is reachable: our own as they are, the others' as last reported."""
+        """Return a summary of each shard whose leader is reachable: current if led here, else as last reported."""
         summaries = {leader.number: leader.summary() for leader in self._leaders.values() if leader.ready}
         for peer in self.reachable().values():
             for summary in peer.gossip.shards:
@@ -81,7 +81,7 @@
         return list(summaries.values())
 
     def shard_reports(self) -> list[ShardReport]:
-        """The other controllers' shards as last reported, also by controllers that are suspected."""
+        """Return the shards of all peers as last reported, including those of suspected peers."""
         now = self._loop.now()
         return [
             ShardReport(summary, peer.failure_detector.heartbeat_age(now))
@@ -90,9 +90,9 @@
         ]
 
     def leader(self, shard: int) -> str | None:
-        """The host that leads a shard: by the leader record as known here, or by a peer that reports a higher term.
+        """Return the host that leads a shard, by its leader record or by the gossip of a peer with a higher term.
 
-        A controller that has lost the key-value store learns of newer leaders only from their gossip.
+        A controller that can't reach the key-value store learns of newer leaders only from their gossip.
         """
         host, term = self._leader_records.leader(shard), self._leader_records.term(shard)
         for peer_host, peer in self.reachable().items():
@@ -102,9 +102,9 @@
         return host
 
     def store_client_count(self) -> int:
-        """How many controllers may be using the key-value store: this one, and all that may be alive or lead a shard.
+        """Return how many controllers may use the key-value store: this one, and peers that lead or may be alive.
 
-        Right after the start no gossip has come yet, and every peer counts.
+        Right after the start no gossip has been received yet, and every peer counts.
         """
         now = self._loop.now()
         leader_hosts = {self._leader_records.leader(shard) for shard in range(self._settings.params.size)}
@@ -114,7 +114,7 @@
         )
 
     def running(self, ref: str) -> int:
-        """How many of a job's tasks run, for display."""
+        """Return how many of a job's tasks run, as shown to users."""
         running_locally = sum(
             placement.running_since is not None
             for leader in self._leaders.values()
--- a/badgerroute/coordination/membership/send_queue.py
+++ b/badgerroute/coordination/membership/send_queue.py
@@ -1,14 +1,14 @@
-"""The frames that wait to be sent to one peer."""
+"""The queue of frames to be sent to one peer."""
 
 from collections import deque
 
 from badgerroute.transport.loop import Future
 
-MAX_QUEUED_BYTES = 4 << 20  # for one peer: the frames of thousands of machines that come at once, and no more
+MAX_QUEUED_BYTES = 4 << 20  # per peer; enough for the frames of thousands of machines that come at once
 
 
 class SendQueue:
-    """A bounded queue: while the peer can't be reached, the oldest frames make way for new ones."""
+    """A bounded queue that drops its oldest frames when it is full, as happens while the peer is unreachable."""
 
     def __init__(self) -> None:
         self._frames: deque[bytes] = deque()
@@ -19,7 +19,7 @@
         return len(self._frames)
 
     def add(self, data: bytes) -> None:
-        """Queue a frame, dropping the oldest ones beyond MAX_QUEUED_BYTES."""
+        """Queue a frame, and drop the oldest frames while the queue exceeds MAX_QUEUED_BYTES."""
         self._frames.append(data)
         self.queued_bytes += len(data)
         while self.queued_bytes > MAX_QUEUED_BYTES:
@@ -27,17 +27,17 @@
         self._wake.set()
 
     async def wait(self) -> None:
-        """Wait until there is a frame, or `wake` is called."""
+        """Wait until a frame is queued or `wake` is called."""
         if not self._frames:
             self._wake = Future()
             await self._wake
 
     def wake(self) -> None:
-        """End a `wait` although there may be no frame."""
+        """End a `wait` even if no frame is queued."""
         self._wake.set()
 
     def take_all(self) -> bytes:
-        """Remove all frames, to be written at once."""
+        """Remove all frames, and return them joined for a single write."""
         data = b"".join(self._frames)
         self._frames.clear()
         self.queued_bytes = 0
--- a/badgerroute/coordination/membership/subsystem.py
+++ b/badgerroute/coordination/membership/subsystem.py
@@ -1,4 +1,4 @@
-"""Builds what this controller knows of the others, how it reaches them, and when it transfers shards to them."""
+"""Builds the components that connect this controller to its peers and transfer shards to them."""
 
 import random
 from dataclasses import dataclass
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipSubsystem:
-    """The mesh, the peers as last heard, the links' state, and the transfer of shards."""
+    """The mesh, the peers, the connectivity monitor, request forwarding, and leadership transfer."""
 
     mesh: Mesh
     peers: Peers
@@ -39,7 +39,7 @@
     leadership: LeadershipSubsystem,
     leaders: ShardLeaders,
 ) -> MembershipSubsystem:
-    """Nothing is sent or received before `Mesh.start`."""
+    """Build the components. Nothing is sent or received before `Mesh.start`."""
     host = settings.platform.host_name
     mesh = Mesh(settings, loop, network, group)
     peers = Peers(settings, loop, leadership.records, leaders)
--- a/badgerroute/coordination/membership/worker_prober.py
+++ b/badgerroute/coordination/membership/worker_prober.py
@@ -1,4 +1,4 @@
-"""Finds out when workers can be reached again, which have no reason to heartbeat here by themselves."""
+"""Probes workers after the worker link was lost, since they may never send heartbeats here again by themselves."""
 
 import logging
 from collections.abc import Callable
@@ -16,15 +16,16 @@
 
 log = logging.getLogger(__name__)
 PROBE_INTERVAL = timedelta(seconds=2)
-MACHINES_PER_PROBE = 3  # in each round
-PROBE_TIMEOUT = timedelta(seconds=1)  # for the connection, and again for the answer
+MACHINES_PER_PROBE = 3  # per round
+PROBE_TIMEOUT = timedelta(seconds=1)  # for connecting, and again for the response
 STATUS_OK = 200
 
 
 class WorkerProber:
-    """Asks some machines for their status while the worker link is lost.
+    """Requests the status of a few random machines periodically while the worker link is lost.
 
-    `sample` draws so many elements of a list. Flapping links are probed only after the extra delay of `damping`.
+    `sample` draws the given number of elements from a list. If links have been flapping, probing starts only after the
+    extra delay of `damping`.
     """
 
     def __init__(
@@ -41,7 +42,7 @@
         self._worker_link, self._damping, self._sample = worker_link, damping, sample
 
     async def run(self) -> None:
-        """Probe once an interval while the link is lost, for as long as the controller runs."""
+        """Probe once per `PROBE_INTERVAL` while the link is lost, until cancelled."""
         while True:
             await self._loop.sleep(PROBE_INTERVAL)
             now = self._loop.now()
--- a/badgerroute/coordination/socket_budget.py
+++ b/badgerroute/coordination/socket_budget.py
@@ -1,4 +1,4 @@
-"""How the sockets that a controller may open are divided."""
+"""Divides the sockets that a controller may open among their uses."""
 
 from dataclasses import dataclass
 
@@ -8,20 +8,20 @@
 RESERVED_PER_CONTROLLER = 8
 MIN_CONNECTIONS = 16
 MIN_DIRECT_COMMANDS = 4
-MAX_DIRECT_COMMANDS = 128  # commands on their way to workers, each with a connection of its own
-SOCKETS_PER_DIRECT_COMMAND = 32  # where there are sockets for thousands of machines, more go out at once
+MAX_DIRECT_COMMANDS = 128  # in flight to workers, each over its own connection
+SOCKETS_PER_DIRECT_COMMAND = 32  # raises the maximum if there are sockets for thousands of machines
 
 
 @dataclass(frozen=True, slots=True)
 class SocketBudget:
-    """`direct_commands` at once to workers, and `connections` that users and workers may have open here."""
+    """How many commands may be in flight to workers, and how many connections users and workers may keep open here."""
 
     direct_commands: int
     connections: int
 
 
 def divide_sockets(params: Params) -> SocketBudget:
-    """The budget that follows from the settings."""
+    """Return the socket budget for the settings."""
     sockets = params.resources.fd_limit
     max_direct_commands = max(MAX_DIRECT_COMMANDS, sockets // SOCKETS_PER_DIRECT_COMMAND)
     direct_commands = min(max_direct_commands, max(MIN_DIRECT_COMMANDS, sockets // 8))
