--- a/badgerroute/connectivity/failure_detector.py
+++ b/badgerroute/connectivity/failure_detector.py
@@ -10,7 +10,7 @@
 
 INTERVAL_GAIN = 0.125
 DEVIATION_GAIN = 0.25
-DEVIATIONS = 4
+DEVIATION_FACTOR = 4
 ZERO = timedelta(0)
 
 
@@ -34,7 +34,7 @@
     """
 
     bounds: TimeoutBounds
-    watched_since: timedelta
+    monitored_since: timedelta
     last_heartbeat: timedelta | None = None  # None before the first heartbeat
     _interval: timedelta = field(default=ZERO)  # smoothed
     _deviation: timedelta = field(default=ZERO)  # smoothed
@@ -45,22 +45,22 @@
             if received_at <= self.last_heartbeat:
                 return
             # A gap during a network partition is no regular interval: it would delay detection of the next partition.
-            self._learn(min(received_at - self.last_heartbeat, self.bounds.minimum))
+            self._update_timeout(min(received_at - self.last_heartbeat, self.bounds.minimum))
         self.last_heartbeat = received_at
 
-    def _learn(self, interval: timedelta) -> None:
-        error = interval - self._interval
-        self._interval += INTERVAL_GAIN * error
-        self._deviation += DEVIATION_GAIN * (abs(error) - self._deviation)
+    def _update_timeout(self, interval: timedelta) -> None:
+        deviation = interval - self._interval
+        self._interval += INTERVAL_GAIN * deviation
+        self._deviation += DEVIATION_GAIN * (abs(deviation) - self._deviation)
 
     @property
     def timeout(self) -> timedelta:
         """The time without a heartbeat after which the endpoint is suspected."""
-        return min(max(self._interval + DEVIATIONS * self._deviation, self.bounds.minimum), self.bounds.maximum)
+        return min(max(self._interval + DEVIATION_FACTOR * self._deviation, self.bounds.minimum), self.bounds.maximum)
 
     def heartbeat_age(self, now: timedelta) -> timedelta:
         """Return the time since the last heartbeat, or since monitoring began if there was none."""
-        return now - (self.watched_since if self.last_heartbeat is None else self.last_heartbeat)
+        return now - (self.monitored_since if self.last_heartbeat is None else self.last_heartbeat)
 
     def suspected(self, now: timedelta) -> bool:
         """Whether the last heartbeat is older than the timeout."""
--- a/badgerroute/connectivity/mode_machine.py
+++ b/badgerroute/connectivity/mode_machine.py
@@ -50,13 +50,13 @@
         elif before in IMPAIRED_MODES:
             self._links_good_since = now
         self.mode = mode_of(reachability, self._links_stable(now))
-        return None if self.mode is before else ModeChange(before, self.mode, _cause(reachability, self.mode))
+        return None if self.mode is before else ModeChange(before, self.mode, _cause_of(reachability, self.mode))
 
     def _links_stable(self, now: timedelta) -> bool:
         return self._links_good_since is None or now - self._links_good_since >= self.damping.delay(now)
 
 
-def _cause(reachability: Reachability, mode: Mode) -> ModeCause:
+def _cause_of(reachability: Reachability, mode: Mode) -> ModeCause:
     match mode:
         case Mode.OUTAGE:
             return ModeCause.OUTAGE
--- a/badgerroute/coordination/membership/forwarding.py
+++ b/badgerroute/coordination/membership/forwarding.py
@@ -39,22 +39,22 @@
         self._requests_in_progress = 0
         self.dropped_requests = 0  # requests not handled because `max_concurrent` were in flight
 
-    async def forward(self, target: str, request: Request, limit: timedelta) -> Response | None:
-        """Return a peer's response, or None if none arrives within `limit` or too many requests are in flight."""
+    async def forward(self, target: str, request: Request, timeout: timedelta) -> Response | None:
+        """Return a peer's response, or None if none arrives within `timeout` or too many requests are in flight."""
         if len(self._pending_responses) >= self._max_concurrent:
             self.dropped_requests += 1
             return None
         self._last_request_number += 1
-        number = self._last_request_number
-        response_future = self._pending_responses[target, number] = Future()
+        request_number = self._last_request_number
+        response_future = self._pending_responses[target, request_number] = Future()
         try:
-            self._send(target, ForwardedRequest(self._host, number, request.method, request.path, request.body))
-            if not await self._loop.first(response_future, limit):
+            self._send(target, ForwardedRequest(self._host, request_number, request.method, request.path, request.body))
+            if not await self._loop.first(response_future, timeout):
                 return None
             response: ForwardedResponse = response_future.result
             return Response(response.status, response.body)
         finally:
-            del self._pending_responses[target, number]
+            del self._pending_responses[target, request_number]
 
     def on_response(self, message: ForwardedResponse) -> None:
         """Deliver a peer's response to the request that waits for it. A late or duplicate response is ignored."""
@@ -74,7 +74,7 @@
         try:
             request = Request(message.method, message.path, "", message.body)
             response = await handle(request, message.host)
-            answer = ForwardedResponse(self._host, message.number, response.status, response.body)
-            self._send(message.host, answer)
+            forwarded_response = ForwardedResponse(self._host, message.number, response.status, response.body)
+            self._send(message.host, forwarded_response)
         finally:
             self._requests_in_progress -= 1
--- a/badgerroute/coordination/membership/mesh.py
+++ b/badgerroute/coordination/membership/mesh.py
@@ -50,6 +50,6 @@
 
     def broadcast(self, message: wire.Message) -> None:
         """Queue a message for every peer."""
-        data = frame(wire.encoder.encode(message))
+        encoded_frame = frame(wire.encoder.encode(message))
         for connection in self._connections.values():
-            connection.queue.add(data)
+            connection.queue.add(encoded_frame)
--- a/badgerroute/coordination/membership/mesh_listener.py
+++ b/badgerroute/coordination/membership/mesh_listener.py
@@ -47,12 +47,12 @@
         try:
             while True:
                 with self._loop.limit(IDLE_TIMEOUT):
-                    data = await reader.next()
+                    frame_body = await reader.next()
                 if self._loop.now() - acknowledged_at >= ACK_INTERVAL:
                     acknowledged_at = self._loop.now()
                     with self._loop.limit(WRITE_TIMEOUT):
                         await stream.write(ACK)
-                self._handle(data)
+                self._handle(frame_body)
         except (OSError, TimeLimitError) as error:
             log.debug("event=mesh_connection_closed error=%s", error)
         finally:
--- a/badgerroute/coordination/membership/send_queue.py
+++ b/badgerroute/coordination/membership/send_queue.py
@@ -18,10 +18,10 @@
     def __len__(self) -> int:
         return len(self._frames)
 
-    def add(self, data: bytes) -> None:
+    def add(self, frame: bytes) -> None:
         """Queue a frame, and drop the oldest frames while the queue exceeds MAX_QUEUED_BYTES."""
-        self._frames.append(data)
-        self.queued_bytes += len(data)
+        self._frames.append(frame)
+        self.queued_bytes += len(frame)
         while self.queued_bytes > MAX_QUEUED_BYTES:
             self.queued_bytes -= len(self._frames.popleft())
         self._wake.set()
