--- a/badgerroute/connectivity/overdue_heartbeats.py
+++ b/badgerroute/connectivity/overdue_heartbeats.py
@@ -5,7 +5,7 @@
 from badgerroute.scheduling.model import Machine
 from badgerroute.scheduling.shard_state import ShardView
 
-MIN_EXPECTED_MACHINES = 3  # with fewer, failures of the machines are as likely as a failure of this controller's link
+MIN_EXPECTED_MACHINES = 3  # with fewer, overdue heartbeats say little about this controller's link
 HEARTBEAT_INTERVAL_FACTOR = 1.5  # the interval between two heartbeats varies by a quarter
 HEARTBEAT_TRANSIT_TIME = timedelta(seconds=1)  # allowance for the network
 FAILOVER_TIME = timedelta(seconds=5)  # of a worker: 4 s until its request times out, then a pause of 1 s
--- a/badgerroute/connectivity/relay_routes.py
+++ b/badgerroute/connectivity/relay_routes.py
@@ -8,7 +8,9 @@
 from datetime import timedelta
 from enum import Enum
 
-REDIRECT_FAILURE_WINDOW = timedelta(seconds=9)  # a worker times out after 4 s, and retries elsewhere 1 s later
+# A machine that returns within this time could not reach its leader: a worker times out after 4 s, and tries the next
+# controller 1 s later.
+REDIRECT_FAILURE_WINDOW = timedelta(seconds=9)
 MIN_REDIRECT_DELAY = timedelta(seconds=10)
 MAX_REDIRECT_DELAY = timedelta(seconds=80)
 ROUTE_TTL = timedelta(seconds=120)
--- a/badgerroute/connectivity/worker_link.py
+++ b/badgerroute/connectivity/worker_link.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 
 PEER_HEARTBEAT_TTL = timedelta(seconds=6)
-MIN_MACHINES_AT_PEERS = 2  # of one shard
+MIN_MACHINES_AT_PEERS = 2  # machines of one shard
 OVERDUE_PER_MACHINE_AT_PEERS = 8  # overdue machines for each that must send heartbeats to peers
 PROBATION = timedelta(seconds=8)  # how long workers have to send heartbeats here again after one was reached
 
--- a/badgerroute/coordination/leadership/action_policy.py
+++ b/badgerroute/coordination/leadership/action_policy.py
@@ -33,5 +33,5 @@
         return False
 
     def allows_for(self, shard: int, action: Action) -> bool:
-        """Whether an action for a shard is allowed now; never, unless this controller leads the shard."""
+        """Whether this controller leads a shard and may take an action for it now."""
         return shard in self._state.leaderships and self.allows(action)
--- a/badgerroute/coordination/membership/forwarding.py
+++ b/badgerroute/coordination/membership/forwarding.py
@@ -32,9 +32,8 @@
     ) -> None:
         self._loop, self._group, self._host, self._max_concurrent = loop, group, host, max_concurrent
         self._send = send
-        self._last_request_number = (
-            first_request_number  # random, so that a response to an earlier run of this process matches no request
-        )
+        # Starts at random, so that a response to an earlier run of this process matches no request.
+        self._last_request_number = first_request_number
         self._pending_responses: dict[tuple[str, int], Future] = {}  # by peer and request number
         self._requests_in_progress = 0
         self.dropped_requests = 0  # requests not handled because `max_concurrent` were in flight
