--- a/badgerroute/connectivity/mode_machine.py
+++ b/badgerroute/connectivity/mode_machine.py
@@ -7,11 +7,11 @@
 from badgerroute.connectivity.damping import FlapDamping
 from badgerroute.connectivity.modes import Mode, Reachability, mode_of
 
-IMPAIRED = frozenset({Mode.STORE_UNREACHABLE, Mode.WORKERS_UNREACHABLE, Mode.ISOLATED})
+IMPAIRED_MODES = frozenset({Mode.STORE_UNREACHABLE, Mode.WORKERS_UNREACHABLE, Mode.ISOLATED})
 
 
 class ModeCause(Enum):
-    """Why a mode was entered. The values stand in the log."""
+    """Why a mode was entered. The values are logged."""
 
     OUTAGE = "no_controller_reaches_the_state_service"
     STORE_AND_PEERS_SUSPECTED = "state_service_and_siblings_silent"
@@ -32,32 +32,31 @@
 
 
 class ModeMachine:
-    """Holds the mode. Begins with SERVING: a new process has lost nothing yet."""
+    """Holds the current mode. It starts as SERVING, since a new process has not lost any link yet."""
 
     def __init__(self, damping: FlapDamping) -> None:
         self.damping = damping
-        self._good_since: timedelta | None = (
-            None  # since when nothing is missing; None: nothing was lost yet, or is now
-        )
+        # When the last impaired mode ended. None during an impaired mode, and before the first one.
+        self._links_good_since: timedelta | None = None
         self.mode = Mode.SERVING
 
     def update(self, reachability: Reachability, now: timedelta) -> ModeChange | None:
-        """Take in what is reachable; returns the change of mode that follows, if any."""
+        """Update the mode from what is reachable, and return the change, or None if the mode stays."""
         before = self.mode
-        if mode_of(reachability, stable=True) in IMPAIRED:
-            self._good_since = None
-            if before not in IMPAIRED:
+        if mode_of(reachability, stable=True) in IMPAIRED_MODES:
+            self._links_good_since = None
+            if before not in IMPAIRED_MODES:
                 self.damping.record_loss(now)
-        elif before in IMPAIRED:
-            self._good_since = now
-        self.mode = mode_of(reachability, self._stable(now))
-        return None if self.mode is before else ModeChange(before, self.mode, _cause(reachability, self.mode))
+        elif before in IMPAIRED_MODES:
+            self._links_good_since = now
+        self.mode = mode_of(reachability, self._links_stable(now))
+        return None if self.mode is before else ModeChange(before, self.mode, _cause_of(reachability, self.mode))
 
-    def _stable(self, now: timedelta) -> bool:
-        return self._good_since is None or now - self._good_since >= self.damping.delay(now)
+    def _links_stable(self, now: timedelta) -> bool:
+        return self._links_good_since is None or now - self._links_good_since >= self.damping.delay(now)
 
 
-def _cause(reachability: Reachability, mode: Mode) -> ModeCause:
+def _cause_of(reachability: Reachability, mode: Mode) -> ModeCause:
     match mode:
         case Mode.OUTAGE:
             return ModeCause.OUTAGE
--- a/badgerroute/coordination/gossip.py
+++ b/badgerroute/coordination/gossip.py
@@ -1,4 +1,4 @@
-"""What this controller tells the others a few times a second."""
+"""Broadcasts the state of this controller to its peers periodically."""
 
 from collections.abc import Mapping
 from datetime import timedelta
@@ -14,11 +14,11 @@
 from badgerroute.storage.subsystem import Storage
 from badgerroute.transport.loop import Loop
 
-INTERVAL = timedelta(milliseconds=500)
+GOSSIP_INTERVAL = timedelta(milliseconds=500)
 
 
 class GossipTask:
-    """Broadcasts the state of this controller and its shards, and what else is repeated until it is heard."""
+    """Broadcasts the state of this controller and its shards, and resends cancellations until they are received."""
 
     def __init__(
         self,
@@ -37,10 +37,10 @@
         self._leaders, self._catalog, self._cancellation_broadcast = leaders, catalog, cancellation_broadcast
 
     async def run(self) -> None:
-        """Gossip for ever. A controller without a lease leads nothing, and says nothing."""
+        """Broadcast gossip until cancelled. A controller without a lease leads no shard and sends no gossip."""
         while True:
-            await self._loop.sleep(INTERVAL)
-            self._storage.store.divide_rates(self._membership.peers.store_clients())
+            await self._loop.sleep(GOSSIP_INTERVAL)
+            self._storage.store.divide_rates(self._membership.peers.store_client_count())
             if self._leadership.state.lease is not None:
                 self._membership.mesh.broadcast(self._gossip())
             self._cancellation_broadcast.resend()
