--- a/badgerroute/coordination/shards/failover.py
+++ b/badgerroute/coordination/shards/failover.py
@@ -1,4 +1,4 @@
-"""Failover: a shard is rebuilt from the key-value store and its machines before anything is placed."""
+"""Failover: rebuilds the state of a shard from the key-value store and its machines before any task is placed."""
 
 import logging
 from datetime import timedelta
@@ -15,7 +15,7 @@
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
-CATALOG_RETRY = timedelta(milliseconds=100)
+CATALOG_RETRY_PAUSE = timedelta(milliseconds=100)
 
 
 class Failover:
@@ -39,10 +39,10 @@
         self._job_sync, self._machine_sync, self._fencing = job_sync, machine_sync, fencing
 
     async def run(self) -> None:
-        """Load the shard's members and jobs, then begin to fence the members; afterwards the leader is ready."""
-        await self._replica.wait_for_revision(self._shard.term)  # no write of the former leader comes after this
+        """Load the shard's members and jobs, mark the leader as ready, then begin to fence the members."""
+        await self._replica.wait_for_revision(self._shard.term)  # no write of the former leader has a later revision
         while not self._catalog:
-            await self._loop.sleep(CATALOG_RETRY)
+            await self._loop.sleep(CATALOG_RETRY_PAUSE)
         loaded_at = self._loop.now()
         self._load()
         self._status.ready = True
--- a/badgerroute/coordination/shards/fencing.py
+++ b/badgerroute/coordination/shards/fencing.py
@@ -1,4 +1,4 @@
-"""Fencing: machines of a shard learn its term, so that no former leader can command them any more."""
+"""Fencing: makes the machines of a shard learn its current term, after which they reject former leaders' commands."""
 
 import logging
 from collections.abc import Callable
@@ -13,13 +13,13 @@
 from badgerroute.transport.loop import Loop, TaskGroup
 
 log = logging.getLogger(__name__)
-FENCE_RETRY = timedelta(milliseconds=700)
-SILENCE_LIMIT = timedelta(seconds=3.5)  # a member that is silent for so long after a failover is deleted at the cloud
-LONG_SILENCE_LIMIT = 5 * SILENCE_LIMIT
+FENCE_RETRY_PAUSE = timedelta(milliseconds=700)
+SILENCE_TIMEOUT = timedelta(seconds=3.5)  # for answers after a failover; then the cloud is asked to delete the machine
+LONG_SILENCE_TIMEOUT = 5 * SILENCE_TIMEOUT  # while most members are silent
 
 
 class Fencing:
-    """Repeats an empty command to each machine until it has answered in the shard's term, or is gone."""
+    """Sends empty commands to each machine until it has answered in the shard's term, or has left the shard."""
 
     def __init__(
         self,
@@ -33,38 +33,38 @@
     ) -> None:
         self._shard, self._loop, self._group, self._commands = shard, loop, group, commands
         self._policy, self._delete_machines = policy, delete_machines
-        self._fencing: set[str] = set()
-        self._first_sent: dict[str, timedelta] = {}  # machine -> when the first command to it left
-        self._unresponsive: set[str] = set()  # machines whose deletion was asked for
+        self._being_fenced: set[str] = set()
+        self._silent_since: dict[str, timedelta] = {}  # machine -> when the first command to it was sent
+        self._unresponsive: set[str] = set()  # machines whose deletion was requested
 
     def fence(self, machine: Machine) -> None:
-        """Begin to fence a machine, unless that is under way."""
-        if machine.name not in self._fencing:
-            self._fencing.add(machine.name)
+        """Begin to fence a machine, unless that is in progress already."""
+        if machine.name not in self._being_fenced:
+            self._being_fenced.add(machine.name)
             self._group.spawn(self._fence(machine), f"fence-{machine.name}")
 
     async def _fence(self, machine: Machine) -> None:
-        """Repeat the command until the machine's task list is there and it can be reached, or it is gone."""
+        """Repeat the command until the machine is reachable and has sent its task list, or has left the shard."""
         try:
             while self._shard.machines.get(machine.name) is machine and (not machine.fenced or machine.unreachable):
-                # A command may wait seconds for its turn where there are thousands: that is no silence of the machine.
-                if not await self._commands.send(machine, [], leaves=partial(self._note_sent, machine)):
+                # Among thousands of commands, one may wait seconds for the semaphore: that does not count as silence.
+                if not await self._commands.send(machine, [], on_admitted=partial(self._record_sending, machine)):
                     self._delete_if_silent(machine)
-                    await self._loop.sleep(FENCE_RETRY)
+                    await self._loop.sleep(FENCE_RETRY_PAUSE)
         finally:
-            self._first_sent.pop(machine.name, None)
-            self._fencing.discard(machine.name)
+            self._silent_since.pop(machine.name, None)
+            self._being_fenced.discard(machine.name)
             self._unresponsive.discard(machine.name)
 
-    def _note_sent(self, machine: Machine) -> None:
-        self._first_sent.setdefault(machine.name, self._loop.now())
+    def _record_sending(self, machine: Machine) -> None:
+        self._silent_since.setdefault(machine.name, self._loop.now())
 
     def _delete_if_silent(self, machine: Machine) -> None:
         if not self._policy.allows(Action.GIVE_UP_MACHINE):
-            # A leader that its workers don't reach learns nothing of a machine by its silence. What it was silent for
-            # until now doesn't count later either.
-            self._first_sent[machine.name] = self._loop.now()
-        elif self._loop.now() - self._first_sent[machine.name] > self._silence_limit():
+            # A machine's silence proves nothing while this leader receives no heartbeats. Restart the timeout, so that
+            # the silence until now doesn't count later either.
+            self._silent_since[machine.name] = self._loop.now()
+        elif self._loop.now() - self._silent_since[machine.name] > self._silence_timeout():
             self._delete_unresponsive(machine)
 
     def _delete_unresponsive(self, machine: Machine) -> None:
@@ -74,9 +74,13 @@
             self._delete_machines([machine.name])
 
     def is_unresponsive(self, machine: Machine) -> bool:
-        """Whether a machine answered no command for so long that its deletion was asked for."""
+        """Whether a machine has left commands unanswered for so long that its deletion was requested."""
         return machine.name in self._unresponsive
 
-    def _silence_limit(self) -> timedelta:
-        """If most members are silent, the fault is more likely on our side: don't have them all deleted at once."""
-        return SILENCE_LIMIT if 2 * len(self._fencing) <= len(self._shard.machines) + 3 else LONG_SILENCE_LIMIT
+    def _silence_timeout(self) -> timedelta:
+        """Return how long a member may stay silent before its deletion is requested.
+
+        If most members are silent, the fault is more likely on this controller's side. The longer timeout then keeps
+        it from having all of them deleted at once.
+        """
+        return SILENCE_TIMEOUT if 2 * len(self._being_fenced) <= len(self._shard.machines) + 3 else LONG_SILENCE_TIMEOUT
--- a/badgerroute/coordination/shards/heartbeat_intake.py
+++ b/badgerroute/coordination/shards/heartbeat_intake.py
@@ -1,4 +1,4 @@
-"""Task lists of machines, taken into the shard, whether they come as heartbeats or as answers to commands."""
+"""Applies the task lists that machines send, in heartbeats or in answers to commands, to the state of the shard."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -10,11 +10,11 @@
 from badgerroute.scheduling.shard import Shard
 from badgerroute.transport.loop import Loop, TaskGroup
 
-QUARANTINE_DRAIN = timedelta(seconds=3)  # for the tasks of a quarantined machine to save their work
+QUARANTINE_DRAIN_TIME = timedelta(seconds=3)  # time for the tasks of a quarantined machine to save their work
 
 
 class HeartbeatIntake:
-    """Applies task lists to one shard, and retires machines that these show to fail everything."""
+    """Applies task lists to one shard, and retires machines on which, by these lists, every task fails."""
 
     def __init__(
         self,
@@ -29,9 +29,9 @@
         self._progress, self._delete_machines = progress, delete_machines
 
     def apply(self, machine: Machine, heartbeat: Heartbeat, periodic: bool) -> bool:
-        """Take in a machine's task list; whether it said anything new.
+        """Apply a machine's task list; return False if the list is outdated.
 
-        `periodic`: the machine sent it by itself, not as its answer to a command.
+        `periodic` is true for a heartbeat, and false for an answer to a command.
         """
         events = self._shard.on_heartbeat(machine, heartbeat, periodic, self._loop.now())
         if events is None:
@@ -41,12 +41,12 @@
         if not self._shard.reconciled:
             self._shard.reconcile()
         for quarantined in events.quarantined:
-            self._group.spawn(self._retire(quarantined), "retire")
+            self._group.spawn(self._retire_machine(quarantined), "retire")
         return True
 
-    async def _retire(self, machine: Machine) -> None:
-        """Drain a quarantined machine, then have it deleted: it fails everything, so it is worth nothing."""
+    async def _retire_machine(self, machine: Machine) -> None:
+        """Drain a quarantined machine, then have it deleted, since every task fails on it."""
         for placement in list(machine.placements.values()):
             self._shard.stop(placement, draining.save_time(placement.job))
-        await self._loop.sleep(QUARANTINE_DRAIN)
+        await self._loop.sleep(QUARANTINE_DRAIN_TIME)
         self._delete_machines([machine.name])
--- a/badgerroute/coordination/shards/heartbeat_responder.py
+++ b/badgerroute/coordination/shards/heartbeat_responder.py
@@ -1,4 +1,4 @@
-"""Answers to heartbeats: the only messages that carry starts."""
+"""Answers heartbeats. Start commands are sent in these answers only."""
 
 from datetime import timedelta
 from enum import Enum
@@ -18,20 +18,20 @@
 from badgerroute.storage.records import MachineRecord
 from badgerroute.transport.loop import Future, Loop
 
-REGISTER_LIMIT = timedelta(seconds=1)  # for a new member's record to be written, within the worker's own limit
+REGISTRATION_TIMEOUT = timedelta(seconds=1)  # for writing a new member's record; shorter than the worker's own timeout
 
 
 class HeartbeatRefusal(Enum):
-    """Why a heartbeat can't be acted on now. In each case the worker should try elsewhere, or again."""
+    """Why a heartbeat can't be processed now. In each case the worker should retry, here or at another controller."""
 
-    NOT_REGISTERED = "the machine is no member, and could not be made one"
-    TERM_OUTDATED = "the machine has seen a higher term, and would drop the answer"
-    NOT_ACTING = "the shard may not be acted for, or the machine left it meanwhile"
-    UNREACHABLE = "the machine's own address can't be reached, so that it can't be fenced"
+    NOT_REGISTERED = "the machine is not a member of the shard, and could not be registered"
+    TERM_OUTDATED = "the machine has seen a higher term, and would ignore the answer"
+    NOT_ACTING = "this controller may not act for the shard now, or the machine has left the shard meanwhile"
+    UNREACHABLE = "the machine's own address can't be reached, so the machine can't be fenced"
 
 
 class HeartbeatResponder:
-    """Answers the heartbeats of one shard's machines. `limit`: how long the planner may take for each."""
+    """Answers the heartbeats of one shard's machines. `planning_time_limit`: how long the planner may take for each."""
 
     def __init__(
         self,
@@ -45,17 +45,17 @@
         term_raiser: TermRaiser,
         fencing: Fencing,
         member_registry: MemberRegistry,
-        limit: timedelta,
+        planning_time_limit: timedelta,
     ) -> None:
         self._shard, self._planner, self._loop, self._policy = shard, planner, loop, policy
         self._catalog, self._intake, self._term_raiser = catalog, intake, term_raiser
-        self._fencing, self._member_registry, self._limit = fencing, member_registry, limit
+        self._fencing, self._member_registry, self._planning_time_limit = fencing, member_registry, planning_time_limit
 
     async def answer(self, heartbeat: Heartbeat, relayed: bool) -> HeartbeatResponse | HeartbeatRefusal:
-        """Take a heartbeat in, decide what its machine should do, and answer with the commands.
+        """Apply a heartbeat, choose the commands for its machine, and return them as the answer.
 
-        `relayed`: it came through a peer, which hands our answer to the worker. Everything after the last await
-        happens in one step, so that the permissions still hold when the commands are made.
+        `relayed`: the heartbeat came through a peer, which passes the answer on to the worker. Everything after the
+        last await runs in one step of the event loop, so that the permissions still hold when the commands are built.
         """
         machine = self._shard.machines.get(heartbeat.machine)
         if machine is None:
@@ -65,43 +65,46 @@
         if heartbeat.fencing_token > self._shard.term and not await self._term_raiser.raise_term():
             return HeartbeatRefusal.TERM_OUTDATED
         if heartbeat.fencing_token > self._shard.term:
-            return HeartbeatRefusal.TERM_OUTDATED  # a 200 would keep it here while its lease runs out
+            # After a 200 the machine would keep sending its heartbeats here until its lease expires.
+            return HeartbeatRefusal.TERM_OUTDATED
         acting = self._policy.allows_for(self._shard.number, Action.ANSWER_HEARTBEAT)
         if not acting or self._shard.machines.get(heartbeat.machine) is not machine:
             return HeartbeatRefusal.NOT_ACTING
         if machine.unreachable or self._fencing.is_unresponsive(machine):
-            # Each answer of ours would put off the time from which on it is certainly rid of its tasks.
+            # Each answer would renew the machine's lease, and so delay the time from which on it certainly no longer
+            # runs its tasks.
             self._fencing.fence(machine)
             return HeartbeatRefusal.UNREACHABLE
-        commands = self._decide(machine, heartbeat, relayed)
+        commands = self._choose_commands(machine, heartbeat, relayed)
         return HeartbeatResponse(self._shard.term, commands)
 
-    def _decide(self, machine: Machine, heartbeat: Heartbeat, relayed: bool) -> list[Command]:
-        """The commands for a machine that has just sent its task list; none if the list is an old copy."""
-        fresh = self._intake.apply(machine, heartbeat, periodic=True)
+    def _choose_commands(self, machine: Machine, heartbeat: Heartbeat, relayed: bool) -> list[Command]:
+        """Return the commands for a machine that has just sent its task list; none if the list is outdated."""
+        is_new = self._intake.apply(machine, heartbeat, periodic=True)
         now = self._loop.now()
-        starts = fresh and self._policy.allows_for(self._shard.number, Action.START)
-        if fresh and not relayed:
+        may_start = is_new and self._policy.allows_for(self._shard.number, Action.START)
+        if is_new and not relayed:
             machine.last_heartbeat = now
-        if starts:
-            is_over = deadline_check(self._loop, now + self._limit)
-            # Gangs first, and now: placed in the next round of their own, they would wait for one more heartbeat.
-            self._planner.gangs_on(machine, now, is_over)
-            self._planner.fill(machine, now, is_over)
-        commands = self._shard.commands(machine, now, starts=starts) if fresh else []
+        if may_start:
+            time_is_up = deadline_check(self._loop, now + self._planning_time_limit)
+            # Gangs come first, and are placed here rather than in the next scheduling round, after which their starts
+            # would have to wait for the machine's next heartbeat.
+            self._planner.gangs_on(machine, now, time_is_up)
+            self._planner.fill(machine, now, time_is_up)
+        commands = self._shard.commands(machine, now, starts=may_start) if is_new else []
         machine.answered = now
         if not machine.fenced or machine.unreachable:
             self._fencing.fence(machine)
         return commands
 
     async def _register(self, heartbeat: Heartbeat) -> Machine | None:
-        """Make a machine a member; None if its type is unknown, or it could not be written in time."""
+        """Register a machine as a member; None if its type is unknown, or its record was not written in time."""
         if heartbeat.type not in self._catalog or not self._policy.allows_for(self._shard.number, Action.ADD_MEMBER):
             return None
         record = MachineRecord(self._shard.number, heartbeat.address, heartbeat.type, heartbeat.zone, heartbeat.spot)
         written = self._member_registry.add(heartbeat.machine, record)
         self._member_registry.start()
-        await self._loop.first(written, REGISTER_LIMIT)
+        await self._loop.first(written, REGISTRATION_TIMEOUT)
         machine = self._shard.machines.get(heartbeat.machine)
         if machine is not None and _never_commanded(written, heartbeat):
             machine.never_commanded = True
@@ -109,8 +112,8 @@
 
 
 def _never_commanded(written: Future, heartbeat: Heartbeat) -> bool:
-    """Whether there is no former leader to fence off.
+    """Whether no former leader can have commanded the machine, so that none has to be fenced off.
 
-    If this leader made the machine a member, in this term, nobody has ever been entitled to start anything on it.
+    If this leader registered the machine, in this term, no other leader was ever allowed to start tasks on it.
     """
     return bool(written.done and written.result and not heartbeat.tasks and heartbeat.fencing_token == 0)
--- a/badgerroute/coordination/shards/leader_parts.py
+++ b/badgerroute/coordination/shards/leader_parts.py
@@ -198,7 +198,7 @@
         term_raiser=link.term_raiser,
         fencing=link.fencing,
         member_registry=member_registry,
-        limit=context.settings.operator.scheduling.round,
+        planning_time_limit=context.settings.operator.scheduling.round,
     )
 
 
--- a/badgerroute/coordination/shards/machine_commands.py
+++ b/badgerroute/coordination/shards/machine_commands.py
@@ -1,4 +1,4 @@
-"""Commands sent to machines' own addresses. Never starts: these go out in answers to heartbeats only."""
+"""Sends commands directly to machines' own addresses, except starts, which are sent in answers to heartbeats only."""
 
 import logging
 from collections.abc import Callable
@@ -15,17 +15,17 @@
 from badgerroute.transport.net import Network
 
 log = logging.getLogger(__name__)
-REQUEST_LIMIT = timedelta(seconds=2)
-CONNECT_LIMIT = timedelta(seconds=1)
-MAX_SENDS = 2  # the second in a higher term, if the first met a higher token
+REQUEST_TIMEOUT = timedelta(seconds=2)
+CONNECT_TIMEOUT = timedelta(seconds=1)
+MAX_SEND_ATTEMPTS = 2  # the second is sent in a higher term, if the machine had seen a higher fencing token
 ACCEPTED = 200
-TERM_OUTDATED = 409  # the machine has seen a higher fencing token; its task list comes all the same
+TERM_OUTDATED = 409  # the machine has seen a higher fencing token; the response has its task list too
 
 
 class MachineCommands:
-    """Sends commands to the machines of one shard, and takes in the task lists that they answer with.
+    """Sends commands to the machines of one shard, and applies the task lists in their responses.
 
-    `semaphore` bounds how many commands of the whole controller are under way.
+    `semaphore` bounds how many commands of the whole controller are in flight.
     """
 
     def __init__(
@@ -42,18 +42,22 @@
         self._term_raiser, self._intake = term_raiser, intake
 
     async def send(
-        self, machine: Machine, commands: list[Command], urgent: bool = False, leaves: Callable[[], None] | None = None
+        self,
+        machine: Machine,
+        commands: list[Command],
+        urgent: bool = False,
+        on_admitted: Callable[[], None] | None = None,
     ) -> bool:
-        """Send commands to a machine's own address; whether it accepted them in the shard's term.
+        """Send commands to a machine's own address; return whether it accepted them in the shard's term.
 
-        Starts are left out, since these may be carried out minutes late. `leaves` is called once the semaphore
-        admits the command, which may take seconds. No connection stays open afterwards: the leader of all shards has a
-        thousand members, each of which holds a connection to us already.
+        Starts are left out, since a direct command may arrive minutes late. `on_admitted` is called once the semaphore
+        admits the request, which may take seconds. The connection is closed afterwards: a controller that leads all
+        shards has a thousand members, each of which already keeps a connection to the controller open.
         """
         async with self._semaphore.acquire(urgent):
-            if leaves is not None:
-                leaves()
-            client = Client(self._loop, self._network, machine.address, most_idle=1, connect=CONNECT_LIMIT)
+            if on_admitted is not None:
+                on_admitted()
+            client = Client(self._loop, self._network, machine.address, most_idle=1, connect=CONNECT_TIMEOUT)
             try:
                 return await self._send(client, machine, commands)
             finally:
@@ -61,13 +65,13 @@
 
     async def _send(self, client: Client, machine: Machine, commands: list[Command]) -> bool:
         commands = [command for command in commands if command.kind != "start"]
-        for _ in range(MAX_SENDS):
+        for _ in range(MAX_SEND_ATTEMPTS):
             body = encode(DirectCommands(self._shard.term, machine.incarnation, commands))
             try:
-                response = await client.request("POST", "/do", body, REQUEST_LIMIT)
+                response = await client.request("POST", "/do", body, REQUEST_TIMEOUT)
             except NoAnswerError:
                 return False
-            heartbeat = self._heartbeat_of(machine, response)
+            heartbeat = self._parse_task_list(machine, response)
             if heartbeat is None:
                 return False
             self._intake.apply(machine, heartbeat, periodic=False)
@@ -77,8 +81,8 @@
                 return False
         return False
 
-    def _heartbeat_of(self, machine: Machine, response: Response) -> Heartbeat | None:
-        """The task list in a machine's answer; None if there is none, or none of this member."""
+    def _parse_task_list(self, machine: Machine, response: Response) -> Heartbeat | None:
+        """Return the task list in a machine's response; None if there is none, or it is not that of this member."""
         if response.status not in (ACCEPTED, TERM_OUTDATED):
             return None
         try:
--- a/badgerroute/coordination/shards/shard_leader.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -1,4 +1,4 @@
-"""The leader of one shard: built at its election, ended when leadership is lost."""
+"""The leader of one shard: created when this controller is elected, and closed when it loses the leadership."""
 
 from datetime import timedelta
 from functools import partial
@@ -12,15 +12,15 @@
 from badgerroute.protocol.mesh import ShardSummary
 from badgerroute.protocol.workers import Heartbeat, HeartbeatResponse
 
-ROUNDS_RESTART = timedelta(milliseconds=250)  # pause after a round of decisions that failed
-LOG_RESTART = timedelta(seconds=10)
+ROUNDS_RESTART_PAUSE = timedelta(milliseconds=250)  # after a scheduling round that failed
+STATE_LOG_RESTART_PAUSE = timedelta(seconds=10)
 
 
 class ShardLeader:
-    """Everything a controller does for one shard it leads. Ended by `close` when leadership is lost.
+    """Everything that a controller does for one shard that it leads, until `close` is called.
 
-    Invariants that safety rests on: a start is sent only in the answer to a heartbeat, and nothing is placed until
-    every member is fenced or provably rid of its tasks (`Shard.reconciled`).
+    Safety depends on two invariants: a start is sent only in the answer to a heartbeat, and no task is placed until
+    every member is fenced or provably no longer runs any task (`Shard.reconciled`).
     """
 
     def __init__(self, number: int, leadership: Leadership, context: LeaderContext) -> None:
@@ -44,11 +44,11 @@
         self.tombstone_writer = leader_parts.build_tombstone_writer(core)
         self._summaries = leader_parts.build_summary_cache(core)
 
-    # -- life
+    # -- life cycle
 
     @property
     def ready(self) -> bool:
-        """Whether the failover is complete, and the shard still led."""
+        """Whether the failover is complete and this leader is not closed."""
         return self._status.ready
 
     def start(self) -> None:
@@ -57,22 +57,22 @@
 
     async def _run(self) -> None:
         await self._failover.run()
-        self.group.run_forever(self._rounds.run, "rounds", ROUNDS_RESTART)
-        self.group.run_forever(partial(log_state_repeatedly, self._loop, self.shard), "tell", LOG_RESTART)
+        self.group.run_forever(self._rounds.run, "rounds", ROUNDS_RESTART_PAUSE)
+        self.group.run_forever(partial(log_state_repeatedly, self._loop, self.shard), "tell", STATE_LOG_RESTART_PAUSE)
 
     def close(self) -> None:
-        """End everything that is done for the shard; leadership is lost."""
+        """Stop all work for the shard, because this controller has lost the leadership."""
         self._status.ready = False
         self.group.cancel()
 
     # -- changes of stored records
 
     def machine_changed(self, name: str, value: bytes | None) -> None:
-        """A machine's record is new, changed or gone (None)."""
+        """Apply a machine's record that was created, changed or removed (None)."""
         self._machine_sync.machine_changed(name, value)
 
     def job_changed(self, ref: str) -> None:
-        """A job's record is new, changed or gone."""
+        """Apply a job's record that was created, changed or removed."""
         self._job_sync.job_changed(ref)
 
     # -- requests
@@ -80,31 +80,31 @@
     async def answer_heartbeat(
         self, heartbeat: Heartbeat, relayed: bool = False
     ) -> HeartbeatResponse | HeartbeatRefusal:
-        """Answer a heartbeat, or say why it can't be acted on now; see `HeartbeatResponder`."""
+        """Answer a heartbeat, or return why it can't be processed now; see `HeartbeatResponder`."""
         return await self._heartbeat_responder.answer(heartbeat, relayed)
 
     def take_progress(self) -> list[Progress]:
-        """Newly done tasks to be written now; see `ProgressBatch`."""
+        """Return the newly done tasks that are to be written now; see `ProgressBatch`."""
         return self._progress.take()
 
     def has_progress(self) -> bool:
-        """Whether newly done tasks are yet to be written."""
+        """Whether some newly done tasks are not written yet."""
         return self._progress.pending()
 
-    # -- readings
+    # -- measurements
 
     def idle_capacities(self) -> summary.IdleCapacity:
-        """The shard's free room, and the images cached on those machines."""
+        """Return the free capacity of the shard's machines, and the images that these machines cache."""
         return summary.idle_capacities(self.shard)
 
     def summary(self) -> ShardSummary:
-        """What the other shards need to know of this one; made anew a few times a second at most."""
+        """Return what the other shards need to know of this one; recomputed a few times a second at most."""
         return self._summaries.summary()
 
     def heartbeat_overdue(self, name: str) -> bool:
-        """Whether a machine is a member whose heartbeat should have come by now."""
+        """Whether a machine is a member of the shard and its heartbeat is overdue."""
         return self._summaries.heartbeat_overdue(name)
 
     def silent_machines(self) -> int:
-        """How many machines' heartbeats are overdue, if half of all or more are; made anew as seldom as a summary."""
+        """Return how many machines' heartbeats are overdue, or 0 if fewer than half are; cached like the summary."""
         return self._summaries.silent_machines()
--- a/badgerroute/coordination/shards/term_raiser.py
+++ b/badgerroute/coordination/shards/term_raiser.py
@@ -1,4 +1,4 @@
-"""Raises a shard's term when some machine has seen a higher fencing token than ours."""
+"""Raises a shard's term when a machine of the shard has seen a fencing token above the current term."""
 
 import logging
 from datetime import timedelta
@@ -9,33 +9,33 @@
 from badgerroute.transport.loop import Future, Loop
 
 log = logging.getLogger(__name__)
-RAISE_LIMIT = timedelta(seconds=1)  # for a caller that waits for another's attempt
+RAISE_WAIT_TIMEOUT = timedelta(seconds=1)  # for callers that wait for a raise that another caller began
 
 
 class TermRaiser:
-    """Raises one shard's term, with one attempt at a time for all that need it."""
+    """Raises the term of one shard. Concurrent callers share one raise."""
 
     def __init__(self, *, shard: Shard, loop: Loop, election: LeaderElection) -> None:
         self._shard, self._loop, self._election = shard, loop, election
-        self._attempt: Future | None = None  # under way; its result tells whether the term was raised
+        self._pending_raise: Future | None = None  # in progress; its result is whether the term was raised
 
     async def raise_term(self) -> bool:
-        """Get a term above the token that some machine has seen elsewhere; whether that succeeded."""
-        if self._attempt is not None:
-            # Whoever waits for another's attempt must learn how it went: an answer in the old term would be dropped
-            # by its machine, which stays here all the same while its lease runs out.
-            attempt = self._attempt
-            return await self._loop.first(attempt, RAISE_LIMIT) and attempt.result
-        self._attempt = Future()
+        """Get a term above the fencing token that a machine has seen elsewhere; return whether that succeeded."""
+        if self._pending_raise is not None:
+            # The caller must learn the result of the raise that it waits for: if the raise failed, the machine would
+            # ignore an answer in the old term, yet keep sending its heartbeats here until its lease expires.
+            pending_raise = self._pending_raise
+            return await self._loop.first(pending_raise, RAISE_WAIT_TIMEOUT) and pending_raise.result
+        self._pending_raise = Future()
         raised = False
         try:
             self._shard.term = await self._election.raise_term(self._shard.number)
             raised = True
         except LeadershipNotGainedError:
-            pass  # the old term stands, and the result says so
+            pass  # the old term stays, and the result is False
         except (StoreUnavailableError, OutcomeUnknownError, LeaseExpiredError) as error:
             log.info("event=term_raise_failed shard=%d error=%s", self._shard.number, error)
         finally:
-            self._attempt.set(raised)
-            self._attempt = None
+            self._pending_raise.set(raised)
+            self._pending_raise = None
         return raised
