--- a/badgerroute/coordination/shards/__init__.py
+++ b/badgerroute/coordination/shards/__init__.py
@@ -1,8 +1,9 @@
-"""The leader of a shard at work: failover, fencing, members, heartbeats, rounds, transfers, quota and progress.
+"""The leader of a shard: failover, fencing, members, heartbeats, scheduling rounds, transfers, quota and progress.
 
-Owns the keys `b/machines/MACHINE` (members) and `b/gone/SHARD/PAGE` (tombstones), the assignment of a job's tasks to
-shards in `b/jobs/JOB`, and everything that is in memory for a led shard. `shard_leaders` has all leaders of this
-controller, `shard_leader` is one of them, and `leader_parts` builds what it consists of. May import `transport`,
+Owns the keys `b/machines/MACHINE` (the members of shards) and `b/gone/SHARD/PAGE` (tombstones), the assignment of a
+job's tasks to shards in `b/jobs/JOB`, and all state in memory of a shard that this controller leads. `shard_leaders`
+has all leaders of this controller, `shard_leader` one of them, and `leader_parts` builds its components. A member of a
+shard is a machine that is registered in it. May import `transport`,
 `protocol`, `settings`, `storage`, `scheduling` and `connectivity`, and of `coordination` the packages `jobs`,
 `leadership` and `quotas`.
 """
--- a/badgerroute/coordination/shards/deadline.py
+++ b/badgerroute/coordination/shards/deadline.py
@@ -1,4 +1,4 @@
-"""How long a round of decisions may take, since nothing else of the process runs meanwhile."""
+"""Limits how long a scheduling round may take, since it blocks the event loop of the process."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -7,9 +7,9 @@
 
 
 def deadline_check(loop: Loop, deadline: timedelta) -> Callable[[], bool]:
-    """Tells when a deadline on the loop's clock has passed."""
+    """Return a function that tells whether a deadline on the event loop's clock has passed."""
 
-    def is_over() -> bool:
+    def has_passed() -> bool:
         return loop.now() > deadline
 
-    return is_over
+    return has_passed
--- a/badgerroute/coordination/shards/deadline_tiers.py
+++ b/badgerroute/coordination/shards/deadline_tiers.py
@@ -1,4 +1,4 @@
-"""Tiers of jobs that are not gangs: which of their due times each of them can still meet, given all the others."""
+"""Tiers of jobs that are not gangs: which of its due times each job can still meet, given the load of all others."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
@@ -13,20 +13,20 @@
 from badgerroute.settings import Team
 from badgerroute.storage.records import JobRecord
 
-STARVING_AFTER = timedelta(seconds=160)  # a job that has not begun by then comes first, however late it is
-STARVING_TIER = -1  # of such a job
+STARVING_AFTER = timedelta(seconds=160)  # if some tasks that could run have not started by then, the job comes first
+STARVING_TIER = -1  # the tier of such a job
 
 
 @dataclass(frozen=True, slots=True)
 class OpenWork:
-    """Unfinished jobs in the order of their arrival, whatever shards they lie in."""
+    """Unfinished jobs of all shards, in the order of their arrival."""
 
-    tasks_left: dict[str, int] = field(default_factory=dict)  # by job
-    guaranteed: dict[str, bool] = field(default_factory=dict)  # by job: whether it lies within its team's guarantee
+    tasks_left: dict[str, int] = field(default_factory=dict)  # by job reference
+    guaranteed: dict[str, bool] = field(default_factory=dict)  # by job reference: whether within the team's guarantee
 
 
 class DeadlineTiers:
-    """Works out the tier of each job: how many of its due times it will miss (see `deadline_feasibility`)."""
+    """Computes the tier of each job: how many of its due times it will miss (see `deadline_feasibility`)."""
 
     def __init__(
         self,
@@ -42,46 +42,49 @@
         self._capacity, self._leaders, self._summaries = capacity, leaders, summaries
 
     def compute(self, work: OpenWork, inherited_due: Mapping[str, float]) -> dict[str, float]:
-        """Job -> tier. `inherited_due`: job -> time of day by which its dependents need it."""
+        """Return the tiers by job.
+
+        `inherited_due`: by job, the time in seconds since 1970 by which the job must be complete for its dependents.
+        """
         processors = self._capacity.processors()
         running = self._running_tasks()
-        today = self._estimates.time_of_day()
+        current_time = self._estimates.time_of_day()
         failing = {job.ref for leader in self._leaders.values() for job in leader.shard.jobs.values() if job.failing}
-        groups: dict[tuple[int, bool], list[Load]] = {}  # by level, and whether within the guarantee
+        groups: dict[tuple[int, bool], list[Load]] = {}  # by negated priority level, and whether outside the guarantee
         starving: set[str] = set()
         for ref, tasks_left in work.tasks_left.items():
             record = self._job_store.active[ref]
             if record.job.gang or record.job.cpus <= 0 or ref in failing:
                 continue
             arrival = self._job_store.effective_arrival(ref, record)
-            age = timedelta(seconds=max(0.0, today - arrival))
-            at_once = self._tasks_at_once(record, processors)
-            begun = record.job.tasks - tasks_left + running.get(ref, 0)
-            if age > STARVING_AFTER and begun < min(record.job.tasks, at_once):
+            age = timedelta(seconds=max(0.0, current_time - arrival))
+            max_parallel = self._max_parallel_tasks(record, processors)
+            started = record.job.tasks - tasks_left + running.get(ref, 0)
+            if age > STARVING_AFTER and started < min(record.job.tasks, max_parallel):
                 starving.add(ref)
-            due = self._estimates.dues_left(record, age)
+            due = self._estimates.times_until_due(record, age)
             if ref in inherited_due:
-                due.append(timedelta(seconds=inherited_due[ref] - today))
+                due.append(timedelta(seconds=inherited_due[ref] - current_time))
             group = (-self._job_store.level(ref), not work.guaranteed[ref])
-            groups.setdefault(group, []).append(self._load(record, tasks_left, at_once, due))
-        found = tiers([groups[group] for group in sorted(groups)], processors)
-        found.update(dict.fromkeys(starving, STARVING_TIER))
-        return found
+            groups.setdefault(group, []).append(self._load(record, tasks_left, max_parallel, due))
+        tier_of_job = tiers([groups[group] for group in sorted(groups)], processors)
+        tier_of_job.update(dict.fromkeys(starving, STARVING_TIER))
+        return tier_of_job
 
     def _running_tasks(self) -> dict[str, int]:
-        """Job -> its tasks that run, in all shards."""
+        """Return how many tasks of each job run, in all shards."""
         running: dict[str, int] = {}
         for summary in self._summaries():
             for ref, count in summary.running.items():
                 running[ref] = running.get(ref, 0) + count
         return running
 
-    def _tasks_at_once(self, record: JobRecord, processors: float) -> int:
-        """How many of a job's tasks may run at once, by its team's limit and the fleet."""
+    def _max_parallel_tasks(self, record: JobRecord, processors: float) -> int:
+        """Return how many of a job's tasks may run at the same time, by its team's limit and the fleet's processors."""
         limit = min(processors, self._teams[record.job.team].limits[0])
         return max(1, int(limit / record.job.cpus))
 
-    def _load(self, record: JobRecord, tasks_left: int, at_once: int, due: list[timedelta]) -> Load:
+    def _load(self, record: JobRecord, tasks_left: int, max_parallel: int, due: list[timedelta]) -> Load:
         run_time = self._estimates.run_time(record)
-        waves = -(-tasks_left // at_once)
+        waves = -(-tasks_left // max_parallel)
         return Load(record.job.ref, tasks_left * record.job.cpus * run_time, waves * run_time, sorted(due))
--- a/badgerroute/coordination/shards/job_estimates.py
+++ b/badgerroute/coordination/shards/job_estimates.py
@@ -1,4 +1,4 @@
-"""How long jobs should take, and how long they have, by what the shards of this controller have seen."""
+"""Estimates how long jobs run, by the runs seen in the shards that this controller leads, and when they are due."""
 
 from collections.abc import Mapping
 from datetime import timedelta
@@ -13,7 +13,7 @@
 
 
 class JobEstimates:
-    """Estimates for jobs of which any shard, or none, may be led here."""
+    """Makes estimates for all jobs, including those with no task in a shard that this controller leads."""
 
     def __init__(
         self, *, loop: Loop, job_store: JobStore, leaders: Mapping[int, ShardLeader], objectives: Objectives
@@ -21,11 +21,14 @@
         self._loop, self._job_store, self._leaders, self._objectives = loop, job_store, leaders, objectives
 
     def time_of_day(self) -> float:
-        """Now, in seconds, as stored records have it."""
+        """Return the current time in seconds since 1970, as in stored records."""
         return self._loop.clock.today().timestamp()
 
     def run_time(self, record: JobRecord) -> timedelta:
-        """How long one of a job's tasks should run, corrected by how such jobs ran in our shards."""
+        """Return how long one of a job's tasks should run.
+
+        The user's estimate is corrected by the runs of the job's class in the shards that this controller leads.
+        """
         correction = 1.0
         for leader in self._leaders.values():
             correction = leader.shard.estimates.correction(record.job.job_class)
@@ -34,14 +37,14 @@
                 return delay_scheduling.run_time(job, correction)
         return timedelta(seconds=record.job.estimate_s * correction)
 
-    def dues_left(self, record: JobRecord, age: timedelta) -> list[timedelta]:
-        """How long a job of this age has until each of its due times; negative for those that have passed."""
+    def times_until_due(self, record: JobRecord, age: timedelta) -> list[timedelta]:
+        """Return how long a job of this age has until each of its due times; negative for those that have passed."""
         arrival = self._job_store.effective_arrival(record.job.ref, record)
         held_back = timedelta(seconds=arrival - record.accepted)
         return [due - age for due in self._objectives.due(record.job, held_back)]
 
     def time_left(self, record: JobRecord) -> timedelta:
-        """Until the next time by which the job should be complete; `timedelta.max` if there is none."""
+        """Return the time until the job's next due time; `timedelta.max` if there is none."""
         arrival = self._job_store.effective_arrival(record.job.ref, record)
         age = timedelta(seconds=self.time_of_day() - arrival)
-        return min((left for left in self.dues_left(record, age) if left > ZERO), default=timedelta.max)
+        return min((time for time in self.times_until_due(record, age) if time > ZERO), default=timedelta.max)
--- a/badgerroute/coordination/shards/job_sync.py
+++ b/badgerroute/coordination/shards/job_sync.py
@@ -1,4 +1,4 @@
-"""Stored records of jobs, taken into the shard in memory as the replica shows them."""
+"""Applies stored records of jobs, as the replica reports them, to the state of a shard in memory."""
 
 from datetime import timedelta
 
@@ -9,19 +9,22 @@
 
 
 class JobSync:
-    """Jobs of one shard. `window`: how far beyond its first unfinished task a job may start others."""
+    """Keeps the jobs of one shard up to date.
+
+    `window`: how far beyond its first unfinished task a job may start others.
+    """
 
     def __init__(self, *, shard: Shard, loop: Loop, job_store: JobStore, window: int) -> None:
         self._shard, self._loop, self._job_store, self._window = shard, loop, job_store, window
 
     def job_changed(self, ref: str) -> None:
-        """A job's record is new, changed or gone."""
+        """Apply a job's record that was created, changed or removed."""
         record = self._job_store.active.get(ref)
         if record is None:
             self._shard.drop_job(ref)
             return
         if self._job_store.waits(ref):
-            return  # until this controller itself has seen it released, nothing of it is there
+            return  # the job is not loaded before this controller itself has seen its release
         now = self._loop.now()
         arrival = self._job_store.effective_arrival(ref, record)
         age = timedelta(seconds=self._loop.clock.today().timestamp() - arrival)
--- a/badgerroute/coordination/shards/leader_context.py
+++ b/badgerroute/coordination/shards/leader_context.py
@@ -1,4 +1,4 @@
-"""What the leaders of one controller's shards share, grouped so that each component gets only what it needs."""
+"""What all shard leaders of one controller share, grouped so that each component gets only what it needs."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -27,33 +27,33 @@
     state: LeadershipState
     election: LeaderElection
     policy: ActionPolicy
-    resumed_at: Callable[[], timedelta]  # the end of this process's last pause
+    resumed_at: Callable[[], timedelta]  # when the process last resumed after a pause
 
 
 @dataclass(frozen=True, slots=True)
 class JobAccess:
-    """This controller's jobs, and how they are read and written."""
+    """The jobs that this controller knows of, and the components that read and write them."""
 
     job_store: JobStore
     job_reader: JobReader
     pager: RecordPager
     quota_allocator: QuotaAllocator
-    progressed: Callable[[], None]  # called when there is progress to be written
+    progressed: Callable[[], None]  # to be called when there is progress to be written
 
 
 @dataclass(frozen=True, slots=True)
 class MachineAccess:
-    """How machines are reached, and deleted."""
+    """What is needed to send commands to machines, and to have them deleted."""
 
     network: Network
-    semaphore: Semaphore  # how many commands may be on their way to machines at once
-    catalog: dict[str, MachineType]  # empty until it has been read
+    semaphore: Semaphore  # limits the commands that are in flight to machines
+    catalog: dict[str, MachineType]  # by name of the machine type; empty until it has been read
     delete_machines: Callable[[list[str]], None]
 
 
 @dataclass(frozen=True, slots=True)
 class PeerRequests:
-    """Requests to the leaders of all other shards."""
+    """Sends requests to the leaders of all other shards."""
 
     request_quota: Callable[[QuotaRequest], None]
     request_machines: Callable[[MachineRequest], None]
@@ -61,14 +61,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderContext:
-    """Everything that the leaders of one controller's shards share."""
+    """Everything that all shard leaders of one controller share."""
 
     settings: Settings
     loop: Loop
-    group: TaskGroup  # of the controller
+    group: TaskGroup  # that of the controller
     storage: ShardStorage
     leadership: LeadershipAccess
     jobs: JobAccess
     machines: MachineAccess
     peer_requests: PeerRequests
-    guidance: Callable[[int], Guidance]  # for a shard, by its number
+    guidance: Callable[[int], Guidance]  # returns the guidance for the shard with this number
--- a/badgerroute/coordination/shards/leader_parts.py
+++ b/badgerroute/coordination/shards/leader_parts.py
@@ -1,4 +1,4 @@
-"""Builds the components of a shard's leader, in the order in which they need each other."""
+"""Builds the components of a shard's leader, in the order of their dependencies."""
 
 from dataclasses import dataclass
 from functools import partial
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderCore:
-    """What every component of one leader is built from; `group` runs all its tasks."""
+    """What every component of one leader is built from. `group` runs all background tasks of the leader."""
 
     context: LeaderContext
     group: TaskGroup
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineLink:
-    """What sends commands to the shard's machines and takes their task lists in."""
+    """The components that send commands to the shard's machines and apply the task lists that these send."""
 
     progress: ProgressBatch
     intake: HeartbeatIntake
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShardExchanges:
-    """What is exchanged with the other shards."""
+    """The components that exchange tasks, gangs, machines and quota with the other shards."""
 
     work_stealing: WorkStealing
     gang_migration: GangMigration
@@ -66,7 +66,7 @@
 
 
 def build_core(number: int, leadership: Leadership, context: LeaderContext) -> LeaderCore:
-    """The shard as an empty model, its planner, and the task group of its leader."""
+    """Build the shard's state, which is still empty, its planner, and the task group of its leader."""
     settings = context.settings
     workers = settings.params.workers
     group = TaskGroup(context.loop, f"{context.group.name}/shard-{number}")
@@ -85,7 +85,7 @@
 
 
 def build_machine_link(core: LeaderCore) -> MachineLink:
-    """Commands, fencing and the intake of task lists."""
+    """Build the components that send commands, fence machines and apply task lists."""
     context, shard, loop, machines = core.context, core.shard, core.context.loop, core.context.machines
     progress = ProgressBatch(shard=shard, loop=loop, progressed=context.jobs.progressed)
     intake = HeartbeatIntake(
@@ -112,14 +112,14 @@
 
 
 def build_job_sync(core: LeaderCore) -> JobSync:
-    """What takes the records of jobs in."""
+    """Build the component that applies stored records of jobs to the shard."""
     context = core.context
     window = records.max_tasks_ahead(context.storage.store.max_value_bytes)
     return JobSync(shard=core.shard, loop=context.loop, job_store=context.jobs.job_store, window=window)
 
 
 def build_job_transfers(core: LeaderCore, job_sync: JobSync) -> JobTransfers:
-    """What gives tasks to other shards."""
+    """Build the component that transfers tasks to other shards."""
     context, jobs = core.context, core.context.jobs
     return JobTransfers(
         shard=core.shard,
@@ -135,7 +135,7 @@
 
 
 def build_exchanges(core: LeaderCore, job_transfers: JobTransfers) -> ShardExchanges:
-    """What decides on transfers of tasks, gangs, machines and quota."""
+    """Build the components that decide on transfers of tasks, gangs, machines and quota."""
     context, shard, loop, jobs = core.context, core.shard, core.context.loop, core.context.jobs
     leadership, storage = context.leadership, context.storage
     return ShardExchanges(
@@ -175,7 +175,7 @@
 
 
 def build_machine_sync(core: LeaderCore, gang_migration: GangMigration) -> MachineSync:
-    """What takes the records of machines in."""
+    """Build the component that applies stored records of machines to the shard."""
     context = core.context
     return MachineSync(
         shard=core.shard, loop=context.loop, catalog=context.machines.catalog, gang_migration=gang_migration
@@ -183,7 +183,7 @@
 
 
 def build_heartbeat_responder(core: LeaderCore, link: MachineLink) -> HeartbeatResponder:
-    """What answers heartbeats, and makes machines members at their first one."""
+    """Build the component that answers heartbeats, and registers machines at their first one."""
     context, leadership = core.context, core.context.leadership
     member_registry = MemberRegistry(
         loop=context.loop, group=core.group, leadership_state=leadership.state, storage=context.storage
@@ -205,7 +205,7 @@
 def build_scheduling_rounds(
     core: LeaderCore, link: MachineLink, quota_exchange: QuotaExchange, leadership: Leadership
 ) -> SchedulingRounds:
-    """The periodic decisions, with the expiry of machines and the urgent stops."""
+    """Build the periodic scheduling rounds, with the expiry of machines and the urgent stops."""
     context, shard = core.context, core.shard
     machine_expiry = MachineExpiry(
         settings=context.settings,
@@ -230,7 +230,7 @@
 
 
 def build_failover(core: LeaderCore, link: MachineLink, job_sync: JobSync, machine_sync: MachineSync) -> Failover:
-    """What carries the failover out."""
+    """Build the component that runs the failover."""
     context = core.context
     return Failover(
         shard=core.shard,
@@ -246,7 +246,7 @@
 
 
 def build_tombstone_writer(core: LeaderCore) -> TombstoneWriter:
-    """What removes deleted machines from the shard and writes their tombstones."""
+    """Build the component that removes deleted machines from the shard and writes their tombstones."""
     context = core.context
     return TombstoneWriter(
         shard=core.shard, loop=context.loop, storage=context.storage, leadership_state=context.leadership.state
@@ -254,7 +254,7 @@
 
 
 def build_summary_cache(core: LeaderCore) -> SummaryCache:
-    """The readings for other shards and for the rest of the controller."""
+    """Build the cache of the shard's summary, which other shards and the rest of the controller read."""
     context = core.context
     return SummaryCache(
         settings=context.settings,
--- a/badgerroute/coordination/shards/leader_status.py
+++ b/badgerroute/coordination/shards/leader_status.py
@@ -1,4 +1,4 @@
-"""Whether a shard's leader may act, as the parts of the leader ask before they write."""
+"""Whether the leader of a shard may act now; its components ask before they write."""
 
 from badgerroute.connectivity.modes import Action
 from badgerroute.coordination.leadership.action_policy import ActionPolicy
@@ -14,9 +14,9 @@
         self.ready = False
 
     def allows(self, action: Action) -> bool:
-        """Whether the action may be taken for the shard now, by this leader.
+        """Whether this leader may take the action for the shard now.
 
-        A leader that was closed must give nothing away, even if this controller leads the shard again: the new
-        leadership has a `ShardLeader` of its own.
+        A closed leader must not give tasks or machines to other shards, even if this controller leads the shard again:
+        the new leadership has a `ShardLeader` of its own.
         """
         return self.ready and self._policy.allows_for(self._shard, action)
--- a/badgerroute/coordination/shards/machine_expiry.py
+++ b/badgerroute/coordination/shards/machine_expiry.py
@@ -1,4 +1,4 @@
-"""Machines that are lost or taken back: their leases run out, they are deleted, or their work is moved in time."""
+"""Handles machines that are lost or preempted: expires their leases, has them deleted, or moves their tasks in time."""
 
 import logging
 from collections.abc import Callable
@@ -13,12 +13,12 @@
 from badgerroute.settings import Settings
 
 log = logging.getLogger(__name__)
-LOST_LIMIT = timedelta(seconds=4)  # after which a lost machine that stays silent is deleted
-LONG_LOST_LIMIT = 5 * LOST_LIMIT  # if so many are lost that the fault may be on our side
+SILENCE_TIMEOUT = timedelta(seconds=4)  # a lost machine that stays silent for longer is deleted
+LONG_SILENCE_TIMEOUT = 5 * SILENCE_TIMEOUT  # while so many are lost that the fault may be on this controller's side
 
 
 class MachineExpiry:
-    """Expires machines of one shard. `grace`: for how long a former leader may still have acted after our election."""
+    """Expires the leases of one shard's machines. `grace`: how long a former leader may act after the election."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         self._evacuation_margin = 2 * settings.params.workers.heartbeat_interval
 
     def expire(self, now: timedelta) -> None:
-        """Give up tasks of machines whose lease has surely run out, and have machines deleted that stay lost."""
+        """Reclaim the tasks of machines whose lease has certainly expired, and have machines deleted that stay lost."""
         lost = self._shard.expire(now, self._leadership_state.last_confirmed, self._machine_lease, self._grace)
         for machine in lost:
             machine.lost_at = now
@@ -47,20 +47,24 @@
         self._delete_lost(now)
 
     def _delete_lost(self, now: timedelta) -> None:
-        """Only machines that stay silent: when we could not answer for a while, all come back by themselves."""
+        """Have machines deleted that stay silent after their lease has expired.
+
+        The timeout lets machines come back first: after a time in which this controller could not answer, all do so by
+        themselves.
+        """
         lost_since = {
             machine.name: machine.lost_at
             for machine in self._shard.machines.values()
             if not machine.alive and machine.lost_at is not None
         }
-        few = 3 * len(lost_since) <= len(self._shard.machines) + 3
-        limit = LOST_LIMIT if few else LONG_LOST_LIMIT
-        names = [name for name, lost_at in lost_since.items() if now - lost_at > limit]
+        few_lost = 3 * len(lost_since) <= len(self._shard.machines) + 3
+        timeout = SILENCE_TIMEOUT if few_lost else LONG_SILENCE_TIMEOUT
+        names = [name for name, lost_at in lost_since.items() if now - lost_at > timeout]
         if names and self._policy.allows_for(self._shard.number, Action.GIVE_UP_MACHINE):
             self._delete_machines(names)
 
     def evacuate_preempted(self, now: timedelta) -> None:
-        """Use the time that is left of machines that the cloud takes back."""
+        """Evacuate the spot machines that have a preemption notice, in the time that they have left."""
         for machine in self._shard.machines.values():
             if machine.preemption_notice is not None:
                 plan = draining.Evacuation(machine.preemption_notice, self._evacuation_margin, patient=False)
--- a/badgerroute/coordination/shards/machine_sync.py
+++ b/badgerroute/coordination/shards/machine_sync.py
@@ -1,4 +1,4 @@
-"""Stored records of machines, taken into the shard in memory as the replica shows them."""
+"""Applies stored records of machines, as the replica reports them, to the state of a shard in memory."""
 
 from badgerroute.coordination.shards.gang_migration import GangMigration
 from badgerroute.protocol.cloud import MachineType
@@ -9,7 +9,7 @@
 
 
 class MachineSync:
-    """Members of one shard."""
+    """Keeps the members of one shard up to date."""
 
     def __init__(
         self, *, shard: Shard, loop: Loop, catalog: dict[str, MachineType], gang_migration: GangMigration
@@ -17,7 +17,7 @@
         self._shard, self._loop, self._catalog, self._gang_migration = shard, loop, catalog, gang_migration
 
     def machine_changed(self, name: str, value: bytes | None) -> None:
-        """A machine's record is new, changed or gone (None)."""
+        """Apply a machine's record that was created, changed or removed (None)."""
         now = self._loop.now()
         record = records.read(value, MachineRecord) if value else None
         member = self._shard.machines.get(name)
@@ -25,7 +25,7 @@
             if member is not None:
                 self._shard.remove_machine(name, now)
             return
-        kind = self._catalog.get(record.type)
-        if member is None and kind is not None:
-            machine = self._shard.add_machine(name, record, kind, now)
+        machine_type = self._catalog.get(record.type)
+        if member is None and machine_type is not None:
+            machine = self._shard.add_machine(name, record, machine_type, now)
             machine.reserved_for = self._gang_migration.gang_to_hold_for(now)
--- a/badgerroute/coordination/shards/member_registry.py
+++ b/badgerroute/coordination/shards/member_registry.py
@@ -1,4 +1,4 @@
-"""New members of a shard, written to the key-value store before the first start is sent to them."""
+"""Registers new members of a shard: writes their records to the key-value store before any start is sent to them."""
 
 import logging
 from dataclasses import dataclass, field
@@ -15,12 +15,12 @@
 from badgerroute.transport.loop import Future, Loop, TaskGroup
 
 log = logging.getLogger(__name__)
-BATCH_DELAY = timedelta(milliseconds=20)  # machines that come up together are written together
+BATCH_DELAY = timedelta(milliseconds=20)  # so that machines that start together are written together
 
 
 @dataclass(frozen=True, slots=True)
 class _Registration:
-    """A new member's record; the future tells whether it was written."""
+    """A new member's record. The result of the future is whether it was written."""
 
     record: MachineRecord
     written: Future = field(default_factory=Future)
@@ -35,32 +35,32 @@
         self._loop, self._group, self._leadership_state = loop, group, leadership_state
         self._storage, self._replica, self._store = storage, storage.replica, storage.store
         self._queue: dict[str, _Registration] = {}  # by machine
-        self._running = False
+        self._writing = False
 
     def add(self, name: str, record: MachineRecord) -> Future:
-        """Queue a new member; the future tells whether its record was written."""
+        """Queue a new member. The result of the returned future is whether its record was written."""
         registration = self._queue.get(name)
         if registration is None:
             registration = self._queue[name] = _Registration(record)
         return registration.written
 
     def start(self) -> None:
-        """Begin to write what is queued, unless that is under way."""
-        if not self._running and self._queue:
-            self._running = True
-            self._group.spawn(self._run(), "registrar")
+        """Begin to write the queued records, unless that is in progress already."""
+        if not self._writing and self._queue:
+            self._writing = True
+            self._group.spawn(self._write_queue(), "registrar")
 
-    async def _run(self) -> None:
+    async def _write_queue(self) -> None:
         try:
             await self._loop.sleep(BATCH_DELAY)
             while self._queue:
                 names = list(self._queue)[: self._store.max_changes]
-                await self._register({name: self._queue.pop(name) for name in names})
+                await self._register_batch({name: self._queue.pop(name) for name in names})
         finally:
-            self._running = False
+            self._writing = False
 
-    async def _register(self, batch: dict[str, _Registration]) -> None:
-        """Write one batch, and tell whoever waits for its members."""
+    async def _register_batch(self, batch: dict[str, _Registration]) -> None:
+        """Write one batch of records, and set the futures of its members."""
         written: set[str] = set()
         try:
             written = await self._write({name: registration.record for name, registration in batch.items()})
@@ -71,7 +71,10 @@
                 registration.written.set(name in written)
 
     async def _write(self, batch: dict[str, MachineRecord]) -> set[str]:
-        """The members that were written: those of our shards that have no record yet. All of them or none."""
+        """Write the records of machines that belong to a shard led here and have none yet; return the names written.
+
+        Either all of these are written or none.
+        """
         batch = {
             name: record
             for name, record in batch.items()
@@ -85,12 +88,12 @@
         try:
             await self._storage.write(conditions, changes, Urgency.SUBMIT)
         except CompareFailedError as error:
-            await self._read_again(error.failed)
+            await self._refresh_replica(error.failed)
             raise
         return set(batch)
 
-    async def _read_again(self, keys: list[str]) -> None:
-        """Take what stands at keys that were not as expected into the replica."""
+    async def _refresh_replica(self, keys: list[str]) -> None:
+        """Read the current values of keys whose compares failed into the replica."""
         for key in keys:
             item = await self._store.get(key, Urgency.SUBMIT)
             if item is not None:
--- a/badgerroute/coordination/shards/shard_leaders.py
+++ b/badgerroute/coordination/shards/shard_leaders.py
@@ -1,4 +1,4 @@
-"""The shards that this controller leads: one `ShardLeader` each, from its election until leadership is lost."""
+"""The shards that this controller leads: one `ShardLeader` each, from its election until it loses the leadership."""
 
 import logging
 from collections.abc import Iterable, Iterator
@@ -14,9 +14,9 @@
 
 
 class ShardLeaders(dict[int, ShardLeader]):
-    """Shard number -> its leader, and the notifications that concern all of them.
+    """Maps shard numbers to their leaders, and forwards notifications to these.
 
-    Leaders that are not ready yet are not notified: their failover loads everything as it is then.
+    Leaders that are not ready yet are not notified, since their failover loads the current state when it runs.
     """
 
     def __init__(self, group: TaskGroup) -> None:
@@ -24,62 +24,62 @@
         self._group = group
 
     def ready(self) -> Iterator[ShardLeader]:
-        """The leaders whose failover is complete."""
+        """Iterate over the leaders whose failover is complete."""
         return (leader for leader in self.values() if leader.ready)
 
     def job_changed(self, ref: str) -> None:
-        """A job's record, progress or release has changed."""
+        """Tell the ready leaders that a job's record or progress has changed, or that it was released."""
         for leader in self.ready():
             leader.job_changed(ref)
 
     def job_released(self, ref: str) -> None:
-        """A job no longer waits for others."""
+        """Tell the ready leaders that a job no longer waits for upstream jobs."""
         self.job_changed(ref)
 
     def job_record_changed(self, key: str, value: bytes | None, revision: int) -> None:
-        """Listener of the replica, for keys under `JOBS`."""
+        """Handle a change that the replica reports of a key under `JOBS`."""
         self.job_changed(key.removeprefix(JOBS))
 
     def done_page_changed(self, key: str, value: bytes | None, revision: int) -> None:
-        """Listener of the replica, for keys under `DONE`."""
+        """Handle a change that the replica reports of a key under `DONE`."""
         self.job_changed(key.removeprefix(DONE).rpartition("/")[0])
 
     def machine_record_changed(self, key: str, value: bytes | None, revision: int) -> None:
-        """Listener of the replica, for keys under `MACHINES`."""
+        """Handle a change that the replica reports of a key under `MACHINES`."""
         for leader in self.ready():
             leader.machine_changed(key.removeprefix(MACHINES), value)
 
     def machines_deleted(self, names: list[str]) -> None:
-        """Have machines that the cloud says are gone removed, and remembered by the leaders of their shards."""
+        """Have the leaders of their shards remove machines that the cloud has deleted, and write their tombstones."""
         members = {name for leader in self.values() for name in leader.shard.machines}
         for index, leader in enumerate(list(self.values())):
-            # A machine that never was a member is remembered by any one of our shards.
+            # The tombstone of a machine that never was a member may be written by any shard: the first is used.
             deleted = [name for name in names if name in leader.shard.machines or (index == 0 and name not in members)]
             if deleted:
-                self._group.spawn(leader.tombstone_writer.forget(deleted), "forget")
+                self._group.spawn(leader.tombstone_writer.remove_machines(deleted), "forget")
 
 
 class MachineDeletion(Protocol):
-    """Deletes machines, when their turn comes."""
+    """The queue of machines that are to be deleted at the cloud."""
 
     def cancel(self, names: Iterable[str]) -> None:
-        """These machines are not to be deleted after all."""
+        """Remove machines from the queue, since they are no longer to be deleted."""
 
 
 class LeaderLifecycle:
-    """Begins and ends leaders as shards are won and lost; what a lost shard wanted deleted is left alone."""
+    """Starts leaders of shards that are won, and closes those of shards that are lost and cancels their deletions."""
 
     def __init__(self, leaders: ShardLeaders, context: LeaderContext, deletion: MachineDeletion) -> None:
         self._leaders, self._context, self._deletion = leaders, context, deletion
 
     def elected(self, shard: int, leadership: Leadership) -> None:
-        """This controller has won a shard: begin the failover."""
+        """Begin the failover of a shard that this controller has won."""
         leader = ShardLeader(shard, leadership, self._context)
         self._leaders[shard] = leader
         leader.start()
 
     def deposed(self, shard: int) -> None:
-        """This controller has lost a shard, if it led it: end everything that is done for it."""
+        """Close the leader of a shard that this controller has lost, if it had one."""
         leader = self._leaders.pop(shard, None)
         if leader is not None:
             log.info("event=shard_released shard=%d", shard)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -213,7 +213,7 @@
     day.run(8)
     leader = day.controllers[HOSTS[0]][0].leaders[0]
     names = [f"host-9{number:05d}" for number in range(deleted)]
-    day.loop.run(day.loop.spawn(leader.tombstone_writer.forget(names), "forget"))
+    day.loop.run(day.loop.spawn(leader.tombstone_writer.remove_machines(names), "forget"))
     day.run(2)
     pages = {key: value[0] for key, value in day.store.items.items() if key.startswith("b/gone/0/")}
     kept = {name for page in pages.values() for name in page["names"]}
--- a/tests/test_left_waiting.py
+++ b/tests/test_left_waiting.py
@@ -152,7 +152,7 @@
 
     def forget(name: str) -> None:
         day.site.remove_worker(name)
-        day.group.spawn(leader.tombstone_writer.forget([name]), "forget")
+        day.group.spawn(leader.tombstone_writer.remove_machines([name]), "forget")
 
     day.store.late_writes, day.store.late_by = 1.0, (8.0, 9.0)
     day.loop.later(SECOND / 2, lambda: setattr(day.store, "late_writes", 0.0))
