--- a/badgerroute/coordination/shards/deadline_tiers.py
+++ b/badgerroute/coordination/shards/deadline_tiers.py
@@ -13,7 +13,7 @@
 from badgerroute.settings import Team
 from badgerroute.storage.records import JobRecord
 
-STARVING_AFTER = timedelta(seconds=160)  # if some tasks that could run have not started by then, the job comes first
+STARVING_AFTER = timedelta(seconds=160)  # a job older than this, with tasks still not started, comes first
 STARVING_TIER = -1  # the tier of such a job
 
 
--- a/badgerroute/coordination/shards/leader_context.py
+++ b/badgerroute/coordination/shards/leader_context.py
@@ -65,10 +65,10 @@
 
     settings: Settings
     loop: Loop
-    group: TaskGroup  # that of the controller
+    group: TaskGroup  # for background tasks of the controller itself
     storage: ShardStorage
     leadership: LeadershipAccess
     jobs: JobAccess
     machines: MachineAccess
     peer_requests: PeerRequests
-    guidance: Callable[[int], Guidance]  # returns the guidance for the shard with this number
+    guidance: Callable[[int], Guidance]  # called with a shard's number
--- a/badgerroute/coordination/shards/shard_leaders.py
+++ b/badgerroute/coordination/shards/shard_leaders.py
@@ -67,7 +67,10 @@
 
 
 class LeaderLifecycle:
-    """Starts leaders of shards that are won, and closes those of shards that are lost and cancels their deletions."""
+    """Starts the leader of a shard that is won, and closes that of a shard that is lost.
+
+    Deletions that the leader of a lost shard requested are cancelled, since its successor decides about the machines.
+    """
 
     def __init__(self, leaders: ShardLeaders, context: LeaderContext, deletion: MachineDeletion) -> None:
         self._leaders, self._context, self._deletion = leaders, context, deletion
