--- a/badgerroute/coordination/shards/deadline_tiers.py
+++ b/badgerroute/coordination/shards/deadline_tiers.py
@@ -13,7 +13,7 @@
 from badgerroute.settings import Team
 from badgerroute.storage.records import JobRecord
 
-STARVING_AFTER = timedelta(seconds=160)  # a job older than this, with tasks still not started, comes first
+STARVING_AFTER = timedelta(seconds=160)  # a job older than this with unstarted tasks comes first, however late it is
 STARVING_TIER = -1  # the tier of such a job
 
 
