--- a/badgerroute/coordination/shards/job_transfers.py
+++ b/badgerroute/coordination/shards/job_transfers.py
@@ -1,7 +1,7 @@
-"""Transfers of tasks to other shards: the leader that owns tasks gives them away, in one conditional write.
+"""Transfers of tasks to other shards: the leader that owns the tasks reassigns them in one conditional write.
 
-A task belongs to one shard at any time. It is out of reach here from before the write until its outcome is known, so
-that it can't start in both shards.
+Each task belongs to exactly one shard. While its reassignment is being written, and until the outcome is known, this
+shard doesn't start it, so that it can't run in both shards.
 """
 
 import logging
@@ -27,19 +27,19 @@
 from badgerroute.transport.loop import Loop, TaskGroup
 
 log = logging.getLogger(__name__)
-RECONCILE_RETRY = timedelta(milliseconds=500)
+RECONCILE_RETRY_INTERVAL = timedelta(milliseconds=500)
 
 
 class Reassignment(NamedTuple):
-    """A job, and its record with some of this shard's tasks assigned to another shard."""
+    """A job, and its new record, in which some of this shard's tasks are assigned to another shard."""
 
     ref: str
     record: records.JobRecord
 
 
 @dataclass(frozen=True, slots=True)
-class _ReservedWrite:
-    """The write of a reassignment, with the tasks that are out of reach for it, as a bit set."""
+class _TransferWrite:
+    """The write of one job's reassignment, and the tasks that are withheld from placement for it, as a bit set."""
 
     job: Job
     tasks: int
@@ -69,13 +69,18 @@
         self._job_reader, self._pager, self._job_sync = job_reader, pager, job_sync
 
     async def write(self, reassignments: list[Reassignment], receiver: int) -> None:
-        """Give tasks of one or more jobs to another shard, all in one transaction or none.
+        """Reassign tasks of one or more jobs to another shard in a single transaction.
 
-        A lost or failed write costs time only: the tasks stay here, or are out of reach until the outcome is certain.
+        If the write fails, the tasks stay in this shard. If its outcome is unknown, they are placed in neither shard
+        until the outcome is certain.
         """
         if not self._status.allows(Action.GIVE_WORK):
-            return  # the leadership ended while an earlier write of the same round was on its way
-        writes = [write for each in reassignments if (write := self._reserve(each.ref, each.record)) is not None]
+            return  # the leadership ended while an earlier write of the same round was in flight
+        writes = [
+            write
+            for reassignment in reassignments
+            if (write := self._withhold(reassignment.ref, reassignment.record)) is not None
+        ]
         if not writes:
             return
         number = self._shard.number
@@ -83,7 +88,7 @@
         changes = [write.put for write in writes]
         result = await self._storage.try_write(conditions, changes, Urgency.PROGRESS)
         if result.outcome is WriteOutcome.UNKNOWN:
-            # It may yet be applied: the tasks stay out of reach until another write has reconciled the key.
+            # The write may still be applied: withhold the tasks until another write of the key rules that out.
             for write in writes:
                 self._group.spawn(self._reconcile(write.job, write.tasks), "settle-steal")
             return
@@ -95,32 +100,33 @@
             if result.condition_failed:
                 await self._refresh([change.key for change in changes])
         for write in writes:
-            self._release(write.job, write.tasks)
+            self._end_transfer(write.job, write.tasks)
 
-    def _reserve(self, ref: str, record: records.JobRecord) -> _ReservedWrite | None:
-        """Put a job's tasks out of reach for the write that gives them away; None if they can't be given now."""
+    def _withhold(self, ref: str, record: records.JobRecord) -> _TransferWrite | None:
+        """Withhold a job's tasks from placement for their reassignment, or return None if it isn't possible now."""
         job = self._shard.jobs.get(ref)
         if job is None:
             return None
         if not self._pager.fits(record):
-            # An older version may have left it larger than may be written now: it is transferred once it is smaller.
+            # An older version may have written a record that exceeds the current size limit. The job can be
+            # transferred once paging has made its record smaller.
             self._group.spawn(self._pager.page_out(ref), "page-out")
             return None
         tasks = job.owned & ~record.owned(self._shard.number)
         if tasks & (job.placed_bits | job.in_transfer):
-            # A task that was placed, or is already being given away, since the choice was made would run in both
-            # shards: choices are made before other writes of the same round, which take their time.
+            # Since the tasks were chosen, one was placed or became part of another transfer, so it could run in both
+            # shards. This happens because other writes of the same round may be awaited after the choice.
             return None
-        # Nothing of it starts here while the write is on its way. What this shard owns may be read from the record
-        # again meanwhile, by the reconciliation of an earlier write for instance, so taking it off `owned` is not
-        # enough.
+        # No task in `in_transfer` starts here while the write is in flight. Removing the tasks from `owned` would not
+        # be enough: `owned` may be read from the stored record again meanwhile, for example when an earlier write is
+        # reconciled.
         job.in_transfer |= tasks
         key = JOBS + ref
         condition = compare(key, self._replica.revision_of(key))
-        return _ReservedWrite(job, tasks, condition, put(key, records.write(record)))
+        return _TransferWrite(job, tasks, condition, put(key, records.write(record)))
 
-    def _release(self, job: Job, tasks: int) -> None:
-        """The outcome is known, and so is what this shard owns."""
+    def _end_transfer(self, job: Job, tasks: int) -> None:
+        """End a transfer whose outcome is known, and read from the job's record which tasks this shard owns."""
         job.in_transfer &= ~tasks
         self._job_sync.job_changed(job.ref)
 
@@ -131,15 +137,15 @@
             log.debug("event=job_refresh_failed")
 
     async def _reconcile(self, job: Job, tasks: int) -> None:
-        """Rewrite a job's record as it is, so that a lost transaction can't be applied any more."""
+        """Rewrite a job's record unchanged, so that a transaction of unknown outcome can no longer be applied."""
         key = JOBS + job.ref
         while True:
             try:
                 item = await self._store.get(key, Urgency.COMPLETE)
                 if item is None:
-                    return  # it has its final state: the watch drops it
+                    return  # the job has reached its final state: the watch removes it from the shard
                 await self._storage.write([compare(key, item.revision)], [put(key, item.value)], Urgency.COMPLETE)
-                self._release(job, tasks)
+                self._end_transfer(job, tasks)
                 return
             except WRITE_ERRORS:
-                await self._loop.sleep(RECONCILE_RETRY)
+                await self._loop.sleep(RECONCILE_RETRY_INTERVAL)
--- a/badgerroute/coordination/shards/machine_transfers.py
+++ b/badgerroute/coordination/shards/machine_transfers.py
@@ -21,7 +21,7 @@
 from badgerroute.transport.loop import Loop, TaskGroup
 
 log = logging.getLogger(__name__)
-RECONCILE_RETRY = timedelta(milliseconds=500)
+RECONCILE_RETRY_INTERVAL = timedelta(milliseconds=500)
 
 
 class MachineTransfers:
@@ -108,4 +108,4 @@
                 machine.draining = False
                 return
             except WRITE_ERRORS:
-                await self._loop.sleep(RECONCILE_RETRY)
+                await self._loop.sleep(RECONCILE_RETRY_INTERVAL)
--- a/badgerroute/coordination/shards/progress_batch.py
+++ b/badgerroute/coordination/shards/progress_batch.py
@@ -1,4 +1,4 @@
-"""Progress of one shard's jobs that is yet to be written to the key-value store."""
+"""Progress of one shard's jobs that has not been written to the key-value store yet."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -7,27 +7,31 @@
 from badgerroute.scheduling.shard import Shard
 from badgerroute.transport.loop import Loop
 
-PARTIAL_INTERVAL = timedelta(seconds=3)  # between two writes of a job's progress, unless it may be complete
+# Minimum time between two writes of a job's progress. Progress that may complete the job is written at once.
+PARTIAL_WRITE_INTERVAL = timedelta(seconds=3)
 
 
 class ProgressBatch:
-    """Collects jobs with newly done tasks; `progressed` is called when there are some more."""
+    """Collects jobs with newly done tasks and calls `progressed` each time jobs are added."""
 
     def __init__(self, *, shard: Shard, loop: Loop, progressed: Callable[[], None]) -> None:
         self._shard, self._loop, self._progressed = shard, loop, progressed
         self._jobs: set[str] = set()
 
     def add(self, jobs: set[str]) -> None:
-        """Note jobs of which tasks are newly done."""
+        """Add jobs that have newly done tasks."""
         self._jobs |= jobs
         self._progressed()
 
     def pending(self) -> bool:
-        """Whether anything is yet to be written."""
+        """Return whether any progress has not been written yet."""
         return bool(self._jobs)
 
     def take(self) -> list[Progress]:
-        """The progress to write now: at once if it may complete a job, else once in a while."""
+        """Return the progress to write now.
+
+        Progress that may complete a job is returned at once, other progress at most once per interval and job.
+        """
         batch = []
         now = self._loop.now()
         for ref in list(self._jobs):
@@ -35,8 +39,8 @@
             if job is None or not job.done_here:
                 self._jobs.discard(ref)
                 continue
-            last = not job.owned & ~(job.done | job.done_here)
-            if last or now - job.written >= PARTIAL_INTERVAL:
+            may_complete = not job.owned & ~(job.done | job.done_here)
+            if may_complete or now - job.written >= PARTIAL_WRITE_INTERVAL:
                 job.written = now
                 batch.append(Progress(ref, job.done_here, {self._shard.number}))
         return batch
--- a/badgerroute/coordination/shards/progress_flusher.py
+++ b/badgerroute/coordination/shards/progress_flusher.py
@@ -16,9 +16,9 @@
 
 
 class ProgressFlusher:
-    """Merges the progress of the shards that one job lies in, and writes it.
+    """Merges the progress of each job over the shards of this controller, and writes it.
 
-    `leadership_check` is the condition under which a shard is ours.
+    `leadership_check` returns the condition under which this controller leads a shard.
     """
 
     def __init__(
@@ -36,11 +36,11 @@
         self._requested = Future()
 
     def progressed(self) -> None:
-        """There is progress to be written."""
+        """Request a write: a shard has new progress."""
         self._requested.set()
 
     async def run(self) -> None:
-        """Write progress in batches: at once when a job may be complete, else once in a while."""
+        """Write the progress that the shards return, in batches, until the task is cancelled."""
         while True:
             await self._requested
             self._requested = Future()
@@ -54,29 +54,29 @@
             await self._loop.sleep(FLUSH_INTERVAL)
 
     async def _write(self) -> None:
-        merged = self._merged()
+        merged = self._merge_progress()
         if merged:
-            batch = sorted(merged.values(), key=self._order)
+            batch = sorted(merged.values(), key=self._write_order)
             await self._progress_writer.write_progress(batch, self._leadership_check)
 
-    def _merged(self) -> dict[str, Progress]:
-        """The progress to write now, by job: tasks of one job may be done in several of our shards."""
+    def _merge_progress(self) -> dict[str, Progress]:
+        """Return the progress to write now, by job; a job may have tasks in several shards of this controller."""
         merged: dict[str, Progress] = {}
         for leader in self._leaders.values():
             for progress in leader.take_progress():
-                earlier = merged.get(progress.ref)
-                if earlier is None:
+                existing = merged.get(progress.ref)
+                if existing is None:
                     merged[progress.ref] = progress
                 else:
-                    earlier.done |= progress.done
-                    earlier.shards |= progress.shards
+                    existing.done |= progress.done
+                    existing.shards |= progress.shards
         return merged
 
-    def _order(self, progress: Progress) -> tuple[int, timedelta]:
-        """Jobs that are complete come first, and of these the ones that will soon be late.
+    def _write_order(self, progress: Progress) -> tuple[int, timedelta]:
+        """Return the sort key of a write: fewest unfinished tasks first, then least time left.
 
-        Writing a thousand small jobs that end together may take minutes: larger ones that were done in time must not
-        be recorded as done too late.
+        Complete jobs thus come first, those closest to their deadline before others. Writing a thousand small jobs
+        that end together may take minutes, and a larger job that was done in time must not be recorded as late.
         """
         record = self._job_store.active.get(progress.ref)
         if record is None:
--- a/badgerroute/coordination/shards/quota_exchange.py
+++ b/badgerroute/coordination/shards/quota_exchange.py
@@ -1,4 +1,4 @@
-"""Quota exchange: how a shard gets quota of teams' limits, and what it gives of its own to other shards."""
+"""Quota exchange: how a shard obtains quota within teams' limits, and how much of its own it gives to other shards."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,13 +14,14 @@
 from badgerroute.scheduling.shard import Shard
 from badgerroute.transport.loop import Loop
 
-RESERVATION_TTL = timedelta(seconds=2.5)  # what another shard lacks is asked for every second
-UNEVEN = 0.15  # of our quota: what we may use more than a shard whose jobs are our equals
+RESERVATION_TTL = timedelta(seconds=2.5)  # outlasts the 1 s after which a shard that lacks quota asks again
+# A shard yields quota to jobs of equal rank only if it would have to yield more than this fraction of its own quota.
+MIN_YIELDED_FRACTION = 0.15
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaShortage:
-    """What jobs of one rank lack together of their team's limit, and the age of the oldest."""
+    """The quota that a team's jobs of one rank lack in total, and the age of the oldest of these jobs."""
 
     rank: tuple[float, float, float]
     lack: Resources
@@ -28,7 +29,7 @@
 
 
 class QuotaExchange:
-    """Exchanges one shard's quota with the others; `request_quota` asks all of them."""
+    """Exchanges quota between one shard and the others; `request_quota` sends a request to all of them."""
 
     def __init__(
         self,
@@ -44,19 +45,19 @@
         self._policy, self._quota_allocator = policy, quota_allocator
         self._request_quota = request_quota
 
-    async def seek(self) -> None:
-        """Take what the shard's teams lack from what no shard holds, or ask the other shards for it."""
+    async def acquire_missing_quota(self) -> None:
+        """Allocate the quota that teams lack in this shard from what no shard holds, or ask the other shards for it."""
         for team, lack in self._planner.collect_quota_shortfalls().items():
             if await self._quota_allocator.allocate(self._shard.number, team, lack):
                 continue
-            shortage = self._first_shortage(team)
+            shortage = self._top_ranked_shortage(team)
             if shortage is None:
                 continue
             used = self._shard.usage[team].cpus
-            if self._quota_allocator.begin_request(self._shard.number, team):
-                self._request_quota(self._request(team, shortage, used))
+            if self._quota_allocator.try_begin_request(self._shard.number, team):
+                self._request_quota(self._build_request(team, shortage, used))
 
-    def _request(self, team: str, shortage: QuotaShortage, used_cpus: float) -> QuotaRequest:
+    def _build_request(self, team: str, shortage: QuotaShortage, used_cpus: float) -> QuotaRequest:
         return QuotaRequest(
             self._shard.number,
             team,
@@ -67,8 +68,8 @@
             used_cpus,
         )
 
-    def _first_shortage(self, team: str) -> QuotaShortage | None:
-        """What those of a team's jobs lack that come first in the order of service; None if none lacks quota."""
+    def _top_ranked_shortage(self, team: str) -> QuotaShortage | None:
+        """Return what the first of a team's jobs in the order of service lack, or None if no job lacks quota."""
         waiting = [
             job for job in self._shard.jobs.values() if job.spec.team == team and self._shard.short_of_quota(job)
         ]
@@ -77,16 +78,18 @@
         rank = min(self._planner.rank(job) for job in waiting)
         now = self._loop.now()
         lack = Resources()
-        first = [job for job in waiting if self._planner.rank(job) == rank]
-        for job in first:
+        top_ranked = [job for job in waiting if self._planner.rank(job) == rank]
+        for job in top_ranked:
             count = job.startable
             lack.cpus += count * job.need.cpus
             lack.accelerators += count * job.need.accelerators
-        return QuotaShortage(rank, lack, max(now - job.accepted for job in first))
+        return QuotaShortage(rank, lack, max(now - job.accepted for job in top_ranked))
 
     async def grant(self, message: QuotaRequest) -> None:
-        """Another shard lacks quota: give it what is neither used nor soon usable here, or what its jobs need
-        before ours.
+        """Give quota to another shard that lacks it.
+
+        It gets the quota that this shard neither uses nor could use soon. If its jobs come first in the order of
+        service, it also gets quota that jobs of this shard could use.
         """
         team = message.team
         if not self._shard.reconciled or not self._policy.allows_for(self._shard.number, Action.MOVE_QUOTA):
@@ -97,39 +100,40 @@
         unused = Resources(cpus - used.cpus, accelerators - used.accelerators)
         yielded = self._quota_to_yield(message, lack, unused)
         if yielded is None:
-            unused.take(self._usable_soon(message))
+            unused.take(self._usable_by_waiting_jobs(message))
         else:
             lack = yielded
         await self._quota_allocator.transfer(self._shard.number, message.shard, team, lack, unused)
 
-    def _usable_soon(self, message: QuotaRequest) -> Resources:
-        """What a team's jobs that wait here could use of this shard's quota."""
+    def _usable_by_waiting_jobs(self, message: QuotaRequest) -> Resources:
+        """Return how much of this shard's quota the team's jobs that wait here could use."""
         usable = Resources()
         for job in self._shard.jobs.values():
             if job.spec.team != message.team:
                 continue
-            if self._shard.short_of_quota(job) and self._is_older(message, job):
-                # What is kept for it here does not suffice either: what there is goes to the older one, so that no two
-                # gangs wait for ever, each with a fraction of the limit that is too small for it.
+            if self._shard.short_of_quota(job) and self._requester_is_older(message, job):
+                # The quota held here is too small for this job as well, so leave it to the requester's older job.
+                # Otherwise two gangs could wait for ever, each with a part of the limit that is too small for it.
                 continue
             count = job.startable
             if count:
-                room = self._shard.room_for(job)
-                usable.cpus += min(count, room) * job.need.cpus
-                usable.accelerators += min(count, room) * job.need.accelerators
+                fitting = self._shard.room_for(job)
+                usable.cpus += min(count, fitting) * job.need.cpus
+                usable.accelerators += min(count, fitting) * job.need.accelerators
         return usable
 
-    def _is_older(self, message: QuotaRequest, job: Job) -> bool:
-        """Whether the requester's oldest job has waited longer than ours; among equals the lower shard is first."""
+    def _requester_is_older(self, message: QuotaRequest, job: Job) -> bool:
+        """Return whether the requester's oldest job is older than a job of this shard; ties go to the lower shard."""
         age_s = (self._loop.now() - job.accepted).total_seconds()
         return (message.age_s, -message.shard) > (age_s, -self._shard.number)
 
     def _quota_to_yield(self, message: QuotaRequest, lack: Resources, unused: Resources) -> Resources | None:
-        """How much quota another shard should have though work waits for it here; None: nothing.
+        """Return how much quota another shard gets although jobs wait for it here, or None if it gets none.
 
-        All that it lacks, if its jobs come before ours; if they are equal, so much that both use the same. What is not
-        free yet is kept for it as our tasks end. Without this a shard would keep quota for as long as it has work,
-        while urgent jobs wait in another shard.
+        If the other shard's jobs come first in the order of service, it gets all that it lacks. If they rank equally,
+        it gets enough for both shards to use the same amount. Quota that is still in use is reserved for it as tasks
+        end here. Without this rule, a shard would keep its quota for as long as it has work while urgent jobs wait in
+        another shard.
         """
         ranks = [
             self._planner.rank(job)
@@ -141,20 +145,23 @@
         wanted = lack.copy()
         if message.rank == min(ranks):
             surplus = self._surplus(message)
-            if surplus <= UNEVEN * self._quota_allocator.usable_quota(self._shard.number, message.team).cpus:
+            if (
+                surplus
+                <= MIN_YIELDED_FRACTION * self._quota_allocator.usable_quota(self._shard.number, message.team).cpus
+            ):
                 return None
             wanted = Resources(min(wanted.cpus, surplus), wanted.accelerators)
         self._reserve_missing(message.team, wanted, unused)
         return wanted
 
     def _surplus(self, message: QuotaRequest) -> float:
-        """Processors that this shard would have to give so that both use the same."""
-        # What is reserved for a peer is free by now, but not for our jobs.
+        """Return how many processors this shard would have to give for both to use the same number."""
+        # Count quota that is reserved for another shard: it is unused by now, but not available to this shard's jobs.
         reserved, _ = self._shard.quota.reserved_for_peers.get(message.team, (Resources(), ZERO))
         return (self._shard.usage[message.team].cpus + reserved.cpus - message.used) / 2
 
     def _reserve_missing(self, team: str, wanted: Resources, unused: Resources) -> None:
-        """Keep what is wanted beyond the unused quota for the other shard, as our tasks end."""
+        """Reserve the part of `wanted` that exceeds the unused quota, to be given as this shard's tasks end."""
         used = self._shard.usage[team]
         missing = Resources(
             min(max(0.0, wanted.cpus - unused.cpus), used.cpus),
--- a/badgerroute/coordination/shards/scheduling_rounds.py
+++ b/badgerroute/coordination/shards/scheduling_rounds.py
@@ -1,4 +1,4 @@
-"""The periodic round of decisions for a shard; the others are made with each heartbeat."""
+"""The periodic scheduling round of a shard; other decisions are made on each heartbeat."""
 
 from datetime import timedelta
 
@@ -16,7 +16,7 @@
 
 
 class SchedulingRounds:
-    """Runs the rounds of one shard. `limit`: how long the planner may take in each."""
+    """Runs the scheduling rounds of one shard; `limit` is the time that the planner may take in each."""
 
     def __init__(
         self,
@@ -35,26 +35,26 @@
         self._quota_exchange, self._limit = quota_exchange, limit
 
     async def run(self) -> None:
-        """Decide a few times a second, while tasks of the shard may be stopped at all."""
+        """Run a round every `ROUND_INTERVAL` for as long as this controller may stop tasks of the shard."""
         while True:
             await self._loop.sleep(ROUND_INTERVAL)
             if not self._policy.allows_for(self._shard.number, Action.STOP):
                 continue
-            self._decide(self._loop.now())
+            self._run_round(self._loop.now())
             if self._policy.allows_for(self._shard.number, Action.MOVE_QUOTA):
-                await self._quota_exchange.seek()
+                await self._quota_exchange.acquire_missing_quota()
 
-    def _decide(self, now: timedelta) -> None:
-        """One round, in one step: losses first, then room for what waits, then the stops that follow from it."""
-        is_over = deadline_check(self._loop, now + self._limit)
+    def _run_round(self, now: timedelta) -> None:
+        """Run one round without awaiting: expire lost machines, place or preempt for waiting jobs, then send stops."""
+        out_of_time = deadline_check(self._loop, now + self._limit)
         self._machine_expiry.expire(now)
         self._machine_expiry.evacuate_preempted(now)
         self._shard.expire_reservations(now)
         self._shard.reconcile()
         self._planner.release_reservations(now)
         if self._policy.allows_for(self._shard.number, Action.START):
-            self._planner.gangs(now, is_over)
-            if not is_over():
-                self._planner.preempt_for_arrays(now, is_over)
+            self._planner.gangs(now, out_of_time)
+            if not out_of_time():
+                self._planner.preempt_for_arrays(now, out_of_time)
         self._planner.feedback(now)
         self._urgent_stops.send()
--- a/badgerroute/coordination/shards/work_stealing.py
+++ b/badgerroute/coordination/shards/work_stealing.py
@@ -1,4 +1,4 @@
-"""Work stealing: what an idle shard asks for, and what a busy one gives it."""
+"""Work stealing: when an idle shard needs work, and which tasks a busy shard gives to an idle one."""
 
 from datetime import timedelta
 from typing import NamedTuple
@@ -16,13 +16,14 @@
 from badgerroute.storage.records import JobRecord
 from badgerroute.transport.loop import Loop
 
-MAX_RANGES = 48
+MAX_RANGES = 48  # a job whose tasks are split into more ranges is not stolen from
 MAX_JOBS_PER_STEAL = 6
-GANG_PATIENCE = timedelta(seconds=30)  # a gang that has waited longer, and does not fit, keeps no room from others
+# A gang that has waited longer and does not fit no longer keeps its shard from stealing work for the free capacity.
+GANG_WAIT_LIMIT = timedelta(seconds=30)
 
 
 class _JobShape(NamedTuple):
-    """What decides which free room a job's tasks could use."""
+    """The requirements that decide which free capacity a job's tasks can use."""
 
     cpus: float
     accelerators: float
@@ -33,13 +34,13 @@
 
     @classmethod
     def of(cls, job: Job) -> "_JobShape":
-        """The shape of a job's tasks."""
+        """Return the requirements of a job's tasks."""
         spec = job.spec
         return cls(spec.cpus, spec.accelerators, spec.memory_gb, spec.zone, spec.spot, tuple(spec.types or ()))
 
 
 class WorkStealing:
-    """One shard as the thief, and as the victim."""
+    """The part of one shard in work stealing, both as the thief and as the victim."""
 
     def __init__(
         self,
@@ -55,23 +56,23 @@
         self._job_store, self._status, self._job_transfers = job_store, status, job_transfers
 
     def teams_lacking_quota(self) -> set[str]:
-        """Teams of which work waits here for want of quota: more of it would wait just as long."""
+        """Return the teams whose jobs wait here for lack of quota: stolen tasks of these teams would wait as well."""
         return {job.spec.team for job in self._shard.jobs.values() if self._shard.short_of_quota(job)}
 
     def has_work_for(self, capacities: list[FreeCapacity], teams_lacking_quota: set[str]) -> bool:
-        """Whether something waits here that the free room could soon be used for.
+        """Return whether a task that waits here could soon use the free capacity.
 
-        A job that no machine here may run, that its team's limit holds back, or that fails everywhere does not count:
-        the room would stay idle while other shards' tasks wait for some.
+        Jobs don't count if no machine here may run them, if their team's limit holds them back or if their tasks have
+        failed: the capacity would stay idle while tasks of other shards wait for it.
         """
         now = self._loop.now()
-        seen: set[_JobShape] = set()  # jobs come in few shapes
+        seen: set[_JobShape] = set()  # many jobs share few shapes, so each shape is checked once
         for job in self._shard.jobs.values():
             if job.failing or job.failed_on or job.spec.team in teams_lacking_quota:
                 continue
             if not job.startable or job.blocked_until > now:
                 continue
-            if job.gang and now - job.since > GANG_PATIENCE and not holds_whole_job(job, capacities):
+            if job.gang and now - job.since > GANG_WAIT_LIMIT and not holds_whole_job(job, capacities):
                 continue
             shape = _JobShape.of(job)
             if shape not in seen:
@@ -81,12 +82,12 @@
         return False
 
     async def on_steal(self, message: StealRequest) -> None:
-        """An idle shard wants work: give it tasks that wait here and fit there, in one conditional write."""
+        """Answer an idle shard's request: reassign tasks that wait here and fit there, in one conditional write."""
         if not self._shard.reconciled or not self._status.allows(Action.GIVE_WORK):
             return
         selection = StealSelection(self._shard, message.capacities, message.images, self._loop.now())
         reassignments: list[Reassignment] = []
-        for job in self._by_precedence():
+        for job in self._jobs_by_precedence():
             if len(reassignments) >= min(MAX_JOBS_PER_STEAL, self._store.max_changes):
                 break
             record = self._job_store.active.get(job.ref)
@@ -99,7 +100,7 @@
         if reassignments:
             await self._job_transfers.write(reassignments, message.thief)
 
-    def _by_precedence(self) -> list[Job]:
+    def _jobs_by_precedence(self) -> list[Job]:
         precedence = self._shard.guidance.precedence
         return sorted(
             self._shard.jobs.values(),
