--- a/badgerroute/coordination/quotas/quota_allocation.py
+++ b/badgerroute/coordination/quotas/quota_allocation.py
@@ -1,4 +1,4 @@
-"""Values of the quota arithmetic: what one shard holds of a team's limit, and what all shards hold of it."""
+"""Values for quota arithmetic: the part of a team's limit allocated to one shard, and the parts of all shards."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -6,56 +6,56 @@
 from badgerroute.scheduling.resources import EPSILON, Resources
 from badgerroute.storage.records import QuotaRecord
 
-DECIMALS = 6  # that are stored
+STORED_DECIMALS = 6
 
 
 class QuotaAllocation(NamedTuple):
-    """Processors and accelerators. Stored as a list of these two numbers."""
+    """An amount of processors and accelerators, stored as a list of these two numbers."""
 
     cpus: float = 0.0
     accelerators: float = 0.0
 
     def increased_by(self, amount: "QuotaAllocation") -> "QuotaAllocation":
-        """The sum of both."""
+        """Return the sum of both allocations."""
         return QuotaAllocation(self.cpus + amount.cpus, self.accelerators + amount.accelerators)
 
     def reduced_by(self, amount: "QuotaAllocation") -> "QuotaAllocation":
-        """What is left without an amount; it may be negative."""
+        """Return the difference, which may be negative."""
         return QuotaAllocation(self.cpus - amount.cpus, self.accelerators - amount.accelerators)
 
     def minimum(self, other: "QuotaAllocation") -> "QuotaAllocation":
-        """The lower number of each kind."""
+        """Return the lower number of processors and the lower number of accelerators."""
         return QuotaAllocation(min(self.cpus, other.cpus), min(self.accelerators, other.accelerators))
 
     def exceeds(self, limit: "QuotaAllocation") -> bool:
-        """Whether there is more than the limit of either kind, rounding errors aside."""
+        """Return whether either number is above the limit by more than a rounding error."""
         return self.cpus > limit.cpus + EPSILON or self.accelerators > limit.accelerators + EPSILON
 
     def covers(self, needed: Resources) -> bool:
-        """Whether there is as much as is needed of both kinds, rounding errors aside."""
+        """Return whether both numbers suffice, apart from rounding errors."""
         return self.cpus >= needed.cpus - EPSILON and self.accelerators >= needed.accelerators - EPSILON
 
     def is_negligible(self) -> bool:
-        """Whether there is nothing of either kind, rounding errors aside."""
+        """Return whether both numbers are zero, apart from rounding errors."""
         return self.cpus <= EPSILON and self.accelerators <= EPSILON
 
     def rounded(self) -> "QuotaAllocation":
-        """As it is stored."""
-        return QuotaAllocation(round(self.cpus, DECIMALS), round(self.accelerators, DECIMALS))
+        """Return the allocation rounded to the precision in which it is stored."""
+        return QuotaAllocation(round(self.cpus, STORED_DECIMALS), round(self.accelerators, STORED_DECIMALS))
 
 
 NO_QUOTA = QuotaAllocation()
 
 
 def available_part(needed: Resources, available: Resources) -> QuotaAllocation:
-    """As much of what is needed as is available, of each kind; never negative."""
+    """Return the lower of the needed and the available amount, separately for each resource; never negative."""
     return QuotaAllocation(
         max(0.0, min(needed.cpus, available.cpus)), max(0.0, min(needed.accelerators, available.accelerators))
     )
 
 
 class TeamAllocations:
-    """What each shard holds of one team's limit. Immutable."""
+    """The allocations of one team's limit to all shards. Immutable."""
 
     __slots__ = ("_by_shard",)
 
@@ -63,23 +63,24 @@
         self._by_shard = {shard: QuotaAllocation(*stored) for shard, stored in record.allocations.items()}
 
     def of_shard(self, shard: int) -> QuotaAllocation:
-        """What a shard holds."""
+        """Return a shard's allocation."""
         return self._by_shard.get(str(shard), NO_QUOTA)
 
     def total(self) -> QuotaAllocation:
-        """What all shards hold together."""
-        held = self._by_shard.values()
+        """Return the sum of all shards' allocations."""
+        allocations = self._by_shard.values()
         return QuotaAllocation(
-            sum(allocation.cpus for allocation in held), sum(allocation.accelerators for allocation in held)
+            sum(allocation.cpus for allocation in allocations),
+            sum(allocation.accelerators for allocation in allocations),
         )
 
     def replaced(self, allocations: Mapping[int, QuotaAllocation]) -> "TeamAllocations":
-        """The same with other allocations for some shards."""
+        """Return a copy in which some shards have the given allocations."""
         rounded = {str(shard): allocation.rounded() for shard, allocation in allocations.items()}
         return TeamAllocations(QuotaRecord({**self._by_shard, **rounded}))
 
     def record(self) -> QuotaRecord:
-        """As it is stored."""
+        """Return the record in which the allocations are stored."""
         return QuotaRecord(dict(self._by_shard))
 
 
--- a/badgerroute/coordination/quotas/quota_allocator.py
+++ b/badgerroute/coordination/quotas/quota_allocator.py
@@ -1,8 +1,8 @@
 """Allocation of teams' quotas to shards.
 
-The shards' allocations of a team never exceed its limit together. A shard's leader starts tasks only within the shard's
-allocation. It raises that from what no shard holds, and lowers it, or transfers some to another shard, only by what is
-unused.
+The sum of all shards' allocations of a team never exceeds the team's limit. A shard's leader starts tasks only within
+the shard's allocation. It increases the allocation only by quota that no shard holds, and transfers only unused quota
+to another shard.
 """
 
 import logging
@@ -19,25 +19,25 @@
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
-REQUEST_INTERVAL = timedelta(seconds=1)
+REQUEST_INTERVAL = timedelta(seconds=1)  # between two requests of a shard to its peers for a team's quota
 
 
 class ShardLeaderships(Protocol):
-    """Which shards this controller leads."""
+    """The shards that this controller leads."""
 
     @property
     def leaderships(self) -> Container[int]:
-        """Their numbers."""
+        """Return the numbers of these shards."""
 
     def condition(self, shard: int) -> Compare:
-        """The condition of a write that this controller leads a shard, which it does as far as it knows."""
+        """Return the condition, for a write, that this controller still leads a shard that it believes it leads."""
 
 
 class QuotaAllocator:
     """Reads and changes the allocations of the shards that this controller leads.
 
-    `_transferring` has, while a transfer is being written, what is left to the shard that gives: from then on nothing
-    may start within the quota that is given away, though the write may not be applied yet.
+    While a transfer is being written, `_transferring` holds the giving shard's remaining allocation. No task may start
+    within the transferred quota from then on, even though the write may not have been applied yet.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
     # -- queries
 
     def usable_quota(self, shard: int, team: str) -> QuotaAllocation:
-        """How much a shard may use for a team; infinite where the team has no limit."""
+        """Return how much a shard may use for a team; infinite for a resource that the team has no limit for."""
         allocation = self._allocation(shard, team)
         limit = self._limits.get(team)
         if limit is None or inf not in limit:
@@ -63,47 +63,50 @@
         )
 
     def _allocation(self, shard: int, team: str) -> QuotaAllocation:
-        """What a shard holds; while some of it is being transferred, without that."""
+        """Return a shard's allocation, without the part that is being transferred to another shard."""
         allocation = self._quota_store.allocations(team).of_shard(shard)
         remaining = self._transferring.get((shard, team))
         return allocation if remaining is None else allocation.minimum(remaining)
 
     def _unallocated(self, team: str) -> Resources:
-        """What no shard holds of a team's limit."""
+        """Return the part of a team's limit that no shard holds."""
         return Resources(*self._limits[team].reduced_by(self._quota_store.allocations(team).total()))
 
-    def _without_unlimited(self, team: str, lack: Resources) -> Resources:
-        """What is lacking, without the kinds that the team has no limit for."""
+    def _limited_only(self, team: str, shortfall: Resources) -> Resources:
+        """Return the shortfall with zero for each resource that the team has no limit for."""
         limit = self._limits[team]
         return Resources(
-            0.0 if limit.cpus == inf else lack.cpus, 0.0 if limit.accelerators == inf else lack.accelerators
+            0.0 if limit.cpus == inf else shortfall.cpus, 0.0 if limit.accelerators == inf else shortfall.accelerators
         )
 
     # -- changes
 
-    async def allocate(self, shard: int, team: str, lack: Resources) -> bool:
-        """Raise a shard's allocation by what it lacks, as far as no shard holds it; whether all of it was there."""
+    async def allocate(self, shard: int, team: str, shortfall: Resources) -> bool:
+        """Increase a shard's allocation by its shortfall, as far as unallocated quota goes.
+
+        Returns whether there was enough unallocated quota for all of the shortfall.
+        """
         if not self._may_write(team):
             return False
-        lack = self._without_unlimited(team, lack)
-        increase = available_part(lack, self._unallocated(team))
+        shortfall = self._limited_only(team, shortfall)
+        increase = available_part(shortfall, self._unallocated(team))
         if not increase.is_negligible():
             await self._write(team, shard, {shard: self._allocation(shard, team).increased_by(increase)})
-        return increase.covers(lack)
+        return increase.covers(shortfall)
 
-    def begin_request(self, shard: int, team: str) -> bool:
-        """Whether a shard may ask its peers for a team's quota now. If so, not again before REQUEST_INTERVAL."""
+    def try_begin_request(self, shard: int, team: str) -> bool:
+        """Return whether a shard may ask its peers for a team's quota now, and if so start the REQUEST_INTERVAL."""
         now = self._loop.now()
         if now - self._requested_at.get((shard, team), -REQUEST_INTERVAL) < REQUEST_INTERVAL:
             return False
         self._requested_at[shard, team] = now
         return True
 
-    async def transfer(self, giver: int, taker: int, team: str, lack: Resources, surplus: Resources) -> None:
-        """Move quota from a shard of this controller to another one that lacks it; `surplus` is what can be spared."""
+    async def transfer(self, giver: int, taker: int, team: str, shortfall: Resources, surplus: Resources) -> None:
+        """Move quota from a shard of this controller to another shard: the shortfall, but at most the surplus."""
         if not self._may_write(team) or giver == taker:
             return
-        amount = available_part(self._without_unlimited(team, lack), surplus)
+        amount = available_part(self._limited_only(team, shortfall), surplus)
         if amount.is_negligible():
             return
         remaining = self._allocation(giver, team).reduced_by(amount)
@@ -119,7 +122,7 @@
         return team in self._teams and team not in self._quota_store.writing
 
     async def _write(self, team: str, writer: int, changed: dict[int, QuotaAllocation]) -> bool:
-        """Change some shards' allocations in the name of the shard `writer`; whether it was written."""
+        """Write some shards' allocations as the leader of the shard `writer`; return whether they were written."""
         if writer not in self._leadership_state.leaderships:
             return False
         leadership = self._leadership_state.condition(writer)
--- a/badgerroute/coordination/quotas/quota_store.py
+++ b/badgerroute/coordination/quotas/quota_store.py
@@ -1,4 +1,4 @@
-"""The quota records: one key per team, which holds the allocations of all shards, so that their sum can be checked."""
+"""The quota records: one key per team with the allocations of all shards, so that a write can check their sum."""
 
 import logging
 from datetime import timedelta
@@ -19,20 +19,20 @@
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
-RETRY_PAUSE = timedelta(milliseconds=300)
+READ_BACK_RETRY_INTERVAL = timedelta(milliseconds=300)
 
 
 class ChangePublisher(Protocol):
-    """Is given every write of this controller that the key-value store has applied."""
+    """Receives each write of this controller that the key-value store has applied."""
 
     def publish(self, key: str, value: bytes | None, revision: int) -> None:
-        """A key has this value since a revision."""
+        """Report a key's new value, or None if the key was removed, and the revision of the change."""
 
 
 class QuotaStore:
-    """The allocations of every team as the replica has them, and conditional writes of them.
+    """Reads the allocations of every team from the replica, and writes them conditionally.
 
-    Invariant: for a team that is in `writing`, the replica may be behind a write of this controller.
+    `writing` holds the teams for which the replica may not show a write of this controller yet.
     """
 
     def __init__(self, loop: Loop, store: KeyValueClient, replica: Replica, publisher: ChangePublisher) -> None:
@@ -49,13 +49,14 @@
             self._allocations[team] = TeamAllocations(records.read(value, QuotaRecord))
 
     def allocations(self, team: str) -> TeamAllocations:
-        """What the shards hold of a team's limit."""
+        """Return the shards' allocations of a team's limit."""
         return self._allocations.get(team, NO_ALLOCATIONS)
 
     async def write(self, team: str, allocations: TeamAllocations, leadership: Compare) -> bool:
-        """Replace a team's record if this controller still leads the shard and nobody has changed the record.
+        """Replace a team's record, provided that `leadership` holds and the record is as the replica has it.
 
-        False: it was not written. If the outcome was unknown, this returns only after that is decided.
+        Returns whether the record was written. If the outcome of the write is unknown, returns False, but only once
+        the write has been applied or can no longer be.
         """
         key = QUOTA_ALLOCATIONS + team
         value = records.write(allocations.record())
@@ -77,7 +78,7 @@
         return True
 
     async def _reconcile(self, key: str, revision: int, outcome_unknown: bool) -> None:
-        """Read the key back until that succeeds, and decide a transaction whose outcome is unknown."""
+        """Read the key back, with retries, and rule out that a transaction of unknown outcome is applied later."""
         while True:
             try:
                 current = await self._read_back(key)
@@ -86,7 +87,7 @@
                     await self._rewrite(key, revision, value)
                 return
             except (CompareFailedError, OutcomeUnknownError, StoreUnavailableError):
-                await self._loop.sleep(RETRY_PAUSE)
+                await self._loop.sleep(READ_BACK_RETRY_INTERVAL)
 
     async def _read_back(self, key: str) -> KeyValueEntry | None:
         entry = await self._store.get(key, Urgency.COMPLETE)
@@ -95,6 +96,6 @@
         return entry
 
     async def _rewrite(self, key: str, revision: int, value: msgspec.Raw) -> None:
-        """Write a key with the value that it has: the lost transaction can't be applied after that."""
+        """Rewrite a key with its current value, so that the lost transaction can no longer be applied."""
         applied = await self._store.transact([compare(key, revision)], [put(key, value)], Urgency.COMPLETE)
         self._replica.learn(key, bytes(value), applied)
