--- a/badgerroute/coordination/shards/cpu_usage.py
+++ b/badgerroute/coordination/shards/cpu_usage.py
@@ -1,11 +1,11 @@
-"""What a shard's processors are used for, by cause, for on-call engineers and for accounting."""
+"""How many of a shard's processors are in each state of use, for on-call engineers and for accounting."""
 
 from dataclasses import asdict, dataclass
 
 from badgerroute.scheduling.shard import Shard
 from badgerroute.scheduling.task_phase import Phase
 
-CAUSES = {  # phase of a task -> field of `CpuUsage`
+FIELD_BY_PHASE = {  # task phase -> field of `CpuUsage`
     Phase.RESERVED: "starting",
     Phase.SENT: "starting",
     Phase.FETCHING: "fetching",
@@ -17,29 +17,29 @@
 
 @dataclass(slots=True)
 class CpuUsage:
-    """Processors by what they do at one moment. The names are the keys of the log line."""
+    """Numbers of processors by their use at one moment. The field names are the keys of the log line."""
 
     running: float = 0.0
-    starting: float = 0.0  # a task there has its start command, or is about to get it
-    fetching: float = 0.0  # taken by a task that waits for its image
-    waiting: float = 0.0  # taken by a gang's task that waits for the others
-    saving: float = 0.0
-    held: float = 0.0  # free, but kept for a job that room was made for
-    beside: float = 0.0  # free on a machine that runs something
-    empty: float = 0.0  # on a machine that runs nothing
-    unusable: float = 0.0  # free on a machine on which nothing may start
+    starting: float = 0.0  # allocated to a task whose start command was sent or is about to be
+    fetching: float = 0.0  # allocated to a task whose machine fetches its image
+    waiting: float = 0.0  # allocated to a gang's task that waits for the gang's other tasks
+    saving: float = 0.0  # allocated to a task that is being stopped and saves its work
+    held: float = 0.0  # free, but on a machine that is reserved for a job, for example after preemption for it
+    beside: float = 0.0  # free on a machine that has tasks
+    empty: float = 0.0  # free on a machine without tasks
+    unusable: float = 0.0  # free on a machine on which no task may be started
 
     def __str__(self) -> str:
-        return " ".join(f"{cause}={processors:.0f}" for cause, processors in asdict(self).items())
+        return " ".join(f"{name}={cpus:.0f}" for name, cpus in asdict(self).items())
 
 
 def cpu_usage(shard: Shard) -> CpuUsage:
-    """The processors of a shard's machines, each counted once."""
+    """Return the use of the processors of a shard's machines; each processor is counted once."""
     usage = CpuUsage()
     for machine in shard.machines.values():
         for placement in machine.placements.values():
-            cause = CAUSES[placement.phase]
-            setattr(usage, cause, getattr(usage, cause) + placement.job.need.cpus)
+            name = FIELD_BY_PHASE[placement.phase]
+            setattr(usage, name, getattr(usage, name) + placement.job.need.cpus)
         if not machine.usable:
             usage.unusable += machine.free.cpus
         elif machine.reserved_for is not None:
--- a/badgerroute/coordination/shards/forecast.py
+++ b/badgerroute/coordination/shards/forecast.py
@@ -1,6 +1,7 @@
-"""What can be expected of each unfinished job: does it lie within its team's guarantee, can it be in time?
+"""Forecast of each unfinished job: whether it lies within its team's guarantee and can meet its deadlines.
 
-Every controller works this out for all jobs, from what all controllers know, so that the shards of one job agree on it.
+Every controller computes the forecast for all jobs, from data that all controllers have, so that the shards that a job
+spans agree on it.
 """
 
 from collections.abc import Callable, Mapping
@@ -24,7 +25,7 @@
 
 
 class JobForecast:
-    """Keeps the expectations of all jobs in the shards that are led here."""
+    """Computes the forecast of all jobs and updates it in the shards that this controller leads."""
 
     def __init__(
         self,
@@ -57,7 +58,7 @@
         )
 
     def update(self) -> None:
-        """Write the expectations into the leaders' jobs."""
+        """Compute the forecast and write it to the jobs of the shards that this controller leads."""
         if not self._leaders:
             return
         work = self._open_work()
@@ -66,20 +67,26 @@
         for leader in self._leaders.values():
             self._update_shard(leader, work, due, tiers)
 
-    def inherit(self, is_over: Callable[[], bool]) -> bool:
-        """Go on working out what jobs take over from their dependents; whether that is complete, and in force."""
+    def advance_inheritance(self, is_over: Callable[[], bool]) -> bool:
+        """Continue to compute what jobs inherit from their downstream jobs, until `is_over` returns true.
+
+        Returns whether the computation is complete, in which case its results apply from now on.
+        """
         return self._inheritance.advance(is_over)
 
     def time_left(self, record: JobRecord) -> timedelta:
-        """Until the next time by which the job should be complete; `timedelta.max` if there is none."""
+        """Return the time left until the job's next due time, or `timedelta.max` if it has none."""
         return self._estimates.time_left(record)
 
     def _open_work(self) -> OpenWork:
-        """Jobs in the order of arrival: each team's first ones lie within its guarantee, as far as that goes."""
+        """Return the unfinished jobs in the order of arrival.
+
+        A team's jobs are guaranteed for as long as the demand of these jobs in total lies within the team's guarantee.
+        """
         work = OpenWork()
         demand: dict[str, Resources] = {}  # by team
         for ref, record in sorted(
-            self._job_store.schedulable(), key=lambda entry: self._job_store.effective_arrival(*entry)
+            self._job_store.schedulable(), key=lambda ref_and_record: self._job_store.effective_arrival(*ref_and_record)
         ):
             job = record.job
             team = self._teams.get(job.team)
@@ -95,7 +102,7 @@
     def _update_shard(
         self, leader: ShardLeader, work: OpenWork, inherited_due: dict[str, float], tiers: dict[str, float]
     ) -> None:
-        now, today = self._loop.now(), self._estimates.time_of_day()
+        now, time_of_day = self._loop.now(), self._estimates.time_of_day()
         for job in leader.shard.jobs.values():
             job.guaranteed = work.guaranteed.get(job.ref, False)
             job.lateness_tier = tiers.get(job.ref, 0)
@@ -107,4 +114,4 @@
             if due is None:
                 job.start_by = None
             else:
-                job.start_by = now + timedelta(seconds=due - today) - self._estimates.run_time(record)
+                job.start_by = now + timedelta(seconds=due - time_of_day) - self._estimates.run_time(record)
--- a/badgerroute/coordination/shards/forecast_task.py
+++ b/badgerroute/coordination/shards/forecast_task.py
@@ -1,4 +1,4 @@
-"""Keeps the forecast of jobs up to date, in slices that leave time for the heartbeats in between."""
+"""The background task that keeps the job forecast up to date, in slices with time for heartbeats in between."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -8,34 +8,38 @@
 from badgerroute.transport.loop import Loop
 
 UPDATE_INTERVAL = timedelta(milliseconds=500)
-SLICE_PAUSE = timedelta(milliseconds=25)  # between two slices of a pass that takes longer than one round
+# Pause between the slices of a pass over the dependency graph that takes longer than one slice.
+SLICE_PAUSE = timedelta(milliseconds=25)
 
 
 class ForecastTask:
-    """The periodic update of `JobForecast`."""
+    """Updates `JobForecast` periodically."""
 
     def __init__(self, settings: Settings, loop: Loop, forecast: JobForecast) -> None:
-        self._round, self._loop, self._forecast = settings.operator.scheduling.round, loop, forecast
+        self._slice_limit, self._loop, self._forecast = settings.operator.scheduling.round, loop, forecast
 
     async def run(self) -> None:
-        """Update for ever. A pass over the dependency graph that took so many slices is made as many updates apart."""
+        """Update the forecast until the task is cancelled.
+
+        The number of updates between two passes over the dependency graph is the number of slices that a pass took.
+        """
         updates_left = 0
         while True:
             await self._loop.sleep(UPDATE_INTERVAL)
             if updates_left == 0:
-                updates_left = await self._inherit()
+                updates_left = await self._compute_inheritance()
             updates_left -= 1
             self._forecast.update()
 
-    async def _inherit(self) -> int:
-        """Work out what jobs take over from their dependents; the number of slices that it took."""
+    async def _compute_inheritance(self) -> int:
+        """Compute what jobs inherit from their downstream jobs, and return the number of slices that it took."""
         slices = 1
-        while not self._forecast.inherit(self._round_is_over()):
+        while not self._forecast.advance_inheritance(self._start_slice()):
             slices += 1
             await self._loop.sleep(SLICE_PAUSE)
         return slices
 
-    def _round_is_over(self) -> Callable[[], bool]:
-        """Tells when the time for a round that begins now is over."""
-        deadline = self._loop.now() + self._round
+    def _start_slice(self) -> Callable[[], bool]:
+        """Return a function that tells whether the time for a slice that begins now has run out."""
+        deadline = self._loop.now() + self._slice_limit
         return lambda: self._loop.now() > deadline
--- a/badgerroute/coordination/shards/shard_log.py
+++ b/badgerroute/coordination/shards/shard_log.py
@@ -1,4 +1,4 @@
-"""The state of a shard in the log, for people on call."""
+"""Logs the state of a shard, for on-call engineers."""
 
 import logging
 from collections import Counter
@@ -20,7 +20,7 @@
 
 
 def log_state(shard: Shard) -> None:
-    """One line on the shard's machines and tasks, and one on what its processors do."""
+    """Log a line about the shard's machines and tasks, and a line about the use of its processors."""
     machines = list(shard.machines.values())
     phases = Counter(placement.phase.value for machine in machines for placement in machine.placements.values())
     log.info(
--- a/badgerroute/coordination/shards/subsystem.py
+++ b/badgerroute/coordination/shards/subsystem.py
@@ -1,4 +1,4 @@
-"""Builds what this controller does for the shards that it leads."""
+"""Builds the components of this controller that lead shards."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShardsSubsystem:
-    """The leaders of this controller's shards, and what is done for all of them together."""
+    """The leaders of this controller's shards, and the components that serve all of these leaders."""
 
     leaders: ShardLeaders
     forecast_task: ForecastTask
@@ -52,7 +52,7 @@
     guidance: Callable[[int], Guidance],
     leaders: ShardLeaders,
 ) -> ShardsSubsystem:
-    """`leaders` is empty, and is filled and emptied as shards are won and lost."""
+    """Build the components. `leaders` is empty at first and changes as this controller wins and loses shards."""
     forecast = JobForecast(
         settings=settings,
         loop=loop,
@@ -88,7 +88,7 @@
         guidance=guidance,
     )
     leadership.state.register(LeaderLifecycle(leaders, context, deletion))
-    # After the job store's own listeners: leaders look jobs up there.
+    # The job store's listeners were added before, and must run first: leaders look up jobs in it.
     storage.replica.listen(DONE, leaders.done_page_changed)
     storage.replica.listen(JOBS, leaders.job_record_changed)
     storage.replica.listen(MACHINES, leaders.machine_record_changed)
