--- a/badgerroute/coordination/shards/gang_migration.py
+++ b/badgerroute/coordination/shards/gang_migration.py
@@ -1,4 +1,4 @@
-"""Gang migration: a gang without room in its shard goes to one that has some, or has machines gathered for it."""
+"""Gang migration: a gang that doesn't fit in its shard moves to one where it fits, or machines are requested for it."""
 
 import logging
 from collections import Counter
@@ -20,18 +20,22 @@
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
-MIGRATION_PAUSE = timedelta(seconds=8)  # a gang that was migrated, or that machines were asked for, is left alone
+# A gang that was migrated, or that machines were requested for, is not migrated again for this time.
+MIGRATION_PAUSE = timedelta(seconds=8)
 
 
-class _MachineGathering(NamedTuple):
-    """The gang that machines were last asked for, and when."""
+class _GangMachineRequest(NamedTuple):
+    """The gang that machines were last requested for, and the time of the request."""
 
     gang: str
     requested_at: timedelta
 
 
 class GangMigration:
-    """Finds room for the gangs that have none in one shard; `request_machines` asks the other shards for machines."""
+    """Finds capacity for the gangs that don't fit in one shard.
+
+    `request_machines` asks the other shards for machines.
+    """
 
     def __init__(
         self,
@@ -46,78 +50,88 @@
         self._shard, self._planner, self._loop, self._job_store = shard, planner, loop, job_store
         self._job_transfers, self._request_machines = job_transfers, request_machines
         self._last_migrated: dict[str, timedelta] = {}  # by gang
-        self._gathering: _MachineGathering | None = None
+        self._last_request: _GangMachineRequest | None = None
 
     def gang_to_hold_for(self, now: timedelta) -> str | None:
-        """The gang for which machines were asked lately: a machine that joins now is held for it. None: no gang."""
-        if self._gathering is not None and now - self._gathering.requested_at < MIGRATION_PAUSE:
-            return self._gathering.gang
+        """Return the gang that machines were requested for recently, or None if there is none.
+
+        A machine that joins the shard now is reserved for this gang.
+        """
+        if self._last_request is not None and now - self._last_request.requested_at < MIGRATION_PAUSE:
+            return self._last_request.gang
         return None
 
     async def migrate_unplaceable(self, summaries: list[ShardSummary]) -> None:
-        """Give gangs for which there is no room here to a shard that has some, or could make some."""
+        """Move gangs that don't fit here to a shard where they fit now, or could after preemption."""
         now = self._loop.now()
         number = self._shard.number
         for job in self._planner.unplaceable_gangs(now):
             if now - self._last_migrated.get(job.ref, -MIGRATION_PAUSE) < MIGRATION_PAUSE:
                 continue
-            others = [summary for summary in summaries if summary.shard != number and summary.reconciled]
-            candidates = self._candidates(job, others)
+            other_shards = [summary for summary in summaries if summary.shard != number and summary.reconciled]
+            candidates = self._candidate_shards(job, other_shards)
             record = self._job_store.active.get(job.ref)
             if record is None:
                 continue
             if not candidates:
-                self._gather_machines(job, now, others)
+                self._request_machines_for(job, now, other_shards)
                 continue
-            target = self._best(job, candidates)
-            self._note_migration(job, now)
-            moved = record.with_ranges([TaskRange(target, 0, job.spec.tasks)])
+            target = self._best_shard(job, candidates)
+            self._record_migration(job, now)
+            moved_record = record.with_ranges([TaskRange(target, 0, job.spec.tasks)])
             log.info("event=gang_moved job=%s from=%d to=%d", job.ref, number, target)
-            await self._job_transfers.write([Reassignment(job.ref, moved)], target)
+            await self._job_transfers.write([Reassignment(job.ref, moved_record)], target)
 
     @staticmethod
-    def _candidates(job: Job, others: list[ShardSummary]) -> list[ShardSummary]:
-        """Shards with room for the whole gang; if there is none, those that could make room by preemption."""
-        free = [summary for summary in others if holds_whole_job(job, summary.capacities)]
+    def _candidate_shards(job: Job, other_shards: list[ShardSummary]) -> list[ShardSummary]:
+        """Return the shards where the whole gang fits; if there are none, those where it could after preemption."""
+        free = [summary for summary in other_shards if holds_whole_job(job, summary.capacities)]
         return free or [
-            summary for summary in others if holds_whole_job(job, summary.preemptible_capacities.get(job.level, []))
+            summary
+            for summary in other_shards
+            if holds_whole_job(job, summary.preemptible_capacities.get(job.level, []))
         ]
 
     @staticmethod
-    def _best(job: Job, candidates: list[ShardSummary]) -> int:
-        """The shard with most of the gang's image; among equals the one where fewest gangs wait."""
+    def _best_shard(job: Job, candidates: list[ShardSummary]) -> int:
+        """Return the shard where most of the gang's tasks would find their image cached.
+
+        Of several such shards, this is the one where the fewest gangs wait.
+        """
 
-        def order(summary: ShardSummary) -> tuple[int, int, int]:
+        def sort_key(summary: ShardSummary) -> tuple[int, int, int]:
             gangs_waiting = sum(demand.gang for demand in summary.demands)
             return -tasks_with_image(job, summary), gangs_waiting, summary.shard
 
-        return min(candidates, key=order).shard
+        return min(candidates, key=sort_key).shard
 
-    def _note_migration(self, job: Job, now: timedelta) -> None:
-        self._last_migrated = {ref: at for ref, at in self._last_migrated.items() if now - at < MIGRATION_PAUSE}
+    def _record_migration(self, job: Job, now: timedelta) -> None:
+        self._last_migrated = {
+            ref: migrated_at for ref, migrated_at in self._last_migrated.items() if now - migrated_at < MIGRATION_PAUSE
+        }
         self._last_migrated[job.ref] = now
 
-    def _gather_machines(self, job: Job, now: timedelta, others: list[ShardSummary]) -> None:
-        """No shard could hold the gang: ask for empty machines until it fits here."""
+    def _request_machines_for(self, job: Job, now: timedelta, other_shards: list[ShardSummary]) -> None:
+        """Request the empty machines that a gang lacks here from other shards, as it fits in none of them either."""
         slots_here = self._slots_here(job)
-        slots = slots_here + sum((slots_by_zone(job, summary.capacities) for summary in others), Counter())
+        slots = slots_here + sum((slots_by_zone(job, summary.capacities) for summary in other_shards), Counter())
         if not slots:
             return
-        # A gang that must lie in one zone is not helped by room in two, so all of it is gathered in the best one.
-        zone = max(sorted(slots), key=lambda each: (min(job.spec.tasks, slots[each]), slots_here[each]))
-        lacking = job.spec.tasks - slots_here[zone]
-        if lacking > 0 and self._shard.fits_quota(job, job.spec.tasks) >= job.spec.tasks:
-            self._gathering = _MachineGathering(job.ref, now)
+        # A gang that must lie in one zone can't use capacity in two, so request machines only in the best zone.
+        zone = max(sorted(slots), key=lambda name: (min(job.spec.tasks, slots[name]), slots_here[name]))
+        missing_slots = job.spec.tasks - slots_here[zone]
+        if missing_slots > 0 and self._shard.fits_quota(job, job.spec.tasks) >= job.spec.tasks:
+            self._last_request = _GangMachineRequest(job.ref, now)
             self._last_migrated[job.ref] = now
             spec = msgspec.structs.replace(job.spec, zone=zone) if zone else job.spec
-            self._request_machines(MachineRequest(self._shard.number, spec, lacking))
+            self._request_machines(MachineRequest(self._shard.number, spec, missing_slots))
 
     def _slots_here(self, job: Job) -> Counter[str]:
-        """Room for the gang's tasks in this shard, by zone if the gang must lie in one."""
+        """Return how many of the gang's tasks fit in this shard, by zone if the gang must lie in one."""
         slots: Counter[str] = Counter()
-        for machine, room in self._planner.reclaimable_by_machine(job.level):
+        for machine, resources in self._planner.reclaimable_by_machine(job.level):
             if allows(job.spec, machine.kind.name, machine.zone, machine.spot):
-                slots[machine.zone if job.spec.together else ANY_ZONE] += room.times(job.need)
+                slots[machine.zone if job.spec.together else ANY_ZONE] += resources.times(job.need)
         for machine in self._shard.machines.values():
             if machine.reserved_for == job.ref:
                 slots[machine.zone if job.spec.together else ANY_ZONE] += 1
@@ -125,6 +139,6 @@
 
 
 def tasks_with_image(job: Job, summary: ShardSummary) -> int:
-    """How many of a gang's tasks could find their image in a shard."""
+    """Return how many of a gang's tasks could run on machines of a shard that cache their image."""
     free_cpus = summary.cached_image_cpus.get(job.spec.image, ())
     return min(job.spec.tasks, sum(cpus >= job.need.cpus for cpus in free_cpus))
--- a/badgerroute/coordination/shards/job_transfers.py
+++ b/badgerroute/coordination/shards/job_transfers.py
@@ -141,10 +141,10 @@
         key = JOBS + job.ref
         while True:
             try:
-                item = await self._store.get(key, Urgency.COMPLETE)
-                if item is None:
+                entry = await self._store.get(key, Urgency.COMPLETE)
+                if entry is None:
                     return  # the job has reached its final state: the watch removes it from the shard
-                await self._storage.write([compare(key, item.revision)], [put(key, item.value)], Urgency.COMPLETE)
+                await self._storage.write([compare(key, entry.revision)], [put(key, entry.value)], Urgency.COMPLETE)
                 self._end_transfer(job, tasks)
                 return
             except WRITE_ERRORS:
--- a/badgerroute/coordination/shards/machine_transfers.py
+++ b/badgerroute/coordination/shards/machine_transfers.py
@@ -1,4 +1,4 @@
-"""Machine transfers: the leader of empty machines gives them to a shard that is too small for a gang, in one write."""
+"""Machine transfers: a leader gives empty machines of its shard to a shard that is too small for a gang."""
 
 import logging
 from datetime import timedelta
@@ -25,7 +25,7 @@
 
 
 class MachineTransfers:
-    """Answers other shards' requests for machines with those of this shard that are empty."""
+    """Answers other shards' requests for machines by giving them empty machines of this shard."""
 
     def __init__(
         self,
@@ -44,15 +44,15 @@
     async def transfer(self, message: MachineRequest) -> None:
         """Give empty machines to a shard that is too small for a gang, in one conditional write.
 
-        Only a machine with nothing on it and no start on its way is given, and from before the write on nothing
-        starts on it here.
+        Only machines without tasks and without start commands in flight are given. From before the write, this shard
+        starts nothing on them.
         """
         if not self._shard.reconciled or not self._status.allows(Action.TRANSFER_MACHINES):
             return
-        machines = self._transferable(message)
+        machines = self._select_machines(message)
         if not machines:
             return
-        changes = [self._transfer(machine, message.shard) for machine in machines]
+        changes = [self._prepare_transfer(machine, message.shard) for machine in machines]
         conditions = [self._leadership_state.condition(self._shard.number)]
         conditions += [compare(change.key, self._replica.revision_of(change.key)) for change in changes]
         result = await self._storage.try_write(conditions, changes, Urgency.PROGRESS)
@@ -65,27 +65,27 @@
                 for machine in machines:
                     machine.draining = False
             case WriteOutcome.UNKNOWN:
-                # It may yet be applied, so these machines are of no use here until a write of ours rules that out.
+                # The write may still be applied: nothing starts on these machines until another write rules that out.
                 for machine in machines:
                     self._group.spawn(self._reconcile(machine), "settle-lend")
 
-    def _transferable(self, message: MachineRequest) -> list[Machine]:
-        """Empty machines for as many of the gang's tasks as are asked for."""
+    def _select_machines(self, message: MachineRequest) -> list[Machine]:
+        """Return empty machines for as many of the gang's tasks as the message asks for, or for fewer."""
         need = need_of(message.job)
-        transferable: list[Machine] = []
+        selected: list[Machine] = []
         slots = 0
         for machine in self._shard.machines.values():
-            if slots >= message.count or len(transferable) >= self._store.max_changes:
+            if slots >= message.count or len(selected) >= self._store.max_changes:
                 break
             fits = machine.usable and machine.empty and machine.reserved_for is None and machine.free.holds(need)
             if fits and allows(message.job, machine.kind.name, machine.zone, machine.spot):
                 slots += machine.free.times(need)
-                transferable.append(machine)
-        return transferable
+                selected.append(machine)
+        return selected
 
     @staticmethod
-    def _transfer(machine: Machine, shard: int) -> Put:
-        """The record that makes a machine another shard's; from here on nothing starts on it here."""
+    def _prepare_transfer(machine: Machine, shard: int) -> Put:
+        """Stop placement on a machine, and return the write that makes it a member of another shard."""
         machine.draining = True
         record = MachineRecord(shard, machine.address, machine.kind.name, machine.zone, machine.spot)
         return put(MACHINES + machine.name, records.write(record))
@@ -95,16 +95,16 @@
         log.info("event=machines_transferred shard=%d to=%d machines=%s", self._shard.number, shard, names)
 
     async def _reconcile(self, machine: Machine) -> None:
-        """Rewrite a machine's record as it is until the lost transaction can't be applied any more."""
+        """Rewrite a machine's record unchanged, with retries, so that the lost transaction can no longer be applied."""
         key = MACHINES + machine.name
         while self._shard.machines.get(machine.name) is machine:
             try:
-                item = await self._store.get(key, Urgency.COMPLETE)
-                if item is None or records.read(bytes(item.value), MachineRecord).shard != self._shard.number:
-                    return  # the watch brings it
-                conditions = [self._leadership_state.condition(self._shard.number), compare(key, item.revision)]
-                revision = await self._store.transact(conditions, [put(key, item.value)], Urgency.COMPLETE)
-                self._replica.learn(key, bytes(item.value), revision)
+                entry = await self._store.get(key, Urgency.COMPLETE)
+                if entry is None or records.read(bytes(entry.value), MachineRecord).shard != self._shard.number:
+                    return  # this shard has lost the machine: the watch reports the change
+                conditions = [self._leadership_state.condition(self._shard.number), compare(key, entry.revision)]
+                revision = await self._store.transact(conditions, [put(key, entry.value)], Urgency.COMPLETE)
+                self._replica.learn(key, bytes(entry.value), revision)
                 machine.draining = False
                 return
             except WRITE_ERRORS:
--- a/badgerroute/coordination/shards/shard_storage.py
+++ b/badgerroute/coordination/shards/shard_storage.py
@@ -1,4 +1,4 @@
-"""A leader's conditional writes, and how their outcomes reach the replica and the peers."""
+"""A leader's conditional writes, which also update the replica and notify the peers once they are applied."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
@@ -11,21 +11,21 @@
 from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.storage.replica import Replica
 
-# What a conditional write may raise. A refused request is a StoreUnavailableError too: nothing was applied.
+# The errors that a conditional write may raise. A refused request raises StoreUnavailableError, as nothing was applied.
 WRITE_ERRORS = (StoreUnavailableError, OutcomeUnknownError, CompareFailedError, LeaseExpiredError)
 
 
 class WriteOutcome(Enum):
-    """What is known of a conditional write after its answer, or the lack of one."""
+    """What is known about a conditional write once it was answered or has failed."""
 
     APPLIED = "applied"
-    NOT_APPLIED = "not applied"  # and it can't be applied later
-    UNKNOWN = "unknown"  # it may have been applied, or may yet be, until another write has changed its keys
+    NOT_APPLIED = "not applied"  # and it can no longer be applied
+    UNKNOWN = "unknown"  # it may have been applied, or may yet be until another write changes its keys
 
 
 @dataclass(frozen=True, slots=True)
 class WriteResult:
-    """The outcome of a conditional write; `revision` is that of the written keys if it was applied."""
+    """The outcome of a conditional write; `revision` is the new revision of its keys if it was applied."""
 
     outcome: WriteOutcome
     revision: int = 0
@@ -33,20 +33,20 @@
 
     @property
     def condition_failed(self) -> bool:
-        """Whether some key was not as the write required, so that the local copy may be outdated."""
+        """Return whether a key differed from what the write required, so that the replica may be outdated."""
         return isinstance(self.error, CompareFailedError)
 
 
 @dataclass(frozen=True, slots=True)
 class ShardStorage:
-    """The key-value store as leaders write it; `publisher` sends an applied change to the peers."""
+    """Writes of leaders to the key-value store; `publisher` sends applied changes to the peers."""
 
     store: KeyValueClient
     replica: Replica
     publisher: ChangePublisher
 
     async def write(self, conditions: Iterable[Compare], changes: Sequence[Put | Remove], urgency: Urgency) -> None:
-        """Apply changes under conditions, then record and publish them.
+        """Apply changes if all conditions hold, then record and publish them.
 
         Raises one of `WRITE_ERRORS`; after `OutcomeUnknownError` the changes may still be applied later.
         """
@@ -56,7 +56,7 @@
     async def try_write(
         self, conditions: Iterable[Compare], changes: Sequence[Put | Remove], urgency: Urgency
     ) -> WriteResult:
-        """Apply changes under conditions. The caller acts on each outcome, and records what was applied."""
+        """Apply changes if all conditions hold. The caller handles the outcome and records applied changes."""
         try:
             revision = await self.store.transact(conditions, changes, urgency)
         except OutcomeUnknownError as error:
@@ -66,7 +66,7 @@
         return WriteResult(WriteOutcome.APPLIED, revision)
 
     def record_applied(self, changes: Sequence[Put | Remove], revision: int) -> None:
-        """Take changes that were applied into the replica and publish them, one after the other."""
+        """Update the replica with changes that were applied, and publish them, one after the other."""
         for change in changes:
             value = bytes(change.value) if isinstance(change, Put) else None
             self.replica.learn(change.key, value, revision)
