--- a/badgerroute/coordination/shards/summary.py
+++ b/badgerroute/coordination/shards/summary.py
@@ -1,4 +1,4 @@
-"""The summary of a shard for the others: its free room, which images are cached where, what waits in it."""
+"""The summary of a shard for the other shards: its free capacity, its cached images and its waiting tasks."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -12,76 +12,81 @@
 from badgerroute.scheduling.resources import Resources
 from badgerroute.scheduling.shard import Shard
 
-MIN_DEMANDS = 200  # jobs whose waiting tasks are in a summary, however small the shard is
-MACHINES_PER_DEMAND = 2
-MAX_CAPACITY_GROUPS = 500  # groups of machines with the same free room in a summary
-ROUNDING_STEPS = (0.25, 1.0, 4.0, 16.0)  # of processors and GB, tried in turn where there are more
-MAX_IMAGE_MACHINES = 16  # machines that cache an image in a summary
-MIN_FREE_CPUS = 1e-6  # less is a rounding error
+MIN_DEMANDS = 200  # the number of waiting jobs that a summary may list, however small the shard is
+MACHINES_PER_DEMAND = 2  # the summary of a large shard may list one waiting job per two machines
+MAX_CAPACITY_GROUPS = 500  # groups of machines with equal free capacity in a summary
+ROUNDING_STEPS = (0.25, 1.0, 4.0, 16.0)  # of processors and GB, tried in turn while there are more groups than that
+MAX_IMAGE_MACHINES = 16  # listed for each image in a summary
+MIN_FREE_CPUS = 1e-6  # a smaller amount is a rounding error
 
-# Plain tuples, since one of each is made for every machine several times a second.
-MachineRoom = tuple[Machine, Resources]  # a machine, and the room on it
+# Plain tuples for speed: one of each is created for every machine several times a second.
+MachineResources = tuple[Machine, Resources]  # a machine, and its free or reclaimable resources
 CapacityKey = tuple[str, str, bool, float, float, float]  # the fields of `FreeCapacity` before its count
 
 
 class IdleCapacity(NamedTuple):
-    """The free room of a shard's machines, and the images cached on those machines."""
+    """The free capacity of a shard's machines, and the images cached on those machines."""
 
     capacities: list[FreeCapacity]
     images: dict[str, ImageCapacity]
 
 
 def idle_capacities(shard: Shard) -> IdleCapacity:
-    """The free room of a shard's machines on which something may start now."""
-    total: dict[str, float] = {}  # by image
-    largest: dict[str, float] = {}
-    rooms: list[MachineRoom] = []
+    """Return the free capacity of those machines of a shard on which tasks may be started now."""
+    total_cpus: dict[str, float] = {}  # by image
+    largest_cpus: dict[str, float] = {}
+    machine_resources: list[MachineResources] = []
     for machine in shard.machines.values():
         if not machine.usable or machine.reserved_for is not None or machine.free.cpus < MIN_FREE_CPUS:
             continue
         free_cpus = machine.free.cpus
-        rooms.append((machine, machine.free))
+        machine_resources.append((machine, machine.free))
         for image in machine.images:
-            total[image] = total.get(image, 0.0) + free_cpus
-            largest[image] = max(largest.get(image, 0.0), free_cpus)
-    images = {image: ImageCapacity(total[image], largest[image]) for image in total}
-    return IdleCapacity(_capacities(rooms), images)
+            total_cpus[image] = total_cpus.get(image, 0.0) + free_cpus
+            largest_cpus[image] = max(largest_cpus.get(image, 0.0), free_cpus)
+    images = {image: ImageCapacity(total_cpus[image], largest_cpus[image]) for image in total_cpus}
+    return IdleCapacity(_group_capacities(machine_resources), images)
 
 
 def max_demands(machines: int) -> int:
-    """How many jobs' waiting tasks a summary has: at 4,000 machines more of them can start at once than at 100."""
+    """Return the maximum number of jobs whose waiting tasks a summary lists.
+
+    It grows with the shard: with 4,000 machines, more jobs can start at once than with 100.
+    """
     return max(MIN_DEMANDS, machines // MACHINES_PER_DEMAND)
 
 
-def _exactly(amount: float) -> float:
+def _without_rounding_error(amount: float) -> float:
     return round(amount, 3)
 
 
-def _group(rooms: list[MachineRoom], rounded: Callable[[float], float]) -> Counter[CapacityKey]:
+def _count_by_capacity(
+    machine_resources: list[MachineResources], rounding: Callable[[float], float]
+) -> Counter[CapacityKey]:
     return Counter(
         (
             machine.kind.name,
             machine.zone,
             machine.spot,
-            rounded(room.cpus),
-            rounded(room.accelerators),
-            rounded(room.memory_gb),
+            rounding(resources.cpus),
+            rounding(resources.accelerators),
+            rounding(resources.memory_gb),
         )
-        for machine, room in rooms
+        for machine, resources in machine_resources
     )
 
 
-def _capacities(rooms: list[MachineRoom]) -> list[FreeCapacity]:
-    """Machines by their free room.
+def _group_capacities(machine_resources: list[MachineResources]) -> list[FreeCapacity]:
+    """Group machines by their free or reclaimable resources.
 
-    Where thousands of machines all have a different room, it is rounded down: the summary stays small, and whoever
-    asks for the room is judged by the exact figures again.
+    If thousands of machines all differ, amounts are rounded down to keep the summary small. This is safe, as requests
+    from other shards are checked against the exact amounts.
     """
-    counts = _group(rooms, _exactly)
+    counts = _count_by_capacity(machine_resources, _without_rounding_error)
     for step in ROUNDING_STEPS:
         if len(counts) <= MAX_CAPACITY_GROUPS:
             break
-        counts = _group(rooms, lambda amount, step=step: amount // step * step)  # type: ignore[misc]
+        counts = _count_by_capacity(machine_resources, lambda amount, step=step: amount // step * step)  # type: ignore[misc]
     return [FreeCapacity(*key, count) for key, count in counts.items()]
 
 
@@ -114,9 +119,10 @@
     now: timedelta,
     workers_silent: bool = False,
 ) -> ShardSummary:
-    """The summary of a shard as it is now; it looks at every machine and every waiting job.
+    """Return the summary of a shard as it is now; this visits every machine and every waiting job.
 
-    `levels`: priority levels of the gangs there are, which other shards may want to make room for here.
+    `levels`: the priority levels of all gangs; other shards may want to preempt tasks here for a gang.
+    `scales_out_ahead`: whether machines are rented before work arrives, rather than on demand.
     `workers_silent`: whether the heartbeats of at least half of the machines are overdue.
     """
     capacities, images = idle_capacities(shard)
@@ -135,9 +141,9 @@
         cached_image_cpus=planner.reclaimable_cpus_by_image(
             max(levels, default=Priority.URGENT.level), MAX_IMAGE_MACHINES
         ),
-        preemptible_capacities={level: _capacities(planner.reclaimable_by_machine(level)) for level in levels},
+        preemptible_capacities={level: _group_capacities(planner.reclaimable_by_machine(level)) for level in levels},
         demands=_demands(planner, now),
-        soon_free_cpus=0.0 if scales_out_ahead else planner.freeing(now),  # only renting by need looks at it
+        soon_free_cpus=0.0 if scales_out_ahead else planner.freeing(now),  # used only when renting on demand
         running=running,
         used={team: (usage.cpus, usage.accelerators) for team, usage in shard.usage.items() if usage.tasks},
         workers_silent=workers_silent,
--- a/badgerroute/coordination/shards/summary_cache.py
+++ b/badgerroute/coordination/shards/summary_cache.py
@@ -1,4 +1,4 @@
-"""Readings that look at every machine of a shard, made anew a few times a second at most."""
+"""Cache of results for which every machine of a shard is visited, renewed at most a few times a second."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -15,30 +15,32 @@
 from badgerroute.settings import Settings
 from badgerroute.transport.loop import Loop
 
-MIN_READING_AGE = timedelta(milliseconds=400)  # of the reading that is replaced
-READING_AGE_PER_MACHINE = timedelta(microseconds=500)  # looking at 4,000 machines takes some 30 ms of a core
+# A cached result is replaced once it is MIN_RENEWAL_AGE old, or older in a large shard: RENEWAL_AGE_PER_MACHINE times
+# the number of machines.
+MIN_RENEWAL_AGE = timedelta(milliseconds=400)
+RENEWAL_AGE_PER_MACHINE = timedelta(microseconds=500)  # visiting 4,000 machines takes some 30 ms of a core
 
 
 @dataclass(frozen=True, slots=True)
-class _SummaryReading:
-    """A summary, and when it was made."""
+class _CachedSummary:
+    """A summary, and the time when it was made."""
 
-    at: timedelta
+    taken_at: timedelta
     summary: ShardSummary
 
 
 @dataclass(frozen=True, slots=True)
-class _SilenceReading:
-    """How many machines were silent at a moment."""
+class _CachedSilence:
+    """The number of silent machines, and the time when they were counted."""
 
-    at: timedelta
+    taken_at: timedelta
     machines: int
 
 
 class SummaryCache:
-    """The summary of one shard for the others, and how many of its machines are silent.
+    """Caches the summary of one shard and the number of its silent machines, those whose heartbeats are overdue.
 
-    `resumed_at`: the end of this process's last pause, before which no heartbeat could be heard.
+    `resumed_at`: the end of this process's last pause, during which it couldn't receive heartbeats.
     """
 
     def __init__(
@@ -55,37 +57,37 @@
         self._settings, self._loop, self._shard, self._planner = settings, loop, shard, planner
         self._job_store, self._catalog, self._resumed_at = job_store, catalog, resumed_at
         self._heartbeat_interval = settings.params.workers.heartbeat_interval
-        self._summary: _SummaryReading | None = None
-        self._silence: _SilenceReading | None = None
+        self._summary: _CachedSummary | None = None
+        self._silence: _CachedSilence | None = None
 
     def summary(self) -> ShardSummary:
-        """What the other shards need to know of this one."""
+        """Return the summary that is sent to the other shards."""
         now = self._loop.now()
-        if self._summary is None or now - self._summary.at >= self._reading_age():
-            ahead = scales_out_ahead(self._settings, self._catalog)
+        if self._summary is None or now - self._summary.taken_at >= self._renewal_age():
+            rents_ahead = scales_out_ahead(self._settings, self._catalog)
             levels = {self._job_store.level(ref) for ref, record in self._job_store.schedulable() if record.job.gang}
             workers_silent = self.silent_machines() > 0
-            self._summary = _SummaryReading(
-                now, summarize(self._shard, self._planner, levels, ahead, now, workers_silent)
+            self._summary = _CachedSummary(
+                now, summarize(self._shard, self._planner, levels, rents_ahead, now, workers_silent)
             )
         return self._summary.summary
 
     def silent_machines(self) -> int:
-        """How many machines' heartbeats are overdue, if half of all or more are; else 0."""
+        """Return how many machines' heartbeats are overdue, or 0 if these are less than half of the machines."""
         now = self._loop.now()
-        if self._silence is None or now - self._silence.at >= self._reading_age():
+        if self._silence is None or now - self._silence.taken_at >= self._renewal_age():
             machines = count_overdue(self._shard, self._heartbeat_interval, self._resumed_at(), now)
-            self._silence = _SilenceReading(now, machines)
+            self._silence = _CachedSilence(now, machines)
         return self._silence.machines
 
     def heartbeat_overdue(self, name: str) -> bool:
-        """Whether a machine is a member whose heartbeat should have come by now. Not cached."""
+        """Return whether a machine is a member of this shard whose heartbeat is overdue. Not cached."""
         machine = self._shard.machines.get(name)
         if machine is None:
             return False
         now = self._loop.now()
         return is_overdue(machine, self._shard, self._heartbeat_interval, self._resumed_at(), now)
 
-    def _reading_age(self) -> timedelta:
-        """For how long a reading is returned again."""
-        return max(MIN_READING_AGE, READING_AGE_PER_MACHINE * len(self._shard.machines))
+    def _renewal_age(self) -> timedelta:
+        """Return the age at which a cached result is replaced."""
+        return max(MIN_RENEWAL_AGE, RENEWAL_AGE_PER_MACHINE * len(self._shard.machines))
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -13,7 +13,7 @@
 from badgerroute.coordination.shards import summary as summary_module
 from badgerroute.coordination.shards.fencing import Fencing
 from badgerroute.coordination.shards.summary import summarize
-from badgerroute.coordination.shards.summary_cache import READING_AGE_PER_MACHINE
+from badgerroute.coordination.shards.summary_cache import RENEWAL_AGE_PER_MACHINE
 from badgerroute.protocol import mesh
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.mesh import FreeCapacity, PendingDemand, ShardLoad, ShardSummary
@@ -268,7 +268,7 @@
         shard, _ = busy_shard(machines)
         costs.append(calls_in(lambda shard=shard: count_overdue(shard, SECOND, 0 * SECOND, 2 * SECOND)))
     assert costs[1] < 5 * costs[0]
-    assert READING_AGE_PER_MACHINE * MANY == 2 * SECOND, "an owner keeps a reading for so long"
+    assert RENEWAL_AGE_PER_MACHINE * MANY == 2 * SECOND, "an owner keeps a reading for so long"
 
 
 def test_a_relayed_heartbeat_costs_the_same_at_any_size() -> None:
