--- a/badgerroute/coordination/quotas/quota_store.py
+++ b/badgerroute/coordination/quotas/quota_store.py
@@ -64,7 +64,7 @@
         self.writing.add(team)
         try:
             conditions = [leadership, compare(key, revision)]
-            applied = await self._store.transact(conditions, [put(key, value)], Urgency.COMPLETE)
+            new_revision = await self._store.transact(conditions, [put(key, value)], Urgency.COMPLETE)
         except (CompareFailedError, OutcomeUnknownError) as error:
             log.debug("event=quota_reconciliation_failed team=%s error=%s", team, error)
             await self._reconcile(key, revision, outcome_unknown=isinstance(error, OutcomeUnknownError))
@@ -73,8 +73,8 @@
             return False
         finally:
             self.writing.discard(team)
-        self._replica.learn(key, bytes(value), applied)
-        self._publisher.publish(key, bytes(value), applied)
+        self._replica.learn(key, bytes(value), new_revision)
+        self._publisher.publish(key, bytes(value), new_revision)
         return True
 
     async def _reconcile(self, key: str, revision: int, outcome_unknown: bool) -> None:
@@ -97,5 +97,5 @@
 
     async def _rewrite(self, key: str, revision: int, value: msgspec.Raw) -> None:
         """Rewrite a key with its current value, so that the lost transaction can no longer be applied."""
-        applied = await self._store.transact([compare(key, revision)], [put(key, value)], Urgency.COMPLETE)
-        self._replica.learn(key, bytes(value), applied)
+        new_revision = await self._store.transact([compare(key, revision)], [put(key, value)], Urgency.COMPLETE)
+        self._replica.learn(key, bytes(value), new_revision)
--- a/badgerroute/coordination/shards/gang_migration.py
+++ b/badgerroute/coordination/shards/gang_migration.py
@@ -85,8 +85,8 @@
     @staticmethod
     def _candidate_shards(job: Job, other_shards: list[ShardSummary]) -> list[ShardSummary]:
         """Return the shards where the whole gang fits; if there are none, those where it could after preemption."""
-        free = [summary for summary in other_shards if holds_whole_job(job, summary.capacities)]
-        return free or [
+        fitting = [summary for summary in other_shards if holds_whole_job(job, summary.capacities)]
+        return fitting or [
             summary
             for summary in other_shards
             if holds_whole_job(job, summary.preemptible_capacities.get(job.level, []))
--- a/badgerroute/coordination/shards/progress_flusher.py
+++ b/badgerroute/coordination/shards/progress_flusher.py
@@ -35,7 +35,7 @@
         self._job_store, self._progress_writer, self._forecast = job_store, progress_writer, forecast
         self._requested = Future()
 
-    def progressed(self) -> None:
+    def request_flush(self) -> None:
         """Request a write: a shard has new progress."""
         self._requested.set()
 
--- a/badgerroute/coordination/shards/quota_exchange.py
+++ b/badgerroute/coordination/shards/quota_exchange.py
@@ -24,7 +24,7 @@
     """The quota that a team's jobs of one rank lack in total, and the age of the oldest of these jobs."""
 
     rank: tuple[float, float, float]
-    lack: Resources
+    amount: Resources
     age: timedelta
 
 
@@ -47,8 +47,8 @@
 
     async def acquire_missing_quota(self) -> None:
         """Allocate the quota that teams lack in this shard from what no shard holds, or ask the other shards for it."""
-        for team, lack in self._planner.collect_quota_shortfalls().items():
-            if await self._quota_allocator.allocate(self._shard.number, team, lack):
+        for team, shortfall in self._planner.collect_quota_shortfalls().items():
+            if await self._quota_allocator.allocate(self._shard.number, team, shortfall):
                 continue
             shortage = self._top_ranked_shortage(team)
             if shortage is None:
@@ -61,8 +61,8 @@
         return QuotaRequest(
             self._shard.number,
             team,
-            shortage.lack.cpus,
-            shortage.lack.accelerators,
+            shortage.amount.cpus,
+            shortage.amount.accelerators,
             shortage.age.total_seconds(),
             shortage.rank,
             used_cpus,
@@ -77,13 +77,13 @@
             return None
         rank = min(self._planner.rank(job) for job in waiting)
         now = self._loop.now()
-        lack = Resources()
+        shortfall = Resources()
         top_ranked = [job for job in waiting if self._planner.rank(job) == rank]
         for job in top_ranked:
             count = job.startable
-            lack.cpus += count * job.need.cpus
-            lack.accelerators += count * job.need.accelerators
-        return QuotaShortage(rank, lack, max(now - job.accepted for job in top_ranked))
+            shortfall.cpus += count * job.need.cpus
+            shortfall.accelerators += count * job.need.accelerators
+        return QuotaShortage(rank, shortfall, max(now - job.accepted for job in top_ranked))
 
     async def grant(self, message: QuotaRequest) -> None:
         """Give quota to another shard that lacks it.
@@ -96,14 +96,14 @@
             return
         cpus, accelerators = self._quota_allocator.usable_quota(self._shard.number, team)
         used = self._shard.usage[team]
-        lack = Resources(message.cpus, message.accelerators)
+        shortfall = Resources(message.cpus, message.accelerators)
         unused = Resources(cpus - used.cpus, accelerators - used.accelerators)
-        yielded = self._quota_to_yield(message, lack, unused)
-        if yielded is None:
+        yielded_quota = self._quota_to_yield(message, shortfall, unused)
+        if yielded_quota is None:
             unused.take(self._usable_by_waiting_jobs(message))
         else:
-            lack = yielded
-        await self._quota_allocator.transfer(self._shard.number, message.shard, team, lack, unused)
+            shortfall = yielded_quota
+        await self._quota_allocator.transfer(self._shard.number, message.shard, team, shortfall, unused)
 
     def _usable_by_waiting_jobs(self, message: QuotaRequest) -> Resources:
         """Return how much of this shard's quota the team's jobs that wait here could use."""
@@ -127,7 +127,7 @@
         age_s = (self._loop.now() - job.accepted).total_seconds()
         return (message.age_s, -message.shard) > (age_s, -self._shard.number)
 
-    def _quota_to_yield(self, message: QuotaRequest, lack: Resources, unused: Resources) -> Resources | None:
+    def _quota_to_yield(self, message: QuotaRequest, shortfall: Resources, unused: Resources) -> Resources | None:
         """Return how much quota another shard gets although jobs wait for it here, or None if it gets none.
 
         If the other shard's jobs come first in the order of service, it gets all that it lacks. If they rank equally,
@@ -142,7 +142,7 @@
         ]
         if message.rank is None or not ranks or message.rank > min(ranks):
             return None
-        wanted = lack.copy()
+        wanted = shortfall.copy()
         if message.rank == min(ranks):
             surplus = self._surplus(message)
             if (
--- a/badgerroute/coordination/shards/work_stealing.py
+++ b/badgerroute/coordination/shards/work_stealing.py
@@ -66,7 +66,7 @@
         failed: the capacity would stay idle while tasks of other shards wait for it.
         """
         now = self._loop.now()
-        seen: set[_JobShape] = set()  # many jobs share few shapes, so each shape is checked once
+        checked_shapes: set[_JobShape] = set()  # many jobs share few shapes, so each shape is checked once
         for job in self._shard.jobs.values():
             if job.failing or job.failed_on or job.spec.team in teams_lacking_quota:
                 continue
@@ -75,8 +75,8 @@
             if job.gang and now - job.since > GANG_WAIT_LIMIT and not holds_whole_job(job, capacities):
                 continue
             shape = _JobShape.of(job)
-            if shape not in seen:
-                seen.add(shape)
+            if shape not in checked_shapes:
+                checked_shapes.add(shape)
                 if slots_by_zone(job, capacities):
                     return True
         return False
