--- a/badgerroute/scheduling/array_placement.py
+++ b/badgerroute/scheduling/array_placement.py
@@ -141,7 +141,7 @@
 
     def _may_fetch(self, job: Job, machine: Machine, locality: LocalityLevel, now: timedelta) -> bool:
         """Whether a task may start on a machine that must fetch its image."""
-        if machine.fetches(gangs_only=True):
+        if machine.awaits_image(gangs_only=True):
             return False  # two fetches share the rate, and a whole gang would wait for this one too
         if machine.reserved_for == job.ref:
             return True
--- a/badgerroute/scheduling/command_building.py
+++ b/badgerroute/scheduling/command_building.py
@@ -43,7 +43,7 @@
     placement.phase = Phase.SENT
     machine.last_task_list = None  # the next list matters even if it is the same
     placement.sent = HeartbeatNumber(machine.incarnation, machine.sequence)
-    if not placement.rejoined:
-        placement.since = now
+    if not placement.gang_wait_restarts:
+        placement.start_requested_at = now
     machine.touch_image(placement.job.spec.image, placement.job.spec.image_gb)
     return Command("start", f"{placement.job.ref}/{placement.index}", placement.attempt)
--- a/badgerroute/scheduling/delay_scheduling.py
+++ b/badgerroute/scheduling/delay_scheduling.py
@@ -50,8 +50,8 @@
 
 def run_time(job: Job, correction: float) -> timedelta:
     """The paper's `p`: the mean run of the job's finished tasks; until one has, its user's estimate, corrected."""
-    if job.run_count:
-        return job.run_sum / job.run_count
+    if job.finished_runs:
+        return job.total_run_time / job.finished_runs
     return timedelta(seconds=job.spec.estimate_s * correction)
 
 
--- a/badgerroute/scheduling/evictions.py
+++ b/badgerroute/scheduling/evictions.py
@@ -62,12 +62,12 @@
         """
         spec = placement.job.spec
         if placement.running_since is None:
-            lost_s = (now - placement.since).total_seconds()
+            lost_s = (now - placement.start_requested_at).total_seconds()
         else:
             ran_s = (now - placement.running_since).total_seconds()
             lost_s = min(ran_s, spec.save_s + 1.0) if spec.checkpoint_s else ran_s
         tasks = len(placement.job.placed) if spec.gang else 1
-        return lost_s * max(spec.cpus, LEAST_CPUS_COUNTED) * tasks * (1 + placement.job.stopped)
+        return lost_s * max(spec.cpus, LEAST_CPUS_COUNTED) * tasks * (1 + placement.job.preemption_count)
 
     def cheapest(self, machine: Machine, job: Job, now: timedelta) -> Eviction | None:
         """The cheapest tasks to stop so that one task of the job fits; none are needed if those that are stopping do.
@@ -75,7 +75,7 @@
         None: the task would not fit whatever is stopped.
         """
         # Most machines run too little that may be stopped: that is seen without a look at each task.
-        if not machine.leaving and not self.reclaimable(machine, job.level + job.guaranteed).holds(job.need):
+        if not machine.stopping_count and not self.reclaimable(machine, job.level + job.guaranteed).holds(job.need):
             return None
         available = machine.free.copy()
         stoppable = []
--- a/badgerroute/scheduling/failures.py
+++ b/badgerroute/scheduling/failures.py
@@ -32,7 +32,7 @@
             if self._seems_failing(job):
                 self._blame_job(job, machine, now)
             else:
-                job.failed_at = now
+                job.last_failure_at = now
                 machine.avoid_until = now + AVOIDED
                 again = now - machine.failed_jobs.setdefault(job.ref, now) >= FAILURES_CLEARED_AFTER
                 known_good = job.done | job.done_here and job.failed_on[machine.name] >= QUARANTINE_TRIES
@@ -63,7 +63,7 @@
 
     def clear_failures(self, job: Job, now: timedelta) -> None:
         """Else a job would wait for ever where only machines that it once failed on may run it."""
-        if job.failed_on and not job.failing and now - job.failed_at >= FAILURES_CLEARED_AFTER:
+        if job.failed_on and not job.failing and now - job.last_failure_at >= FAILURES_CLEARED_AFTER:
             job.failed_on = {}
 
     def _blame_job(self, job: Job, machine: Machine, now: timedelta) -> None:
@@ -78,14 +78,14 @@
                 if other is not None and other.failed_jobs.pop(job.ref, None) is not None and not other.failed_jobs:
                     other.avoid_until = ZERO
         if now >= job.blocked_until:  # the rest of a wave that was started before says nothing new
-            job.probes += 1
-            job.blocked_until = now + min(MAX_BACKOFF, BACKOFF * 2 ** min(10, job.probes))
+            job.probe_count += 1
+            job.blocked_until = now + min(MAX_BACKOFF, BACKOFF * 2 ** min(10, job.probe_count))
         job.failed_on = {machine.name: 1}  # any other will do for the next probe
 
     def blame_machines(self, job: Job, machine: Machine, events: Events) -> None:
         """A task of the job was done, so there is nothing wrong with it: its failures were their machines'."""
         failed, job.failed_on = job.failed_on, {}
-        job.failing, job.probes, job.blocked_until = False, 0, ZERO
+        job.failing, job.probe_count, job.blocked_until = False, 0, ZERO
         for name, tasks in failed.items():
             other = self._shard.machines.get(name)
             if other is None or other is machine or job.ref not in other.failed_jobs:
--- a/badgerroute/scheduling/gang_placement.py
+++ b/badgerroute/scheduling/gang_placement.py
@@ -119,7 +119,7 @@
             if locality > self._rules.allowed(job, machine, wait):
                 blocked_by_locality = True
                 continue
-            heard_s = machine.heard.total_seconds() if machine.heard is not None else 0.0
+            heard_s = machine.last_message_at.total_seconds() if machine.last_message_at is not None else 0.0
             penalty = self._fetch_penalty(machine, locality)
             options.append(_Option(locality, penalty, machine.free.cpus, heard_s, machine))
         return options, blocked_by_locality
@@ -129,7 +129,7 @@
         """How little a machine suits a fetch: it may evict one of its images, and one that fetches shares its rate."""
         if locality is LocalityLevel.CACHED:
             return 0.0
-        return len(machine.images) + (FETCHING_PENALTY if machine.fetches() else 0.0)
+        return len(machine.images) + (FETCHING_PENALTY if machine.awaits_image() else 0.0)
 
     def _start(self, job: Job, machines: list[Machine], wait: timedelta, now: timedelta) -> None:
         """Place all tasks of a gang, one for each entry of `machines`, and give up its reservations."""
--- a/badgerroute/scheduling/heartbeat_reconciliation.py
+++ b/badgerroute/scheduling/heartbeat_reconciliation.py
@@ -38,7 +38,7 @@
         """Take in a machine's task list; what it changed. None: it is stale, and changed nothing."""
         if self._is_stale(machine, heartbeat):
             return None
-        prompt = machine.heard is not None and now - machine.heard <= self._shard.lease / 3
+        prompt = machine.last_message_at is not None and now - machine.last_message_at <= self._shard.lease / 3
         message = TaskListMessage(machine, heartbeat, periodic, prompt, now)
         self._update_machine(message)
         if heartbeat.fencing_token < self._shard.fence and not machine.never_commanded:
@@ -53,7 +53,7 @@
     @staticmethod
     def _is_stale(machine: Machine, heartbeat: Heartbeat) -> bool:
         """Whether a newer message was taken in, or the lease ended in the message's incarnation."""
-        return heartbeat.incarnation <= machine.dead_incarnation or not heartbeat.newer_than(
+        return heartbeat.incarnation <= machine.expired_incarnation or not heartbeat.newer_than(
             machine.incarnation, machine.sequence
         )
 
@@ -78,7 +78,7 @@
             self._restart_machine(message)
         machine.incarnation, machine.sequence = heartbeat.incarnation, heartbeat.sequence
         machine.highest_token_seen = max(machine.highest_token_seen, heartbeat.fencing_token)
-        machine.heard = now
+        machine.last_message_at = now
         if message.periodic:
             machine.alive = True
         notice_s = heartbeat.preemption_notice_s
@@ -176,22 +176,22 @@
     def _record_start(message: TaskListMessage, placement: Placement) -> None:
         now = message.now
         placement.running_since = now
-        placement.timed = placement.timed and message.prompt
+        placement.timing_known = placement.timing_known and message.prompt
         log.debug(
             "event=task_started task=%s/%d machine=%s fetched=%.1f age=%.1f",
             placement.job.ref,
             placement.index,
             message.machine.name,
-            (now - placement.since).total_seconds(),
+            (now - placement.start_requested_at).total_seconds(),
             (now - placement.job.accepted).total_seconds(),
         )
 
     def _record_fetch(self, placement: Placement, now: timedelta) -> None:
         """Report how long a fetch took from its first request; only if both its start and its end were seen."""
         machine, image = placement.machine, placement.job.spec.image
-        if image in machine.fetched_images or not placement.timed:
+        if image in machine.fetched_images or not placement.timing_known:
             return
-        requested = [other.since for other in machine.placements.values() if other.job.spec.image == image]
+        requested = [other.start_requested_at for other in machine.placements.values() if other.job.spec.image == image]
         self._shard.image_fetched(placement, now - min(requested))
 
     @staticmethod
@@ -212,7 +212,7 @@
             machine.orphans.add(task)
             return None
         placement = self._shard.place(job, task.number, task.attempt, machine, message.now, phase)
-        placement.timed = False
+        placement.timing_known = False
         if job.spec.gang:
             if job.gang_attempt is None:
                 job.gang_attempt = task.attempt
--- a/badgerroute/scheduling/lease_expiry.py
+++ b/badgerroute/scheduling/lease_expiry.py
@@ -38,6 +38,6 @@
     machine.orphans.clear()
     machine.undecided.clear()
     machine.alive = False
-    machine.dead_incarnation = machine.incarnation
+    machine.expired_incarnation = machine.incarnation
     machine.fenced = True
     machine.idle_since = None
--- a/badgerroute/scheduling/model.py
+++ b/badgerroute/scheduling/model.py
@@ -39,13 +39,13 @@
     attempt: int
     machine: "Machine"
     phase: Phase
-    since: timedelta  # when the start was decided; once it has gone out, when it did
+    start_requested_at: timedelta  # when the start was decided; once it has gone out, when it did
     running_since: timedelta | None = None
     sent: HeartbeatNumber | None = None  # of the heartbeat whose answer carried the start
     grace: timedelta | None = None  # set: the task is to stop, and has so much time to save its work
     stopped_at: timedelta | None = None  # when the command to stop first went out
-    timed: bool = True  # its times are exact: no silence hid when it began to fetch or to run
-    rejoined: int = 0  # times that it was started again, with the same attempt number, to wait on for its gang
+    timing_known: bool = True  # its times are exact: no silence hid when it began to fetch or to run
+    gang_wait_restarts: int = 0  # times that it was started again, with the same attempt number, to wait on for its gang
 
     @property
     def key(self) -> tuple[str, int]:
@@ -70,13 +70,13 @@
     joined: timedelta
     free: Resources  # its capacity without what its placements take
     allocated_by_level: dict[int, Resources] = field(default_factory=dict)  # priority level -> what its tasks take
-    leaving: int = 0  # tasks for which a command to stop went out or is due
+    stopping_count: int = 0  # tasks for which a command to stop went out or is due
 
     # What its heartbeats showed
     incarnation: int = 0  # of the last message taken in, as is `sequence`
     sequence: int = -1
     alive: bool = False  # it sends heartbeats, and its lease is not over
-    heard: timedelta | None = None  # when its last message came, a heartbeat or the answer to a direct command
+    last_message_at: timedelta | None = None  # when its last message came, a heartbeat or the answer to a direct command
     last_heartbeat: timedelta | None = None  # when a heartbeat of it last came here, not through a peer
     answered: timedelta | None = None  # when one of its heartbeats was last answered by this controller
     preemption_notice: timedelta | None = None  # when the cloud takes it away
@@ -86,7 +86,7 @@
     fenced: bool = False  # it has seen this leader's term, and its task list was read since
     never_commanded: bool = False  # no leader ever gave it a command, so there is none to fence off
     highest_token_seen: int = 0
-    dead_incarnation: int = 0  # its lease ended in this incarnation: messages of it, or of earlier ones, are stale
+    expired_incarnation: int = 0  # its lease ended in this incarnation: messages of it, or of earlier ones, are stale
     missed_starts: int = 0  # heartbeats in a row that lacked a start which an answer had carried
     unreachable: bool = False  # its heartbeats arrive here, but the answers seem not to reach it
     lost_at: timedelta | None = None  # when its lease was found to be over
@@ -140,7 +140,7 @@
             total -= self.images.pop(oldest)
             self.fetched_images.discard(oldest)
 
-    def fetches(self, gangs_only: bool = False) -> bool:
+    def awaits_image(self, gangs_only: bool = False) -> bool:
         """Whether a task here waits for an image that is still to come."""
         return any(
             placement.running_since is None
@@ -150,7 +150,7 @@
             if placement.job.gang or not gangs_only
         )
 
-    def forget_image(self, image: str) -> None:
+    def drop_unfetched_image(self, image: str) -> None:
         """A task that waited for an image is gone: if no other waits for it, the machine gives the fetch up.
 
         An image that was only begun must not count as cached, or gangs would be placed here to find it.
@@ -185,29 +185,29 @@
     level: int = 0  # of its priority, or of that of a job which depends on it
     guaranteed: bool = False  # it lies within its team's guarantee
     lateness_tier: float = 0  # due times it will miss, and a half if it can wait; below 0: it has waited too long
-    held_back: timedelta = ZERO  # from its acceptance to its release; its deadline counts from the acceptance
+    dependency_wait: timedelta = ZERO  # from its acceptance to its release; its deadline counts from the acceptance
     start_by: timedelta | None = None  # if it starts later, a job that depends on it will be late
     blocked_until: timedelta = ZERO
     no_return_until: dict[str, timedelta] = field(default_factory=dict)  # machine -> its moved tasks stay away so long
-    stopped: int = 0  # times that a gang was stopped for another job
+    preemption_count: int = 0  # times that a gang was stopped for another job
 
     # Utilization feedback (see utilization_feedback): the desire, and samples of the current period
     desire: float = 0.0  # slots
-    booked: float = 0.0  # slots in use, summed over the samples
-    granted: float = 0.0  # slots it could have used, summed over the samples
+    used_slots_sum: float = 0.0  # slots in use, summed over the samples
+    granted_slots_sum: float = 0.0  # slots it could have used, summed over the samples
     samples: int = 0
     starved: bool = False  # in some sample, tasks waited
     period_began: timedelta | None = None  # None: it has no desire yet
 
     # Finished runs, for the mean run time
-    run_sum: timedelta = ZERO
-    run_count: int = 0
+    total_run_time: timedelta = ZERO
+    finished_runs: int = 0
 
     # Failures (see failures)
     failed_on: dict[str, int] = field(default_factory=dict)  # machine -> tasks of it that failed there
-    failed_at: timedelta = ZERO
+    last_failure_at: timedelta = ZERO
     failing: bool = False  # it fails on every machine, so it is itself at fault: one task at a time is tried
-    probes: int = 0  # times that it was tried since
+    probe_count: int = 0  # times that it was tried since
     _waiting: tuple[tuple[int, ...], int] = ((), 0)  # cache of `waiting_bits`: the bit sets it follows from, and it
 
     def __post_init__(self) -> None:
@@ -239,7 +239,7 @@
         return count
 
     @property
-    def over(self) -> bool:
+    def can_be_dropped(self) -> bool:
         """Whether nothing of it is left here.
 
         Tasks that are done but not recorded keep it alive: without their record they would be run again. So do tasks in
--- a/badgerroute/scheduling/objectives.py
+++ b/badgerroute/scheduling/objectives.py
@@ -57,7 +57,7 @@
     def missed(self, job: Job, now: timedelta, run: timedelta) -> int:
         """How many of the times by which the job should be complete can't be met any more."""
         late = job.start_by is not None and now > job.start_by
-        return late + sum(now - job.accepted + run > due for due in self.due(job.spec, job.held_back))
+        return late + sum(now - job.accepted + run > due for due in self.due(job.spec, job.dependency_wait))
 
     @property
     def tightest(self) -> timedelta:
--- a/badgerroute/scheduling/preemption.py
+++ b/badgerroute/scheduling/preemption.py
@@ -101,7 +101,7 @@
         if not self._shard.reconciled:
             return
         self._order.refresh(now)
-        stopping = sum(machine.leaving for machine in self._shard.machines.values())
+        stopping = sum(machine.stopping_count for machine in self._shard.machines.values())
         stops_left = MAX_STOPS_PER_ROUND
         jobs = self._order.jobs
         for position in range(min(self._cursor, len(jobs)), len(jobs)):
@@ -168,7 +168,7 @@
             job.ref,
         )
         if victim.job.gang:
-            victim.job.stopped += 1
+            victim.job.preemption_count += 1
             self._shard.stop_gang(victim.job, grace)
         else:
             self._shard.stop(victim, grace)
--- a/badgerroute/scheduling/shard.py
+++ b/badgerroute/scheduling/shard.py
@@ -126,7 +126,7 @@
         spec = record.job
         # A gang that comes from another shard has waited there already.
         since = min(now, accepted) if spec.gang else now
-        job = Job(spec.ref, spec, accepted, owned, done, window, need_of(spec), since, held_back=held_back)
+        job = Job(spec.ref, spec, accepted, owned, done, window, need_of(spec), since, dependency_wait=held_back)
         self.jobs[spec.ref] = job
         return job
 
@@ -138,7 +138,7 @@
         job.done |= done
         job.done_here &= ~job.done
         job.failing = job.failing and not job.done  # it was done elsewhere
-        if job.over:
+        if job.can_be_dropped:
             del self.jobs[job.ref]
             return None
         return job
@@ -221,8 +221,8 @@
             return
         machine.free.add(job.need)
         machine.allocated_by_level[job.level].take(job.need)
-        machine.leaving -= placement.stopping
-        machine.forget_image(job.spec.image)
+        machine.stopping_count -= placement.stopping
+        machine.drop_unfetched_image(job.spec.image)
         job.unplace(placement.index)
         self.quota.remove(job)
         if not machine.placements:
@@ -230,7 +230,7 @@
             machine.allocated_by_level.clear()
         if not job.placed:
             job.gang_attempt = None
-            if job.over:
+            if job.can_be_dropped:
                 self.jobs.pop(job.ref, None)
 
     def release(self, placement: Placement, now: timedelta) -> None:
@@ -252,7 +252,7 @@
         if placement.phase is Phase.RESERVED:
             self.forget(placement)
         elif placement.grace is None or grace < placement.grace:
-            placement.machine.leaving += not placement.stopping
+            placement.machine.stopping_count += not placement.stopping
             placement.grace = grace
 
     # -- messages from machines
--- a/badgerroute/scheduling/task_exits.py
+++ b/badgerroute/scheduling/task_exits.py
@@ -44,7 +44,7 @@
     @staticmethod
     def _may_precede_restart(message: TaskListMessage, placement: Placement) -> bool:
         """Whether the end may be that of the run before a restart, which has the same attempt number."""
-        return placement.phase is Phase.SENT and placement.rejoined > 0 and not message.confirms_absence(placement)
+        return placement.phase is Phase.SENT and placement.gang_wait_restarts > 0 and not message.confirms_absence(placement)
 
     def _end_undone(self, message: TaskListMessage, placement: Placement, cause: str) -> None:
         """An attempt ended without being done: restart a gang task that only waited, release any other."""
@@ -52,7 +52,7 @@
             # Its gang may still be fetching the image, which can take longer than a task waits for its gang. To stop
             # the gang would give those fetches up (docs/incidents.md, gangs begun anew).
             placement.phase, placement.sent = Phase.RESERVED, None
-            placement.rejoined += 1
+            placement.gang_wait_restarts += 1
             return
         message.events.freed = True
         self._failures.failed(placement.job, placement, cause, message.events, message.now)
@@ -65,7 +65,7 @@
         return (
             job.gang
             and len(job.placed) == job.spec.tasks  # else there is no whole gang to wait for
-            and placement.rejoined < MAX_REJOINS
+            and placement.gang_wait_restarts < MAX_REJOINS
             and placement.machine.usable
             and placement.attempt == job.gang_attempt
             and not any(other.stopping or other.running_since is not None for other in job.placed.values())
@@ -98,11 +98,11 @@
 
         A pause of this controller must not count as run time: jobs would be taken for late that have only begun.
         """
-        if placement.running_since is None or not placement.timed:
+        if placement.running_since is None or not placement.timing_known:
             return
         job = placement.job
         run = now - placement.running_since
-        job.run_sum += run
-        job.run_count += 1
+        job.total_run_time += run
+        job.finished_runs += 1
         if not (job.spec.checkpoint_s and job.requeued):
             self._shard.estimates.learn(job.spec.job_class, timedelta(seconds=job.spec.estimate_s), run)
--- a/badgerroute/scheduling/utilization_feedback.py
+++ b/badgerroute/scheduling/utilization_feedback.py
@@ -31,8 +31,8 @@
     """Add a sample of the job's slots to the period's sums. `waiting`: its tasks that wait."""
     job.samples += 1
     in_use = len(job.placed)
-    job.booked += in_use
-    job.granted += min(job.desire, in_use + (0 if waiting else job.desire))
+    job.used_slots_sum += in_use
+    job.granted_slots_sum += min(job.desire, in_use + (0 if waiting else job.desire))
     job.starved = job.starved or waiting > 0
 
 
@@ -48,8 +48,8 @@
 def end_period(job: Job, now: timedelta, settings: Scheduling) -> None:
     """Give a job its next desire and begin the next period."""
     if job.samples:
-        granted = job.granted / job.samples
-        use = job.booked / job.samples / job.desire if job.desire else 1.0
+        granted = job.granted_slots_sum / job.samples
+        use = job.used_slots_sum / job.samples / job.desire if job.desire else 1.0
         job.desire = min(
             float(job.spec.tasks), next_desire(job.desire, granted, use, job.starved, settings.delta, settings.rho)
         )
@@ -58,6 +58,6 @@
 
 def _restart(job: Job, now: timedelta) -> None:
     job.period_began = now
-    job.booked = job.granted = 0.0
+    job.used_slots_sum = job.granted_slots_sum = 0.0
     job.samples = 0
     job.starved = False
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -222,7 +222,7 @@
     gangs = [add(target, submission(f"run-{number}", kind="group", team="red", tasks=1, cpus=8.0)) for number in "ab"]
     for gang, machine in zip(gangs, target.machines.values(), strict=True):
         target.place(gang, 0, 1, machine, timedelta(0), Phase.FETCHING)
-    gangs[0].stopped = 1
+    gangs[0].preemption_count = 1
     other = add(target, submission("run-g", kind="group", tasks=1, cpus=8.0))
     other.guaranteed = True
     Planner(target, Scheduling(), Objectives([])).gangs(200 * S, never)
@@ -415,7 +415,7 @@
 
 
 def set_tired(gang: Job) -> None:
-    gang.placed[0].rejoined = 1000
+    gang.placed[0].gang_wait_restarts = 1000
 
 
 def set_draining(gang: Job) -> None:
@@ -697,7 +697,7 @@
     """A controller that was paused must not take its own pause for run time."""
     target = shard(1)
     machine = target.machines["host-0"]
-    machine.heard = timedelta(0)
+    machine.last_message_at = timedelta(0)
     one = add(target, submission())
     states = ["running", "running", "exited"]
     target.on_heartbeat(machine, heartbeat(1), True, times[0] * S)
@@ -707,7 +707,7 @@
         told = TaskStatus("run-1/0", 5, state, "done" if state == "exited" else None)
         target.on_heartbeat(machine, heartbeat(number + 2, [told]), True, at * S)
     assert one.done_here == 1
-    assert one.run_count == learned
+    assert one.finished_runs == learned
     assert (target.estimates.correction("batch") == 1.0) is (learned == 0)
 
 
