--- a/badgerroute/scheduling/array_placement.py
+++ b/badgerroute/scheduling/array_placement.py
@@ -34,7 +34,7 @@
         self._cursor = 0  # position in the order of service from which the next round goes on
         self.overrun_rounds = 0  # rounds that ran out of time
 
-    def fill(self, machine: Machine, now: timedelta, over: Callable[[], bool]) -> int:
+    def fill(self, machine: Machine, now: timedelta, out_of_time: Callable[[], bool]) -> int:
         """Start array tasks on a machine; how many. `over` tells when the round's time is up."""
         shard = self._shard
         if not shard.reconciled or not machine.usable or machine.avoid_until > now:
@@ -46,29 +46,31 @@
         in_use = self._machines_in_use(machine) if is_empty else None
         jobs = self._order.jobs
         order = jobs[self._cursor :] + jobs[: self._cursor] if self._cursor else jobs
-        started, looked = 0, 0
+        started, considered = 0, 0
         for beyond_desire in (False, True):
-            for _, members in groupby(order, key=self._order.group):
+            for _, members in groupby(order, key=self._order.group_key):
                 if not machine.free.holds(self._order.least_need):
                     self._cursor = 0
                     return started
                 group = [job for job in members if not job.gang and job.waiting_bits]
-                if over():
+                if out_of_time():
                     self.overrun_rounds += 1
-                    self._cursor = (self._cursor + looked) % max(1, len(self._order.jobs))
+                    self._cursor = (self._cursor + considered) % max(1, len(self._order.jobs))
                     return started
-                looked += len(group)
-                group = self._admitted(group, machine, in_use, now)
+                considered += len(group)
+                group = self._admitted_jobs(group, machine, in_use, now)
                 started += self._fill_group(machine, group, now, beyond_desire)
         self._cursor = 0
         return started
 
-    def _admitted(self, jobs: list[Job], machine: Machine, in_use: list[Machine] | None, now: timedelta) -> list[Job]:
+    def _admitted_jobs(
+        self, jobs: list[Job], machine: Machine, in_use: list[Machine] | None, now: timedelta
+    ) -> list[Job]:
         """The jobs that may use a machine, which may be reserved, or empty and better left to gangs."""
         if machine.reserved_for is not None:
-            jobs = self._outranking(machine, jobs)
+            jobs = self._jobs_for_reserved_machine(machine, jobs)
         if in_use is not None:
-            jobs = [job for job in jobs if not self._fits_in_use(job, in_use, now)]
+            jobs = [job for job in jobs if not self._fits_machines_in_use(job, in_use, now)]
         return jobs
 
     def _machines_in_use(self, machine: Machine) -> list[Machine]:
@@ -79,21 +81,21 @@
             if other.placements and other.usable and other.reserved_for is None and other.zone == machine.zone
         ]
 
-    def _fits_in_use(self, job: Job, machines: list[Machine], now: timedelta) -> bool:
+    def _fits_machines_in_use(self, job: Job, machines: list[Machine], now: timedelta) -> bool:
         """Whether all that waits of a job would fit on machines in use, at its heartbeat or the one after."""
         waiting = job.waiting_bits
         if not waiting or now - job.requeued.get(lowest(waiting), job.since) > SHARED_MACHINE_WAIT:
             return False
-        left = waiting.bit_count()
+        remaining = waiting.bit_count()
         for machine in machines:
             if allows(job.spec, machine.kind.name, machine.zone, machine.spot):
                 if locality_of(job, machine, self._order.images) is LocalityLevel.CACHED:
-                    left -= machine.free.times(job.need)
-                    if left <= 0:
+                    remaining -= machine.free.times(job.need)
+                    if remaining <= 0:
                         return True
         return False
 
-    def _outranking(self, machine: Machine, jobs: list[Job]) -> list[Job]:
+    def _jobs_for_reserved_machine(self, machine: Machine, jobs: list[Job]) -> list[Job]:
         """The jobs that may use a reserved machine: the one it is reserved for, and those that come before it.
 
         Else the capacity would go back to the work that was just stopped for it.
@@ -110,14 +112,14 @@
             queue: list[tuple[tuple[float, float], int, Job]] = []
             for number, job in enumerate(jobs):
                 if self._eligible(job, machine, locality, now, beyond_desire):
-                    queue.append((self._order.turn(job), number, job))
+                    queue.append((self._order.share_key(job), number, job))
             heapq.heapify(queue)
             while queue:
                 _, number, job = heapq.heappop(queue)
                 if not self._start_next_task(job, machine, now, beyond_desire):
                     continue
                 started += 1
-                heapq.heappush(queue, (self._order.turn(job), number, job))
+                heapq.heappush(queue, (self._order.share_key(job), number, job))
         return started
 
     def _eligible(
@@ -148,7 +150,7 @@
         waiting = job.waiting_bits
         if not waiting:
             return False
-        return self._rules.allowed(job, machine, job.waited(lowest(waiting), now)) >= locality
+        return self._rules.allowed_locality(job, machine, job.waited(lowest(waiting), now)) >= locality
 
     def _below_desire(self, job: Job) -> bool:
         return len(job.placed) < job.desire or self._shard.guidance.may_exceed_desire(job)
@@ -165,7 +167,7 @@
         if self._order.yields_to_gang(job):
             return False
         if not self._shard.fits_quota(job):
-            self._rules.note_shortfall(job, waiting.bit_count())
+            self._rules.record_shortfall(job, waiting.bit_count())
             return False
         index = lowest(waiting)
         log.debug(
--- a/badgerroute/scheduling/capacities.py
+++ b/badgerroute/scheduling/capacities.py
@@ -31,8 +31,8 @@
     slots: Counter[str] = Counter()
     for capacity in capacities:
         if allows(job.spec, capacity.type, capacity.zone, capacity.spot):
-            zone = capacity.zone if job.spec.together else ANY_ZONE
-            slots[zone] += capacity.count * free_resources_of(capacity).times(job.need)
+            zone_key = capacity.zone if job.spec.together else ANY_ZONE
+            slots[zone_key] += capacity.count * free_resources_of(capacity).times(job.need)
     return slots
 
 
--- a/badgerroute/scheduling/command_building.py
+++ b/badgerroute/scheduling/command_building.py
@@ -9,7 +9,7 @@
 
 
 def build_commands(
-    machine: Machine, now: timedelta, starts: bool, clearable: Callable[[str, int], bool]
+    machine: Machine, now: timedelta, include_starts: bool, clearable: Callable[[str, int], bool]
 ) -> list[Command]:
     """Halts, clears and starts for one machine.
 
@@ -18,7 +18,7 @@
     the end of a task, by job and number, is of no more use as evidence.
     """
     commands = [Command("halt", orphan.task, orphan.attempt, 0.0) for orphan in machine.orphans]
-    if starts:
+    if include_starts:
         commands += [
             Command("clear", exited.task, exited.attempt)
             for exited in machine.exited
@@ -29,7 +29,7 @@
             if placement.stopped_at is None:
                 placement.stopped_at = now
             commands.append(_halt(placement, placement.grace))
-        elif starts and placement.phase is Phase.RESERVED:
+        elif include_starts and placement.phase is Phase.RESERVED:
             commands.append(_start(machine, placement, now))
     return commands
 
--- a/badgerroute/scheduling/deadline_feasibility.py
+++ b/badgerroute/scheduling/deadline_feasibility.py
@@ -12,7 +12,7 @@
 
 from badgerroute.scheduling.model import ZERO
 
-SPARE = timedelta(seconds=60)
+MIN_SPARE_TIME = timedelta(seconds=60)
 
 
 @dataclass(slots=True)
@@ -25,22 +25,22 @@
     due: Sequence[timedelta]
 
 
-def _in_time(loads: Iterable[Load], number: int, before: timedelta, processors: float) -> list[Load]:
+def _on_time_loads(loads: Iterable[Load], due_index: int, earlier_work: timedelta, processors: float) -> list[Load]:
     """The jobs that can meet their due time of a number, if work that takes `before` comes first."""
     kept: list[tuple[timedelta, str, Load]] = []  # a heap: most work first
-    total = before
-    candidates = [load for load in loads if number < len(load.due) and load.least <= load.due[number]]
-    for load in sorted(candidates, key=lambda candidate: (candidate.due[number], candidate.ref)):
+    total = earlier_work
+    candidates = [load for load in loads if due_index < len(load.due) and load.least <= load.due[due_index]]
+    for load in sorted(candidates, key=lambda candidate: (candidate.due[due_index], candidate.ref)):
         heapq.heappush(kept, (-load.work, load.ref, load))
         total += load.work / processors
-        if total > load.due[number]:
+        if total > load.due[due_index]:
             total += heapq.heappop(kept)[0] / processors
     return [load for _, _, load in kept]
 
 
-def _can_wait(load: Load, number: int) -> bool:
+def _can_wait(load: Load, due_index: int) -> bool:
     """Whether a job has so much time left that others may well come first."""
-    return load.due[number] - load.least > 2 * load.least + SPARE
+    return load.due[due_index] - load.least > 2 * load.least + MIN_SPARE_TIME
 
 
 def tiers(groups: Iterable[Sequence[Load]], processors: float) -> dict[str, float]:
@@ -49,16 +49,16 @@
     Groups come in the order in which they are served.
     """
     processors = max(processors, 1.0)
-    found: dict[str, float] = {}
-    before = ZERO
+    tier_by_ref: dict[str, float] = {}
+    earlier_work = ZERO
     for group in groups:
-        left = {load.ref: load for load in group}
-        for number in range(max((len(load.due) for load in group), default=0)):
-            for load in _in_time(left.values(), number, before, processors):
-                found[load.ref] = number + (0.5 if _can_wait(load, number) else 0.0)
-                before += load.work / processors
-                del left[load.ref]
-        for load in left.values():
-            found[load.ref] = len(load.due)
-            before += load.work / processors
-    return found
+        undecided = {load.ref: load for load in group}
+        for due_index in range(max((len(load.due) for load in group), default=0)):
+            for load in _on_time_loads(undecided.values(), due_index, earlier_work, processors):
+                tier_by_ref[load.ref] = due_index + (0.5 if _can_wait(load, due_index) else 0.0)
+                earlier_work += load.work / processors
+                del undecided[load.ref]
+        for load in undecided.values():
+            tier_by_ref[load.ref] = len(load.due)
+            earlier_work += load.work / processors
+    return tier_by_ref
--- a/badgerroute/scheduling/delay_scheduling.py
+++ b/badgerroute/scheduling/delay_scheduling.py
@@ -18,7 +18,7 @@
 from badgerroute.scheduling.model import ZERO, Job, Machine
 from badgerroute.settings import Scheduling
 
-SLOWEST_GB_PER_S = 1e-6  # so that a machine type without a rate has a fetch time too
+MIN_FETCH_GB_PER_S = 1e-6  # so that a machine type without a rate has a fetch time too
 
 
 class LocalityLevel(IntEnum):
@@ -57,7 +57,7 @@
 
 def fetch_time(job: Job, machine: Machine) -> timedelta:
     """How long a machine takes to fetch a job's image, as its type says."""
-    return timedelta(seconds=job.spec.image_gb / max(machine.kind.fetch_gb_per_s, SLOWEST_GB_PER_S))
+    return timedelta(seconds=job.spec.image_gb / max(machine.kind.fetch_gb_per_s, MIN_FETCH_GB_PER_S))
 
 
 def allowed(
--- a/badgerroute/scheduling/dependencies.py
+++ b/badgerroute/scheduling/dependencies.py
@@ -19,52 +19,56 @@
     revision: int = 0
 
 
-Final = Callable[[str], FinalState | None]  # a job's final state, if that is known
+FinalStateOf = Callable[[str], FinalState | None]  # a job's final state, if that is known
 
 
 class Dependencies:
     """`final` tells what is known to be over; `released` and `cancelled` are told of each job once."""
 
-    def __init__(self, final: Final, released: Callable[[str], None], cancelled: Callable[[str], None]) -> None:
+    def __init__(self, final: FinalStateOf, released: Callable[[str], None], cancelled: Callable[[str], None]) -> None:
         self._final, self._released, self._cancelled = final, released, cancelled
-        self._needs: dict[str, tuple[str, ...]] = {}  # unfinished job -> its predecessors
-        self._left: dict[str, set[str]] = {}  # job that waits -> predecessors that are not known to be done
-        self._after: dict[str, float] = {}  # unfinished job -> when the last predecessor known to be done was done
+        self._predecessors: dict[str, tuple[str, ...]] = {}  # unfinished job -> its predecessors
+        self._unfinished_predecessors: dict[
+            str, set[str]
+        ] = {}  # job that waits -> predecessors that are not known to be done
+        self._released_at: dict[
+            str, float
+        ] = {}  # unfinished job -> when the last predecessor known to be done was done
         self._dependents: dict[str, dict[str, None]] = {}  # predecessor -> unfinished jobs that wait for it
         self.cancelled: set[str] = set()  # unfinished jobs that are cancelled, since a predecessor is
 
     def add(self, ref: str, predecessors: Iterable[str]) -> None:
         """Note which jobs a job waits for."""
-        if ref in self._needs:
+        if ref in self._predecessors:
             return
-        self._needs[ref] = needs = tuple(dict.fromkeys(predecessors))
-        self._after[ref] = 0.0
-        self._left[ref] = left = set()
-        lost = False
-        for predecessor in needs:
-            known = self._final(predecessor)
-            if predecessor in self.cancelled or (known is not None and known.state is JobState.CANCELLED):
-                lost = True
-            elif known is None:
-                left.add(predecessor)
+        self._predecessors[ref] = unique_predecessors = tuple(dict.fromkeys(predecessors))
+        self._released_at[ref] = 0.0
+        self._unfinished_predecessors[ref] = unfinished = set()
+        any_cancelled = False
+        for predecessor in unique_predecessors:
+            final = self._final(predecessor)
+            if predecessor in self.cancelled or (final is not None and final.state is JobState.CANCELLED):
+                any_cancelled = True
+            elif final is None:
+                unfinished.add(predecessor)
                 self._dependents.setdefault(predecessor, {})[ref] = None
             else:
-                self._after[ref] = max(self._after[ref], known.reached)
-        if lost:
+                self._released_at[ref] = max(self._released_at[ref], final.reached)
+        if any_cancelled:
             self._cancel_downstream(ref)
-        elif not left:
-            del self._left[ref]
+        elif not unfinished:
+            del self._unfinished_predecessors[ref]
             self._released(ref)
 
     def remove(self, ref: str) -> None:
         """The job has its own final state, or is gone."""
-        for predecessor in self._needs.pop(ref, ()):
-            self._forget(predecessor, ref)
-        self._left.pop(ref, None)
-        self._after.pop(ref, None)
+        for predecessor in self._predecessors.pop(ref, ()):
+            self._remove_dependent(predecessor, ref)
+        self._unfinished_predecessors.pop(ref, None)
+        self._released_at.pop(ref, None)
         self.cancelled.discard(ref)
 
-    def _forget(self, predecessor: str, ref: str) -> None:
+    def _remove_dependent(self, predecessor: str, ref: str) -> None:
         dependents = self._dependents.get(predecessor)
         if dependents is not None:
             dependents.pop(ref, None)
@@ -77,14 +81,14 @@
             if final.state is JobState.CANCELLED:
                 self._cancel_downstream(dependent)
                 continue
-            self._forget(ref, dependent)
-            left = self._left.get(dependent)
-            if left is None:
+            self._remove_dependent(ref, dependent)
+            unfinished = self._unfinished_predecessors.get(dependent)
+            if unfinished is None:
                 continue
-            left.discard(ref)
-            self._after[dependent] = max(self._after[dependent], final.reached)
-            if not left and dependent not in self.cancelled:
-                del self._left[dependent]
+            unfinished.discard(ref)
+            self._released_at[dependent] = max(self._released_at[dependent], final.reached)
+            if not unfinished and dependent not in self.cancelled:
+                del self._unfinished_predecessors[dependent]
                 self._released(dependent)
 
     def _cancel_downstream(self, ref: str) -> None:
@@ -92,7 +96,7 @@
         queue = [ref]
         while queue:
             current = queue.pop()
-            if current in self.cancelled or current not in self._needs:
+            if current in self.cancelled or current not in self._predecessors:
                 continue
             self.cancelled.add(current)
             queue.extend(self._dependents.get(current, ()))
@@ -100,15 +104,15 @@
 
     def waits(self, ref: str) -> bool:
         """Whether not all of a job's predecessors are known to be done: until then nothing of it is there to plan."""
-        return ref in self._left
+        return ref in self._unfinished_predecessors
 
     def waits_for(self, ref: str) -> Iterable[str]:
         """The predecessors of a job that are not known to be done."""
-        return self._left.get(ref, ())
+        return self._unfinished_predecessors.get(ref, ())
 
     def released_at(self, ref: str) -> float:
         """The time of day at which the last of a job's predecessors was done."""
-        return self._after.get(ref, 0.0)
+        return self._released_at.get(ref, 0.0)
 
     def predecessors(self) -> list[str]:
         """The jobs that others wait for."""
@@ -126,7 +130,7 @@
         """Those of a job and of all that it waits for."""
         seen, queue = {ref}, [ref]
         while queue:
-            for predecessor in self._left.get(queue.pop(), ()):
+            for predecessor in self._unfinished_predecessors.get(queue.pop(), ()):
                 if predecessor in seen:
                     continue
                 seen.add(predecessor)
--- a/badgerroute/scheduling/draining.py
+++ b/badgerroute/scheduling/draining.py
@@ -48,7 +48,7 @@
     for placement in list(machine.placements.values()):
         if machine.placements.get(placement.key) is not placement:
             continue  # its gang was stopped for another task
-        grace = _grace_now(placement, plan, now, remaining_time(placement, now, run_time, fetch_time))
+        grace = _grace_if_due(placement, plan, now, remaining_time(placement, now, run_time, fetch_time))
         if grace is None or (placement.grace is not None and placement.grace <= grace):
             continue
         if placement.job.gang:
@@ -59,16 +59,16 @@
     return stopped
 
 
-def _grace_now(placement: Placement, plan: Evacuation, now: timedelta, remaining: timedelta) -> timedelta | None:
+def _grace_if_due(placement: Placement, plan: Evacuation, now: timedelta, remaining: timedelta) -> timedelta | None:
     """With how much time to save a task is to be stopped now; None: not yet, or it may well end in time."""
-    left = plan.deadline - now
-    if left <= ZERO:
+    time_left = plan.deadline - now
+    if time_left <= ZERO:
         return ZERO
     if placement.stopping:
         return None
     running = placement.running_since is not None
-    if remaining < left and (running or plan.patient):
+    if remaining < time_left and (running or plan.patient):
         return None
     if plan.patient and running and not placement.job.spec.checkpoint_s:
-        return ZERO if left <= plan.margin else None
+        return ZERO if time_left <= plan.margin else None
     return save_time(placement.job)
--- a/badgerroute/scheduling/duration_estimates.py
+++ b/badgerroute/scheduling/duration_estimates.py
@@ -6,7 +6,7 @@
 
 MIN_RATIO, MAX_RATIO = 0.1, 10.0  # of actual to estimated run time; what lies beyond counts as this
 DECAY = 0.95  # weight of what was learned before, at each finished run
-INITIAL = (1.0, 1.0)  # the estimate itself counts as one run
+INITIAL_SUM_AND_WEIGHT = (1.0, 1.0)  # the estimate itself counts as one run
 
 
 class DurationEstimates:
@@ -20,10 +20,10 @@
         if estimate <= ZERO or actual <= ZERO:
             return
         ratio = min(MAX_RATIO, max(MIN_RATIO, actual / estimate))
-        total, weight = self._ratios.get(job_class, INITIAL)
+        total, weight = self._ratios.get(job_class, INITIAL_SUM_AND_WEIGHT)
         self._ratios[job_class] = (total * DECAY + ratio, weight * DECAY + 1.0)
 
     def correction(self, job_class: str) -> float:
         """The factor by which a class's estimates are wrong on average."""
-        total, weight = self._ratios.get(job_class, INITIAL)
+        total, weight = self._ratios.get(job_class, INITIAL_SUM_AND_WEIGHT)
         return total / weight
--- a/badgerroute/scheduling/events.py
+++ b/badgerroute/scheduling/events.py
@@ -10,5 +10,5 @@
     """What a message changed that others must hear of."""
 
     progressed: set[str] = field(default_factory=set)  # jobs with tasks newly done
-    freed: bool = False
+    capacity_freed: bool = False
     quarantined: list[Machine] = field(default_factory=list)
--- a/badgerroute/scheduling/evictions.py
+++ b/badgerroute/scheduling/evictions.py
@@ -11,7 +11,7 @@
 from badgerroute.scheduling.shard import Shard
 from badgerroute.scheduling.task_phase import Phase
 
-LEAST_CPUS_COUNTED = 0.01  # so that tasks that take next to no processors have a cost too
+MIN_CPUS_COUNTED = 0.01  # so that tasks that take next to no processors have a cost too
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,13 +29,13 @@
     def __init__(self, shard: Shard, order: ServiceOrder) -> None:
         self._shard, self._order = shard, order
 
-    def candidates(self, job: Job, now: timedelta, free: bool = False) -> list[Machine]:
+    def candidates(self, job: Job, now: timedelta, with_free_cpus: bool = False) -> list[Machine]:
         """Machines that may run the job; `free`: only those with free processors for one of its tasks."""
-        spec, cpus = job.spec, job.need.cpus - EPSILON if free else -1.0
+        spec, min_free_cpus = job.spec, job.need.cpus - EPSILON if with_free_cpus else -1.0
         return [
             machine
             for machine in self._shard.machines.values()
-            if machine.free.cpus >= cpus
+            if machine.free.cpus >= min_free_cpus
             and machine.usable
             and machine.avoid_until <= now
             and machine.name not in job.failed_on
@@ -49,7 +49,7 @@
         The order of service decides, as it decides who starts first. If two jobs could each stop the other, they would
         do so in turn, and neither would ever be done.
         """
-        if self._order.job_class(job) >= self._order.job_class(victim):
+        if self._order.priority_class(job) >= self._order.priority_class(victim):
             return False
         return victim.level < job.level or victim.spec.team != job.spec.team
 
@@ -64,10 +64,10 @@
         if placement.running_since is None:
             lost_s = (now - placement.start_requested_at).total_seconds()
         else:
-            ran_s = (now - placement.running_since).total_seconds()
-            lost_s = min(ran_s, spec.save_s + 1.0) if spec.checkpoint_s else ran_s
+            run_s = (now - placement.running_since).total_seconds()
+            lost_s = min(run_s, spec.save_s + 1.0) if spec.checkpoint_s else run_s
         tasks = len(placement.job.placed) if spec.gang else 1
-        return lost_s * max(spec.cpus, LEAST_CPUS_COUNTED) * tasks * (1 + placement.job.preemption_count)
+        return lost_s * max(spec.cpus, MIN_CPUS_COUNTED) * tasks * (1 + placement.job.preemption_count)
 
     def cheapest(self, machine: Machine, job: Job, now: timedelta) -> Eviction | None:
         """The cheapest tasks to stop so that one task of the job fits; none are needed if those that are stopping do.
@@ -75,7 +75,7 @@
         None: the task would not fit whatever is stopped.
         """
         # Most machines run too little that may be stopped: that is seen without a look at each task.
-        if not machine.stopping_count and not self.reclaimable(machine, job.level + job.guaranteed).holds(job.need):
+        if not machine.stopping_count and not self.reclaimable_on(machine, job.level + job.guaranteed).holds(job.need):
             return None
         available = machine.free.copy()
         stoppable = []
@@ -97,30 +97,30 @@
         return None
 
     @staticmethod
-    def reclaimable(machine: Machine, level: int) -> Resources:
+    def reclaimable_on(machine: Machine, level: int) -> Resources:
         """What a machine could offer a job of a level: its free capacity and that of work below the level."""
         total = machine.free.copy()
-        for other, allocated in machine.allocated_by_level.items():
-            if other < level:
+        for allocated_level, allocated in machine.allocated_by_level.items():
+            if allocated_level < level:
                 total.add(allocated)
         return total
 
     def reclaimable_by_machine(self, level: int) -> list[tuple[Machine, Resources]]:
         """What each usable machine that is not reserved could offer a job of a level."""
         return [
-            (machine, self.reclaimable(machine, level))
+            (machine, self.reclaimable_on(machine, level))
             for machine in self._shard.machines.values()
             if machine.usable and machine.reserved_for is None
         ]
 
-    def reclaimable_cpus_by_image(self, level: int, most: int) -> dict[str, list[float]]:
+    def reclaimable_cpus_by_image(self, level: int, max_machines: int) -> dict[str, list[float]]:
         """For each image, the processors that machines which cache it could offer a job of a level, most first.
 
         Machines that could offer less than half of their processors don't count; `most` machines an image at most.
         """
-        found: dict[str, list[float]] = {}
+        cpus_by_image: dict[str, list[float]] = {}
         for machine, resources in self.reclaimable_by_machine(level):
             if 2 * resources.cpus >= machine.kind.cpus:
                 for image in machine.images:
-                    found.setdefault(image, []).append(resources.cpus)
-        return {image: sorted(cpus, reverse=True)[:most] for image, cpus in found.items()}
+                    cpus_by_image.setdefault(image, []).append(resources.cpus)
+        return {image: sorted(cpus, reverse=True)[:max_machines] for image, cpus in cpus_by_image.items()}
--- a/badgerroute/scheduling/gang_placement.py
+++ b/badgerroute/scheduling/gang_placement.py
@@ -13,7 +13,7 @@
 from badgerroute.scheduling.evictions import Eviction, EvictionPlanner
 from badgerroute.scheduling.model import ZERO, Job, Machine
 from badgerroute.scheduling.objectives import Objectives
-from badgerroute.scheduling.placement_rules import FETCH_SPREAD, PlacementRules
+from badgerroute.scheduling.placement_rules import SLOW_FETCH_FACTOR, PlacementRules
 from badgerroute.scheduling.preemption import Preemption
 from badgerroute.scheduling.service_order import ServiceOrder
 from badgerroute.scheduling.shard import Shard
@@ -30,7 +30,7 @@
     locality: LocalityLevel
     fetch_penalty: float
     free_cpus: float
-    heard_s: float  # when it was last heard: the heartbeat that is due first carries the start first
+    last_message_s: float  # when it was last heard: the heartbeat that is due first carries the start first
     machine: Machine
 
 
@@ -54,7 +54,7 @@
         self._cursor = 0  # position of the gang with which the next round goes on
         self.overrun_rounds = 0  # rounds that ran out of time
 
-    def place_on(self, machine: Machine, now: timedelta, over: Callable[[], bool]) -> int:
+    def place_on(self, machine: Machine, now: timedelta, out_of_time: Callable[[], bool]) -> int:
         """Place the gangs that may have lacked just this machine; how many. Nothing is stopped for them here.
 
         `over` tells when the round's time is up.
@@ -67,13 +67,13 @@
             if job.gang and not job.placed and machine.free.holds(job.need) and job.waiting_bits:
                 if machine.reserved_for not in (None, job.ref):
                     continue
-                if over():
+                if out_of_time():
                     self.overrun_rounds += 1
                     return placed
                 placed += self._place_gang(job, now, preempt=False)
         return placed
 
-    def place(self, now: timedelta, over: Callable[[], bool]) -> int:
+    def place(self, now: timedelta, out_of_time: Callable[[], bool]) -> int:
         """Place waiting gangs, and stop work for those that have waited long; how many are placed."""
         if not self._shard.reconciled:
             return 0
@@ -83,7 +83,7 @@
             self._cursor = 0
         placed = 0
         for position in range(self._cursor, len(waiting)):
-            if over():
+            if out_of_time():
                 self.overrun_rounds += 1
                 self._cursor = position
                 return placed
@@ -94,34 +94,34 @@
     def _place_gang(self, job: Job, now: timedelta, preempt: bool) -> bool:
         tasks = job.waiting_bits.bit_count()
         if self._lacks_quota(job, tasks):
-            self._rules.note_shortfall(job, tasks)
+            self._rules.record_shortfall(job, tasks)
             return False
         wait = now - job.since
-        options, blocked_by_locality = self._options(job, wait, now)
-        chosen = self._choose(job, tasks, options)
+        options, blocked_by_locality = self._find_options(job, wait, now)
+        chosen = self._choose_machines(job, tasks, options)
         if chosen is None:
             if preempt and not blocked_by_locality and not job.failing:
                 self._preemption.preempt_for_gang(job, tasks, now)
             return False
-        if not job.failing and self._preempt_near_image(job, tasks, chosen, wait, now):
+        if not job.failing and self._preempt_on_caching_machines(job, tasks, chosen, wait, now):
             return False
         self._start(job, chosen, wait, now)
         return True
 
-    def _options(self, job: Job, wait: timedelta, now: timedelta) -> tuple[list[_Option], bool]:
+    def _find_options(self, job: Job, wait: timedelta, now: timedelta) -> tuple[list[_Option], bool]:
         """Machines on which a task fits and may start by now; and whether others are only too far from the image."""
         options: list[_Option] = []
         blocked_by_locality = False
-        for machine in self._evictions.candidates(job, now, free=True):
+        for machine in self._evictions.candidates(job, now, with_free_cpus=True):
             if not machine.free.holds(job.need) or machine.reserved_for not in (None, job.ref):
                 continue
             locality = locality_of(job, machine, self._order.images)
-            if locality > self._rules.allowed(job, machine, wait):
+            if locality > self._rules.allowed_locality(job, machine, wait):
                 blocked_by_locality = True
                 continue
-            heard_s = machine.last_message_at.total_seconds() if machine.last_message_at is not None else 0.0
+            last_message_s = machine.last_message_at.total_seconds() if machine.last_message_at is not None else 0.0
             penalty = self._fetch_penalty(machine, locality)
-            options.append(_Option(locality, penalty, machine.free.cpus, heard_s, machine))
+            options.append(_Option(locality, penalty, machine.free.cpus, last_message_s, machine))
         return options, blocked_by_locality
 
     @staticmethod
@@ -151,34 +151,38 @@
             if machine.reserved_for == job.ref:
                 machine.reserved_for = None
 
-    def _choose(self, job: Job, tasks: int, options: list[_Option]) -> list[Machine] | None:
+    def _choose_machines(self, job: Job, tasks: int, options: list[_Option]) -> list[Machine] | None:
         """Machines for all tasks of a gang, nearest image first, then the tightest fit; None if there are too few."""
         options = sorted(options, key=lambda option: (*option[:4], option.machine.name))
         if not job.spec.together:
-            return self._take(job, tasks, [option.machine for option in options])
+            return self._first_fitting(job, tasks, [option.machine for option in options])
         for zone in dict.fromkeys(option.machine.zone for option in options):
-            chosen = self._take(job, tasks, [option.machine for option in options if option.machine.zone == zone])
+            chosen = self._first_fitting(
+                job, tasks, [option.machine for option in options if option.machine.zone == zone]
+            )
             if chosen is not None:
                 return chosen
         return None
 
     @staticmethod
-    def _take(job: Job, tasks: int, machines: list[Machine]) -> list[Machine] | None:
+    def _first_fitting(job: Job, tasks: int, machines: list[Machine]) -> list[Machine] | None:
         """The first machines that hold all tasks, each as often as it holds one; a spread gang's lie in two zones."""
         chosen: list[Machine] = []
         per_zone: dict[str, int] = {}
-        most = (job.spec.tasks + 1) // 2 if job.spec.spread else tasks
+        max_per_zone = (job.spec.tasks + 1) // 2 if job.spec.spread else tasks
         for machine in machines:
             for _ in range(machine.free.times(job.need)):
                 if len(chosen) == tasks:
                     return chosen
-                if per_zone.get(machine.zone, 0) >= most:
+                if per_zone.get(machine.zone, 0) >= max_per_zone:
                     break
                 per_zone[machine.zone] = per_zone.get(machine.zone, 0) + 1
                 chosen.append(machine)
         return chosen if len(chosen) == tasks else None
 
-    def _preempt_near_image(self, job: Job, tasks: int, chosen: list[Machine], wait: timedelta, now: timedelta) -> bool:
+    def _preempt_on_caching_machines(
+        self, job: Job, tasks: int, chosen: list[Machine], wait: timedelta, now: timedelta
+    ) -> bool:
         """Stop work on machines that cache the image, where a fetch would come too late and cost no less.
 
         Whether it was done; the gang then waits for those machines.
@@ -188,7 +192,7 @@
         )
         # A gang starts with its last machine, whose fetch is slow; the start goes out in the answer to its next
         # heartbeat.
-        if fetch == ZERO or wait + self._heartbeat + fetch * FETCH_SPREAD <= self._objectives.start_within(job):
+        if fetch == ZERO or wait + self._heartbeat + fetch * SLOW_FETCH_FACTOR <= self._objectives.start_within(job):
             return False
         options: list[Eviction] = []
         for machine in self._evictions.candidates(job, now):
--- a/badgerroute/scheduling/heartbeat_reconciliation.py
+++ b/badgerroute/scheduling/heartbeat_reconciliation.py
@@ -38,8 +38,8 @@
         """Take in a machine's task list; what it changed. None: it is stale, and changed nothing."""
         if self._is_stale(machine, heartbeat):
             return None
-        prompt = machine.last_message_at is not None and now - machine.last_message_at <= self._shard.lease / 3
-        message = TaskListMessage(machine, heartbeat, periodic, prompt, now)
+        timing_known = machine.last_message_at is not None and now - machine.last_message_at <= self._shard.lease / 3
+        message = TaskListMessage(machine, heartbeat, periodic, timing_known, now)
         self._update_machine(message)
         if heartbeat.fencing_token < self._shard.fence and not machine.never_commanded:
             # Another leader's commands may still reach it: the list is true, but it is not the last word.
@@ -88,7 +88,7 @@
         """A new incarnation: the lease expired in between, so everything that was on the machine is dead."""
         machine = message.machine
         self._shard.lose_tasks(machine, message.now)
-        message.events.freed = True
+        message.events.capacity_freed = True
         if message.periodic and machine.answered is not None and message.now - machine.answered < self._shard.lease:
             self._mark_unreachable(machine)  # its lease ran out although it was answered: the answers don't arrive
 
@@ -144,7 +144,7 @@
                     continue
                 missed_start = True
             self._shard.release(placement, message.now)
-            message.events.freed = True
+            message.events.capacity_freed = True
         if missed_start:
             machine.missed_starts += 1
             if machine.missed_starts >= MAX_MISSED_STARTS:
@@ -167,7 +167,7 @@
             placement.attempt = task.attempt
         if phase is Phase.RUNNING and placement.running_since is None:
             self._record_start(message, placement)
-        if placement.phase is Phase.FETCHING and phase is not Phase.FETCHING and message.prompt:
+        if placement.phase is Phase.FETCHING and phase is not Phase.FETCHING and message.timing_known:
             self._record_fetch(placement, message.now)
         placement.phase = phase
         self._record_image(message.machine, placement.job, fetched=phase is not Phase.FETCHING)
@@ -176,7 +176,7 @@
     def _record_start(message: TaskListMessage, placement: Placement) -> None:
         now = message.now
         placement.running_since = now
-        placement.timing_known = placement.timing_known and message.prompt
+        placement.timing_known = placement.timing_known and message.timing_known
         log.debug(
             "event=task_started task=%s/%d machine=%s fetched=%.1f age=%.1f",
             placement.job.ref,
@@ -234,6 +234,6 @@
         message.machine.exited.add(task)
         job = self._shard.jobs.get(task.ref)
         if job is not None:
-            self._exits.read(message, job, task, cause)
+            self._exits.process_exit(message, job, task, cause)
         elif self._shard.undecided(task.ref):
             self._keep_undecided(message.machine, task)
--- a/badgerroute/scheduling/inheritance.py
+++ b/badgerroute/scheduling/inheritance.py
@@ -11,7 +11,7 @@
 
 from badgerroute.scheduling.dependencies import Dependencies
 
-LOOKS_BETWEEN_CLOCKS = 16  # jobs that are worked out between two looks at the clock
+JOBS_PER_CLOCK_CHECK = 16  # jobs that are worked out between two looks at the clock
 
 
 class Inherited(NamedTuple):
@@ -27,21 +27,23 @@
     `own` is what a job would have without dependents; `duration` the seconds that a stage is expected to take.
     """
 
-    def __init__(self, graph: Dependencies, own: Callable[[str], Inherited], duration: Callable[[str], float]) -> None:
-        self._graph, self._own, self._duration = graph, own, duration
-        self._left = graph.predecessors()
+    def __init__(
+        self, graph: Dependencies, own_values: Callable[[str], Inherited], duration: Callable[[str], float]
+    ) -> None:
+        self._graph, self._own_values, self._duration = graph, own_values, duration
+        self._remaining = graph.predecessors()
         self._stack: list[str] = []  # a loop, not a recursion: chains may be long
         self.result: dict[str, Inherited] = {}
 
-    def advance(self, over: Callable[[], bool]) -> bool:
+    def advance(self, out_of_time: Callable[[], bool]) -> bool:
         """Work until the time is up; whether the pass is complete."""
-        count = 0
-        while self._stack or self._left:
-            count += 1
-            if count % LOOKS_BETWEEN_CLOCKS == 0 and over():
+        visited = 0
+        while self._stack or self._remaining:
+            visited += 1
+            if visited % JOBS_PER_CLOCK_CHECK == 0 and out_of_time():
                 return False
             if not self._stack:
-                self._stack.append(self._left.pop())
+                self._stack.append(self._remaining.pop())
             self._visit(self._stack[-1])
         return True
 
@@ -55,11 +57,11 @@
             if missing:
                 self._stack.extend(missing)
                 return
-            result[ref] = self._combined(ref, dependents) if dependents else self._own(ref)
+            result[ref] = self._combined(ref, dependents) if dependents else self._own_values(ref)
         self._stack.pop()
 
     def _combined(self, ref: str, dependents: list[str]) -> Inherited:
-        level, due = self._own(ref)
+        level, due = self._own_values(ref)
         for dependent in dependents:
             inherited = self.result[dependent]
             level = max(level, inherited.level)
--- a/badgerroute/scheduling/lease_expiry.py
+++ b/badgerroute/scheduling/lease_expiry.py
@@ -16,13 +16,13 @@
     leader that is cut off, though within its grace, must not take a successor's machines for dead. `lease` is the
     workers' lease with the drift of clocks, `grace` how long a former leader may have gone on answering.
     """
-    lost = []
+    lost_machines = []
     for machine in shard.machines.values():
         lease_end = _latest_lease_end(shard, machine, lease, grace)
         if last_confirmed > lease_end and (machine.placements or not machine.fenced or machine.alive):
             _mark_lost(shard, machine, now)
-            lost.append(machine)
-    return lost
+            lost_machines.append(machine)
+    return lost_machines
 
 
 def _latest_lease_end(shard: ShardState, machine: Machine, lease: timedelta, grace: timedelta) -> timedelta:
--- a/badgerroute/scheduling/model.py
+++ b/badgerroute/scheduling/model.py
@@ -17,7 +17,7 @@
 from badgerroute.protocol.workers import TaskStatus
 from badgerroute.scheduling.resources import Resources
 from badgerroute.scheduling.task_attempt import TaskAttempt
-from badgerroute.scheduling.task_phase import NO_IMAGE_YET, Phase
+from badgerroute.scheduling.task_phase import PHASES_WITHOUT_IMAGE, Phase
 from badgerroute.storage.bitset import lowest
 
 ZERO = timedelta(0)
@@ -45,7 +45,9 @@
     grace: timedelta | None = None  # set: the task is to stop, and has so much time to save its work
     stopped_at: timedelta | None = None  # when the command to stop first went out
     timing_known: bool = True  # its times are exact: no silence hid when it began to fetch or to run
-    gang_wait_restarts: int = 0  # times that it was started again, with the same attempt number, to wait on for its gang
+    gang_wait_restarts: int = (
+        0  # times that it was started again, with the same attempt number, to wait on for its gang
+    )
 
     @property
     def key(self) -> tuple[str, int]:
@@ -76,7 +78,9 @@
     incarnation: int = 0  # of the last message taken in, as is `sequence`
     sequence: int = -1
     alive: bool = False  # it sends heartbeats, and its lease is not over
-    last_message_at: timedelta | None = None  # when its last message came, a heartbeat or the answer to a direct command
+    last_message_at: timedelta | None = (
+        None  # when its last message came, a heartbeat or the answer to a direct command
+    )
     last_heartbeat: timedelta | None = None  # when a heartbeat of it last came here, not through a peer
     answered: timedelta | None = None  # when one of its heartbeats was last answered by this controller
     preemption_notice: timedelta | None = None  # when the cloud takes it away
@@ -144,7 +148,7 @@
         """Whether a task here waits for an image that is still to come."""
         return any(
             placement.running_since is None
-            and placement.phase in NO_IMAGE_YET
+            and placement.phase in PHASES_WITHOUT_IMAGE
             and placement.job.spec.image not in self.fetched_images
             for placement in self.placements.values()
             if placement.job.gang or not gangs_only
@@ -223,12 +227,12 @@
         return self._waiting[1]
 
     def _find_waiting(self) -> int:
-        left = self.owned & ~(self.done | self.done_here | self.placed_bits | self.in_transfer)
-        if left and not self.gang:
+        waiting = self.owned & ~(self.done | self.done_here | self.placed_bits | self.in_transfer)
+        if waiting and not self.gang:
             finished = self.done | self.done_here
             base = lowest(~finished & (finished + 1))
-            left &= (1 << (base + self.start_window)) - 1
-        return left
+            waiting &= (1 << (base + self.start_window)) - 1
+        return waiting
 
     @property
     def startable(self) -> int:
--- a/badgerroute/scheduling/objectives.py
+++ b/badgerroute/scheduling/objectives.py
@@ -6,60 +6,62 @@
 from badgerroute.scheduling.model import ZERO, Job
 from badgerroute.settings import Objective
 
-PATIENT = timedelta(seconds=120)
+DEFAULT_START_WITHIN = timedelta(seconds=120)
 
 
 class Objectives:
     """What users aim at, by job class: times to start and to be complete."""
 
     def __init__(self, objectives: list[Objective]) -> None:
-        self._wait: dict[str, timedelta] = {}
-        self._guarantee = PATIENT
-        self._finish: dict[str, list[timedelta]] = {}
-        self._times: dict[str, list[float]] = {}
+        self._start_within: dict[str, timedelta] = {}
+        self._guaranteed_start_within = DEFAULT_START_WITHIN
+        self._complete_within: dict[str, list[timedelta]] = {}
+        self._deadline_multiples: dict[str, list[float]] = {}
         for objective in objectives:
             if objective.kind == "deadline" and objective.job_class is not None:
-                self._times.setdefault(objective.job_class, []).append(objective.times or 1.0)
+                self._deadline_multiples.setdefault(objective.job_class, []).append(objective.times or 1.0)
             if objective.within_s is None:
                 continue
             within = timedelta(seconds=objective.within_s)
             if objective.kind == "wait" and objective.job_class is not None:
-                self._wait[objective.job_class] = min(within, self._wait.get(objective.job_class, within))
+                self._start_within[objective.job_class] = min(
+                    within, self._start_within.get(objective.job_class, within)
+                )
             elif objective.kind == "finished" and objective.job_class is not None:
-                self._finish.setdefault(objective.job_class, []).append(within)
+                self._complete_within.setdefault(objective.job_class, []).append(within)
             elif objective.kind == "guarantee":
-                self._guarantee = min(self._guarantee, within)
+                self._guaranteed_start_within = min(self._guaranteed_start_within, within)
 
     def start_within(self, job: Job) -> timedelta:
         """How soon the job's tasks are expected to start."""
-        within = self._wait.get(job.spec.job_class, PATIENT)
+        within = self._start_within.get(job.spec.job_class, DEFAULT_START_WITHIN)
         if job.start_by is not None:  # half of what is left, since stages that follow will need some of it too
             within = min(within, max(ZERO, (job.start_by - job.accepted) / 2))
-        return min(within, self._guarantee) if job.guaranteed else within
+        return min(within, self._guaranteed_start_within) if job.guaranteed else within
 
-    def due(self, spec: Submission, held_back: timedelta = ZERO) -> list[timedelta]:
+    def due(self, spec: Submission, dependency_wait: timedelta = ZERO) -> list[timedelta]:
         """The times after its acceptance, or its release, by which the job should be complete.
 
         Deadlines count from the acceptance however long the job was held back by others.
         """
-        due = list(self._finish.get(spec.job_class, ()))
+        due = list(self._complete_within.get(spec.job_class, ()))
         if spec.deadline_s is not None:
             deadline = timedelta(seconds=spec.deadline_s)
-            due += [deadline * times - held_back for times in self._times.get(spec.job_class, ())]
+            due += [deadline * times - dependency_wait for times in self._deadline_multiples.get(spec.job_class, ())]
         return due
 
     def deadline(self, spec: Submission) -> timedelta | None:
         """The first deadline after its acceptance, its user's own."""
-        if spec.deadline_s is None or spec.job_class not in self._times:
+        if spec.deadline_s is None or spec.job_class not in self._deadline_multiples:
             return None
-        return timedelta(seconds=spec.deadline_s) * min(self._times[spec.job_class])
+        return timedelta(seconds=spec.deadline_s) * min(self._deadline_multiples[spec.job_class])
 
-    def missed(self, job: Job, now: timedelta, run: timedelta) -> int:
+    def missed_times(self, job: Job, now: timedelta, run: timedelta) -> int:
         """How many of the times by which the job should be complete can't be met any more."""
         late = job.start_by is not None and now > job.start_by
         return late + sum(now - job.accepted + run > due for due in self.due(job.spec, job.dependency_wait))
 
     @property
-    def tightest(self) -> timedelta:
+    def shortest_start_within(self) -> timedelta:
         """The shortest time in which any work is expected to start."""
-        return min([self._guarantee, *self._wait.values()])
+        return min([self._guaranteed_start_within, *self._start_within.values()])
--- a/badgerroute/scheduling/placement_rules.py
+++ b/badgerroute/scheduling/placement_rules.py
@@ -10,7 +10,7 @@
 from badgerroute.scheduling.shard import Shard
 from badgerroute.settings import Scheduling
 
-FETCH_SPREAD = 1.3  # fetches take up to a third longer than the machine type's rate says
+SLOW_FETCH_FACTOR = 1.3  # fetches take up to a third longer than the machine type's rate says
 
 
 class PlacementRules:
@@ -23,31 +23,31 @@
         self._objectives, self._heartbeat = objectives, heartbeat
         self.quota_shortfalls: dict[str, Resources] = {}
 
-    def allowed(self, job: Job, machine: Machine, wait: timedelta) -> delay_scheduling.LocalityLevel:
+    def allowed_locality(self, job: Job, machine: Machine, wait: timedelta) -> delay_scheduling.LocalityLevel:
         """The highest locality level that a task which has waited so long may use on a machine."""
         fetch = self._shard.guidance.fetch_time(job, machine)
         local_wait = self._shard.guidance.local_wait(job)
         if local_wait is not None and local_wait > fetch:
             return delay_scheduling.LocalityLevel.ANY  # it would wait longer for its image than the fetch takes
         correction = self._shard.estimates.correction(job.spec.job_class)
-        within = self._latest_choice(job, fetch)
-        return delay_scheduling.allowed(job, wait, fetch, self._order.images, correction, self._settings, within)
+        start_within = self._max_wait_for_image(job, fetch)
+        return delay_scheduling.allowed(job, wait, fetch, self._order.images, correction, self._settings, start_within)
 
-    def _latest_choice(self, job: Job, fetch: timedelta) -> timedelta:
+    def _max_wait_for_image(self, job: Job, fetch: timedelta) -> timedelta:
         """When a task must stop waiting for its image so that a fetch, which may be slow, is still in time."""
-        return self._objectives.start_within(job) - 2 * self._heartbeat - fetch * (FETCH_SPREAD - 1)
+        return self._objectives.start_within(job) - 2 * self._heartbeat - fetch * (SLOW_FETCH_FACTOR - 1)
 
     @staticmethod
-    def zone_allowed(job: Job, zone: str, more: int) -> bool:
+    def zone_allowed(job: Job, zone: str, additional: int) -> bool:
         """`together` and `spread`, with all of the job's tasks that may be on machines in view."""
         spec = job.spec
         if spec.together and any(other != zone for other in job.zones()):
             return False
-        if spec.spread and sum(other == zone for other in job.zones()) + more > (spec.tasks + 1) // 2:
+        if spec.spread and sum(other == zone for other in job.zones()) + additional > (spec.tasks + 1) // 2:
             return False
         return True
 
-    def note_shortfall(self, job: Job, tasks: int) -> None:
+    def record_shortfall(self, job: Job, tasks: int) -> None:
         """Note what a job's team lacks of its limit for so many tasks."""
         shortfall = self.quota_shortfalls.setdefault(job.spec.team, Resources())
         shortfall.cpus = max(shortfall.cpus, job.need.cpus * tasks)
--- a/badgerroute/scheduling/planner.py
+++ b/badgerroute/scheduling/planner.py
@@ -83,25 +83,25 @@
         """See EvictionPlanner."""
         return self._evictions.candidates(job, now, free)
 
-    def fill(self, machine: Machine, now: timedelta, over: Callable[[], bool]) -> int:
+    def fill(self, machine: Machine, now: timedelta, out_of_time: Callable[[], bool]) -> int:
         """See ArrayPlacement."""
-        return self._arrays.fill(machine, now, over)
+        return self._arrays.fill(machine, now, out_of_time)
 
-    def gangs(self, now: timedelta, over: Callable[[], bool]) -> int:
+    def gangs(self, now: timedelta, out_of_time: Callable[[], bool]) -> int:
         """Place gangs in a round of their own."""
-        return self._gangs.place(now, over)
+        return self._gangs.place(now, out_of_time)
 
-    def gangs_on(self, machine: Machine, now: timedelta, over: Callable[[], bool]) -> int:
+    def gangs_on(self, machine: Machine, now: timedelta, out_of_time: Callable[[], bool]) -> int:
         """Place gangs on a machine's heartbeat."""
-        return self._gangs.place_on(machine, now, over)
+        return self._gangs.place_on(machine, now, out_of_time)
 
     def unplaceable_gangs(self, now: timedelta) -> list[Job]:
         """See GangPlacement."""
         return self._gangs.unplaceable_gangs(now)
 
-    def preempt_for_arrays(self, now: timedelta, over: Callable[[], bool]) -> None:
+    def preempt_for_arrays(self, now: timedelta, out_of_time: Callable[[], bool]) -> None:
         """See Preemption."""
-        self._preemption.preempt_for_arrays(now, over)
+        self._preemption.preempt_for_arrays(now, out_of_time)
 
     def release_reservations(self, now: timedelta) -> None:
         """See Preemption."""
@@ -111,9 +111,9 @@
         """See EvictionPlanner."""
         return self._evictions.reclaimable_by_machine(level)
 
-    def reclaimable_cpus_by_image(self, level: int, most: int) -> dict[str, list[float]]:
+    def reclaimable_cpus_by_image(self, level: int, max_machines: int) -> dict[str, list[float]]:
         """See EvictionPlanner."""
-        return self._evictions.reclaimable_cpus_by_image(level, most)
+        return self._evictions.reclaimable_cpus_by_image(level, max_machines)
 
     @property
     def overrun_rounds(self) -> int:
@@ -167,11 +167,13 @@
                 running_since = placement.running_since
                 if running_since is None:
                     continue
-                kind = placement.machine.kind
-                latest = latest_starts.get(kind.name)
-                if latest is None:
-                    ready = timedelta(seconds=kind.boot_s) + delay_scheduling.fetch_time(job, placement.machine)
-                    latest = latest_starts[kind.name] = now + ready - run
-                if running_since < latest:
+                machine_type = placement.machine.kind
+                latest_start = latest_starts.get(machine_type.name)
+                if latest_start is None:
+                    startup = timedelta(seconds=machine_type.boot_s) + delay_scheduling.fetch_time(
+                        job, placement.machine
+                    )
+                    latest_start = latest_starts[machine_type.name] = now + startup - run
+                if running_since < latest_start:
                     total += job.need.cpus
         return total
--- a/badgerroute/scheduling/preemption.py
+++ b/badgerroute/scheduling/preemption.py
@@ -19,8 +19,8 @@
 log = logging.getLogger(__name__)
 ARRAY_RESERVATION = timedelta(seconds=6)  # how long capacity that was freed for an array waits for its tasks
 GANG_RESERVATION = timedelta(seconds=30)  # and for a gang, whose victims save their work before they end
-LEAD_HEARTBEATS = 3  # heartbeats that pass between the decision to stop tasks and the start in their place
-SLACK_SHARE = 3  # preemption begins after the slack divided by this
+HEARTBEATS_UNTIL_START = 3  # heartbeats that pass between the decision to stop tasks and the start in their place
+SLACK_DIVISOR = 3  # preemption begins after the slack divided by this
 MAX_STOPS_PER_ROUND = 64  # tasks that are stopped for arrays
 
 
@@ -47,9 +47,9 @@
         The slack is the time in which it should start, less the heartbeats until a stop and a start arrive, and less
         the fetch of its image.
         """
-        lead = LEAD_HEARTBEATS * self._heartbeat
-        slack = self._objectives.start_within(job) - lead - self._shard.least_fetch(job)
-        return max(ZERO, slack / SLACK_SHARE)
+        start_delay = HEARTBEATS_UNTIL_START * self._heartbeat
+        slack = self._objectives.start_within(job) - start_delay - self._shard.least_fetch(job)
+        return max(ZERO, slack / SLACK_DIVISOR)
 
     # -- gangs
 
@@ -87,12 +87,12 @@
         by_zone: dict[str, list[Eviction]] = {}
         for option in options:
             by_zone.setdefault(option.machine.zone, []).append(option)
-        enough = [group[:tasks] for group in by_zone.values() if len(group) >= tasks]
-        return min(enough, key=lambda group: sum(option.loss for option in group)) if enough else []
+        sufficient = [group[:tasks] for group in by_zone.values() if len(group) >= tasks]
+        return min(sufficient, key=lambda group: sum(option.loss for option in group)) if sufficient else []
 
     # -- arrays
 
-    def preempt_for_arrays(self, now: timedelta, over: Callable[[], bool]) -> None:
+    def preempt_for_arrays(self, now: timedelta, out_of_time: Callable[[], bool]) -> None:
         """Give a team its guarantee, and higher levels their place, at the cost of work that may be stopped.
 
         `over` tells when the round's time is up; the next round goes on with the next job. No heartbeat is answered
@@ -105,11 +105,11 @@
         stops_left = MAX_STOPS_PER_ROUND
         jobs = self._order.jobs
         for position in range(min(self._cursor, len(jobs)), len(jobs)):
-            if over():
+            if out_of_time():
                 self._cursor = position
                 self.overrun_rounds += 1
                 return
-            wanted = self._array_tasks_lacking_room(jobs[position], stops_left, now)
+            wanted = self._array_tasks_without_capacity(jobs[position], stops_left, now)
             if wanted > stopping:
                 stopped = self._preempt_for_array(jobs[position], wanted - stopping, now)
                 stops_left -= stopped
@@ -118,16 +118,16 @@
                 break
         self._cursor = 0
 
-    def _array_tasks_lacking_room(self, job: Job, most: int, now: timedelta) -> int:
+    def _array_tasks_without_capacity(self, job: Job, limit: int, now: timedelta) -> int:
         """How many tasks of an array have waited long enough for others to be stopped, and fit on no machine."""
-        least_wait = self.wait_before_preemption(job)
-        if job.gang or job.failing or now - job.since < least_wait or self._order.yields_to_gang(job):
+        min_wait = self.wait_before_preemption(job)
+        if job.gang or job.failing or now - job.since < min_wait or self._order.yields_to_gang(job):
             return 0
         waiting = job.waiting_bits
-        if not waiting or now - min(job.requeued.get(lowest(waiting), job.since), now) < least_wait:
+        if not waiting or now - min(job.requeued.get(lowest(waiting), job.since), now) < min_wait:
             return 0
-        wanted = min(waiting.bit_count(), self._shard.fits_quota(job, most), most)
-        for machine in self._evictions.candidates(job, now, free=True):
+        wanted = min(waiting.bit_count(), self._shard.fits_quota(job, limit), limit)
+        for machine in self._evictions.candidates(job, now, with_free_cpus=True):
             if wanted <= 0:
                 break
             wanted -= machine.free.times(job.need)
@@ -181,6 +181,6 @@
         for machine in self._shard.machines.values():
             if machine.reserved_for is not None:
                 job = self._shard.jobs.get(machine.reserved_for)
-                late = machine.reserved_until is not None and now > machine.reserved_until
-                if late or job is None or not job.waiting_bits:
+                expired = machine.reserved_until is not None and now > machine.reserved_until
+                if expired or job is None or not job.waiting_bits:
                     machine.reserved_for = machine.reserved_until = None
--- a/badgerroute/scheduling/resources.py
+++ b/badgerroute/scheduling/resources.py
@@ -58,11 +58,11 @@
         return Resources(self.cpus, self.accelerators, self.memory_gb)
 
 
-def need_of(job: Submission) -> Resources:
+def need_of(submission: Submission) -> Resources:
     """What each task of a job takes."""
-    return Resources(job.cpus, job.accelerators, job.memory_gb)
+    return Resources(submission.cpus, submission.accelerators, submission.memory_gb)
 
 
-def capacity_of(kind: MachineType) -> Resources:
+def capacity_of(machine_type: MachineType) -> Resources:
     """What an empty machine of a type offers."""
-    return Resources(kind.cpus, kind.accelerators, kind.memory_gb)
+    return Resources(machine_type.cpus, machine_type.accelerators, machine_type.memory_gb)
--- a/badgerroute/scheduling/scale_out_planning.py
+++ b/badgerroute/scheduling/scale_out_planning.py
@@ -42,17 +42,17 @@
     ]
 
 
-def price_per_cpu(place: MachinePool, catalog: dict[str, MachineType]) -> float:
+def price_per_cpu(pool: MachinePool, catalog: dict[str, MachineType]) -> float:
     """Nominal price of a processor there, for an hour."""
-    machine_type = catalog[place.type]
-    return (machine_type.spot_price if place.spot else machine_type.price) / max(machine_type.cpus, 1e-9)
+    machine_type = catalog[pool.type]
+    return (machine_type.spot_price if pool.spot else machine_type.price) / max(machine_type.cpus, 1e-9)
 
 
-def _place_allowed(demand: PendingDemand, place: MachinePool) -> bool:
+def _pool_allowed(demand: PendingDemand, pool: MachinePool) -> bool:
     return (
-        (demand.types is None or place.type in demand.types)
-        and (demand.zone is None or demand.zone == place.zone)
-        and (demand.spot or not place.spot)
+        (demand.types is None or pool.type in demand.types)
+        and (demand.zone is None or demand.zone == pool.zone)
+        and (demand.spot or not pool.spot)
     )
 
 
@@ -60,24 +60,27 @@
 class _CapacityGroup:
     """Machines in one place with the same free capacity: thousands of machines come in few kinds."""
 
-    place: MachinePool
+    pool: MachinePool
     free: Resources  # of each
     count: int
 
     def fill(self, need: Resources, tasks: int) -> tuple[int, list["_CapacityGroup"]]:
         """Put up to so many tasks on these machines, one after the other; how many fit, and the groups that remain."""
-        each = self.free.times(need)
-        full = min(self.count, tasks // each)
-        fitting = full * each
-        partly = min(tasks - fitting, each) if full < self.count else 0
-        remaining = [self._after(need, each, full), self._after(need, partly, 1 if partly else 0)]
-        remaining.append(_CapacityGroup(self.place, self.free, self.count - full - bool(partly)))
-        return fitting + partly, [group for group in remaining if group.count]
+        tasks_per_machine = self.free.times(need)
+        full_machines = min(self.count, tasks // tasks_per_machine)
+        fitting = full_machines * tasks_per_machine
+        tasks_on_last = min(tasks - fitting, tasks_per_machine) if full_machines < self.count else 0
+        remaining = [
+            self._after(need, tasks_per_machine, full_machines),
+            self._after(need, tasks_on_last, 1 if tasks_on_last else 0),
+        ]
+        remaining.append(_CapacityGroup(self.pool, self.free, self.count - full_machines - bool(tasks_on_last)))
+        return fitting + tasks_on_last, [group for group in remaining if group.count]
 
     def _after(self, need: Resources, tasks: int, machines: int) -> "_CapacityGroup":
         free = self.free.copy()
         free.take(Resources(need.cpus * tasks, need.accelerators * tasks, need.memory_gb * tasks))
-        return _CapacityGroup(self.place, free, machines)
+        return _CapacityGroup(self.pool, free, machines)
 
 
 class ScaleOutPlan:
@@ -87,10 +90,10 @@
         self,
         catalog: dict[str, MachineType],
         teams: list[Team],
-        may_ask: Callable[[MachinePool], bool],
-        max_per_place: int,
+        may_request: Callable[[MachinePool], bool],
+        max_per_pool: int,
     ) -> None:
-        self._catalog, self._may_ask, self._max_per_place = catalog, may_ask, max_per_place
+        self._catalog, self._may_request, self._max_per_pool = catalog, may_request, max_per_pool
         self._teams = {team.name: team for team in teams}
         self._groups: list[_CapacityGroup] = []
         self._least_need = Resources()  # what holds less is of no use to any demand, and need not be looked at again
@@ -118,14 +121,14 @@
                 freeing_cpus -= served * demand.cpus
                 count -= served
             if count > 0:
-                self._fit(demand, count)
+                self._assign(demand, count)
         return self._wanted
 
     def _count_capacity(self, summaries: list[ShardSummary], expected: list[ExpectedMachines]) -> None:
         for shard in summaries:
             for capacity in shard.capacities:
-                place = MachinePool(capacity.type, capacity.zone, capacity.spot)
-                self._groups.append(_CapacityGroup(place, free_resources_of(capacity), capacity.count))
+                pool = MachinePool(capacity.type, capacity.zone, capacity.spot)
+                self._groups.append(_CapacityGroup(pool, free_resources_of(capacity), capacity.count))
             for team, (cpus, accelerators) in shard.used.items():
                 self._used.setdefault(team, Resources()).add(Resources(cpus, accelerators))
         for machines in expected:
@@ -140,18 +143,18 @@
             return 0
         used = self._used.setdefault(demand.team, Resources())
         cpus, accelerators = team.limits
-        left = Resources(cpus - used.cpus, accelerators - used.accelerators)
-        count = min(demand.count, left.times(Resources(demand.cpus, demand.accelerators)))
+        available = Resources(cpus - used.cpus, accelerators - used.accelerators)
+        count = min(demand.count, available.times(Resources(demand.cpus, demand.accelerators)))
         if demand.gang and count < demand.count:
             return 0
         used.add(Resources(count * demand.cpus, count * demand.accelerators))
         return count
 
-    def _fit(self, demand: PendingDemand, count: int) -> None:
+    def _assign(self, demand: PendingDemand, count: int) -> None:
         need = Resources(demand.cpus, demand.accelerators, demand.memory_gb)
         groups: list[_CapacityGroup] = []
         for group in self._groups:
-            if count > 0 and group.free.holds(need) and _place_allowed(demand, group.place):
+            if count > 0 and group.free.holds(need) and _pool_allowed(demand, group.pool):
                 fitting, remaining = group.fill(need, count)
                 groups += [left for left in remaining if left.free.holds(self._least_need)]
                 count -= fitting
@@ -159,29 +162,29 @@
                 groups.append(group)
         self._groups = groups
         if count > 0:
-            place_to_ask = self._cheapest(demand, need)
-            if place_to_ask is not None:
-                self._add_machines(place_to_ask, need, count)
+            pool = self._cheapest_pool(demand, need)
+            if pool is not None:
+                self._add_machines(pool, need, count)
 
-    def _cheapest(self, demand: PendingDemand, need: Resources) -> MachinePool | None:
+    def _cheapest_pool(self, demand: PendingDemand, need: Resources) -> MachinePool | None:
         options = [
-            place
-            for place in machine_pools(self._catalog)
-            if _place_allowed(demand, place)
-            and self._may_ask(place)
-            and capacity_of(self._catalog[place.type]).holds(need)
+            pool
+            for pool in machine_pools(self._catalog)
+            if _pool_allowed(demand, pool)
+            and self._may_request(pool)
+            and capacity_of(self._catalog[pool.type]).holds(need)
         ]
         return min(
-            options, key=lambda place: (price_per_cpu(place, self._catalog), self._wanted.get(place, 0)), default=None
+            options, key=lambda pool: (price_per_cpu(pool, self._catalog), self._wanted.get(pool, 0)), default=None
         )
 
-    def _add_machines(self, place: MachinePool, need: Resources, tasks: int) -> None:
-        whole = capacity_of(self._catalog[place.type])
-        machines = min(-(-tasks // whole.times(need)), self._max_per_place - self._wanted.get(place, 0))
+    def _add_machines(self, pool: MachinePool, need: Resources, tasks: int) -> None:
+        capacity = capacity_of(self._catalog[pool.type])
+        machines = min(-(-tasks // capacity.times(need)), self._max_per_pool - self._wanted.get(pool, 0))
         if machines <= 0:
             return
-        self._wanted[place] = self._wanted.get(place, 0) + machines
-        _, remaining = _CapacityGroup(place, whole, machines).fill(need, tasks)
+        self._wanted[pool] = self._wanted.get(pool, 0) + machines
+        _, remaining = _CapacityGroup(pool, capacity, machines).fill(need, tasks)
         self._groups += remaining
 
 
@@ -195,5 +198,5 @@
         return not settings.operator.fleet.return_idle
     if not catalog:
         return False
-    boot = min(timedelta(seconds=kind.boot_s) for kind in catalog.values())
-    return Objectives(settings.params.objectives).tightest < boot
+    boot = min(timedelta(seconds=machine_type.boot_s) for machine_type in catalog.values())
+    return Objectives(settings.params.objectives).shortest_start_within < boot
--- a/badgerroute/scheduling/service_order.py
+++ b/badgerroute/scheduling/service_order.py
@@ -13,8 +13,8 @@
 from badgerroute.scheduling.resources import Resources
 from badgerroute.scheduling.shard import Shard
 
-ORDER_KEPT = timedelta(milliseconds=250)  # how long an order that was worked out is used
-ACCELERATOR_WEIGHT = 8  # processors that one accelerator counts as, for what a job holds of the shard
+ORDER_MAX_AGE = timedelta(milliseconds=250)  # how long an order that was worked out is used
+CPUS_PER_ACCELERATOR = 8  # processors that one accelerator counts as, for what a job holds of the shard
 
 
 class ServiceOrder:
@@ -26,12 +26,12 @@
         self.least_need = Resources()  # no array task that waits takes less than this
         self.images = delay_scheduling.ImageLocations([])
         self._lateness_tiers: dict[str, float] = {}
-        self._short_gangs: dict[str, list[Job]] = {}  # team -> gangs that wait for want of quota
+        self._gangs_lacking_quota: dict[str, list[Job]] = {}  # team -> gangs that wait for want of quota
         self._ordered_at = -timedelta(days=1)
 
     def refresh(self, now: timedelta) -> None:
         """Work the order out anew, unless it is recent."""
-        if now - self._ordered_at < ORDER_KEPT:
+        if now - self._ordered_at < ORDER_MAX_AGE:
             return
         self._ordered_at = now
         self.images = delay_scheduling.ImageLocations(self._shard.machines.values())
@@ -39,12 +39,12 @@
         for job in waiting:
             self._shard.clear_failures(job, now)
         self._lateness_tiers = {job.ref: self._lateness_tier(job, now) for job in waiting}
-        waiting.sort(key=lambda job: (self.group(job), self._shard.guidance.precedence(job), job.accepted))
+        waiting.sort(key=lambda job: (self.group_key(job), self._shard.guidance.precedence(job), job.accepted))
         self.jobs = waiting
-        self._short_gangs = {}
+        self._gangs_lacking_quota = {}
         for job in waiting:
             if job.gang and not job.placed and not job.failing and self._shard.short_of_quota(job):
-                self._short_gangs.setdefault(job.spec.team, []).append(job)
+                self._gangs_lacking_quota.setdefault(job.spec.team, []).append(job)
         needs = [job.need for job in waiting if not job.gang]
         self.least_need = Resources(
             min((need.cpus for need in needs), default=inf), 0.0, min((need.memory_gb for need in needs), default=inf)
@@ -53,18 +53,18 @@
     def _lateness_tier(self, job: Job, now: timedelta) -> float:
         if job.lateness_tier < 0:
             return job.lateness_tier
-        return max(job.lateness_tier, self._objectives.missed(job, now, self.run_time(job)))
+        return max(job.lateness_tier, self._objectives.missed_times(job, now, self.run_time(job)))
 
     def run_time(self, job: Job) -> timedelta:
         """How long a task of the job is expected to run."""
         return delay_scheduling.run_time(job, self._shard.estimates.correction(job.spec.job_class))
 
-    def group(self, job: Job) -> tuple[int, bool, float]:
+    def group_key(self, job: Job) -> tuple[int, bool, float]:
         """Jobs of one group take turns by what they hold: alike in class, and in how late they will be.
 
         What can still be done in time comes before what can't: a late job gains nothing by being less late.
         """
-        return (*self.job_class(job), self._lateness_tiers.get(job.ref, 0))
+        return (*self.priority_class(job), self._lateness_tiers.get(job.ref, 0))
 
     def rank(self, job: Job) -> tuple[float, float, float]:
         """Where a job stands in the order of service, which is the same in all shards: less comes first."""
@@ -76,15 +76,15 @@
         What becomes free of the quota, or comes from other shards, is then kept for the gang, which needs much at once.
         The team's smaller tasks would take it piece by piece.
         """
-        gangs = self._short_gangs.get(job.spec.team)
-        return gangs is not None and any(self.job_class(gang) < self.job_class(job) for gang in gangs)
+        gangs = self._gangs_lacking_quota.get(job.spec.team)
+        return gangs is not None and any(self.priority_class(gang) < self.priority_class(job) for gang in gangs)
 
     @staticmethod
-    def job_class(job: Job) -> tuple[int, bool]:
+    def priority_class(job: Job) -> tuple[int, bool]:
         """Level first, then whether the job lies within its team's guarantee."""
         return (-job.level, not job.guaranteed)
 
-    def turn(self, job: Job) -> tuple[float, float]:
+    def share_key(self, job: Job) -> tuple[float, float]:
         """Among equals, less comes first: by the guidance on their teams, then by what they hold of the shard."""
-        held = len(job.placed) * (job.need.cpus + ACCELERATOR_WEIGHT * job.need.accelerators)
+        held = len(job.placed) * (job.need.cpus + CPUS_PER_ACCELERATOR * job.need.accelerators)
         return self._shard.guidance.precedence(job), held
--- a/badgerroute/scheduling/shard.py
+++ b/badgerroute/scheduling/shard.py
@@ -59,8 +59,8 @@
         self.reconciled = False  # every member fenced or provably rid of its tasks: until then nothing is placed
         self._failures = FailureTracker(self)
         self._reconciler = HeartbeatReconciler(self, self._failures)
-        self._counter = 0
-        self._fastest = 1e-6  # GB a second, of the machines ever here
+        self._attempt_counter = 0
+        self._max_fetch_gb_per_s = 1e-6  # GB a second, of the machines ever here
 
     @property
     def usage(self) -> defaultdict[str, Usage]:
@@ -74,17 +74,17 @@
 
     # -- membership
 
-    def add_machine(self, name: str, record: MachineRecord, kind: MachineType, now: timedelta) -> Machine:
+    def add_machine(self, name: str, record: MachineRecord, machine_type: MachineType, now: timedelta) -> Machine:
         """Take in a new member."""
-        machine = Machine(name, record.address, kind, record.zone, record.spot, now, capacity_of(kind))
+        machine = Machine(name, record.address, machine_type, record.zone, record.spot, now, capacity_of(machine_type))
         machine.drain_deadline = self.guidance.drain_deadline(name)
         self.machines[name] = machine
-        self._fastest = max(self._fastest, kind.fetch_gb_per_s)
+        self._max_fetch_gb_per_s = max(self._max_fetch_gb_per_s, machine_type.fetch_gb_per_s)
         return machine
 
     def least_fetch(self, job: Job) -> timedelta:
         """How long the job's image takes to fetch where that goes fastest."""
-        return timedelta(seconds=job.spec.image_gb / self._fastest) if self.machines else ZERO
+        return timedelta(seconds=job.spec.image_gb / self._max_fetch_gb_per_s) if self.machines else ZERO
 
     def remove_machine(self, name: str, now: timedelta) -> None:
         """The machine and everything on it are gone, provably."""
@@ -106,10 +106,10 @@
         self,
         record: JobRecord,
         accepted: timedelta,
-        window: int,
+        start_window: int,
         now: timedelta,
         done: int | None = None,
-        held_back: timedelta = ZERO,
+        dependency_wait: timedelta = ZERO,
     ) -> Job | None:
         """Take in a job's record, new or changed; None if none of its tasks is ours.
 
@@ -126,7 +126,9 @@
         spec = record.job
         # A gang that comes from another shard has waited there already.
         since = min(now, accepted) if spec.gang else now
-        job = Job(spec.ref, spec, accepted, owned, done, window, need_of(spec), since, dependency_wait=held_back)
+        job = Job(
+            spec.ref, spec, accepted, owned, done, start_window, need_of(spec), since, dependency_wait=dependency_wait
+        )
         self.jobs[spec.ref] = job
         return job
 
@@ -171,8 +173,8 @@
 
     def next_attempt(self) -> int:
         """Term and counter together, so that no two leaders ever produce the same number."""
-        self._counter += 1
-        return (self.term << ATTEMPT_BITS) | self._counter
+        self._attempt_counter += 1
+        return (self.term << ATTEMPT_BITS) | self._attempt_counter
 
     def fits_quota(self, job: Job, tasks: int = 1) -> int:
         """How many of so many tasks fit the team's quota."""
@@ -288,13 +290,13 @@
         """Whether every member is accounted for, so that tasks may be placed."""
         if not self.reconciled:
             # An orphan's team is unknown, so what it uses can't be counted: wait until it is gone.
-            self.reconciled = not self.unreconciled()
+            self.reconciled = not self.unreconciled_machines()
             if self.reconciled:
                 machines = len(self.machines)
                 log.info("event=shard_reconciled shard=%d term=%d machines=%d", self.number, self.term, machines)
         return self.reconciled
 
-    def unreconciled(self) -> list[Machine]:
+    def unreconciled_machines(self) -> list[Machine]:
         """Machines of which it is not certain what runs on them, or that run what can't be counted."""
         machines = self.machines.values()
         return [machine for machine in machines if not machine.fenced or machine.orphans or machine.undecided]
--- a/badgerroute/scheduling/stealing.py
+++ b/badgerroute/scheduling/stealing.py
@@ -25,7 +25,7 @@
     """Machines of the idle shard with the same free capacity, and how many of them no task was chosen for."""
 
     capacity: FreeCapacity
-    left: int
+    machines_left: int
 
 
 class StealSelection:
@@ -37,27 +37,27 @@
 
     def choose(self, job: Job) -> int:
         """The waiting tasks of a job that the other shard could start, as a bit set."""
-        whole = job.gang or job.spec.together or job.spec.spread
-        if whole and job.placed:
+        same_shard = job.gang or job.spec.together or job.spec.spread
+        if same_shard and job.placed:
             return 0  # its constraints concern all of the job's tasks, so they stay in one shard
         # Only machines that the job may use count: else its tasks would stay where none of them can ever run.
         waiting = job.waiting_bits
         fitting_here = self._shard.room_for(job)
-        wanted = waiting.bit_count() - (0 if whole else min(fitting_here, waiting.bit_count()))
-        if whole and fitting_here >= wanted:
+        wanted = waiting.bit_count() - (0 if same_shard else min(fitting_here, waiting.bit_count()))
+        if same_shard and fitting_here >= wanted:
             return 0
         if job.spec.image not in self._images and self._now - job.since < UNCACHED_WAIT:
             return 0
         fitting, used = self._fitting_offers(job, wanted)
         # An array that must stay in one shard may run there a few at a time. If none of its tasks fits here, it does
         # not wait for a shard that holds them all.
-        few_suffice = whole and not job.gang and not fitting_here
+        partial_suffices = same_shard and not job.gang and not fitting_here
         count = min(fitting, wanted)
-        if count <= 0 or (whole and fitting < wanted and not few_suffice):
+        if count <= 0 or (same_shard and fitting < wanted and not partial_suffices):
             return 0
         for offer, machines in used:
-            offer.left -= machines
-        return span(0, job.spec.tasks) & job.owned if whole else _highest(waiting, count)
+            offer.machines_left -= machines
+        return span(0, job.spec.tasks) & job.owned if same_shard else _highest_bits(waiting, count)
 
     def _fitting_offers(self, job: Job, wanted: int) -> tuple[int, list[tuple[_Offer, int]]]:
         """How many tasks fit, up to `wanted`, and how many machines of which offers they take."""
@@ -65,27 +65,27 @@
         used: list[tuple[_Offer, int]] = []
         for offer in self._offers:
             capacity = offer.capacity
-            if not offer.left or fitting >= wanted:
+            if not offer.machines_left or fitting >= wanted:
                 continue
             if not allows(job.spec, capacity.type, capacity.zone, capacity.spot):
                 continue
-            each = free_resources_of(capacity).times(job.need)
-            if not each:
+            tasks_per_machine = free_resources_of(capacity).times(job.need)
+            if not tasks_per_machine:
                 continue
-            machines = min(offer.left, -(-(wanted - fitting) // each))
+            machines = min(offer.machines_left, -(-(wanted - fitting) // tasks_per_machine))
             used.append((offer, machines))
-            fitting += each * machines
+            fitting += tasks_per_machine * machines
         return fitting, used
 
 
-def _highest(bits: int, count: int) -> int:
+def _highest_bits(bits: int, count: int) -> int:
     """So many bits from the far end, so that what stays is one piece."""
-    taken = 0
+    highest = 0
     for _ in range(count):
         top = 1 << (bits.bit_length() - 1)
         bits ^= top
-        taken |= top
-    return taken
+        highest |= top
+    return highest
 
 
 def given_ranges(ranges: list[TaskRange], tasks: int, shard: int) -> list[TaskRange]:
--- a/badgerroute/scheduling/task_list_message.py
+++ b/badgerroute/scheduling/task_list_message.py
@@ -20,7 +20,7 @@
     machine: Machine
     heartbeat: Heartbeat
     periodic: bool
-    prompt: bool
+    timing_known: bool
     now: timedelta
     events: Events = field(default_factory=Events)
 
--- a/badgerroute/scheduling/task_phase.py
+++ b/badgerroute/scheduling/task_phase.py
@@ -14,4 +14,4 @@
     SAVING = "flushing"
 
 
-NO_IMAGE_YET = frozenset({Phase.RESERVED, Phase.SENT, Phase.FETCHING})
+PHASES_WITHOUT_IMAGE = frozenset({Phase.RESERVED, Phase.SENT, Phase.FETCHING})
--- a/badgerroute/scheduling/utilization_feedback.py
+++ b/badgerroute/scheduling/utilization_feedback.py
@@ -18,11 +18,13 @@
 from badgerroute.settings import Scheduling
 
 
-def next_desire(desire: float, granted: float, use: float, starved: bool, delta: float, rho: float) -> float:
+def next_desire(
+    desire: float, allocation: float, utilization: float, tasks_waited: bool, delta: float, rho: float
+) -> float:
     """d(q) from d(q-1), a(q-1) and u(q-1), as `desire`, `granted` and `use`; `starved`: tasks waited."""
-    if use < delta and not starved:
+    if utilization < delta and not tasks_waited:
         return max(1.0, desire / rho)
-    if desire > granted:
+    if desire > allocation:
         return desire
     return desire * rho
 
@@ -42,21 +44,22 @@
     Doubling every period from one slot would take longer than most jobs run.
     """
     job.desire = float(max(1, min(waiting, free_slots)))
-    _restart(job, now)
+    _begin_period(job, now)
 
 
 def end_period(job: Job, now: timedelta, settings: Scheduling) -> None:
     """Give a job its next desire and begin the next period."""
     if job.samples:
-        granted = job.granted_slots_sum / job.samples
-        use = job.used_slots_sum / job.samples / job.desire if job.desire else 1.0
+        allocation = job.granted_slots_sum / job.samples
+        utilization = job.used_slots_sum / job.samples / job.desire if job.desire else 1.0
         job.desire = min(
-            float(job.spec.tasks), next_desire(job.desire, granted, use, job.starved, settings.delta, settings.rho)
+            float(job.spec.tasks),
+            next_desire(job.desire, allocation, utilization, job.starved, settings.delta, settings.rho),
         )
-    _restart(job, now)
+    _begin_period(job, now)
 
 
-def _restart(job: Job, now: timedelta) -> None:
+def _begin_period(job: Job, now: timedelta) -> None:
     job.period_began = now
     job.used_slots_sum = job.granted_slots_sum = 0.0
     job.samples = 0
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -13,7 +13,7 @@
 from badgerroute.coordination.jobs.upstream_resolver import UpstreamResolver
 from badgerroute.protocol.users import Submission
 from badgerroute.scheduling.dependencies import Dependencies, FinalState
-from badgerroute.scheduling.inheritance import LOOKS_BETWEEN_CLOCKS, InheritancePass, Inherited
+from badgerroute.scheduling.inheritance import JOBS_PER_CLOCK_CHECK, InheritancePass, Inherited
 from badgerroute.storage import records
 from badgerroute.storage.records import JobState
 from tests.standins.day import HOSTS, SECOND, Day, job
@@ -124,7 +124,7 @@
         before, slices = visits, slices + 1
         if work.advance(lambda: True):
             break
-        assert visits - before <= LOOKS_BETWEEN_CLOCKS
+        assert visits - before <= JOBS_PER_CLOCK_CHECK
         if slices == 20:
             graph.graph.add("late", ["c3-100"])  # what comes meanwhile does no harm
     assert slices > 100 and visits <= 2102
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -128,13 +128,13 @@
     shard, planner = varied_shard(FEW, jobs=60)
     looked: list[str] = []
     preemption = planner._preemption
-    real = preemption._array_tasks_lacking_room
+    real = preemption._array_tasks_without_capacity
 
     def look(one, most, now):
         looked.append(one.ref)
         return real(one, most, now)
 
-    preemption._array_tasks_lacking_room = look
+    preemption._array_tasks_without_capacity = look
     turns = iter(range(10**6))
 
     def over() -> bool:
