--- a/badgerroute/scheduling/array_placement.py
+++ b/badgerroute/scheduling/array_placement.py
@@ -1,8 +1,9 @@
-"""Array tasks: started on every heartbeat of a machine, as far as its free capacity goes.
+"""Placement of array tasks: on each heartbeat of a machine, tasks are started there until its capacity is used.
 
-The paper's algorithm 2 (Parades, section IV.D), procedure ONUPDATE(n, delta, tau) with `n` the machine that reports:
-first tasks whose image it caches, then those that delay scheduling lets go farther. Free slots go to the job that
-holds least, up to its desire (algorithm 1). Added here: what is left after all desires are served goes to any job.
+The paper's algorithm 2 (Parades, section IV.D), procedure ONUPDATE(n, delta, tau) with `n` the reporting machine: first
+tasks whose image it caches, then tasks that delay scheduling allows farther from their image. Free slots go to the job
+that holds the least, up to its desire (algorithm 1). Added here: capacity that remains after all desires are met goes
+to any job.
 """
 
 import heapq
@@ -23,19 +24,19 @@
 from badgerroute.storage.bitset import lowest
 
 log = logging.getLogger(__name__)
-SHARED_MACHINE_WAIT = timedelta(seconds=6)  # how long a small task waits for a machine in use, and passes empty ones
+SHARED_MACHINE_WAIT = timedelta(seconds=6)  # how long a task waits for a machine in use rather than an empty one
 
 
 class ArrayPlacement:
-    """Fills machines of one shard with array tasks."""
+    """Starts array tasks on the machines of one shard."""
 
     def __init__(self, shard: Shard, order: ServiceOrder, rules: PlacementRules, evictions: EvictionPlanner) -> None:
         self._shard, self._order, self._rules, self._evictions = shard, order, rules, evictions
-        self._cursor = 0  # position in the order of service from which the next round goes on
+        self._cursor = 0  # position in the order of service at which the next round resumes
         self.overrun_rounds = 0  # rounds that ran out of time
 
     def fill(self, machine: Machine, now: timedelta, out_of_time: Callable[[], bool]) -> int:
-        """Start array tasks on a machine; how many. `over` tells when the round's time is up."""
+        """Start array tasks on a machine and return their number. `out_of_time` tells when the round must end."""
         shard = self._shard
         if not shard.reconciled or not machine.usable or machine.avoid_until > now:
             return 0
@@ -66,7 +67,7 @@
     def _admitted_jobs(
         self, jobs: list[Job], machine: Machine, in_use: list[Machine] | None, now: timedelta
     ) -> list[Job]:
-        """The jobs that may use a machine, which may be reserved, or empty and better left to gangs."""
+        """Filter jobs that may use a machine: it may be reserved, or empty and better kept for gangs."""
         if machine.reserved_for is not None:
             jobs = self._jobs_for_reserved_machine(machine, jobs)
         if in_use is not None:
@@ -74,7 +75,7 @@
         return jobs
 
     def _machines_in_use(self, machine: Machine) -> list[Machine]:
-        """Machines of its zone that run something. Small tasks go there first, and leave whole machines to gangs."""
+        """Machines in the same zone that run tasks. Small tasks go there first, which keeps whole machines for gangs."""
         return [
             other
             for other in self._shard.machines.values()
@@ -82,7 +83,7 @@
         ]
 
     def _fits_machines_in_use(self, job: Job, machines: list[Machine], now: timedelta) -> bool:
-        """Whether all that waits of a job would fit on machines in use, at its heartbeat or the one after."""
+        """Whether all waiting tasks of a job fit on machines in use that cache its image, and have not waited long."""
         waiting = job.waiting_bits
         if not waiting or now - job.requeued.get(lowest(waiting), job.since) > SHARED_MACHINE_WAIT:
             return False
@@ -96,9 +97,9 @@
         return False
 
     def _jobs_for_reserved_machine(self, machine: Machine, jobs: list[Job]) -> list[Job]:
-        """The jobs that may use a reserved machine: the one it is reserved for, and those that come before it.
+        """The jobs that may use a reserved machine: the one it is reserved for, and those it may not preempt.
 
-        Else the capacity would go back to the work that was just stopped for it.
+        Otherwise the capacity would go back to the tasks that were just stopped for it.
         """
         reserver = self._shard.jobs.get(machine.reserved_for or "")
         if reserver is None or not reserver.waiting_bits:
@@ -106,7 +107,7 @@
         return [job for job in jobs if job is reserver or not self._evictions.may_stop(job, reserver)]
 
     def _fill_group(self, machine: Machine, jobs: list[Job], now: timedelta, beyond_desire: bool) -> int:
-        """Start tasks of jobs that are served alike, nearest image first, each in the turn of the job's share."""
+        """Start tasks of jobs with equal rank: nearest image first, then the job with the smallest share."""
         started = 0
         for locality in LocalityLevel:
             queue: list[tuple[tuple[float, float], int, Job]] = []
@@ -125,7 +126,7 @@
     def _eligible(
         self, job: Job, machine: Machine, locality: LocalityLevel, now: timedelta, beyond_desire: bool
     ) -> bool:
-        """Whether a task of the job may start on the machine, at this distance from its image."""
+        """Whether a task of the job may start on the machine, and the machine is at this distance from the image."""
         spec = job.spec
         if not machine.free.holds(job.need) or not allows(spec, machine.kind.name, machine.zone, machine.spot):
             return False
@@ -144,7 +145,7 @@
     def _may_fetch(self, job: Job, machine: Machine, locality: LocalityLevel, now: timedelta) -> bool:
         """Whether a task may start on a machine that must fetch its image."""
         if machine.awaits_image(gangs_only=True):
-            return False  # two fetches share the rate, and a whole gang would wait for this one too
+            return False  # two fetches share the bandwidth, so this one would delay a whole gang
         if machine.reserved_for == job.ref:
             return True
         waiting = job.waiting_bits
--- a/badgerroute/scheduling/events.py
+++ b/badgerroute/scheduling/events.py
@@ -1,4 +1,4 @@
-"""What messages from machines change, for those who act on it."""
+"""The changes that a message from a machine brought about, for callers to act on."""
 
 from dataclasses import dataclass, field
 
@@ -7,8 +7,8 @@
 
 @dataclass(slots=True)
 class Events:
-    """What a message changed that others must hear of."""
+    """Changes caused by one message from a machine."""
 
-    progressed: set[str] = field(default_factory=set)  # jobs with tasks newly done
-    capacity_freed: bool = False
+    progressed: set[str] = field(default_factory=set)  # IDs of jobs with newly completed tasks
+    capacity_freed: bool = False  # a placement was removed
     quarantined: list[Machine] = field(default_factory=list)
--- a/badgerroute/scheduling/evictions.py
+++ b/badgerroute/scheduling/evictions.py
@@ -1,4 +1,4 @@
-"""Which tasks may be stopped for a job, on which machines, and at what cost. Decides nothing: see `preemption`."""
+"""Finds which tasks could be stopped for a job, on which machines and at what cost; `preemption` decides."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -11,7 +11,7 @@
 from badgerroute.scheduling.shard import Shard
 from badgerroute.scheduling.task_phase import Phase
 
-MIN_CPUS_COUNTED = 0.01  # so that tasks that take next to no processors have a cost too
+MIN_CPUS_COUNTED = 0.01  # so that stopping tasks that use almost no processors has a cost too
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,17 +20,17 @@
 
     machine: Machine
     victims: list[Placement]
-    loss: float  # what is thrown away with them, in processor-seconds
+    loss: float  # work lost by stopping the victims, in processor-seconds
 
 
 class EvictionPlanner:
-    """Finds the machines of one shard on which a job could run, and what would have to be stopped there."""
+    """Finds the machines of one shard on which a job could run, and the tasks to stop there for it."""
 
     def __init__(self, shard: Shard, order: ServiceOrder) -> None:
         self._shard, self._order = shard, order
 
     def candidates(self, job: Job, now: timedelta, with_free_cpus: bool = False) -> list[Machine]:
-        """Machines that may run the job; `free`: only those with free processors for one of its tasks."""
+        """Machines that may run the job; with `with_free_cpus`, only those with enough free processors for a task."""
         spec, min_free_cpus = job.spec, job.need.cpus - EPSILON if with_free_cpus else -1.0
         return [
             machine
@@ -46,8 +46,8 @@
     def may_stop(self, victim: Job, job: Job) -> bool:
         """Whether a victim's tasks may be stopped for a job.
 
-        The order of service decides, as it decides who starts first. If two jobs could each stop the other, they would
-        do so in turn, and neither would ever be done.
+        The order of service decides, as it does for starts. If two jobs could stop each other, they would do so in turn
+        and neither would ever complete.
         """
         if self._order.priority_class(job) >= self._order.priority_class(victim):
             return False
@@ -55,10 +55,10 @@
 
     @staticmethod
     def _loss(placement: Placement, now: timedelta) -> float:
-        """What stopping a task throws away, in processor-seconds: useful work, or the fetch so far.
+        """The cost of stopping a task, in processor-seconds: the work it would lose, or the time spent on its fetch.
 
-        It grows with every time that the job was stopped: else a gang that is always fetching, and so always the
-        cheapest to stop, would never run.
+        The cost grows with each earlier preemption of the job. Otherwise a gang that is always still fetching, and so
+        always the cheapest to stop, would never run.
         """
         spec = placement.job.spec
         if placement.running_since is None:
@@ -70,11 +70,12 @@
         return lost_s * max(spec.cpus, MIN_CPUS_COUNTED) * tasks * (1 + placement.job.preemption_count)
 
     def cheapest(self, machine: Machine, job: Job, now: timedelta) -> Eviction | None:
-        """The cheapest tasks to stop so that one task of the job fits; none are needed if those that are stopping do.
+        """Find the cheapest tasks to stop on a machine so that one task of the job fits.
 
-        None: the task would not fit whatever is stopped.
+        The eviction has no victims if the tasks that are already stopping free enough. Return None if the task would
+        not fit even if all tasks that may be stopped were.
         """
-        # Most machines run too little that may be stopped: that is seen without a look at each task.
+        # Most machines run too few lower-level tasks; the sums per level show this without a look at each task.
         if not machine.stopping_count and not self.reclaimable_on(machine, job.level + job.guaranteed).holds(job.need):
             return None
         available = machine.free.copy()
@@ -98,7 +99,7 @@
 
     @staticmethod
     def reclaimable_on(machine: Machine, level: int) -> Resources:
-        """What a machine could offer a job of a level: its free capacity and that of work below the level."""
+        """The capacity a machine could offer a job of a level: what is free or used by tasks below the level."""
         total = machine.free.copy()
         for allocated_level, allocated in machine.allocated_by_level.items():
             if allocated_level < level:
@@ -106,7 +107,7 @@
         return total
 
     def reclaimable_by_machine(self, level: int) -> list[tuple[Machine, Resources]]:
-        """What each usable machine that is not reserved could offer a job of a level."""
+        """The capacity that each usable machine without a reservation could offer a job of a level."""
         return [
             (machine, self.reclaimable_on(machine, level))
             for machine in self._shard.machines.values()
@@ -114,9 +115,10 @@
         ]
 
     def reclaimable_cpus_by_image(self, level: int, max_machines: int) -> dict[str, list[float]]:
-        """For each image, the processors that machines which cache it could offer a job of a level, most first.
+        """For each image, the processors that machines caching it could offer a job of a level, largest first.
 
-        Machines that could offer less than half of their processors don't count; `most` machines an image at most.
+        Machines that could offer less than half of their processors are left out. At most `max_machines` machines are
+        listed per image.
         """
         cpus_by_image: dict[str, list[float]] = {}
         for machine, resources in self.reclaimable_by_machine(level):
--- a/badgerroute/scheduling/gang_placement.py
+++ b/badgerroute/scheduling/gang_placement.py
@@ -1,7 +1,7 @@
-"""Gangs: all tasks of a gang are placed in one round or none is, near copies of their image if possible.
+"""Placement of gangs: all tasks of a gang are placed in one round or none, near copies of their image if possible.
 
-An addition to the paper, whose tasks start one by one (docs/design.md). Which machines are near enough follows from
-delay scheduling, as with arrays.
+An addition to the paper, whose tasks start one by one (docs/design.md). Delay scheduling decides how far from their
+image tasks may start, as for arrays.
 """
 
 import logging
@@ -21,16 +21,16 @@
 from badgerroute.storage.bitset import lowest
 
 log = logging.getLogger(__name__)
-FETCHING_PENALTY = 1000.0  # more than the images that a machine caches
+FETCHING_PENALTY = 1000.0  # greater than the number of images that a machine caches
 
 
 class _Option(NamedTuple):
-    """A machine on which a gang's task fits, best first in the order of the fields, then by name."""
+    """A machine on which a gang's task fits. Options are sorted by their fields, in this order, then by name."""
 
     locality: LocalityLevel
     fetch_penalty: float
     free_cpus: float
-    last_message_s: float  # when it was last heard: the heartbeat that is due first carries the start first
+    last_message_s: float  # the machine whose next heartbeat is due first gets the start command first
     machine: Machine
 
 
@@ -51,13 +51,13 @@
         self._shard, self._order, self._rules = shard, order, rules
         self._evictions, self._preemption = evictions, preemption
         self._objectives, self._heartbeat = objectives, heartbeat
-        self._cursor = 0  # position of the gang with which the next round goes on
+        self._cursor = 0  # position of the gang at which the next round resumes
         self.overrun_rounds = 0  # rounds that ran out of time
 
     def place_on(self, machine: Machine, now: timedelta, out_of_time: Callable[[], bool]) -> int:
-        """Place the gangs that may have lacked just this machine; how many. Nothing is stopped for them here.
+        """Place gangs that may have lacked only this machine, without preemption. Return how many were placed.
 
-        `over` tells when the round's time is up.
+        `out_of_time` tells when the round must end.
         """
         if not self._shard.reconciled or not machine.usable:
             return 0
@@ -74,7 +74,7 @@
         return placed
 
     def place(self, now: timedelta, out_of_time: Callable[[], bool]) -> int:
-        """Place waiting gangs, and stop work for those that have waited long; how many are placed."""
+        """Place waiting gangs, and preempt tasks for those that have waited long. Return how many were placed."""
         if not self._shard.reconciled:
             return 0
         self._order.refresh(now)
@@ -109,7 +109,7 @@
         return True
 
     def _find_options(self, job: Job, wait: timedelta, now: timedelta) -> tuple[list[_Option], bool]:
-        """Machines on which a task fits and may start by now; and whether others are only too far from the image."""
+        """The machines on which a task may start now, and whether others are excluded only by their image distance."""
         options: list[_Option] = []
         blocked_by_locality = False
         for machine in self._evictions.candidates(job, now, with_free_cpus=True):
@@ -126,13 +126,13 @@
 
     @staticmethod
     def _fetch_penalty(machine: Machine, locality: LocalityLevel) -> float:
-        """How little a machine suits a fetch: it may evict one of its images, and one that fetches shares its rate."""
+        """How unsuitable a machine is for a fetch: it may evict images, and concurrent fetches share its bandwidth."""
         if locality is LocalityLevel.CACHED:
             return 0.0
         return len(machine.images) + (FETCHING_PENALTY if machine.awaits_image() else 0.0)
 
     def _start(self, job: Job, machines: list[Machine], wait: timedelta, now: timedelta) -> None:
-        """Place all tasks of a gang, one for each entry of `machines`, and give up its reservations."""
+        """Place all tasks of a gang, one for each entry of `machines`, and release the gang's reservations."""
         attempt = self._shard.next_attempt()
         log.debug(
             "event=gang_placed job=%s machines=%s waited=%.1f cached=%d",
@@ -152,7 +152,7 @@
                 machine.reserved_for = None
 
     def _choose_machines(self, job: Job, tasks: int, options: list[_Option]) -> list[Machine] | None:
-        """Machines for all tasks of a gang, nearest image first, then the tightest fit; None if there are too few."""
+        """Choose machines for all tasks, nearest image first, then the tightest fit; None if there are too few."""
         options = sorted(options, key=lambda option: (*option[:4], option.machine.name))
         if not job.spec.together:
             return self._first_fitting(job, tasks, [option.machine for option in options])
@@ -166,7 +166,7 @@
 
     @staticmethod
     def _first_fitting(job: Job, tasks: int, machines: list[Machine]) -> list[Machine] | None:
-        """The first machines that hold all tasks, each as often as it holds one; a spread gang's lie in two zones."""
+        """The first machines that hold all tasks, each listed once per task; a spread gang uses at least two zones."""
         chosen: list[Machine] = []
         per_zone: dict[str, int] = {}
         max_per_zone = (job.spec.tasks + 1) // 2 if job.spec.spread else tasks
@@ -183,15 +183,15 @@
     def _preempt_on_caching_machines(
         self, job: Job, tasks: int, chosen: list[Machine], wait: timedelta, now: timedelta
     ) -> bool:
-        """Stop work on machines that cache the image, where a fetch would come too late and cost no less.
+        """Preempt on machines that cache the image if a fetch would take too long and cost at least as much.
 
-        Whether it was done; the gang then waits for those machines.
+        Return whether tasks were stopped; the gang then waits for those machines.
         """
         fetch = max(
             (fetch_time(job, machine) for machine in chosen if job.spec.image not in machine.images), default=ZERO
         )
-        # A gang starts with its last machine, whose fetch is slow; the start goes out in the answer to its next
-        # heartbeat.
+        # A gang starts when its last task does, after the slowest fetch; the start command is sent in the response to
+        # the machine's next heartbeat.
         if fetch == ZERO or wait + self._heartbeat + fetch * SLOW_FETCH_FACTOR <= self._objectives.start_within(job):
             return False
         options: list[Eviction] = []
@@ -203,7 +203,7 @@
         return self._preemption.evict_for_gang(job, tasks, options, now)
 
     def unplaceable_gangs(self, now: timedelta) -> list[Job]:
-        """Gangs that have waited long and for which too little could be stopped in this shard."""
+        """Gangs that have waited long and for which preemption in this shard could not free enough capacity."""
         holders = {machine.reserved_for for machine in self._shard.machines.values()}
         return [
             job
@@ -214,7 +214,7 @@
             and job.ref not in holders
             and job.waiting_bits
             and now - job.since >= self._preemption.wait_before_preemption(job)
-            and not self._lacks_quota(job, job.spec.tasks)  # else no other shard could place it either
+            and not self._lacks_quota(job, job.spec.tasks)  # quota would keep other shards from placing it as well
         ]
 
     def _lacks_quota(self, job: Job, tasks: int) -> bool:
--- a/badgerroute/scheduling/heartbeat_reconciliation.py
+++ b/badgerroute/scheduling/heartbeat_reconciliation.py
@@ -1,7 +1,7 @@
-"""What machines' heartbeats prove of the tasks on them.
+"""Reconciles a shard's placements with the task lists that its machines report in heartbeats.
 
-The bookkeeping that safety rests on (docs/safety.md): which starts arrived, which tasks are certainly gone, what a
-former leader left behind.
+Safety depends on these rules (docs/safety.md): they determine which start commands arrived, which tasks certainly no
+longer run, and which tasks a former leader started.
 """
 
 import logging
@@ -18,31 +18,34 @@
 from badgerroute.scheduling.task_phase import Phase
 
 log = logging.getLogger(__name__)
-PHASES = {
+PHASES = {  # by the task states in heartbeats
     "fetching": Phase.FETCHING,
     "waiting": Phase.WAITING,
     "running": Phase.RUNNING,
     "flushing": Phase.SAVING,
 }
-MAX_MISSED_STARTS = 2  # one answer may be lost on its way
+MAX_MISSED_STARTS = 2  # a single response may be lost in the network
 
 
 class HeartbeatReconciler:
-    """Takes in the task lists of one shard's machines."""
+    """Applies the task lists reported by the machines of one shard to the shard's state."""
 
     def __init__(self, shard: ShardState, failures: FailureTracker) -> None:
         self._shard = shard
         self._exits = TaskExits(shard, failures)
 
     def on_heartbeat(self, machine: Machine, heartbeat: Heartbeat, periodic: bool, now: timedelta) -> Events | None:
-        """Take in a machine's task list; what it changed. None: it is stale, and changed nothing."""
+        """Apply a message's task list. Return the changes, or None if the message is stale and was ignored.
+
+        `periodic`: the message is a heartbeat, not the response to a direct command.
+        """
         if self._is_stale(machine, heartbeat):
             return None
         timing_known = machine.last_message_at is not None and now - machine.last_message_at <= self._shard.lease / 3
         message = TaskListMessage(machine, heartbeat, periodic, timing_known, now)
         self._update_machine(message)
-        if heartbeat.fencing_token < self._shard.fence and not machine.never_commanded:
-            # Another leader's commands may still reach it: the list is true, but it is not the last word.
+        if heartbeat.fencing_token < self._shard.required_fencing_token and not machine.never_commanded:
+            # Commands of a former leader may still reach the machine, so its task list may be outdated soon.
             machine.fenced = False
             return message.events
         if self._is_unchanged(machine, heartbeat):
@@ -52,14 +55,14 @@
 
     @staticmethod
     def _is_stale(machine: Machine, heartbeat: Heartbeat) -> bool:
-        """Whether a newer message was taken in, or the lease ended in the message's incarnation."""
+        """Whether a newer message was already processed, or the lease expired in the message's incarnation or later."""
         return heartbeat.incarnation <= machine.expired_incarnation or not heartbeat.newer_than(
             machine.incarnation, machine.sequence
         )
 
     @staticmethod
     def _is_unchanged(machine: Machine, heartbeat: Heartbeat) -> bool:
-        """Whether the list was read before and leaves nothing to be done. So it is with most heartbeats."""
+        """Whether the same list was read before and nothing is left to reconcile, as with most heartbeats."""
         return (
             machine.fenced
             and not machine.orphans
@@ -70,10 +73,10 @@
     # -- the machine
 
     def _update_machine(self, message: TaskListMessage) -> None:
-        """Take in what a message says of the machine itself."""
+        """Update the machine's own fields from a message."""
         machine, heartbeat, now = message.machine, message.heartbeat, message.now
         if not message.periodic:
-            machine.unreachable, machine.missed_starts = False, 0  # it answered a command, so commands reach it
+            machine.unreachable, machine.missed_starts = False, 0  # it responded to a command, so commands reach it
         if heartbeat.incarnation > machine.incarnation and machine.incarnation:
             self._restart_machine(message)
         machine.incarnation, machine.sequence = heartbeat.incarnation, heartbeat.sequence
@@ -85,26 +88,26 @@
         machine.preemption_notice = None if notice_s is None else now + timedelta(seconds=max(0.0, notice_s))
 
     def _restart_machine(self, message: TaskListMessage) -> None:
-        """A new incarnation: the lease expired in between, so everything that was on the machine is dead."""
+        """Release all tasks of a machine with a new incarnation: its lease expired, so the worker killed them."""
         machine = message.machine
         self._shard.lose_tasks(machine, message.now)
         message.events.capacity_freed = True
         if message.periodic and machine.answered is not None and message.now - machine.answered < self._shard.lease:
-            self._mark_unreachable(machine)  # its lease ran out although it was answered: the answers don't arrive
+            self._mark_unreachable(machine)  # the lease expired despite a recent response: responses don't arrive
 
     def _mark_unreachable(self, machine: Machine) -> None:
-        """Place nothing more there: it would be started, found missing and started again without end."""
+        """Stop placing tasks on a machine: they would be started, found missing and started again without end."""
         if not machine.unreachable:
             log.info("event=machine_marked_unreachable machine=%s shard=%d", machine.name, self._shard.number)
         machine.unreachable = True
         for placement in list(machine.placements.values()):
             if placement.phase is Phase.RESERVED:
-                self._shard.forget(placement)
+                self._shard.remove_placement(placement)
 
     # -- the task list
 
     def _read_task_list(self, message: TaskListMessage) -> None:
-        """Bring the books of the machine in line with its task list."""
+        """Reconcile the machine's placements with its task list."""
         machine = message.machine
         machine.fenced = True
         machine.last_task_list = message.heartbeat.tasks
@@ -116,9 +119,9 @@
             machine.idle_since = message.now
 
     def _read_tasks(self, message: TaskListMessage) -> set[tuple[str, int]]:
-        """Take in the tasks that are listed; the keys of those that are on the machine.
+        """Process the listed tasks. Return the keys of those that are on the machine.
 
-        Ends come first: a refused start must not make a task look free that an older attempt runs.
+        Exits are processed first: a refused start must not release a task of which an older attempt is running.
         """
         present: dict[tuple[str, int], TaskStatus] = {}
         for task in message.heartbeat.tasks:
@@ -132,7 +135,7 @@
         return set(present)
 
     def _release_absent(self, message: TaskListMessage, present: set[tuple[str, int]]) -> None:
-        """Release what should be on the machine and is not listed: it is gone, or its start did not arrive."""
+        """Release placements that are not listed: the task no longer runs, or its start command did not arrive."""
         machine = message.machine
         missed_start = False
         for key, placement in list(machine.placements.items()):
@@ -155,7 +158,7 @@
     # -- tasks on the machine
 
     def _read_present(self, message: TaskListMessage, task: TaskAttempt, phase: Phase) -> None:
-        """Take in the state of a task that is on the machine."""
+        """Process a listed task that is on the machine."""
         placement = message.machine.placements.get((task.ref, task.number))
         if placement is None:
             placement = self._adopt(message, task, phase)
@@ -163,7 +166,7 @@
                 return
         elif placement.attempt != task.attempt:
             if placement.phase is Phase.SENT:
-                return  # the new attempt is refused with `in_use`; the report of that exit settles it
+                return  # the worker refuses the new attempt with `in_use`; that exit is reported later and resolves this
             placement.attempt = task.attempt
         if phase is Phase.RUNNING and placement.running_since is None:
             self._record_start(message, placement)
@@ -174,6 +177,7 @@
 
     @staticmethod
     def _record_start(message: TaskListMessage, placement: Placement) -> None:
+        """Record that a task began to run."""
         now = message.now
         placement.running_since = now
         placement.timing_known = placement.timing_known and message.timing_known
@@ -187,7 +191,7 @@
         )
 
     def _record_fetch(self, placement: Placement, now: timedelta) -> None:
-        """Report how long a fetch took from its first request; only if both its start and its end were seen."""
+        """Report how long an image fetch took since its first request, if both times are known."""
         machine, image = placement.machine, placement.job.spec.image
         if image in machine.fetched_images or not placement.timing_known:
             return
@@ -196,12 +200,16 @@
 
     @staticmethod
     def _record_image(machine: Machine, job: Job, fetched: bool) -> None:
+        """Mark the job's image as used on the machine, and as fetched if it is."""
         machine.touch_image(job.spec.image, job.spec.image_gb)
         if fetched:
             machine.fetched_images.add(job.spec.image)
 
     def _adopt(self, message: TaskListMessage, task: TaskAttempt, phase: Phase) -> Placement | None:
-        """Take over a task that a former leader started; None if it is not this shard's, or not known to be."""
+        """Create a placement for a listed task that has none, since a former leader started it.
+
+        Return None if the task does not belong to this shard, or if that is not known yet.
+        """
         machine = message.machine
         job = self._shard.jobs.get(task.ref)
         if job is None and self._shard.undecided(task.ref):
@@ -221,9 +229,9 @@
         return placement
 
     def _keep_undecided(self, machine: Machine, task: TaskAttempt) -> None:
-        """Leave a task alone until it is known whether its job was released; it is an orphan only if it was not.
+        """Keep a task until it is known whether its job was released; if it was not, the task is an orphan.
 
-        Nothing is placed meanwhile: not this task, which runs already, nor others, since it counts against its team.
+        No tasks are placed until then: this task is already running, and it counts towards its team's quota.
         """
         machine.undecided.add(task)
         self._shard.reconciled = False
@@ -231,6 +239,7 @@
     # -- tasks that ended
 
     def _read_exit(self, message: TaskListMessage, task: TaskAttempt, cause: str) -> None:
+        """Process a listed task that has exited."""
         message.machine.exited.add(task)
         job = self._shard.jobs.get(task.ref)
         if job is not None:
--- a/badgerroute/scheduling/planner.py
+++ b/badgerroute/scheduling/planner.py
@@ -1,7 +1,7 @@
-"""Rounds of decisions for one shard: fill a machine whose heartbeat came, place gangs, preempt, apply feedback.
+"""Scheduling rounds for one shard: fill a machine on its heartbeat, place gangs, preempt, apply feedback.
 
-A facade. The paper's algorithms are in `array_placement` and `delay_scheduling` (Parades), `stealing` (SENDSTEAL) and
-`utilization_feedback` (Af); `gang_placement` and `preemption` are additions.
+A facade over the other modules. The paper's algorithms are in `array_placement` and `delay_scheduling` (Parades),
+`stealing` (SENDSTEAL) and `utilization_feedback` (Af); `gang_placement` and `preemption` are additions.
 """
 
 from collections.abc import Callable
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class WaitingDemand:
-    """The tasks of a job that wait: what the autoscaler and the other shards need to know of them."""
+    """A job's waiting tasks, as the autoscaler and the other shards need to know them."""
 
     ref: str
     team: str
@@ -38,7 +38,7 @@
 
 
 class Planner:
-    """What a leader asks of its shard: see the modules that it is made of."""
+    """The scheduling operations that a leader calls. `out_of_time` arguments tell when a round must end."""
 
     def __init__(
         self, shard: Shard, settings: Scheduling, objectives: Objectives, heartbeat: timedelta = timedelta(seconds=1)
@@ -63,70 +63,70 @@
         self._arrays = ArrayPlacement(shard, self._order, self._rules, self._evictions)
 
     def rank(self, job: Job) -> tuple[float, float, float]:
-        """See ServiceOrder."""
+        """The job's position in the order of service; see `ServiceOrder.rank`."""
         return self._order.rank(job)
 
     def run_time(self, job: Job) -> timedelta:
-        """How long a task of the job is expected to run."""
+        """The expected run time of a task of the job."""
         return self._order.run_time(job)
 
     def waiting_jobs(self, now: timedelta) -> list[Job]:
-        """Jobs that wait, in the order of service."""
+        """Jobs with waiting tasks, in the order of service."""
         self._order.refresh(now)
         return self._order.jobs
 
     def may_stop(self, victim: Job, job: Job) -> bool:
-        """See EvictionPlanner."""
+        """Whether a job may preempt another; see `EvictionPlanner.may_stop`."""
         return self._evictions.may_stop(victim, job)
 
     def candidates(self, job: Job, now: timedelta, free: bool = False) -> list[Machine]:
-        """See EvictionPlanner."""
+        """Machines that may run the job; see `EvictionPlanner.candidates`."""
         return self._evictions.candidates(job, now, free)
 
     def fill(self, machine: Machine, now: timedelta, out_of_time: Callable[[], bool]) -> int:
-        """See ArrayPlacement."""
+        """Start array tasks on a machine; see `ArrayPlacement.fill`."""
         return self._arrays.fill(machine, now, out_of_time)
 
     def gangs(self, now: timedelta, out_of_time: Callable[[], bool]) -> int:
-        """Place gangs in a round of their own."""
+        """Place waiting gangs, with preemption; see `GangPlacement.place`."""
         return self._gangs.place(now, out_of_time)
 
     def gangs_on(self, machine: Machine, now: timedelta, out_of_time: Callable[[], bool]) -> int:
-        """Place gangs on a machine's heartbeat."""
+        """Place gangs on a machine's heartbeat, without preemption; see `GangPlacement.place_on`."""
         return self._gangs.place_on(machine, now, out_of_time)
 
     def unplaceable_gangs(self, now: timedelta) -> list[Job]:
-        """See GangPlacement."""
+        """Gangs that this shard can't place even with preemption; see `GangPlacement.unplaceable_gangs`."""
         return self._gangs.unplaceable_gangs(now)
 
     def preempt_for_arrays(self, now: timedelta, out_of_time: Callable[[], bool]) -> None:
-        """See Preemption."""
+        """Stop tasks to make room for arrays; see `Preemption.preempt_for_arrays`."""
         self._preemption.preempt_for_arrays(now, out_of_time)
 
     def release_reservations(self, now: timedelta) -> None:
-        """See Preemption."""
+        """Release expired or unneeded reservations; see `Preemption.release_reservations`."""
         self._preemption.release_reservations(now)
 
     def reclaimable_by_machine(self, level: int) -> list[tuple[Machine, Resources]]:
-        """See EvictionPlanner."""
+        """What each usable machine could offer a job of a level; see `EvictionPlanner.reclaimable_by_machine`."""
         return self._evictions.reclaimable_by_machine(level)
 
     def reclaimable_cpus_by_image(self, level: int, max_machines: int) -> dict[str, list[float]]:
-        """See EvictionPlanner."""
+        """Reclaimable processors by cached image; see `EvictionPlanner.reclaimable_cpus_by_image`."""
         return self._evictions.reclaimable_cpus_by_image(level, max_machines)
 
     @property
     def overrun_rounds(self) -> int:
-        """Rounds that ran out of time."""
+        """The number of rounds that ran out of time."""
         return self._gangs.overrun_rounds + self._arrays.overrun_rounds + self._preemption.overrun_rounds
 
     def collect_quota_shortfalls(self) -> dict[str, Resources]:
-        """By team, what its jobs lacked of its limit in the rounds since the last call."""
+        """By team, the quota that its jobs lacked in the rounds since the last call."""
         shortfalls, self._rules.quota_shortfalls = self._rules.quota_shortfalls, {}
         return shortfalls
 
     def feedback(self, now: timedelta) -> None:
-        """Sample every job, and give those whose period is over their next desire."""
+        """Sample the slots of every job, and update the desire of those whose feedback period has ended."""
         for job in self.shard.jobs.values():
             if job.period_began is None:
                 continue
@@ -135,7 +135,7 @@
                 utilization_feedback.end_period(job, now, self._settings)
 
     def waiting_demands(self, now: timedelta) -> list[WaitingDemand]:
-        """The tasks that wait and may start, by job."""
+        """The waiting tasks of each job that may start now."""
         demands = []
         for job in self.shard.jobs.values():
             count = job.startable
@@ -156,13 +156,13 @@
         return demands
 
     def freeing(self, now: timedelta) -> float:
-        """Processors of array tasks that should end before a new machine could boot and fetch an image."""
+        """Processors of array tasks that should end before a newly rented machine could boot and fetch an image."""
         total = 0.0
         for job in self.shard.jobs.values():
             if job.gang or not job.placed:
                 continue
             run = delay_scheduling.run_time(job, self.shard.estimates.correction(job.spec.job_class))
-            latest_starts: dict[str, timedelta] = {}  # machine type -> runs that began by then will have ended
+            latest_starts: dict[str, timedelta] = {}  # machine type -> runs that began before then will have ended
             for placement in job.placed.values():
                 running_since = placement.running_since
                 if running_since is None:
--- a/badgerroute/scheduling/preemption.py
+++ b/badgerroute/scheduling/preemption.py
@@ -1,6 +1,6 @@
-"""Preemption: stopping work for work that comes before it, and reserving the capacity that becomes free.
+"""Preemption: stopping tasks for jobs that precede them, and reserving the capacity that this frees.
 
-An addition to the paper, whose fair scheduler stops nothing (docs/design.md).
+An addition to the paper, whose fair scheduler never stops tasks (docs/design.md).
 """
 
 import logging
@@ -17,15 +17,15 @@
 from badgerroute.storage.bitset import lowest
 
 log = logging.getLogger(__name__)
-ARRAY_RESERVATION = timedelta(seconds=6)  # how long capacity that was freed for an array waits for its tasks
-GANG_RESERVATION = timedelta(seconds=30)  # and for a gang, whose victims save their work before they end
-HEARTBEATS_UNTIL_START = 3  # heartbeats that pass between the decision to stop tasks and the start in their place
-SLACK_DIVISOR = 3  # preemption begins after the slack divided by this
-MAX_STOPS_PER_ROUND = 64  # tasks that are stopped for arrays
+ARRAY_RESERVATION = timedelta(seconds=6)  # how long capacity freed for an array stays reserved
+GANG_RESERVATION = timedelta(seconds=30)  # the same for a gang; its victims save their work first
+HEARTBEATS_UNTIL_START = 3  # from the decision to stop tasks until others start in their place
+SLACK_DIVISOR = 3  # preemption begins after this fraction of the slack
+MAX_STOPS_PER_ROUND = 64  # tasks stopped for arrays in one round
 
 
 class Preemption:
-    """Stops work of one shard for other work that comes before it in the order of service."""
+    """Stops tasks of one shard for jobs that come earlier in the order of service."""
 
     def __init__(
         self,
@@ -38,23 +38,23 @@
     ) -> None:
         self._shard, self._order, self._evictions = shard, order, evictions
         self._objectives, self._heartbeat = objectives, heartbeat
-        self._cursor = 0  # position of the job with which the next round goes on
+        self._cursor = 0  # position of the job at which the next round resumes
         self.overrun_rounds = 0  # rounds that ran out of time
 
     def wait_before_preemption(self, job: Job) -> timedelta:
-        """How long a job waits before others are stopped for it: a third of its slack.
+        """How long a job waits before other tasks are preempted for it: a third of its slack.
 
-        The slack is the time in which it should start, less the heartbeats until a stop and a start arrive, and less
-        the fetch of its image.
+        The slack is the time within which it should start, less the heartbeats that pass until the stop and the start
+        arrive, and less the time to fetch its image.
         """
         start_delay = HEARTBEATS_UNTIL_START * self._heartbeat
-        slack = self._objectives.start_within(job) - start_delay - self._shard.least_fetch(job)
+        slack = self._objectives.start_within(job) - start_delay - self._shard.min_fetch_time(job)
         return max(ZERO, slack / SLACK_DIVISOR)
 
     # -- gangs
 
     def preempt_for_gang(self, job: Job, tasks: int, now: timedelta) -> None:
-        """Stop what is cheapest so that a gang which has waited long enough fits."""
+        """Stop the tasks with the lowest cost so that a gang fits, if it has waited long enough."""
         if now - job.since < self.wait_before_preemption(job):
             return
         options: list[Eviction] = []
@@ -67,10 +67,10 @@
         self.evict_for_gang(job, tasks, options, now)
 
     def evict_for_gang(self, job: Job, tasks: int, options: list[Eviction], now: timedelta) -> bool:
-        """Carry out the cheapest evictions on as many machines as a gang needs; False: there are too few.
+        """Carry out the cheapest evictions, on as many machines as the gang has tasks. Return False if too few exist.
 
-        Machines that are reserved for it already come first: else every round would reserve others, and more than the
-        gang has use for.
+        Machines already reserved for the gang come first. Otherwise every round would reserve other machines, and in
+        total more than the gang can use.
         """
         options.sort(key=lambda option: (option.machine.reserved_for != job.ref, option.loss, option.machine.name))
         if job.spec.together and options:
@@ -83,7 +83,7 @@
 
     @staticmethod
     def _cheapest_zone(options: list[Eviction], tasks: int) -> list[Eviction]:
-        """The cheapest evictions that lie in one zone; none if no zone has enough."""
+        """The cheapest sufficient set of evictions within one zone, or an empty list if no zone has enough."""
         by_zone: dict[str, list[Eviction]] = {}
         for option in options:
             by_zone.setdefault(option.machine.zone, []).append(option)
@@ -93,10 +93,10 @@
     # -- arrays
 
     def preempt_for_arrays(self, now: timedelta, out_of_time: Callable[[], bool]) -> None:
-        """Give a team its guarantee, and higher levels their place, at the cost of work that may be stopped.
+        """Stop preemptible tasks for arrays within their team's guarantee or of a higher priority level.
 
-        `over` tells when the round's time is up; the next round goes on with the next job. No heartbeat is answered
-        meanwhile, and a pass over thousands of jobs takes seconds.
+        `out_of_time` tells when the round must end; the next round resumes with the next job. The round is limited
+        since a pass over thousands of jobs takes seconds, during which no heartbeat is answered.
         """
         if not self._shard.reconciled:
             return
@@ -119,7 +119,7 @@
         self._cursor = 0
 
     def _array_tasks_without_capacity(self, job: Job, limit: int, now: timedelta) -> int:
-        """How many tasks of an array have waited long enough for others to be stopped, and fit on no machine."""
+        """How many tasks of an array have waited long enough for preemption and fit in no free capacity."""
         min_wait = self.wait_before_preemption(job)
         if job.gang or job.failing or now - job.since < min_wait or self._order.yields_to_gang(job):
             return 0
@@ -134,7 +134,10 @@
         return wanted
 
     def _preempt_for_array(self, job: Job, wanted: int, now: timedelta) -> int:
-        """Make one task of an array fit on each of up to `wanted` machines; on how many. Cached images come first."""
+        """Make room for one task on each of up to `wanted` machines, first on those that cache the image.
+
+        Return the number of machines.
+        """
         options: list[tuple[bool, Eviction]] = []
         for machine in self._evictions.candidates(job, now):
             if machine.reserved_for is not None:
@@ -148,17 +151,17 @@
             self._evict(eviction, job, now + ARRAY_RESERVATION)
         return min(wanted, len(options))
 
-    # -- both
+    # -- gangs and arrays
 
     def _evict(self, eviction: Eviction, job: Job, reserved_until: timedelta) -> None:
-        """Stop the victims, and reserve the machine: else the capacity would go back to them."""
+        """Stop the victims, and reserve the machine so that they are not started there again."""
         eviction.machine.reserved_for = job.ref
         eviction.machine.reserved_until = reserved_until
         for victim in eviction.victims:
             self._preempt(victim, job)
 
     def _preempt(self, victim: Placement, job: Job) -> None:
-        """Stop a task, with the time that it needs to save; of a gang, all tasks."""
+        """Stop a task, or its whole gang, with the grace period that it needs to save its work."""
         grace = save_time(victim.job)
         log.debug(
             "event=task_preempted task=%s/%d machine=%s for=%s",
@@ -174,9 +177,9 @@
             self._shard.stop(victim, grace)
 
     def release_reservations(self, now: timedelta) -> None:
-        """Give up reservations that are too old, or whose job has no use for them: it may have moved or be placed.
+        """Release reservations that have expired or whose job has no waiting tasks here, as it was moved or placed.
 
-        A machine that stays reserved would stay idle and never be returned.
+        A machine that stayed reserved would remain idle and never be returned to the cloud.
         """
         for machine in self._shard.machines.values():
             if machine.reserved_for is not None:
--- a/badgerroute/scheduling/shard.py
+++ b/badgerroute/scheduling/shard.py
@@ -1,7 +1,7 @@
-"""One shard's state: its members, its jobs, and which attempts of tasks may be on which machine.
+"""The state of one shard: its machines, its jobs, and which attempts of tasks may be on which machine.
 
-This is the bookkeeping that safety rests on (docs/safety.md). It is deterministic: state, message and time in,
-commands out. It has no sockets and no clock of its own.
+Safety depends on this state (docs/safety.md). It is deterministic: messages and the time are arguments, and commands
+are results. It uses no sockets and no clock.
 """
 
 import logging
@@ -26,14 +26,14 @@
 from badgerroute.storage.records import JobRecord, MachineRecord
 
 log = logging.getLogger(__name__)
-ATTEMPT_BITS = 24  # of an attempt's number, for the counter; the term stands above them
+ATTEMPT_BITS = 24  # low bits of an attempt number, which hold a counter; the term is in the bits above
 
 
 class Shard:
-    """The members, jobs and placements of one shard, as its leader knows them.
+    """The machines, jobs and placements of one shard, as known to its leader.
 
-    Invariant: a task counts as on a machine (a placement exists) from the decision to start it until a message proves
-    that the machine is rid of it. `reconciled` turns true once every member is accounted for; nothing is placed before.
+    Invariant: a placement exists from the decision to start a task on a machine until it is proven that the machine no
+    longer runs it. No task is placed until `reconciled` is true: until then, what some machine runs is unknown.
     """
 
     def __init__(
@@ -47,53 +47,53 @@
         guidance: Guidance = NEUTRAL,
     ) -> None:
         self.number, self.term = number, term
-        self.lease = lease  # of the workers
+        self.lease = lease  # duration of the workers' leases
         self.guidance = guidance
-        self.undecided = undecided  # of jobs that are not here: whether they may have been released all the same
-        self.fence = term  # machines must have seen at least this before their lists are the last word
+        self.undecided = undecided  # whether a job that is not in `jobs` may have been released
+        self.required_fencing_token = term  # a machine is fenced once it has seen at least this token
         self.led_since = now
         self.machines: dict[str, Machine] = {}
         self.jobs: dict[str, Job] = {}
         self.quota = QuotaLedger(allocation_of)
         self.estimates = DurationEstimates()
-        self.reconciled = False  # every member fenced or provably rid of its tasks: until then nothing is placed
+        self.reconciled = False  # it is known which tasks run on every machine
         self._failures = FailureTracker(self)
         self._reconciler = HeartbeatReconciler(self, self._failures)
         self._attempt_counter = 0
-        self._max_fetch_gb_per_s = 1e-6  # GB a second, of the machines ever here
+        self._max_fetch_gb_per_s = 1e-6  # of all machines that ever belonged to this shard
 
     @property
     def usage(self) -> defaultdict[str, Usage]:
-        """What each team's tasks use."""
+        """The resources that the tasks of each team use in this shard."""
         return self.quota.usage
 
     @property
     def image_fetched(self) -> Callable[[Placement, timedelta], None]:
-        """Told of each image that was fetched, and how long that took."""
+        """The callback for each fetched image, with the duration of the fetch."""
         return self.guidance.image_fetched
 
-    # -- membership
+    # -- machines
 
     def add_machine(self, name: str, record: MachineRecord, machine_type: MachineType, now: timedelta) -> Machine:
-        """Take in a new member."""
+        """Add a machine to the shard."""
         machine = Machine(name, record.address, machine_type, record.zone, record.spot, now, capacity_of(machine_type))
         machine.drain_deadline = self.guidance.drain_deadline(name)
         self.machines[name] = machine
         self._max_fetch_gb_per_s = max(self._max_fetch_gb_per_s, machine_type.fetch_gb_per_s)
         return machine
 
-    def least_fetch(self, job: Job) -> timedelta:
-        """How long the job's image takes to fetch where that goes fastest."""
+    def min_fetch_time(self, job: Job) -> timedelta:
+        """How long the fastest machines of this shard take to fetch the job's image."""
         return timedelta(seconds=job.spec.image_gb / self._max_fetch_gb_per_s) if self.machines else ZERO
 
     def remove_machine(self, name: str, now: timedelta) -> None:
-        """The machine and everything on it are gone, provably."""
+        """Remove a machine that is proven not to run any task."""
         machine = self.machines.pop(name, None)
         if machine is not None:
             self.lose_tasks(machine, now)
 
     def lose_tasks(self, machine: Machine, now: timedelta) -> None:
-        """Everything on the machine is provably dead."""
+        """Release all tasks of a machine, which are proven to be dead."""
         for placement in list(machine.placements.values()):
             self.release(placement, now)
         machine.last_task_list = None
@@ -111,10 +111,10 @@
         done: int | None = None,
         dependency_wait: timedelta = ZERO,
     ) -> Job | None:
-        """Take in a job's record, new or changed; None if none of its tasks is ours.
+        """Add a job or apply its changed record. Return None if none of its tasks belongs to this shard.
 
-        `accepted` is when its times begin to count: its release, if it waited for others, for as long as `held_back`.
-        `done` are its done tasks, if they are not all in the record.
+        `accepted` is when its waiting time begins: its release if it waited for upstream jobs, for `dependency_wait`.
+        `done` is the bit set of its done tasks if the record does not have all of them.
         """
         done = record.done() if done is None else done
         owned = record.owned(self.number)
@@ -124,7 +124,7 @@
         if not owned:
             return None
         spec = record.job
-        # A gang that comes from another shard has waited there already.
+        # A gang that was transferred from another shard has already waited there.
         since = min(now, accepted) if spec.gang else now
         job = Job(
             spec.ref, spec, accepted, owned, done, start_window, need_of(spec), since, dependency_wait=dependency_wait
@@ -133,20 +133,20 @@
         return job
 
     def _update_job(self, job: Job, owned: int, done: int, now: timedelta) -> Job | None:
-        """Take in changed bit sets of owned and done tasks; None if nothing of the job is left here."""
+        """Apply changed bit sets of owned and done tasks. Return None if the shard no longer needs the job."""
         if owned & ~job.owned and not job.waiting_bits:
             job.since = now
         job.owned = owned
         job.done |= done
         job.done_here &= ~job.done
-        job.failing = job.failing and not job.done  # it was done elsewhere
+        job.failing = job.failing and not job.done  # a task of it was done, so the job itself is not faulty
         if job.can_be_dropped:
             del self.jobs[job.ref]
             return None
         return job
 
     def set_level(self, job: Job, level: int) -> None:
-        """The level at which a job is served: its own, or that of a job which needs it. It may change at any time."""
+        """Set the level at which a job is scheduled: its own, or one inherited from a downstream job."""
         if level == job.level:
             return
         for placement in job.placed.values():
@@ -156,14 +156,14 @@
         job.level = level
 
     def drop_job(self, ref: str) -> None:
-        """The job is over (done or cancelled): none of its tasks may start, all must go."""
+        """Remove a job that is done or cancelled: its tasks are not started, and those that were started are halted."""
         job = self.jobs.get(ref)
         if job is None:
             return
         job.owned = job.in_transfer = job.done_here = 0
         for placement in list(job.placed.values()):
             if placement.phase is Phase.RESERVED:
-                self.forget(placement)
+                self.remove_placement(placement)
             else:
                 self.stop(placement, ZERO)
         if not job.placed:
@@ -172,29 +172,29 @@
     # -- placements
 
     def next_attempt(self) -> int:
-        """Term and counter together, so that no two leaders ever produce the same number."""
+        """Return a new attempt number. It contains the term, so no two leaders ever produce the same number."""
         self._attempt_counter += 1
         return (self.term << ATTEMPT_BITS) | self._attempt_counter
 
     def fits_quota(self, job: Job, tasks: int = 1) -> int:
-        """How many of so many tasks fit the team's quota."""
+        """How many of `tasks` tasks of a job fit in its team's quota in this shard."""
         return self.quota.fitting_tasks(job, tasks)
 
     def reserve_for_peer(self, team: str, resources: Resources, until: timedelta) -> None:
-        """Keep so much of a team's quota for another shard, as its tasks end here."""
+        """Reserve a team's quota for another shard, as the team's tasks end in this one."""
         self.quota.reserve_for_peer(team, resources, until)
 
     def expire_reservations(self, now: timedelta) -> None:
-        """Let go of quota that was kept for other shards and not called for."""
+        """Release quota that was reserved for other shards and not requested in time."""
         self.quota.expire_reservations(now)
 
     def short_of_quota(self, job: Job) -> bool:
-        """Whether a job waits for want of quota: a gang for the whole of it, an array for that of one task."""
+        """Whether quota keeps a job from starting: for all tasks of a gang, or for one task of an array."""
         needed = job.spec.tasks if job.gang else 1
         return job.startable > 0 and self.fits_quota(job, needed) < needed
 
     def room_for(self, job: Job) -> int:
-        """How many of a job's tasks the free room of machines that it may use would hold."""
+        """How many tasks of a job fit in the free capacity of the machines that it may use."""
         return sum(
             machine.free.times(job.need)
             for machine in self.machines.values()
@@ -216,7 +216,7 @@
         self.quota.add(job)
         return placement
 
-    def forget(self, placement: Placement) -> None:
+    def remove_placement(self, placement: Placement) -> None:
         """Remove a placement from its machine and its job."""
         machine, job = placement.machine, placement.job
         if machine.placements.pop(placement.key, None) is None:
@@ -236,8 +236,8 @@
                 self.jobs.pop(job.ref, None)
 
     def release(self, placement: Placement, now: timedelta) -> None:
-        """The task is provably not on the machine any more; unless it is done, it waits again."""
-        self.forget(placement)
+        """Remove the placement of a task that is proven to have ended; unless the task is done, it waits again."""
+        self.remove_placement(placement)
         job = placement.job
         if not (job.done | job.done_here) >> placement.index & 1:
             job.requeued[placement.index] = now
@@ -245,14 +245,14 @@
             self.stop_gang(job, ZERO)
 
     def stop_gang(self, job: Job, grace: timedelta) -> None:
-        """All tasks of an attempt go together: without one of them the others run for nothing."""
+        """Stop all placed tasks of a gang: without one of them, the others run in vain."""
         for placement in list(job.placed.values()):
             self.stop(placement, grace)
 
     def stop(self, placement: Placement, grace: timedelta) -> None:
-        """Have a task stopped with so much time to save; one that was not sent yet is struck off."""
+        """Stop a task with a grace period to save its work; remove the placement if its start was not sent yet."""
         if placement.phase is Phase.RESERVED:
-            self.forget(placement)
+            self.remove_placement(placement)
         elif placement.grace is None or grace < placement.grace:
             placement.machine.stopping_count += not placement.stopping
             placement.grace = grace
@@ -260,21 +260,21 @@
     # -- messages from machines
 
     def on_heartbeat(self, machine: Machine, heartbeat: Heartbeat, periodic: bool, now: timedelta) -> Events | None:
-        """Take in a machine's task list; None if nothing newer was learned from it. `periodic`: it is a heartbeat."""
+        """Process a machine's task list; see `HeartbeatReconciler.on_heartbeat`."""
         return self._reconciler.on_heartbeat(machine, heartbeat, periodic, now)
 
     def clear_failures(self, job: Job, now: timedelta) -> None:
-        """Let a job go back to machines on which it failed long ago."""
+        """Let a job use machines again on which it failed long ago."""
         self._failures.clear_failures(job, now)
 
     # -- commands
 
     def commands(self, machine: Machine, now: timedelta, starts: bool) -> list[Command]:
-        """What a machine is to do. Starts go out once and only in the answer to a heartbeat (`starts`)."""
+        """Return the commands for a machine; see `build_commands`. `starts`: they go into a heartbeat response."""
         return build_commands(machine, now, starts, self._clearable)
 
     def _clearable(self, ref: str, index: int) -> bool:
-        """A done task is cleared only once that is durable: until then the machine is the only witness."""
+        """Whether an exited task may be cleared. Until its completion is recorded, only the machine knows of it."""
         job = self.jobs.get(ref)
         if job is None:
             return not self.undecided(ref)
@@ -283,13 +283,13 @@
     # -- time
 
     def expire(self, now: timedelta, last_confirmed: timedelta, lease: timedelta, grace: timedelta) -> list[Machine]:
-        """Machines whose lease is certainly over by now: their tasks are dead and wait again. See `expire_leases`."""
+        """Release the tasks of machines whose lease has certainly expired, and return these; see `expire_leases`."""
         return expire_leases(self, now, last_confirmed, lease, grace)
 
     def reconcile(self) -> bool:
-        """Whether every member is accounted for, so that tasks may be placed."""
+        """Update and return `reconciled`: whether it is known what every machine runs, so that tasks may be placed."""
         if not self.reconciled:
-            # An orphan's team is unknown, so what it uses can't be counted: wait until it is gone.
+            # An orphan's team is unknown, so its usage can't be counted: wait until it no longer runs.
             self.reconciled = not self.unreconciled_machines()
             if self.reconciled:
                 machines = len(self.machines)
@@ -297,6 +297,6 @@
         return self.reconciled
 
     def unreconciled_machines(self) -> list[Machine]:
-        """Machines of which it is not certain what runs on them, or that run what can't be counted."""
+        """Machines whose tasks are not certainly known, or that run tasks which can't be counted towards a quota."""
         machines = self.machines.values()
         return [machine for machine in machines if not machine.fenced or machine.orphans or machine.undecided]
--- a/badgerroute/scheduling/shard_state.py
+++ b/badgerroute/scheduling/shard_state.py
@@ -1,4 +1,4 @@
-"""What of a shard's state those modules may use that `shard` is built from."""
+"""Interfaces to a shard's state for the modules that `shard` itself imports, which avoids import cycles."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -10,7 +10,7 @@
 
 
 class ShardView(Protocol):
-    """A shard's members and jobs, to be looked at."""
+    """Read access to a shard's machines and jobs."""
 
     number: int
     lease: timedelta
@@ -19,35 +19,35 @@
     jobs: dict[str, Job]
 
     def short_of_quota(self, job: Job) -> bool:
-        """Whether a job waits only for quota of its team's limit."""
+        """Whether a job can't start because its team's quota in this shard is used up."""
 
 
 class ShardState(ShardView, Protocol):
-    """A shard as those see it that read heartbeats and judge failures for it."""
+    """The parts of a shard that heartbeat reconciliation, lease expiry and failure tracking use and change."""
 
-    fence: int
+    required_fencing_token: int
     reconciled: bool
     undecided: Callable[[str], bool]
     estimates: DurationEstimates
 
     @property
     def image_fetched(self) -> Callable[[Placement, timedelta], None]:
-        """Told of each image that was fetched, and how long that took."""
+        """The callback for each fetched image, with the duration of the fetch."""
 
     def lose_tasks(self, machine: Machine, now: timedelta) -> None:
-        """Everything on the machine is provably dead."""
+        """Release all tasks of a machine, which are proven to be dead."""
 
     def place(self, job: Job, index: int, attempt: int, machine: Machine, now: timedelta, phase: Phase) -> Placement:
-        """A task counts as on the machine from now on."""
+        """Record an attempt of a task as placed on a machine."""
 
-    def forget(self, placement: Placement) -> None:
-        """A task is off its machine and done."""
+    def remove_placement(self, placement: Placement) -> None:
+        """Remove a placement from its machine and its job."""
 
     def release(self, placement: Placement, now: timedelta) -> None:
-        """A task is off its machine and waits again."""
+        """Remove a placement; unless the task is done, it waits again."""
 
     def stop(self, placement: Placement, grace: timedelta) -> None:
-        """Have a task stopped."""
+        """Stop a task with a grace period."""
 
     def stop_gang(self, job: Job, grace: timedelta) -> None:
-        """Have all tasks of a gang stopped."""
+        """Stop all tasks of a gang with a grace period."""
--- a/badgerroute/scheduling/task_attempt.py
+++ b/badgerroute/scheduling/task_attempt.py
@@ -1,10 +1,10 @@
-"""The identity of one attempt of one task, as machines report it."""
+"""The identity of one attempt of one task, as workers report it."""
 
 from typing import NamedTuple
 
 
 class TaskAttempt(NamedTuple):
-    """One attempt of a task: the job's reference, the task's number in it, and the attempt number."""
+    """One attempt of a task: the job's ID, the task's number within the job, and the attempt number."""
 
     ref: str
     number: int
@@ -12,5 +12,5 @@
 
     @property
     def task(self) -> str:
-        """The task as messages name it."""
+        """The task's name in messages: `job/number`."""
         return f"{self.ref}/{self.number}"
--- a/badgerroute/scheduling/task_exits.py
+++ b/badgerroute/scheduling/task_exits.py
@@ -1,4 +1,4 @@
-"""What follows from the end of an attempt of a task: done, to be restarted, or released to wait again."""
+"""Handles the exits of task attempts: the task is done, is restarted, or is released to wait again."""
 
 from datetime import timedelta
 
@@ -9,18 +9,18 @@
 from badgerroute.scheduling.task_list_message import TaskListMessage
 from badgerroute.scheduling.task_phase import Phase
 
-CAUSES_IMPLYING_IMAGE = frozenset({"done", "alone"})  # tasks that end for these causes had their image
-MAX_GANG_WAIT_RESTARTS = 12  # a gang that still lacks an image on some machine after so many waits is placed anew
+CAUSES_IMPLYING_IMAGE = frozenset({"done", "alone"})  # tasks that exit with these causes had their image
+MAX_GANG_WAIT_RESTARTS = 12  # a gang that still lacks an image on some machine after this many restarts is placed again
 
 
 class TaskExits:
-    """Takes in the ends of attempts that machines of one shard report."""
+    """Processes the task exits that the machines of one shard report."""
 
     def __init__(self, shard: ShardState, failures: FailureTracker) -> None:
         self._shard, self._failures = shard, failures
 
     def process_exit(self, message: TaskListMessage, job: Job, task: TaskAttempt, cause: str) -> None:
-        """Take in the end of an attempt of one of the shard's jobs."""
+        """Process the exit of an attempt of one of the shard's jobs."""
         machine = message.machine
         placement = self._placement_of(machine, task)
         if placement is not None and self._may_precede_restart(message, placement):
@@ -35,7 +35,7 @@
 
     @staticmethod
     def _placement_of(machine: Machine, task: TaskAttempt) -> Placement | None:
-        """The placement that ended; None if the end is that of an older attempt, which says nothing of this one."""
+        """Return the placement of the attempt that exited, or None if the exit is that of another attempt."""
         placement = machine.placements.get((task.ref, task.number))
         if placement is None or placement.attempt != task.attempt or placement.phase is Phase.RESERVED:
             return None
@@ -43,7 +43,7 @@
 
     @staticmethod
     def _may_precede_restart(message: TaskListMessage, placement: Placement) -> bool:
-        """Whether the end may be that of the run before a restart, which has the same attempt number."""
+        """Whether the exit may belong to the run before a restart, which has the same attempt number."""
         return (
             placement.phase is Phase.SENT
             and placement.gang_wait_restarts > 0
@@ -51,10 +51,10 @@
         )
 
     def _process_incomplete(self, message: TaskListMessage, placement: Placement, cause: str) -> None:
-        """An attempt ended without being done: restart a gang task that only waited, release any other."""
+        """Process an exit before completion: restart a task that waited for its gang, release any other."""
         if cause == "alone" and self._may_wait_on(placement):
-            # Its gang may still be fetching the image, which can take longer than a task waits for its gang. To stop
-            # the gang would give those fetches up (docs/incidents.md, gangs begun anew).
+            # Other machines of the gang may still fetch the image, which can take longer than a task waits for its gang.
+            # Stopping the gang would cancel those fetches (docs/incidents.md, gangs begun anew).
             placement.phase, placement.sent = Phase.RESERVED, None
             placement.gang_wait_restarts += 1
             return
@@ -64,11 +64,11 @@
 
     @staticmethod
     def _may_wait_on(placement: Placement) -> bool:
-        """Whether a gang task that has waited too long may go on waiting: started again, with the same number."""
+        """Whether a gang's task whose wait timed out may be restarted, with the same attempt, to go on waiting."""
         job = placement.job
         return (
             job.gang
-            and len(job.placed) == job.spec.tasks  # else there is no whole gang to wait for
+            and len(job.placed) == job.spec.tasks  # otherwise the gang is incomplete, and waiting is useless
             and placement.gang_wait_restarts < MAX_GANG_WAIT_RESTARTS
             and placement.machine.usable
             and placement.attempt == job.gang_attempt
@@ -76,7 +76,7 @@
         )
 
     def _process_completion(self, message: TaskListMessage, job: Job, index: int, placement: Placement | None) -> None:
-        """A task was done; `placement` is None if the books do not have this attempt on the machine."""
+        """Process the completion of a task; `placement` is None if the shard has no placement for this attempt."""
         newly_done = self._record_done(message, job, index)
         if job.failed_on:
             self._failures.attribute_to_machines(job, message.machine, message.events)
@@ -85,11 +85,11 @@
             message.events.capacity_freed = True
             if message.timing_known and newly_done >> index & 1:
                 self._learn_run_time(placement, message.now)
-            self._shard.forget(placement)
+            self._shard.remove_placement(placement)
 
     @staticmethod
     def _record_done(message: TaskListMessage, job: Job, index: int) -> int:
-        """Mark a task as done, or a whole gang, which completes together; bit set of those that are newly done."""
+        """Mark a task, or a whole gang, which completes together, as done. Return the newly done tasks as a bit set."""
         ended = (1 << job.spec.tasks) - 1 if job.spec.gang else 1 << index
         newly_done = ended & job.owned & ~(job.done | job.done_here)
         if newly_done:
@@ -98,9 +98,9 @@
         return newly_done
 
     def _learn_run_time(self, placement: Placement, now: timedelta) -> None:
-        """Count a run towards the mean and the class's estimate, if both its ends were seen in time.
+        """Add a run to the job's mean and the class's estimate, if the times of its start and end are known.
 
-        A pause of this controller must not count as run time: jobs would be taken for late that have only begun.
+        A pause of this controller must not count as run time: jobs that have only begun would be considered late.
         """
         if placement.running_since is None or not placement.timing_known:
             return
--- a/badgerroute/scheduling/task_list_message.py
+++ b/badgerroute/scheduling/task_list_message.py
@@ -1,4 +1,4 @@
-"""A machine's message, and what its task list proves."""
+"""A message from a machine with its task list, and what the list proves."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -10,11 +10,11 @@
 
 @dataclass(slots=True)
 class TaskListMessage:
-    """A task list that is newer than all that was taken in of its machine.
+    """A task list that is newer than all others processed for its machine.
 
-    `periodic`: it is a heartbeat; the answer to a direct command is not one. `prompt`: neither the machine nor this
-    controller was silent before it. After a silence there is no telling when the changes that it shows came about.
-    `events` collects what it changes.
+    `periodic`: the message is a heartbeat, not the response to a direct command. `timing_known`: the previous message
+    was processed recently. After a gap, since the machine or this controller was silent, it is unknown when the changes
+    in the list happened. `events` collects the changes that the message causes.
     """
 
     machine: Machine
@@ -25,8 +25,8 @@
     events: Events = field(default_factory=Events)
 
     def confirms_absence(self, placement: Placement) -> bool:
-        """Whether a start's absence from this message proves that it was not and will not be executed.
+        """Whether a task missing from this list proves that its start command was not and will not be executed.
 
-        A worker keeps one heartbeat in flight and drops late answers, so only a later *heartbeat* proves it.
+        A worker has one heartbeat in flight and ignores late responses, so only a later *heartbeat* proves it.
         """
         return self.periodic and placement.sent is not None and self.heartbeat.newer_than(*placement.sent)
--- a/badgerroute/scheduling/task_phase.py
+++ b/badgerroute/scheduling/task_phase.py
@@ -1,13 +1,13 @@
-"""The phases of one attempt of a task, from the decision to start it until its last report."""
+"""The phases of one attempt of a task, from the decision to start it until it has exited."""
 
 from enum import Enum
 
 
 class Phase(Enum):
-    """Where an attempt of a task stands. The values of the last four are the states that workers report."""
+    """The phase of an attempt. The values of the last four are the states that workers report."""
 
-    RESERVED = "reserved"  # decided; the start has not gone out to the machine
-    SENT = "sent"  # the start went out in the answer to a heartbeat; only a later heartbeat shows whether it arrived
+    RESERVED = "reserved"  # placed; the start command has not been sent
+    SENT = "sent"  # the start command was sent in a heartbeat response; a later heartbeat shows whether it arrived
     FETCHING = "fetching"
     WAITING = "waiting"
     RUNNING = "running"
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -95,7 +95,7 @@
         shard, planner = advised_shard(machines)
         for name in ("host-7", "host-9"):
             for placement in list(shard.machines[name].placements.values())[:2]:
-                shard.forget(placement)  # so that something starts
+                shard.remove_placement(placement)  # so that something starts
 
         def fill(name: str, shard=shard, planner=planner) -> None:
             assert planner.fill(shard.machines[name], 2 * SECOND, never) == 2
@@ -153,7 +153,7 @@
     shard, planner = busy_shard(machines)
     for number, machine in enumerate(shard.machines.values()):
         for placement in list(machine.placements.values())[: 2 * (number % 2)]:
-            shard.forget(placement)
+            shard.remove_placement(placement)
     shard.jobs["run-on"].spec = msgspec.structs.replace(shard.jobs["run-on"].spec, checkpoint_s=1.0, estimate_s=1e4)
     wanted = job("run-u", heads=1, cpus=4.0, rank="urgent", crew="red")
     spec = parse_submission(json.dumps(wanted).encode())
