--- a/badgerroute/scheduling/__init__.py
+++ b/badgerroute/scheduling/__init__.py
@@ -1,5 +1,5 @@
-"""Scheduling decisions of one shard: what to start where, what to stop, what to ask for and what to give away.
+"""Scheduling decisions for one shard: which tasks to start where, to stop, to request from and to give to peers.
 
-Owns the state of a shard (`shard`, `model`) and every decision on it. Pure: no I/O, and the time is an argument.
+Contains the state of a shard (`shard`, `model`) and every decision on it. Does no I/O; the time is an argument.
 Imports the messages (`protocol`), the settings and the stored records (`storage.records`).
 """
--- a/badgerroute/scheduling/array_placement.py
+++ b/badgerroute/scheduling/array_placement.py
@@ -75,7 +75,7 @@
         return jobs
 
     def _machines_in_use(self, machine: Machine) -> list[Machine]:
-        """Machines in the same zone that run tasks. Small tasks go there first, which keeps whole machines for gangs."""
+        """Machines of the same zone that run tasks. Small tasks use these first, which leaves empty ones for gangs."""
         return [
             other
             for other in self._shard.machines.values()
@@ -83,7 +83,7 @@
         ]
 
     def _fits_machines_in_use(self, job: Job, machines: list[Machine], now: timedelta) -> bool:
-        """Whether all waiting tasks of a job fit on machines in use that cache its image, and have not waited long."""
+        """Whether a job should wait: all its waiting tasks fit on machines in use that cache its image."""
         waiting = job.waiting_bits
         if not waiting or now - job.requeued.get(lowest(waiting), job.since) > SHARED_MACHINE_WAIT:
             return False
--- a/badgerroute/scheduling/capacities.py
+++ b/badgerroute/scheduling/capacities.py
@@ -1,4 +1,4 @@
-"""What fits where, judged by the free capacity that shards tell each other of."""
+"""Which tasks fit where, according to the free capacities that shards report to each other."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -8,16 +8,16 @@
 from badgerroute.scheduling.placement_constraints import allows
 from badgerroute.scheduling.resources import Resources
 
-ANY_ZONE = ""
+ANY_ZONE = ""  # key of the slots of a job whose tasks may lie in several zones
 
 
 def free_resources_of(capacity: FreeCapacity) -> Resources:
-    """What is free on each of these machines."""
+    """The free resources of each machine that the capacity describes."""
     return Resources(capacity.cpus, capacity.accelerators, capacity.memory_gb)
 
 
 def fits_capacity(demand: PendingDemand, capacity: FreeCapacity) -> bool:
-    """Whether a waiting task could run on such a machine as it is now."""
+    """Whether a waiting task fits in the free capacity of such a machine, and may run there."""
     return (
         (demand.types is None or capacity.type in demand.types)
         and demand.zone in (None, capacity.zone)
@@ -27,7 +27,7 @@
 
 
 def slots_by_zone(job: Job, capacities: Iterable[FreeCapacity]) -> Counter[str]:
-    """How many of a job's tasks fit there: by zone if they must lie in one, else under ANY_ZONE."""
+    """How many tasks of a job fit: by zone if all must be in the same zone, otherwise under `ANY_ZONE`."""
     slots: Counter[str] = Counter()
     for capacity in capacities:
         if allows(job.spec, capacity.type, capacity.zone, capacity.spot):
@@ -37,5 +37,5 @@
 
 
 def holds_whole_job(job: Job, capacities: Iterable[FreeCapacity]) -> bool:
-    """Whether all of a job's tasks fit there at once."""
+    """Whether all tasks of a job fit in these capacities at once."""
     return max(slots_by_zone(job, capacities).values(), default=0) >= job.spec.tasks
--- a/badgerroute/scheduling/command_building.py
+++ b/badgerroute/scheduling/command_building.py
@@ -1,4 +1,4 @@
-"""The commands that a machine is to be sent, from what is booked on it."""
+"""Builds the commands to send to a machine from its placements and exited tasks."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -11,11 +11,11 @@
 def build_commands(
     machine: Machine, now: timedelta, include_starts: bool, clearable: Callable[[str, int], bool]
 ) -> list[Command]:
-    """Halts, clears and starts for one machine.
+    """Return the halt, clear and start commands for a machine.
 
-    Invariant: starts go out once, and only in the answer to a heartbeat (`starts`). So do clears: a clear in a direct
-    command may be carried out late, and would clear the end of a task that was started again. `clearable` tells whether
-    the end of a task, by job and number, is of no more use as evidence.
+    Invariant: starts are sent once, and only in a heartbeat response (`include_starts`). Clears too are sent only in
+    heartbeat responses: a clear in a direct command may be executed late, and would then clear the exit of a task that
+    was started again. `clearable` tells whether the exit of a task, by job and number, is no longer needed as evidence.
     """
     commands = [Command("halt", orphan.task, orphan.attempt, 0.0) for orphan in machine.orphans]
     if include_starts:
@@ -39,9 +39,9 @@
 
 
 def _start(machine: Machine, placement: Placement, now: timedelta) -> Command:
-    """Book a start as sent. It is outstanding until a later heartbeat confirms it or lacks it."""
+    """Mark a start as sent and return the command. A later heartbeat shows whether it was executed."""
     placement.phase = Phase.SENT
-    machine.last_task_list = None  # the next list matters even if it is the same
+    machine.last_task_list = None  # read the next list even if it is unchanged
     placement.sent = HeartbeatNumber(machine.incarnation, machine.sequence)
     if not placement.gang_wait_restarts:
         placement.start_requested_at = now
--- a/badgerroute/scheduling/deadline_feasibility.py
+++ b/badgerroute/scheduling/deadline_feasibility.py
@@ -1,8 +1,8 @@
-"""Which jobs can still be complete in time, given what all of them need of the machines there are.
+"""Estimates which jobs can still complete in time, given the work of all jobs and the capacity of the machines.
 
-When more is asked than the machines can do in time, sharing them equally makes every job late. How many jobs are in
-time is what users count, and the rule of Moore and Hodgson makes that number as large as it can be: take the jobs in
-the order of their due times, and whenever one would be late, drop the one with the most work.
+When there is more work than the machines can do in time, equal shares make every job late. Users count how many jobs
+complete in time, and the Moore-Hodgson algorithm maximizes that number: take the jobs in the order of their due times,
+and whenever one would be late, drop the one with the most work.
 """
 
 import heapq
@@ -12,12 +12,16 @@
 
 from badgerroute.scheduling.model import ZERO
 
-MIN_SPARE_TIME = timedelta(seconds=60)
+MIN_SPARE_TIME = timedelta(seconds=60)  # a job with less time to spare should not wait for others
 
 
 @dataclass(slots=True)
 class Load:
-    """What is left of a job: processor time in all, the shortest time it can take, and the times left until due."""
+    """The remaining work of a job.
+
+    `work` is the total processor time, `least` the shortest time in which the job can complete, `due` the time that
+    remains until each of its due times.
+    """
 
     ref: str
     work: timedelta
@@ -26,8 +30,8 @@
 
 
 def _on_time_loads(loads: Iterable[Load], due_index: int, earlier_work: timedelta, processors: float) -> list[Load]:
-    """The jobs that can meet their due time of a number, if work that takes `before` comes first."""
-    kept: list[tuple[timedelta, str, Load]] = []  # a heap: most work first
+    """The jobs that can meet their due time at `due_index` if work that takes `earlier_work` precedes them."""
+    kept: list[tuple[timedelta, str, Load]] = []  # a heap with the most work first
     total = earlier_work
     candidates = [load for load in loads if due_index < len(load.due) and load.least <= load.due[due_index]]
     for load in sorted(candidates, key=lambda candidate: (candidate.due[due_index], candidate.ref)):
@@ -39,14 +43,14 @@
 
 
 def _can_wait(load: Load, due_index: int) -> bool:
-    """Whether a job has so much time left that others may well come first."""
+    """Whether a job has enough time to spare for other jobs to go first."""
     return load.due[due_index] - load.least > 2 * load.least + MIN_SPARE_TIME
 
 
 def tiers(groups: Iterable[Sequence[Load]], processors: float) -> dict[str, float]:
-    """How many of its due times each job will miss, and half of one more if it can wait for the others.
+    """How many of its due times each job will miss, plus 0.5 if it can wait for others, by job.
 
-    Groups come in the order in which they are served.
+    `groups` are in the order of service: the jobs of a group precede those of all later groups.
     """
     processors = max(processors, 1.0)
     tier_by_ref: dict[str, float] = {}
--- a/badgerroute/scheduling/delay_scheduling.py
+++ b/badgerroute/scheduling/delay_scheduling.py
@@ -1,4 +1,4 @@
-"""Delay scheduling: how far from its image a task may start, by how long it has waited.
+"""Delay scheduling: how far from its image a task may start, depending on how long it has waited.
 
 After the paper's algorithm 2 (Parades, section IV.D), procedure ONUPDATE. Its symbols: `p` is the processing time of
 a task, here the mean of the job's finished runs; `tau` scales the waits (`scheduling.tau`). A task starts
@@ -7,8 +7,8 @@
 - after `tau * p` on a machine in a zone where some machine caches it (the paper: rack-local);
 - after `2 * tau * p` on any machine that fits (the paper: if also n.free >= 1 - delta).
 
-Changed here: no wait is longer than the fetch of the image would take, or `scheduling.wait_cap_s`, or what lets the
-task start when its user expects it; an image that no machine of the shard caches is not waited for.
+Changed here: no wait is longer than fetching the image would take, or than `scheduling.wait_cap_s`, or than allows the
+task to start when its user expects it. Tasks do not wait for an image that no machine of the shard caches.
 """
 
 from collections.abc import Iterable
@@ -18,11 +18,11 @@
 from badgerroute.scheduling.model import ZERO, Job, Machine
 from badgerroute.settings import Scheduling
 
-MIN_FETCH_GB_PER_S = 1e-6  # so that a machine type without a rate has a fetch time too
+MIN_FETCH_GB_PER_S = 1e-6  # avoids a division by zero for machine types without a fetch rate
 
 
 class LocalityLevel(IntEnum):
-    """How far from its image a task is started."""
+    """How far a machine is from a task's image, as levels with increasing distance."""
 
     CACHED = 0
     ZONE = 1
@@ -30,7 +30,7 @@
 
 
 class ImageLocations:
-    """Where images are cached in a shard, gathered once for a round of decisions."""
+    """Where images are cached in a shard, collected once per computed order of service."""
 
     def __init__(self, machines: Iterable[Machine]) -> None:
         self.zones: dict[str, set[str]] = {}
@@ -49,18 +49,18 @@
 
 
 def run_time(job: Job, correction: float) -> timedelta:
-    """The paper's `p`: the mean run of the job's finished tasks; until one has, its user's estimate, corrected."""
+    """The paper's `p`: the mean run time of the job's finished tasks, or the corrected estimate if there are none."""
     if job.finished_runs:
         return job.total_run_time / job.finished_runs
     return timedelta(seconds=job.spec.estimate_s * correction)
 
 
 def fetch_time(job: Job, machine: Machine) -> timedelta:
-    """How long a machine takes to fetch a job's image, as its type says."""
+    """How long a machine takes to fetch a job's image at the rate of its machine type."""
     return timedelta(seconds=job.spec.image_gb / max(machine.kind.fetch_gb_per_s, MIN_FETCH_GB_PER_S))
 
 
-def allowed(
+def allowed_locality(
     job: Job,
     wait: timedelta,
     fetch: timedelta,
@@ -69,11 +69,11 @@
     settings: Scheduling,
     start_within: timedelta | None = None,
 ) -> LocalityLevel:
-    """The highest locality level that a task which has waited so long may use.
+    """The highest locality level that a task may use after a wait.
 
-    `fetch` is how long the image would take to fetch, `correction` the factor by which runs of the job's class exceed
-    their estimates. `start_within` is when the task is expected to start: it must not wait so long for a cached image
-    that a fetch elsewhere would come too late.
+    `fetch` is how long fetching the image would take, `correction` the factor by which runs of the job's class exceed
+    their estimates. `start_within` is how soon the task is expected to start: it must not wait so long for a cached
+    image that a fetch would end too late.
     """
     if not images.cached(job.spec.image):
         return LocalityLevel.ANY
@@ -89,7 +89,7 @@
 
 
 def locality_of(job: Job, machine: Machine, images: ImageLocations) -> LocalityLevel:
-    """The locality level that starting the job on this machine would be."""
+    """The locality level of a machine for a job."""
     if job.spec.image in machine.images:
         return LocalityLevel.CACHED
     return LocalityLevel.ZONE if images.in_zone(job.spec.image, machine.zone) else LocalityLevel.ANY
--- a/badgerroute/scheduling/dependencies.py
+++ b/badgerroute/scheduling/dependencies.py
@@ -1,7 +1,7 @@
-"""Jobs that wait for others: which are released, which are cancelled with a predecessor, what they hand back to it.
+"""The dependency graph of jobs: which jobs are released, and which are cancelled because a predecessor was.
 
-Everything is derived from final states, which are durable and never change, so every controller that decides comes to
-the same answer at any time, after any failover. Nothing is counted that could be wrong.
+All results are derived from final states, which are durable and never change. So every controller reaches the same
+result at any time, also after a failover. There are no counters that could become wrong.
 """
 
 from collections.abc import Callable, Container, Iterable, Iterator
@@ -12,33 +12,32 @@
 
 @dataclass(frozen=True, slots=True)
 class FinalState:
-    """How a job ended, the time of day at which it did, and the revision of the record that says so."""
+    """How a job ended, the wall-clock time at which it did, and the revision of the record of its final state."""
 
     state: JobState
     reached: float
     revision: int = 0
 
 
-FinalStateOf = Callable[[str], FinalState | None]  # a job's final state, if that is known
+FinalStateOf = Callable[[str], FinalState | None]  # a job's final state, or None if it is not known
 
 
 class Dependencies:
-    """`final` tells what is known to be over; `released` and `cancelled` are told of each job once."""
+    """Tracks unfinished jobs and their predecessors.
+
+    `final` returns the known final state of a job. `released` and `cancelled` are called once for each job.
+    """
 
     def __init__(self, final: FinalStateOf, released: Callable[[str], None], cancelled: Callable[[str], None]) -> None:
         self._final, self._released, self._cancelled = final, released, cancelled
         self._predecessors: dict[str, tuple[str, ...]] = {}  # unfinished job -> its predecessors
-        self._unfinished_predecessors: dict[
-            str, set[str]
-        ] = {}  # job that waits -> predecessors that are not known to be done
-        self._released_at: dict[
-            str, float
-        ] = {}  # unfinished job -> when the last predecessor known to be done was done
+        self._unfinished_predecessors: dict[str, set[str]] = {}  # waiting job -> predecessors not known to be done
+        self._released_at: dict[str, float] = {}  # unfinished job -> when its last known predecessor was done
         self._dependents: dict[str, dict[str, None]] = {}  # predecessor -> unfinished jobs that wait for it
-        self.cancelled: set[str] = set()  # unfinished jobs that are cancelled, since a predecessor is
+        self.cancelled: set[str] = set()  # unfinished jobs that are cancelled because a predecessor is
 
     def add(self, ref: str, predecessors: Iterable[str]) -> None:
-        """Note which jobs a job waits for."""
+        """Add an unfinished job and the jobs that it waits for."""
         if ref in self._predecessors:
             return
         self._predecessors[ref] = unique_predecessors = tuple(dict.fromkeys(predecessors))
@@ -61,7 +60,7 @@
             self._released(ref)
 
     def remove(self, ref: str) -> None:
-        """The job has its own final state, or is gone."""
+        """Remove a job that has a final state or no longer exists."""
         for predecessor in self._predecessors.pop(ref, ()):
             self._remove_dependent(predecessor, ref)
         self._unfinished_predecessors.pop(ref, None)
@@ -76,7 +75,7 @@
                 del self._dependents[predecessor]
 
     def finished(self, ref: str, final: FinalState) -> None:
-        """A job has its final state, durably."""
+        """Update the dependents of a job whose final state has been stored."""
         for dependent in list(self._dependents.get(ref, ())):
             if final.state is JobState.CANCELLED:
                 self._cancel_downstream(dependent)
@@ -92,7 +91,7 @@
                 self._released(dependent)
 
     def _cancel_downstream(self, ref: str) -> None:
-        """Cancelled, and all that need it with it. A loop: chains may be long."""
+        """Cancel a job and all its dependents. Not recursive, since chains may be long."""
         queue = [ref]
         while queue:
             current = queue.pop()
@@ -103,7 +102,7 @@
             self._cancelled(current)
 
     def waits(self, ref: str) -> bool:
-        """Whether not all of a job's predecessors are known to be done: until then nothing of it is there to plan."""
+        """Whether some predecessor is not known to be done; until all are, the job is not scheduled."""
         return ref in self._unfinished_predecessors
 
     def waits_for(self, ref: str) -> Iterable[str]:
@@ -111,11 +110,11 @@
         return self._unfinished_predecessors.get(ref, ())
 
     def released_at(self, ref: str) -> float:
-        """The time of day at which the last of a job's predecessors was done."""
+        """The wall-clock time at which the last of a job's predecessors was done."""
         return self._released_at.get(ref, 0.0)
 
     def predecessors(self) -> list[str]:
-        """The jobs that others wait for."""
+        """The jobs that unfinished jobs wait for."""
         return list(self._dependents)
 
     def dependents(self, ref: str) -> Iterable[str]:
@@ -123,11 +122,11 @@
         return self._dependents.get(ref, ())
 
     def unknown(self, unfinished: Container[str]) -> list[str]:
-        """Predecessors of which we know neither that they are unfinished nor how they ended."""
+        """Predecessors that are neither known to be unfinished nor have a known final state."""
         return [ref for ref in self._dependents if ref not in unfinished]
 
     def unknown_ancestors(self, ref: str, unfinished: Container[str]) -> Iterator[str]:
-        """Those of a job and of all that it waits for."""
+        """Yield the unknown predecessors of a job and of all jobs that it waits for, directly or indirectly."""
         seen, queue = {ref}, [ref]
         while queue:
             for predecessor in self._unfinished_predecessors.get(queue.pop(), ()):
--- a/badgerroute/scheduling/draining.py
+++ b/badgerroute/scheduling/draining.py
@@ -1,4 +1,4 @@
-"""Emptying a machine in time: what may still end there, what moves at once, and what is stopped in the end."""
+"""Empties a machine by a deadline: decides which tasks may finish there and when the others are stopped."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -16,9 +16,9 @@
 class Evacuation:
     """How a machine is emptied by a deadline.
 
-    `margin` is how long before the deadline the last command must be given, since commands wait for heartbeats. A
-    `patient` evacuation lets work that never saves run until then, in case its estimate is too long; one that is not
-    stops at once what will most likely not end in time.
+    `margin` is how long before the deadline the last command must be sent, since commands wait for heartbeats. A
+    `patient` evacuation lets tasks without checkpoints run until then, in case their estimate is too long. Otherwise,
+    tasks that will probably not finish in time are stopped at once.
     """
 
     deadline: timedelta
@@ -27,12 +27,12 @@
 
 
 def save_time(job: Job) -> timedelta:
-    """The grace that lets a task save its work; none if it never saves."""
+    """The grace period in which a task can save its work; zero if it has no checkpoints."""
     return timedelta(seconds=job.spec.save_s) if job.spec.checkpoint_s else ZERO
 
 
 def remaining_time(placement: Placement, now: timedelta, run_time: RunTime, fetch_time: FetchTime) -> timedelta:
-    """How long a task should still take where it is."""
+    """The expected remaining time of a task on its machine, including its image fetch."""
     run = run_time(placement.job)
     if placement.running_since is not None:
         return max(ZERO, run - (now - placement.running_since))
@@ -43,11 +43,11 @@
 def evacuate(
     shard: Shard, machine: Machine, plan: Evacuation, now: timedelta, run_time: RunTime, fetch_time: FetchTime
 ) -> int:
-    """Stop what has to leave a machine by now; how many tasks that were. A gang stops whole, wherever it is."""
+    """Stop the tasks that must leave a machine now, with their whole gangs. Return how many stops were needed."""
     stopped = 0
     for placement in list(machine.placements.values()):
         if machine.placements.get(placement.key) is not placement:
-            continue  # its gang was stopped for another task
+            continue  # it was removed when its gang was stopped for another task
         grace = _grace_if_due(placement, plan, now, remaining_time(placement, now, run_time, fetch_time))
         if grace is None or (placement.grace is not None and placement.grace <= grace):
             continue
@@ -60,7 +60,7 @@
 
 
 def _grace_if_due(placement: Placement, plan: Evacuation, now: timedelta, remaining: timedelta) -> timedelta | None:
-    """With how much time to save a task is to be stopped now; None: not yet, or it may well end in time."""
+    """The grace period with which to stop a task now, or None if it need not stop yet or should finish in time."""
     time_left = plan.deadline - now
     if time_left <= ZERO:
         return ZERO
--- a/badgerroute/scheduling/duration_estimates.py
+++ b/badgerroute/scheduling/duration_estimates.py
@@ -1,22 +1,22 @@
-"""How long tasks run compared to what their users estimate, learned by job class."""
+"""Learns, by job class, how long tasks run compared to their users' estimates."""
 
 from datetime import timedelta
 
 from badgerroute.scheduling.model import ZERO
 
-MIN_RATIO, MAX_RATIO = 0.1, 10.0  # of actual to estimated run time; what lies beyond counts as this
-DECAY = 0.95  # weight of what was learned before, at each finished run
+MIN_RATIO, MAX_RATIO = 0.1, 10.0  # of actual to estimated run time; ratios are clamped to this range
+DECAY = 0.95  # factor applied to the earlier runs' weight at each finished run
 INITIAL_SUM_AND_WEIGHT = (1.0, 1.0)  # the estimate itself counts as one run
 
 
 class DurationEstimates:
-    """By job class, the mean ratio of actual to estimated run times, recent runs counting most."""
+    """By job class, the mean ratio of actual to estimated run times, weighted towards recent runs."""
 
     def __init__(self) -> None:
         self._ratios: dict[str, tuple[float, float]] = {}  # job class -> (sum of ratios, weight)
 
     def learn(self, job_class: str, estimate: timedelta, actual: timedelta) -> None:
-        """Take in a finished run."""
+        """Add a finished run."""
         if estimate <= ZERO or actual <= ZERO:
             return
         ratio = min(MAX_RATIO, max(MIN_RATIO, actual / estimate))
@@ -24,6 +24,6 @@
         self._ratios[job_class] = (total * DECAY + ratio, weight * DECAY + 1.0)
 
     def correction(self, job_class: str) -> float:
-        """The factor by which a class's estimates are wrong on average."""
+        """The mean ratio of actual to estimated run time of a class."""
         total, weight = self._ratios.get(job_class, INITIAL_SUM_AND_WEIGHT)
         return total / weight
--- a/badgerroute/scheduling/failures.py
+++ b/badgerroute/scheduling/failures.py
@@ -8,8 +8,8 @@
 from badgerroute.scheduling.shard_state import ShardState
 
 log = logging.getLogger(__name__)
-QUARANTINE_JOBS = 2  # a machine is quarantined if this many jobs fail on it and nowhere else
-QUARANTINE_FAILURES = 3  # or if one job that succeeds elsewhere fails on it this often
+QUARANTINE_JOBS = 2  # a machine on which this many different jobs fail is suspect
+QUARANTINE_FAILURES = 3  # so is a machine on which a job that succeeds elsewhere fails this often
 AVOID_AFTER_FAILURE = timedelta(seconds=5)  # how long no task is placed on a machine after a failure
 FAILURES_CLEARED_AFTER = timedelta(seconds=30)  # then a job may use a machine again on which it failed
 FAILING_AFTER_MACHINES = 3  # a job that fails on this many and succeeds on none is faulty itself
@@ -81,7 +81,7 @@
                 other = self._shard.machines.get(name)
                 if other is not None and other.failed_jobs.pop(job.ref, None) is not None and not other.failed_jobs:
                     other.avoid_until = ZERO
-        if now >= job.blocked_until:  # ignores failures of tasks that were started before the last one was counted
+        if now >= job.blocked_until:  # failures of tasks that were started together count once
             job.probe_count += 1
             job.blocked_until = now + min(MAX_BACKOFF, BACKOFF_BASE * 2 ** min(10, job.probe_count))
         job.failed_on = {machine.name: 1}  # the next try may use any other machine
--- a/badgerroute/scheduling/guidance.py
+++ b/badgerroute/scheduling/guidance.py
@@ -1,8 +1,8 @@
-"""Advice that a shard's decisions take from outside the scheduling core.
+"""The interface through which code outside the scheduling core influences a shard's decisions.
 
-The planner asks at a few places where the rules leave it a choice: which of equals comes first, how long waiting for
-a cached image pays, which machines are to be emptied. The neutral advice here leaves every decision as it is without
-it. What advises is handed to the shard; it never starts or stops anything by itself.
+The scheduling rules ask for guidance where they leave a choice: which job of a group comes first, how long it pays to
+wait for a cached image, and which machines to drain. The neutral defaults in this module influence nothing. An
+implementation is passed to the shard; it never starts or stops tasks itself.
 """
 
 from datetime import timedelta
@@ -16,20 +16,20 @@
 
 
 class Guidance:
-    """Neutral advice; what advises overrides what it has something to say about."""
+    """Neutral guidance; implementations override the methods for which they have information."""
 
     def task_placed(self, job: "Job", waited: timedelta, now: timedelta) -> None:
-        """A task was placed on a machine after it had waited for so long."""
+        """Called when a task was placed on a machine, with how long it had waited."""
 
     def image_fetched(self, placement: "Placement", took: timedelta) -> None:
-        """A task's image, which its machine did not cache, has arrived."""
+        """Called when a machine has fetched a task's image, with how long the fetch took."""
 
     def precedence(self, job: "Job") -> float:
-        """Among jobs that the order of service does not tell apart, less comes first."""
+        """Sort key of a job among jobs of equal rank in the order of service; lower values come first."""
         return 0.0
 
     def may_exceed_desire(self, job: "Job") -> bool:
-        """Whether a job that holds as much as its desire may still start tasks before others' desires are filled."""
+        """Whether a job that holds its desired slots may start more tasks before other jobs have theirs."""
         return False
 
     def fetch_time(self, job: "Job", machine: "Machine") -> timedelta:
@@ -37,15 +37,15 @@
         return delay_scheduling.fetch_time(job, machine)
 
     def local_wait(self, job: "Job") -> timedelta | None:
-        """How soon a machine that caches a job's image should have room for it; None: there is no telling."""
+        """How soon a machine that caches a job's image should have free capacity for it, or None if unknown."""
         return None
 
     def drain_deadline(self, machine: str) -> timedelta | None:
-        """When a machine is to be empty, on the steady clock; None: it is not to be drained."""
+        """When a machine must be empty, on the monotonic clock, or None if it is not drained."""
         return None
 
     def load(self, shard: ShardView, now: timedelta) -> ShardLoad | UnsetType:
-        """What the other controllers are told of the shard's waits and load."""
+        """The shard's waits and load for the other controllers, or UNSET if they are not reported."""
         return UNSET
 
 
--- a/badgerroute/scheduling/heartbeat_reconciliation.py
+++ b/badgerroute/scheduling/heartbeat_reconciliation.py
@@ -166,7 +166,7 @@
                 return
         elif placement.attempt != task.attempt:
             if placement.phase is Phase.SENT:
-                return  # the worker refuses the new attempt with `in_use`; that exit is reported later and resolves this
+                return  # the worker refuses the new attempt with `in_use` and will report that exit
             placement.attempt = task.attempt
         if phase is Phase.RUNNING and placement.running_since is None:
             self._record_start(message, placement)
--- a/badgerroute/scheduling/inheritance.py
+++ b/badgerroute/scheduling/inheritance.py
@@ -1,8 +1,8 @@
-"""What jobs take over from those that need them: priority inheritance, and due times counted back along a pipeline.
+"""Priority and deadline inheritance: upstream jobs inherit levels and due times from their downstream jobs.
 
-A job is served at the highest level of its own and its dependents', and should be done by the earliest of its own due
-time and theirs less the time that they will take. With thousands of waiting jobs that takes longer than one round of
-decisions may, so it is worked out in slices: each goes on where the last one stopped.
+A job is scheduled at the highest of its own level and those of its dependents. It is due at the earliest of its own due
+time and its dependents' due times less their expected durations. With thousands of waiting jobs, computing this takes
+longer than one scheduling round may, so it is done in slices: each resumes where the last one stopped.
 """
 
 from collections.abc import Callable
@@ -11,11 +11,11 @@
 
 from badgerroute.scheduling.dependencies import Dependencies
 
-JOBS_PER_CLOCK_CHECK = 16  # jobs that are worked out between two looks at the clock
+JOBS_PER_CLOCK_CHECK = 16  # jobs visited between two checks of the time limit
 
 
 class Inherited(NamedTuple):
-    """The level at which a job is served, and the time of day by which it should be done."""
+    """The level at which a job is scheduled, and the wall-clock time by which it should be done."""
 
     level: int
     due: float
@@ -24,7 +24,7 @@
 class InheritancePass:
     """One pass over all jobs that others wait for.
 
-    `own` is what a job would have without dependents; `duration` the seconds that a stage is expected to take.
+    `own_values` returns a job's values without its dependents', `duration` the expected duration of a job in seconds.
     """
 
     def __init__(
@@ -32,11 +32,11 @@
     ) -> None:
         self._graph, self._own_values, self._duration = graph, own_values, duration
         self._remaining = graph.predecessors()
-        self._stack: list[str] = []  # a loop, not a recursion: chains may be long
+        self._stack: list[str] = []  # an explicit stack instead of recursion, since chains may be long
         self.result: dict[str, Inherited] = {}
 
     def advance(self, out_of_time: Callable[[], bool]) -> bool:
-        """Work until the time is up; whether the pass is complete."""
+        """Continue the pass until `out_of_time` returns true. Return whether the pass is complete."""
         visited = 0
         while self._stack or self._remaining:
             visited += 1
@@ -48,7 +48,7 @@
         return True
 
     def _visit(self, ref: str) -> None:
-        """Work out the last job of the stack, or put the dependents before it that have to be known first."""
+        """Compute the top job of the stack, or push those of its dependents that must be computed first."""
         result = self.result
         if ref not in result:
             cancelled = self._graph.cancelled
--- a/badgerroute/scheduling/lease_expiry.py
+++ b/badgerroute/scheduling/lease_expiry.py
@@ -1,4 +1,4 @@
-"""When a silent machine's lease is certainly over, so that its tasks may start elsewhere."""
+"""Decides when a silent machine's lease has certainly expired, so that its tasks may start elsewhere."""
 
 from datetime import timedelta
 
@@ -9,12 +9,13 @@
 def expire_leases(
     shard: ShardState, now: timedelta, last_confirmed: timedelta, lease: timedelta, grace: timedelta
 ) -> list[Machine]:
-    """Book the tasks of machines whose lease is certainly over as lost; these machines.
+    """Release the tasks of machines whose lease has certainly expired, and return these machines.
 
-    `last_confirmed` is when the leadership was last known to be ours, not the time now. Our own silence towards a
-    machine ends its lease only as long as nobody else may answer it, and from `last_confirmed` on a new leader may: a
-    leader that is cut off, though within its grace, must not take a successor's machines for dead. `lease` is the
-    workers' lease with the drift of clocks, `grace` how long a former leader may have gone on answering.
+    `last_confirmed` is when this controller's leadership was last confirmed, not the current time. A machine's lease
+    expires if this leader does not respond to it, but only while no other leader can renew it. From `last_confirmed` on
+    a new leader may: a leader that is cut off but within its grace period must not declare its successor's machines
+    dead. `lease` is the duration of the workers' leases including clock drift, `grace` how long a former leader may
+    have continued to respond.
     """
     lost_machines = []
     for machine in shard.machines.values():
@@ -26,14 +27,15 @@
 
 
 def _latest_lease_end(shard: ShardState, machine: Machine, lease: timedelta, grace: timedelta) -> timedelta:
-    """The time after which the worker has killed its tasks, unless a newer leader answered it."""
+    """The time by which the worker has killed its tasks, unless a newer leader has renewed its lease."""
     if machine.fenced and machine.answered is not None:
         return machine.answered + lease
-    # A former leader may have answered it until its own grace ran out.
+    # A former leader may have renewed the lease until its own grace period ended.
     return max(shard.led_since + grace, machine.answered or ZERO, machine.joined) + lease
 
 
 def _mark_lost(shard: ShardState, machine: Machine, now: timedelta) -> None:
+    """Release a machine's tasks, and ignore further messages of its current incarnation."""
     shard.lose_tasks(machine, now)
     machine.orphans.clear()
     machine.undecided.clear()
--- a/badgerroute/scheduling/objectives.py
+++ b/badgerroute/scheduling/objectives.py
@@ -1,4 +1,4 @@
-"""What the users expect, read from `params.objectives`, in the terms that decisions need."""
+"""The users' service-level objectives, from `params.objectives`, in the form that scheduling decisions need."""
 
 from datetime import timedelta
 
@@ -6,11 +6,11 @@
 from badgerroute.scheduling.model import ZERO, Job
 from badgerroute.settings import Objective
 
-DEFAULT_START_WITHIN = timedelta(seconds=120)
+DEFAULT_START_WITHIN = timedelta(seconds=120)  # for jobs whose class has no objective for waiting
 
 
 class Objectives:
-    """What users aim at, by job class: times to start and to be complete."""
+    """By job class, how soon jobs should start and complete."""
 
     def __init__(self, objectives: list[Objective]) -> None:
         self._start_within: dict[str, timedelta] = {}
@@ -35,14 +35,14 @@
     def start_within(self, job: Job) -> timedelta:
         """How soon the job's tasks are expected to start."""
         within = self._start_within.get(job.spec.job_class, DEFAULT_START_WITHIN)
-        if job.start_by is not None:  # half of what is left, since stages that follow will need some of it too
+        if job.start_by is not None:  # half of the time left, as downstream jobs need some of it too
             within = min(within, max(ZERO, (job.start_by - job.accepted) / 2))
         return min(within, self._guaranteed_start_within) if job.guaranteed else within
 
     def due(self, spec: Submission, dependency_wait: timedelta = ZERO) -> list[timedelta]:
-        """The times after its acceptance, or its release, by which the job should be complete.
+        """The due times of a job, as durations since its release, or since its acceptance if it waited for no jobs.
 
-        Deadlines count from the acceptance however long the job was held back by others.
+        Deadlines count from the acceptance, however long the job waited for upstream jobs (`dependency_wait`).
         """
         due = list(self._complete_within.get(spec.job_class, ()))
         if spec.deadline_s is not None:
@@ -51,17 +51,17 @@
         return due
 
     def deadline(self, spec: Submission) -> timedelta | None:
-        """The first deadline after its acceptance, its user's own."""
+        """The job's earliest deadline, as a duration since its acceptance, or None if it has none."""
         if spec.deadline_s is None or spec.job_class not in self._deadline_multiples:
             return None
         return timedelta(seconds=spec.deadline_s) * min(self._deadline_multiples[spec.job_class])
 
-    def missed_times(self, job: Job, now: timedelta, run: timedelta) -> int:
-        """How many of the times by which the job should be complete can't be met any more."""
+    def count_missed_due_times(self, job: Job, now: timedelta, run: timedelta) -> int:
+        """How many of the job's due times can no longer be met, including that inherited from downstream jobs."""
         late = job.start_by is not None and now > job.start_by
         return late + sum(now - job.accepted + run > due for due in self.due(job.spec, job.dependency_wait))
 
     @property
     def shortest_start_within(self) -> timedelta:
-        """The shortest time in which any work is expected to start."""
+        """The shortest time within which any job is expected to start."""
         return min([self._guaranteed_start_within, *self._start_within.values()])
--- a/badgerroute/scheduling/placement_constraints.py
+++ b/badgerroute/scheduling/placement_constraints.py
@@ -1,4 +1,4 @@
-"""Which machines a submission admits: its machine types, its zone, and whether it takes spot machines."""
+"""The constraints of a submission on machines: their type, their zone, and whether they may be spot machines."""
 
 from badgerroute.protocol.users import Submission
 
--- a/badgerroute/scheduling/placement_rules.py
+++ b/badgerroute/scheduling/placement_rules.py
@@ -1,4 +1,4 @@
-"""What holds for gangs and arrays alike: delay scheduling by this shard's images, zones, and quota shortfalls."""
+"""Placement rules shared by gangs and arrays: delay scheduling, zone constraints, and quota shortfalls."""
 
 from datetime import timedelta
 
@@ -10,11 +10,11 @@
 from badgerroute.scheduling.shard import Shard
 from badgerroute.settings import Scheduling
 
-SLOW_FETCH_FACTOR = 1.3  # fetches take up to a third longer than the machine type's rate says
+SLOW_FETCH_FACTOR = 1.3  # fetches may take up to this factor longer than at the machine type's rate
 
 
 class PlacementRules:
-    """Constraints on single placements. `quota_shortfalls`: by team, what its jobs lacked of its limit."""
+    """Rules for placing single tasks. `quota_shortfalls`: by team, the quota that its jobs lacked in this shard."""
 
     def __init__(
         self, shard: Shard, order: ServiceOrder, settings: Scheduling, objectives: Objectives, heartbeat: timedelta
@@ -24,22 +24,26 @@
         self.quota_shortfalls: dict[str, Resources] = {}
 
     def allowed_locality(self, job: Job, machine: Machine, wait: timedelta) -> delay_scheduling.LocalityLevel:
-        """The highest locality level that a task which has waited so long may use on a machine."""
+        """The highest locality level that a task may use on a machine after a wait."""
         fetch = self._shard.guidance.fetch_time(job, machine)
         local_wait = self._shard.guidance.local_wait(job)
         if local_wait is not None and local_wait > fetch:
-            return delay_scheduling.LocalityLevel.ANY  # it would wait longer for its image than the fetch takes
+            return (
+                delay_scheduling.LocalityLevel.ANY
+            )  # waiting for a machine that caches the image takes longer than the fetch
         correction = self._shard.estimates.correction(job.spec.job_class)
         start_within = self._max_wait_for_image(job, fetch)
-        return delay_scheduling.allowed(job, wait, fetch, self._order.images, correction, self._settings, start_within)
+        return delay_scheduling.allowed_locality(
+            job, wait, fetch, self._order.images, correction, self._settings, start_within
+        )
 
     def _max_wait_for_image(self, job: Job, fetch: timedelta) -> timedelta:
-        """When a task must stop waiting for its image so that a fetch, which may be slow, is still in time."""
+        """How long a task may wait in total, allowing for two heartbeats and a slow fetch."""
         return self._objectives.start_within(job) - 2 * self._heartbeat - fetch * (SLOW_FETCH_FACTOR - 1)
 
     @staticmethod
     def zone_allowed(job: Job, zone: str, additional: int) -> bool:
-        """`together` and `spread`, with all of the job's tasks that may be on machines in view."""
+        """Whether `additional` tasks in a zone would meet the job's `together` and `spread` constraints."""
         spec = job.spec
         if spec.together and any(other != zone for other in job.zones()):
             return False
@@ -48,7 +52,7 @@
         return True
 
     def record_shortfall(self, job: Job, tasks: int) -> None:
-        """Note what a job's team lacks of its limit for so many tasks."""
+        """Record the quota that a job's team needs for `tasks` tasks and lacks in this shard."""
         shortfall = self.quota_shortfalls.setdefault(job.spec.team, Resources())
         shortfall.cpus = max(shortfall.cpus, job.need.cpus * tasks)
         shortfall.accelerators = max(shortfall.accelerators, job.need.accelerators * tasks)
--- a/badgerroute/scheduling/quota_ledger.py
+++ b/badgerroute/scheduling/quota_ledger.py
@@ -1,4 +1,4 @@
-"""What teams use of their quota in one shard, and what of it is kept for other shards."""
+"""The quota that teams use in one shard, and the quota reserved for other shards."""
 
 from collections import defaultdict
 from collections.abc import Callable
@@ -9,13 +9,13 @@
 from badgerroute.scheduling.model import Job
 from badgerroute.scheduling.resources import EPSILON, Resources
 
-# A team's processors and accelerators that the shard may use.
+# Returns the processors and accelerators that a team may use in the shard.
 AllocationOf = Callable[[str], tuple[float, float]]
 
 
 @dataclass(slots=True)
 class Usage:
-    """What a team's tasks use, everything that may be on a machine included."""
+    """The resources that a team's tasks use, including all tasks that may be on a machine."""
 
     cpus: float = 0.0
     accelerators: float = 0.0
@@ -23,7 +23,7 @@
 
 
 class Reservation(NamedTuple):
-    """Quota of a team that another shard is to have as this shard's tasks end, and until when it is kept for it."""
+    """Quota of a team that is reserved for another shard as tasks end in this one, until a time."""
 
     resources: Resources
     until: timedelta
@@ -32,7 +32,7 @@
 class QuotaLedger:
     """Usage and reservations by team.
 
-    Invariant: what starts fits the shard's allocation less its usage and less what is reserved for other shards.
+    Invariant: a task starts only if it fits in the shard's allocation less its usage and its reservations for peers.
     """
 
     def __init__(self, allocation_of: AllocationOf) -> None:
@@ -41,24 +41,24 @@
         self.reserved_for_peers: dict[str, Reservation] = {}
 
     def add(self, job: Job) -> None:
-        """A task of the job may be on a machine from now on."""
+        """Add the usage of one task of a job when it is placed."""
         used = self.usage[job.spec.team]
         used.cpus += job.need.cpus
         used.accelerators += job.need.accelerators
         used.tasks += 1
 
     def remove(self, job: Job) -> None:
-        """A task of the job is on no machine any more."""
+        """Subtract the usage of one task of a job when its placement is removed."""
         used = self.usage[job.spec.team]
         used.tasks -= 1
         if used.tasks:
             used.cpus -= job.need.cpus
             used.accelerators -= job.need.accelerators
         else:
-            used.cpus = used.accelerators = 0.0  # no rounding errors left behind
+            used.cpus = used.accelerators = 0.0  # discards accumulated rounding errors
 
     def fitting_tasks(self, job: Job, tasks: int) -> int:
-        """How many of so many tasks of the job fit the team's quota."""
+        """How many of `tasks` tasks of a job fit in its team's quota."""
         team = job.spec.team
         cpus, accelerators = self.allocation_of(team)
         if team in self.reserved_for_peers:
@@ -69,14 +69,14 @@
         return max(0, min(tasks, unused.times(Resources(job.need.cpus, job.need.accelerators))))
 
     def reserve_for_peer(self, team: str, resources: Resources, until: timedelta) -> None:
-        """As the team's tasks end here, start nothing in so much of its quota: another shard is to have it."""
+        """Reserve a team's quota for another shard: the quota freed as tasks end is not used for starts here."""
         if resources.cpus > EPSILON or resources.accelerators > EPSILON:
             self.reserved_for_peers[team] = Reservation(resources, until)
         else:
             self.reserved_for_peers.pop(team, None)
 
     def expire_reservations(self, now: timedelta) -> None:
-        """Let go of quota that was kept for other shards and not called for."""
+        """Release quota that was reserved for other shards and not requested in time."""
         expired = [team for team, reservation in self.reserved_for_peers.items() if reservation.until < now]
         for team in expired:
             del self.reserved_for_peers[team]
--- a/badgerroute/scheduling/resources.py
+++ b/badgerroute/scheduling/resources.py
@@ -1,4 +1,4 @@
-"""Amounts of processors, accelerators and memory: what machines have, tasks need and quotas limit."""
+"""Amounts of processors, accelerators and memory, as provided by machines and used by tasks and quotas."""
 
 from dataclasses import dataclass
 
@@ -6,14 +6,14 @@
 from badgerroute.protocol.users import Submission
 
 EPSILON = 1e-6  # differences below this are rounding errors of sums
-MAX_TASKS = 1_000_000  # more tasks than a job may have
+MAX_TASKS = 1_000_000  # above the maximum number of tasks of a job
 
 
 @dataclass(slots=True)
 class Resources:
     """An amount of each resource. `add` and `take` change it in place, since sums are kept over many tasks.
 
-    Amounts may be fractions, and below zero where a limit was lowered under what is in use.
+    Amounts may be fractional, and negative where a limit was lowered below the usage.
     """
 
     cpus: float = 0.0
@@ -41,7 +41,7 @@
         )
 
     def times(self, other: "Resources") -> int:
-        """How many times another amount fits; MAX_TASKS at most, which is also the answer for an empty amount."""
+        """How many times another amount fits, at most MAX_TASKS, which is also the result for an empty amount."""
         counts = [
             (available + EPSILON) / needed
             for available, needed in (
@@ -54,15 +54,15 @@
         return max(0, int(min([MAX_TASKS, *counts])))
 
     def copy(self) -> "Resources":
-        """The same amount as an object of its own."""
+        """Return a copy."""
         return Resources(self.cpus, self.accelerators, self.memory_gb)
 
 
 def need_of(submission: Submission) -> Resources:
-    """What each task of a job takes."""
+    """The resources that each task of a job uses."""
     return Resources(submission.cpus, submission.accelerators, submission.memory_gb)
 
 
 def capacity_of(machine_type: MachineType) -> Resources:
-    """What an empty machine of a type offers."""
+    """The resources of an empty machine of a type."""
     return Resources(machine_type.cpus, machine_type.accelerators, machine_type.memory_gb)
--- a/badgerroute/scheduling/scale_out_planning.py
+++ b/badgerroute/scheduling/scale_out_planning.py
@@ -1,6 +1,6 @@
-"""Which machines to rent: what waits beyond the free capacity that there is or that is on its way.
+"""Decides which machines to rent: those needed by waiting tasks beyond the free and the expected capacity.
 
-Pure: the shards' summaries, the machines on their way and the places that may be asked are arguments.
+Does no I/O: the shards' summaries, the expected machines and the pools that may be requested from are arguments.
 """
 
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 
 
 class MachinePool(NamedTuple):
-    """What a rental names: a machine type, a zone, and spot or ordinary."""
+    """The machines that one rental request can ask for: of a type, in a zone, and either spot or on demand."""
 
     type: str
     zone: str
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ExpectedMachines:
-    """Machines on their way that can be counted on."""
+    """Machines that were requested from a pool and are expected to arrive."""
 
     place: MachinePool
     count: int
 
 
 def machine_pools(catalog: dict[str, MachineType]) -> list[MachinePool]:
-    """All that can be asked for."""
+    """All pools from which machines can be requested."""
     return [
         MachinePool(machine_type.name, zone, spot)
         for machine_type in catalog.values()
@@ -43,7 +43,7 @@
 
 
 def price_per_cpu(pool: MachinePool, catalog: dict[str, MachineType]) -> float:
-    """Nominal price of a processor there, for an hour."""
+    """The list price of one processor of the pool, per hour."""
     machine_type = catalog[pool.type]
     return (machine_type.spot_price if pool.spot else machine_type.price) / max(machine_type.cpus, 1e-9)
 
@@ -58,14 +58,14 @@
 
 @dataclass(slots=True)
 class _CapacityGroup:
-    """Machines in one place with the same free capacity: thousands of machines come in few kinds."""
+    """Machines of one pool with equal free capacity. Thousands of machines form only a few such groups."""
 
     pool: MachinePool
-    free: Resources  # of each
+    free: Resources  # of each machine
     count: int
 
     def fill(self, need: Resources, tasks: int) -> tuple[int, list["_CapacityGroup"]]:
-        """Put up to so many tasks on these machines, one after the other; how many fit, and the groups that remain."""
+        """Assign up to `tasks` tasks to these machines. Return how many fit, and the groups that result."""
         tasks_per_machine = self.free.times(need)
         full_machines = min(self.count, tasks // tasks_per_machine)
         fitting = full_machines * tasks_per_machine
@@ -84,7 +84,10 @@
 
 
 class ScaleOutPlan:
-    """One round's plan. `may_ask` tells whether a place has not refused lately; `max_per_place` bounds a request."""
+    """One round's plan.
+
+    `may_request` tells whether a pool has not refused a request recently; `max_per_pool` limits each request.
+    """
 
     def __init__(
         self,
@@ -96,14 +99,14 @@
         self._catalog, self._may_request, self._max_per_pool = catalog, may_request, max_per_pool
         self._teams = {team.name: team for team in teams}
         self._groups: list[_CapacityGroup] = []
-        self._least_need = Resources()  # what holds less is of no use to any demand, and need not be looked at again
+        self._least_need = Resources()  # groups with less free capacity fit no demand and are dropped
         self._used: dict[str, Resources] = {}
         self._wanted: dict[MachinePool, int] = {}
 
     def machines_wanted(
         self, summaries: list[ShardSummary], expected: list[ExpectedMachines]
     ) -> dict[MachinePool, int]:
-        """Machines that the waiting tasks need beyond the free capacity that there is or that is coming."""
+        """The number of machines to request from each pool, beyond the free and the expected capacity."""
         self._count_capacity(summaries, expected)
         freeing_cpus = sum(shard.soon_free_cpus for shard in summaries)
         demands = [demand for shard in summaries for demand in shard.demands]
@@ -116,7 +119,7 @@
         for demand in demands:
             count = self._within_limit(demand)
             if not demand.gang and demand.cpus > 0:
-                # Running tasks will have ended, and left their images behind, before a new machine is of use.
+                # Running tasks will end, and leave their images cached, before a new machine could start tasks.
                 served = min(count, int(freeing_cpus / demand.cpus))
                 freeing_cpus -= served * demand.cpus
                 count -= served
@@ -137,7 +140,7 @@
                 self._groups.append(_CapacityGroup(machines.place, capacity_of(machine_type), machines.count))
 
     def _within_limit(self, demand: PendingDemand) -> int:
-        """How many of a demand's tasks its team's limit admits; of a gang all or none."""
+        """How many tasks of a demand fit in its team's limit; for a gang, all or none."""
         team = self._teams.get(demand.team)
         if team is None:
             return 0
@@ -189,10 +192,10 @@
 
 
 def scales_out_ahead(settings: Settings, catalog: dict[str, MachineType]) -> bool:
-    """Whether machines must be up before the work comes.
+    """Whether machines must be running before the work arrives.
 
-    Where work is expected to start sooner than a machine boots, renting on demand comes too late; where there is
-    time to boot, an idle machine costs and serves nobody.
+    If jobs are expected to start sooner than a machine boots, renting on demand is too late. If there is time to boot,
+    idle machines only cost money.
     """
     if settings.operator.fleet.return_idle is not None:
         return not settings.operator.fleet.return_idle
--- a/badgerroute/scheduling/service_order.py
+++ b/badgerroute/scheduling/service_order.py
@@ -53,7 +53,7 @@
     def _lateness_tier(self, job: Job, now: timedelta) -> float:
         if job.lateness_tier < 0:
             return job.lateness_tier
-        return max(job.lateness_tier, self._objectives.missed_times(job, now, self.run_time(job)))
+        return max(job.lateness_tier, self._objectives.count_missed_due_times(job, now, self.run_time(job)))
 
     def run_time(self, job: Job) -> timedelta:
         """The expected run time of a task of the job."""
--- a/badgerroute/scheduling/stealing.py
+++ b/badgerroute/scheduling/stealing.py
@@ -1,8 +1,8 @@
-"""Work stealing, the victim's side: which waiting tasks a shard gives to an idle one.
+"""Work stealing, the victim's side: chooses the waiting tasks that a shard gives to an idle one.
 
 After the paper's algorithm 2 (Parades, section IV.D), procedures STEAL, SENDSTEAL and ONRECEIVESTEAL(n): the thief has
-no task that waits, and offers its free capacity `n` to the victim, which decides. Changed here: one request offers many
-machines, and what is chosen is written by a conditional write elsewhere (`coordination.shards.migration`).
+no waiting task and offers its free capacity `n` to the victim, which decides. Changed here: one request offers many
+machines, and the chosen tasks are transferred by a transaction elsewhere (`coordination.shards.migration`).
 """
 
 from collections.abc import Container
@@ -17,30 +17,30 @@
 from badgerroute.storage.bitset import lowest, span, trailing_ones
 from badgerroute.storage.task_ranges import TaskRange, assign_tasks
 
-UNCACHED_WAIT = timedelta(seconds=1)  # a task whose image the idle shard lacks is left here for so long
+UNCACHED_WAIT = timedelta(seconds=1)  # how long a task is kept if the idle shard does not cache its image
 
 
 @dataclass(slots=True)
 class _Offer:
-    """Machines of the idle shard with the same free capacity, and how many of them no task was chosen for."""
+    """Machines of the idle shard with equal free capacity; `machines_left` of them have no chosen task."""
 
     capacity: FreeCapacity
     machines_left: int
 
 
 class StealSelection:
-    """Chooses for one steal request; each choice uses up some of the capacity that was offered."""
+    """Chooses tasks for one steal request; each choice uses up some of the offered capacity."""
 
     def __init__(self, shard: Shard, capacities: list[FreeCapacity], images: Container[str], now: timedelta) -> None:
         self._shard, self._images, self._now = shard, images, now
         self._offers = [_Offer(capacity, capacity.count) for capacity in capacities]
 
     def choose(self, job: Job) -> int:
-        """The waiting tasks of a job that the other shard could start, as a bit set."""
+        """Choose waiting tasks of a job to give to the other shard, as a bit set."""
         same_shard = job.gang or job.spec.together or job.spec.spread
         if same_shard and job.placed:
-            return 0  # its constraints concern all of the job's tasks, so they stay in one shard
-        # Only machines that the job may use count: else its tasks would stay where none of them can ever run.
+            return 0  # its constraints apply to all of its tasks, so these must be in one shard
+        # Only machines that the job may use count. Otherwise tasks would stay in a shard that can never run them.
         waiting = job.waiting_bits
         fitting_here = self._shard.room_for(job)
         wanted = waiting.bit_count() - (0 if same_shard else min(fitting_here, waiting.bit_count()))
@@ -49,8 +49,8 @@
         if job.spec.image not in self._images and self._now - job.since < UNCACHED_WAIT:
             return 0
         fitting, used = self._fitting_offers(job, wanted)
-        # An array that must stay in one shard may run there a few at a time. If none of its tasks fits here, it does
-        # not wait for a shard that holds them all.
+        # An array that must stay in one shard can run a few tasks at a time there. If none of its tasks fits in this
+        # shard, it is given away without waiting for a shard with capacity for all of them.
         partial_suffices = same_shard and not job.gang and not fitting_here
         count = min(fitting, wanted)
         if count <= 0 or (same_shard and fitting < wanted and not partial_suffices):
@@ -60,7 +60,7 @@
         return span(0, job.spec.tasks) & job.owned if same_shard else _highest_bits(waiting, count)
 
     def _fitting_offers(self, job: Job, wanted: int) -> tuple[int, list[tuple[_Offer, int]]]:
-        """How many tasks fit, up to `wanted`, and how many machines of which offers they take."""
+        """How many tasks fit, up to `wanted`, and how many machines of each offer they use."""
         fitting = 0
         used: list[tuple[_Offer, int]] = []
         for offer in self._offers:
@@ -79,7 +79,7 @@
 
 
 def _highest_bits(bits: int, count: int) -> int:
-    """So many bits from the far end, so that what stays is one piece."""
+    """The `count` highest bits of a bit set, so that the bits that stay form one range."""
     highest = 0
     for _ in range(count):
         top = 1 << (bits.bit_length() - 1)
@@ -89,7 +89,7 @@
 
 
 def given_ranges(ranges: list[TaskRange], tasks: int, shard: int) -> list[TaskRange]:
-    """The ranges after a bit set of tasks has gone to a shard."""
+    """Return the task ranges after a bit set of tasks was given to a shard."""
     while tasks:
         first = lowest(tasks)
         length = trailing_ones(tasks >> first)
--- a/badgerroute/scheduling/task_exits.py
+++ b/badgerroute/scheduling/task_exits.py
@@ -53,7 +53,7 @@
     def _process_incomplete(self, message: TaskListMessage, placement: Placement, cause: str) -> None:
         """Process an exit before completion: restart a task that waited for its gang, release any other."""
         if cause == "alone" and self._may_wait_on(placement):
-            # Other machines of the gang may still fetch the image, which can take longer than a task waits for its gang.
+            # Other machines may still fetch the image, which can take longer than a task waits for its gang.
             # Stopping the gang would cancel those fetches (docs/incidents.md, gangs begun anew).
             placement.phase, placement.sent = Phase.RESERVED, None
             placement.gang_wait_restarts += 1
--- a/badgerroute/scheduling/utilization_feedback.py
+++ b/badgerroute/scheduling/utilization_feedback.py
@@ -8,8 +8,8 @@
 - efficient and deprived (`d > a`): `d`;
 - efficient and satisfied: `d * rho`.
 
-Changed here: utilization is the share of the desire that was in use, since workers report no load, and the first
-desire is not one slot (`begin`).
+Changed here: utilization is the share of the desired slots that were in use, since workers report no load; and the
+first desire is not one slot (`begin`).
 """
 
 from datetime import timedelta
@@ -21,7 +21,7 @@
 def next_desire(
     desire: float, allocation: float, utilization: float, tasks_waited: bool, delta: float, rho: float
 ) -> float:
-    """d(q) from d(q-1), a(q-1) and u(q-1), as `desire`, `granted` and `use`; `starved`: tasks waited."""
+    """Compute d(q) from d(q-1), a(q-1) and u(q-1), which are `desire`, `allocation` and `utilization`."""
     if utilization < delta and not tasks_waited:
         return max(1.0, desire / rho)
     if desire > allocation:
@@ -30,7 +30,7 @@
 
 
 def sample(job: Job, waiting: int) -> None:
-    """Add a sample of the job's slots to the period's sums. `waiting`: its tasks that wait."""
+    """Add a sample of the job's slots to the period's sums. `waiting` is the number of its waiting tasks."""
     job.samples += 1
     in_use = len(job.placed)
     job.used_slots_sum += in_use
@@ -39,16 +39,16 @@
 
 
 def begin(job: Job, now: timedelta, waiting: int, free_slots: int) -> None:
-    """Set the first desire: the lesser of waiting tasks and free slots, but one at least (the paper: one slot).
+    """Set the first desire: the minimum of waiting tasks and free slots, and at least one (the paper: one slot).
 
-    Doubling every period from one slot would take longer than most jobs run.
+    Doubling it every period, starting at one slot, would take longer than most jobs run.
     """
     job.desire = float(max(1, min(waiting, free_slots)))
     _begin_period(job, now)
 
 
 def end_period(job: Job, now: timedelta, settings: Scheduling) -> None:
-    """Give a job its next desire and begin the next period."""
+    """Compute a job's next desire and begin the next period."""
     if job.samples:
         allocation = job.granted_slots_sum / job.samples
         utilization = job.used_slots_sum / job.samples / job.desire if job.desire else 1.0
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -117,7 +117,7 @@
         target.machines["host-0"].touch_image("img-1", image_gb)
     images = delay_scheduling.ImageLocations(target.machines.values())
     fetch = delay_scheduling.fetch_time(job, target.machines["host-1"])
-    assert delay_scheduling.allowed(job, wait * S, fetch, images, 1.0, Scheduling()) is expected
+    assert delay_scheduling.allowed_locality(job, wait * S, fetch, images, 1.0, Scheduling()) is expected
 
 
 def test_cached_image_goes_first_and_least_held_next() -> None:
