--- a/badgerroute/scheduling/array_placement.py
+++ b/badgerroute/scheduling/array_placement.py
@@ -71,7 +71,7 @@
         if machine.reserved_for is not None:
             jobs = self._jobs_for_reserved_machine(machine, jobs)
         if in_use is not None:
-            jobs = [job for job in jobs if not self._fits_machines_in_use(job, in_use, now)]
+            jobs = [job for job in jobs if not self._should_wait_for_machines(job, in_use, now)]
         return jobs
 
     def _machines_in_use(self, machine: Machine) -> list[Machine]:
@@ -82,7 +82,7 @@
             if other.placements and other.usable and other.reserved_for is None and other.zone == machine.zone
         ]
 
-    def _fits_machines_in_use(self, job: Job, machines: list[Machine], now: timedelta) -> bool:
+    def _should_wait_for_machines(self, job: Job, machines: list[Machine], now: timedelta) -> bool:
         """Whether a job should wait: all its waiting tasks fit on machines in use that cache its image."""
         waiting = job.waiting_bits
         if not waiting or now - job.requeued.get(lowest(waiting), job.since) > SHARED_MACHINE_WAIT:
--- a/badgerroute/scheduling/deadline_feasibility.py
+++ b/badgerroute/scheduling/deadline_feasibility.py
@@ -12,7 +12,7 @@
 
 from badgerroute.scheduling.model import ZERO
 
-MIN_SPARE_TIME = timedelta(seconds=60)  # a job with less time to spare should not wait for others
+MIN_SPARE_TIME = timedelta(seconds=60)  # a job that can wait has this much spare time beyond twice its duration
 
 
 @dataclass(slots=True)
--- a/badgerroute/scheduling/draining.py
+++ b/badgerroute/scheduling/draining.py
@@ -32,7 +32,7 @@
 
 
 def remaining_time(placement: Placement, now: timedelta, run_time: RunTime, fetch_time: FetchTime) -> timedelta:
-    """The expected remaining time of a task on its machine, including its image fetch."""
+    """The expected remaining time of a task on its machine, including an image fetch that has not ended."""
     run = run_time(placement.job)
     if placement.running_since is not None:
         return max(ZERO, run - (now - placement.running_since))
--- a/badgerroute/scheduling/failures.py
+++ b/badgerroute/scheduling/failures.py
@@ -14,7 +14,7 @@
 FAILURES_CLEARED_AFTER = timedelta(seconds=30)  # then a job may use a machine again on which it failed
 FAILING_AFTER_MACHINES = 3  # a job that fails on this many and succeeds on none is faulty itself
 AVOID_AFTER_REFUSAL = timedelta(seconds=2)  # how long no task is placed on a machine that refused a start
-BACKOFF_BASE = timedelta(seconds=2)  # the wait doubles with each failed try of a failing job
+BACKOFF_BASE = timedelta(seconds=2)  # wait after `no_such`; doubled with each failed try of a failing job
 MAX_BACKOFF = timedelta(seconds=60)
 
 
@@ -71,7 +71,7 @@
             job.failed_on = {}
 
     def _mark_job_failing(self, job: Job, machine: Machine, now: timedelta) -> None:
-        """Mark a job as failing: it is tried seldom, and its failures no longer count against machines."""
+        """Mark a job as failing, so it is tried seldom and its failures do not get healthy machines quarantined."""
         if not job.failing:
             log.info(
                 "event=job_marked_failing job=%s shard=%d machines=%d", job.ref, self._shard.number, len(job.failed_on)
--- a/badgerroute/scheduling/gang_placement.py
+++ b/badgerroute/scheduling/gang_placement.py
@@ -214,7 +214,7 @@
             and job.ref not in holders
             and job.waiting_bits
             and now - job.since >= self._preemption.wait_before_preemption(job)
-            and not self._lacks_quota(job, job.spec.tasks)  # quota would keep other shards from placing it as well
+            and not self._lacks_quota(job, job.spec.tasks)  # other shards could not place it either
         ]
 
     def _lacks_quota(self, job: Job, tasks: int) -> bool:
--- a/badgerroute/scheduling/model.py
+++ b/badgerroute/scheduling/model.py
@@ -72,9 +72,7 @@
     spot: bool
     joined: timedelta
     free: Resources  # its capacity less what its placements use
-    allocated_by_level: dict[int, Resources] = field(
-        default_factory=dict
-    )  # priority level -> what tasks of that level use
+    allocated_by_level: dict[int, Resources] = field(default_factory=dict)  # priority level -> usage of its tasks
     stopping_count: int = 0  # placements that are stopping (`Placement.stopping`)
 
     # Reported by its heartbeats
@@ -101,9 +99,7 @@
     exited: set[TaskAttempt] = field(default_factory=set)  # reported as exited, not yet cleared from its task list
     orphans: set[TaskAttempt] = field(default_factory=set)  # tasks on it that do not belong to this shard: to be halted
     undecided: set[TaskAttempt] = field(default_factory=set)  # tasks of jobs that may have been released: left running
-    failed_jobs: dict[str, timedelta] = field(
-        default_factory=dict
-    )  # job -> its first failure since a task last completed on this machine
+    failed_jobs: dict[str, timedelta] = field(default_factory=dict)  # job -> first failure since a task completed here
 
     # Images
     images: dict[str, float] = field(default_factory=dict)  # image -> GB, least recently used first
@@ -195,9 +191,7 @@
     dependency_wait: timedelta = ZERO  # from its acceptance to its release; its deadline counts from the acceptance
     start_by: timedelta | None = None  # if it starts later, a downstream job will be late
     blocked_until: timedelta = ZERO  # none of its tasks is started before then
-    no_return_until: dict[str, timedelta] = field(
-        default_factory=dict
-    )  # machine -> until when tasks moved away from it may not return
+    no_return_until: dict[str, timedelta] = field(default_factory=dict)  # machine -> until when moved tasks avoid it
     preemption_count: int = 0  # times that this gang was preempted
 
     # Utilization feedback (see utilization_feedback): the desired slots, and the samples of the current period
@@ -249,10 +243,10 @@
 
     @property
     def can_be_dropped(self) -> bool:
-        """Whether the shard no longer needs this job.
+        """Whether the shard may forget this job.
 
-        It does while tasks that are done are not recorded: without their record they would run again. It also does
-        while tasks are in transfer, during which `owned` may be empty for a moment.
+        It may not while tasks are done but not recorded, since they would run again. Nor may it while tasks are in
+        transfer, during which `owned` may be empty for a moment.
         """
         return not self.owned and not self.placed and not self.done_here and not self.in_transfer
 
--- a/badgerroute/scheduling/placement_rules.py
+++ b/badgerroute/scheduling/placement_rules.py
@@ -28,17 +28,15 @@
         fetch = self._shard.guidance.fetch_time(job, machine)
         local_wait = self._shard.guidance.local_wait(job)
         if local_wait is not None and local_wait > fetch:
-            return (
-                delay_scheduling.LocalityLevel.ANY
-            )  # waiting for a machine that caches the image takes longer than the fetch
+            return delay_scheduling.LocalityLevel.ANY  # waiting for a cached image would take longer than the fetch
         correction = self._shard.estimates.correction(job.spec.job_class)
-        start_within = self._max_wait_for_image(job, fetch)
+        start_within = self._start_within_margin(job, fetch)
         return delay_scheduling.allowed_locality(
             job, wait, fetch, self._order.images, correction, self._settings, start_within
         )
 
-    def _max_wait_for_image(self, job: Job, fetch: timedelta) -> timedelta:
-        """How long a task may wait in total, allowing for two heartbeats and a slow fetch."""
+    def _start_within_margin(self, job: Job, fetch: timedelta) -> timedelta:
+        """The time within which a task should start, less a margin for two heartbeats and a slow fetch."""
         return self._objectives.start_within(job) - 2 * self._heartbeat - fetch * (SLOW_FETCH_FACTOR - 1)
 
     @staticmethod
--- a/badgerroute/scheduling/preemption.py
+++ b/badgerroute/scheduling/preemption.py
@@ -20,7 +20,7 @@
 ARRAY_RESERVATION = timedelta(seconds=6)  # how long capacity freed for an array stays reserved
 GANG_RESERVATION = timedelta(seconds=30)  # the same for a gang; its victims save their work first
 HEARTBEATS_UNTIL_START = 3  # from the decision to stop tasks until others start in their place
-SLACK_DIVISOR = 3  # preemption begins after this fraction of the slack
+SLACK_DIVISOR = 3  # preemption begins once the slack divided by this has passed
 MAX_STOPS_PER_ROUND = 64  # tasks stopped for arrays in one round
 
 
--- a/badgerroute/scheduling/shard.py
+++ b/badgerroute/scheduling/shard.py
@@ -245,7 +245,7 @@
             self.stop_gang(job, ZERO)
 
     def stop_gang(self, job: Job, grace: timedelta) -> None:
-        """Stop all placed tasks of a gang: without one of them, the others run in vain."""
+        """Stop all placed tasks of a gang: without one of them, the others can't make progress."""
         for placement in list(job.placed.values()):
             self.stop(placement, grace)
 
--- a/badgerroute/scheduling/task_exits.py
+++ b/badgerroute/scheduling/task_exits.py
@@ -31,7 +31,7 @@
         if cause == "done":
             self._process_completion(message, job, task.number, placement)
         elif placement is not None:
-            self._process_incomplete(message, placement, cause)
+            self._process_incomplete_exit(message, placement, cause)
 
     @staticmethod
     def _placement_of(machine: Machine, task: TaskAttempt) -> Placement | None:
@@ -50,9 +50,9 @@
             and not message.confirms_absence(placement)
         )
 
-    def _process_incomplete(self, message: TaskListMessage, placement: Placement, cause: str) -> None:
+    def _process_incomplete_exit(self, message: TaskListMessage, placement: Placement, cause: str) -> None:
         """Process an exit before completion: restart a task that waited for its gang, release any other."""
-        if cause == "alone" and self._may_wait_on(placement):
+        if cause == "alone" and self._may_continue_waiting(placement):
             # Other machines may still fetch the image, which can take longer than a task waits for its gang.
             # Stopping the gang would cancel those fetches (docs/incidents.md, gangs begun anew).
             placement.phase, placement.sent = Phase.RESERVED, None
@@ -63,7 +63,7 @@
         self._shard.release(placement, message.now)
 
     @staticmethod
-    def _may_wait_on(placement: Placement) -> bool:
+    def _may_continue_waiting(placement: Placement) -> bool:
         """Whether a gang's task whose wait timed out may be restarted, with the same attempt, to go on waiting."""
         job = placement.job
         return (
