--- a/badgerroute/scheduling/array_placement.py
+++ b/badgerroute/scheduling/array_placement.py
@@ -1,8 +1,9 @@
-"""Array tasks: started on every heartbeat of a machine, as far as its free capacity goes.
+"""Placement of array tasks: on each heartbeat of a machine, tasks are started there until its capacity is used.
 
-The paper's algorithm 2 (Parades, section IV.D), procedure ONUPDATE(n, delta, tau) with `n` the machine that reports:
-first tasks whose image it caches, then those that delay scheduling lets go farther. Free slots go to the job that
-holds least, up to its desire (algorithm 1). Added here: what is left after all desires are served goes to any job.
+The paper's algorithm 2 (Parades, section IV.D), procedure ONUPDATE(n, delta, tau) with `n` the reporting machine: first
+tasks whose image it caches, then tasks that delay scheduling allows farther from their image. Free slots go to the job
+that holds the least, up to its desire (algorithm 1). Added here: capacity that remains after all desires are met goes
+to any job.
 """
 
 import heapq
@@ -23,19 +24,19 @@
 from badgerroute.storage.bitset import lowest
 
 log = logging.getLogger(__name__)
-SHARED_MACHINE_WAIT = timedelta(seconds=6)  # how long a small task waits for a machine in use, and passes empty ones
+SHARED_MACHINE_WAIT = timedelta(seconds=6)  # how long a task waits for a machine in use rather than an empty one
 
 
 class ArrayPlacement:
-    """Fills machines of one shard with array tasks."""
+    """Starts array tasks on the machines of one shard."""
 
     def __init__(self, shard: Shard, order: ServiceOrder, rules: PlacementRules, evictions: EvictionPlanner) -> None:
         self._shard, self._order, self._rules, self._evictions = shard, order, rules, evictions
-        self._cursor = 0  # position in the order of service from which the next round goes on
+        self._cursor = 0  # position in the order of service at which the next round resumes
         self.overrun_rounds = 0  # rounds that ran out of time
 
-    def fill(self, machine: Machine, now: timedelta, over: Callable[[], bool]) -> int:
-        """Start array tasks on a machine; how many. `over` tells when the round's time is up."""
+    def fill(self, machine: Machine, now: timedelta, out_of_time: Callable[[], bool]) -> int:
+        """Start array tasks on a machine and return their number. `out_of_time` tells when the round must end."""
         shard = self._shard
         if not shard.reconciled or not machine.usable or machine.avoid_until > now:
             return 0
@@ -46,57 +47,59 @@
         in_use = self._machines_in_use(machine) if is_empty else None
         jobs = self._order.jobs
         order = jobs[self._cursor :] + jobs[: self._cursor] if self._cursor else jobs
-        started, looked = 0, 0
+        started, considered = 0, 0
         for beyond_desire in (False, True):
-            for _, members in groupby(order, key=self._order.group):
+            for _, members in groupby(order, key=self._order.group_key):
                 if not machine.free.holds(self._order.least_need):
                     self._cursor = 0
                     return started
                 group = [job for job in members if not job.gang and job.waiting_bits]
-                if over():
+                if out_of_time():
                     self.overrun_rounds += 1
-                    self._cursor = (self._cursor + looked) % max(1, len(self._order.jobs))
+                    self._cursor = (self._cursor + considered) % max(1, len(self._order.jobs))
                     return started
-                looked += len(group)
-                group = self._admitted(group, machine, in_use, now)
+                considered += len(group)
+                group = self._admitted_jobs(group, machine, in_use, now)
                 started += self._fill_group(machine, group, now, beyond_desire)
         self._cursor = 0
         return started
 
-    def _admitted(self, jobs: list[Job], machine: Machine, in_use: list[Machine] | None, now: timedelta) -> list[Job]:
-        """The jobs that may use a machine, which may be reserved, or empty and better left to gangs."""
+    def _admitted_jobs(
+        self, jobs: list[Job], machine: Machine, in_use: list[Machine] | None, now: timedelta
+    ) -> list[Job]:
+        """Filter jobs that may use a machine: it may be reserved, or empty and better kept for gangs."""
         if machine.reserved_for is not None:
-            jobs = self._outranking(machine, jobs)
+            jobs = self._jobs_for_reserved_machine(machine, jobs)
         if in_use is not None:
-            jobs = [job for job in jobs if not self._fits_in_use(job, in_use, now)]
+            jobs = [job for job in jobs if not self._should_wait_for_machines(job, in_use, now)]
         return jobs
 
     def _machines_in_use(self, machine: Machine) -> list[Machine]:
-        """Machines of its zone that run something. Small tasks go there first, and leave whole machines to gangs."""
+        """Machines of the same zone that run tasks. Small tasks use these first, which leaves empty ones for gangs."""
         return [
             other
             for other in self._shard.machines.values()
             if other.placements and other.usable and other.reserved_for is None and other.zone == machine.zone
         ]
 
-    def _fits_in_use(self, job: Job, machines: list[Machine], now: timedelta) -> bool:
-        """Whether all that waits of a job would fit on machines in use, at its heartbeat or the one after."""
+    def _should_wait_for_machines(self, job: Job, machines: list[Machine], now: timedelta) -> bool:
+        """Whether a job should wait: all its waiting tasks fit on machines in use that cache its image."""
         waiting = job.waiting_bits
         if not waiting or now - job.requeued.get(lowest(waiting), job.since) > SHARED_MACHINE_WAIT:
             return False
-        left = waiting.bit_count()
+        remaining = waiting.bit_count()
         for machine in machines:
             if allows(job.spec, machine.kind.name, machine.zone, machine.spot):
                 if locality_of(job, machine, self._order.images) is LocalityLevel.CACHED:
-                    left -= machine.free.times(job.need)
-                    if left <= 0:
+                    remaining -= machine.free.times(job.need)
+                    if remaining <= 0:
                         return True
         return False
 
-    def _outranking(self, machine: Machine, jobs: list[Job]) -> list[Job]:
-        """The jobs that may use a reserved machine: the one it is reserved for, and those that come before it.
+    def _jobs_for_reserved_machine(self, machine: Machine, jobs: list[Job]) -> list[Job]:
+        """The jobs that may use a reserved machine: the one it is reserved for, and those it may not preempt.
 
-        Else the capacity would go back to the work that was just stopped for it.
+        Otherwise the capacity would go back to the tasks that were just stopped for it.
         """
         reserver = self._shard.jobs.get(machine.reserved_for or "")
         if reserver is None or not reserver.waiting_bits:
@@ -104,26 +107,26 @@
         return [job for job in jobs if job is reserver or not self._evictions.may_stop(job, reserver)]
 
     def _fill_group(self, machine: Machine, jobs: list[Job], now: timedelta, beyond_desire: bool) -> int:
-        """Start tasks of jobs that are served alike, nearest image first, each in the turn of the job's share."""
+        """Start tasks of jobs with equal rank: nearest image first, then the job with the smallest share."""
         started = 0
         for locality in LocalityLevel:
             queue: list[tuple[tuple[float, float], int, Job]] = []
             for number, job in enumerate(jobs):
                 if self._eligible(job, machine, locality, now, beyond_desire):
-                    queue.append((self._order.turn(job), number, job))
+                    queue.append((self._order.share_key(job), number, job))
             heapq.heapify(queue)
             while queue:
                 _, number, job = heapq.heappop(queue)
                 if not self._start_next_task(job, machine, now, beyond_desire):
                     continue
                 started += 1
-                heapq.heappush(queue, (self._order.turn(job), number, job))
+                heapq.heappush(queue, (self._order.share_key(job), number, job))
         return started
 
     def _eligible(
         self, job: Job, machine: Machine, locality: LocalityLevel, now: timedelta, beyond_desire: bool
     ) -> bool:
-        """Whether a task of the job may start on the machine, at this distance from its image."""
+        """Whether a task of the job may start on the machine, and the machine is at this distance from the image."""
         spec = job.spec
         if not machine.free.holds(job.need) or not allows(spec, machine.kind.name, machine.zone, machine.spot):
             return False
@@ -141,14 +144,14 @@
 
     def _may_fetch(self, job: Job, machine: Machine, locality: LocalityLevel, now: timedelta) -> bool:
         """Whether a task may start on a machine that must fetch its image."""
-        if machine.fetches(gangs_only=True):
-            return False  # two fetches share the rate, and a whole gang would wait for this one too
+        if machine.awaits_image(gangs_only=True):
+            return False  # two fetches share the bandwidth, so this one would delay a whole gang
         if machine.reserved_for == job.ref:
             return True
         waiting = job.waiting_bits
         if not waiting:
             return False
-        return self._rules.allowed(job, machine, job.waited(lowest(waiting), now)) >= locality
+        return self._rules.allowed_locality(job, machine, job.waited(lowest(waiting), now)) >= locality
 
     def _below_desire(self, job: Job) -> bool:
         return len(job.placed) < job.desire or self._shard.guidance.may_exceed_desire(job)
@@ -165,7 +168,7 @@
         if self._order.yields_to_gang(job):
             return False
         if not self._shard.fits_quota(job):
-            self._rules.note_shortfall(job, waiting.bit_count())
+            self._rules.record_shortfall(job, waiting.bit_count())
             return False
         index = lowest(waiting)
         log.debug(
--- a/badgerroute/scheduling/deadline_feasibility.py
+++ b/badgerroute/scheduling/deadline_feasibility.py
@@ -1,8 +1,8 @@
-"""Which jobs can still be complete in time, given what all of them need of the machines there are.
+"""Estimates which jobs can still complete in time, given the work of all jobs and the capacity of the machines.
 
-When more is asked than the machines can do in time, sharing them equally makes every job late. How many jobs are in
-time is what users count, and the rule of Moore and Hodgson makes that number as large as it can be: take the jobs in
-the order of their due times, and whenever one would be late, drop the one with the most work.
+When there is more work than the machines can do in time, equal shares make every job late. Users count how many jobs
+complete in time, and the Moore-Hodgson algorithm maximizes that number: take the jobs in the order of their due times,
+and whenever one would be late, drop the one with the most work.
 """
 
 import heapq
@@ -12,12 +12,16 @@
 
 from badgerroute.scheduling.model import ZERO
 
-SPARE = timedelta(seconds=60)
+MIN_SPARE_TIME = timedelta(seconds=60)  # a job that can wait has this much spare time beyond twice its duration
 
 
 @dataclass(slots=True)
 class Load:
-    """What is left of a job: processor time in all, the shortest time it can take, and the times left until due."""
+    """The remaining work of a job.
+
+    `work` is the total processor time, `least` the shortest time in which the job can complete, `due` the time that
+    remains until each of its due times.
+    """
 
     ref: str
     work: timedelta
@@ -25,40 +29,40 @@
     due: Sequence[timedelta]
 
 
-def _in_time(loads: Iterable[Load], number: int, before: timedelta, processors: float) -> list[Load]:
-    """The jobs that can meet their due time of a number, if work that takes `before` comes first."""
-    kept: list[tuple[timedelta, str, Load]] = []  # a heap: most work first
-    total = before
-    candidates = [load for load in loads if number < len(load.due) and load.least <= load.due[number]]
-    for load in sorted(candidates, key=lambda candidate: (candidate.due[number], candidate.ref)):
+def _on_time_loads(loads: Iterable[Load], due_index: int, earlier_work: timedelta, processors: float) -> list[Load]:
+    """The jobs that can meet their due time at `due_index` if work that takes `earlier_work` precedes them."""
+    kept: list[tuple[timedelta, str, Load]] = []  # a heap with the most work first
+    total = earlier_work
+    candidates = [load for load in loads if due_index < len(load.due) and load.least <= load.due[due_index]]
+    for load in sorted(candidates, key=lambda candidate: (candidate.due[due_index], candidate.ref)):
         heapq.heappush(kept, (-load.work, load.ref, load))
         total += load.work / processors
-        if total > load.due[number]:
+        if total > load.due[due_index]:
             total += heapq.heappop(kept)[0] / processors
     return [load for _, _, load in kept]
 
 
-def _can_wait(load: Load, number: int) -> bool:
-    """Whether a job has so much time left that others may well come first."""
-    return load.due[number] - load.least > 2 * load.least + SPARE
+def _can_wait(load: Load, due_index: int) -> bool:
+    """Whether a job has enough time to spare for other jobs to go first."""
+    return load.due[due_index] - load.least > 2 * load.least + MIN_SPARE_TIME
 
 
 def tiers(groups: Iterable[Sequence[Load]], processors: float) -> dict[str, float]:
-    """How many of its due times each job will miss, and half of one more if it can wait for the others.
+    """How many of its due times each job will miss, plus 0.5 if it can wait for others, by job.
 
-    Groups come in the order in which they are served.
+    `groups` are in the order of service: the jobs of a group precede those of all later groups.
     """
     processors = max(processors, 1.0)
-    found: dict[str, float] = {}
-    before = ZERO
+    tier_by_ref: dict[str, float] = {}
+    earlier_work = ZERO
     for group in groups:
-        left = {load.ref: load for load in group}
-        for number in range(max((len(load.due) for load in group), default=0)):
-            for load in _in_time(left.values(), number, before, processors):
-                found[load.ref] = number + (0.5 if _can_wait(load, number) else 0.0)
-                before += load.work / processors
-                del left[load.ref]
-        for load in left.values():
-            found[load.ref] = len(load.due)
-            before += load.work / processors
-    return found
+        undecided = {load.ref: load for load in group}
+        for due_index in range(max((len(load.due) for load in group), default=0)):
+            for load in _on_time_loads(undecided.values(), due_index, earlier_work, processors):
+                tier_by_ref[load.ref] = due_index + (0.5 if _can_wait(load, due_index) else 0.0)
+                earlier_work += load.work / processors
+                del undecided[load.ref]
+        for load in undecided.values():
+            tier_by_ref[load.ref] = len(load.due)
+            earlier_work += load.work / processors
+    return tier_by_ref
--- a/badgerroute/scheduling/gang_placement.py
+++ b/badgerroute/scheduling/gang_placement.py
@@ -1,7 +1,7 @@
-"""Gangs: all tasks of a gang are placed in one round or none is, near copies of their image if possible.
+"""Placement of gangs: all tasks of a gang are placed in one round or none, near copies of their image if possible.
 
-An addition to the paper, whose tasks start one by one (docs/design.md). Which machines are near enough follows from
-delay scheduling, as with arrays.
+An addition to the paper, whose tasks start one by one (docs/design.md). Delay scheduling decides how far from their
+image tasks may start, as for arrays.
 """
 
 import logging
@@ -13,7 +13,7 @@
 from badgerroute.scheduling.evictions import Eviction, EvictionPlanner
 from badgerroute.scheduling.model import ZERO, Job, Machine
 from badgerroute.scheduling.objectives import Objectives
-from badgerroute.scheduling.placement_rules import FETCH_SPREAD, PlacementRules
+from badgerroute.scheduling.placement_rules import SLOW_FETCH_FACTOR, PlacementRules
 from badgerroute.scheduling.preemption import Preemption
 from badgerroute.scheduling.service_order import ServiceOrder
 from badgerroute.scheduling.shard import Shard
@@ -21,16 +21,16 @@
 from badgerroute.storage.bitset import lowest
 
 log = logging.getLogger(__name__)
-FETCHING_PENALTY = 1000.0  # more than the images that a machine caches
+FETCHING_PENALTY = 1000.0  # greater than the number of images that a machine caches
 
 
 class _Option(NamedTuple):
-    """A machine on which a gang's task fits, best first in the order of the fields, then by name."""
+    """A machine on which a gang's task fits. Options are sorted by their fields, in this order, then by name."""
 
     locality: LocalityLevel
     fetch_penalty: float
     free_cpus: float
-    heard_s: float  # when it was last heard: the heartbeat that is due first carries the start first
+    last_message_s: float  # the machine whose next heartbeat is due first gets the start command first
     machine: Machine
 
 
@@ -51,13 +51,13 @@
         self._shard, self._order, self._rules = shard, order, rules
         self._evictions, self._preemption = evictions, preemption
         self._objectives, self._heartbeat = objectives, heartbeat
-        self._cursor = 0  # position of the gang with which the next round goes on
+        self._cursor = 0  # position of the gang at which the next round resumes
         self.overrun_rounds = 0  # rounds that ran out of time
 
-    def place_on(self, machine: Machine, now: timedelta, over: Callable[[], bool]) -> int:
-        """Place the gangs that may have lacked just this machine; how many. Nothing is stopped for them here.
+    def place_on(self, machine: Machine, now: timedelta, out_of_time: Callable[[], bool]) -> int:
+        """Place gangs that may have lacked only this machine, without preemption. Return how many were placed.
 
-        `over` tells when the round's time is up.
+        `out_of_time` tells when the round must end.
         """
         if not self._shard.reconciled or not machine.usable:
             return 0
@@ -67,14 +67,14 @@
             if job.gang and not job.placed and machine.free.holds(job.need) and job.waiting_bits:
                 if machine.reserved_for not in (None, job.ref):
                     continue
-                if over():
+                if out_of_time():
                     self.overrun_rounds += 1
                     return placed
                 placed += self._place_gang(job, now, preempt=False)
         return placed
 
-    def place(self, now: timedelta, over: Callable[[], bool]) -> int:
-        """Place waiting gangs, and stop work for those that have waited long; how many are placed."""
+    def place(self, now: timedelta, out_of_time: Callable[[], bool]) -> int:
+        """Place waiting gangs, and preempt tasks for those that have waited long. Return how many were placed."""
         if not self._shard.reconciled:
             return 0
         self._order.refresh(now)
@@ -83,7 +83,7 @@
             self._cursor = 0
         placed = 0
         for position in range(self._cursor, len(waiting)):
-            if over():
+            if out_of_time():
                 self.overrun_rounds += 1
                 self._cursor = position
                 return placed
@@ -94,45 +94,45 @@
     def _place_gang(self, job: Job, now: timedelta, preempt: bool) -> bool:
         tasks = job.waiting_bits.bit_count()
         if self._lacks_quota(job, tasks):
-            self._rules.note_shortfall(job, tasks)
+            self._rules.record_shortfall(job, tasks)
             return False
         wait = now - job.since
-        options, blocked_by_locality = self._options(job, wait, now)
-        chosen = self._choose(job, tasks, options)
+        options, blocked_by_locality = self._find_options(job, wait, now)
+        chosen = self._choose_machines(job, tasks, options)
         if chosen is None:
             if preempt and not blocked_by_locality and not job.failing:
                 self._preemption.preempt_for_gang(job, tasks, now)
             return False
-        if not job.failing and self._preempt_near_image(job, tasks, chosen, wait, now):
+        if not job.failing and self._preempt_on_caching_machines(job, tasks, chosen, wait, now):
             return False
         self._start(job, chosen, wait, now)
         return True
 
-    def _options(self, job: Job, wait: timedelta, now: timedelta) -> tuple[list[_Option], bool]:
-        """Machines on which a task fits and may start by now; and whether others are only too far from the image."""
+    def _find_options(self, job: Job, wait: timedelta, now: timedelta) -> tuple[list[_Option], bool]:
+        """The machines on which a task may start now, and whether others are excluded only by their image distance."""
         options: list[_Option] = []
         blocked_by_locality = False
-        for machine in self._evictions.candidates(job, now, free=True):
+        for machine in self._evictions.candidates(job, now, with_free_cpus=True):
             if not machine.free.holds(job.need) or machine.reserved_for not in (None, job.ref):
                 continue
             locality = locality_of(job, machine, self._order.images)
-            if locality > self._rules.allowed(job, machine, wait):
+            if locality > self._rules.allowed_locality(job, machine, wait):
                 blocked_by_locality = True
                 continue
-            heard_s = machine.heard.total_seconds() if machine.heard is not None else 0.0
+            last_message_s = machine.last_message_at.total_seconds() if machine.last_message_at is not None else 0.0
             penalty = self._fetch_penalty(machine, locality)
-            options.append(_Option(locality, penalty, machine.free.cpus, heard_s, machine))
+            options.append(_Option(locality, penalty, machine.free.cpus, last_message_s, machine))
         return options, blocked_by_locality
 
     @staticmethod
     def _fetch_penalty(machine: Machine, locality: LocalityLevel) -> float:
-        """How little a machine suits a fetch: it may evict one of its images, and one that fetches shares its rate."""
+        """How unsuitable a machine is for a fetch: it may evict images, and concurrent fetches share its bandwidth."""
         if locality is LocalityLevel.CACHED:
             return 0.0
-        return len(machine.images) + (FETCHING_PENALTY if machine.fetches() else 0.0)
+        return len(machine.images) + (FETCHING_PENALTY if machine.awaits_image() else 0.0)
 
     def _start(self, job: Job, machines: list[Machine], wait: timedelta, now: timedelta) -> None:
-        """Place all tasks of a gang, one for each entry of `machines`, and give up its reservations."""
+        """Place all tasks of a gang, one for each entry of `machines`, and release the gang's reservations."""
         attempt = self._shard.next_attempt()
         log.debug(
             "event=gang_placed job=%s machines=%s waited=%.1f cached=%d",
@@ -151,44 +151,48 @@
             if machine.reserved_for == job.ref:
                 machine.reserved_for = None
 
-    def _choose(self, job: Job, tasks: int, options: list[_Option]) -> list[Machine] | None:
-        """Machines for all tasks of a gang, nearest image first, then the tightest fit; None if there are too few."""
+    def _choose_machines(self, job: Job, tasks: int, options: list[_Option]) -> list[Machine] | None:
+        """Choose machines for all tasks, nearest image first, then the tightest fit; None if there are too few."""
         options = sorted(options, key=lambda option: (*option[:4], option.machine.name))
         if not job.spec.together:
-            return self._take(job, tasks, [option.machine for option in options])
+            return self._first_fitting(job, tasks, [option.machine for option in options])
         for zone in dict.fromkeys(option.machine.zone for option in options):
-            chosen = self._take(job, tasks, [option.machine for option in options if option.machine.zone == zone])
+            chosen = self._first_fitting(
+                job, tasks, [option.machine for option in options if option.machine.zone == zone]
+            )
             if chosen is not None:
                 return chosen
         return None
 
     @staticmethod
-    def _take(job: Job, tasks: int, machines: list[Machine]) -> list[Machine] | None:
-        """The first machines that hold all tasks, each as often as it holds one; a spread gang's lie in two zones."""
+    def _first_fitting(job: Job, tasks: int, machines: list[Machine]) -> list[Machine] | None:
+        """The first machines that hold all tasks, each listed once per task; a spread gang uses at least two zones."""
         chosen: list[Machine] = []
         per_zone: dict[str, int] = {}
-        most = (job.spec.tasks + 1) // 2 if job.spec.spread else tasks
+        max_per_zone = (job.spec.tasks + 1) // 2 if job.spec.spread else tasks
         for machine in machines:
             for _ in range(machine.free.times(job.need)):
                 if len(chosen) == tasks:
                     return chosen
-                if per_zone.get(machine.zone, 0) >= most:
+                if per_zone.get(machine.zone, 0) >= max_per_zone:
                     break
                 per_zone[machine.zone] = per_zone.get(machine.zone, 0) + 1
                 chosen.append(machine)
         return chosen if len(chosen) == tasks else None
 
-    def _preempt_near_image(self, job: Job, tasks: int, chosen: list[Machine], wait: timedelta, now: timedelta) -> bool:
-        """Stop work on machines that cache the image, where a fetch would come too late and cost no less.
+    def _preempt_on_caching_machines(
+        self, job: Job, tasks: int, chosen: list[Machine], wait: timedelta, now: timedelta
+    ) -> bool:
+        """Preempt on machines that cache the image if a fetch would take too long and cost at least as much.
 
-        Whether it was done; the gang then waits for those machines.
+        Return whether tasks were stopped; the gang then waits for those machines.
         """
         fetch = max(
             (fetch_time(job, machine) for machine in chosen if job.spec.image not in machine.images), default=ZERO
         )
-        # A gang starts with its last machine, whose fetch is slow; the start goes out in the answer to its next
-        # heartbeat.
-        if fetch == ZERO or wait + self._heartbeat + fetch * FETCH_SPREAD <= self._objectives.start_within(job):
+        # A gang starts when its last task does, after the slowest fetch; the start command is sent in the response to
+        # the machine's next heartbeat.
+        if fetch == ZERO or wait + self._heartbeat + fetch * SLOW_FETCH_FACTOR <= self._objectives.start_within(job):
             return False
         options: list[Eviction] = []
         for machine in self._evictions.candidates(job, now):
@@ -199,7 +203,7 @@
         return self._preemption.evict_for_gang(job, tasks, options, now)
 
     def unplaceable_gangs(self, now: timedelta) -> list[Job]:
-        """Gangs that have waited long and for which too little could be stopped in this shard."""
+        """Gangs that have waited long and for which preemption in this shard could not free enough capacity."""
         holders = {machine.reserved_for for machine in self._shard.machines.values()}
         return [
             job
@@ -210,7 +214,7 @@
             and job.ref not in holders
             and job.waiting_bits
             and now - job.since >= self._preemption.wait_before_preemption(job)
-            and not self._lacks_quota(job, job.spec.tasks)  # else no other shard could place it either
+            and not self._lacks_quota(job, job.spec.tasks)  # other shards could not place it either
         ]
 
     def _lacks_quota(self, job: Job, tasks: int) -> bool:
--- a/badgerroute/scheduling/inheritance.py
+++ b/badgerroute/scheduling/inheritance.py
@@ -1,8 +1,8 @@
-"""What jobs take over from those that need them: priority inheritance, and due times counted back along a pipeline.
+"""Priority and deadline inheritance: upstream jobs inherit levels and due times from their downstream jobs.
 
-A job is served at the highest level of its own and its dependents', and should be done by the earliest of its own due
-time and theirs less the time that they will take. With thousands of waiting jobs that takes longer than one round of
-decisions may, so it is worked out in slices: each goes on where the last one stopped.
+A job is scheduled at the highest of its own level and those of its dependents. It is due at the earliest of its own due
+time and its dependents' due times less their expected durations. With thousands of waiting jobs, computing this takes
+longer than one scheduling round may, so it is done in slices: each resumes where the last one stopped.
 """
 
 from collections.abc import Callable
@@ -11,11 +11,11 @@
 
 from badgerroute.scheduling.dependencies import Dependencies
 
-LOOKS_BETWEEN_CLOCKS = 16  # jobs that are worked out between two looks at the clock
+JOBS_PER_CLOCK_CHECK = 16  # jobs visited between two checks of the time limit
 
 
 class Inherited(NamedTuple):
-    """The level at which a job is served, and the time of day by which it should be done."""
+    """The level at which a job is scheduled, and the wall-clock time by which it should be done."""
 
     level: int
     due: float
@@ -24,29 +24,31 @@
 class InheritancePass:
     """One pass over all jobs that others wait for.
 
-    `own` is what a job would have without dependents; `duration` the seconds that a stage is expected to take.
+    `own_values` returns a job's values without its dependents', `duration` the expected duration of a job in seconds.
     """
 
-    def __init__(self, graph: Dependencies, own: Callable[[str], Inherited], duration: Callable[[str], float]) -> None:
-        self._graph, self._own, self._duration = graph, own, duration
-        self._left = graph.predecessors()
-        self._stack: list[str] = []  # a loop, not a recursion: chains may be long
+    def __init__(
+        self, graph: Dependencies, own_values: Callable[[str], Inherited], duration: Callable[[str], float]
+    ) -> None:
+        self._graph, self._own_values, self._duration = graph, own_values, duration
+        self._remaining = graph.predecessors()
+        self._stack: list[str] = []  # an explicit stack instead of recursion, since chains may be long
         self.result: dict[str, Inherited] = {}
 
-    def advance(self, over: Callable[[], bool]) -> bool:
-        """Work until the time is up; whether the pass is complete."""
-        count = 0
-        while self._stack or self._left:
-            count += 1
-            if count % LOOKS_BETWEEN_CLOCKS == 0 and over():
+    def advance(self, out_of_time: Callable[[], bool]) -> bool:
+        """Continue the pass until `out_of_time` returns true. Return whether the pass is complete."""
+        visited = 0
+        while self._stack or self._remaining:
+            visited += 1
+            if visited % JOBS_PER_CLOCK_CHECK == 0 and out_of_time():
                 return False
             if not self._stack:
-                self._stack.append(self._left.pop())
+                self._stack.append(self._remaining.pop())
             self._visit(self._stack[-1])
         return True
 
     def _visit(self, ref: str) -> None:
-        """Work out the last job of the stack, or put the dependents before it that have to be known first."""
+        """Compute the top job of the stack, or push those of its dependents that must be computed first."""
         result = self.result
         if ref not in result:
             cancelled = self._graph.cancelled
@@ -55,11 +57,11 @@
             if missing:
                 self._stack.extend(missing)
                 return
-            result[ref] = self._combined(ref, dependents) if dependents else self._own(ref)
+            result[ref] = self._combined(ref, dependents) if dependents else self._own_values(ref)
         self._stack.pop()
 
     def _combined(self, ref: str, dependents: list[str]) -> Inherited:
-        level, due = self._own(ref)
+        level, due = self._own_values(ref)
         for dependent in dependents:
             inherited = self.result[dependent]
             level = max(level, inherited.level)
--- a/badgerroute/scheduling/utilization_feedback.py
+++ b/badgerroute/scheduling/utilization_feedback.py
@@ -8,8 +8,8 @@
 - efficient and deprived (`d > a`): `d`;
 - efficient and satisfied: `d * rho`.
 
-Changed here: utilization is the share of the desire that was in use, since workers report no load, and the first
-desire is not one slot (`begin`).
+Changed here: utilization is the share of the desired slots that were in use, since workers report no load; and the
+first desire is not one slot (`begin`).
 """
 
 from datetime import timedelta
@@ -18,46 +18,49 @@
 from badgerroute.settings import Scheduling
 
 
-def next_desire(desire: float, granted: float, use: float, starved: bool, delta: float, rho: float) -> float:
-    """d(q) from d(q-1), a(q-1) and u(q-1), as `desire`, `granted` and `use`; `starved`: tasks waited."""
-    if use < delta and not starved:
+def next_desire(
+    desire: float, allocation: float, utilization: float, tasks_waited: bool, delta: float, rho: float
+) -> float:
+    """Compute d(q) from d(q-1), a(q-1) and u(q-1), which are `desire`, `allocation` and `utilization`."""
+    if utilization < delta and not tasks_waited:
         return max(1.0, desire / rho)
-    if desire > granted:
+    if desire > allocation:
         return desire
     return desire * rho
 
 
 def sample(job: Job, waiting: int) -> None:
-    """Add a sample of the job's slots to the period's sums. `waiting`: its tasks that wait."""
+    """Add a sample of the job's slots to the period's sums. `waiting` is the number of its waiting tasks."""
     job.samples += 1
     in_use = len(job.placed)
-    job.booked += in_use
-    job.granted += min(job.desire, in_use + (0 if waiting else job.desire))
+    job.used_slots_sum += in_use
+    job.granted_slots_sum += min(job.desire, in_use + (0 if waiting else job.desire))
     job.starved = job.starved or waiting > 0
 
 
 def begin(job: Job, now: timedelta, waiting: int, free_slots: int) -> None:
-    """Set the first desire: the lesser of waiting tasks and free slots, but one at least (the paper: one slot).
+    """Set the first desire: the minimum of waiting tasks and free slots, and at least one (the paper: one slot).
 
-    Doubling every period from one slot would take longer than most jobs run.
+    Doubling it every period, starting at one slot, would take longer than most jobs run.
     """
     job.desire = float(max(1, min(waiting, free_slots)))
-    _restart(job, now)
+    _begin_period(job, now)
 
 
 def end_period(job: Job, now: timedelta, settings: Scheduling) -> None:
-    """Give a job its next desire and begin the next period."""
+    """Compute a job's next desire and begin the next period."""
     if job.samples:
-        granted = job.granted / job.samples
-        use = job.booked / job.samples / job.desire if job.desire else 1.0
+        allocation = job.granted_slots_sum / job.samples
+        utilization = job.used_slots_sum / job.samples / job.desire if job.desire else 1.0
         job.desire = min(
-            float(job.spec.tasks), next_desire(job.desire, granted, use, job.starved, settings.delta, settings.rho)
+            float(job.spec.tasks),
+            next_desire(job.desire, allocation, utilization, job.starved, settings.delta, settings.rho),
         )
-    _restart(job, now)
+    _begin_period(job, now)
 
 
-def _restart(job: Job, now: timedelta) -> None:
+def _begin_period(job: Job, now: timedelta) -> None:
     job.period_began = now
-    job.booked = job.granted = 0.0
+    job.used_slots_sum = job.granted_slots_sum = 0.0
     job.samples = 0
     job.starved = False
