--- a/badgerroute/coordination/jobs/__init__.py
+++ b/badgerroute/coordination/jobs/__init__.py
@@ -1,7 +1,11 @@
-"""Jobs as the key-value store holds them: look-ups, submission, cancellation, progress, paging and dependencies.
+"""Stored jobs: look-up, submission, cancellation, progress, the paging of large records, and dependencies.
 
-Owns the keys `b/jobs/JOB` (unfinished jobs), `b/past/JOB` (final states), `b/done/JOB/PAGE` and `b/before/JOB/PAGE`
-(what does not fit a job's record), their index in memory, and the notices of cancellations among controllers. May
-import `transport`, `protocol`, `settings`, `storage` and `scheduling`, and no other package of `coordination`: what it
-needs of those is passed in, as the protocols that its modules declare.
+A job's `ref` is the id that its user chose. Its predecessors are the upstream jobs that must be done before it may
+start.
+
+This package owns the keys `b/jobs/JOB` (records of unfinished jobs), `b/past/JOB` (final states), `b/done/JOB/PAGE` and
+`b/before/JOB/PAGE` (pages with done tasks and with predecessors that do not fit into a job's record), the in-memory
+index of these keys, and the cancellation notices between controllers. It may import `transport`, `protocol`,
+`settings`, `storage` and `scheduling`, but no other package of `coordination`. Objects of those packages that it needs
+are passed in, typed by the protocols that its modules declare.
 """
--- a/badgerroute/coordination/jobs/cancellation_broadcast.py
+++ b/badgerroute/coordination/jobs/cancellation_broadcast.py
@@ -1,8 +1,9 @@
-"""Cancellations, sent to every peer until it acknowledges them.
+"""Sends cancellation notices to every peer until the peer acknowledges them.
 
-A leader that cannot reach the key-value store learns of no cancellation by its watch, and a push may be lost with its
-connection. So every controller that learns of a cancellation sends it to each peer repeatedly, also after a connection
-returns: not only the one that answered the user, since that one may end right after its answer.
+A leader that cannot reach the key-value store does not see cancellations in its watch, and a push may be lost with its
+connection. Every controller that learns of a cancellation therefore sends it to each peer repeatedly, also after a
+reconnect. It is not enough that the controller that answered the user does so, because it may crash right after its
+answer.
 """
 
 from collections.abc import Iterable
@@ -15,41 +16,43 @@
 
 RESEND_INTERVAL = timedelta(milliseconds=900)
 MAX_CANCELLATIONS_PER_MESSAGE = 200
-# For one peer. Dropping one is safe: the watch, or the end of the grace period, brings about the same later.
+# Per peer. Dropping the oldest is safe: the peer later learns of the cancellation from its watch, or stops acting on
+# the job when its grace period ends.
 MAX_UNACKNOWLEDGED_CANCELLATIONS = 4000
 
 
 @dataclass(slots=True)
 class _UnacknowledgedCancellation:
-    """A cancellation that a peer has not acknowledged. Times are of the loop's clock."""
+    """A cancellation that a peer has not acknowledged. Times are on the event loop's monotonic clock."""
 
-    revision: int  # of the job's final state
+    revision: int  # of the job's final state in the key-value store
     learned_at: timedelta
-    sent_at: timedelta | None  # None: not sent yet
+    sent_at: timedelta | None  # or None if not sent yet
 
     def send_due(self, now: timedelta) -> bool:
-        """Whether it is to be sent, or sent again."""
+        """Return whether the notice has not been sent yet or is due to be resent."""
         return self.sent_at is None or now - self.sent_at >= RESEND_INTERVAL
 
 
 class CancellationBroadcast:
-    """Cancellations that peers have not acknowledged, for each peer.
+    """Tracks, for each peer, the cancellations that it has not acknowledged, and resends them.
 
-    `retention` is for how long a notice is of use: after that, a peer that still acts on the job has later proof that
-    it leads the shard.
+    `retention` is how long an unacknowledged notice is kept. If a peer still acts on the job after that time, it has
+    confirmed its leadership of the shard more recently than the cancellation, so it no longer needs the notice.
     """
 
     def __init__(
         self, loop: Loop, own_host: str, peers: Iterable[str], messenger: PeerMessenger, retention: timedelta
     ) -> None:
         self._loop, self._own_host, self._messenger, self._retention = loop, own_host, messenger, retention
-        # peer -> job -> its cancellation, the oldest first
+        # peer -> job ref -> unacknowledged cancellation, oldest first
         self._unacknowledged: dict[str, dict[str, _UnacknowledgedCancellation]] = {host: {} for host in peers}
 
     def job_cancelled(self, ref: str, revision: int, confirming: bool) -> None:
-        """A job is cancelled by a final state of this revision.
+        """Queue a job's cancellation for all peers; `revision` is the revision of its final state.
 
-        `confirming`: a user is about to be answered so, and the peers are notified before that.
+        If `confirming` is set, a user is waiting for the confirmation, so the peers are notified at once, before the
+        user is answered.
         """
         now = self._loop.now()
         for host, pending in self._unacknowledged.items():
@@ -62,14 +65,14 @@
                 self._messenger.send(host, CancellationNotice(self._own_host, [(ref, revision)]))
 
     def acknowledged(self, host: str, refs: Iterable[str]) -> None:
-        """A peer has acknowledged these cancellations, or has sent notice of them itself."""
+        """Stop resending these cancellations to a peer: it acknowledged them, or sent a notice of them itself."""
         pending = self._unacknowledged.get(host)
         if pending:
             for ref in refs:
                 pending.pop(ref, None)
 
     def resend(self) -> None:
-        """Send the peers what they have not acknowledged. Called a few times a second."""
+        """Resend to each peer the cancellations that it has not acknowledged. Called a few times a second."""
         now = self._loop.now()
         for host, pending in self._unacknowledged.items():
             self._remove_expired(pending, now)
--- a/badgerroute/coordination/jobs/downstream_cancellation.py
+++ b/badgerroute/coordination/jobs/downstream_cancellation.py
@@ -1,7 +1,7 @@
-"""Background task that writes the final states of jobs whose predecessors are cancelled.
+"""Background task that writes the final states of jobs that are cancelled because a predecessor is cancelled.
 
-Any controller can resume it from the records alone. Its writes are conditional, and what they hold follows from final
-states, so it does not matter which controller does it, or whether two do.
+Any controller can resume this work from the stored records alone. The writes are conditional and their content is
+derived from final states, so any controller, or several at once, may perform them.
 """
 
 import logging
@@ -22,23 +22,23 @@
 log = logging.getLogger(__name__)
 INTERVAL = timedelta(milliseconds=200)
 RETRY_PAUSE = 2 * INTERVAL
-NON_LEADER_DELAY = timedelta(seconds=3)  # before a controller that does not lead the job's first shard writes it too
+NON_LEADER_DELAY = timedelta(seconds=3)  # until controllers that do not lead the job's first shard write it too
 CHANGES_PER_JOB = 2
 
 
 class ShardLeaderships(Protocol):
-    """Which shards this controller leads."""
+    """Tells which shards this controller leads."""
 
     @property
     def leaderships(self) -> Container[int]:
-        """Their numbers."""
+        """The numbers of the shards that this controller leads."""
 
 
 class DownstreamCancellation:
-    """Cancels the jobs downstream of cancelled ones.
+    """Cancels the jobs downstream of cancelled jobs.
 
-    The leader of a job's first tasks comes first and the others after it, each later by its home shard, so that their
-    writes do not conflict.
+    The leader of the shard that owns a job's first tasks writes the final state at once. Each other controller does
+    so after a delay that depends on its home shard, so that the writes do not conflict.
     """
 
     def __init__(
@@ -54,10 +54,10 @@
         self._loop, self._store, self._replica, self._job_store = loop, store, replica, job_store
         self._leadership_state = leadership_state
         self._non_leader_delay = NON_LEADER_DELAY + home_shard * NON_LEADER_DELAY / 3
-        self._cancelled_since: dict[str, timedelta] = {}  # cancelled jobs whose own records are still to be replaced
+        self._cancelled_since: dict[str, timedelta] = {}  # cancelled job whose record still exists -> when first seen
 
     async def run(self) -> None:
-        """Write the final states that are due, for ever."""
+        """Write due final states in an endless loop."""
         while True:
             await self._loop.sleep(INTERVAL)
             due = self._due()
@@ -95,7 +95,7 @@
         log.info("event=downstream_jobs_cancelled jobs=%s", ",".join(jobs))
 
     def _unfinished(self, refs: list[str]) -> dict[str, JobRecord]:
-        """The records of those jobs that the replica still holds."""
+        """Return the records of those jobs that are still in the replica."""
         return {
             ref: record
             for ref in refs
--- a/badgerroute/coordination/jobs/job_listeners.py
+++ b/badgerroute/coordination/jobs/job_listeners.py
@@ -1,20 +1,20 @@
-"""Listeners for what the job store finds out about jobs."""
+"""Protocols for objects that the job store notifies of released and cancelled jobs."""
 
 from typing import Protocol
 
 
 class JobReleaseListener(Protocol):
-    """Acts on jobs whose predecessors are all done."""
+    """Is notified of jobs whose predecessors are all done."""
 
     def job_released(self, ref: str) -> None:
-        """A job no longer waits for others, so its tasks may be scheduled."""
+        """Handle a job that no longer waits for predecessors, so its tasks may be scheduled."""
 
 
 class CancellationListener(Protocol):
-    """Acts on cancelled jobs."""
+    """Is notified of cancelled jobs."""
 
     def job_cancelled(self, ref: str, revision: int, confirming: bool) -> None:
-        """A job's final state, written at this revision, is that it is cancelled.
+        """Handle a job whose final state, written at `revision`, is "cancelled".
 
-        `confirming`: a user of this controller is about to be answered that it is.
+        If `confirming` is set, a user of this controller is waiting for the confirmation of the cancellation.
         """
--- a/badgerroute/coordination/jobs/job_lookup.py
+++ b/badgerroute/coordination/jobs/job_lookup.py
@@ -1,4 +1,4 @@
-"""Results of looking up a job, and the conditions of a job that users are shown."""
+"""Results of a job look-up, and the job conditions shown to users."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,7 +7,7 @@
 
 
 class JobCondition(StrEnum):
-    """A job's condition in answers to users. The values are part of the API."""
+    """A job's condition in responses to users. The values are part of the HTTP API."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ActiveJob:
-    """An unfinished job: its record, and the revision at which that was read."""
+    """An unfinished job: its record and the revision of that record."""
 
     record: JobRecord
     revision: int
@@ -25,22 +25,22 @@
 
 @dataclass(frozen=True, slots=True)
 class FinishedJob:
-    """A job that has its final state, or is certain to get it because a predecessor is cancelled."""
+    """A job that has a final state, or is certain to be cancelled because a predecessor is cancelled."""
 
     state: JobState
 
 
 @dataclass(frozen=True, slots=True)
 class UnknownJob:
-    """No controller ever accepted such a job."""
+    """A job that no controller has ever accepted."""
 
 
 JobLookup = ActiveJob | FinishedJob | UnknownJob
 
 
 class UnknownJobError(Exception):
-    """A request names a job that no controller ever accepted. Repeating it is of no use before the job is submitted."""
+    """A request names a job that no controller has ever accepted. A retry cannot succeed until the job is submitted."""
 
     def __init__(self, ref: str) -> None:
-        super().__init__(f"job {ref} is not known")
+        super().__init__(f"no controller has accepted job {ref}")
         self.ref = ref
--- a/badgerroute/coordination/jobs/job_reader.py
+++ b/badgerroute/coordination/jobs/job_reader.py
@@ -1,4 +1,4 @@
-"""Look-ups of jobs: in the key-value store as it is now, or in the replica once that has caught up with it."""
+"""Job look-ups, which read from the key-value store, or from the replica once it has caught up with the store."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -18,38 +18,44 @@
 from badgerroute.storage.replica import Replica
 from badgerroute.transport.loop import Loop
 
-MAX_LOOKUP_ROUNDS = 40  # for one answer; each but the last finds predecessors of predecessors
+MAX_LOOKUP_ROUNDS = 40  # per look-up; each round but the last reveals further upstream jobs
 MAX_LOOKUPS_PER_ROUND = 500
 FINAL_STATES_PER_PAGE = 100
-REMOVAL_PAUSE = timedelta(milliseconds=50)  # for the watch to report which final state replaced a removed record
+REMOVAL_PAUSE = timedelta(milliseconds=50)  # for the watch to report the final state that replaced a removed record
 
 
 @dataclass(frozen=True, slots=True)
 class _FinalStatesPage:
-    """Some final states in the order of their keys, and which of the jobs asked for lie in their range."""
+    """A page of final states in key order.
+
+    `decided` lists the requested jobs that lie within the page's key range: a page that lacks one of them proves that
+    the job has no final state. `entries` holds the page's entries by job.
+    """
 
     decided: list[str]
     entries: dict[str, KeyValueEntry]
 
 
 def _key_before(key: str) -> str:
-    """A string that sorts before this key, with no other key between them: no job's name holds a tilde."""
+    """Return a string that sorts just before `key`. No key lies between them, since no job ref contains a tilde."""
     return key[:-1] + chr(ord(key[-1]) - 1) + "~"
 
 
 class JobReader:
-    """Every answer is no older than what any controller had answered anybody when the question came.
+    """Looks up jobs with linearizable results.
 
-    All look-ups raise StoreUnavailableError if that cannot be guaranteed now; the same question may be asked again.
+    A result is at least as recent as anything that any controller had told any user when the look-up began. All
+    look-ups raise StoreUnavailableError if that cannot be guaranteed at the moment; the caller may retry.
     """
 
     def __init__(self, loop: Loop, store: KeyValueClient, replica: Replica, job_store: JobStore) -> None:
         self._loop, self._store, self._replica, self._job_store = loop, store, replica, job_store
 
     async def look_up(self, ref: str, urgency: Urgency = Urgency.READ) -> JobLookup:
-        """A job as the key-value store has it now.
+        """Look up a job in the key-value store.
 
-        A job moves only from `jobs` to the final states, in one transaction, so looking in this order misses none.
+        A job's record is replaced by its final state in one transaction, and never the other way round, so reading
+        `jobs` first and the final states second misses no job.
         """
         final = self._job_store.final(ref)
         if final is not None:
@@ -61,7 +67,7 @@
         return lookup
 
     async def look_up_replicated(self, ref: str) -> JobLookup:
-        """A job as the replica has it once that has caught up. One question to the store serves all who poll."""
+        """Look up a job in the replica after that has caught up. Concurrent polls share one request to the store."""
         final = self._job_store.final(ref)
         if final is None:
             await self._replica.wait_until_current()
@@ -78,16 +84,16 @@
         return await self._read_final_state(ref, Urgency.READ)
 
     async def find_unknown(self, refs: Iterable[str], urgency: Urgency) -> list[str]:
-        """Which of these jobs no controller ever accepted, by the key-value store and not by our memory.
+        """Return those of these jobs that no controller has ever accepted, according to the key-value store.
 
-        Of the others the job store has afterwards that they are unfinished, or how they ended. A page of final states
-        decides every job up to its last key: single look-ups would exhaust the budget of reads for seconds.
+        Afterwards the job store knows of each other job that it is unfinished, or its final state. Final states are
+        read by the page, and a page decides all jobs up to its last key, since a look-up of each job would use up the
+        rate limit for reads for seconds.
         """
         remaining = self._not_accepted(refs)
         if not remaining:
             return []
-        # From here on the replica has all jobs that were unfinished at the call.
-        await self._replica.wait_until_current()
+        await self._replica.wait_until_current()  # now the replica has all jobs that were unfinished at the call
         remaining = self._not_accepted(remaining)
         unknown: list[str] = []
         while remaining:
@@ -104,7 +110,7 @@
         return sorted({ref for ref in refs if not self._job_store.is_accepted(ref)})
 
     async def _final_states_page(self, refs: list[str], urgency: Urgency) -> _FinalStatesPage:
-        """The final states from the first of these jobs on, which are sorted."""
+        """Read a page of final states that begins at the first of these jobs; `refs` must be sorted."""
         limit = FINAL_STATES_PER_PAGE if len(refs) > 1 else 1
         page = await self._store.page(FINAL_STATES, _key_before(FINAL_STATES + refs[0]), limit, urgency)
         entries = {entry.key.removeprefix(FINAL_STATES): entry for entry in page.items}
@@ -115,9 +121,9 @@
         return _FinalStatesPage(decided, entries)
 
     async def condition_after_acceptance(self, ref: str) -> JobCondition:
-        """What to answer for a job that was just accepted. QUEUED is what can be said now, and no promise."""
+        """Return the condition to report for a newly accepted job: CANCELLED if it is known to be so, else QUEUED."""
         try:
-            # A peer may have cancelled it as soon as it saw the record.
+            # A peer may have cancelled the job as soon as it saw the record.
             lookup = await self._look_up_waiting(ref) or await self.look_up(ref)
         except StoreUnavailableError:
             return JobCondition.QUEUED
@@ -125,7 +131,7 @@
         return JobCondition.CANCELLED if cancelled else JobCondition.QUEUED
 
     async def refresh(self, keys: Iterable[str]) -> None:
-        """Read back keys whose values are in doubt."""
+        """Read keys whose current values are uncertain from the store again."""
         for key in keys:
             entry = await self._store.get(key, Urgency.COMPLETE)
             if entry is not None:
@@ -135,7 +141,7 @@
                 await self._loop.sleep(REMOVAL_PAUSE)
 
     def view(self, ref: str, lookup: ActiveJob | FinishedJob, running: int) -> JobView:
-        """What a user is shown; `running` is how many tasks run, as last reported."""
+        """Return a job as it is shown to users; `running` is the last reported number of running tasks."""
         if isinstance(lookup, FinishedJob):
             done = lookup.state is JobState.DONE
             return JobView(ref, JobCondition.DONE.value if done else JobCondition.CANCELLED.value)
@@ -146,10 +152,10 @@
         return JobView(ref, JobCondition.QUEUED.value, done_tasks, running)
 
     async def _look_up_waiting(self, ref: str) -> ActiveJob | FinishedJob | None:
-        """A job that waits for others, as the replica has it; None if the replica has no record of it.
+        """Look up a job that waits for predecessors in the replica; None if the replica has no record of it.
 
-        It is cancelled if any job that it needs is, directly or through others, though its own record still exists.
-        Another controller may have answered so already, so predecessors that are not known here are looked up first.
+        Such a job is cancelled as soon as any job upstream of it is, even while its own record still exists. Another
+        controller may have reported that to a user already, so upstream jobs of unknown state are looked up first.
         """
         dependencies = self._job_store.dependencies
         for _ in range(MAX_LOOKUP_ROUNDS):
@@ -165,7 +171,7 @@
             if not batch:
                 return ActiveJob(record, self._replica.revision_of(JOBS + ref))
             if unknown := await self.find_unknown(batch, Urgency.READ):
-                raise StoreUnavailableError(f"{unknown[0]} is not known")
+                raise StoreUnavailableError(f"no record of upstream job {unknown[0]}")
         raise StoreUnavailableError("too many jobs to look up")
 
     async def _read_through(self, ref: str, urgency: Urgency) -> JobLookup:
@@ -184,7 +190,7 @@
     def _remember_final_state(self, ref: str, entry: KeyValueEntry) -> JobState:
         final = records.read(bytes(entry.value), FinalStateRecord)
         self._job_store.learn_final_state(ref, final, entry.revision)
-        # The record went in the same transaction. Until the watch reports that, this controller could still start a
-        # task of a job that another one has already confirmed to be cancelled.
+        # The transaction that wrote the final state removed the record. If the replica kept the record until the watch
+        # reports the removal, this controller could start a task of a job whose cancellation a peer has confirmed.
         self._replica.learn(JOBS + ref, None, entry.revision)
         return final.state
--- a/badgerroute/coordination/jobs/job_store.py
+++ b/badgerroute/coordination/jobs/job_store.py
@@ -1,6 +1,6 @@
-"""Index in memory of all jobs: their records, final states and dependencies, kept up to date by the replica.
+"""In-memory index of all jobs: their records, final states and dependencies, kept up to date by the replica.
 
-Nothing here talks to the key-value store: see `job_reader` for look-ups and `job_transaction` for writes.
+This module sends no requests to the key-value store; see `job_reader` for look-ups and `job_transaction` for writes.
 """
 
 import logging
@@ -26,7 +26,7 @@
     """The jobs that this controller knows of.
 
     Invariants: every job of `schedulable()` is in `active`; a final state, once known, never changes; a job in
-    `dependencies.cancelled` is unfinished by its own record, and its final state is certain all the same.
+    `dependencies.cancelled` still has a record of an unfinished job, but is certain to get the final state "cancelled".
     """
 
     def __init__(
@@ -39,18 +39,18 @@
         self._replica, self._publisher = replica, publisher
         self._release_listener, self._cancellation_listener = release_listener, cancellation_listener
         self.active: dict[str, JobRecord] = {}
-        self._final: OrderedDict[str, FinalState] = OrderedDict()  # the least recently learned first
-        self._missing_dependencies: set[str] = set()  # unfinished jobs that lack a page of predecessors
-        self._schedulable: dict[str, JobRecord] = {}  # unfinished jobs that do not wait for others
-        self.inherited: dict[str, Inherited] = {}  # what jobs inherit from their dependents
-        self._confirming: set[str] = set()  # jobs whose users are about to be told that they are cancelled
+        self._final: OrderedDict[str, FinalState] = OrderedDict()  # least recently learned first
+        self._missing_dependencies: set[str] = set()  # unfinished jobs of which a page is not in the replica yet
+        self._schedulable: dict[str, JobRecord] = {}  # unfinished jobs that do not wait for predecessors
+        self.inherited: dict[str, Inherited] = {}  # priority and deadline from downstream jobs
+        self._confirming: set[str] = set()  # jobs of which a user is waiting for the cancellation
         self.dependencies = Dependencies(self._final.get, self._released, self._cancelled_upstream)
-        self.pages = PageIndex(replica)  # registered first: the listeners below read it
+        self.pages = PageIndex(replica)  # registers its listeners first, because the listeners below read it
         replica.listen(PREDECESSORS, self._predecessors_changed)
         replica.listen(JOBS, self._job_changed)
         replica.listen(FINAL_STATES, self._final_state_changed)
 
-    # -- changes that the replica reports
+    # -- changes reported by the replica
 
     def _job_changed(self, key: str, value: bytes | None, revision: int) -> None:
         ref = key.removeprefix(JOBS)
@@ -74,7 +74,7 @@
             self._missing_dependencies.discard(ref)
             self.dependencies.add(ref, self.pages.predecessors(ref, record))
         else:
-            self._missing_dependencies.add(ref)  # the pages were written before the record, so they will come
+            self._missing_dependencies.add(ref)  # pages are written before the record, so they will follow
 
     def _predecessors_changed(self, key: str, value: bytes | None, revision: int) -> None:
         ref = job_of_page(key, PREDECESSORS)
@@ -85,10 +85,10 @@
         if value is not None:
             self.learn_final_state(key.removeprefix(FINAL_STATES), records.read(value, FinalStateRecord), revision)
 
-    # -- changes learned from elsewhere than the watch
+    # -- changes learned by other means than the watch
 
     def learn_final_state(self, ref: str, record: FinalStateRecord, revision: int) -> None:
-        """Keep a final state, written at this revision. These never change, so they may be answered from memory."""
+        """Remember a final state written at `revision`. Final states never change, so they may be read from memory."""
         is_new = ref not in self._final
         self._final[ref] = final = FinalState(record.state, record.at, revision)
         self._final.move_to_end(ref)
@@ -99,23 +99,23 @@
         self.dependencies.finished(ref, final)
 
     def learn_cancelled(self, ref: str, revision: int) -> None:
-        """A peer reports a job's cancellation, which this controller's watch may not show for a while."""
+        """Apply a cancellation reported by a peer, which this controller's own watch may report much later."""
         self.learn_final_state(ref, FinalStateRecord(JobState.CANCELLED, 0), revision)
         self._replica.learn(JOBS + ref, None, revision)
 
     def apply_write(self, key: str, value: bytes | None, revision: int) -> None:
-        """The key-value store has applied a write of this controller: take it in and tell the peers at once."""
+        """Apply a write of this controller, which the key-value store has applied, and push it to the peers."""
         self._replica.learn(key, value, revision)
         self._publisher.publish(key, value, revision)
 
     def forget_record(self, ref: str) -> None:
-        """The record is gone, though its final state may not be known yet: no more is written for the job."""
+        """Forget a removed record, so that nothing more is written for its job. Its final state may be unknown yet."""
         self.active.pop(ref, None)
         self._schedulable.pop(ref, None)
 
     @contextmanager
     def confirming_cancellation(self, ref: str) -> Iterator[None]:
-        """While a user of this controller waits for the confirmation that a job is cancelled."""
+        """Mark a job, within the context, as one whose cancellation a user of this controller waits for."""
         self._confirming.add(ref)
         try:
             yield
@@ -135,13 +135,14 @@
         log.info("event=job_cancelled_upstream job=%s", ref)
 
     def waits(self, ref: str) -> bool:
-        """Whether a job waits for others: until it is released, it can be looked up, and nothing else."""
+        """Return whether a job waits for predecessors. Such a job can be looked up, but must not be scheduled."""
         return ref in self._missing_dependencies or self.dependencies.waits(ref)
 
     def release_pending(self, ref: str) -> bool:
-        """Whether an unfinished job waits as far as is known here, but may have been released already.
+        """Return whether an unfinished job that waits, as far as this controller knows, may have been released already.
 
-        That is so if its predecessors are not known, or none of those it still waits for is known to be unfinished.
+        This is the case if its predecessors are not known here, or if none of those that it still waits for is known
+        to be unfinished.
         """
         if ref not in self.active or ref in self.dependencies.cancelled or not self.waits(ref):
             return False
@@ -150,39 +151,39 @@
         )
 
     def has_missing_dependencies(self, ref: str) -> bool:
-        """Whether a page that names predecessors of a job has not arrived yet."""
+        """Return whether a page with predecessors of a job is not in the replica yet."""
         return ref in self._missing_dependencies
 
     def unknown_predecessors(self) -> list[str]:
-        """Predecessors of which it is known neither that they are unfinished nor how they ended."""
+        """Return the predecessors of which this controller has neither a record nor a final state."""
         return self.dependencies.unknown(self.active)
 
-    # -- look-ups in memory
+    # -- in-memory look-ups
 
     def schedulable(self) -> Iterator[tuple[str, JobRecord]]:
-        """The unfinished jobs that do not wait for others."""
+        """Iterate over the unfinished jobs that do not wait for predecessors."""
         return iter(self._schedulable.items())
 
     def level(self, ref: str) -> int:
-        """The level of a job's own priority, or of the one that it inherits from a dependent if that is higher."""
+        """Return a job's priority level: its own, or the one inherited from a downstream job if that is higher."""
         own = self.active[ref].job.priority.level
         inherited = self.inherited.get(ref)
         return own if inherited is None else max(own, inherited.level)
 
     def effective_arrival(self, ref: str, record: JobRecord) -> float:
-        """When a job could first run, in seconds since 1970: when it was accepted, or its last predecessor was done."""
+        """Return when a job became runnable, as a Unix time: when it was accepted or its last predecessor was done."""
         return max(record.accepted, self.dependencies.released_at(ref))
 
     def done(self, ref: str, record: JobRecord) -> int:
-        """All tasks that are durably done, as a bit set."""
+        """Return the done tasks that the key-value store holds, in the job's record or its pages, as a bit set."""
         return record.done() | self.pages.done(ref)
 
     def is_accepted(self, ref: str) -> bool:
-        """Whether a job is known to have been accepted."""
+        """Return whether a job is known to have been accepted."""
         return ref in self.active or ref in self._final
 
     def final(self, ref: str) -> JobState | None:
-        """A job's final state, if it is known; a job cancelled upstream has it before its record says so."""
+        """Return a job's final state if it is known. A job cancelled upstream has one while its record still exists."""
         final = self._final.get(ref)
         if final is not None:
             return final.state
--- a/badgerroute/coordination/jobs/job_transaction.py
+++ b/badgerroute/coordination/jobs/job_transaction.py
@@ -1,4 +1,4 @@
-"""Conditional writes to the keys of jobs, which every writer of this package goes through."""
+"""Transactions on the keys of jobs, which all writers of this package use."""
 
 import msgspec
 
@@ -13,23 +13,23 @@
 from badgerroute.storage.records import FinalStateRecord
 from badgerroute.storage.replica import Replica
 
-# After any of these a background task may try again later, with fresh conditions: what it would write follows from
-# what is stored then.
+# After any of these errors a background task may retry later with new conditions, because it derives what it writes
+# from what is stored at that time.
 WRITE_ERRORS = (StoreUnavailableError, OutcomeUnknownError, CompareFailedError, LeaseExpiredError)
 
 
 class JobTransaction:
-    """One transaction in the making. Once it is applied, the job store and the peers learn of its changes at once."""
+    """Builds and commits one transaction, and then passes its changes to the job store and the peers at once."""
 
     def __init__(self, store: KeyValueClient, replica: Replica, job_store: JobStore) -> None:
         self._store, self._replica, self._job_store = store, replica, job_store
         self._conditions: dict[str, Compare] = {}  # by key
         self._changes: list[Put | Remove] = []
-        self._results: list[tuple[str, bytes | None]] = []  # keys with their values afterwards; None: removed
-        self.value_bytes = 0  # of all values together
+        self._results: list[tuple[str, bytes | None]] = []  # key and new value, or None if removed
+        self.value_bytes = 0  # total size of the values
 
     def __len__(self) -> int:
-        """How many changes there are."""
+        """Return the number of changes."""
         return len(self._changes)
 
     @property
@@ -38,34 +38,35 @@
         return [key for key, _ in self._results]
 
     def require(self, condition: Compare) -> None:
-        """Make the transaction conditional; another condition on the same key is replaced."""
+        """Add a condition. It replaces any earlier condition on the same key."""
         self._conditions[condition.key] = condition
 
     def require_unchanged(self, key: str) -> None:
-        """Make the transaction conditional on the key being as the replica has it, or as absent."""
+        """Require that the key has the same revision as in the replica, or is absent if it is absent there."""
         self.require(compare(key, self._replica.revision_of(key)))
 
     def put(self, key: str, value: msgspec.Raw) -> None:
-        """Write a key."""
+        """Add a change that writes a key."""
         data = bytes(value)
         self._changes.append(put(key, value))
         self._results.append((key, data))
         self.value_bytes += len(data)
 
     def remove(self, key: str) -> None:
-        """Remove a key."""
+        """Add a change that removes a key."""
         self._changes.append(remove(key))
         self._results.append((key, None))
 
     def finish_job(self, ref: str, final: FinalStateRecord) -> None:
-        """Replace a job's record by its final state: two changes, which no controller ever sees apart."""
+        """Replace a job's record by its final state: two changes, which no controller ever observes separately."""
         self.remove(JOBS + ref)
         self.put(FINAL_STATES + ref, records.write(final))
 
     async def commit(self, urgency: Urgency) -> int:
-        """Send the transaction; the revision at which it was applied.
+        """Send the transaction and return the revision at which it was applied.
 
-        Raises the errors of `KeyValueClient.transact`; of these only OutcomeUnknownError leaves open whether it was.
+        Raises the errors of `KeyValueClient.transact`. After OutcomeUnknownError the transaction may or may not have
+        been applied; after all others it was not.
         """
         revision = await self._store.transact(list(self._conditions.values()), self._changes, urgency)
         for key, value in self._results:
--- a/badgerroute/coordination/jobs/job_writer.py
+++ b/badgerroute/coordination/jobs/job_writer.py
@@ -1,4 +1,4 @@
-"""Accepting and cancelling jobs, as users ask for it."""
+"""Accepts and cancels jobs on request of users."""
 
 import logging
 
@@ -30,7 +30,7 @@
 
 
 class JobWriter:
-    """Accepts and cancels jobs; each is final once its method has returned."""
+    """Accepts and cancels jobs. The result is durable when a method returns."""
 
     def __init__(
         self,
@@ -54,10 +54,11 @@
     # -- accepting
 
     async def accept(self, job: Submission, ranges: list[TaskRange]) -> bool:
-        """Store a new job, with the shards that own its tasks. False: it is stored already, by whomever.
+        """Store a new job with the shards that own its tasks, and return whether this call stored it.
 
-        Raises RecordTooLargeError if it can never be stored; StoreUnavailableError if it is not stored, and
-        OutcomeUnknownError if it may be: after these two the user may submit the same again.
+        Returns False if the job was stored already, by this or another controller. Raises RecordTooLargeError if the
+        job can never be stored, StoreUnavailableError if it was not stored, and OutcomeUnknownError if it may have
+        been. After the latter two the user may submit the job again.
         """
         compact = self._pager.compact(self._new_record(job, ranges))
         absent = [compare(JOBS + job.ref, 0), compare(FINAL_STATES + job.ref, 0)]
@@ -75,7 +76,7 @@
             return False
         except RequestRefusedError as error:
             if error.by_size:
-                raise  # the next attempt sends less
+                raise  # the client has lowered its size limits, so the next attempt sends less
             raise RecordTooLargeError(f"the state service does not take it: {error}") from None
         return True
 
@@ -85,11 +86,12 @@
         return JobRecord(job, self._today(), ranges)
 
     async def _write_pages(self, pages: list[KeyValue], absent: list[Compare]) -> list[Compare]:
-        """Write a new job's pages before its record, so that whoever sees that has them; conditions on these pages.
+        """Write a new job's pages, and return the conditions that the job's record has to be written under.
 
-        Only as long as there is no such job: a page applied late would change the predecessors of an accepted one.
-        And the record is written only if the pages are still those: another controller may have written others, for a
-        repeated submission with another list, or have removed them.
+        The pages are written before the record, so that every controller that sees the record has its pages. They are
+        written only if no such job exists, because a page that is applied late would change the predecessors of an
+        accepted job. The conditions say that the pages are unchanged when the record is written: in between, another
+        controller may have removed them, or overwritten them for a repeated submission with other predecessors.
         """
         conditions: list[Compare] = []
         for first in range(0, len(pages), self._store.max_changes):
@@ -106,10 +108,10 @@
     # -- cancelling
 
     async def cancel(self, ref: str) -> JobState:
-        """Cancel a job, unless it is over already; its final state.
+        """Cancel a job unless it has a final state already, and return its final state.
 
-        Raises UnknownJobError if nobody submitted such a job, StoreUnavailableError if nothing was done, and
-        OutcomeUnknownError if it may have been: the user asks again, and what is read back then is the answer.
+        Raises UnknownJobError if no such job was accepted, StoreUnavailableError if the job was not cancelled, and
+        OutcomeUnknownError if it may have been. The user then repeats the request, which looks the job up again.
         """
         with self._job_store.confirming_cancellation(ref):
             return await self._cancel(ref)
@@ -127,7 +129,7 @@
             try:
                 await transaction.commit(Urgency.CANCEL)
             except CompareFailedError:
-                continue  # progress was written in between
+                continue  # the job's progress was written between the look-up and the commit
             log.info("event=job_cancelled job=%s", ref)
             return JobState.CANCELLED
         raise StoreUnavailableError("too much changes at once")
--- a/badgerroute/coordination/jobs/page_garbage_collector.py
+++ b/badgerroute/coordination/jobs/page_garbage_collector.py
@@ -1,4 +1,4 @@
-"""Background task that removes pages without a record: of jobs that are over, or whose submission was cut short."""
+"""Background task that removes orphaned pages, of jobs that have ended or whose submission was interrupted."""
 
 import logging
 from datetime import timedelta
@@ -16,18 +16,18 @@
 
 log = logging.getLogger(__name__)
 INTERVAL = timedelta(seconds=10)
-MIN_AGE = timedelta(seconds=60)  # pages are written before their job's record, which may still come
+MIN_AGE = timedelta(seconds=60)  # a job's pages are written before its record, which may still follow
 
 
 class GarbageCollectionPermission(Protocol):
-    """Says which controller collects garbage, so that they don't all do."""
+    """Tells whether this controller collects garbage, so that only one controller does."""
 
     def may_collect_garbage(self) -> bool:
-        """Whether this controller may remove pages now."""
+        """Return whether this controller may remove pages now."""
 
 
 class PageGarbageCollector:
-    """Removes the pages of jobs that have had no record for a while."""
+    """Removes the pages of jobs that have had no record for at least `MIN_AGE`."""
 
     def __init__(
         self,
@@ -41,10 +41,10 @@
     ) -> None:
         self._loop, self._store, self._replica = loop, store, replica
         self._job_store, self._job_reader, self._permission = job_store, job_reader, permission
-        self._orphaned_since: dict[str, timedelta] = {}  # jobs with pages and without a record
+        self._orphaned_since: dict[str, timedelta] = {}  # job with pages but no record -> when first seen
 
     async def run(self) -> None:
-        """Collect garbage, for ever."""
+        """Collect garbage in an endless loop."""
         while True:
             await self._loop.sleep(INTERVAL)
             due = self._due()
@@ -63,7 +63,7 @@
         return [ref for ref, since in self._orphaned_since.items() if now - since >= MIN_AGE]
 
     async def _remove_pages(self, ref: str) -> None:
-        """Remove as many of a job's pages as one transaction takes; the next round removes the others."""
+        """Remove as many of a job's pages as fit into one transaction. Later rounds remove the rest."""
         if isinstance(await self._job_reader.look_up(ref, Urgency.PROGRESS), ActiveJob):
             return
         keys = sorted(self._job_store.pages.keys(ref))[: self._store.max_changes]
@@ -72,4 +72,4 @@
         conditions = [compare(key, self._replica.revision_of(key)) for key in keys]
         revision = await self._store.transact(conditions, [remove(key) for key in keys], Urgency.PROGRESS)
         for key in keys:
-            self._replica.learn(key, None, revision)  # nobody acts on it, so it is not pushed to the peers
+            self._replica.learn(key, None, revision)  # not pushed to the peers, since nothing acts on the removal
--- a/badgerroute/coordination/jobs/page_index.py
+++ b/badgerroute/coordination/jobs/page_index.py
@@ -1,4 +1,4 @@
-"""Index of the pages: keys that hold what does not fit into the records of their jobs."""
+"""In-memory index of pages: keys that hold the parts of a job's data that do not fit into its record."""
 
 from collections.abc import Iterable
 
@@ -10,47 +10,48 @@
 
 
 def page_key(prefix: str, ref: str, number: int) -> str:
-    """The key of a page of a job: `prefix` is DONE or PREDECESSORS."""
+    """Return the key of a job's page; `prefix` is DONE or PREDECESSORS."""
     return f"{prefix}{ref}/{number}"
 
 
 class PageIndex:
-    """The page keys of each job, and the done tasks that the pages hold. Kept up to date by the replica.
+    """Holds the page keys of each job and the done tasks stored in its pages, kept up to date by the replica.
 
-    A page is written before the record that needs it, so a job may have pages and no record, for a while or for ever.
+    A page is written before the record that refers to it, so a job may have pages but no record: temporarily, or
+    permanently if its submission was interrupted.
     """
 
     def __init__(self, replica: Replica) -> None:
         self._replica = replica
-        self._keys: dict[str, set[str]] = {}  # job -> keys of its pages
-        self._done: dict[str, int] = {}  # job -> the done tasks on its pages, as a bit set
+        self._keys: dict[str, set[str]] = {}  # job -> its page keys
+        self._done: dict[str, int] = {}  # job -> the done tasks stored in its pages, as a bit set
         replica.listen(DONE, self._done_page_changed)
         replica.listen(PREDECESSORS, self._predecessors_page_changed)
 
     def jobs(self) -> Iterable[str]:
-        """The jobs that have pages."""
+        """Return the jobs that have pages."""
         return self._keys
 
     def keys(self, ref: str) -> Iterable[str]:
-        """The keys of a job's pages."""
+        """Return the keys of a job's pages."""
         return self._keys.get(ref, ())
 
     def done(self, ref: str) -> int:
-        """The done tasks that a job's pages hold, as a bit set."""
+        """Return the done tasks stored in a job's pages, as a bit set."""
         return self._done.get(ref, 0)
 
     def forget_done(self, ref: str) -> None:
-        """The job is over: nobody asks for its tasks any more."""
+        """Forget the done tasks of a job that has ended, since they are no longer read."""
         self._done.pop(ref, None)
 
     def has_predecessors(self, ref: str, record: JobRecord) -> bool:
-        """Whether all pages are there that name a job's predecessors."""
+        """Return whether the replica holds all pages with a job's predecessors."""
         return all(
             self._replica.value(page_key(PREDECESSORS, ref, number)) is not None for number in range(record.pages)
         )
 
     def predecessors(self, ref: str, record: JobRecord) -> list[str]:
-        """A job's predecessors, of its record and of its pages, which must all be there."""
+        """Return a job's predecessors from its record and its pages, all of which must be in the replica."""
         predecessors = list(record.job.predecessors or ())
         for number in range(record.pages):
             page = self._replica.stored(page_key(PREDECESSORS, ref, number))
@@ -79,5 +80,5 @@
 
 
 def job_of_page(key: str, prefix: str) -> str:
-    """The job that a page belongs to."""
+    """Return the job that a page belongs to."""
     return key.removeprefix(prefix).rpartition("/")[0]
--- a/badgerroute/coordination/jobs/peer_messaging.py
+++ b/badgerroute/coordination/jobs/peer_messaging.py
@@ -1,36 +1,36 @@
-"""How this package reaches the other controllers: the messenger that it needs, and the broadcast of applied writes."""
+"""Communication with other controllers: the messenger protocol, and the broadcast of applied writes."""
 
 from collections.abc import Callable
 from typing import Protocol
 
 from badgerroute.protocol.mesh import Message, Push
 
-Publish = Callable[[str, bytes | None, int], None]  # `ChangePublisher.publish`: key, value, revision
+Publish = Callable[[str, bytes | None, int], None]  # signature of `ChangePublisher.publish`: key, value, revision
 
 
 class PeerMessenger(Protocol):
     """Sends messages to other controllers. Delivery is not guaranteed."""
 
     def send(self, host: str, message: Message) -> None:
-        """Send a message to one controller."""
+        """Send a message to one controller, `host`."""
 
     def broadcast(self, message: Message) -> None:
         """Send a message to all other controllers."""
 
 
 class ChangePublisher(Protocol):
-    """Is given every write of this controller that the key-value store has applied."""
+    """Receives every write of this controller that the key-value store has applied."""
 
     def publish(self, key: str, value: bytes | None, revision: int) -> None:
-        """A key has this value since a revision; a value of None: it was removed."""
+        """Publish that a key got this value at `revision`, or was removed if the value is None."""
 
 
 class ChangeBroadcast:
-    """Pushes applied writes to all peers, which so learn of them before their watches report them."""
+    """Pushes applied writes to all peers, so that they learn of them before their watches report them."""
 
     def __init__(self, messenger: PeerMessenger) -> None:
         self._messenger = messenger
 
     def publish(self, key: str, value: bytes | None, revision: int) -> None:
-        """Push one write; see `ChangePublisher`."""
+        """Push one write to all peers; see `ChangePublisher`."""
         self._messenger.broadcast(Push(key, revision, value))
--- a/badgerroute/coordination/jobs/progress_writer.py
+++ b/badgerroute/coordination/jobs/progress_writer.py
@@ -1,4 +1,4 @@
-"""Makes the progress of jobs durable: their done tasks, and their final states once all tasks are done."""
+"""Writes the progress of jobs to the key-value store: done tasks, and the final state once all tasks are done."""
 
 import logging
 from collections.abc import Callable
@@ -18,17 +18,18 @@
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
-MAX_TRANSACTION_BYTES = 40_000  # of a transaction's 64 KiB
+MAX_TRANSACTION_BYTES = 40_000  # no further job is added beyond this; a transaction may have 64 KiB
 MAX_PROGRESS_TRIES = 5
-CHANGES_OF_A_COMPLETION = 2  # a record removed, a final state put
+CHANGES_OF_A_COMPLETION = 2  # the record is removed and the final state is put
 
-# The condition under which this controller leads a shard; None: it does not.
+# Returns the condition under which a transaction applies only while this controller leads a shard, or None if it does
+# not lead that shard.
 LeadershipCheck = Callable[[int], Compare | None]
 
 
 @dataclass(slots=True)
 class Progress:
-    """Newly done tasks of one job, as a bit set, with the shards that reported them."""
+    """Newly done tasks of one job, as a bit set, and the shards that reported them."""
 
     ref: str
     done: int
@@ -37,14 +38,14 @@
 
 @dataclass(slots=True)
 class ProgressTransaction:
-    """A transaction of progress, and the jobs that it completes."""
+    """A transaction that writes progress, and the jobs that it completes."""
 
     transaction: JobTransaction
     completed: list[JobRecord] = field(default_factory=list)
 
 
 class ProgressWriter:
-    """Writes progress for the leaders of this controller's shards."""
+    """Writes progress on behalf of the shard leaders of this controller."""
 
     def __init__(
         self,
@@ -63,10 +64,10 @@
         return self._loop.clock.today().timestamp()
 
     async def write_progress(self, batch: list[Progress], leadership_check: LeadershipCheck) -> None:
-        """Write done tasks and completed jobs, in one transaction; what does not fit it is left for the next call.
+        """Write done tasks and completed jobs in one transaction. What does not fit is left for the next call.
 
-        Raises StoreUnavailableError if nothing was written. Progress that was not written stays with its leader, which
-        passes it again.
+        Raises StoreUnavailableError if nothing was written. Each shard leader keeps its progress until it is stored,
+        and passes the rest again.
         """
         for _ in range(MAX_PROGRESS_TRIES):
             progress = self._transaction(batch, leadership_check)
@@ -95,7 +96,7 @@
             conditions = [leadership_check(shard) for shard in progress.shards]
             leaderships = [condition for condition in conditions if condition is not None]
             if record is None or len(leaderships) < len(progress.shards):
-                continue  # cancelled meanwhile, or the shard has another leader now
+                continue  # the job was cancelled meanwhile, or another controller leads the shard now
             for condition in leaderships:
                 transaction.require(condition)
             transaction.require_unchanged(JOBS + progress.ref)
--- a/badgerroute/coordination/jobs/record_paging.py
+++ b/badgerroute/coordination/jobs/record_paging.py
@@ -1,4 +1,4 @@
-"""Keeps the records of jobs within the size limit of a value: what does not fit goes to further keys, the pages."""
+"""Keeps job records within the size limit of a value by moving what does not fit to further keys, called pages."""
 
 import logging
 from collections.abc import Container
@@ -22,18 +22,18 @@
 
 log = logging.getLogger(__name__)
 MAX_PREDECESSORS = 1000
-CONDITIONS_OF_A_NEW_JOB = 2  # neither a record nor a final state exists
-# The same in every controller, since each may write a page of a repeated submission.
+CONDITIONS_OF_A_NEW_JOB = 2  # no record exists, and no final state
+# Must be the same in all controllers, since any of them may write a page of a repeated submission.
 PREDECESSORS_PER_PAGE = 24
 
 
 class RecordTooLargeError(Exception):
-    """A job can never be stored. The text says why, for its user, who may submit a smaller one."""
+    """A job can never be stored. The text is sent to the user, who may submit a smaller job."""
 
 
 @dataclass(frozen=True, slots=True)
 class KeyValue:
-    """A key and the value that is to be written to it."""
+    """A key and the value to write to it."""
 
     key: str
     value: msgspec.Raw
@@ -46,14 +46,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CompactRecord:
-    """A record that fits the size limit, and the pages for what did not fit."""
+    """A record that fits the size limit, and pages with what did not fit into it."""
 
     record: JobRecord
     pages: list[KeyValue]
 
 
 class RecordPager:
-    """Splits records into records and pages. `known_types` are the names of the machine types that the cloud has."""
+    """Splits large records into a record and pages. `known_types` are the names of the machine types in the cloud."""
 
     def __init__(
         self, store: KeyValueClient, replica: Replica, job_store: JobStore, known_types: Container[str]
@@ -61,19 +61,22 @@
         self._store, self._replica, self._job_store, self._known_types = store, replica, job_store, known_types
 
     def fits(self, record: JobRecord) -> bool:
-        """Whether a record may be written as it is."""
+        """Return whether a record fits the current size limit of a value."""
         return len(bytes(records.write(record))) <= self._store.max_value_bytes
 
     @property
     def max_predecessors(self) -> int:
-        """How many predecessors a job may have: its record is written on condition of each of their pages."""
+        """The number of predecessors that a job may have.
+
+        It is limited because the record is written with one condition for each page of predecessors.
+        """
         return min(MAX_PREDECESSORS, PREDECESSORS_PER_PAGE * (self._store.max_conditions - CONDITIONS_OF_A_NEW_JOB))
 
     def compact(self, record: JobRecord) -> CompactRecord:
-        """A new job's record, with its predecessors on pages if they do not fit.
+        """Return a new job's record, with its predecessors in pages if they do not fit into the record.
 
-        Raises RecordTooLargeError if it never fits; StoreUnavailableError if it does not while the key-value store
-        refuses values that its announced limits allow.
+        Raises RecordTooLargeError if the record exceeds the announced size limit of the key-value store, and
+        StoreUnavailableError if it exceeds only the lower limit that applies while the store refuses large values.
         """
         pages: list[KeyValue] = []
         if record.job.predecessors and not self.fits(record):
@@ -98,16 +101,16 @@
         ]
 
     def _without_unknown_types(self, record: JobRecord) -> JobRecord:
-        """Drop the machine types that the cloud lacks, if the record is too large with them."""
+        """Return the record without machine types that the cloud does not have, if it is too large with them."""
         types = [name for name in record.job.types or () if name in self._known_types]
         if not types or self.fits(record):
             return record
         return msgspec.structs.replace(record, job=msgspec.structs.replace(record.job, types=types))
 
     def progress(self, ref: str, record: JobRecord, durable: int, done: int) -> list[KeyValue]:
-        """What to write when the done tasks grow from `durable` to `done`, both bit sets.
+        """Return the writes that extend the stored done tasks from `durable` to `done`, which are both bit sets.
 
-        That is the record, or pages if the record would become too large.
+        These are a write of the record, or writes of pages if the record would become too large.
         """
         whole = record.with_done(done)
         if self.fits(whole):
@@ -129,10 +132,11 @@
         return KeyValue(page_key(DONE, ref, number), records.write(DonePage(pack(bits))))
 
     async def page_out(self, ref: str) -> None:
-        """Shrink a record that an older version left too large to be written again.
+        """Shrink a record that an older version wrote and that is too large to be written again.
 
-        The bits of done tasks go to pages, in as many writes as it takes, and the record itself last. Until then it
-        holds them too, and from then on the pages do, so none is lost wherever this stops. Any controller may do it.
+        The bits of done tasks are moved to pages, in as many transactions as needed, and the record is rewritten last.
+        The record holds the bits until the pages do, so none is lost if this is interrupted. Any controller may do
+        this.
         """
         record, revision = self._job_store.active.get(ref), self._replica.revision_of(JOBS + ref)
         if record is None:
@@ -153,7 +157,7 @@
         log.info("event=record_paged_out job=%s pages=%d", ref, len(pages))
 
     def _missing_pages(self, ref: str, record: JobRecord, done: int) -> list[KeyValue]:
-        """Pages of the done tasks that no page has yet."""
+        """Return the pages to write for done tasks that are in no page yet."""
         paged = self._job_store.pages.done(ref)
         first = records.trailing_ones(done) // PAGE_TASKS
         return [
@@ -163,7 +167,7 @@
         ]
 
     async def _write(self, ref: str, revision: int, changes: list[KeyValue]) -> None:
-        """Write pages of a job, or at last its record, as long as that has this revision."""
+        """Write pages of a job, and possibly its record, on condition that the record still has `revision`."""
         transaction = JobTransaction(self._store, self._replica, self._job_store)
         transaction.require(compare(JOBS + ref, revision))
         for change in changes:
--- a/badgerroute/coordination/jobs/subsystem.py
+++ b/badgerroute/coordination/jobs/subsystem.py
@@ -1,4 +1,4 @@
-"""Builds what reads and writes the jobs in the key-value store."""
+"""Builds the objects that read and write jobs in the key-value store."""
 
 from collections.abc import Container
 from dataclasses import dataclass
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobsSubsystem:
-    """`store` is what is known of all jobs in memory; the rest reads and writes their records."""
+    """The objects of this package. `store` is the in-memory index of all jobs."""
 
     change_broadcast: ChangeBroadcast
     cancellation_broadcast: CancellationBroadcast
@@ -46,7 +46,7 @@
     garbage_collection_permission: GarbageCollectionPermission,
     known_types: Container[str],
 ) -> JobsSubsystem:
-    """`known_types` are the names of the machine types there are."""
+    """Build the subsystem. `known_types` are the names of the machine types in the cloud."""
     replica = storage.replica
     peers = [peer.host_name for peer in settings.platform.peers]
     change_broadcast = ChangeBroadcast(messenger)
--- a/badgerroute/coordination/jobs/upstream_resolver.py
+++ b/badgerroute/coordination/jobs/upstream_resolver.py
@@ -1,4 +1,4 @@
-"""Background task that finds out how the predecessors of waiting jobs ended."""
+"""Background task that looks up the final states of predecessors of waiting jobs."""
 
 import logging
 from datetime import timedelta
@@ -12,14 +12,14 @@
 log = logging.getLogger(__name__)
 INTERVAL = timedelta(milliseconds=200)
 RETRY_PAUSE = 5 * INTERVAL
-REPEAT_INTERVAL = timedelta(seconds=2)  # before the same predecessor is looked up again
+REPEAT_INTERVAL = timedelta(seconds=2)  # until the same predecessor is looked up again
 MAX_LOOKUPS_PER_ROUND = 500
 
 
 class UpstreamResolver:
-    """Looks up predecessors whose final states this controller does not know.
+    """Looks up predecessors of which this controller has neither a record nor a final state.
 
-    The watch does not report jobs that were over before a start, and messages of peers may be lost.
+    The watch does not report jobs that ended before this controller started, and messages from peers may be lost.
     """
 
     def __init__(self, loop: Loop, job_store: JobStore, job_reader: JobReader) -> None:
@@ -27,7 +27,7 @@
         self._looked_up: dict[str, timedelta] = {}  # predecessor -> when it was last looked up
 
     async def run(self) -> None:
-        """Look up unknown predecessors, for ever. The job store learns the results."""
+        """Look up unknown predecessors in an endless loop, which adds the results to the job store."""
         while True:
             await self._loop.sleep(INTERVAL)
             unknown = self._due()
