--- a/badgerroute/coordination/jobs/cancellation_broadcast.py
+++ b/badgerroute/coordination/jobs/cancellation_broadcast.py
@@ -48,20 +48,20 @@
         # peer -> job ref -> unacknowledged cancellation, oldest first
         self._unacknowledged: dict[str, dict[str, _UnacknowledgedCancellation]] = {host: {} for host in peers}
 
-    def job_cancelled(self, ref: str, revision: int, confirming: bool) -> None:
+    def job_cancelled(self, ref: str, revision: int, awaited_by_user: bool) -> None:
         """Queue a job's cancellation for all peers; `revision` is the revision of its final state.
 
-        If `confirming` is set, a user is waiting for the confirmation, so the peers are notified at once, before the
-        user is answered.
+        If `awaited_by_user` is set, a user is waiting for the confirmation, so the peers are notified at once, before
+        the user is answered.
         """
         now = self._loop.now()
         for host, pending in self._unacknowledged.items():
             if ref in pending:
                 continue
-            pending[ref] = _UnacknowledgedCancellation(revision, now, now if confirming else None)
+            pending[ref] = _UnacknowledgedCancellation(revision, now, now if awaited_by_user else None)
             if len(pending) > MAX_UNACKNOWLEDGED_CANCELLATIONS:
                 del pending[next(iter(pending))]
-            if confirming:
+            if awaited_by_user:
                 self._messenger.send(host, CancellationNotice(self._own_host, [(ref, revision)]))
 
     def acknowledged(self, host: str, refs: Iterable[str]) -> None:
--- a/badgerroute/coordination/jobs/downstream_cancellation.py
+++ b/badgerroute/coordination/jobs/downstream_cancellation.py
@@ -60,7 +60,7 @@
         """Write due final states in an endless loop."""
         while True:
             await self._loop.sleep(INTERVAL)
-            due = self._due()
+            due = self._jobs_due()
             while due:
                 batch_size = max(1, self._store.max_changes // CHANGES_PER_JOB)
                 batch, due = due[:batch_size], due[batch_size:]
@@ -71,12 +71,12 @@
                     await self._loop.sleep(RETRY_PAUSE)
                     break
 
-    def _due(self) -> list[str]:
+    def _jobs_due(self) -> list[str]:
         now, cancelled = self._loop.now(), self._job_store.dependencies.cancelled
         self._cancelled_since = {ref: self._cancelled_since.get(ref, now) for ref in cancelled}
-        return [ref for ref, since in self._cancelled_since.items() if now - since >= self._delay(ref)]
+        return [ref for ref, first_seen in self._cancelled_since.items() if now - first_seen >= self._write_delay(ref)]
 
-    def _delay(self, ref: str) -> timedelta:
+    def _write_delay(self, ref: str) -> timedelta:
         record = self._job_store.active.get(ref)
         if record is not None and record.assigned and record.assigned[0].shard in self._leadership_state.leaderships:
             return ZERO
@@ -86,11 +86,11 @@
         jobs = self._unfinished(refs)
         if not jobs:
             return
-        today = self._loop.clock.today().timestamp()
+        finished_at = self._loop.clock.today().timestamp()
         transaction = JobTransaction(self._store, self._replica, self._job_store)
         for ref, record in jobs.items():
             transaction.require_unchanged(JOBS + ref)
-            transaction.finish_job(ref, FinalStateRecord(JobState.CANCELLED, record.job.tasks, today))
+            transaction.finish_job(ref, FinalStateRecord(JobState.CANCELLED, record.job.tasks, finished_at))
         await transaction.commit(Urgency.COMPLETE)
         log.info("event=downstream_jobs_cancelled jobs=%s", ",".join(jobs))
 
--- a/badgerroute/coordination/jobs/job_listeners.py
+++ b/badgerroute/coordination/jobs/job_listeners.py
@@ -13,8 +13,8 @@
 class CancellationListener(Protocol):
     """Is notified of cancelled jobs."""
 
-    def job_cancelled(self, ref: str, revision: int, confirming: bool) -> None:
+    def job_cancelled(self, ref: str, revision: int, awaited_by_user: bool) -> None:
         """Handle a job whose final state, written at `revision`, is "cancelled".
 
-        If `confirming` is set, a user of this controller is waiting for the confirmation of the cancellation.
+        If `awaited_by_user` is set, a user of this controller is waiting for the confirmation of the cancellation.
         """
--- a/badgerroute/coordination/jobs/job_reader.py
+++ b/badgerroute/coordination/jobs/job_reader.py
@@ -63,7 +63,7 @@
         lookup = await self._read_through(ref, urgency)
         if not isinstance(lookup, UnknownJob) and self._job_store.waits(ref):
             await self._replica.wait_until_current()
-            return await self._look_up_waiting(ref) or await self._read_through(ref, urgency)
+            return await self._look_up_waiting_job(ref) or await self._read_through(ref, urgency)
         return lookup
 
     async def look_up_replicated(self, ref: str) -> JobLookup:
@@ -72,7 +72,7 @@
         if final is None:
             await self._replica.wait_until_current()
             if self._job_store.waits(ref):
-                lookup = await self._look_up_waiting(ref)
+                lookup = await self._look_up_waiting_job(ref)
                 if lookup is not None:
                     return lookup
             final = self._job_store.final(ref)
@@ -114,8 +114,8 @@
         limit = FINAL_STATES_PER_PAGE if len(refs) > 1 else 1
         page = await self._store.page(FINAL_STATES, _key_before(FINAL_STATES + refs[0]), limit, urgency)
         entries = {entry.key.removeprefix(FINAL_STATES): entry for entry in page.items}
-        last = max(entries, default="")
-        decided = [ref for ref in refs if ref <= last] if page.more else refs
+        last_ref = max(entries, default="")
+        decided = [ref for ref in refs if ref <= last_ref] if page.more else refs
         if not decided:
             raise StoreUnavailableError("an empty page that is not the last")
         return _FinalStatesPage(decided, entries)
@@ -124,7 +124,7 @@
         """Return the condition to report for a newly accepted job: CANCELLED if it is known to be so, else QUEUED."""
         try:
             # A peer may have cancelled the job as soon as it saw the record.
-            lookup = await self._look_up_waiting(ref) or await self.look_up(ref)
+            lookup = await self._look_up_waiting_job(ref) or await self.look_up(ref)
         except StoreUnavailableError:
             return JobCondition.QUEUED
         cancelled = isinstance(lookup, FinishedJob) and lookup.state is JobState.CANCELLED
@@ -151,7 +151,7 @@
             return JobView(ref, JobCondition.RUNNING.value, done_tasks, running)
         return JobView(ref, JobCondition.QUEUED.value, done_tasks, running)
 
-    async def _look_up_waiting(self, ref: str) -> ActiveJob | FinishedJob | None:
+    async def _look_up_waiting_job(self, ref: str) -> ActiveJob | FinishedJob | None:
         """Look up a job that waits for predecessors in the replica; None if the replica has no record of it.
 
         Such a job is cancelled as soon as any job upstream of it is, even while its own record still exists. Another
@@ -164,7 +164,7 @@
                 return None
             if ref in dependencies.cancelled:
                 return FinishedJob(JobState.CANCELLED)
-            if self._job_store.has_missing_dependencies(ref):
+            if self._job_store.lacks_predecessor_pages(ref):
                 raise StoreUnavailableError("what the job waits for is not known yet")
             undetermined = dependencies.unknown_ancestors(ref, self._job_store.active)
             batch = list(islice(undetermined, MAX_LOOKUPS_PER_ROUND))
--- a/badgerroute/coordination/jobs/job_store.py
+++ b/badgerroute/coordination/jobs/job_store.py
@@ -39,12 +39,12 @@
         self._replica, self._publisher = replica, publisher
         self._release_listener, self._cancellation_listener = release_listener, cancellation_listener
         self.active: dict[str, JobRecord] = {}
-        self._final: OrderedDict[str, FinalState] = OrderedDict()  # least recently learned first
-        self._missing_dependencies: set[str] = set()  # unfinished jobs of which a page is not in the replica yet
+        self._final_states: OrderedDict[str, FinalState] = OrderedDict()  # least recently learned first
+        self._lacking_predecessor_pages: set[str] = set()  # unfinished jobs of which a page is not in the replica yet
         self._schedulable: dict[str, JobRecord] = {}  # unfinished jobs that do not wait for predecessors
         self.inherited: dict[str, Inherited] = {}  # priority and deadline from downstream jobs
-        self._confirming: set[str] = set()  # jobs of which a user is waiting for the cancellation
-        self.dependencies = Dependencies(self._final.get, self._released, self._cancelled_upstream)
+        self._awaited_cancellations: set[str] = set()  # jobs of which a user is waiting for the cancellation
+        self.dependencies = Dependencies(self._final_states.get, self._on_released, self._on_cancelled_upstream)
         self.pages = PageIndex(replica)  # registers its listeners first, because the listeners below read it
         replica.listen(PREDECESSORS, self._predecessors_changed)
         replica.listen(JOBS, self._job_changed)
@@ -66,19 +66,19 @@
     def _remove(self, ref: str) -> None:
         self.forget_record(ref)
         self.pages.forget_done(ref)
-        self._missing_dependencies.discard(ref)
+        self._lacking_predecessor_pages.discard(ref)
         self.dependencies.remove(ref)
 
     def _add_dependencies(self, ref: str, record: JobRecord) -> None:
         if self.pages.has_predecessors(ref, record):
-            self._missing_dependencies.discard(ref)
+            self._lacking_predecessor_pages.discard(ref)
             self.dependencies.add(ref, self.pages.predecessors(ref, record))
         else:
-            self._missing_dependencies.add(ref)  # pages are written before the record, so they will follow
+            self._lacking_predecessor_pages.add(ref)  # pages are written before the record, so they will follow
 
     def _predecessors_changed(self, key: str, value: bytes | None, revision: int) -> None:
         ref = job_of_page(key, PREDECESSORS)
-        if ref in self._missing_dependencies:
+        if ref in self._lacking_predecessor_pages:
             self._add_dependencies(ref, self.active[ref])
 
     def _final_state_changed(self, key: str, value: bytes | None, revision: int) -> None:
@@ -89,13 +89,13 @@
 
     def learn_final_state(self, ref: str, record: FinalStateRecord, revision: int) -> None:
         """Remember a final state written at `revision`. Final states never change, so they may be read from memory."""
-        is_new = ref not in self._final
-        self._final[ref] = final = FinalState(record.state, record.at, revision)
-        self._final.move_to_end(ref)
-        if len(self._final) > MAX_FINAL_STATES_REMEMBERED:
-            self._final.popitem(last=False)
+        is_new = ref not in self._final_states
+        self._final_states[ref] = final = FinalState(record.state, record.at, revision)
+        self._final_states.move_to_end(ref)
+        if len(self._final_states) > MAX_FINAL_STATES_REMEMBERED:
+            self._final_states.popitem(last=False)
         if is_new and final.state is JobState.CANCELLED:
-            self._cancellation_listener.job_cancelled(ref, revision, ref in self._confirming)
+            self._cancellation_listener.job_cancelled(ref, revision, ref in self._awaited_cancellations)
         self.dependencies.finished(ref, final)
 
     def learn_cancelled(self, ref: str, revision: int) -> None:
@@ -116,27 +116,27 @@
     @contextmanager
     def confirming_cancellation(self, ref: str) -> Iterator[None]:
         """Mark a job, within the context, as one whose cancellation a user of this controller waits for."""
-        self._confirming.add(ref)
+        self._awaited_cancellations.add(ref)
         try:
             yield
         finally:
-            self._confirming.discard(ref)
+            self._awaited_cancellations.discard(ref)
 
     # -- dependencies
 
-    def _released(self, ref: str) -> None:
+    def _on_released(self, ref: str) -> None:
         record = self.active.get(ref)
         if record is not None:
             self._schedulable[ref] = record
         self._release_listener.job_released(ref)
 
     @staticmethod
-    def _cancelled_upstream(ref: str) -> None:
+    def _on_cancelled_upstream(ref: str) -> None:
         log.info("event=job_cancelled_upstream job=%s", ref)
 
     def waits(self, ref: str) -> bool:
         """Return whether a job waits for predecessors. Such a job can be looked up, but must not be scheduled."""
-        return ref in self._missing_dependencies or self.dependencies.waits(ref)
+        return ref in self._lacking_predecessor_pages or self.dependencies.waits(ref)
 
     def release_pending(self, ref: str) -> bool:
         """Return whether an unfinished job that waits, as far as this controller knows, may have been released already.
@@ -146,13 +146,13 @@
         """
         if ref not in self.active or ref in self.dependencies.cancelled or not self.waits(ref):
             return False
-        return ref in self._missing_dependencies or not any(
+        return ref in self._lacking_predecessor_pages or not any(
             predecessor in self.active for predecessor in self.dependencies.waits_for(ref)
         )
 
-    def has_missing_dependencies(self, ref: str) -> bool:
+    def lacks_predecessor_pages(self, ref: str) -> bool:
         """Return whether a page with predecessors of a job is not in the replica yet."""
-        return ref in self._missing_dependencies
+        return ref in self._lacking_predecessor_pages
 
     def unknown_predecessors(self) -> list[str]:
         """Return the predecessors of which this controller has neither a record nor a final state."""
@@ -166,9 +166,9 @@
 
     def level(self, ref: str) -> int:
         """Return a job's priority level: its own, or the one inherited from a downstream job if that is higher."""
-        own = self.active[ref].job.priority.level
+        own_level = self.active[ref].job.priority.level
         inherited = self.inherited.get(ref)
-        return own if inherited is None else max(own, inherited.level)
+        return own_level if inherited is None else max(own_level, inherited.level)
 
     def effective_arrival(self, ref: str, record: JobRecord) -> float:
         """Return when a job became runnable, as a Unix time: when it was accepted or its last predecessor was done."""
@@ -180,11 +180,11 @@
 
     def is_accepted(self, ref: str) -> bool:
         """Return whether a job is known to have been accepted."""
-        return ref in self.active or ref in self._final
+        return ref in self.active or ref in self._final_states
 
     def final(self, ref: str) -> JobState | None:
         """Return a job's final state if it is known. A job cancelled upstream has one while its record still exists."""
-        final = self._final.get(ref)
+        final = self._final_states.get(ref)
         if final is not None:
             return final.state
         return JobState.CANCELLED if ref in self.dependencies.cancelled else None
--- a/badgerroute/coordination/jobs/job_transaction.py
+++ b/badgerroute/coordination/jobs/job_transaction.py
@@ -25,7 +25,7 @@
         self._store, self._replica, self._job_store = store, replica, job_store
         self._conditions: dict[str, Compare] = {}  # by key
         self._changes: list[Put | Remove] = []
-        self._results: list[tuple[str, bytes | None]] = []  # key and new value, or None if removed
+        self._new_values: list[tuple[str, bytes | None]] = []  # key and new value, or None if removed
         self.value_bytes = 0  # total size of the values
 
     def __len__(self) -> int:
@@ -35,7 +35,7 @@
     @property
     def keys(self) -> list[str]:
         """The keys that the transaction writes or removes."""
-        return [key for key, _ in self._results]
+        return [key for key, _ in self._new_values]
 
     def require(self, condition: Compare) -> None:
         """Add a condition. It replaces any earlier condition on the same key."""
@@ -49,13 +49,13 @@
         """Add a change that writes a key."""
         data = bytes(value)
         self._changes.append(put(key, value))
-        self._results.append((key, data))
+        self._new_values.append((key, data))
         self.value_bytes += len(data)
 
     def remove(self, key: str) -> None:
         """Add a change that removes a key."""
         self._changes.append(remove(key))
-        self._results.append((key, None))
+        self._new_values.append((key, None))
 
     def finish_job(self, ref: str, final: FinalStateRecord) -> None:
         """Replace a job's record by its final state: two changes, which no controller ever observes separately."""
@@ -69,6 +69,6 @@
         been applied; after all others it was not.
         """
         revision = await self._store.transact(list(self._conditions.values()), self._changes, urgency)
-        for key, value in self._results:
+        for key, value in self._new_values:
             self._job_store.apply_write(key, value, revision)
         return revision
--- a/badgerroute/coordination/jobs/job_writer.py
+++ b/badgerroute/coordination/jobs/job_writer.py
@@ -26,7 +26,7 @@
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
-MAX_CANCEL_TRIES = 6
+MAX_CANCEL_ATTEMPTS = 6
 
 
 class JobWriter:
@@ -45,7 +45,7 @@
         self._loop, self._store, self._replica = loop, store, replica
         self._job_store, self._reader, self._pager = job_store, reader, pager
 
-    def _today(self) -> float:
+    def _unix_time(self) -> float:
         return self._loop.clock.today().timestamp()
 
     def _transaction(self) -> JobTransaction:
@@ -61,11 +61,11 @@
         been. After the latter two the user may submit the job again.
         """
         compact = self._pager.compact(self._new_record(job, ranges))
-        absent = [compare(JOBS + job.ref, 0), compare(FINAL_STATES + job.ref, 0)]
+        absent_conditions = [compare(JOBS + job.ref, 0), compare(FINAL_STATES + job.ref, 0)]
         transaction = self._transaction()
         transaction.put(JOBS + job.ref, records.write(compact.record))
         try:
-            for condition in absent + await self._write_pages(compact.pages, absent):
+            for condition in absent_conditions + await self._write_pages(compact.pages, absent_conditions):
                 transaction.require(condition)
             await transaction.commit(Urgency.SUBMIT)
         except CompareFailedError:
@@ -82,10 +82,10 @@
 
     def _new_record(self, job: Submission, ranges: list[TaskRange]) -> JobRecord:
         if job.predecessors:
-            return JobRecord(job, self._today(), [], planned=ranges)
-        return JobRecord(job, self._today(), ranges)
+            return JobRecord(job, self._unix_time(), [], planned=ranges)
+        return JobRecord(job, self._unix_time(), ranges)
 
-    async def _write_pages(self, pages: list[KeyValue], absent: list[Compare]) -> list[Compare]:
+    async def _write_pages(self, pages: list[KeyValue], absent_conditions: list[Compare]) -> list[Compare]:
         """Write a new job's pages, and return the conditions that the job's record has to be written under.
 
         The pages are written before the record, so that every controller that sees the record has its pages. They are
@@ -97,7 +97,7 @@
         for first in range(0, len(pages), self._store.max_changes):
             batch = pages[first : first + self._store.max_changes]
             transaction = self._transaction()
-            for condition in absent:
+            for condition in absent_conditions:
                 transaction.require(condition)
             for page in batch:
                 transaction.put(page.key, page.value)
@@ -117,7 +117,7 @@
             return await self._cancel(ref)
 
     async def _cancel(self, ref: str) -> JobState:
-        for _ in range(MAX_CANCEL_TRIES):
+        for _ in range(MAX_CANCEL_ATTEMPTS):
             lookup = await self._reader.look_up(ref, Urgency.CANCEL)
             if isinstance(lookup, UnknownJob):
                 raise UnknownJobError(ref)
@@ -125,7 +125,9 @@
                 return lookup.state
             transaction = self._transaction()
             transaction.require(compare(JOBS + ref, lookup.revision))
-            transaction.finish_job(ref, FinalStateRecord(JobState.CANCELLED, lookup.record.job.tasks, self._today()))
+            transaction.finish_job(
+                ref, FinalStateRecord(JobState.CANCELLED, lookup.record.job.tasks, self._unix_time())
+            )
             try:
                 await transaction.commit(Urgency.CANCEL)
             except CompareFailedError:
--- a/badgerroute/coordination/jobs/page_garbage_collector.py
+++ b/badgerroute/coordination/jobs/page_garbage_collector.py
@@ -47,7 +47,7 @@
         """Collect garbage in an endless loop."""
         while True:
             await self._loop.sleep(INTERVAL)
-            due = self._due()
+            due = self._orphans_due()
             if not self._permission.may_collect_garbage():
                 continue
             try:
@@ -56,11 +56,11 @@
             except WRITE_ERRORS as error:
                 log.info("event=cleanup_delayed error=%s", error)
 
-    def _due(self) -> list[str]:
+    def _orphans_due(self) -> list[str]:
         now = self._loop.now()
         orphaned = [ref for ref in self._job_store.pages.jobs() if ref not in self._job_store.active]
         self._orphaned_since = {ref: self._orphaned_since.get(ref, now) for ref in orphaned}
-        return [ref for ref, since in self._orphaned_since.items() if now - since >= MIN_AGE]
+        return [ref for ref, first_seen in self._orphaned_since.items() if now - first_seen >= MIN_AGE]
 
     async def _remove_pages(self, ref: str) -> None:
         """Remove as many of a job's pages as fit into one transaction. Later rounds remove the rest."""
--- a/badgerroute/coordination/jobs/page_index.py
+++ b/badgerroute/coordination/jobs/page_index.py
@@ -9,9 +9,9 @@
 from badgerroute.storage.replica import Replica
 
 
-def page_key(prefix: str, ref: str, number: int) -> str:
+def page_key(prefix: str, ref: str, page_number: int) -> str:
     """Return the key of a job's page; `prefix` is DONE or PREDECESSORS."""
-    return f"{prefix}{ref}/{number}"
+    return f"{prefix}{ref}/{page_number}"
 
 
 class PageIndex:
@@ -47,14 +47,15 @@
     def has_predecessors(self, ref: str, record: JobRecord) -> bool:
         """Return whether the replica holds all pages with a job's predecessors."""
         return all(
-            self._replica.value(page_key(PREDECESSORS, ref, number)) is not None for number in range(record.pages)
+            self._replica.value(page_key(PREDECESSORS, ref, page_number)) is not None
+            for page_number in range(record.pages)
         )
 
     def predecessors(self, ref: str, record: JobRecord) -> list[str]:
         """Return a job's predecessors from its record and its pages, all of which must be in the replica."""
         predecessors = list(record.job.predecessors or ())
-        for number in range(record.pages):
-            page = self._replica.stored(page_key(PREDECESSORS, ref, number))
+        for page_number in range(record.pages):
+            page = self._replica.stored(page_key(PREDECESSORS, ref, page_number))
             predecessors += records.read(page, PredecessorsPage).refs
         return predecessors
 
@@ -62,8 +63,8 @@
         ref = job_of_page(key, DONE)
         self._page_changed(ref, key, value)
         if value is not None:
-            number = int(key.rpartition("/")[2])
-            bits = unpack(records.read(value, DonePage).bits) << (number * PAGE_TASKS)
+            page_number = int(key.rpartition("/")[2])
+            bits = unpack(records.read(value, DonePage).bits) << (page_number * PAGE_TASKS)
             self._done[ref] = self._done.get(ref, 0) | bits
 
     def _predecessors_page_changed(self, key: str, value: bytes | None, revision: int) -> None:
--- a/badgerroute/coordination/jobs/progress_writer.py
+++ b/badgerroute/coordination/jobs/progress_writer.py
@@ -19,8 +19,8 @@
 
 log = logging.getLogger(__name__)
 MAX_TRANSACTION_BYTES = 40_000  # no further job is added beyond this; a transaction may have 64 KiB
-MAX_PROGRESS_TRIES = 5
-CHANGES_OF_A_COMPLETION = 2  # the record is removed and the final state is put
+MAX_PROGRESS_ATTEMPTS = 5
+CHANGES_PER_COMPLETED_JOB = 2  # the record is removed and the final state is put
 
 # Returns the condition under which a transaction applies only while this controller leads a shard, or None if it does
 # not lead that shard.
@@ -60,7 +60,7 @@
         self._loop, self._store, self._replica = loop, store, replica
         self._job_store, self._reader, self._pager = job_store, reader, pager
 
-    def _today(self) -> float:
+    def _unix_time(self) -> float:
         return self._loop.clock.today().timestamp()
 
     async def write_progress(self, batch: list[Progress], leadership_check: LeadershipCheck) -> None:
@@ -69,55 +69,57 @@
         Raises StoreUnavailableError if nothing was written. Each shard leader keeps its progress until it is stored,
         and passes the rest again.
         """
-        for _ in range(MAX_PROGRESS_TRIES):
-            progress = self._transaction(batch, leadership_check)
-            if not len(progress.transaction):
+        for _ in range(MAX_PROGRESS_ATTEMPTS):
+            pending = self._transaction(batch, leadership_check)
+            if not len(pending.transaction):
                 return
             try:
-                await progress.transaction.commit(Urgency.COMPLETE)
+                await pending.transaction.commit(Urgency.COMPLETE)
             except CompareFailedError as error:
                 await self._reader.refresh(error.failed)
             except OutcomeUnknownError:
-                await self._reader.refresh(progress.transaction.keys)
+                await self._reader.refresh(pending.transaction.keys)
             except LeaseExpiredError:
                 return
             else:
-                self._log_completed(progress.completed)
+                self._log_completed(pending.completed)
                 return
 
     def _transaction(self, batch: list[Progress], leadership_check: LeadershipCheck) -> ProgressTransaction:
         transaction = JobTransaction(self._store, self._replica, self._job_store)
         pending = ProgressTransaction(transaction)
         for progress in batch:
-            room = self._store.max_changes - len(transaction)
-            if transaction.value_bytes > MAX_TRANSACTION_BYTES or room < CHANGES_OF_A_COMPLETION:
+            remaining_changes = self._store.max_changes - len(transaction)
+            if transaction.value_bytes > MAX_TRANSACTION_BYTES or remaining_changes < CHANGES_PER_COMPLETED_JOB:
                 break
             record = self._job_store.active.get(progress.ref)
             conditions = [leadership_check(shard) for shard in progress.shards]
-            leaderships = [condition for condition in conditions if condition is not None]
-            if record is None or len(leaderships) < len(progress.shards):
+            leadership_conditions = [condition for condition in conditions if condition is not None]
+            if record is None or len(leadership_conditions) < len(progress.shards):
                 continue  # the job was cancelled meanwhile, or another controller leads the shard now
-            for condition in leaderships:
+            for condition in leadership_conditions:
                 transaction.require(condition)
             transaction.require_unchanged(JOBS + progress.ref)
-            self._add_progress(pending, progress, record, room)
+            self._add_progress(pending, progress, record, remaining_changes)
         return pending
 
-    def _add_progress(self, pending: ProgressTransaction, progress: Progress, record: JobRecord, room: int) -> None:
+    def _add_progress(
+        self, pending: ProgressTransaction, progress: Progress, record: JobRecord, remaining_changes: int
+    ) -> None:
         transaction = pending.transaction
-        durable = self._job_store.done(progress.ref, record)
-        done = durable | progress.done
+        stored_done = self._job_store.done(progress.ref, record)
+        done = stored_done | progress.done
         if done.bit_count() >= record.job.tasks:
-            final = FinalStateRecord(JobState.DONE, record.job.tasks, self._today())
+            final = FinalStateRecord(JobState.DONE, record.job.tasks, self._unix_time())
             transaction.finish_job(progress.ref, final)
             pending.completed.append(record)
-        elif done != durable:
-            for change in self._pager.progress(progress.ref, record, durable, done)[:room]:
+        elif done != stored_done:
+            for change in self._pager.progress_writes(progress.ref, record, stored_done, done)[:remaining_changes]:
                 if change.key != JOBS + progress.ref:
                     transaction.require_unchanged(change.key)
                 transaction.put(change.key, change.value)
 
     def _log_completed(self, completed: list[JobRecord]) -> None:
         for record in completed:
-            took = self._today() - record.accepted
-            log.info("event=job_completed job=%s class=%s took=%.1f", record.job.ref, record.job.job_class, took)
+            duration = self._unix_time() - record.accepted
+            log.info("event=job_completed job=%s class=%s took=%.1f", record.job.ref, record.job.job_class, duration)
--- a/badgerroute/coordination/jobs/record_paging.py
+++ b/badgerroute/coordination/jobs/record_paging.py
@@ -22,7 +22,7 @@
 
 log = logging.getLogger(__name__)
 MAX_PREDECESSORS = 1000
-CONDITIONS_OF_A_NEW_JOB = 2  # no record exists, and no final state
+CONDITIONS_PER_NEW_JOB = 2  # no record exists, and no final state
 # Must be the same in all controllers, since any of them may write a page of a repeated submission.
 PREDECESSORS_PER_PAGE = 24
 
@@ -70,7 +70,7 @@
 
         It is limited because the record is written with one condition for each page of predecessors.
         """
-        return min(MAX_PREDECESSORS, PREDECESSORS_PER_PAGE * (self._store.max_conditions - CONDITIONS_OF_A_NEW_JOB))
+        return min(MAX_PREDECESSORS, PREDECESSORS_PER_PAGE * (self._store.max_conditions - CONDITIONS_PER_NEW_JOB))
 
     def compact(self, record: JobRecord) -> CompactRecord:
         """Return a new job's record, with its predecessors in pages if they do not fit into the record.
@@ -84,10 +84,10 @@
             job = msgspec.structs.replace(record.job, predecessors=None)
             record = msgspec.structs.replace(record, job=job, pages=len(pages))
         record = self._without_unknown_types(record)
-        largest = max([len(bytes(records.write(record))), *(page.size for page in pages)])
-        if largest > self._store.announced_value_bytes:
-            raise RecordTooLargeError(f"its description takes {largest} bytes, too many to be stored")
-        if largest > self._store.max_value_bytes:
+        largest_bytes = max([len(bytes(records.write(record))), *(page.size for page in pages)])
+        if largest_bytes > self._store.announced_value_bytes:
+            raise RecordTooLargeError(f"its description takes {largest_bytes} bytes, too many to be stored")
+        if largest_bytes > self._store.max_value_bytes:
             raise StoreUnavailableError("the state service refuses values that large now")
         return CompactRecord(record, pages)
 
@@ -96,8 +96,8 @@
         refs = list(dict.fromkeys(job.predecessors or ()))
         batches = [refs[first : first + PREDECESSORS_PER_PAGE] for first in range(0, len(refs), PREDECESSORS_PER_PAGE)]
         return [
-            KeyValue(page_key(PREDECESSORS, job.ref, number), records.write(PredecessorsPage(batch)))
-            for number, batch in enumerate(batches)
+            KeyValue(page_key(PREDECESSORS, job.ref, page_number), records.write(PredecessorsPage(batch)))
+            for page_number, batch in enumerate(batches)
         ]
 
     def _without_unknown_types(self, record: JobRecord) -> JobRecord:
@@ -107,20 +107,20 @@
             return record
         return msgspec.structs.replace(record, job=msgspec.structs.replace(record.job, types=types))
 
-    def progress(self, ref: str, record: JobRecord, durable: int, done: int) -> list[KeyValue]:
-        """Return the writes that extend the stored done tasks from `durable` to `done`, which are both bit sets.
+    def progress_writes(self, ref: str, record: JobRecord, stored_done: int, done: int) -> list[KeyValue]:
+        """Return the writes that extend the stored done tasks from `stored_done` to `done`, which are both bit sets.
 
         These are a write of the record, or writes of pages if the record would become too large.
         """
-        whole = record.with_done(done)
-        if self.fits(whole):
-            return [KeyValue(JOBS + ref, records.write(whole))]
-        new, paged = done & ~durable, self._job_store.pages.done(ref)
+        updated = record.with_done(done)
+        if self.fits(updated):
+            return [KeyValue(JOBS + ref, records.write(updated))]
+        new_done, paged_done = done & ~stored_done, self._job_store.pages.done(ref)
         pages = []
-        for number in range(self._done_page_count(record)):
-            bits = page_of(new, number)
+        for page_number in range(self._done_page_count(record)):
+            bits = page_of(new_done, page_number)
             if bits:
-                pages.append(self._done_page(ref, number, page_of(paged, number) | bits))
+                pages.append(self._done_page(ref, page_number, page_of(paged_done, page_number) | bits))
         return pages
 
     @staticmethod
@@ -128,8 +128,8 @@
         return -(-record.job.tasks // PAGE_TASKS)
 
     @staticmethod
-    def _done_page(ref: str, number: int, bits: int) -> KeyValue:
-        return KeyValue(page_key(DONE, ref, number), records.write(DonePage(pack(bits))))
+    def _done_page(ref: str, page_number: int, bits: int) -> KeyValue:
+        return KeyValue(page_key(DONE, ref, page_number), records.write(DonePage(pack(bits))))
 
     async def page_out(self, ref: str) -> None:
         """Shrink a record that an older version wrote and that is too large to be written again.
@@ -142,15 +142,15 @@
         if record is None:
             return
         done = self._job_store.done(ref, record)
-        small = self._without_unknown_types(record.without_bits(done))
-        if not self.fits(small):
+        shrunk = self._without_unknown_types(record.without_bits(done))
+        if not self.fits(shrunk):
             log.info("event=record_size_exceeded job=%s", ref)
             return
         pages = self._missing_pages(ref, record, done)
-        changes = [*pages, KeyValue(JOBS + ref, records.write(small))]
+        changes = [*pages, KeyValue(JOBS + ref, records.write(shrunk))]
         try:
             for first in range(0, len(changes), self._store.max_changes):
-                await self._write(ref, revision, changes[first : first + self._store.max_changes])
+                await self._write_changes(ref, revision, changes[first : first + self._store.max_changes])
         except WRITE_ERRORS as error:
             log.info("event=record_paging_delayed job=%s error=%s", ref, error)
             return
@@ -158,15 +158,15 @@
 
     def _missing_pages(self, ref: str, record: JobRecord, done: int) -> list[KeyValue]:
         """Return the pages to write for done tasks that are in no page yet."""
-        paged = self._job_store.pages.done(ref)
+        paged_done = self._job_store.pages.done(ref)
         first = records.trailing_ones(done) // PAGE_TASKS
         return [
-            self._done_page(ref, number, page_of(done, number))
-            for number in range(first, self._done_page_count(record))
-            if page_of(done, number) != page_of(paged, number)
+            self._done_page(ref, page_number, page_of(done, page_number))
+            for page_number in range(first, self._done_page_count(record))
+            if page_of(done, page_number) != page_of(paged_done, page_number)
         ]
 
-    async def _write(self, ref: str, revision: int, changes: list[KeyValue]) -> None:
+    async def _write_changes(self, ref: str, revision: int, changes: list[KeyValue]) -> None:
         """Write pages of a job, and possibly its record, on condition that the record still has `revision`."""
         transaction = JobTransaction(self._store, self._replica, self._job_store)
         transaction.require(compare(JOBS + ref, revision))
--- a/badgerroute/coordination/jobs/upstream_resolver.py
+++ b/badgerroute/coordination/jobs/upstream_resolver.py
@@ -30,7 +30,7 @@
         """Look up unknown predecessors in an endless loop, which adds the results to the job store."""
         while True:
             await self._loop.sleep(INTERVAL)
-            unknown = self._due()
+            unknown = self._predecessors_due()
             if not unknown:
                 continue
             self._looked_up.update(dict.fromkeys(unknown, self._loop.now()))
@@ -40,8 +40,10 @@
                 log.info("event=upstream_lookup_failed jobs=%d error=%s", len(unknown), error)
                 await self._loop.sleep(RETRY_PAUSE)
 
-    def _due(self) -> list[str]:
+    def _predecessors_due(self) -> list[str]:
         now = self._loop.now()
-        self._looked_up = {ref: at for ref, at in self._looked_up.items() if now - at < REPEAT_INTERVAL}
+        self._looked_up = {
+            ref: looked_up_at for ref, looked_up_at in self._looked_up.items() if now - looked_up_at < REPEAT_INTERVAL
+        }
         unknown = [ref for ref in self._job_store.unknown_predecessors() if ref not in self._looked_up]
         return unknown[:MAX_LOOKUPS_PER_ROUND]
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -198,8 +198,8 @@
             sent.append((host, message.jobs))
 
     broadcast = CancellationBroadcast(day.loop, "me", ["one", "two"], Messenger(), CANCEL * SECOND)
-    broadcast.job_cancelled("run-1", 7, confirming=True)
-    broadcast.job_cancelled("run-2", 9, confirming=False)
+    broadcast.job_cancelled("run-1", 7, awaited_by_user=True)
+    broadcast.job_cancelled("run-2", 9, awaited_by_user=False)
     assert sent == [("one", [("run-1", 7)]), ("two", [("run-1", 7)])]
     broadcast.acknowledged("one", ["run-1"])
     sent.clear()
