--- a/badgerroute/coordination/requests/__init__.py
+++ b/badgerroute/coordination/requests/__init__.py
@@ -1,6 +1,7 @@
-"""What users, workers and other shards ask for, and who answers it.
+"""Handles the requests of users, workers and other controllers.
 
-Owns the HTTP paths, the dispatch of mesh messages, admission, and the routes of misrouted heartbeats. It owns no keys:
-what a request changes is written by the package of its subject. May import `transport`, `protocol`, `settings`,
+This package owns the HTTP paths, the dispatch of messages between controllers (the mesh), admission control, and the
+routing of heartbeats that arrive at a controller other than the leader of the machine's shard. It owns no keys in the
+key-value store: the package that owns a key also writes it. It may import `transport`, `protocol`, `settings`,
 `storage`, `scheduling` and `connectivity`, and every other package of `coordination`.
 """
--- a/badgerroute/coordination/requests/admission.py
+++ b/badgerroute/coordination/requests/admission.py
@@ -1,4 +1,4 @@
-"""Decides whether a submitted job can ever run. What can never run is refused with 422."""
+"""Admission control: decides whether a submitted job can ever run. Jobs that cannot are refused with status 422."""
 
 from badgerroute.coordination.jobs.record_paging import RecordPager
 from badgerroute.protocol.cloud import MachineType
@@ -8,11 +8,11 @@
 
 
 class JobRefusedError(Exception):
-    """A job can never run as submitted. The text is the reason that its user is told."""
+    """A job can never run as submitted. The text is the reason, which is sent to the user."""
 
 
 class AdmissionControl:
-    """Checks submissions against the machine types, the teams' limits and the size of a job's record."""
+    """Checks submissions against the machine types, the teams' limits and the limit on predecessors."""
 
     def __init__(self, teams: list[Team], catalog: dict[str, MachineType], pager: RecordPager) -> None:
         self._teams = {team.name: team for team in teams}
@@ -20,7 +20,7 @@
         self._pager = pager
 
     def check(self, job: Submission) -> None:
-        """Raise JobRefusedError if the job can never run. Needs no key-value store."""
+        """Raise JobRefusedError if the job can never run. Makes no request to the key-value store."""
         if len(set(job.predecessors or ())) > self._pager.max_predecessors:
             raise JobRefusedError(f"it follows more than {self._pager.max_predecessors} jobs")
         team = self._teams.get(job.team)
@@ -38,7 +38,7 @@
             raise JobRefusedError("more than the team's limit")
 
     def _fitting_types(self, job: Submission) -> list[MachineType]:
-        """The machine types that the job allows and that hold one of its tasks."""
+        """Return the machine types that the job allows and that are large enough for one of its tasks."""
         need = need_of(job)
         return [
             machine_type
--- a/badgerroute/coordination/requests/heartbeat_handler.py
+++ b/badgerroute/coordination/requests/heartbeat_handler.py
@@ -1,4 +1,8 @@
-"""Heartbeats of workers: answered for machines of our shards, relayed or redirected for those of others."""
+"""Handles heartbeats of workers.
+
+A heartbeat is answered if this controller leads the machine's shard. Otherwise it is relayed to the leader, or the
+worker is redirected to the leader.
+"""
 
 import zlib
 from datetime import timedelta
@@ -25,11 +29,14 @@
 from badgerroute.transport.loop import Loop
 
 ANSWERED = 200
-RELAY_LIMIT = timedelta(milliseconds=1500)  # a worker waits 4 s for its answer, and drops what comes later
+RELAY_LIMIT = timedelta(milliseconds=1500)  # a worker waits 4 s for a response and ignores later ones
 
 
 class HeartbeatHandler:
-    """`tombstones` has the machines whose heartbeats can only be late copies."""
+    """Answers, relays or redirects heartbeats.
+
+    `tombstones` contains the deleted machines, whose heartbeats can only be delayed duplicates.
+    """
 
     def __init__(
         self,
@@ -51,10 +58,10 @@
         self._host = settings.platform.host_name
         self._relays = settings.operator.connectivity.relay
         self.routes = RelayRoutes()
-        self.relayed = 0  # heartbeats whose answer came from their leader
+        self.relayed = 0  # number of heartbeats that were answered with a response relayed from the leader
 
     async def handle(self, request: Request, relay: str | None = None) -> Response:
-        """Answer a heartbeat; `relay`: the peer that passed it on."""
+        """Answer a heartbeat. `relay` is the peer that forwarded it, or None if it came directly from the worker."""
         try:
             heartbeat = parse_heartbeat(request.body)
         except MalformedError as problem:
@@ -62,13 +69,13 @@
         if relay is None and not self._leaders:
             self._worker_link.machine_reached(self._loop.now())
         if heartbeat.machine in self._tombstones:
-            return retry_later("this machine was deleted")  # a late copy, whatever it says
+            return retry_later("this machine was deleted")  # a delayed duplicate, so its content is ignored
         shard = self._shard_of(heartbeat.machine)
         leader = self._leaders.get(shard)
         if leader is not None:
             return await self._answer(leader, heartbeat, relay)
         if relay is not None:
-            return retry_later("not the owner")  # what was passed on once is not passed on again
+            return retry_later("not the owner")  # a forwarded heartbeat is not forwarded again
         return await self._not_ours(request, heartbeat, shard)
 
     async def _answer(self, leader: ShardLeader, heartbeat: Heartbeat, relay: str | None) -> Response:
@@ -93,7 +100,7 @@
         if relayed is not None:
             return relayed
         if lacks_workers:
-            # Sent back there, it would wait in vain once more, and by then its lease is over.
+            # Redirected to its leader, the worker would time out again, and its lease would expire meanwhile.
             self._mesh.send(host, MisroutedHeartbeat(shard, heartbeat.machine, self._host))
             return retry_later("its owner does not hear its workers")
         return answer(421, Redirect(host))
@@ -101,11 +108,11 @@
     async def _relay(
         self, request: Request, heartbeat: Heartbeat, peer: Peer | None, lacks_workers: bool
     ) -> Response | None:
-        """The leader's own answer to a heartbeat that can't reach it; None if the heartbeat is not to be relayed, or in
-        vain.
+        """Relay a heartbeat to its leader and return the leader's response.
 
-        The leader decides, in its own term. Its answer reaches the worker as the answer to this very heartbeat, within
-        the time that the worker waits, or not at all: docs/safety.md.
+        Returns None if the heartbeat is not to be relayed, or the leader did not answer it. The leader decides in its
+        own term. Its response reaches the worker either as the response to this heartbeat, within the time that the
+        worker waits for it, or not at all; see docs/safety.md.
         """
         if not self._relays or peer is None or not peer.accepts_forwarded_from(self._host):
             return None
@@ -120,7 +127,10 @@
         return response
 
     def _lacks_workers(self, peer: Peer | None, shard: int) -> bool:
-        """Whether machines would go to their leader in vain. One that hears workers again says so by its mode."""
+        """Return whether a shard's workers cannot reach its leader, by the leader's mode or the shard's summary.
+
+        Once its workers reach it again, the leader's mode says so, and that overrides the summary.
+        """
         mode = None if peer is None else peer.mode
         if mode in (Mode.WORKERS_UNREACHABLE, Mode.RECOVERING):
             return mode is Mode.WORKERS_UNREACHABLE
@@ -130,7 +140,8 @@
         value = self._replica.value(MACHINES + name)
         if value is not None:
             return records.read(value, records.MachineRecord).shard
-        # Not a member yet: names in a row go to different shards, so each gets its mix of types and zones.
+        # Not a member yet. Consecutive numbers map to different shards, so that each shard gets a mix of machine types
+        # and zones.
         digits = name[len(name.rstrip("0123456789")) :]
         number = int(digits) if digits else zlib.crc32(name.encode())
         return number % self._settings.params.size
--- a/badgerroute/coordination/requests/http_api.py
+++ b/badgerroute/coordination/requests/http_api.py
@@ -1,4 +1,4 @@
-"""Who answers what: the paths that users, workers and the load balancer ask for."""
+"""Routes the HTTP requests of users, workers and the load balancer to their handlers, by path."""
 
 from badgerroute.coordination.membership.connectivity_monitor import ConnectivityMonitor
 from badgerroute.coordination.requests.heartbeat_handler import HeartbeatHandler
@@ -9,7 +9,7 @@
 
 
 class HttpApi:
-    """The paths of the public address."""
+    """Serves the HTTP paths of the controller's public address."""
 
     def __init__(
         self,
@@ -22,13 +22,13 @@
         self._heartbeat_handler, self._job_request_handler = heartbeat_handler, job_request_handler
 
     async def handle(self, request: Request) -> Response:
-        """Answer one request."""
+        """Answer a request that came directly from a user, a worker or the load balancer."""
         if request.path == "/up":
             return self._up() if request.method == "GET" else method_not_allowed()
         return await self._handle(request, None)
 
     async def handle_forwarded(self, request: Request, relay: str) -> Response:
-        """Answer a request that a peer passed on."""
+        """Answer a request that a peer forwarded; `relay` is the peer."""
         return await self._handle(request, relay)
 
     async def _handle(self, request: Request, relay: str | None) -> Response:
@@ -46,11 +46,13 @@
         return path.startswith(JOBS_PATH + "/") and (not slash or action == "cancel")
 
     def _up(self) -> Response:
-        """Whether users should be sent here.
+        """Tell the load balancer whether to send requests to this controller.
 
-        In an outage that all controllers see, none could serve them better, and being taken out of the load balancer
-        would only last longer than the outage: also one of more than G, after which users once found no node at all for
-        many seconds. One that is cut off alone must say so at once.
+        In an outage of the key-value store that all controllers see, this controller reports that it is up: no other
+        could serve users better, and the load balancer would keep it out for longer than the outage lasts. This also
+        applies to an outage longer than the grace period G: when controllers reported being down in such an outage,
+        users reached no controller at all for many seconds afterwards. A controller that alone cannot reach the store
+        reports that at once.
         """
         if not self._replica.ready.done:
             return retry_later("not ready")
--- a/badgerroute/coordination/requests/job_request_handler.py
+++ b/badgerroute/coordination/requests/job_request_handler.py
@@ -1,4 +1,4 @@
-"""Requests of users: answered here as far as the key-value store is reached, else by a peer that reaches it."""
+"""Handles users' requests: here if this controller reaches the key-value store, else at a peer that reaches it."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -15,19 +15,19 @@
 
 JOBS_PATH = "/v1/jobs"
 UNAVAILABLE = 503
-FORWARD_LIMIT = timedelta(milliseconds=1200)  # a poll waits for 2 s
+FORWARD_LIMIT = timedelta(milliseconds=1200)  # a user's poll times out after 2 s
 
 
 @dataclass(frozen=True, slots=True)
 class Operation:
-    """The method that a path takes, and what it asks for."""
+    """The HTTP method that a path requires, and the action that the request stands for."""
 
     method: str
     action: Action
 
 
 class JobRequestHandler:
-    """What was passed on by a peer is answered here or nowhere."""
+    """Answers or forwards users' requests. A request that a peer forwarded is never forwarded again."""
 
     def __init__(
         self,
@@ -44,7 +44,10 @@
         self._forwards = settings.operator.connectivity.relay
 
     async def handle(self, request: Request, relay: str | None = None) -> Response:
-        """Answer a submission, a poll or a cancellation; `relay`: the peer that passed it on."""
+        """Answer a submission, a poll or a cancellation.
+
+        `relay` is the peer that forwarded the request, or None if it came directly from a user.
+        """
         ref, _, verb = request.path.removeprefix(JOBS_PATH).strip("/").partition("/")
         operation = self._operation(ref, verb)
         if request.method != operation.method:
@@ -78,7 +81,10 @@
         return await self._job_service.poll(ref)
 
     async def _forward(self, request: Request) -> Response | None:
-        """The answer of a peer that reaches the key-value store; None if there is none that can decide."""
+        """Forward a request to a peer that reaches the key-value store, and return the response.
+
+        Returns None if there is no such peer, or if it did not respond or could not decide either.
+        """
         if not self._forwards:
             return None
         able = [
--- a/badgerroute/coordination/requests/job_service.py
+++ b/badgerroute/coordination/requests/job_service.py
@@ -1,4 +1,7 @@
-"""Submissions, polls and cancellations of users. What can't be decided now is answered at once, with 503."""
+"""Answers users' submissions, polls and cancellations.
+
+A request that cannot be decided at the moment gets status 503 without delay.
+"""
 
 import logging
 from collections.abc import Callable
@@ -30,9 +33,10 @@
 
 
 class JobService:
-    """Answers users' requests from the job records.
+    """Answers users' requests from the stored jobs.
 
-    `summaries` gives what is known of all shards, `running` how many tasks of a job run (for display only).
+    `summaries` returns the known summaries of all shards. `running` returns the number of running tasks of a job, which
+    is only shown to users.
     """
 
     def __init__(
@@ -56,7 +60,7 @@
     # -- submissions
 
     async def submit(self, request: Request) -> Response:
-        """Answer a submission, new or repeated."""
+        """Answer a new or repeated submission."""
         try:
             job = parse_submission(request.body)
         except MalformedError as malformed:
@@ -83,14 +87,17 @@
         return await self._accept(job)
 
     async def _answer_to_repetition(self, job: Submission) -> Response | None:
-        """The state of a job that was accepted before; None if this controller does not know it."""
+        """Return the state of a job that was accepted before, or None if this controller knows of no such job."""
         if not self._job_store.is_accepted(job.ref):
             return None
         lookup = await self._job_reader.look_up(job.ref, Urgency.SUBMIT)
         return None if isinstance(lookup, UnknownJob) else self._state_response(200, job.ref, lookup)
 
     async def _check_upstream_jobs(self, job: Submission) -> None:
-        """Users may name only jobs that were accepted, by any controller, in whatever state these are by now."""
+        """Raise JobRefusedError if the job names predecessors that no controller has accepted.
+
+        Their states do not matter: a predecessor may already be done or cancelled.
+        """
         missing = await self._job_reader.find_unknown(job.predecessors or (), Urgency.SUBMIT)
         if missing:
             raise JobRefusedError(f"follows {', '.join(missing[:3])}, which nobody accepted")
@@ -102,7 +109,7 @@
         except RecordTooLargeError as too_large:
             raise JobRefusedError(str(too_large)) from too_large
         if accepted:
-            # One that names a cancelled job is accepted all the same, and cancelled at once.
+            # A job with a cancelled predecessor is accepted nevertheless, and then cancelled at once.
             condition = JobCondition.QUEUED
             if job.predecessors:
                 condition = await self._job_reader.condition_after_acceptance(job.ref)
@@ -113,9 +120,9 @@
         return self._state_response(200, job.ref, lookup)
 
     async def _refuse(self, job: Submission, reason: str) -> Response:
-        """Refuse a job that nobody knows.
+        """Refuse a job, unless another controller has accepted it: then return the job's state.
 
-        A job that another controller accepted gets its state: that controller may have known better.
+        The other controller may have had more recent information when it accepted the job.
         """
         try:
             lookup = await self._job_reader.look_up(job.ref, Urgency.SUBMIT)
@@ -130,7 +137,7 @@
     # -- polls and cancellations
 
     async def poll(self, ref: str) -> Response:
-        """Answer a question about a job."""
+        """Answer a poll of a job's state."""
         if not REF.match(ref):
             return no_such_job()
         if not self._replica.ready.done:
@@ -143,14 +150,14 @@
         return no_such_job() if isinstance(lookup, UnknownJob) else self._state_response(200, ref, lookup)
 
     def poll_from_memory(self, ref: str) -> Response | None:
-        """Answer a question whose answer is in memory: a final state. None: the key-value store has to be read."""
+        """Answer a poll if the job's final state is in memory; return None if the key-value store must be read."""
         if not REF.match(ref):
             return no_such_job()
         final = self._job_store.final(ref)
         return None if final is None else self._state_response(200, ref, FinishedJob(final))
 
     async def cancel(self, ref: str) -> Response:
-        """Answer a cancellation."""
+        """Cancel a job, and answer with its final state."""
         if not REF.match(ref):
             return no_such_job()
         try:
--- a/badgerroute/coordination/requests/job_splitting.py
+++ b/badgerroute/coordination/requests/job_splitting.py
@@ -1,4 +1,8 @@
-"""Assigns the tasks of a new job to shards: by cached images, else by free slots (the paper: by input data)."""
+"""Assigns the tasks of a new job to shards: by cached images, or else by free slots.
+
+The paper that this design follows assigns tasks by the location of their input data; here the cached images take that
+role.
+"""
 
 import zlib
 from collections.abc import Sequence
@@ -9,15 +13,16 @@
 from badgerroute.scheduling.resources import Resources, need_of
 from badgerroute.storage.task_ranges import TaskRange
 
-MAX_QUEUE_IMBALANCE = 1.5  # queue of a shard for its size, compared to the shortest, up to which it is preferred
-MIN_TASK_CPUS = 0.01  # a task that asks for next to nothing counts as this much
+# The shard that a job's image hashes to is preferred up to this ratio of its queue per machine to the shortest one.
+MAX_QUEUE_IMBALANCE = 1.5
+MIN_TASK_CPUS = 0.01  # lower bound for a task's processors, which may be close to 0
 
 
 def split(job: Submission, summaries: Sequence[ShardSummary], shard_count: int) -> list[TaskRange]:
-    """Ranges of tasks with their shards. The ranges are disjoint and cover all tasks of the job.
+    """Return ranges of tasks with their shards. The ranges are disjoint and cover all tasks of the job.
 
-    A job whose placement rules look at all its tasks (a gang, or one that sets `together` or `spread`) goes to one
-    shard as a whole; other arrays are split in proportion to what the shards can take.
+    A job whose placement rules concern all its tasks (a gang, or a job that sets `together` or `spread`) is assigned to
+    one shard as a whole. Other arrays are split in proportion to the number of tasks that each shard can take.
     """
     weights = shard_weights(job, summaries, shard_count)
     if job.tasks == 1 and not job.gang:
@@ -28,24 +33,28 @@
 
 
 def shard_weights(job: Submission, summaries: Sequence[ShardSummary], shard_count: int) -> list[float]:
-    """How much of a new job each shard should get: by cached images, else by free slots, else by its queue."""
+    """Return the share of a new job that each shard should get, as weights.
+
+    The weights are the free slots next to cached images if these are enough for the job, else all free slots, else,
+    if there are none, the inverse of the queue per machine.
+    """
     by_shard = {summary.shard: summary for summary in summaries}
     shards = [by_shard.get(shard) for shard in range(shard_count)]
-    free = [_free_slots(job, summary) if summary else 0 for summary in shards]
-    cached = [
-        min(free_slots, _cached_slots(job, summary)) if summary else 0
-        for free_slots, summary in zip(free, shards, strict=True)
+    free_slots = [_free_slots(job, summary) if summary else 0 for summary in shards]
+    cached_slots = [
+        min(slots, _cached_slots(job, summary)) if summary else 0
+        for slots, summary in zip(free_slots, shards, strict=True)
     ]
-    if sum(cached) >= job.tasks:
-        return [float(count) for count in cached]
-    if sum(free) > 0:
-        return [float(count) for count in free]
-    # Nothing is free: the shard with the shortest queue for its size gets to the job first.
+    if sum(cached_slots) >= job.tasks:
+        return [float(count) for count in cached_slots]
+    if sum(free_slots) > 0:
+        return [float(count) for count in free_slots]
+    # No slot is free: the shard with the shortest queue per machine can start the job first.
     return [(summary.machines + 1.0) / (_queued_cpus(summary) + 10.0) if summary else 0.01 for summary in shards]
 
 
 def _free_slots(job: Submission, summary: ShardSummary) -> int:
-    """How many tasks of the job fit the free capacity of machines that the job allows."""
+    """Return how many tasks of the job fit into the free capacity of the machines that the job allows."""
     need = need_of(job)
     return sum(
         capacity.count * Resources(capacity.cpus, capacity.accelerators, capacity.memory_gb).times(need)
@@ -57,7 +66,7 @@
 
 
 def _cached_slots(job: Submission, summary: ShardSummary) -> int:
-    """How many tasks of the job fit beside copies of its image, by processors alone."""
+    """Return how many tasks of the job fit on machines that cache its image, judged by free processors only."""
     free_cpus, _ = summary.images.get(job.image, (0.0, 0.0))
     return int(free_cpus / max(job.cpus, MIN_TASK_CPUS))
 
@@ -67,14 +76,14 @@
 
 
 def _queue_per_machine(summary: ShardSummary | None) -> float:
-    """Queued processors for the shard's size; infinite for a shard of which nothing is known."""
+    """Return the queued processors per machine of a shard, or infinity if the shard has no summary."""
     return inf if summary is None else _queued_cpus(summary) / (summary.machines + 1)
 
 
 def _shard_by_hash(ref: str, weights: list[float]) -> int:
-    """The shard of a job with one task, drawn by the hash of its id in proportion to the weights.
+    """Choose the shard of a job with one task pseudo-randomly, by the hash of its id, in proportion to the weights.
 
-    Drawn, because many such jobs arrive together: sent to the best shard, all of a moment would go to the same one.
+    Many such jobs arrive at the same time. If each were sent to the best shard, all of them would go to the same one.
     """
     point = zlib.crc32(ref.encode()) / 2**32 * sum(weights)
     for shard, weight in enumerate(weights):
@@ -85,10 +94,11 @@
 
 
 def _shard_for_whole_job(job: Submission, summaries: Sequence[ShardSummary], weights: list[float]) -> int:
-    """The shard that takes all tasks of a job.
+    """Choose the shard that gets all tasks of a job.
 
-    It is the one where most machines cache the image, even if lesser work has to make room there: fetching an image may
-    take as long as the run. Where too few machines cache it, what is fetched now serves the next job in the same shard.
+    Among the shards that can hold the job, this is the one with the most slots on machines that cache the image, even
+    if work of lower priority must be preempted there, because fetching an image may take as long as running the job. If
+    too few machines cache the image, the copies that are fetched now can serve the next job of the image in that shard.
     """
     by_shard = {summary.shard: summary for summary in summaries}
     shards = range(len(weights))
@@ -99,8 +109,8 @@
 
     fitting = [shard for shard in shards if weights[shard] >= job.tasks or slots_with_image(shard) >= job.tasks]
     if not any(slots_with_image(shard) for shard in shards):
-        # Nobody caches the image yet. If all gangs of an image fetch it in one shard, the next finds enough machines
-        # there; scattered over the shards, as many copies serve none.
+        # No machine caches the image yet. If all gangs of an image fetch it in one shard, a later gang finds enough
+        # machines with the image there; the same number of copies scattered over all shards would be too few in each.
         queues = [_queue_per_machine(by_shard.get(shard)) for shard in shards]
         home = zlib.crc32(job.image.encode()) % len(weights)
         if queues[home] <= MAX_QUEUE_IMBALANCE * min(queues) + 1.0 and (home in fitting or not fitting):
@@ -110,12 +120,12 @@
 
 
 def _heaviest(weights: list[float]) -> int:
-    """The shard with the largest weight; the lowest number among equals."""
+    """Return the shard with the largest weight, or the lowest-numbered of them if there are several."""
     return max(range(len(weights)), key=lambda shard: (weights[shard], -shard))
 
 
 def _proportional_ranges(tasks: int, weights: list[float]) -> list[TaskRange]:
-    """Consecutive ranges whose lengths follow the weights; equal ones if nothing is known."""
+    """Return consecutive ranges with lengths in proportion to the weights, or of equal length if all weights are 0."""
     best = _heaviest(weights)
     total = sum(weights)
     if total <= 0:
--- a/badgerroute/coordination/requests/mesh_dispatcher.py
+++ b/badgerroute/coordination/requests/mesh_dispatcher.py
@@ -1,4 +1,4 @@
-"""Passes each message of a peer to the collaborator that acts on it."""
+"""Dispatches each message from a peer, by its type, to the object that handles it."""
 
 from badgerroute.coordination.jobs.cancellation_broadcast import CancellationBroadcast
 from badgerroute.coordination.jobs.job_store import JobStore
@@ -16,7 +16,7 @@
 
 
 class MeshDispatcher:
-    """Each message is handled in one step, or handed to a task of its own."""
+    """Handles each message synchronously, or starts a background task for it."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         self._job_store, self._cancellation_broadcast = job_store, cancellation_broadcast
 
     def receive(self, message: wire.Message) -> None:
-        """Take in one message."""
+        """Handle one message from a peer."""
         match message:
             case wire.Gossip():
                 self._on_gossip(message)
@@ -73,11 +73,11 @@
             self._replica.learn(message.key, message.value, message.revision)
 
     def _on_cancellation(self, message: wire.CancellationNotice) -> None:
-        """Act on it in this very step, though the key-value store may not answer us; then say that we have heard."""
+        """Apply cancellations synchronously, even if the key-value store is unreachable, and then acknowledge them."""
         refs = [ref for ref, _ in message.jobs]
         self._cancellation_broadcast.acknowledged(message.host, refs)
         if not self._replica.ready.done:
-            return  # not acknowledged, so it comes again
+            return  # the peer gets no acknowledgement, so it resends the notice
         for ref, revision in message.jobs:
             self._job_store.learn_cancelled(ref, revision)
         self._cancellation_broadcast.acknowledged(message.host, refs)
--- a/badgerroute/coordination/requests/shard_requests.py
+++ b/badgerroute/coordination/requests/shard_requests.py
@@ -1,6 +1,7 @@
-"""Requests between shards: for waiting work, for quota of a team's limit, for machines.
+"""Requests between shards for waiting tasks, for quota of a team's limit, and for machines.
 
-Each goes to the leader of what is asked for, ours or a peer's, who decides and writes. One that is lost costs time.
+A request goes to the leaders of the shards that may grant it, on this controller or on peers. The leader that grants it
+also writes the change, so a lost request only causes a delay.
 """
 
 from datetime import timedelta
@@ -19,7 +20,7 @@
 
 
 class ShardRequests:
-    """Sends the requests of our shards, and has those that reach us carried out."""
+    """Sends requests of the shards that this controller leads, and passes received requests to their leaders."""
 
     def __init__(
         self,
@@ -35,7 +36,10 @@
         self._peers, self._mesh, self._leaders = peers, mesh, leaders
 
     async def run_stealing(self) -> None:
-        """Idle shards ask busy ones for waiting tasks, one request per shard and period."""
+        """Request waiting tasks for idle shards from busy ones in an endless loop, one request per shard and period.
+
+        The loop also migrates gangs that cannot be placed in their shard.
+        """
         while True:
             await self._loop.sleep(STEAL_ROUND)
             for leader in list(self._leaders.values()):
@@ -58,7 +62,7 @@
             self.steal_from(victim, StealRequest(victim, leader.number, capacities, images, sorted(short)))
 
     def steal_from(self, victim: int, message: StealRequest) -> None:
-        """Ask a shard, ours or a peer's, for waiting tasks."""
+        """Request waiting tasks from a shard, which this controller or a peer leads."""
         if victim in self._leaders:
             self._group.spawn(self._leaders[victim].work_stealing.on_steal(message), "steal")
         else:
@@ -67,28 +71,28 @@
                 self._mesh.send(host, message)
 
     def on_steal(self, message: StealRequest) -> None:
-        """A peer's shard asks one of ours for waiting tasks."""
+        """Handle a request of a peer's shard for waiting tasks of a shard that this controller leads."""
         leader = self._leaders.get(message.victim)
         if leader is not None and leader.ready:
             self._group.spawn(leader.work_stealing.on_steal(message), "steal")
 
     def request_machines(self, message: MachineRequest) -> None:
-        """Ask every other shard for empty machines."""
+        """Request empty machines from all other shards."""
         self._mesh.broadcast(message)
         self.transfer_machines(message)
 
     def transfer_machines(self, message: MachineRequest) -> None:
-        """Have our other shards transfer what they can."""
+        """Have the other shards that this controller leads transfer the machines that they can spare."""
         for leader in self._others(message.shard):
             self._group.spawn(leader.machine_transfers.transfer(message), "lend")
 
     def request_quota(self, message: QuotaRequest) -> None:
-        """Ask every other shard for quota of a team's limit."""
+        """Request quota of a team's limit from all other shards."""
         self._mesh.broadcast(message)
         self.grant_quota(message)
 
     def grant_quota(self, message: QuotaRequest) -> None:
-        """Have our other shards give what they can spare."""
+        """Have the other shards that this controller leads grant the quota that they can spare."""
         for leader in self._others(message.shard):
             self._group.spawn(leader.quota_exchange.grant(message), "grant-quota")
 
@@ -99,9 +103,10 @@
 def busiest_shard(
     summaries: list[ShardSummary], thief: int, capacities: list[FreeCapacity], teams_lacking_quota: set[str]
 ) -> int | None:
-    """The shard where most waits that would fit the thief's room.
+    """Return the shard with the most waiting work that fits the thief's free capacities, or None if there is none.
 
-    Work that fits none of it does not count: it would draw every request, while work of a third shard could run.
+    Work that fits none of the capacities does not count. Otherwise a shard with much such work would receive all
+    requests, while work of a third shard could run.
     """
     waiting = {
         summary.shard: sum(
--- a/badgerroute/coordination/requests/subsystem.py
+++ b/badgerroute/coordination/requests/subsystem.py
@@ -1,4 +1,4 @@
-"""Builds what answers users, workers, the load balancer and the other controllers."""
+"""Builds the objects that handle requests of users, workers, the load balancer and other controllers."""
 
 from dataclasses import dataclass
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestsSubsystem:
-    """`api` answers the public address, `mesh_dispatcher` takes in the messages of peers."""
+    """The objects of this package. `api` serves the public address; `mesh_dispatcher` handles messages from peers."""
 
     shard_requests: ShardRequests
     job_service: JobService
@@ -38,7 +38,7 @@
     membership: MembershipSubsystem,
     leaders: ShardLeaders,
 ) -> ShardRequests:
-    """Built before the shards, whose leaders send requests to the others."""
+    """Build `ShardRequests`. It is built before the shard leaders, which use it to send requests to other shards."""
     return ShardRequests(
         loop=loop,
         group=group,
@@ -64,7 +64,7 @@
     catalog: dict[str, MachineType],
     tombstones: MachineTombstones,
 ) -> RequestsSubsystem:
-    """Nothing is answered before the server and the mesh are started with `api` and `mesh_dispatcher`."""
+    """Build the subsystem. It handles no request until the HTTP server and the mesh are started with its objects."""
     job_service = JobService(
         shard_count=settings.params.size,
         job_store=jobs.store,
