--- a/badgerroute/coordination/jobs/job_reader.py
+++ b/badgerroute/coordination/jobs/job_reader.py
@@ -57,7 +57,7 @@
         A job's record is replaced by its final state in one transaction, and never the other way round, so reading
         `jobs` first and the final states second misses no job.
         """
-        final = self._job_store.final(ref)
+        final = self._job_store.final_state(ref)
         if final is not None:
             return FinishedJob(final)
         lookup = await self._read_through(ref, urgency)
@@ -68,14 +68,14 @@
 
     async def look_up_replicated(self, ref: str) -> JobLookup:
         """Look up a job in the replica after that has caught up. Concurrent polls share one request to the store."""
-        final = self._job_store.final(ref)
+        final = self._job_store.final_state(ref)
         if final is None:
             await self._replica.wait_until_current()
             if self._job_store.waits(ref):
                 lookup = await self._look_up_waiting_job(ref)
                 if lookup is not None:
                     return lookup
-            final = self._job_store.final(ref)
+            final = self._job_store.final_state(ref)
         if final is not None:
             return FinishedJob(final)
         record = self._job_store.active.get(ref)
--- a/badgerroute/coordination/jobs/job_store.py
+++ b/badgerroute/coordination/jobs/job_store.py
@@ -182,7 +182,7 @@
         """Return whether a job is known to have been accepted."""
         return ref in self.active or ref in self._final_states
 
-    def final(self, ref: str) -> JobState | None:
+    def final_state(self, ref: str) -> JobState | None:
         """Return a job's final state if it is known. A job cancelled upstream has one while its record still exists."""
         final = self._final_states.get(ref)
         if final is not None:
--- a/badgerroute/coordination/requests/admission.py
+++ b/badgerroute/coordination/requests/admission.py
@@ -26,24 +26,24 @@
         team = self._teams.get(job.team)
         if team is None:
             raise JobRefusedError(f"unknown team {job.team}")
-        fitting = self._fitting_types(job)
-        if not fitting:
+        fitting_types = self._fitting_types(job)
+        if not fitting_types:
             raise JobRefusedError("a task fits no allowed machine type")
-        zones = {zone for machine_type in fitting for zone in machine_type.zones if job.zone in (None, zone)}
+        zones = {zone for machine_type in fitting_types for zone in machine_type.zones if job.zone in (None, zone)}
         if job.gang and job.spread and job.tasks > 1 and (job.together or len(zones) < 2):
             raise JobRefusedError("a gang that must be spread has one zone only")
         simultaneous_tasks = job.tasks if job.gang else 1
-        demand = Resources(simultaneous_tasks * job.cpus, simultaneous_tasks * job.accelerators)
-        if not Resources(*team.limits).holds(demand):
+        required = Resources(simultaneous_tasks * job.cpus, simultaneous_tasks * job.accelerators)
+        if not Resources(*team.limits).holds(required):
             raise JobRefusedError("more than the team's limit")
 
     def _fitting_types(self, job: Submission) -> list[MachineType]:
         """Return the machine types that the job allows and that are large enough for one of its tasks."""
-        need = need_of(job)
+        task_resources = need_of(job)
         return [
             machine_type
             for machine_type in self._catalog.values()
             if (job.types is None or machine_type.name in job.types)
             and (job.zone is None or job.zone in machine_type.zones)
-            and capacity_of(machine_type).holds(need)
+            and capacity_of(machine_type).holds(task_resources)
         ]
--- a/badgerroute/coordination/requests/heartbeat_handler.py
+++ b/badgerroute/coordination/requests/heartbeat_handler.py
@@ -28,8 +28,8 @@
 from badgerroute.transport.http import Request, Response
 from badgerroute.transport.loop import Loop
 
-ANSWERED = 200
-RELAY_LIMIT = timedelta(milliseconds=1500)  # a worker waits 4 s for a response and ignores later ones
+HTTP_OK = 200
+RELAY_TIMEOUT = timedelta(milliseconds=1500)  # a worker waits 4 s for a response and ignores later ones
 
 
 class HeartbeatHandler:
@@ -56,9 +56,9 @@
         self._monitor, self._worker_link, self._forwarder = monitor, monitor.worker_link, forwarder
         self._tombstones = tombstones
         self._host = settings.platform.host_name
-        self._relays = settings.operator.connectivity.relay
-        self.routes = RelayRoutes()
-        self.relayed = 0  # number of heartbeats that were answered with a response relayed from the leader
+        self._relaying_enabled = settings.operator.connectivity.relay
+        self.relay_routes = RelayRoutes()
+        self.relayed_heartbeats = 0  # number of heartbeats that were answered with a response relayed from the leader
 
     async def handle(self, request: Request, relay: str | None = None) -> Response:
         """Answer a heartbeat. `relay` is the peer that forwarded it, or None if it came directly from the worker."""
@@ -76,7 +76,7 @@
             return await self._answer(leader, heartbeat, relay)
         if relay is not None:
             return retry_later("not the owner")  # a forwarded heartbeat is not forwarded again
-        return await self._not_ours(request, heartbeat, shard)
+        return await self._answer_for_other_shard(request, heartbeat, shard)
 
     async def _answer(self, leader: ShardLeader, heartbeat: Heartbeat, relay: str | None) -> Response:
         if not leader.ready or not self._policy.allows_for(leader.number, Action.ANSWER_HEARTBEAT):
@@ -90,23 +90,23 @@
             return retry_later("can't act on this report now")
         return answer(200, result)
 
-    async def _not_ours(self, request: Request, heartbeat: Heartbeat, shard: int) -> Response:
+    async def _answer_for_other_shard(self, request: Request, heartbeat: Heartbeat, shard: int) -> Response:
         host = self._peers.leader(shard)
         if host is None or host == self._host:
             return answer(421, Redirect())
         peer = self._peers.reachable_peer(host)
-        lacks_workers = self._lacks_workers(peer, shard)
-        relayed = await self._relay(request, heartbeat, peer, lacks_workers)
-        if relayed is not None:
-            return relayed
-        if lacks_workers:
+        leader_lacks_workers = self._leader_lacks_workers(peer, shard)
+        relayed_response = await self._relay(request, heartbeat, peer, leader_lacks_workers)
+        if relayed_response is not None:
+            return relayed_response
+        if leader_lacks_workers:
             # Redirected to its leader, the worker would time out again, and its lease would expire meanwhile.
             self._mesh.send(host, MisroutedHeartbeat(shard, heartbeat.machine, self._host))
             return retry_later("its owner does not hear its workers")
         return answer(421, Redirect(host))
 
     async def _relay(
-        self, request: Request, heartbeat: Heartbeat, peer: Peer | None, lacks_workers: bool
+        self, request: Request, heartbeat: Heartbeat, peer: Peer | None, leader_lacks_workers: bool
     ) -> Response | None:
         """Relay a heartbeat to its leader and return the leader's response.
 
@@ -114,19 +114,19 @@
         own term. Its response reaches the worker either as the response to this heartbeat, within the time that the
         worker waits for it, or not at all; see docs/safety.md.
         """
-        if not self._relays or peer is None or not peer.accepts_forwarded_from(self._host):
+        if not self._relaying_enabled or peer is None or not peer.accepts_forwarded_from(self._host):
             return None
-        host, busy = peer.gossip.host, bool(heartbeat.tasks)
-        route = self.routes.decide(heartbeat.machine, host, lacks_workers, busy, self._loop.now())
+        host, has_tasks = peer.gossip.host, bool(heartbeat.tasks)
+        route = self.relay_routes.decide(heartbeat.machine, host, leader_lacks_workers, has_tasks, self._loop.now())
         if route is not Route.RELAY:
             return None
-        response = await self._forwarder.forward(host, request, RELAY_LIMIT)
-        if response is None or response.status != ANSWERED:
+        response = await self._forwarder.forward(host, request, RELAY_TIMEOUT)
+        if response is None or response.status != HTTP_OK:
             return None
-        self.relayed += 1
+        self.relayed_heartbeats += 1
         return response
 
-    def _lacks_workers(self, peer: Peer | None, shard: int) -> bool:
+    def _leader_lacks_workers(self, peer: Peer | None, shard: int) -> bool:
         """Return whether a shard's workers cannot reach its leader, by the leader's mode or the shard's summary.
 
         Once its workers reach it again, the leader's mode says so, and that overrides the summary.
@@ -136,12 +136,12 @@
             return mode is Mode.WORKERS_UNREACHABLE
         return any(summary.shard == shard and summary.workers_silent for summary in self._peers.summaries())
 
-    def _shard_of(self, name: str) -> int:
-        value = self._replica.value(MACHINES + name)
+    def _shard_of(self, machine: str) -> int:
+        value = self._replica.value(MACHINES + machine)
         if value is not None:
             return records.read(value, records.MachineRecord).shard
         # Not a member yet. Consecutive numbers map to different shards, so that each shard gets a mix of machine types
         # and zones.
-        digits = name[len(name.rstrip("0123456789")) :]
-        number = int(digits) if digits else zlib.crc32(name.encode())
+        digits = machine[len(machine.rstrip("0123456789")) :]
+        number = int(digits) if digits else zlib.crc32(machine.encode())
         return number % self._settings.params.size
--- a/badgerroute/coordination/requests/http_api.py
+++ b/badgerroute/coordination/requests/http_api.py
@@ -24,7 +24,7 @@
     async def handle(self, request: Request) -> Response:
         """Answer a request that came directly from a user, a worker or the load balancer."""
         if request.path == "/up":
-            return self._up() if request.method == "GET" else method_not_allowed()
+            return self._load_balancer_status() if request.method == "GET" else method_not_allowed()
         return await self._handle(request, None)
 
     async def handle_forwarded(self, request: Request, relay: str) -> Response:
@@ -45,7 +45,7 @@
         ref, slash, action = path.removeprefix(JOBS_PATH + "/").partition("/")
         return path.startswith(JOBS_PATH + "/") and (not slash or action == "cancel")
 
-    def _up(self) -> Response:
+    def _load_balancer_status(self) -> Response:
         """Tell the load balancer whether to send requests to this controller.
 
         In an outage of the key-value store that all controllers see, this controller reports that it is up: no other
--- a/badgerroute/coordination/requests/job_request_handler.py
+++ b/badgerroute/coordination/requests/job_request_handler.py
@@ -14,8 +14,8 @@
 from badgerroute.transport.http import Request, Response
 
 JOBS_PATH = "/v1/jobs"
-UNAVAILABLE = 503
-FORWARD_LIMIT = timedelta(milliseconds=1200)  # a user's poll times out after 2 s
+HTTP_SERVICE_UNAVAILABLE = 503
+FORWARD_TIMEOUT = timedelta(milliseconds=1200)  # a user's poll times out after 2 s
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +41,7 @@
         self._policy, self._store, self._peers = policy, store, peers
         self._job_service, self._forwarder = job_service, forwarder
         self._host = settings.platform.host_name
-        self._forwards = settings.operator.connectivity.relay
+        self._forwarding_enabled = settings.operator.connectivity.relay
 
     async def handle(self, request: Request, relay: str | None = None) -> Response:
         """Answer a submission, a poll or a cancellation.
@@ -56,13 +56,13 @@
         permission = self._policy.permission(action)
         if permission is Permission.ALLOWED:
             response = await self._answer(request, ref, action)
-            if response.status == UNAVAILABLE and self._store.troubled() and relay is None:
+            if response.status == HTTP_SERVICE_UNAVAILABLE and self._store.troubled() and relay is None:
                 return await self._forward(request) or response
             return response
         if permission is Permission.FROM_MEMORY:
-            known = self._job_service.poll_from_memory(ref)
-            if known is not None:
-                return known
+            response_from_memory = self._job_service.poll_from_memory(ref)
+            if response_from_memory is not None:
+                return response_from_memory
         forwarded = await self._forward(request) if relay is None else None
         return forwarded or store_unreachable()
 
@@ -85,15 +85,15 @@
 
         Returns None if there is no such peer, or if it did not respond or could not decide either.
         """
-        if not self._forwards:
+        if not self._forwarding_enabled:
             return None
-        able = [
+        candidates = [
             peer
             for peer in self._peers.reachable().values()
             if peer.gossip.ready and peer.gossip.store_reachable and peer.accepts_forwarded_from(self._host)
         ]
-        if not able:
+        if not candidates:
             return None
-        target = min(able, key=lambda peer: (peer.gossip.isolated, len(peer.gossip.shards)))
-        response = await self._forwarder.forward(target.gossip.host, request, FORWARD_LIMIT)
-        return response if response is not None and response.status != UNAVAILABLE else None
+        target = min(candidates, key=lambda peer: (peer.gossip.isolated, len(peer.gossip.shards)))
+        response = await self._forwarder.forward(target.gossip.host, request, FORWARD_TIMEOUT)
+        return response if response is not None and response.status != HTTP_SERVICE_UNAVAILABLE else None
--- a/badgerroute/coordination/requests/job_service.py
+++ b/badgerroute/coordination/requests/job_service.py
@@ -77,7 +77,7 @@
             return store_unreachable()
 
     async def _submit(self, job: Submission) -> Response:
-        repeated = await self._answer_to_repetition(job)
+        repeated = await self._answer_if_repeated(job)
         if repeated is not None:
             return repeated
         if not self._catalog:
@@ -86,7 +86,7 @@
         await self._check_upstream_jobs(job)
         return await self._accept(job)
 
-    async def _answer_to_repetition(self, job: Submission) -> Response | None:
+    async def _answer_if_repeated(self, job: Submission) -> Response | None:
         """Return the state of a job that was accepted before, or None if this controller knows of no such job."""
         if not self._job_store.is_accepted(job.ref):
             return None
@@ -153,7 +153,7 @@
         """Answer a poll if the job's final state is in memory; return None if the key-value store must be read."""
         if not REF.match(ref):
             return no_such_job()
-        final = self._job_store.final(ref)
+        final = self._job_store.final_state(ref)
         return None if final is None else self._state_response(200, ref, FinishedJob(final))
 
     async def cancel(self, ref: str) -> Response:
--- a/badgerroute/coordination/requests/job_splitting.py
+++ b/badgerroute/coordination/requests/job_splitting.py
@@ -38,26 +38,28 @@
     The weights are the free slots next to cached images if these are enough for the job, else all free slots, else,
     if there are none, the inverse of the queue per machine.
     """
-    by_shard = {summary.shard: summary for summary in summaries}
-    shards = [by_shard.get(shard) for shard in range(shard_count)]
-    free_slots = [_free_slots(job, summary) if summary else 0 for summary in shards]
+    summary_by_shard = {summary.shard: summary for summary in summaries}
+    shard_summaries = [summary_by_shard.get(shard) for shard in range(shard_count)]
+    free_slots = [_free_slots(job, summary) if summary else 0 for summary in shard_summaries]
     cached_slots = [
         min(slots, _cached_slots(job, summary)) if summary else 0
-        for slots, summary in zip(free_slots, shards, strict=True)
+        for slots, summary in zip(free_slots, shard_summaries, strict=True)
     ]
     if sum(cached_slots) >= job.tasks:
         return [float(count) for count in cached_slots]
     if sum(free_slots) > 0:
         return [float(count) for count in free_slots]
     # No slot is free: the shard with the shortest queue per machine can start the job first.
-    return [(summary.machines + 1.0) / (_queued_cpus(summary) + 10.0) if summary else 0.01 for summary in shards]
+    return [
+        (summary.machines + 1.0) / (_queued_cpus(summary) + 10.0) if summary else 0.01 for summary in shard_summaries
+    ]
 
 
 def _free_slots(job: Submission, summary: ShardSummary) -> int:
     """Return how many tasks of the job fit into the free capacity of the machines that the job allows."""
-    need = need_of(job)
+    task_resources = need_of(job)
     return sum(
-        capacity.count * Resources(capacity.cpus, capacity.accelerators, capacity.memory_gb).times(need)
+        capacity.count * Resources(capacity.cpus, capacity.accelerators, capacity.memory_gb).times(task_resources)
         for capacity in summary.capacities
         if (job.types is None or capacity.type in job.types)
         and (job.zone is None or job.zone == capacity.zone)
@@ -85,10 +87,10 @@
 
     Many such jobs arrive at the same time. If each were sent to the best shard, all of them would go to the same one.
     """
-    point = zlib.crc32(ref.encode()) / 2**32 * sum(weights)
+    remaining_weight = zlib.crc32(ref.encode()) / 2**32 * sum(weights)
     for shard, weight in enumerate(weights):
-        point -= weight
-        if point < 0:
+        remaining_weight -= weight
+        if remaining_weight < 0:
             return shard
     return len(weights) - 1
 
@@ -100,45 +102,45 @@
     if work of lower priority must be preempted there, because fetching an image may take as long as running the job. If
     too few machines cache the image, the copies that are fetched now can serve the next job of the image in that shard.
     """
-    by_shard = {summary.shard: summary for summary in summaries}
+    summary_by_shard = {summary.shard: summary for summary in summaries}
     shards = range(len(weights))
 
     def slots_with_image(shard: int) -> int:
-        machines = by_shard[shard].cached_image_cpus.get(job.image, ()) if shard in by_shard else ()
+        machines = summary_by_shard[shard].cached_image_cpus.get(job.image, ()) if shard in summary_by_shard else ()
         return min(job.tasks, sum(cpus >= job.cpus for cpus in machines))
 
     fitting = [shard for shard in shards if weights[shard] >= job.tasks or slots_with_image(shard) >= job.tasks]
     if not any(slots_with_image(shard) for shard in shards):
         # No machine caches the image yet. If all gangs of an image fetch it in one shard, a later gang finds enough
         # machines with the image there; the same number of copies scattered over all shards would be too few in each.
-        queues = [_queue_per_machine(by_shard.get(shard)) for shard in shards]
-        home = zlib.crc32(job.image.encode()) % len(weights)
-        if queues[home] <= MAX_QUEUE_IMBALANCE * min(queues) + 1.0 and (home in fitting or not fitting):
-            return home
-    candidates = fitting or [_heaviest(weights)]
+        queues = [_queue_per_machine(summary_by_shard.get(shard)) for shard in shards]
+        image_shard = zlib.crc32(job.image.encode()) % len(weights)
+        if queues[image_shard] <= MAX_QUEUE_IMBALANCE * min(queues) + 1.0 and (image_shard in fitting or not fitting):
+            return image_shard
+    candidates = fitting or [_heaviest_shard(weights)]
     return max(candidates, key=lambda shard: (slots_with_image(shard), weights[shard], -shard))
 
 
-def _heaviest(weights: list[float]) -> int:
+def _heaviest_shard(weights: list[float]) -> int:
     """Return the shard with the largest weight, or the lowest-numbered of them if there are several."""
     return max(range(len(weights)), key=lambda shard: (weights[shard], -shard))
 
 
 def _proportional_ranges(tasks: int, weights: list[float]) -> list[TaskRange]:
     """Return consecutive ranges with lengths in proportion to the weights, or of equal length if all weights are 0."""
-    best = _heaviest(weights)
-    total = sum(weights)
-    if total <= 0:
-        weights, total = [1.0] * len(weights), float(len(weights))
+    heaviest = _heaviest_shard(weights)
+    total_weight = sum(weights)
+    if total_weight <= 0:
+        weights, total_weight = [1.0] * len(weights), float(len(weights))
     ranges: list[TaskRange] = []
-    first, cumulated = 0, 0.0
+    first, cumulative_weight = 0, 0.0
     for shard, weight in enumerate(weights):
-        cumulated += weight
-        end = round(tasks * cumulated / total)
+        cumulative_weight += weight
+        end = round(tasks * cumulative_weight / total_weight)
         if end > first:
             ranges.append(TaskRange(shard, first, end))
             first = end
     if first < tasks:
-        last = ranges.pop() if ranges else TaskRange(best, 0, 0)
-        ranges.append(last._replace(end=tasks))
+        last_range = ranges.pop() if ranges else TaskRange(heaviest, 0, 0)
+        ranges.append(last_range._replace(end=tasks))
     return ranges
--- a/badgerroute/coordination/requests/mesh_dispatcher.py
+++ b/badgerroute/coordination/requests/mesh_dispatcher.py
@@ -26,7 +26,7 @@
         replica: Replica,
         election: LeaderElection,
         peers: Peers,
-        requests: ShardRequests,
+        shard_requests: ShardRequests,
         leadership_transfer: LeadershipTransfer,
         forwarder: RequestForwarder,
         job_store: JobStore,
@@ -36,7 +36,11 @@
     ) -> None:
         self._host, self._group, self._mesh, self._api = settings.platform.host_name, group, mesh, api
         self._replica, self._election, self._peers = replica, election, peers
-        self._requests, self._leadership_transfer, self._forwarder = requests, leadership_transfer, forwarder
+        self._shard_requests, self._leadership_transfer, self._forwarder = (
+            shard_requests,
+            leadership_transfer,
+            forwarder,
+        )
         self._job_store, self._cancellation_broadcast = job_store, cancellation_broadcast
 
     def receive(self, message: wire.Message) -> None:
@@ -47,11 +51,11 @@
             case wire.Push():
                 self._on_push(message)
             case wire.StealRequest():
-                self._requests.on_steal(message)
+                self._shard_requests.on_steal(message)
             case wire.QuotaRequest():
-                self._requests.grant_quota(message)
+                self._shard_requests.grant_quota(message)
             case wire.MachineRequest():
-                self._requests.transfer_machines(message)
+                self._shard_requests.transfer_machines(message)
             case wire.MisroutedHeartbeat():
                 self._group.spawn(self._leadership_transfer.on_misrouted_heartbeat(message), "misdirected")
             case wire.ForwardedRequest():
--- a/badgerroute/coordination/requests/shard_requests.py
+++ b/badgerroute/coordination/requests/shard_requests.py
@@ -16,7 +16,7 @@
 from badgerroute.scheduling.capacities import fits_capacity
 from badgerroute.transport.loop import Loop, TaskGroup
 
-STEAL_ROUND = timedelta(milliseconds=500)
+STEAL_INTERVAL = timedelta(milliseconds=500)
 
 
 class ShardRequests:
@@ -41,25 +41,25 @@
         The loop also migrates gangs that cannot be placed in their shard.
         """
         while True:
-            await self._loop.sleep(STEAL_ROUND)
+            await self._loop.sleep(STEAL_INTERVAL)
             for leader in list(self._leaders.values()):
                 if not leader.ready or not leader.shard.reconciled:
                     continue
                 if self._policy.allows_for(leader.number, Action.GIVE_WORK):
                     await leader.gang_migration.migrate_unplaceable(self._peers.summaries())
                 if self._policy.allows_for(leader.number, Action.STEAL):
-                    self._steal_for(leader)
+                    self._request_work_for(leader)
 
-    def _steal_for(self, leader: ShardLeader) -> None:
+    def _request_work_for(self, leader: ShardLeader) -> None:
         capacities, images = leader.idle_capacities()
         if not capacities:
             return
-        short = leader.work_stealing.teams_lacking_quota()
-        if leader.work_stealing.has_work_for(capacities, short):
+        short_teams = leader.work_stealing.teams_lacking_quota()
+        if leader.work_stealing.has_work_for(capacities, short_teams):
             return
-        victim = busiest_shard(self._peers.summaries(), leader.number, capacities, short)
+        victim = busiest_shard(self._peers.summaries(), leader.number, capacities, short_teams)
         if victim is not None:
-            self.steal_from(victim, StealRequest(victim, leader.number, capacities, images, sorted(short)))
+            self.steal_from(victim, StealRequest(victim, leader.number, capacities, images, sorted(short_teams)))
 
     def steal_from(self, victim: int, message: StealRequest) -> None:
         """Request waiting tasks from a shard, which this controller or a peer leads."""
@@ -83,7 +83,7 @@
 
     def transfer_machines(self, message: MachineRequest) -> None:
         """Have the other shards that this controller leads transfer the machines that they can spare."""
-        for leader in self._others(message.shard):
+        for leader in self._other_leaders(message.shard):
             self._group.spawn(leader.machine_transfers.transfer(message), "lend")
 
     def request_quota(self, message: QuotaRequest) -> None:
@@ -93,10 +93,10 @@
 
     def grant_quota(self, message: QuotaRequest) -> None:
         """Have the other shards that this controller leads grant the quota that they can spare."""
-        for leader in self._others(message.shard):
+        for leader in self._other_leaders(message.shard):
             self._group.spawn(leader.quota_exchange.grant(message), "grant-quota")
 
-    def _others(self, shard: int) -> list[ShardLeader]:
+    def _other_leaders(self, shard: int) -> list[ShardLeader]:
         return [leader for leader in self._leaders.values() if leader.ready and leader.number != shard]
 
 
@@ -108,7 +108,7 @@
     Work that fits none of the capacities does not count. Otherwise a shard with much such work would receive all
     requests, while work of a third shard could run.
     """
-    waiting = {
+    waiting_work = {
         summary.shard: sum(
             demand.count * max(demand.cpus, demand.accelerators)
             for demand in summary.demands
@@ -118,5 +118,5 @@
         for summary in summaries
         if summary.shard != thief and summary.reconciled
     }
-    busiest = max(waiting, key=lambda shard: waiting[shard], default=None)
-    return busiest if busiest is not None and waiting[busiest] > 0 else None
+    busiest = max(waiting_work, key=lambda shard: waiting_work[shard], default=None)
+    return busiest if busiest is not None and waiting_work[busiest] > 0 else None
--- a/badgerroute/coordination/requests/subsystem.py
+++ b/badgerroute/coordination/requests/subsystem.py
@@ -103,7 +103,7 @@
         replica=storage.replica,
         election=leadership.election,
         peers=membership.peers,
-        requests=shard_requests,
+        shard_requests=shard_requests,
         leadership_transfer=membership.leadership_transfer,
         forwarder=membership.forwarder,
         job_store=jobs.store,
--- a/tests/standins/cuts.py
+++ b/tests/standins/cuts.py
@@ -68,7 +68,7 @@
         modes = self.counts.modes.setdefault(host, [])
         if not modes or modes[-1] != controller.membership.monitor.mode.value:
             modes.append(controller.membership.monitor.mode.value)
-        self._relayed_of[id(controller)] = controller.requests.heartbeat_handler.relayed
+        self._relayed_of[id(controller)] = controller.requests.heartbeat_handler.relayed_heartbeats
 
     async def _ask(self) -> None:
         """A user that asks another node every half second about a job that waits: a job nobody knows needs a read."""
--- a/tests/test_connectivity_loopback.py
+++ b/tests/test_connectivity_loopback.py
@@ -79,7 +79,7 @@
         day.run(2)
         opposite(day)
         day.run(16)
-        relayed = sum(one.requests.heartbeat_handler.relayed for one, _ in day.controllers.values())
+        relayed = sum(one.requests.heartbeat_handler.relayed_heartbeats for one, _ in day.controllers.values())
         killed = len(day.site.killed_by_lease)
         whole(day)
         assert relayed > 10 and killed == 0, (relayed, killed)
