--- a/badgerroute/coordination/jobs/job_writer.py
+++ b/badgerroute/coordination/jobs/job_writer.py
@@ -1,4 +1,4 @@
-"""Accepting and cancelling jobs, as users ask for it."""
+"""Accepts and cancels jobs on request of users."""
 
 import logging
 
@@ -26,11 +26,11 @@
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
-MAX_CANCEL_TRIES = 6
+MAX_CANCEL_ATTEMPTS = 6
 
 
 class JobWriter:
-    """Accepts and cancels jobs; each is final once its method has returned."""
+    """Accepts and cancels jobs. The result is durable when a method returns."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         self._loop, self._store, self._replica = loop, store, replica
         self._job_store, self._reader, self._pager = job_store, reader, pager
 
-    def _today(self) -> float:
+    def _unix_time(self) -> float:
         return self._loop.clock.today().timestamp()
 
     def _transaction(self) -> JobTransaction:
@@ -54,17 +54,18 @@
     # -- accepting
 
     async def accept(self, job: Submission, ranges: list[TaskRange]) -> bool:
-        """Store a new job, with the shards that own its tasks. False: it is stored already, by whomever.
+        """Store a new job with the shards that own its tasks, and return whether this call stored it.
 
-        Raises RecordTooLargeError if it can never be stored; StoreUnavailableError if it is not stored, and
-        OutcomeUnknownError if it may be: after these two the user may submit the same again.
+        Returns False if the job was stored already, by this or another controller. Raises RecordTooLargeError if the
+        job can never be stored, StoreUnavailableError if it was not stored, and OutcomeUnknownError if it may have
+        been. After the latter two the user may submit the job again.
         """
         compact = self._pager.compact(self._new_record(job, ranges))
-        absent = [compare(JOBS + job.ref, 0), compare(FINAL_STATES + job.ref, 0)]
+        absent_conditions = [compare(JOBS + job.ref, 0), compare(FINAL_STATES + job.ref, 0)]
         transaction = self._transaction()
         transaction.put(JOBS + job.ref, records.write(compact.record))
         try:
-            for condition in absent + await self._write_pages(compact.pages, absent):
+            for condition in absent_conditions + await self._write_pages(compact.pages, absent_conditions):
                 transaction.require(condition)
             await transaction.commit(Urgency.SUBMIT)
         except CompareFailedError:
@@ -75,27 +76,28 @@
             return False
         except RequestRefusedError as error:
             if error.by_size:
-                raise  # the next attempt sends less
+                raise  # the client has lowered its size limits, so the next attempt sends less
             raise RecordTooLargeError(f"the state service does not take it: {error}") from None
         return True
 
     def _new_record(self, job: Submission, ranges: list[TaskRange]) -> JobRecord:
         if job.predecessors:
-            return JobRecord(job, self._today(), [], planned=ranges)
-        return JobRecord(job, self._today(), ranges)
+            return JobRecord(job, self._unix_time(), [], planned=ranges)
+        return JobRecord(job, self._unix_time(), ranges)
 
-    async def _write_pages(self, pages: list[KeyValue], absent: list[Compare]) -> list[Compare]:
-        """Write a new job's pages before its record, so that whoever sees that has them; conditions on these pages.
+    async def _write_pages(self, pages: list[KeyValue], absent_conditions: list[Compare]) -> list[Compare]:
+        """Write a new job's pages, and return the conditions that the job's record has to be written under.
 
-        Only as long as there is no such job: a page applied late would change the predecessors of an accepted one.
-        And the record is written only if the pages are still those: another controller may have written others, for a
-        repeated submission with another list, or have removed them.
+        The pages are written before the record, so that every controller that sees the record has its pages. They are
+        written only if no such job exists, because a page that is applied late would change the predecessors of an
+        accepted job. The conditions say that the pages are unchanged when the record is written: in between, another
+        controller may have removed them, or overwritten them for a repeated submission with other predecessors.
         """
         conditions: list[Compare] = []
         for first in range(0, len(pages), self._store.max_changes):
             batch = pages[first : first + self._store.max_changes]
             transaction = self._transaction()
-            for condition in absent:
+            for condition in absent_conditions:
                 transaction.require(condition)
             for page in batch:
                 transaction.put(page.key, page.value)
@@ -106,16 +108,16 @@
     # -- cancelling
 
     async def cancel(self, ref: str) -> JobState:
-        """Cancel a job, unless it is over already; its final state.
+        """Cancel a job unless it has a final state already, and return its final state.
 
-        Raises UnknownJobError if nobody submitted such a job, StoreUnavailableError if nothing was done, and
-        OutcomeUnknownError if it may have been: the user asks again, and what is read back then is the answer.
+        Raises UnknownJobError if no such job was accepted, StoreUnavailableError if the job was not cancelled, and
+        OutcomeUnknownError if it may have been. The user then repeats the request, which looks the job up again.
         """
         with self._job_store.confirming_cancellation(ref):
             return await self._cancel(ref)
 
     async def _cancel(self, ref: str) -> JobState:
-        for _ in range(MAX_CANCEL_TRIES):
+        for _ in range(MAX_CANCEL_ATTEMPTS):
             lookup = await self._reader.look_up(ref, Urgency.CANCEL)
             if isinstance(lookup, UnknownJob):
                 raise UnknownJobError(ref)
@@ -123,11 +125,13 @@
                 return lookup.state
             transaction = self._transaction()
             transaction.require(compare(JOBS + ref, lookup.revision))
-            transaction.finish_job(ref, FinalStateRecord(JobState.CANCELLED, lookup.record.job.tasks, self._today()))
+            transaction.finish_job(
+                ref, FinalStateRecord(JobState.CANCELLED, lookup.record.job.tasks, self._unix_time())
+            )
             try:
                 await transaction.commit(Urgency.CANCEL)
             except CompareFailedError:
-                continue  # progress was written in between
+                continue  # the job's progress was written between the look-up and the commit
             log.info("event=job_cancelled job=%s", ref)
             return JobState.CANCELLED
         raise StoreUnavailableError("too much changes at once")
--- a/badgerroute/coordination/jobs/progress_writer.py
+++ b/badgerroute/coordination/jobs/progress_writer.py
@@ -1,4 +1,4 @@
-"""Makes the progress of jobs durable: their done tasks, and their final states once all tasks are done."""
+"""Writes the progress of jobs to the key-value store: done tasks, and the final state once all tasks are done."""
 
 import logging
 from collections.abc import Callable
@@ -18,17 +18,18 @@
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
-MAX_TRANSACTION_BYTES = 40_000  # of a transaction's 64 KiB
-MAX_PROGRESS_TRIES = 5
-CHANGES_OF_A_COMPLETION = 2  # a record removed, a final state put
+MAX_TRANSACTION_BYTES = 40_000  # no further job is added beyond this; a transaction may have 64 KiB
+MAX_PROGRESS_ATTEMPTS = 5
+CHANGES_PER_COMPLETED_JOB = 2  # the record is removed and the final state is put
 
-# The condition under which this controller leads a shard; None: it does not.
+# Returns the condition under which a transaction applies only while this controller leads a shard, or None if it does
+# not lead that shard.
 LeadershipCheck = Callable[[int], Compare | None]
 
 
 @dataclass(slots=True)
 class Progress:
-    """Newly done tasks of one job, as a bit set, with the shards that reported them."""
+    """Newly done tasks of one job, as a bit set, and the shards that reported them."""
 
     ref: str
     done: int
@@ -37,14 +38,14 @@
 
 @dataclass(slots=True)
 class ProgressTransaction:
-    """A transaction of progress, and the jobs that it completes."""
+    """A transaction that writes progress, and the jobs that it completes."""
 
     transaction: JobTransaction
     completed: list[JobRecord] = field(default_factory=list)
 
 
 class ProgressWriter:
-    """Writes progress for the leaders of this controller's shards."""
+    """Writes progress on behalf of the shard leaders of this controller."""
 
     def __init__(
         self,
@@ -59,64 +60,66 @@
         self._loop, self._store, self._replica = loop, store, replica
         self._job_store, self._reader, self._pager = job_store, reader, pager
 
-    def _today(self) -> float:
+    def _unix_time(self) -> float:
         return self._loop.clock.today().timestamp()
 
     async def write_progress(self, batch: list[Progress], leadership_check: LeadershipCheck) -> None:
-        """Write done tasks and completed jobs, in one transaction; what does not fit it is left for the next call.
+        """Write done tasks and completed jobs in one transaction. What does not fit is left for the next call.
 
-        Raises StoreUnavailableError if nothing was written. Progress that was not written stays with its leader, which
-        passes it again.
+        Raises StoreUnavailableError if nothing was written. Each shard leader keeps its progress until it is stored,
+        and passes the rest again.
         """
-        for _ in range(MAX_PROGRESS_TRIES):
-            progress = self._transaction(batch, leadership_check)
-            if not len(progress.transaction):
+        for _ in range(MAX_PROGRESS_ATTEMPTS):
+            pending = self._transaction(batch, leadership_check)
+            if not len(pending.transaction):
                 return
             try:
-                await progress.transaction.commit(Urgency.COMPLETE)
+                await pending.transaction.commit(Urgency.COMPLETE)
             except CompareFailedError as error:
                 await self._reader.refresh(error.failed)
             except OutcomeUnknownError:
-                await self._reader.refresh(progress.transaction.keys)
+                await self._reader.refresh(pending.transaction.keys)
             except LeaseExpiredError:
                 return
             else:
-                self._log_completed(progress.completed)
+                self._log_completed(pending.completed)
                 return
 
     def _transaction(self, batch: list[Progress], leadership_check: LeadershipCheck) -> ProgressTransaction:
         transaction = JobTransaction(self._store, self._replica, self._job_store)
         pending = ProgressTransaction(transaction)
         for progress in batch:
-            room = self._store.max_changes - len(transaction)
-            if transaction.value_bytes > MAX_TRANSACTION_BYTES or room < CHANGES_OF_A_COMPLETION:
+            remaining_changes = self._store.max_changes - len(transaction)
+            if transaction.value_bytes > MAX_TRANSACTION_BYTES or remaining_changes < CHANGES_PER_COMPLETED_JOB:
                 break
             record = self._job_store.active.get(progress.ref)
             conditions = [leadership_check(shard) for shard in progress.shards]
-            leaderships = [condition for condition in conditions if condition is not None]
-            if record is None or len(leaderships) < len(progress.shards):
-                continue  # cancelled meanwhile, or the shard has another leader now
-            for condition in leaderships:
+            leadership_conditions = [condition for condition in conditions if condition is not None]
+            if record is None or len(leadership_conditions) < len(progress.shards):
+                continue  # the job was cancelled meanwhile, or another controller leads the shard now
+            for condition in leadership_conditions:
                 transaction.require(condition)
             transaction.require_unchanged(JOBS + progress.ref)
-            self._add_progress(pending, progress, record, room)
+            self._add_progress(pending, progress, record, remaining_changes)
         return pending
 
-    def _add_progress(self, pending: ProgressTransaction, progress: Progress, record: JobRecord, room: int) -> None:
+    def _add_progress(
+        self, pending: ProgressTransaction, progress: Progress, record: JobRecord, remaining_changes: int
+    ) -> None:
         transaction = pending.transaction
-        durable = self._job_store.done(progress.ref, record)
-        done = durable | progress.done
+        stored_done = self._job_store.done(progress.ref, record)
+        done = stored_done | progress.done
         if done.bit_count() >= record.job.tasks:
-            final = FinalStateRecord(JobState.DONE, record.job.tasks, self._today())
+            final = FinalStateRecord(JobState.DONE, record.job.tasks, self._unix_time())
             transaction.finish_job(progress.ref, final)
             pending.completed.append(record)
-        elif done != durable:
-            for change in self._pager.progress(progress.ref, record, durable, done)[:room]:
+        elif done != stored_done:
+            for change in self._pager.progress_writes(progress.ref, record, stored_done, done)[:remaining_changes]:
                 if change.key != JOBS + progress.ref:
                     transaction.require_unchanged(change.key)
                 transaction.put(change.key, change.value)
 
     def _log_completed(self, completed: list[JobRecord]) -> None:
         for record in completed:
-            took = self._today() - record.accepted
-            log.info("event=job_completed job=%s class=%s took=%.1f", record.job.ref, record.job.job_class, took)
+            duration = self._unix_time() - record.accepted
+            log.info("event=job_completed job=%s class=%s took=%.1f", record.job.ref, record.job.job_class, duration)
--- a/badgerroute/coordination/requests/job_request_handler.py
+++ b/badgerroute/coordination/requests/job_request_handler.py
@@ -1,4 +1,4 @@
-"""Requests of users: answered here as far as the key-value store is reached, else by a peer that reaches it."""
+"""Handles users' requests: here if this controller reaches the key-value store, else at a peer that reaches it."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -14,20 +14,20 @@
 from badgerroute.transport.http import Request, Response
 
 JOBS_PATH = "/v1/jobs"
-UNAVAILABLE = 503
-FORWARD_LIMIT = timedelta(milliseconds=1200)  # a poll waits for 2 s
+HTTP_SERVICE_UNAVAILABLE = 503
+FORWARD_TIMEOUT = timedelta(milliseconds=1200)  # a user's poll times out after 2 s
 
 
 @dataclass(frozen=True, slots=True)
 class Operation:
-    """The method that a path takes, and what it asks for."""
+    """The HTTP method that a path requires, and the action that the request stands for."""
 
     method: str
     action: Action
 
 
 class JobRequestHandler:
-    """What was passed on by a peer is answered here or nowhere."""
+    """Answers or forwards users' requests. A request that a peer forwarded is never forwarded again."""
 
     def __init__(
         self,
@@ -41,10 +41,13 @@
         self._policy, self._store, self._peers = policy, store, peers
         self._job_service, self._forwarder = job_service, forwarder
         self._host = settings.platform.host_name
-        self._forwards = settings.operator.connectivity.relay
+        self._forwarding_enabled = settings.operator.connectivity.relay
 
     async def handle(self, request: Request, relay: str | None = None) -> Response:
-        """Answer a submission, a poll or a cancellation; `relay`: the peer that passed it on."""
+        """Answer a submission, a poll or a cancellation.
+
+        `relay` is the peer that forwarded the request, or None if it came directly from a user.
+        """
         ref, _, verb = request.path.removeprefix(JOBS_PATH).strip("/").partition("/")
         operation = self._operation(ref, verb)
         if request.method != operation.method:
@@ -53,13 +56,13 @@
         permission = self._policy.permission(action)
         if permission is Permission.ALLOWED:
             response = await self._answer(request, ref, action)
-            if response.status == UNAVAILABLE and self._store.troubled() and relay is None:
+            if response.status == HTTP_SERVICE_UNAVAILABLE and self._store.troubled() and relay is None:
                 return await self._forward(request) or response
             return response
         if permission is Permission.FROM_MEMORY:
-            known = self._job_service.poll_from_memory(ref)
-            if known is not None:
-                return known
+            response_from_memory = self._job_service.poll_from_memory(ref)
+            if response_from_memory is not None:
+                return response_from_memory
         forwarded = await self._forward(request) if relay is None else None
         return forwarded or store_unreachable()
 
@@ -78,16 +81,19 @@
         return await self._job_service.poll(ref)
 
     async def _forward(self, request: Request) -> Response | None:
-        """The answer of a peer that reaches the key-value store; None if there is none that can decide."""
-        if not self._forwards:
+        """Forward a request to a peer that reaches the key-value store, and return the response.
+
+        Returns None if there is no such peer, or if it did not respond or could not decide either.
+        """
+        if not self._forwarding_enabled:
             return None
-        able = [
+        candidates = [
             peer
             for peer in self._peers.reachable().values()
             if peer.gossip.ready and peer.gossip.store_reachable and peer.accepts_forwarded_from(self._host)
         ]
-        if not able:
+        if not candidates:
             return None
-        target = min(able, key=lambda peer: (peer.gossip.isolated, len(peer.gossip.shards)))
-        response = await self._forwarder.forward(target.gossip.host, request, FORWARD_LIMIT)
-        return response if response is not None and response.status != UNAVAILABLE else None
+        target = min(candidates, key=lambda peer: (peer.gossip.isolated, len(peer.gossip.shards)))
+        response = await self._forwarder.forward(target.gossip.host, request, FORWARD_TIMEOUT)
+        return response if response is not None and response.status != HTTP_SERVICE_UNAVAILABLE else None
--- a/badgerroute/coordination/requests/shard_requests.py
+++ b/badgerroute/coordination/requests/shard_requests.py
@@ -1,6 +1,7 @@
-"""Requests between shards: for waiting work, for quota of a team's limit, for machines.
+"""Requests between shards for waiting tasks, for quota of a team's limit, and for machines.
 
-Each goes to the leader of what is asked for, ours or a peer's, who decides and writes. One that is lost costs time.
+A request goes to the leaders of the shards that may grant it, on this controller or on peers. The leader that grants it
+also writes the change, so a lost request only causes a delay.
 """
 
 from datetime import timedelta
@@ -15,11 +16,11 @@
 from badgerroute.scheduling.capacities import fits_capacity
 from badgerroute.transport.loop import Loop, TaskGroup
 
-STEAL_ROUND = timedelta(milliseconds=500)
+STEAL_INTERVAL = timedelta(milliseconds=500)
 
 
 class ShardRequests:
-    """Sends the requests of our shards, and has those that reach us carried out."""
+    """Sends requests of the shards that this controller leads, and passes received requests to their leaders."""
 
     def __init__(
         self,
@@ -35,30 +36,33 @@
         self._peers, self._mesh, self._leaders = peers, mesh, leaders
 
     async def run_stealing(self) -> None:
-        """Idle shards ask busy ones for waiting tasks, one request per shard and period."""
+        """Request waiting tasks for idle shards from busy ones in an endless loop, one request per shard and period.
+
+        The loop also migrates gangs that cannot be placed in their shard.
+        """
         while True:
-            await self._loop.sleep(STEAL_ROUND)
+            await self._loop.sleep(STEAL_INTERVAL)
             for leader in list(self._leaders.values()):
                 if not leader.ready or not leader.shard.reconciled:
                     continue
                 if self._policy.allows_for(leader.number, Action.GIVE_WORK):
                     await leader.gang_migration.migrate_unplaceable(self._peers.summaries())
                 if self._policy.allows_for(leader.number, Action.STEAL):
-                    self._steal_for(leader)
+                    self._request_work_for(leader)
 
-    def _steal_for(self, leader: ShardLeader) -> None:
+    def _request_work_for(self, leader: ShardLeader) -> None:
         capacities, images = leader.idle_capacities()
         if not capacities:
             return
-        short = leader.work_stealing.teams_lacking_quota()
-        if leader.work_stealing.has_work_for(capacities, short):
+        short_teams = leader.work_stealing.teams_lacking_quota()
+        if leader.work_stealing.has_work_for(capacities, short_teams):
             return
-        victim = busiest_shard(self._peers.summaries(), leader.number, capacities, short)
+        victim = busiest_shard(self._peers.summaries(), leader.number, capacities, short_teams)
         if victim is not None:
-            self.steal_from(victim, StealRequest(victim, leader.number, capacities, images, sorted(short)))
+            self.steal_from(victim, StealRequest(victim, leader.number, capacities, images, sorted(short_teams)))
 
     def steal_from(self, victim: int, message: StealRequest) -> None:
-        """Ask a shard, ours or a peer's, for waiting tasks."""
+        """Request waiting tasks from a shard, which this controller or a peer leads."""
         if victim in self._leaders:
             self._group.spawn(self._leaders[victim].work_stealing.on_steal(message), "steal")
         else:
@@ -67,43 +71,44 @@
                 self._mesh.send(host, message)
 
     def on_steal(self, message: StealRequest) -> None:
-        """A peer's shard asks one of ours for waiting tasks."""
+        """Handle a request of a peer's shard for waiting tasks of a shard that this controller leads."""
         leader = self._leaders.get(message.victim)
         if leader is not None and leader.ready:
             self._group.spawn(leader.work_stealing.on_steal(message), "steal")
 
     def request_machines(self, message: MachineRequest) -> None:
-        """Ask every other shard for empty machines."""
+        """Request empty machines from all other shards."""
         self._mesh.broadcast(message)
         self.transfer_machines(message)
 
     def transfer_machines(self, message: MachineRequest) -> None:
-        """Have our other shards transfer what they can."""
-        for leader in self._others(message.shard):
+        """Have the other shards that this controller leads transfer the machines that they can spare."""
+        for leader in self._other_leaders(message.shard):
             self._group.spawn(leader.machine_transfers.transfer(message), "lend")
 
     def request_quota(self, message: QuotaRequest) -> None:
-        """Ask every other shard for quota of a team's limit."""
+        """Request quota of a team's limit from all other shards."""
         self._mesh.broadcast(message)
         self.grant_quota(message)
 
     def grant_quota(self, message: QuotaRequest) -> None:
-        """Have our other shards give what they can spare."""
-        for leader in self._others(message.shard):
+        """Have the other shards that this controller leads grant the quota that they can spare."""
+        for leader in self._other_leaders(message.shard):
             self._group.spawn(leader.quota_exchange.grant(message), "grant-quota")
 
-    def _others(self, shard: int) -> list[ShardLeader]:
+    def _other_leaders(self, shard: int) -> list[ShardLeader]:
         return [leader for leader in self._leaders.values() if leader.ready and leader.number != shard]
 
 
 def busiest_shard(
     summaries: list[ShardSummary], thief: int, capacities: list[FreeCapacity], teams_lacking_quota: set[str]
 ) -> int | None:
-    """The shard where most waits that would fit the thief's room.
+    """Return the shard with the most waiting work that fits the thief's free capacities, or None if there is none.
 
-    Work that fits none of it does not count: it would draw every request, while work of a third shard could run.
+    Work that fits none of the capacities does not count. Otherwise a shard with much such work would receive all
+    requests, while work of a third shard could run.
     """
-    waiting = {
+    waiting_work = {
         summary.shard: sum(
             demand.count * max(demand.cpus, demand.accelerators)
             for demand in summary.demands
@@ -113,5 +118,5 @@
         for summary in summaries
         if summary.shard != thief and summary.reconciled
     }
-    busiest = max(waiting, key=lambda shard: waiting[shard], default=None)
-    return busiest if busiest is not None and waiting[busiest] > 0 else None
+    busiest = max(waiting_work, key=lambda shard: waiting_work[shard], default=None)
+    return busiest if busiest is not None and waiting_work[busiest] > 0 else None
