--- a/badgerroute/transport/__init__.py
+++ b/badgerroute/transport/__init__.py
@@ -1,5 +1,5 @@
-"""Event loop, clocks, streams, HTTP and mesh framing. Nothing here knows what a job is.
+"""Event loop, clocks, connections, HTTP and mesh framing; independent of jobs and of the key-value store.
 
-Owns everything that waits: tasks, timers, sockets. It knows no keys. Imports no other package. Other packages import
-the names of the event loop from `loop`, those of HTTP from `http`.
+Contains everything that waits: coroutines, timers, sockets. Imports no other package. Other packages import the names
+of the event loop from `loop` and those of HTTP from `http`.
 """
--- a/badgerroute/transport/clock.py
+++ b/badgerroute/transport/clock.py
@@ -1,4 +1,4 @@
-"""Clocks. A steady time is a `timedelta` since an arbitrary origin; a time of day is a `datetime`."""
+"""Clocks. Monotonic time is a `timedelta` since an arbitrary origin; wall-clock time is a `datetime` in UTC."""
 
 import time
 from datetime import UTC, datetime, timedelta
@@ -8,22 +8,22 @@
 
 
 def seconds(value: float) -> timedelta:
-    """So many seconds as a `timedelta`."""
+    """Convert a number of seconds to a `timedelta`."""
     return timedelta(seconds=value)
 
 
 class Clock(Protocol):
-    """Where the program gets its times from."""
+    """The source of all times: a monotonic clock and a wall clock."""
 
     def now(self) -> timedelta:
-        """Steady time: never goes back, may drift."""
+        """Return the monotonic time. It never goes back but may drift."""
 
     def today(self) -> datetime:
-        """Time of day; wrong by up to the bound that the platform settings give (`time_bound_ms`)."""
+        """Return the wall-clock time, whose error is at most the platform setting `time_bound_ms`."""
 
 
 class SystemClock:
-    """The machine's clocks."""
+    """The clocks of the operating system."""
 
     def now(self) -> timedelta:
         """See Clock."""
@@ -35,7 +35,7 @@
 
 
 class VirtualClock:
-    """Time that moves only by `advance`, so that a day can be replayed in a moment."""
+    """A simulated clock that only `advance` moves, so that tests can simulate long periods quickly."""
 
     def __init__(self, start: datetime = datetime(2026, 1, 1, tzinfo=UTC)) -> None:
         self._start = start
@@ -50,5 +50,5 @@
         return self._start + self._elapsed
 
     def advance(self, to: timedelta) -> None:
-        """Move on to a time; never back."""
+        """Set the monotonic time; an earlier time than the current one has no effect."""
         self._elapsed = max(self._elapsed, to)
--- a/badgerroute/transport/event_loop.py
+++ b/badgerroute/transport/event_loop.py
@@ -13,8 +13,8 @@
 from badgerroute.transport.tasks import CoroutineTask
 from badgerroute.transport.timers import Deadline, Timer, do_nothing
 
-# When it is due, a unique number that keeps timers of one moment in order, and the timer. A plain tuple, since one is
-# made for every wait and every time limit.
+# The due time, a unique number that keeps timers with equal due times in order, and the timer. A plain tuple for speed:
+# one is created for every wait and every time limit.
 _TimerEntry = tuple[timedelta, int, Timer]
 
 
@@ -27,71 +27,71 @@
         self.ready: deque[CoroutineTask] = deque()
         self.current: CoroutineTask | None = None
         self._timers: list[_TimerEntry] = []
-        self._numbers = itertools.count()
+        self._timer_numbers = itertools.count()
 
     def now(self) -> timedelta:
-        """The steady time."""
+        """Return the monotonic time."""
         return self.clock.now()
 
     def spawn(self, coro: Coroutine, name: str) -> CoroutineTask:
-        """Start a task. `name` appears in logs."""
+        """Start a coroutine as a task. `name` appears in logs."""
         task = CoroutineTask(self, coro, name)
         task.schedule()
         return task
 
-    def later(self, delta: timedelta, action: Callable[[], None]) -> Timer:
-        """Run an action after so long."""
+    def later(self, delay: timedelta, action: Callable[[], None]) -> Timer:
+        """Run an action after a delay. Return its timer, which can be cancelled."""
         timer = Timer(action)
-        heapq.heappush(self._timers, (self.now() + max(delta, ZERO), next(self._numbers), timer))
+        heapq.heappush(self._timers, (self.now() + max(delay, ZERO), next(self._timer_numbers), timer))
         return timer
 
-    async def sleep(self, delta: timedelta) -> None:
-        """Wait for so long."""
+    async def sleep(self, delay: timedelta) -> None:
+        """Suspend the current task for a delay."""
         future = Future()
-        timer = self.later(delta, future.set)
+        timer = self.later(delay, future.set)
         try:
             await future
         finally:
             timer.cancel()
 
-    def limit(self, delta: timedelta) -> Deadline:
-        """A context that ends what runs in it by TimeLimitError after so long."""
-        return Deadline(self, delta)
+    def limit(self, limit: timedelta) -> Deadline:
+        """Return a context manager that raises TimeLimitError in its body once the time limit is over."""
+        return Deadline(self, limit)
 
-    async def first(self, future: Future, delta: timedelta) -> bool:
-        """Wait for a future at most so long; whether it is done. The future itself goes on."""
+    async def first(self, future: Future, limit: timedelta) -> bool:
+        """Wait for a future, up to a time limit. Return whether it is done. A time-out does not cancel the future."""
         if future.done:
             return True
-        woken = Future()
-        timer = self.later(delta, woken.set)
-        future.waiters.append(woken.set)
+        wakeup = Future()
+        timer = self.later(limit, wakeup.set)
+        future.waiters.append(wakeup.set)
         try:
-            await woken
+            await wakeup
         finally:
             timer.cancel()
-            if woken.set in future.waiters:
-                future.waiters.remove(woken.set)
+            if wakeup.set in future.waiters:
+                future.waiters.remove(wakeup.set)
         return future.done
 
-    def turn(self, until: Callable[[], bool] | None = None) -> None:
-        """One round: due timers, then the tasks that are ready, then a wait for sockets or the next timer.
+    def run_once(self, until: Callable[[], bool] | None = None) -> None:
+        """Run one iteration: due timers, then the tasks that are ready, then wait for sockets or the next timer.
 
-        `until`: ends the round before that wait if it holds.
+        The wait is skipped if `until` returns true.
         """
         self._run_due_timers()
-        for _ in range(len(self.ready)):  # what becomes ready meanwhile is stepped in the next round
+        for _ in range(len(self.ready)):  # tasks that become ready meanwhile run in the next iteration
             self.ready.popleft().step()
         if until is not None and until():
             return
-        limit = self._time_to_wait()
+        limit = self._time_until_next_timer()
         if limit is None or limit > ZERO or not isinstance(self.poller, VirtualPoller):
             self.poller.poll(limit)
 
     def run(self, main: CoroutineTask) -> Any:
-        """Turn until a task has ended; its result, or its error raised."""
-        main.waiters.append(do_nothing)  # its failure is raised here, so it need not be logged as unnoticed
+        """Run the loop until a task is done. Return its result, or raise its error."""
+        main.waiters.append(do_nothing)  # a failure is raised below, so the task must not log it as unhandled
         while not main.done:
-            self.turn(lambda: main.done)
+            self.run_once(lambda: main.done)
         if main.error is not None:
             raise main.error
         return main.result
@@ -103,8 +103,8 @@
             _, _, timer = heapq.heappop(timers)
             timer.action()
 
-    def _time_to_wait(self) -> timedelta | None:
-        """Until the next timer; nothing if tasks are ready, None if there is nothing to wait for but sockets."""
+    def _time_until_next_timer(self) -> timedelta | None:
+        """Return the time until the next timer, zero if tasks are ready, or None if only sockets can wake the loop."""
         if self.ready:
             return ZERO
         timers = self._timers
--- a/badgerroute/transport/futures.py
+++ b/badgerroute/transport/futures.py
@@ -1,19 +1,19 @@
-"""Results that are to come, and the errors that end waiting for them."""
+"""Futures, and the errors that end a wait early."""
 
 from collections.abc import Callable, Generator
 from typing import Any
 
 
 class CancelledError(BaseException):
-    """Thrown into a task that is being cancelled; not an `Exception`, so that nobody swallows it."""
+    """Raised in a task that is cancelled. Not an `Exception`, so that `except Exception` does not catch it."""
 
 
 class TimeLimitError(Exception):
-    """What a task was waiting for did not come within its limit. The caller may try again."""
+    """An operation timed out. The caller may try again."""
 
 
 class Future:
-    """A result that is to come, for any number of waiters."""
+    """A result or an error that is not available yet; any number of tasks and callbacks can wait for it."""
 
     __slots__ = ("done", "result", "error", "waiters")
 
@@ -24,14 +24,14 @@
         self.waiters: list[Callable[[], None]] = []
 
     def set(self, result: Any = None) -> None:
-        """Give the result and wake all waiters. Only the first call of `set` or `fail` counts."""
+        """Set the result and wake all waiters. Does nothing if the future is done already."""
         if not self.done:
             self.done = True
             self.result = result
             self._wake()
 
     def fail(self, error: BaseException) -> None:
-        """Give an error in place of the result: it is raised where the future is awaited."""
+        """Set an error instead of a result; it is raised wherever the future is awaited. Does nothing if it is done."""
         if not self.done:
             self.done = True
             self.error = error
--- a/badgerroute/transport/http.py
+++ b/badgerroute/transport/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 under one name for all other packages: messages, parser, server, client."""
+"""HTTP/1.1: re-exports messages, parser, server and client for the other packages."""
 
 from badgerroute.transport.http_client import Client, NoAnswerError
 from badgerroute.transport.http_messages import Request, Response, encode_response, parse_query
--- a/badgerroute/transport/http_client.py
+++ b/badgerroute/transport/http_client.py
@@ -1,4 +1,4 @@
-"""An HTTP client that keeps its connections."""
+"""An HTTP client with persistent connections."""
 
 from datetime import timedelta
 from typing import NamedTuple
@@ -10,23 +10,27 @@
 
 
 class NoAnswerError(Exception):
-    """No answer came. `sent`: the other side may have got the request all the same, so it may have been carried out."""
+    """A request got no valid response.
 
-    def __init__(self, why: str, sent: bool) -> None:
-        super().__init__(why)
+    `sent`: sending had begun, so the server may have received and executed the request.
+    """
+
+    def __init__(self, reason: str, sent: bool) -> None:
+        super().__init__(reason)
         self.sent = sent
 
 
 class _IdleConnection(NamedTuple):
     stream: Stream
     reader: Reader
-    since: timedelta
+    idle_since: timedelta
 
 
 class Client:
-    """Requests to one server over a few kept connections.
+    """Sends requests to one server, reusing idle connections.
 
-    `idle`: how long an unused connection is kept, `most_idle`: how many. `connect`: how long connecting may take.
+    `idle_limit`: how long an idle connection is kept. `most_idle`: how many are kept. `connect`: time limit for
+    opening a connection.
     """
 
     def __init__(
@@ -34,55 +38,55 @@
         loop: Loop,
         network: Network,
         address: str,
-        idle: timedelta = timedelta(seconds=20),
+        idle_limit: timedelta = timedelta(seconds=20),
         most_idle: int = 4,
         connect: timedelta = timedelta(seconds=2),
     ) -> None:
         self._loop = loop
         self._network = network
         self._address = address
-        self._idle_limit = idle
+        self._idle_limit = idle_limit
         self._max_idle = most_idle
         self._connect_limit = connect
-        self._idle: list[_IdleConnection] = []
+        self._idle_connections: list[_IdleConnection] = []
 
-    def _take_idle(self) -> _IdleConnection | None:
-        """A connection that was kept, the last used first; None if there is none."""
-        while self._idle:
-            connection = self._idle.pop()
-            if self._loop.now() - connection.since < self._idle_limit:
+    def _pop_idle_connection(self) -> _IdleConnection | None:
+        """Return the most recently used idle connection, or None. Closes connections that were idle for too long."""
+        while self._idle_connections:
+            connection = self._idle_connections.pop()
+            if self._loop.now() - connection.idle_since < self._idle_limit:
                 return connection
             connection.stream.close()
         return None
 
     async def request(self, method: str, target: str, body: bytes, limit: timedelta, fresh: bool = False) -> Response:
-        """Send a request and wait for its response, both within `limit`; NoAnswerError if there is none.
+        """Send a request and return its response. Raise NoAnswerError if none arrives within `limit`.
 
-        `fresh`: over a new connection, where a kept one might be dead.
+        `fresh`: use a new connection, because an idle one may be broken without the client noticing.
         """
         sent = False
         stream: Stream | None = None
         try:
             with self._loop.limit(limit):
-                kept = None if fresh else self._take_idle()
-                if kept is None:
+                idle_connection = None if fresh else self._pop_idle_connection()
+                if idle_connection is None:
                     stream = await self._network.connect(self._address, min(limit, self._connect_limit))
                     reader = Reader(stream)
                 else:
-                    stream, reader = kept.stream, kept.reader
+                    stream, reader = idle_connection.stream, idle_connection.reader
                 sent = True
                 await stream.write(self._encode(method, target, body))
-                response = await reader.response()
+                response = await reader.read_response()
         except (OSError, TimeLimitError, BadMessageError, CancelledError) as error:
             if stream is not None:
                 stream.close()
             if isinstance(error, CancelledError):
                 raise
             if not isinstance(error, TimeLimitError):
-                self.drop()  # the other side was restarted, most likely: its other connections are dead as well
+                self.drop()  # the server was probably restarted, which breaks the other connections as well
             raise NoAnswerError(str(error), sent) from None
-        if response.keep and len(self._idle) < self._max_idle and not reader.started:
-            self._idle.append(_IdleConnection(stream, reader, self._loop.now()))
+        if response.keep_alive and len(self._idle_connections) < self._max_idle and not reader.has_buffered_data:
+            self._idle_connections.append(_IdleConnection(stream, reader, self._loop.now()))
         else:
             stream.close()
         return response
@@ -95,6 +99,6 @@
 
     def drop(self) -> None:
         """Close all idle connections."""
-        for connection in self._idle:
+        for connection in self._idle_connections:
             connection.stream.close()
-        self._idle.clear()
+        self._idle_connections.clear()
--- a/badgerroute/transport/http_messages.py
+++ b/badgerroute/transport/http_messages.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 requests and responses, and how a response is sent."""
+"""HTTP/1.1 requests and responses, and the encoding of responses."""
 
 from dataclasses import dataclass, field
 from urllib.parse import unquote_plus
@@ -20,38 +20,38 @@
 
 @dataclass(slots=True)
 class Request:
-    """An HTTP request that was read whole. `keep`: the connection stays open after the response."""
+    """A complete HTTP request. `keep_alive`: the connection stays open after the response."""
 
     method: str
     path: str
     query: str
     body: bytes = b""
-    keep: bool = True
+    keep_alive: bool = True
 
 
 @dataclass(slots=True)
 class Response:
-    """An HTTP response. `keep`: the connection stays open after it."""
+    """An HTTP response. `keep_alive`: the connection stays open afterwards."""
 
     status: int
     body: bytes = b""
     headers: dict[str, str] = field(default_factory=dict)
-    keep: bool = True
+    keep_alive: bool = True
 
 
 def parse_query(query: str) -> dict[str, str]:
-    """The parameters of a query string; of a repeated one the last."""
+    """Parse a query string into its parameters. The last value of a repeated parameter wins."""
     pairs = (part.partition("=") for part in query.split("&") if part)
     return {unquote_plus(name): unquote_plus(value) for name, _, value in pairs}
 
 
-def encode_response(response: Response, keep: bool) -> bytes:
-    """The bytes of a response."""
+def encode_response(response: Response, keep_alive: bool) -> bytes:
+    """Encode a response. Without `keep_alive` it tells the client that the connection will be closed."""
     lines = [f"HTTP/1.1 {response.status} {REASONS.get(response.status, 'Status')}"]
     if response.body:
         lines.append("Content-Type: application/json")
     lines.append(f"Content-Length: {len(response.body)}")
     lines.extend(f"{name}: {value}" for name, value in response.headers.items())
-    if not keep:
+    if not keep_alive:
         lines.append("Connection: close")
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1") + response.body
--- a/badgerroute/transport/http_server.py
+++ b/badgerroute/transport/http_server.py
@@ -1,4 +1,4 @@
-"""An HTTP server with limits on everything: connections, waits, sizes."""
+"""An HTTP server that limits connections, message sizes and all waits."""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -11,16 +11,17 @@
 
 log = logging.getLogger(__name__)
 
-REFUSAL_LIMIT = timedelta(seconds=1)  # for sending the answer to a malformed request
+REFUSAL_LIMIT = timedelta(seconds=1)  # for sending the response to a malformed request
 
 Handler = Callable[[Request], Awaitable[Response]]
 
 
 class Server:
-    """Every connection is a task of its own; connections, waits and sizes are all bounded.
+    """Serves each connection in a task of its own.
 
-    `most`: open connections. `idle`: how long one may wait for a request. `slow`: how long a request may take to arrive
-    once it has begun, and again its response to be sent.
+    `max_connections`: limit for open connections; once it is reached, each new one closes the longest idle one.
+    `idle_limit`: how long a connection may stay idle between requests. `transfer_limit`: time limit for receiving a
+    request once its first bytes have arrived, and for sending its response.
     """
 
     def __init__(
@@ -28,64 +29,64 @@
         loop: Loop,
         group: TaskGroup,
         handler: Handler,
-        most: int,
-        idle: timedelta = timedelta(seconds=90),
-        slow: timedelta = timedelta(seconds=6),
+        max_connections: int,
+        idle_limit: timedelta = timedelta(seconds=90),
+        transfer_limit: timedelta = timedelta(seconds=6),
     ) -> None:
         self._loop = loop
         self._group = group
         self._handler = handler
-        self._max_connections = most
-        self._idle_limit = idle
-        self._transfer_limit = slow
-        self._idle_tasks: dict[Stream, CoroutineTask | None] = {}  # of idle connections, the longest idle one first
-        self.open = 0  # connections
+        self._max_connections = max_connections
+        self._idle_limit = idle_limit
+        self._transfer_limit = transfer_limit
+        self._idle_tasks: dict[Stream, CoroutineTask | None] = {}  # idle connections, the longest idle first
+        self.open_connections = 0
 
     async def serve(self, listener: Listener) -> None:
-        """Accept connections and answer their requests until cancelled."""
+        """Accept connections and serve their requests until cancelled."""
         try:
             while True:
                 stream = await listener.accept()
-                if self.open >= self._max_connections:
-                    self._evict()
-                self.open += 1
-                self._group.spawn(self._connection(stream), "http")
+                if self.open_connections >= self._max_connections:
+                    self._close_longest_idle()
+                self.open_connections += 1
+                self._group.spawn(self._serve_connection(stream), "http")
         finally:
             listener.close()
 
-    def _evict(self) -> None:
-        """Out of connections: the one that has idled longest makes room for the new one."""
+    def _close_longest_idle(self) -> None:
+        """Close the connection that has been idle for the longest time, to stay within the limit."""
         if self._idle_tasks:
             stream = next(iter(self._idle_tasks))
             task = self._idle_tasks.pop(stream)
             if task is not None:
                 task.cancel()
 
-    async def _connection(self, stream: Stream) -> None:
+    async def _serve_connection(self, stream: Stream) -> None:
         reader = Reader(stream)
         try:
             while True:
-                request = await self._next(stream, reader)
+                request = await self._read_request(stream, reader)
                 if request is None:
                     return
                 response = await self._handle(request)
-                keep = request.keep and response.keep
+                keep_alive = request.keep_alive and response.keep_alive
                 with self._loop.limit(self._transfer_limit):
-                    await stream.write(encode_response(response, keep))
-                if not keep:
+                    await stream.write(encode_response(response, keep_alive))
+                if not keep_alive:
                     return
         except BadMessageError as error:
             log.info("event=request_rejected error=%s", error)
-            await self._refuse(stream)
+            await self._send_bad_request(stream)
         except (OSError, TimeLimitError) as error:
             log.debug("event=connection_closed error=%s", error)
         finally:
             self._idle_tasks.pop(stream, None)
             stream.close()
-            self.open -= 1
+            self.open_connections -= 1
 
     async def _handle(self, request: Request) -> Response:
-        """The handler's response; 503 if it fails."""
+        """Return the handler's response, or a 503 response if the handler fails."""
         try:
             return await self._handler(request)
         except Exception as error:
@@ -98,23 +99,23 @@
             )
             return Response(503, b'{"error":"internal"}', {"Retry-After": "1"})
 
-    async def _next(self, stream: Stream, reader: Reader) -> Request | None:
-        """The next request of a connection; None if the other side has closed it between two requests."""
-        if not reader.started:
+    async def _read_request(self, stream: Stream, reader: Reader) -> Request | None:
+        """Read a connection's next request. Return None if the client has closed the connection between requests."""
+        if not reader.has_buffered_data:
             self._idle_tasks[stream] = self._loop.current
             try:
                 with self._loop.limit(self._idle_limit):
-                    if not await reader.more():
+                    if not await reader.read_more():
                         return None
             finally:
                 self._idle_tasks.pop(stream, None)
-        with self._loop.limit(self._transfer_limit):  # half a request must not hold a socket for ever
-            return await reader.request()
+        with self._loop.limit(self._transfer_limit):  # an incomplete request must not occupy a socket forever
+            return await reader.read_request()
 
-    async def _refuse(self, stream: Stream) -> None:
+    async def _send_bad_request(self, stream: Stream) -> None:
         body = b'{"error":"malformed request"}'
         try:
             with self._loop.limit(REFUSAL_LIMIT):
-                await stream.write(encode_response(Response(400, body), keep=False))
+                await stream.write(encode_response(Response(400, body), keep_alive=False))
         except (OSError, TimeLimitError):
             log.debug("event=refusal_send_failed")
--- a/badgerroute/transport/loop.py
+++ b/badgerroute/transport/loop.py
@@ -1,4 +1,4 @@
-"""The event loop and what tasks use of it, under one name for all other packages."""
+"""The event loop: re-exports the loop, tasks, futures, timers and semaphores for the other packages."""
 
 from badgerroute.transport.event_loop import Loop
 from badgerroute.transport.futures import CancelledError, Future, TimeLimitError
--- a/badgerroute/transport/net.py
+++ b/badgerroute/transport/net.py
@@ -1,4 +1,4 @@
-"""TCP streams over the event loop. Tests use another `Network` in place of the real one."""
+"""TCP connections on the event loop. Tests replace the real `Network` by a simulated one."""
 
 import errno
 import logging
@@ -10,19 +10,19 @@
 from badgerroute.transport.loop import Loop, SelectorPoller
 
 log = logging.getLogger(__name__)
-READ_BYTES = 65536  # at a time
-ACCEPT_PAUSE = timedelta(milliseconds=100)  # when the system has no sockets left
-BACKLOG = 4096  # all workers may connect at once when a controller takes over; the system may allow fewer
+MAX_READ_BYTES = 65536
+ACCEPT_RETRY_DELAY = timedelta(milliseconds=100)  # after the system has run out of file descriptors or memory
+LISTEN_BACKLOG = 4096  # after a failover all workers may connect at once; the system may allow fewer
 
 
 class Stream(Protocol):
-    """A connection."""
+    """A connection, read and written as a stream of bytes."""
 
     async def read(self) -> bytes:
-        """Some bytes; empty at the end of the stream."""
+        """Wait for data and return it; return empty bytes at the end of the stream."""
 
     async def write(self, data: bytes) -> None:
-        """Write all of the data."""
+        """Write all of the data, waiting as often as necessary."""
 
     def close(self) -> None:
         """Close the connection; closing twice does nothing."""
@@ -32,30 +32,30 @@
     """Accepts connections."""
 
     async def accept(self) -> Stream:
-        """Wait for a connection."""
+        """Wait for an incoming connection and return it."""
 
     def close(self) -> None:
         """Stop listening."""
 
 
 class Network(Protocol):
-    """Opens connections and listeners: the real one, or a stand-in."""
+    """Opens connections and listeners. The implementations are TcpNetwork and the simulated networks of the tests."""
 
     async def connect(self, address: str, limit: timedelta) -> Stream:
-        """Open a connection; OSError or TimeLimitError if that fails."""
+        """Open a connection. Raise OSError or TimeLimitError if that fails."""
 
     def listen(self, address: str) -> Listener:
-        """Listen on an address."""
+        """Start listening on an address."""
 
 
-def split(address: str) -> tuple[str, int]:
-    """Host and port of an address."""
+def split_address(address: str) -> tuple[str, int]:
+    """Split an address into host and port."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 class TcpStream:
-    """See Stream. OSError if the connection fails."""
+    """A TCP connection; see Stream. Reads and writes raise OSError if the connection fails."""
 
     __slots__ = ("_poller", "_sock")
 
@@ -66,7 +66,7 @@
     async def read(self) -> bytes:
         while True:
             try:
-                return self._sock.recv(READ_BYTES)
+                return self._sock.recv(MAX_READ_BYTES)
             except BlockingIOError:
                 await self._poller.wait(self._sock.fileno(), selectors.EVENT_READ)
 
@@ -80,12 +80,12 @@
 
     def close(self) -> None:
         if self._sock.fileno() >= 0:
-            self._poller.forget(self._sock.fileno())
+            self._poller.cancel_waits(self._sock.fileno())
             self._sock.close()
 
 
 class TcpListener:
-    """See Listener."""
+    """A TCP listener; see Listener."""
 
     def __init__(self, loop: Loop, poller: SelectorPoller, sock: socket.socket) -> None:
         self._loop = loop
@@ -101,9 +101,9 @@
             except OSError as error:
                 if error.errno not in (errno.EMFILE, errno.ENFILE, errno.ECONNABORTED, errno.ENOMEM, errno.ENOBUFS):
                     raise
-                # Out of sockets: trying again at once would use up the little processor time there is.
+                # Out of file descriptors or memory: an immediate retry would waste scarce processor time.
                 log.warning("event=accept_failed error=%s", error)
-                await self._loop.sleep(ACCEPT_PAUSE)
+                await self._loop.sleep(ACCEPT_RETRY_DELAY)
             else:
                 sock.setblocking(False)
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -111,12 +111,12 @@
 
     def close(self) -> None:
         if self._sock.fileno() >= 0:
-            self._poller.forget(self._sock.fileno())
+            self._poller.cancel_waits(self._sock.fileno())
             self._sock.close()
 
 
 class TcpNetwork:
-    """The network of the machine."""
+    """The TCP network of the operating system."""
 
     def __init__(self, loop: Loop, poller: SelectorPoller) -> None:
         self._loop = loop
@@ -128,7 +128,7 @@
         try:
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            error_code = sock.connect_ex(split(address))
+            error_code = sock.connect_ex(split_address(address))
             if error_code not in (0, errno.EINPROGRESS):
                 raise OSError(error_code, "connect failed")
             if error_code:
@@ -139,7 +139,7 @@
                     raise OSError(error_code, "connect failed")
         except BaseException:
             if sock.fileno() >= 0:
-                self._poller.forget(sock.fileno())
+                self._poller.cancel_waits(sock.fileno())
             sock.close()
             raise
         return TcpStream(self._poller, sock)
@@ -149,9 +149,9 @@
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.setblocking(False)
-        sock.bind(split(address))
-        sock.listen(BACKLOG)
+        sock.bind(split_address(address))
+        sock.listen(LISTEN_BACKLOG)
         return TcpListener(self._loop, self._poller, sock)
 
 
-__all__ = ["Listener", "Network", "Stream", "TcpNetwork", "split"]
+__all__ = ["Listener", "Network", "Stream", "TcpNetwork", "split_address"]
--- a/badgerroute/transport/poller.py
+++ b/badgerroute/transport/poller.py
@@ -1,4 +1,4 @@
-"""Waiting for sockets of the real system, or for the virtual clock."""
+"""Pollers, which block the event loop until a socket is ready or a time has passed."""
 
 import selectors
 from collections.abc import Iterable
@@ -10,13 +10,13 @@
 
 
 class Poller(Protocol):
-    """Waits for sockets, or for a time."""
+    """Waits for sockets or for a time-out."""
 
     def poll(self, limit: timedelta | None) -> None:
-        """Wait up to `limit` (None: no limit) and wake whoever's descriptor became ready."""
+        """Wait up to `limit` (None: without limit) and wake the waiters of the descriptors that became ready."""
 
 
-def _mask(events: Iterable[int]) -> int:
+def _combine_events(events: Iterable[int]) -> int:
     mask = 0
     for event in events:
         mask |= event
@@ -24,60 +24,60 @@
 
 
 class SelectorPoller:
-    """Descriptors of the real system."""
+    """Waits for file descriptors with the selectors of the operating system."""
 
     def __init__(self) -> None:
         self._selector = selectors.DefaultSelector()
-        self._interest: dict[int, dict[int, Future]] = {}  # descriptor -> event -> who waits for it
+        self._waiters: dict[int, dict[int, Future]] = {}  # descriptor -> event -> future of its waiter
 
     def wait(self, fileno: int, event: int) -> Future:
-        """A future that is set once a file descriptor is ready (`selectors.EVENT_READ` or `EVENT_WRITE`)."""
+        """Return a future that is set once a descriptor is ready for `selectors.EVENT_READ` or `EVENT_WRITE`."""
         future = Future()
-        waiting = self._interest.setdefault(fileno, {})
-        registered = bool(waiting)
-        waiting[event] = future
+        futures_by_event = self._waiters.setdefault(fileno, {})
+        registered = bool(futures_by_event)
+        futures_by_event[event] = future
         if registered:
-            self._selector.modify(fileno, _mask(waiting))
+            self._selector.modify(fileno, _combine_events(futures_by_event))
         else:
-            self._selector.register(fileno, _mask(waiting))
+            self._selector.register(fileno, _combine_events(futures_by_event))
         return future
 
-    def forget(self, fileno: int) -> None:
-        """Stop waiting for a file descriptor that is about to be closed; waiters get ConnectionError."""
-        waiting = self._interest.pop(fileno, None)
-        if waiting:
+    def cancel_waits(self, fileno: int) -> None:
+        """End the waits for a descriptor that is about to be closed; they raise ConnectionError."""
+        futures_by_event = self._waiters.pop(fileno, None)
+        if futures_by_event:
             self._selector.unregister(fileno)
-            for future in waiting.values():
-                future.fail(ConnectionError("closed here"))
+            for future in futures_by_event.values():
+                future.fail(ConnectionError("connection closed locally"))
 
     def poll(self, limit: timedelta | None) -> None:
-        """Wait for descriptors to become ready, for so long at most; None: for as long as it takes."""
+        """See Poller."""
         timeout = None if limit is None else max(0.0, limit.total_seconds())
         for key, mask in self._selector.select(timeout):
             self._wake(key.fd, mask)
 
     def _wake(self, fileno: int, mask: int) -> None:
-        waiting = self._interest.get(fileno)
-        if not waiting:
+        futures_by_event = self._waiters.get(fileno)
+        if not futures_by_event:
             return
         for event in (selectors.EVENT_READ, selectors.EVENT_WRITE):
-            if mask & event and event in waiting:
-                waiting.pop(event).set()
-        if waiting:
-            self._selector.modify(fileno, _mask(waiting))
+            if mask & event and event in futures_by_event:
+                futures_by_event.pop(event).set()
+        if futures_by_event:
+            self._selector.modify(fileno, _combine_events(futures_by_event))
         else:
-            del self._interest[fileno]
+            del self._waiters[fileno]
             self._selector.unregister(fileno)
 
 
 class VirtualPoller:
-    """No descriptors at all: waiting only moves the virtual clock."""
+    """Polls no descriptors; instead of waiting it advances a virtual clock."""
 
     def __init__(self, clock: VirtualClock) -> None:
         self._clock = clock
 
     def poll(self, limit: timedelta | None) -> None:
-        """Let the virtual clock jump to the end of the wait."""
+        """Advance the virtual clock to the end of the wait."""
         if limit is None:
-            raise RuntimeError("every task waits and no timer is set")
+            raise RuntimeError("deadlock: all tasks are waiting and no timer is set")
         self._clock.advance(self._clock.now() + limit)
--- a/badgerroute/transport/semaphore.py
+++ b/badgerroute/transport/semaphore.py
@@ -1,4 +1,4 @@
-"""A semaphore: so many tasks at a time."""
+"""A semaphore with urgent waiters."""
 
 import heapq
 import itertools
@@ -10,7 +10,7 @@
 
 
 class _Waiter(NamedTuple):
-    """Sorted: urgent ones first, then by order of arrival; `number` is unique."""
+    """A waiting task. Waiters sort by urgency, then by arrival; `number` is unique."""
 
     not_urgent: bool
     number: int
@@ -18,35 +18,35 @@
 
 
 class Semaphore:
-    """Lets so many tasks through at a time; the others wait, urgent ones first, then in order."""
+    """Grants a limited number of permits. Urgent waiters come first, others in order of arrival."""
 
-    def __init__(self, places: int) -> None:
-        self.free = places
+    def __init__(self, permits: int) -> None:
+        self.available_permits = permits
         self._waiting: list[_Waiter] = []
         self._numbers = itertools.count()
 
     @asynccontextmanager
     async def acquire(self, urgent: bool = False) -> AsyncIterator[None]:
-        """A context that is entered when there is a place."""
-        if self.free > 0:
-            self.free -= 1
+        """Return a context manager that waits for a permit and releases it at the end."""
+        if self.available_permits > 0:
+            self.available_permits -= 1
         else:
-            await self._wait_for_place(urgent)
+            await self._wait_for_permit(urgent)
         try:
             yield
         finally:
             self._release()
 
-    async def _wait_for_place(self, urgent: bool) -> None:
+    async def _wait_for_permit(self, urgent: bool) -> None:
         admitted = Future()
         heapq.heappush(self._waiting, _Waiter(not urgent, next(self._numbers), admitted))
         try:
             await admitted
         except BaseException:
-            if admitted.done:  # cancelled just as its turn came: the place goes to the next
+            if admitted.done:  # cancelled after the permit was granted: pass it on
                 self._release()
             else:
-                admitted.set()  # `_release` skips a waiter that is done
+                admitted.set()  # so that `_release` skips this waiter
             raise
 
     def _release(self) -> None:
@@ -55,4 +55,4 @@
             if not admitted.done:
                 admitted.set()
                 return
-        self.free += 1
+        self.available_permits += 1
--- a/badgerroute/transport/task_group.py
+++ b/badgerroute/transport/task_group.py
@@ -1,4 +1,4 @@
-"""Groups of tasks that end together."""
+"""Groups of tasks that are cancelled together."""
 
 import logging
 from collections.abc import Callable, Coroutine
@@ -12,44 +12,44 @@
 
 
 class TaskGroup:
-    """Tasks that live and end together, for instance all those of one controller."""
+    """A group of tasks that are cancelled together, for example all tasks of a controller."""
 
     def __init__(self, loop: Loop, name: str) -> None:
         self.loop = loop
         self.name = name
-        self.closed = False
+        self.cancelled = False
         self._tasks: set[CoroutineTask] = set()
 
     def spawn(self, coro: Coroutine, name: str) -> CoroutineTask:
-        """Start a task that ends with the group; in a group that was cancelled it ends at once."""
+        """Start a task in the group. If the group has been cancelled already, the task is cancelled at once."""
         task = self.loop.spawn(coro, f"{self.name}/{name}")
-        if self.closed:
+        if self.cancelled:
             task.cancel()
             return task
         self._tasks.add(task)
-        task.waiters.append(lambda: self._ended(task))
+        task.waiters.append(lambda: self._on_task_ended(task))
         return task
 
-    def run_forever(self, make: Callable[[], Coroutine], name: str, pause: timedelta) -> CoroutineTask:
-        """A background task: if it fails, the failure is logged and after `pause` it is begun again."""
-        return self.spawn(self._repeat(make, name, pause), name)
+    def run_forever(self, factory: Callable[[], Coroutine], name: str, restart_delay: timedelta) -> CoroutineTask:
+        """Start a background task. When it fails, the error is logged and the task restarts after a delay."""
+        return self.spawn(self._run_with_restarts(factory, name, restart_delay), name)
 
     def cancel(self) -> None:
-        """End all tasks, and whatever is spawned later."""
-        self.closed = True
+        """Cancel all tasks of the group, and any that are spawned later."""
+        self.cancelled = True
         for task in list(self._tasks):
             task.cancel()
 
-    def _ended(self, task: CoroutineTask) -> None:
+    def _on_task_ended(self, task: CoroutineTask) -> None:
         self._tasks.discard(task)
         if task.error is not None and not isinstance(task.error, CancelledError):
             log.error("event=task_failed task=%s error=%r", task.name, task.error, exc_info=task.error)
 
-    async def _repeat(self, make: Callable[[], Coroutine], name: str, pause: timedelta) -> None:
+    async def _run_with_restarts(self, factory: Callable[[], Coroutine], name: str, restart_delay: timedelta) -> None:
         while True:
             try:
-                await make()
+                await factory()
                 return
             except Exception as error:
                 log.error("event=background_task_failed task=%s error=%r", name, error, exc_info=error)
-            await self.loop.sleep(pause)
+            await self.loop.sleep(restart_delay)
--- a/badgerroute/transport/timers.py
+++ b/badgerroute/transport/timers.py
@@ -1,4 +1,4 @@
-"""Actions at a time, and time limits for what a task does."""
+"""Timers, and time limits for the code that a task runs."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -9,11 +9,11 @@
 
 
 def do_nothing() -> None:
-    """The action of a cancelled timer, or of a waiter that only has to be there."""
+    """Do nothing: the action of a cancelled timer, or a placeholder for a waiter."""
 
 
 class Timer:
-    """An action at a time, unless it is cancelled before."""
+    """An action that the event loop runs at a given time, unless it is cancelled before."""
 
     __slots__ = ("action", "cancelled")
 
@@ -22,38 +22,38 @@
         self.cancelled = False
 
     def cancel(self) -> None:
-        """Don't run the action. What it refers to is let go of at once."""
+        """Cancel the timer. It drops the action at once, so that objects referenced by it can be freed."""
         self.cancelled = True
         self.action = do_nothing
 
 
 class TimerLoop(Protocol):
-    """What a deadline needs of its loop."""
+    """The part of the event loop that a deadline uses."""
 
     current: CoroutineTask | None
 
-    def later(self, delta: timedelta, action: Callable[[], None]) -> Timer:
-        """Run an action after so long."""
+    def later(self, delay: timedelta, action: Callable[[], None]) -> Timer:
+        """See Loop."""
 
 
 class Deadline:
-    """`with loop.limit(delta):` raises TimeLimitError in the body when the time is over."""
+    """Context manager that raises TimeLimitError in its body once a time limit is over; see Loop.limit."""
 
-    __slots__ = ("_loop", "_delta", "_timer", "_error")
+    __slots__ = ("_loop", "_limit", "_timer", "_error")
 
-    def __init__(self, loop: TimerLoop, delta: timedelta) -> None:
+    def __init__(self, loop: TimerLoop, limit: timedelta) -> None:
         self._loop = loop
-        self._delta = delta
+        self._limit = limit
 
     def __enter__(self) -> "Deadline":
         task = self._loop.current
-        assert task is not None, "a time limit is for a task"
-        self._error = TimeLimitError(f"no answer within {self._delta.total_seconds():.2f} s")
-        self._timer = self._loop.later(self._delta, lambda: task.throw(self._error))
+        assert task is not None, "a time limit needs a running task"
+        self._error = TimeLimitError(f"no answer within {self._limit.total_seconds():.2f} s")
+        self._timer = self._loop.later(self._limit, lambda: task.throw(self._error))
         return self
 
     def __exit__(self, kind: type | None, value: BaseException | None, trace: object) -> None:
         self._timer.cancel()
         task = self._loop.current
         if task is not None:
-            task.withdraw(self._error)  # it ran out just as the body ended: the body's result stands
+            task.discard_error(self._error)  # if time ran out just as the body ended, its result counts
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -37,7 +37,7 @@
 
 def read_request(*chunks: bytes) -> object:
     one = loop()
-    return one.run(one.spawn(Reader(Canned(*chunks)).request(), "read"))
+    return one.run(one.spawn(Reader(Canned(*chunks)).read_request(), "read"))
 
 
 @pytest.mark.parametrize(
@@ -51,7 +51,7 @@
 )
 def test_requests(chunks: list[bytes], expected: tuple) -> None:
     request = read_request(*chunks)
-    assert (request.method, request.path, request.query, request.body, request.keep) == expected
+    assert (request.method, request.path, request.query, request.body, request.keep_alive) == expected
 
 
 @pytest.mark.parametrize(
@@ -238,7 +238,7 @@
         day.group.spawn(hold(b"POST /v1/jobs HTTP/1.1\r\nContent-Length: 50\r\n" if number % 2 else b""), "hold")
     day.run(8)
     assert day.ask("GET", "/up", host="drover-0").status == 200
-    assert day.controllers["drover-0"][0]._server.open < 600
+    assert day.controllers["drover-0"][0]._server.open_connections < 600
 
 
 # -- settings and the command line
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -200,7 +200,7 @@
     run(1)
     assert came == ["a", "b", "u", "d"], "urgent ones first, then in order"
     run(3)
-    assert semaphore.free == 2
+    assert semaphore.available_permits == 2
     assert isinstance(routines[2].error, CancelledError)
 
 
