--- a/tests/test_measurement.py
+++ b/tests/test_measurement.py
@@ -41,7 +41,7 @@
 @pytest.mark.parametrize(("values", "expected"), [([2.0], (2, 2, 2, 0)), ([1.0, 3.0], (1, 2, 3, 1))])
 def test_spread(values: list[float], expected: tuple[float, ...]) -> None:
     spread = summarize(values)
-    assert (spread.least, spread.mean, spread.most, spread.deviation) == expected
+    assert (spread.minimum, spread.mean, spread.maximum, spread.deviation) == expected
 
 
 def test_a_short_measurement_from_end_to_end(tmp_path: Path, capsys: pytest.CaptureFixture) -> None:
@@ -62,7 +62,7 @@
 def test_cut_days_are_summed_up_by_kind() -> None:
     off, on = summarize_cuts(CUT_DAYS)
     assert (off.kind, off.relay, off.problems, on.relay, on.problems) == ("flap", False, 1, True, 0)
-    assert str(off.figures["hand_overs"]) == "9.0 (8 to 10)" and on.figures["relayed"].mean == 300
+    assert str(off.metrics["hand_overs"]) == "9.0 (8 to 10)" and on.metrics["relayed"].mean == 300
     lines = cut_measurement.table([off, on]).splitlines()
     assert len(lines) == 3 and lines[1].startswith("flap | off | 9.0 (8 to 10)")
 
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Measurement tools. The service loads none of them."""
+"""Measurement tools and the build step. The service itself imports none of them."""
--- a/tools/connectivity_measurement.py
+++ b/tools/connectivity_measurement.py
@@ -1,4 +1,4 @@
-"""What half-open cuts cost: days in virtual time with and without relays, over several seeds.
+"""Measures the cost of half-open network cuts: simulates days with and without heartbeat relays, for several seeds.
 
 `python -m tools.connectivity_measurement --seeds 5 --report report.html --json results.json`
 """
@@ -13,43 +13,45 @@
 from badgerroute.settings import Connectivity, OperatorSettings
 from tests.standins.cuts import CutWatch, between, flap, from_store, from_workers, hold, workload
 from tests.standins.day import HOSTS, SECOND, Day
-from tools.connectivity_results import FIGURES, CutDay, KindSummary, summarize
+from tools.connectivity_results import METRICS, CutDay, KindSummary, summarize
 
 MACHINES = 12
-SPARE = 2
-END_LIMIT_S = 300
-FIRST, *OTHERS = HOSTS
+RENTABLE_MACHINES = 2  # beyond MACHINES
+COMPLETION_LIMIT_S = 300  # for the jobs that are unfinished after the cuts
+FIRST_HOST, *OTHER_HOSTS = HOSTS
 
 
 def _workers_flap(seconds: float, mode: str) -> Callable[[Day], None]:
-    return lambda day: flap(day, from_workers(day, [FIRST], mode), seconds, int(56 / seconds))
+    return lambda day: flap(day, from_workers(day, [FIRST_HOST], mode), seconds, int(56 / seconds))
 
 
 def _workers_cut(seconds: float) -> Callable[[Day], None]:
-    return lambda day: hold(day, from_workers(day, [FIRST], "hold"), seconds)
+    return lambda day: hold(day, from_workers(day, [FIRST_HOST], "hold"), seconds)
 
 
 def _store_flap(seconds: float, mode: str) -> Callable[[Day], None]:
-    return lambda day: flap(day, from_store(day, [FIRST], mode), seconds, int(35 / seconds))
+    return lambda day: flap(day, from_store(day, [FIRST_HOST], mode), seconds, int(35 / seconds))
 
 
 def _opposite(mode: str) -> Callable[[Day], None]:
-    def play_cut(day: Day) -> None:
-        cut, heal = from_workers(day, OTHERS, mode)
+    def apply_cut(day: Day) -> None:
+        cut, heal = from_workers(day, OTHER_HOSTS, mode)
         cut()
-        hold(day, from_store(day, [FIRST], mode), 40)
+        hold(day, from_store(day, [FIRST_HOST], mode), 40)
         heal()
 
-    return play_cut
+    return apply_cut
 
 
 def _zone_cut(day: Day) -> None:
-    inside = [FIRST, *(name for name, worker in day.site.workers.items() if worker.zone == "a")]
-    outside = [one for one in (*HOSTS, *day.site.workers, "cloud", f"state-{FIRST}") if one not in inside]
+    inside = [FIRST_HOST, *(name for name, worker in day.site.workers.items() if worker.zone == "a")]
+    outside = [
+        endpoint for endpoint in (*HOSTS, *day.site.workers, "cloud", f"state-{FIRST_HOST}") if endpoint not in inside
+    ]
     hold(day, between(day, inside, outside, "hold"), 30)
 
 
-KINDS: dict[str, Callable[[Day], None]] = {
+CUT_KINDS: dict[str, Callable[[Day], None]] = {
     "workers lost for 7 s in every 14, reset": _workers_flap(7, "reset"),
     "workers lost for 7 s in every 14, held": _workers_flap(7, "hold"),
     "workers lost for 3 s in every 6, held": _workers_flap(3, "hold"),
@@ -64,16 +66,16 @@
 }
 
 
-def play(kind: str, relay: bool, seed: int) -> CutDay:
-    """Play one day with one kind of cut."""
+def simulate_day(kind: str, relay: bool, seed: int) -> CutDay:
+    """Simulate a day with one kind of cut."""
     operator = OperatorSettings(connectivity=Connectivity(relay=relay))
-    day = Day(seed, machines=MACHINES, capacity=SPARE, operator=operator)
+    day = Day(seed, machines=MACHINES, capacity=RENTABLE_MACHINES, operator=operator)
     workload(day)
-    began = day.loop.now()
+    started_at = day.loop.now()
     watch = CutWatch(day)
-    KINDS[kind](day)
+    CUT_KINDS[kind](day)
     counts = watch.end()
-    unfinished = day.finish(END_LIMIT_S)
+    unfinished = day.finish(COMPLETION_LIMIT_S)
     return CutDay(
         kind=kind,
         relay=relay,
@@ -85,31 +87,38 @@
         refused=counts.users_503,
         asked=counts.users_asked,
         relayed=counts.relayed,
-        makespan_s=(day.loop.now() - began) / SECOND,
+        makespan_s=(day.loop.now() - started_at) / SECOND,
         problems=[*day.rules.broken, *day.history_problems(), *(f"unfinished: {ref}" for ref in unfinished)],
     )
 
 
 def table(summaries: list[KindSummary]) -> str:
-    """The figures as text: mean, least and most over the seeds."""
-    lines = [" | ".join(["cut", "relays", *FIGURES.values(), "problems"])]
+    """Format the metrics as a text table: mean, minimum and maximum over the seeds."""
+    lines = [" | ".join(["cut", "relays", *METRICS.values(), "problems"])]
     for summary in summaries:
-        figures = [str(summary.figures[name]) for name in FIGURES]
-        lines.append(" | ".join([summary.kind, "on" if summary.relay else "off", *figures, str(summary.problems)]))
+        metrics = [str(summary.metrics[name]) for name in METRICS]
+        lines.append(" | ".join([summary.kind, "on" if summary.relay else "off", *metrics, str(summary.problems)]))
     return "\n".join(lines)
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run the measurement; 1 if any day broke a rule or lost a run."""
+    """Run the measurement. Return 1 if any day violated a rule or left a job unfinished, else 0."""
     parser = argparse.ArgumentParser(prog="connectivity_measurement")
     parser.add_argument("--seeds", type=int, default=5)
     parser.add_argument("--first-seed", type=int, default=1)
-    parser.add_argument("--kind", action="append", choices=list(KINDS), help="only these kinds of cut")
-    parser.add_argument("--json", type=Path, help="write the results there")
-    parser.add_argument("--report", type=Path, help="write an HTML report there")
+    parser.add_argument(
+        "--kind", action="append", choices=list(CUT_KINDS), help="measure only this kind of cut; may be repeated"
+    )
+    parser.add_argument("--json", type=Path, help="write the results to this file")
+    parser.add_argument("--report", type=Path, help="write an HTML report to this file")
     options = parser.parse_args(arguments)
     seeds = range(options.first_seed, options.first_seed + options.seeds)
-    days = [play(kind, relay, seed) for kind in options.kind or KINDS for relay in (False, True) for seed in seeds]
+    days = [
+        simulate_day(kind, relay, seed)
+        for kind in options.kind or CUT_KINDS
+        for relay in (False, True)
+        for seed in seeds
+    ]
     summaries = summarize(days)
     print(table(summaries))
     if options.json is not None:
--- a/tools/connectivity_report.py
+++ b/tools/connectivity_report.py
@@ -1,22 +1,22 @@
-"""An HTML report of a connectivity measurement, with its plots inside: one file, no scripts."""
+"""Renders a connectivity measurement as an HTML report: a single file with inline plots and no scripts."""
 
 import jinja2
 from matplotlib import pyplot
 
-from tools.connectivity_results import FIGURES, CutDay, KindSummary, summarize
+from tools.connectivity_results import METRICS, CutDay, KindSummary, summarize
 from tools.plots import PAGE_STYLE, svg
 
-PLOTTED = ("hand_overs", "killed_by_lease", "without_leader_s", "refused")
+PLOTTED_METRICS = ("hand_overs", "killed_by_lease", "without_leader_s", "refused")
 TEMPLATE = jinja2.Template(
     """<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>Half-open cuts, with and without relays</title>
 <style>{{ style }}</style></head><body>
 <h1>Half-open cuts, with and without relays</h1>
-<p>Days in virtual time on stand-ins, three controllers, {{ seeds }} seeds. Mean over the seeds, least and most in
+<p>Simulated days with three controllers, {{ seeds }} seeds. Mean over the seeds, with minimum and maximum in
 brackets.</p>
 <table><tr><th>cut</th><th>relays</th>{% for title in titles %}<th>{{ title }}</th>{% endfor %}<th>problems</th></tr>
 {% for summary in summaries %}<tr><td>{{ summary.kind }}</td><td>{{ "on" if summary.relay else "off" }}</td>
-{% for name in names %}<td>{{ summary.figures[name] }}</td>{% endfor %}<td>{{ summary.problems }}</td></tr>
+{% for name in names %}<td>{{ summary.metrics[name] }}</td>{% endfor %}<td>{{ summary.problems }}</td></tr>
 {% endfor %}</table>
 {% for title, plot in plots %}<h2>{{ title }}</h2>{{ plot }}
 {% endfor %}</body></html>"""
@@ -26,12 +26,15 @@
 def _plot(summaries: list[KindSummary], name: str) -> str:
     kinds = list(dict.fromkeys(summary.kind for summary in summaries))
     figure, axes = pyplot.subplots(figsize=(9, 0.5 + 0.45 * len(kinds)))
-    for offset, relay, label in ((-0.2, False, "without relays"), (0.2, True, "with")):
-        chosen = {summary.kind: summary.figures[name] for summary in summaries if summary.relay == relay}
-        rows = [row + offset for row, kind in enumerate(kinds) if kind in chosen]
-        spreads = [chosen[kind] for kind in kinds if kind in chosen]
-        errors = [[one.mean - one.least for one in spreads], [one.most - one.mean for one in spreads]]
-        axes.barh(rows, [one.mean for one in spreads], 0.38, xerr=errors, label=label)
+    for offset, relay, label in ((-0.2, False, "without relays"), (0.2, True, "with relays")):
+        spread_by_kind = {summary.kind: summary.metrics[name] for summary in summaries if summary.relay == relay}
+        rows = [row + offset for row, kind in enumerate(kinds) if kind in spread_by_kind]
+        spreads = [spread_by_kind[kind] for kind in kinds if kind in spread_by_kind]
+        errors = [
+            [spread.mean - spread.minimum for spread in spreads],
+            [spread.maximum - spread.mean for spread in spreads],
+        ]
+        axes.barh(rows, [spread.mean for spread in spreads], 0.38, xerr=errors, label=label)
     axes.set_yticks(range(len(kinds)), kinds)
     axes.invert_yaxis()
     axes.legend()
@@ -39,13 +42,13 @@
 
 
 def render(days: list[CutDay]) -> str:
-    """The report as one HTML page."""
+    """Render the report as an HTML page."""
     summaries = summarize(days)
     return TEMPLATE.render(
         style=PAGE_STYLE,
         seeds=len({day.seed for day in days}),
         summaries=summaries,
-        names=list(FIGURES),
-        titles=list(FIGURES.values()),
-        plots=[(FIGURES[name], _plot(summaries, name)) for name in PLOTTED],
+        names=list(METRICS),
+        titles=list(METRICS.values()),
+        plots=[(METRICS[name], _plot(summaries, name)) for name in PLOTTED_METRICS],
     )
--- a/tools/connectivity_results.py
+++ b/tools/connectivity_results.py
@@ -1,4 +1,4 @@
-"""What one day of the connectivity measurement gave, and the spread over several."""
+"""Results of the connectivity measurement: those of single days, and their spread over the seeds."""
 
 from dataclasses import dataclass, field
 from statistics import mean
@@ -6,62 +6,63 @@
 
 @dataclass
 class CutDay:
-    """One day with one kind of cut."""
+    """The results of a simulated day with one kind of cut."""
 
     kind: str
     relay: bool
     seed: int
-    hand_overs: int
-    claims: int
-    killed_by_lease: int
-    without_leader_s: float  # summed over the shards
-    refused: int  # answers of 503 to a user who asks twice a second
-    asked: int
-    relayed: int
+    hand_overs: int  # leadership transfers
+    claims: int  # elections won
+    killed_by_lease: int  # tasks killed because their machine's lease expired
+    without_leader_s: float  # total over the shards
+    refused: int  # 503 responses to a user who sends two requests per second
+    asked: int  # requests of this user
+    relayed: int  # heartbeats relayed to the shard's leader
     makespan_s: float
     problems: list[str] = field(default_factory=list)
 
 
 @dataclass(frozen=True)
 class Spread:
-    """Least, mean and most of one figure over the seeds."""
+    """Minimum, mean and maximum of a metric over the seeds."""
 
-    least: float
+    minimum: float
     mean: float
-    most: float
+    maximum: float
 
     def __str__(self) -> str:
-        return f"{self.mean:.1f} ({self.least:g} to {self.most:g})"
+        return f"{self.mean:.1f} ({self.minimum:g} to {self.maximum:g})"
 
 
 def spread(values: list[float]) -> Spread:
-    """The spread of a figure."""
+    """Return the spread of a metric's values."""
     return Spread(min(values), mean(values), max(values))
 
 
-FIGURES: dict[str, str] = {
-    "hand_overs": "hand-overs",
-    "claims": "claims",
-    "killed_by_lease": "tasks killed by their lease",
-    "without_leader_s": "shard seconds without a leader",
-    "refused": "users' 503s",
-    "relayed": "reports relayed",
+# Attribute of CutDay -> title in tables and plots.
+METRICS: dict[str, str] = {
+    "hand_overs": "leadership transfers",
+    "claims": "elections won",
+    "killed_by_lease": "tasks killed by lease expiry",
+    "without_leader_s": "shard-seconds without a leader",
+    "refused": "503 responses to users",
+    "relayed": "heartbeats relayed",
     "makespan_s": "makespan, s",
 }
 
 
 @dataclass(frozen=True)
 class KindSummary:
-    """The figures of one kind of cut, with or without relays."""
+    """The metrics for one kind of cut, with or without relays."""
 
     kind: str
     relay: bool
-    figures: dict[str, Spread]
+    metrics: dict[str, Spread]
     problems: int
 
 
 def summarize(days: list[CutDay]) -> list[KindSummary]:
-    """One summary for each kind and each of off and on, in the order in which they were played."""
+    """Return a summary for each kind of cut with and without relays, in the order of the days."""
     groups: dict[tuple[str, bool], list[CutDay]] = {}
     for day in days:
         groups.setdefault((day.kind, day.relay), []).append(day)
@@ -69,7 +70,7 @@
         KindSummary(
             kind,
             relay,
-            {name: spread([float(getattr(day, name)) for day in group]) for name in FIGURES},
+            {name: spread([float(getattr(day, name)) for day in group]) for name in METRICS},
             sum(len(day.problems) for day in group),
         )
         for (kind, relay), group in groups.items()
--- a/tools/plots.py
+++ b/tools/plots.py
@@ -1,4 +1,4 @@
-"""Plots as SVG inside an HTML page."""
+"""Plots as inline SVG for HTML pages."""
 
 from io import StringIO
 
@@ -6,7 +6,7 @@
 
 matplotlib.use("svg")
 
-from matplotlib import pyplot  # noqa: E402  (the drawing back end must be chosen first)
+from matplotlib import pyplot  # noqa: E402  (the backend must be selected before pyplot is imported)
 
 PAGE_STYLE = """body{font-family:sans-serif;max-width:64rem;margin:2rem auto;padding:0 1rem}
 table{border-collapse:collapse}td,th{border:1px solid #999;padding:.3rem .6rem;text-align:right}
@@ -14,9 +14,9 @@
 
 
 def svg(figure: pyplot.Figure) -> str:
-    """A figure as an SVG element; the figure is closed."""
+    """Render a figure as an SVG element, and close the figure."""
     text = StringIO()
     figure.savefig(text, format="svg", bbox_inches="tight")
     pyplot.close(figure)
-    drawn = text.getvalue()
-    return drawn[drawn.index("<svg") :]
+    document = text.getvalue()
+    return document[document.index("<svg") :]
--- a/tools/rebalancing_measurement.py
+++ b/tools/rebalancing_measurement.py
@@ -1,4 +1,4 @@
-"""What rebalancing changes: days in virtual time with and without it, over several seeds.
+"""Measures the effect of rebalancing: simulates days with and without it, for several seeds.
 
 `python -m tools.rebalancing_measurement --seeds 8 --machines 6 --report report.html --json results.json`
 """
@@ -19,22 +19,22 @@
 
 TEAMS = [Team("blue"), Team("red"), Team("green")]
 CPUS_PER_MACHINE = 4.0
-SETTLING_S = 5
-LOAD_S = 64
-PACE = 0.5
-STATE_RATE = 2000.0  # so that the key-value store is not what binds
-END_LIMIT_S = 300
+WARM_UP_S = 5
+LOAD_DURATION_S = 64  # before scaling
+TIME_SCALE = 0.5  # factor for all times of the load
+STORE_REQUESTS_PER_S = 2000.0  # high enough that the key-value store is not the bottleneck
+COMPLETION_LIMIT_S = 300  # for the jobs that are unfinished when the load ends
 
 
-def play(seed: int, on: bool, machines: int, per_turn: int) -> DayResult:
-    """Play one day of a team that triples its load."""
+def simulate_day(seed: int, rebalancing_on: bool, machines: int, jobs_per_burst: int) -> DayResult:
+    """Simulate a day on which one team triples its load."""
     rebalancers: list[Rebalancer] = []
-    operator = OperatorSettings(rebalancing=Rebalancing() if on else None)
-    real_attach = Rebalancer.attach
+    operator = OperatorSettings(rebalancing=Rebalancing() if rebalancing_on else None)
+    original_attach = Rebalancer.attach
 
     def attach(self: Rebalancer, *arguments: object) -> None:
         rebalancers.append(self)
-        real_attach(self, *arguments)
+        original_attach(self, *arguments)
 
     Rebalancer.attach = attach  # type: ignore[method-assign]
     try:
@@ -45,29 +45,29 @@
             kind_cpus=CPUS_PER_MACHINE,
             operator=operator,
             teams=TEAMS,
-            rps=STATE_RATE,
-            write_rps=STATE_RATE,
+            rps=STORE_REQUESTS_PER_S,
+            write_rps=STORE_REQUESTS_PER_S,
         )
     finally:
-        Rebalancer.attach = real_attach  # type: ignore[method-assign]
-    day.run(SETTLING_S)
-    began = day.loop.now()
-    hot_team(day, seconds=LOAD_S, pace=PACE, jobs=per_turn)
-    unfinished = day.finish(END_LIMIT_S)
+        Rebalancer.attach = original_attach  # type: ignore[method-assign]
+    day.run(WARM_UP_S)
+    started_at = day.loop.now()
+    hot_team(day, seconds=LOAD_DURATION_S, pace=TIME_SCALE, jobs=jobs_per_burst)
+    unfinished = day.finish(COMPLETION_LIMIT_S)
     history = day.rules.history
     teams = {ref: described["crew"] for ref, described in day.site.jobs.items()}
-    ledgers = [run_forever.moves.ledger for one in rebalancers for run_forever in one._duties.values()]
+    ledgers = [entry.moves.ledger for rebalancer in rebalancers for entry in rebalancer._duties.values()]
     waits = []
     for task, runs in history.runs.items():
         ref = task.rpartition("/")[0]
         submitted = history.submitted[ref]
-        waits.append(Wait(teams[ref], (submitted - began) / SECOND, (runs[0].began - submitted) / SECOND))
+        waits.append(Wait(teams[ref], (submitted - started_at) / SECOND, (runs[0].began - submitted) / SECOND))
     return DayResult(
         seed=seed,
-        on=on,
+        on=rebalancing_on,
         machines=machines,
         ratios=wait_ratios(history.waits(teams)),
-        makespan_s=(day.loop.now() - began) / SECOND,
+        makespan_s=(day.loop.now() - started_at) / SECOND,
         moves=sum(ledger.count for ledger in ledgers),
         move_cost_cpu_s=sum(ledger.cost for ledger in ledgers),
         runs_stopped=len(history.stops()),
@@ -78,31 +78,35 @@
 
 
 def table(results: list[DayResult]) -> str:
-    """The figures as text."""
+    """Format the metrics as a text table."""
     lines = ["rebalancing  worst team's median wait / fleet's  fleet median s  moves  problems"]
     for on in (False, True):
         days = [day for day in results if day.on == on]
         if days:
-            worst = summarize([day.worst_ratio for day in days])
-            fleet = median(wait.wait_s for day in days for wait in day.waits)
+            ratio = summarize([day.worst_ratio for day in days])
+            fleet_median_s = median(wait.wait_s for day in days for wait in day.waits)
             lines.append(
-                f"{'on' if on else 'off':<12} {worst.least:.2f} to {worst.most:.2f}, mean {worst.mean:.2f}"
-                f"  {fleet:.1f}  {sum(day.moves for day in days)}  {sum(len(day.problems) for day in days)}"
+                f"{'on' if on else 'off':<12} {ratio.minimum:.2f} to {ratio.maximum:.2f}, mean {ratio.mean:.2f}"
+                f"  {fleet_median_s:.1f}  {sum(day.moves for day in days)}  {sum(len(day.problems) for day in days)}"
             )
     return "\n".join(lines)
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run the measurement; 1 if any day broke a rule."""
+    """Run the measurement. Return 1 if any day violated a rule or left a job unfinished, else 0."""
     parser = argparse.ArgumentParser(prog="rebalancing_measurement")
     parser.add_argument("--seeds", type=int, default=8)
     parser.add_argument("--machines", type=int, default=6)
-    parser.add_argument("--jobs", type=int, default=4, help="of the hot team in two seconds, before its load triples")
-    parser.add_argument("--json", type=Path, help="write the results there")
-    parser.add_argument("--report", type=Path, help="write an HTML report there")
+    parser.add_argument(
+        "--jobs", type=int, default=4, help="jobs that the hot team submits every two seconds before its load triples"
+    )
+    parser.add_argument("--json", type=Path, help="write the results to this file")
+    parser.add_argument("--report", type=Path, help="write an HTML report to this file")
     options = parser.parse_args(arguments)
     results = [
-        play(seed, on, options.machines, options.jobs) for seed in range(1, options.seeds + 1) for on in (False, True)
+        simulate_day(seed, on, options.machines, options.jobs)
+        for seed in range(1, options.seeds + 1)
+        for on in (False, True)
     ]
     print(table(results))
     if options.json is not None:
--- a/tools/rebalancing_report.py
+++ b/tools/rebalancing_report.py
@@ -1,4 +1,4 @@
-"""An HTML report of a rebalancing measurement, with its plots inside: one file, no scripts."""
+"""Renders a rebalancing measurement as an HTML report: a single file with inline plots and no scripts."""
 
 import jinja2
 from matplotlib import pyplot
@@ -7,14 +7,14 @@
 from tools.rebalancing_results import DayResult, summarize
 
 TEAM_COLOURS = {"blue": "tab:blue", "red": "tab:red", "green": "tab:green"}
-ALLOWED_RATIO = 2.0
+MAX_RATIO = 2.0  # of a team's median wait to that of the fleet
 TEMPLATE = jinja2.Template(
     """<!doctype html>
-<html lang="en"><head><meta charset="utf-8"><title>Rebalancing: queue waits with and without</title>
+<html lang="en"><head><meta charset="utf-8"><title>Queue waits with and without rebalancing</title>
 <style>{{ style }}</style></head><body>
-<h1>Rebalancing: queue waits with and without</h1>
-<p>Days in virtual time on stand-ins, {{ machines }} machines of {{ cpus }} processors, three controllers,
-{{ seeds }} seeds. One team triples its load after a while; two others send an array now and then.</p>
+<h1>Queue waits with and without rebalancing</h1>
+<p>Simulated days with {{ machines }} machines of {{ cpus }} processors, three controllers, {{ seeds }} seeds. One team
+triples its load after some time; two others submit an array from time to time.</p>
 <table><tr><th>seed</th><th>rebalancing</th>{% for team in teams %}<th>{{ team }}</th>{% endfor %}
 <th>worst</th><th>moves</th><th>moves' cost, CPU s</th><th>runs stopped</th><th>starts</th><th>makespan, s</th>
 <th>problems</th></tr>
@@ -24,8 +24,8 @@
 <td>{{ day.runs_stopped }}</td><td>{{ day.starts }}</td><td>{{ "%.0f"|format(day.makespan_s) }}</td>
 <td>{{ day.problems|length }}</td></tr>
 {% endfor %}</table>
-<p>Each team's median wait, in medians of the whole fleet; at most {{ allowed }} is wanted.
-{% for name, spread in spreads %}{{ name }}: {{ "%.2f"|format(spread.least) }} to {{ "%.2f"|format(spread.most) }},
+<p>Ratio of each team's median wait to the median wait of the whole fleet; the target is at most {{ allowed }}.
+{% for name, spread in spreads %}{{ name }}: {{ "%.2f"|format(spread.minimum) }} to {{ "%.2f"|format(spread.maximum) }},
 mean {{ "%.2f"|format(spread.mean) }}, deviation {{ "%.2f"|format(spread.deviation) }}. {% endfor %}</p>
 <h2>Worst team, by seed</h2>{{ ratios_plot }}
 <h2>Waits over time, first seed</h2>{{ waits_plot }}
@@ -37,12 +37,12 @@
     figure, axes = pyplot.subplots(figsize=(8, 3))
     for offset, on in ((-0.2, False), (0.2, True)):
         days = [day for day in results if day.on == on]
-        label = "with rebalancing" if on else "without"
+        label = "with rebalancing" if on else "without rebalancing"
         axes.bar([day.seed + offset for day in days], [day.worst_ratio for day in days], 0.38, label=label)
-    axes.axhline(ALLOWED_RATIO, color="black", linestyle="--", linewidth=1, label="wanted at most")
+    axes.axhline(MAX_RATIO, color="black", linestyle="--", linewidth=1, label="target maximum")
     axes.set_xticks(sorted({day.seed for day in results}))
     axes.set_xlabel("seed")
-    axes.set_ylabel("median wait of the worst team\nin medians of the fleet")
+    axes.set_ylabel("median wait of the worst team\n/ median wait of the fleet")
     axes.legend()
     return svg(figure)
 
@@ -57,15 +57,15 @@
             plot.scatter(
                 [wait.submitted_s for wait in waits], [wait.wait_s for wait in waits], s=6, color=colour, label=team
             )
-        plot.set_title("with rebalancing" if day.on else "without")
-        plot.set_xlabel("submitted at, s")
-    axes[0][0].set_ylabel("wait until started, s")
+        plot.set_title("with rebalancing" if day.on else "without rebalancing")
+        plot.set_xlabel("submission time, s")
+    axes[0][0].set_ylabel("wait until start, s")
     axes[0][0].legend()
     return svg(figure)
 
 
 def render(results: list[DayResult]) -> str:
-    """The report as one HTML page."""
+    """Render the report as an HTML page."""
     spreads = [
         (name, summarize([day.worst_ratio for day in results if day.on == on]))
         for name, on in (("Without", False), ("With", True))
@@ -79,7 +79,7 @@
         teams=list(TEAM_COLOURS),
         days=results,
         spreads=spreads,
-        allowed=ALLOWED_RATIO,
+        allowed=MAX_RATIO,
         ratios_plot=_ratios_plot(results),
         waits_plot=_waits_plot(results),
     )
--- a/tools/rebalancing_results.py
+++ b/tools/rebalancing_results.py
@@ -1,4 +1,4 @@
-"""What one day of the rebalancing measurement gave, and the spread over several."""
+"""Results of the rebalancing measurement: those of single days, and their spread over the seeds."""
 
 from dataclasses import dataclass, field
 from statistics import mean, pstdev
@@ -6,7 +6,7 @@
 
 @dataclass
 class Wait:
-    """How long a task waited whose job was submitted at `submitted_s`."""
+    """The wait of a task from the submission of its job to its first start. Times count from the start of the load."""
 
     team: str
     submitted_s: float
@@ -15,12 +15,12 @@
 
 @dataclass
 class DayResult:
-    """One day: its waits, what was moved, and what went wrong."""
+    """The results of a simulated day. `on`: with rebalancing. `problems`: violated rules and unfinished jobs."""
 
     seed: int
     on: bool
     machines: int
-    ratios: dict[str, float]  # team -> its median wait, in medians of the fleet
+    ratios: dict[str, float]  # team -> its median wait divided by the median wait of the fleet
     makespan_s: float
     moves: int
     move_cost_cpu_s: float
@@ -31,20 +31,20 @@
 
     @property
     def worst_ratio(self) -> float:
-        """Of the team that waits longest."""
+        """The ratio of the team with the longest median wait."""
         return max(self.ratios.values())
 
 
 @dataclass(frozen=True)
 class Summary:
-    """The spread of one figure over the seeds."""
+    """The spread of a metric over the seeds."""
 
-    least: float
+    minimum: float
     mean: float
-    most: float
+    maximum: float
     deviation: float
 
 
 def summarize(values: list[float]) -> Summary:
-    """Least, mean, most and standard deviation."""
+    """Return minimum, mean, maximum and standard deviation."""
     return Summary(min(values), mean(values), max(values), pstdev(values))
