--- a/badgerroute/coordination/autoscaling/autoscaler_authority.py
+++ b/badgerroute/coordination/autoscaling/autoscaler_authority.py
@@ -1,4 +1,4 @@
-"""What only the holder of the autoscaler leadership may do, of which the cluster has one at a time."""
+"""Authorizes the actions that only the autoscaler leader may take. The cluster has one such leader at a time."""
 
 from badgerroute.connectivity.modes import Action
 from badgerroute.coordination.leadership.action_policy import ActionPolicy
@@ -6,17 +6,17 @@
 
 
 class AutoscalerAuthority:
-    """Says whether this controller, as the autoscaler leader, may act now."""
+    """Decides whether this controller is the autoscaler leader and its mode allows an action."""
 
     def __init__(self, leadership_state: LeadershipState, policy: ActionPolicy) -> None:
         self._leadership_state, self._policy = leadership_state, policy
 
     def may_rent(self) -> bool:
-        """Whether this controller may rent machines."""
+        """Return whether this controller may rent machines."""
         return self._allows(Action.RENT)
 
     def may_collect_garbage(self) -> bool:
-        """Whether this controller may remove keys that nobody needs."""
+        """Return whether this controller may remove keys that are no longer needed."""
         return self._allows(Action.CLEAN_UP)
 
     def _allows(self, action: Action) -> bool:
--- a/badgerroute/coordination/autoscaling/catalog.py
+++ b/badgerroute/coordination/autoscaling/catalog.py
@@ -1,4 +1,4 @@
-"""The catalog of machine types: read from the cloud, and stored for a restart during an outage of the cloud."""
+"""The catalog of machine types: fetched from the cloud, and stored for restarts during an outage of the cloud."""
 
 import logging
 from datetime import timedelta
@@ -29,15 +29,15 @@
 
 
 class CatalogRecord(msgspec.Struct):
-    """Machine types as they are stored. A key may hold all of them, or one where all are too large for a value."""
+    """Machine types as stored. One key holds all of them, or one key per type if they don't fit into one value."""
 
     types: list[MachineType]
 
 
 class MachineCatalog:
-    """The machine types known so far: `types`, by name.
+    """The known machine types; `types` holds them by name.
 
-    Other objects keep references to that dictionary. Types are added and updated in it, never removed.
+    Other objects keep references to that dictionary. Types are added to it and updated in it, never removed.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         self.types.update({machine_type.name: machine_type for machine_type in types})
 
     async def run(self) -> None:
-        """Keep the catalog up to date, for ever: the autoscaler leader does, and whoever knows no types yet."""
+        """Refresh the catalog if this controller is the autoscaler leader or knows no types; runs until cancelled."""
         await self._replica.ready
         while True:
             pause = REFRESH_INTERVAL
@@ -81,7 +81,7 @@
             await self._store_types(types)
 
     async def _store_types(self, types: list[MachineType]) -> None:
-        """Write one key, or one for each type where that would be too large: every version reads both forms."""
+        """Write one key for all types, or one per type if the value is too large. All versions read both forms."""
         values = {CATALOG: records.write(CatalogRecord(types))}
         if len(bytes(values[CATALOG])) > self._store.max_value_bytes:
             values = {
@@ -92,7 +92,7 @@
                 await self._write(key, value)
 
     async def _write(self, key: str, value: msgspec.Raw) -> None:
-        """Write one key. After a failure, a later refresh writes it if no catalog is stored, or if the types change."""
+        """Write one key. A failed write is repeated only if no catalog is stored or the set of types changes."""
         unchanged = compare(key, self._replica.revision_of(key))
         try:
             revision = await self._store.transact([unchanged], [put(key, value)], Urgency.PROGRESS)
--- a/badgerroute/coordination/autoscaling/machine_deletion.py
+++ b/badgerroute/coordination/autoscaling/machine_deletion.py
@@ -1,5 +1,7 @@
-"""Deletion of machines at the cloud. Every controller deletes members of its own shards; the autoscaler leader also
-deletes machines that never became members.
+"""Deletion of machines at the cloud.
+
+Every controller deletes members of its own shards. The autoscaler leader also deletes machines that never became
+members.
 """
 
 import logging
@@ -20,14 +22,14 @@
 
 
 class MachineDeletionListener(Protocol):
-    """Acts on deletions that the cloud has confirmed."""
+    """Is notified of deletions that the cloud has confirmed."""
 
     def machines_deleted(self, names: list[str]) -> None:
-        """These machines, and all that ran on them, are gone."""
+        """Called when these machines, and all tasks on them, have ended."""
 
 
 class MachineDeletionQueue:
-    """Machines to be deleted, in the order of the requests.
+    """Queue of machines to delete, in the order of the requests.
 
     A machine stays in the queue until the cloud confirms its deletion, until it turns out to be a member of a shard
     with another leader, or until the deletion is cancelled.
@@ -47,22 +49,22 @@
         self._queue: dict[str, None] = {}
 
     def delete(self, names: Iterable[str]) -> None:
-        """Have machines deleted."""
+        """Queue machines for deletion."""
         self._queue.update(dict.fromkeys(names))
 
     def cancel(self, names: Iterable[str]) -> None:
-        """Take machines off the queue, since another leader decides about them now."""
+        """Remove machines from the queue, for example because another leader is responsible for them now."""
         for name in names:
             self._queue.pop(name, None)
 
     async def run(self) -> None:
-        """Delete the queued machines, a batch at a time, for ever."""
+        """Delete the queued machines in batches; runs until cancelled."""
         while True:
             await self._loop.sleep(INTERVAL)
             self.cancel([name for name in self._queue if self._ownership.has_other_leader(name)])
             names = list(self._queue)[:MAX_MACHINES_PER_DELETION]
-            # Only while no other controller can lead our shards: docs/incidents.md tells of a controller that deleted,
-            # after a pause, what a new leader used.
+            # Delete only while no other controller can lead this controller's shards. After a pause of its process, a
+            # controller once deleted machines that a new leader was using (docs/incidents.md).
             if not names or not self._policy.allows(Action.DELETE):
                 continue
             try:
--- a/badgerroute/coordination/autoscaling/machine_inventory.py
+++ b/badgerroute/coordination/autoscaling/machine_inventory.py
@@ -1,4 +1,4 @@
-"""Reads the cloud's list of machines, and has deleted what costs money there and most likely never will be used."""
+"""Reads the cloud's list of machines and queues rented machines that will most likely never be used for deletion."""
 
 import logging
 from datetime import timedelta
@@ -14,17 +14,17 @@
 
 log = logging.getLogger(__name__)
 MIN_LIST_INTERVAL = timedelta(seconds=3)
-MAX_LIST_SHARE = 0.5  # of the calls to the cloud: at 4,000 machines a list takes eight pages
+MAX_LIST_SHARE = 0.5  # the portion of the cloud's rate limit for listing: a list of 4,000 machines takes eight pages
 LIST_AGE_MARGIN = timedelta(seconds=5)
 
 
 def max_list_age(settings: Settings) -> timedelta:
-    """How old the cloud's list may be."""
+    """Return how far the cloud's list may lag behind."""
     return 2 * settings.params.cloud.list_lag + LIST_AGE_MARGIN
 
 
 class MachineInventory:
-    """Compares the list with the members and the pending machines. In use at the autoscaler leader only."""
+    """Compares the cloud's list with the members and the pending machines. Used by the autoscaler leader only."""
 
     def __init__(
         self,
@@ -40,18 +40,19 @@
         self._pending, self._deletion_queue = pending, deletion_queue
         self._min_interval = max(MIN_LIST_INTERVAL, settings.params.cloud.list_lag / 2)
         self._unclaimed_timeout = 2 * max_list_age(settings) + settings.params.workers.lease
-        self._listed_at: timedelta | None = None  # when the list was last asked for; None: not in this term
-        self._listing_time = timedelta(0)  # that a list of all machines takes at this controller's rate of calls
-        self._unclaimed_since: dict[str, timedelta] = {}  # machines that run, and are no shard's member
+        self._listed_at: timedelta | None = None  # last request for the list; None if not yet in this term
+        self._listing_time = timedelta(0)  # time to list all machines at this controller's request rate
+        self._unclaimed_since: dict[str, timedelta] = {}  # running machines that belong to no shard -> first seen so
 
     def reset(self) -> None:
-        """This controller does not rent now: read the list as soon as it does."""
+        """Have the next `refresh` read the list at once. Called while this controller may not rent."""
         self._listed_at = None
 
     async def refresh(self) -> None:
-        """Read the list if it is time to. It lags, so it is only good for states that last.
+        """Read the list if it is due, and discard unusable machines.
 
-        Raises CloudUnavailableError if it cannot be read; it is tried again at the next call.
+        The list lags, so only states that last for some time can be concluded from it. Raises CloudUnavailableError if
+        it cannot be read; the next call tries again.
         """
         now = self._loop.now()
         interval = max(self._min_interval, self._listing_time / MAX_LIST_SHARE)
@@ -75,9 +76,11 @@
             self._deletion_queue.delete(unusable)
 
     def _is_unusable(self, machine: ListedMachine, members: set[str], now: timedelta) -> bool:
-        """Whether a machine costs money and most likely will never run a task."""
+        """Return whether a rented machine will most likely never run a task."""
         if machine.state == "failed":
-            return not self._ownership.has_other_leader(machine.name)  # else its leader learns of it sooner
+            return not self._ownership.has_other_leader(
+                machine.name
+            )  # if it has one, that leader detects the failure sooner
         if machine.name in members:
             self._pending.started([machine.name])
             return False
@@ -86,7 +89,7 @@
         return self._is_unclaimed(machine, now)
 
     def _is_stuck(self, machine: ListedMachine, now: timedelta) -> bool:
-        """Whether a booting machine has timed out. If not, it is pending, whoever rented it."""
+        """Return whether a booting machine has timed out. If not, add it to the pending machines, whoever rented it."""
         rented_at = now - timedelta(seconds=machine.age_s)
         if self._pending.has_timed_out(machine.type, rented_at, now):
             return True
@@ -96,7 +99,7 @@
         return False
 
     def _is_unclaimed(self, machine: ListedMachine, now: timedelta) -> bool:
-        """Whether a machine runs and has not reported to any controller for long: its worker may be cut off."""
+        """Return whether a running machine has belonged to no shard for too long: its worker may be unreachable."""
         if self._pending.expects(machine.name):
             return False
         since = self._unclaimed_since.setdefault(machine.name, now)
--- a/badgerroute/coordination/autoscaling/rental_backoff.py
+++ b/badgerroute/coordination/autoscaling/rental_backoff.py
@@ -1,4 +1,4 @@
-"""Backoff for machine pools that have no capacity."""
+"""Backoff for rental requests to machine pools that lack capacity."""
 
 from datetime import timedelta
 from typing import NamedTuple
@@ -12,7 +12,7 @@
 
 
 class _Backoff(NamedTuple):
-    """No request before `until`; the `pause` led to that."""
+    """No request before `until`, which is when the latest `pause` ends."""
 
     until: timedelta
     pause: timedelta
@@ -22,18 +22,18 @@
 
 
 class RentalBackoff:
-    """Which pools may be asked for machines. The pause of a pool doubles with every request that it refuses."""
+    """Decides which pools may be asked for machines. A pool's pause doubles with each request that yields none."""
 
     def __init__(self, loop: Loop) -> None:
         self._loop = loop
         self._backoffs: dict[MachinePool, _Backoff] = {}
 
     def allows(self, pool: MachinePool) -> bool:
-        """Whether a pool may be asked now."""
+        """Return whether machines of a pool may be requested now."""
         return self._loop.now() >= self._backoffs.get(pool, NO_BACKOFF).until
 
     def record(self, pool: MachinePool, asked: int, rented: int) -> None:
-        """A pool had so many of the machines that it was asked for."""
+        """Record the outcome of a request: how many of the requested machines were rented."""
         if rented >= asked:
             self._backoffs.pop(pool, None)
             return
--- a/badgerroute/coordination/autoscaling/scale_in.py
+++ b/badgerroute/coordination/autoscaling/scale_in.py
@@ -1,4 +1,4 @@
-"""The scale-in loop: leaders return idle machines, unless machines must be up before the work comes."""
+"""The scale-in loop: leaders return idle machines, unless machines are rented ahead of demand."""
 
 import logging
 from collections.abc import Mapping
@@ -17,14 +17,14 @@
 
 log = logging.getLogger(__name__)
 INTERVAL = timedelta(seconds=2)
-# The idle time is divided by this if there are no jobs, since no job could use the images that the machines cache.
+# Without jobs, the maximum idle time is divided by this, since no job could use the images that the machines cache.
 IDLE_DIVISOR_WITHOUT_JOBS = 2
 
 
 class ScaleIn:
     """Returns the idle machines of this controller's shards.
 
-    `leaders` is the map of the shards' leaders, which changes while this is in use.
+    `leaders` maps the shards that this controller leads to their leaders; it changes over time.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         self._catalog, self._leaders, self._deletion_queue = catalog, leaders, deletion_queue
 
     async def run(self) -> None:
-        """Return machines that have been idle for long enough, for ever."""
+        """Return machines that have been idle for too long; runs until cancelled."""
         while True:
             await self._loop.sleep(INTERVAL)
             if not self._catalog or scales_out_ahead(self._settings, self._catalog):
@@ -62,7 +62,7 @@
     def _return_idle(self, leader: ShardLeader, max_idle: timedelta) -> None:
         machines = [machine for machine in leader.shard.machines.values() if self._is_unneeded(machine, max_idle)]
         for machine in machines:
-            machine.draining = True  # from here on nothing starts on it
+            machine.draining = True  # no task is started on it any more
         if machines:
             names = [machine.name for machine in machines]
             log.info("event=machines_scaled_in shard=%d machines=%s", leader.number, ",".join(names))
--- a/badgerroute/coordination/autoscaling/scale_out.py
+++ b/badgerroute/coordination/autoscaling/scale_out.py
@@ -30,16 +30,16 @@
 
 
 class SummarySource(Protocol):
-    """Knows the state of all shards, as last reported."""
+    """Provides the last reported state of all shards."""
 
     def summaries(self) -> list[ShardSummary]:
-        """One summary for each shard that has reported."""
+        """Return one summary for each shard that has reported."""
 
 
 class ScaleOut:
-    """Rents machines by a plan for the waiting tasks, up to the fleet's limit.
+    """Rents machines according to a plan for the waiting tasks, up to the fleet's limit.
 
-    Request names are made of the autoscaler leadership's term and `_request_count`, so no name is ever used twice.
+    Request names consist of the autoscaler leader's term and `_request_count`, so every name is unique.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         self._request_count = 0
 
     async def run(self) -> None:
-        """Rent what is needed, for ever, whenever this controller is the autoscaler leader."""
+        """Rent the machines that are needed while this controller is the autoscaler leader; runs until cancelled."""
         while True:
             await self._loop.sleep(INTERVAL)
             if not self._authority.may_rent() or not self._catalog:
@@ -77,7 +77,7 @@
                 log.info("event=cloud_request_failed error=%s", error)
 
     async def _scale_out(self) -> None:
-        """One round: the cheapest pools come first."""
+        """Run one round, which rents from the cheapest pools first."""
         members = self._ownership.members()
         self._pending.started(members)
         room = self._settings.operator.fleet.most_machines - len(members) - self._pending.machine_count()
@@ -89,7 +89,7 @@
                 room -= await self._rent(pool, count)
 
     def _planned(self) -> dict[MachinePool, int]:
-        """What to ask for: all there is if machines must be up before the work comes, else what the work needs."""
+        """Return the machines to request: as many as possible if rented ahead of demand, else what the tasks need."""
         if scales_out_ahead(self._settings, self._catalog):
             pools = machine_pools(self._catalog)
             return {pool: MAX_MACHINES_PER_RENTAL for pool in pools if self._backoff.allows(pool)}
@@ -98,9 +98,9 @@
         return plan.machines_wanted(self._summary_source.summaries(), self._pending.expected())
 
     async def _rent(self, pool: MachinePool, count: int) -> int:
-        """Rent up to so many machines; how many are, or may be, on their way.
+        """Rent up to `count` machines; return how many were, or may have been, rented.
 
-        After a lost answer the same request is sent again, by its name, so that it is carried out once.
+        If a response is lost, the request is sent again under the same name, so that it is executed only once.
         """
         self._request_count += 1
         request = f"r-{self._leadership_state.autoscaler_term}-{self._request_count}"
--- a/badgerroute/coordination/autoscaling/subsystem.py
+++ b/badgerroute/coordination/autoscaling/subsystem.py
@@ -1,4 +1,4 @@
-"""Builds what rents, finds, returns and deletes machines."""
+"""Builds the components that rent, list, return and delete machines."""
 
 from dataclasses import dataclass
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AutoscalingSubsystem:
-    """Scale-out runs at the autoscaler leader alone; scale-in and deletion at every controller, for its own shards."""
+    """Scale-out runs only at the autoscaler leader; scale-in and deletion run at every controller for its shards."""
 
     tombstones: MachineTombstones
     deletion_queue: MachineDeletionQueue
@@ -42,7 +42,7 @@
     catalog: dict[str, MachineType],
     summary_source: SummarySource,
 ) -> AutoscalingSubsystem:
-    """`catalog` has the machine types by name, and fills up as they become known."""
+    """Build the subsystem. `catalog` holds the machine types by name and is filled as they become known."""
     tombstones = MachineTombstones(settings.operator.fleet.most_machines)
     ownership = MachineOwnership(storage.replica, leadership.state)
     pending = PendingMachines(loop, catalog, max_list_age(settings))
--- a/badgerroute/storage/__init__.py
+++ b/badgerroute/storage/__init__.py
@@ -1,7 +1,7 @@
-"""Clients of the key-value store and of the cloud, the form of the stored records, and the replica in memory.
+"""Clients of the key-value store and of the cloud, the format of the stored records, and the in-memory replica.
 
-Owns the names of all keys (`keys`; each begins with `b/`), the form of every stored value (`records`) and every request
-to both services, with the rate and size limits these are kept to. Its state is the replica. Which package decides what
-is written under a key is said there. May import `transport`, `protocol` and `settings`; nothing in here knows what the
-controllers decide.
+Owns the names of all keys (`keys`; each begins with `b/`), the format of every stored value (`records`) and all
+requests to both services, including the rate and size limits that apply to them. The only state is the replica. The
+packages that write a key document what they write. May import `transport`, `protocol` and `settings`; knows nothing of
+the controllers' decisions.
 """
--- a/badgerroute/storage/cloud_client.py
+++ b/badgerroute/storage/cloud_client.py
@@ -1,4 +1,4 @@
-"""Client of the cloud, which rents machines and deletes them."""
+"""Client of the cloud API, which rents out machines, lists them and deletes them."""
 
 from datetime import timedelta
 
@@ -16,15 +16,16 @@
 MAX_MACHINES_PER_RENTAL = 50
 MAX_MACHINES_PER_DELETION = 100
 MACHINES_PER_PAGE = 500
-SAFETY_FACTOR = 0.9  # of the published rate: clocks differ, and an answer of 429 helps nobody
-# All requests may be repeated (a rental by its name), so it makes no difference whether one was done.
+# The portion of the published rate limit that is used: clocks differ, and a request that gets status 429 is wasted.
+SAFETY_FACTOR = 0.9
+# All requests are idempotent (a rental by its request name), so it does not matter whether a failed one was executed.
 ERRORS = ErrorTypes(not_done=CloudUnavailableError, unknown=CloudUnavailableError)
 
 
 class CloudClient:
-    """Client of the cloud, whose rate limit is divided equally among `size` controllers.
+    """Client of the cloud API, whose rate limit is divided equally among `size` controllers.
 
-    All requests raise CloudUnavailableError if there is no usable answer.
+    All requests raise CloudUnavailableError if there is no usable response.
     """
 
     def __init__(self, loop: Loop, network: Network, address: str, limits: CloudLimits, size: int) -> None:
@@ -43,32 +44,35 @@
         return response
 
     async def catalog(self) -> list[wire.MachineType]:
-        """The machine types that can be rented."""
+        """Return the machine types that can be rented."""
         response = await self._call("GET", "/catalog", Urgency.READ)
         return self._caller.decode(response, wire.catalog_decoder, ERRORS).types
 
     async def rent(self, request: str, kind: str, zone: str, spot: bool, count: int) -> list[str]:
-        """Rent up to `count` machines of the type `kind`; their names. NoCapacityError if there are none to be had.
+        """Rent up to `count` machines of a type and return their names; raises NoCapacityError if none are available.
 
-        `request` names the rental: sent again under the same name it rents nothing more, so a name is never used for
-        another rental.
+        `request` is the request name, which makes the rental idempotent: a repeated request with the same name rents
+        no further machines. Every rental therefore needs a name of its own.
         """
         body = encode(wire.RentalRequest(request, kind, zone, spot, min(count, MAX_MACHINES_PER_RENTAL)))
         response = await self._call("POST", "/rentals", Urgency.COMPLETE, body)
         return self._caller.decode(response, wire.rented_decoder, ERRORS).machines
 
     async def delete(self, names: list[str]) -> None:
-        """Delete the first MAX_MACHINES_PER_DELETION of these; when this returns they and all on them are gone."""
+        """Delete the first MAX_MACHINES_PER_DELETION of the named machines.
+
+        When this returns, these machines and all tasks on them have ended.
+        """
         body = encode(wire.Deletion(names[:MAX_MACHINES_PER_DELETION]))
         await self._call("POST", "/rentals/delete", Urgency.LEADERSHIP, body)
 
     def listing_time(self, machines: int) -> timedelta:
-        """How long it takes to list so many machines at the rate that this controller may use."""
+        """Return how long listing this number of machines takes at the request rate of this controller."""
         pages = -(-machines // MACHINES_PER_PAGE)
         return timedelta(seconds=pages / self._calls_per_second)
 
     async def machines(self) -> list[wire.ListedMachine]:
-        """All machines, as the cloud's list has them, which lags behind what was rented and deleted."""
+        """Return all machines in the cloud's list, which lags behind rentals and deletions."""
         machines: list[wire.ListedMachine] = []
         since = ""
         while True:
--- a/badgerroute/storage/entries.py
+++ b/badgerroute/storage/entries.py
@@ -1,4 +1,4 @@
-"""The keys and values that a replica holds, indexed by prefix, with the revisions that order their changes."""
+"""The keys and values that a replica holds, indexed by prefix, with the revisions that order changes to them."""
 
 import logging
 from collections.abc import Callable
@@ -11,11 +11,14 @@
 log = logging.getLogger(__name__)
 
 Listener = Callable[[str, bytes | None, int], None]
-"""Called with a key, its value (None: it was removed) and the revision of the change."""
+"""Called with a key, its new value (None if the key was removed) and the revision of the change."""
 
 
 class Entry(Struct, frozen=True, gc=False):
-    """A key's value and the revision at which it last changed. There are thousands of them: no GC, no __dict__."""
+    """A key's value and the revision at which it last changed.
+
+    There are thousands of entries, so they have no `__dict__` and are not tracked by the garbage collector.
+    """
 
     value: bytes
     revision: int
@@ -27,32 +30,32 @@
 
 
 class ReplicaEntries:
-    """Entries by key. A change is applied only if it is newer than what is here, so changes may come in any order.
+    """Entries by key. A change is applied only if it is newer than the entry, so changes may arrive in any order.
 
     Invariant: `_keys_under[parent_prefix(key)]` holds `key` if and only if `by_key` does.
     """
 
     def __init__(self) -> None:
         self.by_key: dict[str, Entry] = {}
-        self._keys_under: dict[str, dict[str, None]] = {}  # an ordered set of keys for each prefix
-        self._removed: dict[str, int] = {}  # revisions of removals that `forget_removals` has not reached yet
+        self._keys_under: dict[str, dict[str, None]] = {}  # ordered set of keys per prefix
+        self._removed: dict[str, int] = {}  # revisions of removals later than the last `forget_removals`
         self._subscriptions: list[_Subscription] = []
 
     def listen(self, prefix: str, listener: Listener) -> None:
-        """Call a listener for every change of a key that begins with this prefix."""
+        """Register a listener for every change of a key that begins with this prefix."""
         self._subscriptions.append(_Subscription(prefix, listener))
 
     def revision_of(self, key: str) -> int:
-        """Revision of a key; 0 if it does not exist."""
+        """Return the revision of a key, or 0 if it does not exist."""
         entry = self.by_key.get(key)
         return entry.revision if entry else 0
 
     def under(self, prefix: str) -> list[str]:
-        """The keys right under a prefix that ends in a slash."""
+        """Return the keys that begin with a prefix, which ends in a slash, and have no further slash."""
         return list(self._keys_under.get(prefix, ()))
 
     def apply(self, key: str, value: bytes | None, revision: int) -> bool:
-        """Take in a change (`value` None: a removal) unless it is an old one; whether it was taken in."""
+        """Apply a change (a removal if `value` is None) unless it is outdated; return whether it was applied."""
         if revision <= self.revision_of(key) or revision <= self._removed.get(key, 0):
             return False
         if value is None:
@@ -67,12 +70,12 @@
         return True
 
     def drop(self, key: str) -> None:
-        """Hold a key no longer; listeners are not called."""
+        """Discard a key's entry without calling the listeners."""
         if self.by_key.pop(key, None) is not None:
             self._keys_under[parent_prefix(key)].pop(key, None)
 
     def notify(self, key: str, value: bytes | None, revision: int) -> None:
-        """Call the listeners for a change. An error in one of them is logged and keeps no other from its call."""
+        """Call the listeners for a change. If one raises, the error is logged and the others are still called."""
         for subscription in self._subscriptions:
             if key.startswith(subscription.prefix):
                 try:
@@ -81,6 +84,9 @@
                     log.error("event=listener_failed key=%s error=%r", key, error, exc_info=error)
 
     def forget_removals(self, revision: int) -> None:
-        """All changes up to this revision were seen, so no older copy of a removed key will be applied."""
+        """Forget the removals up to this revision, once the watch has delivered all changes up to it.
+
+        From then on `Replica.learn` rejects older copies of a removed key, so they cannot bring it back.
+        """
         if self._removed:
             self._removed = {key: removed for key, removed in self._removed.items() if removed > revision}
--- a/badgerroute/storage/errors.py
+++ b/badgerroute/storage/errors.py
@@ -1,29 +1,30 @@
-"""What can go wrong with a request to the key-value store or to the cloud, and what the caller may do then."""
+"""Errors of requests to the key-value store and to the cloud, and how the caller may react to each."""
 
 
 class StoreUnavailableError(Exception):
-    """The key-value store did nothing, and will do nothing later: the caller may send the request again."""
+    """The key-value store has not executed the request and never will: the caller may send it again."""
 
 
 class OutcomeUnknownError(Exception):
-    """The transaction may have been applied, or may yet be: the caller reads the keys back before it goes on."""
+    """The transaction may have been applied, or may still be: the caller must read the keys before it continues."""
 
 
 class CompareFailedError(Exception):
-    """Conditions of the transaction did not hold, so nothing was applied: the caller reads the keys and decides anew.
+    """Conditions of the transaction did not hold, so it was not applied: the caller reads the keys and decides again.
 
     `failed`: the keys whose conditions did not hold.
     """
 
     def __init__(self, failed: list[str]) -> None:
-        super().__init__(f"conditions failed: {failed}")
+        super().__init__(f"conditions failed for keys: {failed}")
         self.failed = failed
 
 
 class RequestRefusedError(StoreUnavailableError):
-    """The store calls the transaction malformed or too large: as it is, it must not be sent again.
+    """The store rejected the transaction as malformed or too large: it must not be sent again unchanged.
 
-    `by_size`: its size may have been the reason. The client's size limits are lower now: the caller may send less.
+    `by_size`: its size may have been the reason. The client has lowered its size limits, so the caller may retry with a
+    smaller transaction.
     """
 
     def __init__(self, text: str, by_size: bool) -> None:
@@ -32,16 +33,19 @@
 
 
 class LeaseExpiredError(Exception):
-    """The lease has ended and the keys attached to it are gone: the caller leads nothing and needs another lease."""
+    """The lease has expired and its keys were removed: the caller leads no shard and needs a new lease."""
 
 
 class WatchExpiredError(Exception):
-    """The watch began before what the store still remembers: the caller lists the keys again."""
+    """The store no longer holds the changes since the watch's start revision: the caller must list the keys again."""
 
 
 class CloudUnavailableError(Exception):
-    """No usable answer of the cloud; it may have done what was asked, or may yet: the caller looks at the list."""
+    """There was no usable response from the cloud.
+
+    The request may have been executed, or may still be: the cloud's list of machines will show it.
+    """
 
 
 class NoCapacityError(Exception):
-    """The cloud has no machine of this type, in this zone, of this kind: the caller tries another or waits."""
+    """The cloud has no machine of the requested type and zone (spot or not): the caller tries another pool or waits."""
--- a/badgerroute/storage/key_value_client.py
+++ b/badgerroute/storage/key_value_client.py
@@ -1,4 +1,4 @@
-"""Client of the key-value store. Says plainly whether a transaction applied, did not, or may have."""
+"""Client of the key-value store. Its errors distinguish transactions that were not applied from unknown outcomes."""
 
 import logging
 from collections.abc import Iterable, Sequence
@@ -27,18 +27,18 @@
 
 log = logging.getLogger(__name__)
 ANSWER_LIMIT = timedelta(milliseconds=1500)
-WATCH_MARGIN = timedelta(seconds=3)  # that the answer of a watch may come later than it was asked to
+WATCH_MARGIN = timedelta(seconds=3)  # the response to a watch may arrive this long after its blocking time
 KEYS_PER_PAGE = 500
-CONDITIONS_PER_CHANGE = 4  # that a transaction may have
+CONDITIONS_PER_CHANGE = 4  # a transaction may have this many conditions for each change that the store permits
 LOGGED_BODY_BYTES = 120
 OVER_RATE_STATUS = 429
 NOT_DONE_STATUSES = (OVER_RATE_STATUS, 503)
-READ_ERRORS = ErrorTypes(StoreUnavailableError, StoreUnavailableError)  # a read changes nothing, done or not
+READ_ERRORS = ErrorTypes(StoreUnavailableError, StoreUnavailableError)  # reads have no effect, so they can be repeated
 WRITE_ERRORS = ErrorTypes(StoreUnavailableError, OutcomeUnknownError)
 
 
 class KeyList(NamedTuple):
-    """All keys under a prefix, and a revision that none of the pages they came in is older than."""
+    """All keys under a prefix, and the lowest revision of the pages that were read for them."""
 
     items: list[wire.KeyValueEntry]
     revision: int
@@ -56,8 +56,8 @@
 class KeyValueClient:
     """Client of the key-value store, whose limits are divided equally among `size` controllers.
 
-    Every request may raise StoreUnavailableError; a write OutcomeUnknownError too. The watch and the leadership have
-    connections of their own, so that they don't wait behind other requests.
+    Every request may raise StoreUnavailableError, and a write may also raise OutcomeUnknownError. The watch and the
+    lease requests have connections of their own, so that they don't wait behind other requests.
     """
 
     def __init__(self, loop: Loop, network: Network, address: str, limits: StoreLimits, size: int) -> None:
@@ -72,41 +72,41 @@
 
     @property
     def requests(self) -> int:
-        """How many requests were sent."""
+        """The number of requests that were sent."""
         return self._caller.requests
 
     def divide_rates(self, size: int) -> None:
-        """Divide the rate limits among so many controllers."""
+        """Divide the rate limits among this number of controllers."""
         self.rates.divide(size)
 
     def troubled(self) -> bool:
-        """Whether a request went unanswered or was refused as in an outage within the last seconds."""
+        """Return whether a request got no response, or status 503, within the last few seconds."""
         return self._caller.failed_recently()
 
     @property
     def max_changes(self) -> int:
-        """The most changes of one transaction: never more than the store will take later."""
+        """The maximum number of changes in a transaction, within the current and the announced limit of the store."""
         self._sizes.recover(self._loop.now())
         return self._sizes.changes.current
 
     @property
     def max_value_bytes(self) -> int:
-        """The most bytes of one value: never more than the store will take later."""
+        """The maximum size of a value in bytes, within the current and the announced limit of the store."""
         self._sizes.recover(self._loop.now())
         return self._sizes.value_bytes.current
 
     @property
     def announced_value_bytes(self) -> int:
-        """The most bytes of one value by the settings, whatever the store lately refused."""
+        """The maximum size of a value in bytes by the settings, not lowered by refused transactions."""
         return self._sizes.value_bytes.maximum
 
     @property
     def max_conditions(self) -> int:
-        """The most conditions of one transaction, by the settings."""
+        """The maximum number of conditions in a transaction, by the settings."""
         return CONDITIONS_PER_CHANGE * self._limits.max_changes
 
     async def get(self, key: str, urgency: Urgency = Urgency.READ) -> wire.KeyValueEntry | None:
-        """Read a key; None if it does not exist."""
+        """Read a key; return None if it does not exist."""
         response = await self._read("/kv/" + quote(key, safe="/"), urgency)
         if response.status == 404:
             return None
@@ -114,13 +114,13 @@
         return self._caller.decode(response, wire.entry_decoder, READ_ERRORS)
 
     async def revision(self, absent: str, urgency: Urgency = Urgency.READ) -> int:
-        """The revision that the store has applied by now: it says so when asked for a key that does not exist."""
+        """Return the revision that the store has applied. The response for a nonexistent key contains it."""
         response = await self._read("/kv/" + quote(absent, safe="/"), urgency)
         _require_ok(response, accepted=(404,))
         return self._caller.decode(response, wire.missing_decoder, READ_ERRORS).revision
 
     async def page(self, prefix: str, since: str, limit: int, urgency: Urgency) -> wire.KeyValuePage:
-        """The first `limit` keys under a prefix that come after `since`, sorted."""
+        """Return the first `limit` keys, in sorted order, under a prefix and after the key `since`."""
         target = f"/kv?under={quote(prefix, safe='/')}&limit={limit}"
         if since:
             target += f"&since={quote(since, safe='/')}"
@@ -129,7 +129,7 @@
         return self._caller.decode(response, wire.page_decoder, READ_ERRORS)
 
     async def list(self, prefix: str) -> KeyList:
-        """All keys under a prefix, read page by page."""
+        """Read all keys under a prefix, page by page."""
         page = await self.page(prefix, "", KEYS_PER_PAGE, Urgency.LEADERSHIP)
         items, revision = page.items, page.revision
         while page.more and page.items:
@@ -145,7 +145,7 @@
         urgency: Urgency,
         limit: timedelta = ANSWER_LIMIT,
     ) -> int:
-        """Apply the changes together if all conditions hold; the revision at which they were applied.
+        """Apply the changes atomically if all conditions hold; return the revision at which they were applied.
 
         Raises CompareFailedError, LeaseExpiredError, RequestRefusedError, OutcomeUnknownError, StoreUnavailableError.
         """
@@ -162,28 +162,28 @@
             raise LeaseExpiredError("no such lease")
         if response.status == 400:
             lowered = self._lower_sizes(transaction, body)
-            raise RequestRefusedError(f"refused: {response.body[:100]!r}", lowered)
+            raise RequestRefusedError(f"transaction refused: {response.body[:100]!r}", lowered)
         _require_ok(response)
         return self._caller.decode(response, wire.applied_decoder, WRITE_ERRORS).revision
 
     async def grant(self, ttl: timedelta) -> int:
-        """A new lease that ends `ttl` after it was last renewed."""
+        """Create a lease that ends `ttl` after its last renewal, and return its id."""
         body = encode({"ttl_ms": _milliseconds(ttl)})
         response = await self._write_lease("/grants", ANSWER_LIMIT, body)
         _require_ok(response, accepted=(200, 201))
         return self._caller.decode(response, wire.lease_decoder, WRITE_ERRORS).lease
 
     async def touch(self, lease: int, limit: timedelta) -> None:
-        """Renew a lease; LeaseExpiredError if it has ended."""
+        """Renew a lease; raise LeaseExpiredError if it has ended."""
         response = await self._write_lease(f"/grants/{lease}/touch", limit)
         if response.status == 404:
-            raise LeaseExpiredError("lease ended")
+            raise LeaseExpiredError(f"lease {lease} has ended")
         _require_ok(response)
 
     async def follow(self, prefix: str, since: int, block: timedelta) -> wire.Changes:
         """Wait up to `block` for changes under a prefix after the revision `since`.
 
-        WatchExpiredError if the store no longer remembers what came after that.
+        Raise WatchExpiredError if the store no longer holds all changes after that revision.
         """
         target = f"/follow?under={quote(prefix, safe='/')}&since={since}&block_ms={_milliseconds(block)}"
         request = ServiceRequest("GET", target, Urgency.LEADERSHIP, block + WATCH_MARGIN)
@@ -209,7 +209,7 @@
         return response
 
     def _lower_sizes(self, transaction: wire.Transaction, body: bytes) -> bool:
-        """Lower the size limits after a refused transaction; whether its size may have been the reason."""
+        """Lower the size limits after a refused transaction; return whether its size may have been the reason."""
         changes = transaction.changes
         values = (len(encode(change.value)) for change in changes if isinstance(change, wire.Put))
         size = TransactionSize(len(changes), max(values, default=0))
--- a/badgerroute/storage/operations.py
+++ b/badgerroute/storage/operations.py
@@ -1,4 +1,4 @@
-"""The parts of a transaction of the key-value store."""
+"""Constructors for the conditions and changes of a key-value store transaction."""
 
 from typing import Any
 
@@ -6,15 +6,15 @@
 
 
 def compare(key: str, revision: int) -> wire.Compare:
-    """A condition of a transaction: the key has this revision, or does not exist if that is 0."""
+    """Return a condition that the key has this revision, or does not exist if the revision is 0."""
     return wire.Compare(key, revision)
 
 
 def put(key: str, value: Any, lease: int | None = None) -> wire.Put:
-    """A change that writes a key. With a lease, the key goes when the lease ends."""
+    """Return a change that writes a key. With a lease, the store removes the key when the lease ends."""
     return wire.Put(key, value) if lease is None else wire.Put(key, value, lease)
 
 
 def remove(key: str) -> wire.Remove:
-    """A change that removes a key."""
+    """Return a change that removes a key."""
     return wire.Remove(key)
--- a/badgerroute/storage/rate_limiter.py
+++ b/badgerroute/storage/rate_limiter.py
@@ -1,4 +1,4 @@
-"""A rate limiter: a token bucket whose waiters are served by urgency, and within one urgency in order of arrival."""
+"""A rate limiter: a token bucket that serves waiters by urgency, and in order of arrival within an urgency."""
 
 import heapq
 import itertools
@@ -9,12 +9,12 @@
 from badgerroute.transport.clock import ZERO
 from badgerroute.transport.loop import Future, Loop, Timer
 
-TIMER_MARGIN = timedelta(milliseconds=1)  # so that rounding does not wake the timer just before there is enough
+TIMER_MARGIN = timedelta(milliseconds=1)  # so that rounding does not fire the timer just before there are enough tokens
 MIN_BURST = 1.0
 
 
 class Urgency(IntEnum):
-    """Who is served first when there is not enough for all: lower values come first."""
+    """The order in which requests are served when tokens are scarce: lower values first."""
 
     LEADERSHIP = 0
     CANCEL = 1
@@ -25,11 +25,11 @@
 
 
 class RateLimitExceededError(Exception):
-    """The rate limit leaves no room within the time that the caller can wait. Nothing was taken; it may try later."""
+    """No tokens become available within the time that the caller can wait. None were taken; the caller may retry."""
 
 
 class _Waiter(NamedTuple):
-    """A caller that waits for tokens. Sorted by urgency, then by order of arrival; `number` is unique."""
+    """A caller that waits for tokens. Sorted by urgency, then by `number`, which is unique and follows arrival."""
 
     urgency: Urgency
     number: int
@@ -38,7 +38,7 @@
 
 
 class RateLimiter:
-    """A token bucket. `rate` is in tokens per second, `burst` the most tokens that are saved up (at least one)."""
+    """A token bucket. `rate` is in tokens per second; `burst` is the bucket's capacity (at least one token)."""
 
     def __init__(self, loop: Loop, rate: float, burst: float) -> None:
         self._loop = loop
@@ -52,20 +52,20 @@
 
     @property
     def rate(self) -> float:
-        """Tokens per second."""
+        """The refill rate, in tokens per second."""
         return self._rate
 
     def set_rate(self, rate: float, burst: float) -> None:
-        """Use another rate and burst from now on. Has no effect, also not on the burst, if the rate is the same."""
+        """Change the rate and the burst. If the rate stays the same, the burst is not changed either."""
         if rate != self._rate:
             self._refill()
             self._rate = rate
             self._burst = max(MIN_BURST, burst)
 
     async def take(self, cost: float, urgency: Urgency, limit: timedelta) -> None:
-        """Wait for `cost` tokens, at most for `limit`; RateLimitExceededError if they don't come in that time.
+        """Take `cost` tokens, waiting at most `limit` for them; raise RateLimitExceededError if that is not enough.
 
-        What costs more than the burst waits for a full bucket and leaves the rest as a debt.
+        A request that costs more than the burst waits for a full bucket and makes the balance negative.
         """
         self._refill()
         if not self._waiting and self._tokens >= min(cost, self._burst):
@@ -76,10 +76,10 @@
         self._arm_timer()
         try:
             if not await self._loop.first(granted, limit):
-                raise RateLimitExceededError(f"no room in the rate limit within {limit.total_seconds():.1f} s")
+                raise RateLimitExceededError(f"rate limit exceeded: no tokens within {limit.total_seconds():.1f} s")
         finally:
             if not granted.done:
-                granted.set()  # a waiter that is done without tokens is skipped by `_serve`
+                granted.set()  # timed out or cancelled: `_serve` skips this waiter
 
     def _refill(self) -> None:
         now = self._loop.now()
--- a/badgerroute/storage/read_barrier.py
+++ b/badgerroute/storage/read_barrier.py
@@ -1,4 +1,4 @@
-"""Waiting until a replica has taken in a revision, or all that the key-value store had applied by now."""
+"""Lets readers wait until the replica has reached a revision, or the store's current revision."""
 
 from datetime import timedelta
 from typing import NamedTuple
@@ -8,7 +8,7 @@
 from badgerroute.storage.keys import NONEXISTENT
 from badgerroute.transport.loop import Future, Loop
 
-MIN_INTERVAL = timedelta(milliseconds=80)  # between two requests for the store's revision
+MIN_INTERVAL = timedelta(milliseconds=80)  # between requests for the store's revision
 MAX_WAIT = timedelta(milliseconds=1500)
 
 
@@ -18,21 +18,21 @@
 
 
 class ReadBarrier:
-    """Lets readers wait for the replica. One request for the store's revision serves all who ask meanwhile.
+    """Lets readers wait for the replica. One request for the store's revision serves all readers that are waiting.
 
-    A request for each read uses up the rate limit when many jobs are polled.
+    A request for each read would use up the rate limit when many jobs are polled.
     """
 
     def __init__(self, loop: Loop, store: KeyValueClient) -> None:
         self._loop = loop
         self._store = store
         self._revision = 0
-        self._waiters: list[_Waiter] = []  # for a revision that the watch has not covered yet
-        self._readers: list[Future] = []  # for whom the store has not been asked yet
+        self._waiters: list[_Waiter] = []  # waiting for a revision that the watch has not reached
+        self._readers: list[Future] = []  # waiting for the next request for the store's revision
         self._reader_came = Future()
 
     def advance(self, revision: int) -> None:
-        """The watch has covered everything up to this revision: wake those who waited for no more."""
+        """Record that the watch has delivered all changes up to this revision, and wake the waiters for it."""
         self._revision = revision
         if not self._waiters:
             return
@@ -44,27 +44,28 @@
                 self._waiters.append(waiter)
 
     async def wait_for_revision(self, revision: int) -> None:
-        """Wait, however long, until the watch has covered a revision."""
+        """Wait, without a time limit, until the watch has reached a revision."""
         if self._revision < revision:
             reached = Future()
             self._waiters.append(_Waiter(revision, reached))
             await reached
 
     async def wait_until_current(self) -> None:
-        """Wait until all that the store had applied when this was called is taken in.
+        """Wait until the replica has applied all changes that the store had applied when this was called.
 
-        What is read then is no older than what anybody was answered before. StoreUnavailableError if the store does not
-        answer, or the watch has not come that far within MAX_WAIT.
+        A read after that is linearizable: it returns nothing older than any earlier response did. Raises
+        StoreUnavailableError if the store does not respond, or if the watch does not reach the revision within
+        MAX_WAIT.
         """
         reader = Future()
         self._readers.append(reader)
         self._reader_came.set()
         if not await self._loop.first(reader, MAX_WAIT):
-            raise StoreUnavailableError("the watch lags behind")
+            raise StoreUnavailableError("the watch lags behind the store")
         await reader
 
     async def answer_readers(self) -> None:
-        """Ask the store for its revision whenever there are readers, for ever."""
+        """Request the store's revision whenever readers are waiting; runs until cancelled."""
         while True:
             await self._reader_came
             self._reader_came = Future()
--- a/badgerroute/storage/records.py
+++ b/badgerroute/storage/records.py
@@ -1,7 +1,7 @@
-"""The values that are stored in the key-value store, and their form there (JSON).
+"""The records that are stored as values in the key-value store, encoded as JSON.
 
-Several versions of the controllers read and write the same store: names and forms stay as they are, and what a version
-adds has a default. `keys` says under which key each record stands.
+Several versions of the controllers read and write the same store, so stored names and formats must not change, and a
+new field needs a default. `keys` documents under which key each record is stored.
 """
 
 from enum import StrEnum
@@ -14,7 +14,7 @@
 from badgerroute.storage.bitset import pack, span, trailing_ones, unpack
 from badgerroute.storage.task_ranges import TaskRange
 
-BITS_PER_CHARACTER = 6  # of a bit set that is written down in base64
+BITS_PER_CHARACTER = 6  # of base64
 MIN_TASKS_AHEAD = 64
 
 
@@ -22,12 +22,14 @@
     """Which controller leads a shard. The revision of the key is the leader's term."""
 
     leader: str = field(name="owner")
-    until: float = 0.0  # a time of day, in seconds since 1970: until then a leader before this one may still act
-    transferred: bool = field(name="handed", default=False)  # written by the leader before, which had stopped
+    until: float = 0.0  # POSIX time until which the previous leader may still act
+    transferred: bool = field(
+        name="handed", default=False
+    )  # written by the previous leader, after it had stopped acting
 
 
 class AutoscalerLeaderRecord(Struct):
-    """Which controller rents machines."""
+    """Which controller is the autoscaler leader, which rents machines."""
 
     leader: str = field(name="owner")
 
@@ -43,16 +45,16 @@
 
 
 class TombstoneRecord(Struct):
-    """The names of machines of a shard that were deleted lately."""
+    """The names of recently deleted machines of a shard."""
 
     names: list[str]
 
 
 class DrainRecord(Struct):
-    """A machine that operators want empty by `deadline`, a time of day in seconds since 1970."""
+    """A machine that operators drain: it is to be empty by `deadline`, a POSIX time."""
 
     deadline: float
-    delete: bool = False  # at the cloud, once it is empty
+    delete: bool = False  # whether to delete the machine at the cloud once it is empty
 
 
 class QuotaRecord(Struct):
@@ -62,7 +64,7 @@
 
 
 class JobState(StrEnum):
-    """What the key-value store says of a job: the values are stored and told to users."""
+    """The state of a job in the key-value store. The values are stored, and returned to users."""
 
     ACTIVE = "active"
     DONE = "done"
@@ -70,7 +72,7 @@
 
 
 class FinalStateRecord(Struct):
-    """A job's final state, kept for ever, and when it was reached, in seconds since 1970 (0: by an older version)."""
+    """A job's final state, kept permanently. `at`: POSIX time it was reached, or 0 if an older version wrote this."""
 
     state: JobState
     tasks: int
@@ -78,58 +80,58 @@
 
 
 class DonePage(Struct):
-    """Done tasks that did not fit their job's record: the bits of `bitset.PAGE_TASKS` tasks, packed."""
+    """Done tasks that did not fit into their job's record: the bits of `bitset.PAGE_TASKS` tasks, packed."""
 
     bits: str
 
 
 class PredecessorsPage(Struct):
-    """Predecessors that did not fit their job's record."""
+    """Predecessors that did not fit into their job's record."""
 
     refs: list[str]
 
 
 class JobRecord(Struct):
-    """An unfinished job. Tasks below `base` are done; `bits` holds the others, task `base` first.
+    """An unfinished job. All tasks below `base` are done; `bits` is the bit set of the later ones, from `base` on.
 
-    `ranges` says which shard owns which tasks. While the job waits for others that stands in `planned`, and `ranges` is
-    empty: a version that knows nothing of predecessors must not start it, should one be brought back.
+    `ranges` says which shard owns which tasks. While the job waits for its predecessors, `planned` holds the ranges and
+    `ranges` is empty, so that after a rollback a version that does not support predecessors won't start the job.
     """
 
     job: Submission
-    accepted: float  # when it was submitted, in seconds since 1970
+    accepted: float  # POSIX time of its submission
     ranges: list[TaskRange]
     base: int = 0
     bits: str = ""
-    pages: int = 0  # how many keys hold its predecessors, if these did not fit here
+    pages: int = 0  # number of keys that hold its predecessors, if these did not fit into this record
     planned: list[TaskRange] | UnsetType = UNSET
 
     @property
     def assigned(self) -> list[TaskRange]:
-        """Which shard owns which tasks as soon as the job is released."""
+        """Which shard owns which tasks once the job is released."""
         return self.ranges if self.planned is UNSET else self.planned
 
     def with_ranges(self, ranges: list[TaskRange]) -> "JobRecord":
-        """The record of a released job whose tasks belong to other shards."""
+        """Return the record with a new assignment of tasks to shards; the job is released."""
         return msgspec.structs.replace(self, ranges=ranges, planned=UNSET)
 
     def done(self) -> int:
-        """The done tasks that are written down here, as a bit set."""
+        """Return the done tasks that this record holds, as a bit set."""
         below_base = (1 << self.base) - 1
         return below_base | (unpack(self.bits) << self.base) if self.bits else below_base
 
     def with_done(self, done: int) -> "JobRecord":
-        """The record with these tasks done; a job that makes progress is released."""
+        """Return the record with these tasks done, as a released job: only released jobs make progress."""
         base = trailing_ones(done)
         bits = pack(done >> base)
         return msgspec.structs.replace(self, ranges=self.assigned, planned=UNSET, base=base, bits=bits)
 
     def without_bits(self, done: int) -> "JobRecord":
-        """The record that only says how far all tasks are done; the other bits are on pages."""
+        """Return the record with only `base` for the done tasks: the remaining bits are stored on pages."""
         return msgspec.structs.replace(self, base=trailing_ones(done), bits="")
 
     def owned(self, shard: int) -> int:
-        """The tasks that a shard owns, as a bit set."""
+        """Return the tasks that a shard owns, as a bit set."""
         owned = 0
         for owner, first, end in self.assigned:
             if owner == shard:
@@ -138,9 +140,9 @@
 
 
 def max_tasks_ahead(max_value_bytes: int) -> int:
-    """How far beyond its first unfinished task a job may start others, so that its record fits its key.
+    """Return how far beyond its first unfinished task a job may start others, so that its record fits into one value.
 
-    Half of the value is for the bits of done tasks, half for everything else.
+    Half of the value is reserved for the bits of done tasks, half for everything else.
     """
     return max(MIN_TASKS_AHEAD, max_value_bytes // 2 * BITS_PER_CHARACTER)
 
@@ -149,7 +151,7 @@
 
 
 def read(value: bytes, kind: type) -> Any:
-    """Decode a stored value as a record of the class `kind`; msgspec.DecodeError if it is none."""
+    """Decode a stored value as a record of the given class; raise msgspec.DecodeError if it is not one."""
     decoder = _decoders.get(kind)
     if decoder is None:
         decoder = _decoders[kind] = msgspec.json.Decoder(kind)
@@ -157,5 +159,5 @@
 
 
 def write(record: Struct) -> msgspec.Raw:
-    """Encode a record as the value to be stored; nothing is sent to the store."""
+    """Encode a record as a value to be stored. Sends nothing to the store."""
     return msgspec.Raw(msgspec.json.encode(record))
--- a/badgerroute/storage/replica.py
+++ b/badgerroute/storage/replica.py
@@ -1,7 +1,7 @@
-"""A copy in memory of what the key-value store holds, kept fresh by a watch.
+"""An in-memory copy of the key-value store, updated by a watch.
 
-Everything lies under one prefix, so one watch gives all changes in their order. Own writes and peers' pushes
-are taken in early; `revision` is what the watch itself has covered.
+All keys share one prefix, so a single watch delivers all changes in order. This controller's own writes, and changes
+that peers push, are applied before the watch delivers them; `revision` is the one that the watch itself has reached.
 """
 
 import logging
@@ -29,8 +29,8 @@
 from badgerroute.transport.loop import Future, Loop
 
 log = logging.getLogger(__name__)
-# In this order: a job's pages before its record, so that they are there when it is. Final states are kept for ever and
-# are too many to hold.
+# In this order: a job's pages are loaded before its record, whose listeners read them. Final states are not loaded:
+# they are kept permanently, so there are too many of them to hold in memory.
 LOADED_PREFIXES = (
     DONE,
     PREDECESSORS,
@@ -42,13 +42,15 @@
     CATALOG,
     TOMBSTONES,
 )
-WATCH_BLOCK = timedelta(seconds=1)  # how long the store may hold a watch that has nothing to tell
-WATCH_INTERVAL = timedelta(milliseconds=150)  # between two watches at least: each one counts as a request
+WATCH_BLOCK = timedelta(seconds=1)  # how long the store may block a watch that has no changes to deliver
+WATCH_INTERVAL = timedelta(
+    milliseconds=150
+)  # minimum time between watch requests, since each counts towards the rate limit
 MAX_RETRY_DELAY = timedelta(seconds=1)
 
 
 class Replica:
-    """A copy in memory of all keys, with listeners for their changes."""
+    """An in-memory copy of all keys but final states, with listeners for changes."""
 
     def __init__(self, loop: Loop, store: KeyValueClient) -> None:
         self._loop = loop
@@ -57,65 +59,68 @@
         self._barrier = ReadBarrier(loop, store)
         self._loaded_prefixes: tuple[str, ...] = LOADED_PREFIXES
         self.revision = 0
-        self.ready = Future()  # set once all keys were loaded
-        self.last_confirmed = -timedelta(days=1)  # when the last watch that was answered had been sent
+        self.ready = Future()  # set once all keys have been loaded
+        self.last_confirmed = -timedelta(days=1)  # when the last successful watch request was sent
 
     @property
     def entries(self) -> dict[str, Entry]:
-        """All entries by key; not to be changed."""
+        """All entries by key; callers must not modify them."""
         return self._entries.by_key
 
     def list_first(self, prefix: str) -> None:
-        """Load the keys of this prefix too, before all others; for what only an optional feature needs."""
+        """Also load the keys of this prefix, before all others. For keys that only an optional feature needs."""
         self._loaded_prefixes = (prefix, *self._loaded_prefixes)
 
     def listen(self, prefix: str, listener: Listener) -> None:
-        """Call a listener for every change of a key that begins with this prefix."""
+        """Register a listener for every change of a key that begins with this prefix."""
         self._entries.listen(prefix, listener)
 
     def revision_of(self, key: str) -> int:
-        """Revision of a key; 0 if it does not exist."""
+        """Return the revision of a key, or 0 if it does not exist."""
         return self._entries.revision_of(key)
 
     def value(self, key: str) -> bytes | None:
-        """The value of a key; None if it does not exist."""
+        """Return the value of a key, or None if it does not exist."""
         entry = self._entries.by_key.get(key)
         return entry.value if entry else None
 
     def stored(self, key: str) -> bytes:
-        """The value of a key that exists; KeyError otherwise."""
+        """Return the value of an existing key; raise KeyError if it does not exist."""
         return self._entries.by_key[key].value
 
     def under(self, prefix: str) -> list[str]:
-        """The keys right under a prefix that ends in a slash. Cheap: it is called several times a second."""
+        """Return the keys that begin with a prefix, which ends in a slash, and have no further slash.
+
+        Looks them up in an index, since this is called several times a second.
+        """
         return self._entries.under(prefix)
 
     def learn(self, key: str, value: bytes | None, revision: int) -> None:
-        """Take in a change known from elsewhere than the watch (`value` None: a removal).
+        """Apply a change that was received from another source than the watch (a removal if `value` is None).
 
-        What the watch has covered already is refused: an old copy of a message that arrives minutes late
-        must not bring a removed key back.
+        Changes up to the revision of the watch are ignored: a copy of an old message that arrives minutes late must not
+        bring a removed key back.
         """
         if revision > self.revision:
             self._apply(key, value, revision)
 
     async def wait_for_revision(self, revision: int) -> None:
-        """Wait, however long, until the watch has covered a revision."""
+        """Wait, without a time limit, until the watch has reached a revision."""
         await self._barrier.wait_for_revision(revision)
 
     async def wait_until_current(self) -> None:
-        """Wait until all that the store had applied when this was called is taken in.
+        """Wait until the replica has applied all changes that the store had applied when this was called.
 
-        StoreUnavailableError if the store does not answer or the watch lags behind.
+        Raise StoreUnavailableError if the store does not respond or the watch lags behind.
         """
         await self._barrier.wait_until_current()
 
     async def answer_readers(self) -> None:
-        """Serve `wait_until_current`, for ever."""
+        """Run the background work of `wait_until_current`; runs until cancelled."""
         await self._barrier.answer_readers()
 
     async def run(self) -> None:
-        """Load all keys, then follow their changes, for ever."""
+        """Load all keys, then watch them for changes; runs until cancelled."""
         loaded = False
         delay = WATCH_INTERVAL
         while True:
@@ -151,10 +156,10 @@
 
     def _apply(self, key: str, value: bytes | None, revision: int) -> None:
         if self._entries.apply(key, value, revision) and key.startswith(FINAL_STATES):
-            self._entries.drop(key)  # listeners were called; the final states themselves are too many to hold
+            self._entries.drop(key)  # the listeners were called; there are too many final states to hold in memory
 
     def _cover(self, revision: int) -> None:
-        """All changes up to this revision are taken in."""
+        """Record that all changes up to this revision have been applied."""
         self.revision = max(self.revision, revision)
         self._entries.forget_removals(self.revision)
         self._barrier.advance(self.revision)
@@ -178,7 +183,7 @@
         log.info("event=replica_loaded revision=%d keys=%d", revision, len(self.entries))
 
     def _drop_missing(self, loaded: dict[str, Entry], revision: int) -> None:
-        """Drop the keys that were removed while there was no watch."""
+        """Remove the keys that were removed from the store while no watch was running, and call the listeners."""
         missing = [key for key, entry in self.entries.items() if key not in loaded and entry.revision <= revision]
         for key in missing:
             self._entries.drop(key)
--- a/badgerroute/storage/service_caller.py
+++ b/badgerroute/storage/service_caller.py
@@ -1,4 +1,4 @@
-"""Requests to a service, as both clients need them: within a rate limit, with typed errors for missing answers."""
+"""Rate-limited requests to a service, with typed errors for missing responses. Shared by both clients."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceRequest:
-    """One HTTP request. `limit`: how long it may wait for the rate limiter, and again for its answer."""
+    """One HTTP request. `limit`: how long it may wait for the rate limiter, and then again for its response."""
 
     method: str
     target: str
@@ -27,24 +27,24 @@
 
 
 class ErrorTypes(NamedTuple):
-    """What a caller raises: `not_done` if nothing was or will be done, `unknown` if the request may have been done."""
+    """The errors to raise: `not_done` if the request was not and won't be executed, `unknown` if it may have been."""
 
     not_done: type[Exception]
     unknown: type[Exception]
 
 
 class ServiceCaller:
-    """Sends requests to one service within a rate limit. `service` names it in the text of errors."""
+    """Sends requests to one service within a rate limit. `service` is its name in error messages."""
 
     def __init__(self, loop: Loop, limiter: RateLimiter, service: str) -> None:
         self._loop = loop
         self._limiter = limiter
         self._service = service
-        self._failed_at: timedelta | None = None  # when a request last got no answer, or one of UNAVAILABLE_STATUS
-        self.requests = 0  # sent, answered or not
+        self._failed_at: timedelta | None = None  # when a request last got no response or UNAVAILABLE_STATUS
+        self.requests = 0  # number of requests sent, with or without a response
 
     async def send(self, client: Client, request: ServiceRequest, errors: ErrorTypes) -> Response:
-        """The answer, whatever its status. Raises one of `errors` if there is none."""
+        """Send a request and return the response, whatever its status. Raise one of `errors` if there is none."""
         try:
             await self._limiter.take(1, request.urgency, request.limit)
         except RateLimitExceededError as error:
@@ -61,12 +61,12 @@
         return response
 
     def failed_recently(self) -> bool:
-        """Whether a request went unanswered or was refused as in an outage within the last RECENT_FAILURE."""
+        """Return whether a request got no response, or UNAVAILABLE_STATUS, within the last RECENT_FAILURE."""
         return self._failed_at is not None and self._loop.now() - self._failed_at < RECENT_FAILURE
 
     def decode(self, response: Response, decoder: msgspec.json.Decoder, errors: ErrorTypes) -> Any:
-        """An answer's message. One that can't be read says nothing about what was done: `errors.unknown`."""
+        """Decode a response body. If it is malformed the outcome is unknown, so raise `errors.unknown`."""
         try:
             return decode(response.body, decoder)
         except MalformedError as error:
-            raise errors.unknown(f"malformed answer from the {self._service}: {error}") from None
+            raise errors.unknown(f"malformed response from the {self._service}: {error}") from None
--- a/badgerroute/storage/size_limits.py
+++ b/badgerroute/storage/size_limits.py
@@ -1,8 +1,9 @@
-"""How large transactions and values may be: as the settings say, and smaller for a while if the store refuses more.
+"""Limits on the sizes of transactions and values: set by the settings, and lowered for a while after refusals.
 
-A limit that the settings announce is kept to from the first write on, so a refusal can't be a matter of that size. Any
-other size that may have been the reason is lowered at once, so that nothing is sent again as it was; and raised again
-step by step, since the reason may have been another one (docs/incidents.md, "A controller squeezed for good").
+If the settings announce a lower future limit, the client observes it from the first write on, so that size cannot be
+the reason for a refusal. Any other limit that may be the reason is lowered at once, so that the same transaction is not
+sent again. It is then raised step by step, since the reason may have been a different one (docs/incidents.md, "A
+controller squeezed for good").
 """
 
 from dataclasses import dataclass
@@ -10,16 +11,16 @@
 
 from badgerroute.settings import LaterStoreLimits, StoreLimits
 
-VALUE_SAFETY_FACTOR = 0.95  # of the published limit, as for the rates
+VALUE_SAFETY_FACTOR = 0.95  # the portion of the published limit that is used, as for the rates
 MIN_CHANGES = 2
 MIN_VALUE_BYTES = 512
-FIRST_RECOVERY = timedelta(seconds=5)  # between two steps up after the first refusal; doubled by each that follows
+FIRST_RECOVERY = timedelta(seconds=5)  # time between increases after the first refusal; each further refusal doubles it
 MAX_RECOVERY = timedelta(minutes=10)
 
 
 @dataclass(frozen=True, slots=True)
 class TransactionSize:
-    """What of a transaction is limited: how many changes it makes, and how many bytes its largest value has."""
+    """The limited sizes of a transaction: its number of changes, and the size of its largest value in bytes."""
 
     changes: int
     value_bytes: int
@@ -28,7 +29,7 @@
 class SizeLimit:
     """One limit: `current` lies between `minimum` and `maximum`.
 
-    `announced`: the settings name what the limit will be, so it is never lowered.
+    `announced`: the settings announce the store's future limit, which `maximum` includes, so it is never lowered.
     """
 
     def __init__(self, maximum: int, minimum: int, announced: bool) -> None:
@@ -40,7 +41,7 @@
         self._lowered_at: timedelta | None = None
 
     def lower_after_refusal(self, size: int, now: timedelta) -> bool:
-        """Halve the limit after a transaction of this size was refused; whether the size may have been the reason."""
+        """Halve the limit after a transaction of this size was refused; return whether the size may be the reason."""
         if self._announced or size <= self._minimum:
             return False
         if self._lowered_at is not None:
@@ -50,7 +51,7 @@
         return True
 
     def recover(self, now: timedelta) -> None:
-        """Raise a limit that was lowered by one step for each pause that has passed since."""
+        """Double a lowered limit once for each recovery pause that has passed."""
         if self._lowered_at is None:
             return
         while self.current < self.maximum and now - self._lowered_at >= self._recovery_pause:
@@ -62,7 +63,7 @@
 
 
 class SizeLimits:
-    """The limits of a transaction's sizes."""
+    """The limits on the number of changes and on the value size of a transaction."""
 
     def __init__(
         self, max_changes: int, max_value_bytes: int, changes_announced: bool, value_bytes_announced: bool
@@ -72,9 +73,9 @@
 
     @classmethod
     def of_store(cls, limits: StoreLimits) -> "SizeLimits":
-        """The limits by the settings: the lower of what the store takes now and what it will take later.
+        """Create the limits from the settings: the lower of the store's current and announced limits.
 
-        The later ones are kept to from the first write on, since nobody says when they come.
+        The announced limits are observed from the first write on, since the settings don't say when they take effect.
         """
         later = limits.next or LaterStoreLimits()
         return cls(
@@ -85,12 +86,12 @@
         )
 
     def lower_after_refusal(self, size: TransactionSize, now: timedelta) -> bool:
-        """Lower what may have been the reason for a refusal; whether anything was."""
+        """Lower the limits that may be the reason for a refusal; return whether there are any."""
         by_changes = self.changes.lower_after_refusal(size.changes, now)
         by_value = self.value_bytes.lower_after_refusal(size.value_bytes, now)
         return by_changes or by_value
 
     def recover(self, now: timedelta) -> None:
-        """Called before a limit is read, so that what was lowered by mistake comes back."""
+        """Raise lowered limits again as time passes. Call this before reading a limit."""
         self.changes.recover(now)
         self.value_bytes.recover(now)
--- a/badgerroute/storage/store_rates.py
+++ b/badgerroute/storage/store_rates.py
@@ -9,13 +9,14 @@
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
-SAFETY_FACTOR = 0.95  # of the published limits: clocks differ, and an answer of 429 helps nobody
-REFUSALS_THAT_LOWER = 3  # answers of 429 so close together show that the store has lowered its limits
+# The portion of the published rate limits that is used: clocks differ, and a request that gets status 429 is wasted.
+SAFETY_FACTOR = 0.95
+REFUSALS_THAT_LOWER = 3  # this many 429 responses within REFUSAL_WINDOW show that the store has lowered its limits
 REFUSAL_WINDOW = timedelta(seconds=5)
 
 
 class _Rates(NamedTuple):
-    """The rates of all controllers together, per second."""
+    """The rate limits for all controllers together, per second."""
 
     requests: float
     changes: float
@@ -24,8 +25,8 @@
 class StoreRates:
     """One controller's portion of the store's rate limits.
 
-    The settings may announce lower limits that the store will have from some moment on. Nobody says when that is:
-    answers of 429 in quick succession show it, and the lower limits are kept to from then on.
+    The settings may announce lower future limits, but not when they take effect. Several 429 responses in quick
+    succession show that they have, and from then on the client observes them.
     """
 
     def __init__(self, loop: Loop, limits: StoreLimits, clients: int) -> None:
@@ -33,14 +34,14 @@
         self._limits = limits
         self._rates = _Rates(limits.rps, limits.write_rps)
         self._clients = clients
-        self._refusals: list[timedelta] = []  # when the store answered 429 within the last REFUSAL_WINDOW
+        self._refusals: list[timedelta] = []  # times of 429 responses within the last REFUSAL_WINDOW
         share = self._share(self._rates.requests)
         self.requests = RateLimiter(loop, rate=share, burst=share)
         share = self._share(self._rates.changes)
         self.changes = RateLimiter(loop, rate=share, burst=share)
 
     def divide(self, clients: int) -> None:
-        """Divide the limits among so many clients: what a dead controller can't use serves the others."""
+        """Divide the limits among this number of clients, so that the others can use a failed controller's portion."""
         self._clients = clients
         share = self._share(self._rates.requests)
         self.requests.set_rate(share, burst=share)
@@ -48,7 +49,11 @@
         self.changes.set_rate(share, burst=share)
 
     def count_refusal(self) -> None:
-        """The store answered 429. Once in a while two controllers' bursts meet; often means that it takes less now."""
+        """Record a 429 response, and lower the rates after several of them.
+
+        Single ones occur when the bursts of two controllers coincide. Several mean that the store's limits are lower
+        now.
+        """
         now = self._loop.now()
         self._refusals = [at for at in self._refusals if now - at < REFUSAL_WINDOW]
         self._refusals.append(now)
@@ -56,7 +61,7 @@
             self._lower()
 
     def _share(self, rate: float) -> float:
-        """One client's portion of a rate; its burst is what it may use in one second."""
+        """Return one client's portion of a rate, which is also its burst: what it may use in one second."""
         return rate * SAFETY_FACTOR / self._clients
 
     def _lower(self) -> None:
--- a/badgerroute/storage/subsystem.py
+++ b/badgerroute/storage/subsystem.py
@@ -1,4 +1,4 @@
-"""The clients of the outside services, and the replica of the key-value store: what everything else is built on."""
+"""Builds the clients of the external services and the replica of the key-value store."""
 
 from dataclasses import dataclass
 
@@ -20,7 +20,7 @@
 
 
 def build_storage(settings: Settings, loop: Loop, network: Network) -> Storage:
-    """Clients whose request rates are a controller's portion of what the services take."""
+    """Build the clients, each limited to one controller's portion of its service's rate limits, and the replica."""
     params, endpoints = settings.params, settings.platform.endpoints
     store = KeyValueClient(loop, network, endpoints.state, params.state, params.size)
     cloud = CloudClient(loop, network, endpoints.cloud, params.cloud, params.size)
--- a/badgerroute/storage/task_ranges.py
+++ b/badgerroute/storage/task_ranges.py
@@ -1,10 +1,10 @@
-"""Which shard owns which tasks of a job: ranges of task numbers that do not overlap."""
+"""The assignment of a job's tasks to shards, as ranges of task numbers that do not overlap."""
 
 from typing import NamedTuple
 
 
 class TaskRange(NamedTuple):
-    """The tasks from `first` to before `end` belong to `shard`. Stored as a list of three numbers."""
+    """The tasks from `first` up to, but not including, `end` belong to `shard`. Stored as a list of three numbers."""
 
     shard: int
     first: int
@@ -12,9 +12,9 @@
 
 
 def assign_tasks(ranges: list[TaskRange], first: int, end: int, shard: int) -> list[TaskRange]:
-    """The ranges after the tasks from `first` to before `end` were assigned to `shard`.
+    """Return the ranges with the tasks from `first` up to, but not including, `end` reassigned to `shard`.
 
-    Sorted by their first task; neighbours that belong to the same shard are joined.
+    The result is sorted by first task, and adjacent ranges of the same shard are merged.
     """
     pieces = [TaskRange(shard, first, end)]
     for task_range in ranges:
@@ -26,7 +26,7 @@
 
 
 def _joined(pieces: list[TaskRange]) -> list[TaskRange]:
-    """Sorted ranges, with neighbours of the same shard made one."""
+    """Merge adjacent ranges of the same shard in a sorted list."""
     joined: list[TaskRange] = []
     for piece in pieces:
         if joined and joined[-1].shard == piece.shard and joined[-1].end == piece.first:
