--- a/badgerroute/coordination/autoscaling/pending_machines.py
+++ b/badgerroute/coordination/autoscaling/pending_machines.py
@@ -27,13 +27,13 @@
 class PendingMachines:
     """The pending rentals, by machine name, or by request name if the response to the request was lost.
 
-    `list_age` is how far the cloud's list of machines may lag, and so how long a new machine may be missing from it.
+    `max_list_age` is how far the cloud's list of machines may lag, and so how long a new machine may be missing from it.
     """
 
-    def __init__(self, loop: Loop, catalog: Mapping[str, MachineType], list_age: timedelta) -> None:
-        self._loop, self._catalog, self._list_age = loop, catalog, list_age
+    def __init__(self, loop: Loop, catalog: Mapping[str, MachineType], max_list_age: timedelta) -> None:
+        self._loop, self._catalog, self._max_list_age = loop, catalog, max_list_age
         self._rentals: dict[str, PendingRental] = {}
-        self._latest_started: timedelta | None = None  # the latest rental time of the machines that are up
+        self._latest_rented_at: timedelta | None = None  # the latest rental time of the machines that are up
 
     def __contains__(self, name: str) -> bool:
         return name in self._rentals
@@ -46,8 +46,8 @@
         """Remove machines that are up, and record their rental times."""
         for name in names:
             rental = self._rentals.pop(name, None)
-            if rental is not None and (self._latest_started is None or rental.since > self._latest_started):
-                self._latest_started = rental.since
+            if rental is not None and (self._latest_rented_at is None or rental.since > self._latest_rented_at):
+                self._latest_rented_at = rental.since
 
     def machines_deleted(self, names: list[str]) -> None:
         """See `MachineDeletionListener`."""
@@ -73,7 +73,7 @@
         for name, rental in list(self._rentals.items()):
             if name in members:
                 self.started([name])
-            elif self.has_timed_out(rental.pool.type, rental.since + self._list_age, now):
+            elif self.has_timed_out(rental.pool.type, rental.since + self._max_list_age, now):
                 del self._rentals[name]
                 timed_out.append(name)
         return timed_out
@@ -84,7 +84,7 @@
         The timeout is short only if a machine that was rented later is up already, which shows that this one is stuck.
         When all machines boot slowly, a short timeout by age alone would delete every machine just before it is up.
         """
-        overtaken = self._latest_started is not None and self._latest_started > since
+        overtaken = self._latest_rented_at is not None and self._latest_rented_at > since
         return now - since > (OVERTAKEN_TIMEOUT if overtaken else PROVISIONING_TIMEOUT) * self._boot_time(type_name)
 
     def _is_expected(self, rental: PendingRental) -> bool:
--- a/badgerroute/coordination/autoscaling/scale_out.py
+++ b/badgerroute/coordination/autoscaling/scale_out.py
@@ -83,12 +83,12 @@
         room = self._settings.operator.fleet.most_machines - len(members) - self._pending.machine_count()
         if room <= 0:
             return
-        for pool, count in sorted(self._planned().items(), key=lambda item: price_per_cpu(item[0], self._catalog)):
+        for pool, count in sorted(self._machines_to_request().items(), key=lambda item: price_per_cpu(item[0], self._catalog)):
             count = min(count, room)
             if count > 0:
                 room -= await self._rent(pool, count)
 
-    def _planned(self) -> dict[MachinePool, int]:
+    def _machines_to_request(self) -> dict[MachinePool, int]:
         """Return the machines to request: as many as possible if rented ahead of demand, else what the tasks need."""
         if scales_out_ahead(self._settings, self._catalog):
             pools = machine_pools(self._catalog)
@@ -116,12 +116,12 @@
                 log.info("event=scale_out_failed request=%s error=%s", request, error)
                 await self._loop.sleep(INTERVAL)
                 continue
-            self._rented(request, pool, count, names)
+            self._record_rental(request, pool, count, names)
             return len(names)
         self._pending.add(request, PendingRental(pool, count, self._loop.now()))
         return count
 
-    def _rented(self, request: str, pool: MachinePool, asked: int, names: list[str]) -> None:
+    def _record_rental(self, request: str, pool: MachinePool, asked: int, names: list[str]) -> None:
         now = self._loop.now()
         for name in names:
             self._pending.add(name, PendingRental(pool, 1, now))
--- a/badgerroute/storage/cloud_client.py
+++ b/badgerroute/storage/cloud_client.py
@@ -12,14 +12,14 @@
 from badgerroute.transport.loop import Loop
 from badgerroute.transport.net import Network
 
-ANSWER_LIMIT = timedelta(seconds=6)
+RESPONSE_TIMEOUT = timedelta(seconds=6)
 MAX_MACHINES_PER_RENTAL = 50
 MAX_MACHINES_PER_DELETION = 100
 MACHINES_PER_PAGE = 500
 # The portion of the published rate limit that is used: clocks differ, and a request that gets status 429 is wasted.
 SAFETY_FACTOR = 0.9
 # All requests are idempotent (a rental by its request name), so it does not matter whether a failed one was executed.
-ERRORS = ErrorTypes(not_done=CloudUnavailableError, unknown=CloudUnavailableError)
+ERRORS = ErrorTypes(not_executed=CloudUnavailableError, outcome_unknown=CloudUnavailableError)
 
 
 class CloudClient:
@@ -35,7 +35,7 @@
         self._caller = ServiceCaller(loop, limiter, "cloud")
 
     async def _call(self, method: str, target: str, urgency: Urgency, body: bytes = b"") -> Response:
-        request = ServiceRequest(method, target, urgency, ANSWER_LIMIT, body)
+        request = ServiceRequest(method, target, urgency, RESPONSE_TIMEOUT, body)
         response = await self._caller.send(self._client, request, ERRORS)
         if response.status == 503 and b"no capacity" in response.body:
             raise NoCapacityError
--- a/badgerroute/storage/key_value_client.py
+++ b/badgerroute/storage/key_value_client.py
@@ -26,13 +26,13 @@
 from badgerroute.transport.net import Network
 
 log = logging.getLogger(__name__)
-ANSWER_LIMIT = timedelta(milliseconds=1500)
+RESPONSE_TIMEOUT = timedelta(milliseconds=1500)
 WATCH_MARGIN = timedelta(seconds=3)  # the response to a watch may arrive this long after its blocking time
 KEYS_PER_PAGE = 500
-CONDITIONS_PER_CHANGE = 4  # a transaction may have this many conditions for each change that the store permits
+MAX_CONDITIONS_PER_CHANGE = 4  # a transaction may have this many conditions for each change that the store permits
 LOGGED_BODY_BYTES = 120
-OVER_RATE_STATUS = 429
-NOT_DONE_STATUSES = (OVER_RATE_STATUS, 503)
+RATE_LIMITED_STATUS = 429
+NOT_EXECUTED_STATUSES = (RATE_LIMITED_STATUS, 503)
 READ_ERRORS = ErrorTypes(StoreUnavailableError, StoreUnavailableError)  # reads have no effect, so they can be repeated
 WRITE_ERRORS = ErrorTypes(StoreUnavailableError, OutcomeUnknownError)
 
@@ -103,7 +103,7 @@
     @property
     def max_conditions(self) -> int:
         """The maximum number of conditions in a transaction, by the settings."""
-        return CONDITIONS_PER_CHANGE * self._limits.max_changes
+        return MAX_CONDITIONS_PER_CHANGE * self._limits.max_changes
 
     async def get(self, key: str, urgency: Urgency = Urgency.READ) -> wire.KeyValueEntry | None:
         """Read a key; return None if it does not exist."""
@@ -143,7 +143,7 @@
         conditions: Iterable[wire.Compare],
         changes: Sequence[wire.Put | wire.Remove],
         urgency: Urgency,
-        limit: timedelta = ANSWER_LIMIT,
+        limit: timedelta = RESPONSE_TIMEOUT,
     ) -> int:
         """Apply the changes atomically if all conditions hold; return the revision at which they were applied.
 
@@ -169,7 +169,7 @@
     async def grant(self, ttl: timedelta) -> int:
         """Create a lease that ends `ttl` after its last renewal, and return its id."""
         body = encode({"ttl_ms": _milliseconds(ttl)})
-        response = await self._write_lease("/grants", ANSWER_LIMIT, body)
+        response = await self._write_lease("/grants", RESPONSE_TIMEOUT, body)
         _require_ok(response, accepted=(200, 201))
         return self._caller.decode(response, wire.lease_decoder, WRITE_ERRORS).lease
 
@@ -194,7 +194,7 @@
         return self._caller.decode(response, wire.changes_decoder, READ_ERRORS)
 
     async def _read(self, target: str, urgency: Urgency) -> Response:
-        return await self._call(ServiceRequest("GET", target, urgency, ANSWER_LIMIT), self._client, READ_ERRORS)
+        return await self._call(ServiceRequest("GET", target, urgency, RESPONSE_TIMEOUT), self._client, READ_ERRORS)
 
     async def _write_lease(self, target: str, limit: timedelta, body: bytes = b"") -> Response:
         request = ServiceRequest("POST", target, Urgency.LEADERSHIP, limit, body)
@@ -202,9 +202,9 @@
 
     async def _call(self, request: ServiceRequest, client: Client, errors: ErrorTypes) -> Response:
         response = await self._caller.send(client, request, errors)
-        if response.status == OVER_RATE_STATUS:
-            self.rates.count_refusal()
-        if response.status in NOT_DONE_STATUSES:
+        if response.status == RATE_LIMITED_STATUS:
+            self.rates.record_refusal()
+        if response.status in NOT_EXECUTED_STATUSES:
             raise StoreUnavailableError(f"status {response.status}")
         return response
 
--- a/badgerroute/storage/read_barrier.py
+++ b/badgerroute/storage/read_barrier.py
@@ -29,7 +29,7 @@
         self._revision = 0
         self._waiters: list[_Waiter] = []  # waiting for a revision that the watch has not reached
         self._readers: list[Future] = []  # waiting for the next request for the store's revision
-        self._reader_came = Future()
+        self._reader_arrived = Future()
 
     def advance(self, revision: int) -> None:
         """Record that the watch has delivered all changes up to this revision, and wake the waiters for it."""
@@ -59,7 +59,7 @@
         """
         reader = Future()
         self._readers.append(reader)
-        self._reader_came.set()
+        self._reader_arrived.set()
         if not await self._loop.first(reader, MAX_WAIT):
             raise StoreUnavailableError("the watch lags behind the store")
         await reader
@@ -67,8 +67,8 @@
     async def answer_readers(self) -> None:
         """Request the store's revision whenever readers are waiting; runs until cancelled."""
         while True:
-            await self._reader_came
-            self._reader_came = Future()
+            await self._reader_arrived
+            self._reader_arrived = Future()
             readers, self._readers = self._readers, []
             try:
                 revision = await self._store.revision(NONEXISTENT)
--- a/badgerroute/storage/replica.py
+++ b/badgerroute/storage/replica.py
@@ -152,13 +152,13 @@
                 self._apply(change.put, bytes(change.value), change.revision)
             elif isinstance(change.removed, str):
                 self._apply(change.removed, None, change.revision)
-        self._cover(changes.revision)
+        self._advance_revision(changes.revision)
 
     def _apply(self, key: str, value: bytes | None, revision: int) -> None:
         if self._entries.apply(key, value, revision) and key.startswith(FINAL_STATES):
             self._entries.drop(key)  # the listeners were called; there are too many final states to hold in memory
 
-    def _cover(self, revision: int) -> None:
+    def _advance_revision(self, revision: int) -> None:
         """Record that all changes up to this revision have been applied."""
         self.revision = max(self.revision, revision)
         self._entries.forget_removals(self.revision)
@@ -177,7 +177,7 @@
         self._drop_missing(loaded, revision)
         for key, entry in loaded.items():
             self._apply(key, entry.value, entry.revision)
-        self._cover(revision)
+        self._advance_revision(revision)
         self.last_confirmed = started
         self.ready.set()
         log.info("event=replica_loaded revision=%d keys=%d", revision, len(self.entries))
--- a/badgerroute/storage/service_caller.py
+++ b/badgerroute/storage/service_caller.py
@@ -27,10 +27,10 @@
 
 
 class ErrorTypes(NamedTuple):
-    """The errors to raise: `not_done` if the request was not and won't be executed, `unknown` if it may have been."""
+    """The errors to raise: `not_executed` if the request was not and won't be executed, else `outcome_unknown`."""
 
-    not_done: type[Exception]
-    unknown: type[Exception]
+    not_executed: type[Exception]
+    outcome_unknown: type[Exception]
 
 
 class ServiceCaller:
@@ -48,13 +48,13 @@
         try:
             await self._limiter.take(1, request.urgency, request.limit)
         except RateLimitExceededError as error:
-            raise errors.not_done(str(error)) from None
+            raise errors.not_executed(str(error)) from None
         self.requests += 1
         try:
             response = await client.request(request.method, request.target, request.body, request.limit)
         except NoAnswerError as error:
             self._failed_at = self._loop.now()
-            error_type = errors.unknown if error.sent else errors.not_done
+            error_type = errors.outcome_unknown if error.sent else errors.not_executed
             raise error_type(str(error)) from None
         if response.status == UNAVAILABLE_STATUS:
             self._failed_at = self._loop.now()
@@ -65,8 +65,8 @@
         return self._failed_at is not None and self._loop.now() - self._failed_at < RECENT_FAILURE
 
     def decode(self, response: Response, decoder: msgspec.json.Decoder, errors: ErrorTypes) -> Any:
-        """Decode a response body. If it is malformed the outcome is unknown, so raise `errors.unknown`."""
+        """Decode a response body. If it is malformed the outcome is unknown, so raise `errors.outcome_unknown`."""
         try:
             return decode(response.body, decoder)
         except MalformedError as error:
-            raise errors.unknown(f"malformed response from the {self._service}: {error}") from None
+            raise errors.outcome_unknown(f"malformed response from the {self._service}: {error}") from None
--- a/badgerroute/storage/store_rates.py
+++ b/badgerroute/storage/store_rates.py
@@ -11,7 +11,7 @@
 log = logging.getLogger(__name__)
 # The portion of the published rate limits that is used: clocks differ, and a request that gets status 429 is wasted.
 SAFETY_FACTOR = 0.95
-REFUSALS_THAT_LOWER = 3  # this many 429 responses within REFUSAL_WINDOW show that the store has lowered its limits
+REFUSALS_BEFORE_LOWERING = 3  # this many 429 responses within REFUSAL_WINDOW show that the store has lowered its limits
 REFUSAL_WINDOW = timedelta(seconds=5)
 
 
@@ -48,7 +48,7 @@
         share = self._share(self._rates.changes)
         self.changes.set_rate(share, burst=share)
 
-    def count_refusal(self) -> None:
+    def record_refusal(self) -> None:
         """Record a 429 response, and lower the rates after several of them.
 
         Single ones occur when the bursts of two controllers coincide. Several mean that the store's limits are lower
@@ -57,14 +57,14 @@
         now = self._loop.now()
         self._refusals = [at for at in self._refusals if now - at < REFUSAL_WINDOW]
         self._refusals.append(now)
-        if len(self._refusals) >= REFUSALS_THAT_LOWER:
-            self._lower()
+        if len(self._refusals) >= REFUSALS_BEFORE_LOWERING:
+            self._use_lower_rates()
 
     def _share(self, rate: float) -> float:
         """Return one client's portion of a rate, which is also its burst: what it may use in one second."""
         return rate * SAFETY_FACTOR / self._clients
 
-    def _lower(self) -> None:
+    def _use_lower_rates(self) -> None:
         if self._rates == self._limits.lower_rates:
             return
         self._rates = _Rates(*self._limits.lower_rates)
--- a/tests/test_autoscaling.py
+++ b/tests/test_autoscaling.py
@@ -20,7 +20,7 @@
 
 
 def pending_machines(loop: Loop, **since: timedelta) -> PendingMachines:
-    pending = PendingMachines(loop, {"g8": TYPE}, list_age=5 * SECOND)
+    pending = PendingMachines(loop, {"g8": TYPE}, max_list_age=5 * SECOND)
     for name, rented_at in since.items():
         pending.add(name, PendingRental(POOL, 1, rented_at))
     return pending
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -288,7 +288,7 @@
     state = day.controllers[HOSTS[0]][0].storage.store
     full = state.rates.changes.rate
     for _ in range(refused):
-        state.rates.count_refusal()
+        state.rates.record_refusal()
     assert (state.rates.changes.rate < full) is lowered
 
 
