--- a/badgerroute/coordination/autoscaling/machine_inventory.py
+++ b/badgerroute/coordination/autoscaling/machine_inventory.py
@@ -68,7 +68,9 @@
         listed = {machine.name for machine in machines}
         unusable = [machine.name for machine in machines if self._is_unusable(machine, members, now)]
         self._unclaimed_since = {
-            name: since for name, since in self._unclaimed_since.items() if name in listed and name not in members
+            name: unclaimed_since
+            for name, unclaimed_since in self._unclaimed_since.items()
+            if name in listed and name not in members
         }
         unusable += [name for name in self._pending.remove_timed_out(members, now) if name in listed]
         if unusable:
@@ -102,5 +104,5 @@
         """Return whether a running machine has belonged to no shard for too long: its worker may be unreachable."""
         if self._pending.expects(machine.name):
             return False
-        since = self._unclaimed_since.setdefault(machine.name, now)
-        return now - since > self._unclaimed_timeout
+        unclaimed_since = self._unclaimed_since.setdefault(machine.name, now)
+        return now - unclaimed_since > self._unclaimed_timeout
--- a/badgerroute/coordination/autoscaling/pending_machines.py
+++ b/badgerroute/coordination/autoscaling/pending_machines.py
@@ -27,7 +27,7 @@
 class PendingMachines:
     """The pending rentals, by machine name, or by request name if the response to the request was lost.
 
-    `max_list_age` is how far the cloud's list of machines may lag, and so how long a new machine may be missing from it.
+    `max_list_age` is how far the cloud's list of machines may lag, and so how long it may lack a new machine.
     """
 
     def __init__(self, loop: Loop, catalog: Mapping[str, MachineType], max_list_age: timedelta) -> None:
@@ -78,14 +78,14 @@
                 timed_out.append(name)
         return timed_out
 
-    def has_timed_out(self, type_name: str, since: timedelta, now: timedelta) -> bool:
+    def has_timed_out(self, type_name: str, rented_at: timedelta, now: timedelta) -> bool:
         """Return whether a machine that has been booting for so long will most likely never be up.
 
         The timeout is short only if a machine that was rented later is up already, which shows that this one is stuck.
         When all machines boot slowly, a short timeout by age alone would delete every machine just before it is up.
         """
-        overtaken = self._latest_rented_at is not None and self._latest_rented_at > since
-        return now - since > (OVERTAKEN_TIMEOUT if overtaken else PROVISIONING_TIMEOUT) * self._boot_time(type_name)
+        overtaken = self._latest_rented_at is not None and self._latest_rented_at > rented_at
+        return now - rented_at > (OVERTAKEN_TIMEOUT if overtaken else PROVISIONING_TIMEOUT) * self._boot_time(type_name)
 
     def _is_expected(self, rental: PendingRental) -> bool:
         age = self._loop.now() - rental.since
--- a/badgerroute/coordination/autoscaling/rental_backoff.py
+++ b/badgerroute/coordination/autoscaling/rental_backoff.py
@@ -32,9 +32,9 @@
         """Return whether machines of a pool may be requested now."""
         return self._loop.now() >= self._backoffs.get(pool, NO_BACKOFF).until
 
-    def record(self, pool: MachinePool, asked: int, rented: int) -> None:
+    def record(self, pool: MachinePool, requested: int, rented: int) -> None:
         """Record the outcome of a request: how many of the requested machines were rented."""
-        if rented >= asked:
+        if rented >= requested:
             self._backoffs.pop(pool, None)
             return
         pause = MIN_PAUSE
--- a/badgerroute/coordination/autoscaling/scale_in.py
+++ b/badgerroute/coordination/autoscaling/scale_in.py
@@ -69,7 +69,7 @@
             self._deletion_queue.delete(names)
 
     def _is_unneeded(self, machine: Machine, max_idle: timedelta) -> bool:
-        since = machine.idle_since
-        if since is None or self._loop.now() - since <= max_idle:
+        idle_since = machine.idle_since
+        if idle_since is None or self._loop.now() - idle_since <= max_idle:
             return False
         return machine.alive and machine.empty and not machine.reserved_for
--- a/badgerroute/coordination/autoscaling/scale_out.py
+++ b/badgerroute/coordination/autoscaling/scale_out.py
@@ -80,13 +80,15 @@
         """Run one round, which rents from the cheapest pools first."""
         members = self._ownership.members()
         self._pending.started(members)
-        room = self._settings.operator.fleet.most_machines - len(members) - self._pending.machine_count()
-        if room <= 0:
+        remaining = self._settings.operator.fleet.most_machines - len(members) - self._pending.machine_count()
+        if remaining <= 0:
             return
-        for pool, count in sorted(self._machines_to_request().items(), key=lambda item: price_per_cpu(item[0], self._catalog)):
-            count = min(count, room)
+        for pool, count in sorted(
+            self._machines_to_request().items(), key=lambda item: price_per_cpu(item[0], self._catalog)
+        ):
+            count = min(count, remaining)
             if count > 0:
-                room -= await self._rent(pool, count)
+                remaining -= await self._rent(pool, count)
 
     def _machines_to_request(self) -> dict[MachinePool, int]:
         """Return the machines to request: as many as possible if rented ahead of demand, else what the tasks need."""
@@ -103,34 +105,34 @@
         If a response is lost, the request is sent again under the same name, so that it is executed only once.
         """
         self._request_count += 1
-        request = f"r-{self._leadership_state.autoscaler_term}-{self._request_count}"
+        request_name = f"r-{self._leadership_state.autoscaler_term}-{self._request_count}"
         count = min(count, MAX_MACHINES_PER_RENTAL)
         for _ in range(MAX_RENTAL_TRIES):
             if self._leadership_state.autoscaler_term is None:
                 return count
             try:
-                names = await self._cloud.rent(request, *pool, count)
+                names = await self._cloud.rent(request_name, *pool, count)
             except NoCapacityError:
                 names = []
             except CloudUnavailableError as error:
-                log.info("event=scale_out_failed request=%s error=%s", request, error)
+                log.info("event=scale_out_failed request=%s error=%s", request_name, error)
                 await self._loop.sleep(INTERVAL)
                 continue
-            self._record_rental(request, pool, count, names)
+            self._record_rental(request_name, pool, count, names)
             return len(names)
-        self._pending.add(request, PendingRental(pool, count, self._loop.now()))
+        self._pending.add(request_name, PendingRental(pool, count, self._loop.now()))
         return count
 
-    def _record_rental(self, request: str, pool: MachinePool, asked: int, names: list[str]) -> None:
+    def _record_rental(self, request_name: str, pool: MachinePool, requested: int, names: list[str]) -> None:
         now = self._loop.now()
         for name in names:
             self._pending.add(name, PendingRental(pool, 1, now))
         if names:
             log.info(
                 "event=machines_rented request=%s type=%s zone=%s spot=%s asked=%d got=%d",
-                request,
+                request_name,
                 *pool,
-                asked,
+                requested,
                 len(names),
             )
-        self._backoff.record(pool, asked, len(names))
+        self._backoff.record(pool, requested, len(names))
--- a/badgerroute/storage/cloud_client.py
+++ b/badgerroute/storage/cloud_client.py
@@ -48,13 +48,13 @@
         response = await self._call("GET", "/catalog", Urgency.READ)
         return self._caller.decode(response, wire.catalog_decoder, ERRORS).types
 
-    async def rent(self, request: str, kind: str, zone: str, spot: bool, count: int) -> list[str]:
+    async def rent(self, request_name: str, machine_type: str, zone: str, spot: bool, count: int) -> list[str]:
         """Rent up to `count` machines of a type and return their names; raises NoCapacityError if none are available.
 
-        `request` is the request name, which makes the rental idempotent: a repeated request with the same name rents
+        `request_name` makes the rental idempotent: a repeated request with the same name rents
         no further machines. Every rental therefore needs a name of its own.
         """
-        body = encode(wire.RentalRequest(request, kind, zone, spot, min(count, MAX_MACHINES_PER_RENTAL)))
+        body = encode(wire.RentalRequest(request_name, machine_type, zone, spot, min(count, MAX_MACHINES_PER_RENTAL)))
         response = await self._call("POST", "/rentals", Urgency.COMPLETE, body)
         return self._caller.decode(response, wire.rented_decoder, ERRORS).machines
 
@@ -66,20 +66,20 @@
         body = encode(wire.Deletion(names[:MAX_MACHINES_PER_DELETION]))
         await self._call("POST", "/rentals/delete", Urgency.LEADERSHIP, body)
 
-    def listing_time(self, machines: int) -> timedelta:
+    def listing_time(self, machine_count: int) -> timedelta:
         """Return how long listing this number of machines takes at the request rate of this controller."""
-        pages = -(-machines // MACHINES_PER_PAGE)
+        pages = -(-machine_count // MACHINES_PER_PAGE)
         return timedelta(seconds=pages / self._calls_per_second)
 
     async def machines(self) -> list[wire.ListedMachine]:
         """Return all machines in the cloud's list, which lags behind rentals and deletions."""
         machines: list[wire.ListedMachine] = []
-        since = ""
+        last_name = ""
         while True:
-            target = f"/rentals?limit={MACHINES_PER_PAGE}" + (f"&since={since}" if since else "")
+            target = f"/rentals?limit={MACHINES_PER_PAGE}" + (f"&since={last_name}" if last_name else "")
             response = await self._call("GET", target, Urgency.READ)
             page = self._caller.decode(response, wire.list_decoder, ERRORS)
             machines.extend(page.machines)
             if not page.more or not page.machines:
                 return machines
-            since = page.machines[-1].name
+            last_name = page.machines[-1].name
--- a/badgerroute/storage/key_value_client.py
+++ b/badgerroute/storage/key_value_client.py
@@ -113,17 +113,17 @@
         _require_ok(response)
         return self._caller.decode(response, wire.entry_decoder, READ_ERRORS)
 
-    async def revision(self, absent: str, urgency: Urgency = Urgency.READ) -> int:
+    async def revision(self, nonexistent_key: str, urgency: Urgency = Urgency.READ) -> int:
         """Return the revision that the store has applied. The response for a nonexistent key contains it."""
-        response = await self._read("/kv/" + quote(absent, safe="/"), urgency)
+        response = await self._read("/kv/" + quote(nonexistent_key, safe="/"), urgency)
         _require_ok(response, accepted=(404,))
         return self._caller.decode(response, wire.missing_decoder, READ_ERRORS).revision
 
-    async def page(self, prefix: str, since: str, limit: int, urgency: Urgency) -> wire.KeyValuePage:
-        """Return the first `limit` keys, in sorted order, under a prefix and after the key `since`."""
+    async def page(self, prefix: str, after_key: str, limit: int, urgency: Urgency) -> wire.KeyValuePage:
+        """Return the first `limit` keys, in sorted order, under a prefix and after `after_key`."""
         target = f"/kv?under={quote(prefix, safe='/')}&limit={limit}"
-        if since:
-            target += f"&since={quote(since, safe='/')}"
+        if after_key:
+            target += f"&since={quote(after_key, safe='/')}"
         response = await self._read(target, urgency)
         _require_ok(response)
         return self._caller.decode(response, wire.page_decoder, READ_ERRORS)
@@ -143,19 +143,19 @@
         conditions: Iterable[wire.Compare],
         changes: Sequence[wire.Put | wire.Remove],
         urgency: Urgency,
-        limit: timedelta = RESPONSE_TIMEOUT,
+        timeout: timedelta = RESPONSE_TIMEOUT,
     ) -> int:
         """Apply the changes atomically if all conditions hold; return the revision at which they were applied.
 
         Raises CompareFailedError, LeaseExpiredError, RequestRefusedError, OutcomeUnknownError, StoreUnavailableError.
         """
         try:
-            await self.rates.changes.take(max(1, len(changes)), urgency, limit)
+            await self.rates.changes.take(max(1, len(changes)), urgency, timeout)
         except RateLimitExceededError as error:
             raise StoreUnavailableError(str(error)) from None
         transaction = wire.Transaction([*conditions], [*changes])
         body = encode(transaction)
-        response = await self._call(ServiceRequest("POST", "/txn", urgency, limit, body), self._client, WRITE_ERRORS)
+        response = await self._call(ServiceRequest("POST", "/txn", urgency, timeout, body), self._client, WRITE_ERRORS)
         if response.status == 409:
             raise CompareFailedError(self._caller.decode(response, wire.conflict_decoder, WRITE_ERRORS).failed)
         if response.status == 400 and wire.names_ended_lease(response.body):
@@ -173,19 +173,19 @@
         _require_ok(response, accepted=(200, 201))
         return self._caller.decode(response, wire.lease_decoder, WRITE_ERRORS).lease
 
-    async def touch(self, lease: int, limit: timedelta) -> None:
+    async def touch(self, lease: int, timeout: timedelta) -> None:
         """Renew a lease; raise LeaseExpiredError if it has ended."""
-        response = await self._write_lease(f"/grants/{lease}/touch", limit)
+        response = await self._write_lease(f"/grants/{lease}/touch", timeout)
         if response.status == 404:
             raise LeaseExpiredError(f"lease {lease} has ended")
         _require_ok(response)
 
-    async def follow(self, prefix: str, since: int, block: timedelta) -> wire.Changes:
-        """Wait up to `block` for changes under a prefix after the revision `since`.
+    async def follow(self, prefix: str, after_revision: int, block: timedelta) -> wire.Changes:
+        """Wait up to `block` for changes under a prefix after a revision.
 
         Raise WatchExpiredError if the store no longer holds all changes after that revision.
         """
-        target = f"/follow?under={quote(prefix, safe='/')}&since={since}&block_ms={_milliseconds(block)}"
+        target = f"/follow?under={quote(prefix, safe='/')}&since={after_revision}&block_ms={_milliseconds(block)}"
         request = ServiceRequest("GET", target, Urgency.LEADERSHIP, block + WATCH_MARGIN)
         response = await self._call(request, self._watch_client, READ_ERRORS)
         if response.status == 410:
@@ -196,8 +196,8 @@
     async def _read(self, target: str, urgency: Urgency) -> Response:
         return await self._call(ServiceRequest("GET", target, urgency, RESPONSE_TIMEOUT), self._client, READ_ERRORS)
 
-    async def _write_lease(self, target: str, limit: timedelta, body: bytes = b"") -> Response:
-        request = ServiceRequest("POST", target, Urgency.LEADERSHIP, limit, body)
+    async def _write_lease(self, target: str, timeout: timedelta, body: bytes = b"") -> Response:
+        request = ServiceRequest("POST", target, Urgency.LEADERSHIP, timeout, body)
         return await self._call(request, self._leadership_client, WRITE_ERRORS)
 
     async def _call(self, request: ServiceRequest, client: Client, errors: ErrorTypes) -> Response:
--- a/badgerroute/storage/rate_limiter.py
+++ b/badgerroute/storage/rate_limiter.py
@@ -62,8 +62,8 @@
             self._rate = rate
             self._burst = max(MIN_BURST, burst)
 
-    async def take(self, cost: float, urgency: Urgency, limit: timedelta) -> None:
-        """Take `cost` tokens, waiting at most `limit` for them; raise RateLimitExceededError if that is not enough.
+    async def take(self, cost: float, urgency: Urgency, timeout: timedelta) -> None:
+        """Take `cost` tokens, waiting at most `timeout`; raise RateLimitExceededError if they don't become available.
 
         A request that costs more than the burst waits for a full bucket and makes the balance negative.
         """
@@ -75,8 +75,8 @@
         heapq.heappush(self._waiting, _Waiter(urgency, next(self._numbers), cost, granted))
         self._arm_timer()
         try:
-            if not await self._loop.first(granted, limit):
-                raise RateLimitExceededError(f"rate limit exceeded: no tokens within {limit.total_seconds():.1f} s")
+            if not await self._loop.first(granted, timeout):
+                raise RateLimitExceededError(f"rate limit exceeded: no tokens within {timeout.total_seconds():.1f} s")
         finally:
             if not granted.done:
                 granted.set()  # timed out or cancelled: `_serve` skips this waiter
@@ -97,13 +97,13 @@
         self._timer = None
         self._refill()
         while self._waiting:
-            first = self._waiting[0]
-            if first.granted.done:
+            first_waiter = self._waiting[0]
+            if first_waiter.granted.done:
                 heapq.heappop(self._waiting)
-            elif self._tokens >= min(first.cost, self._burst):
+            elif self._tokens >= min(first_waiter.cost, self._burst):
                 heapq.heappop(self._waiting)
-                self._tokens -= first.cost
-                first.granted.set()
+                self._tokens -= first_waiter.cost
+                first_waiter.granted.set()
             else:
                 break
         self._arm_timer()
--- a/badgerroute/storage/records.py
+++ b/badgerroute/storage/records.py
@@ -150,11 +150,11 @@
 _decoders: dict[type, msgspec.json.Decoder] = {}
 
 
-def read(value: bytes, kind: type) -> Any:
+def read(value: bytes, record_type: type) -> Any:
     """Decode a stored value as a record of the given class; raise msgspec.DecodeError if it is not one."""
-    decoder = _decoders.get(kind)
+    decoder = _decoders.get(record_type)
     if decoder is None:
-        decoder = _decoders[kind] = msgspec.json.Decoder(kind)
+        decoder = _decoders[record_type] = msgspec.json.Decoder(record_type)
     return decoder.decode(value)
 
 
--- a/badgerroute/storage/replica.py
+++ b/badgerroute/storage/replica.py
@@ -124,7 +124,7 @@
         loaded = False
         delay = WATCH_INTERVAL
         while True:
-            started = self._loop.now()
+            sent_at = self._loop.now()
             try:
                 if not loaded:
                     await self._load()
@@ -141,10 +141,10 @@
                 continue
             delay = WATCH_INTERVAL
             self._apply_changes(changes)
-            self.last_confirmed = started
-            rest = WATCH_INTERVAL - (self._loop.now() - started)
-            if rest > ZERO:
-                await self._loop.sleep(rest)
+            self.last_confirmed = sent_at
+            remaining_pause = WATCH_INTERVAL - (self._loop.now() - sent_at)
+            if remaining_pause > ZERO:
+                await self._loop.sleep(remaining_pause)
 
     def _apply_changes(self, changes: Changes) -> None:
         for change in sorted(changes.changes, key=lambda change: change.revision):
@@ -165,7 +165,7 @@
         self._barrier.advance(self.revision)
 
     async def _load(self) -> None:
-        started = self._loop.now()
+        started_at = self._loop.now()
         loaded: dict[str, Entry] = {}
         revisions: list[int] = []
         for prefix in self._loaded_prefixes:
@@ -178,7 +178,7 @@
         for key, entry in loaded.items():
             self._apply(key, entry.value, entry.revision)
         self._advance_revision(revision)
-        self.last_confirmed = started
+        self.last_confirmed = started_at
         self.ready.set()
         log.info("event=replica_loaded revision=%d keys=%d", revision, len(self.entries))
 
--- a/badgerroute/storage/store_rates.py
+++ b/badgerroute/storage/store_rates.py
@@ -55,7 +55,7 @@
         now.
         """
         now = self._loop.now()
-        self._refusals = [at for at in self._refusals if now - at < REFUSAL_WINDOW]
+        self._refusals = [refused_at for refused_at in self._refusals if now - refused_at < REFUSAL_WINDOW]
         self._refusals.append(now)
         if len(self._refusals) >= REFUSALS_BEFORE_LOWERING:
             self._use_lower_rates()
--- a/tests/test_autoscaling.py
+++ b/tests/test_autoscaling.py
@@ -69,11 +69,11 @@
 
     pauses = []
     for _ in range(4):
-        backoff.record(POOL, asked=5, rented=0)
+        backoff.record(POOL, requested=5, rented=0)
         pauses.append(pause())
     assert pauses == [10 * SECOND, 20 * SECOND, 40 * SECOND, 60 * SECOND]
     assert not backoff.allows(POOL)
-    backoff.record(POOL, asked=5, rented=2)
+    backoff.record(POOL, requested=5, rented=2)
     assert pause() == 10 * SECOND
-    backoff.record(POOL, asked=5, rented=5)
+    backoff.record(POOL, requested=5, rented=5)
     assert backoff.allows(POOL)
