--- a/badgerroute/coordination/autoscaling/catalog.py
+++ b/badgerroute/coordination/autoscaling/catalog.py
@@ -74,7 +74,7 @@
             await self._loop.sleep(pause)
 
     async def _refresh(self) -> None:
-        types = await self._cloud.catalog()
+        types = await self._cloud.fetch_catalog()
         names_changed = set(self.types) != {machine_type.name for machine_type in types}
         self._learn(types)
         if names_changed or not any(key.startswith(CATALOG) for key in self._replica.entries):
--- a/badgerroute/coordination/autoscaling/machine_inventory.py
+++ b/badgerroute/coordination/autoscaling/machine_inventory.py
@@ -58,7 +58,7 @@
         interval = max(self._min_interval, self._listing_time / MAX_LIST_SHARE)
         if self._listed_at is not None and now - self._listed_at < interval:
             return
-        machines = await self._cloud.machines()
+        machines = await self._cloud.list_machines()
         self._listed_at = now
         self._listing_time = self._cloud.listing_time(len(machines))
         self._discard_unusable(machines, now)
@@ -84,7 +84,7 @@
                 machine.name
             )  # if it has one, that leader detects the failure sooner
         if machine.name in members:
-            self._pending.started([machine.name])
+            self._pending.remove_started([machine.name])
             return False
         if machine.state == "booting":
             return self._is_stuck(machine, now)
--- a/badgerroute/coordination/autoscaling/pending_machines.py
+++ b/badgerroute/coordination/autoscaling/pending_machines.py
@@ -21,7 +21,7 @@
 
     pool: MachinePool
     count: int
-    since: timedelta  # when it was rented, by the loop's monotonic clock
+    rented_at: timedelta  # by the loop's monotonic clock
 
 
 class PendingMachines:
@@ -42,12 +42,12 @@
         """Add a rented machine, or the machines of a request whose outcome is unknown."""
         self._rentals[name] = rental
 
-    def started(self, names: Iterable[str]) -> None:
+    def remove_started(self, names: Iterable[str]) -> None:
         """Remove machines that are up, and record their rental times."""
         for name in names:
             rental = self._rentals.pop(name, None)
-            if rental is not None and (self._latest_rented_at is None or rental.since > self._latest_rented_at):
-                self._latest_rented_at = rental.since
+            if rental is not None and (self._latest_rented_at is None or rental.rented_at > self._latest_rented_at):
+                self._latest_rented_at = rental.rented_at
 
     def machines_deleted(self, names: list[str]) -> None:
         """See `MachineDeletionListener`."""
@@ -72,8 +72,8 @@
         timed_out = []
         for name, rental in list(self._rentals.items()):
             if name in members:
-                self.started([name])
-            elif self.has_timed_out(rental.pool.type, rental.since + self._max_list_age, now):
+                self.remove_started([name])
+            elif self.has_timed_out(rental.pool.type, rental.rented_at + self._max_list_age, now):
                 del self._rentals[name]
                 timed_out.append(name)
         return timed_out
@@ -88,7 +88,7 @@
         return now - rented_at > (OVERTAKEN_TIMEOUT if overtaken else PROVISIONING_TIMEOUT) * self._boot_time(type_name)
 
     def _is_expected(self, rental: PendingRental) -> bool:
-        age = self._loop.now() - rental.since
+        age = self._loop.now() - rental.rented_at
         return rental.pool.type not in self._catalog or age <= EXPECTED_WITHIN * self._boot_time(rental.pool.type)
 
     def _boot_time(self, type_name: str) -> timedelta:
--- a/badgerroute/coordination/autoscaling/scale_out.py
+++ b/badgerroute/coordination/autoscaling/scale_out.py
@@ -79,7 +79,7 @@
     async def _scale_out(self) -> None:
         """Run one round, which rents from the cheapest pools first."""
         members = self._ownership.members()
-        self._pending.started(members)
+        self._pending.remove_started(members)
         remaining = self._settings.operator.fleet.most_machines - len(members) - self._pending.machine_count()
         if remaining <= 0:
             return
--- a/badgerroute/storage/cloud_client.py
+++ b/badgerroute/storage/cloud_client.py
@@ -43,7 +43,7 @@
             raise CloudUnavailableError(f"status {response.status}")
         return response
 
-    async def catalog(self) -> list[wire.MachineType]:
+    async def fetch_catalog(self) -> list[wire.MachineType]:
         """Return the machine types that can be rented."""
         response = await self._call("GET", "/catalog", Urgency.READ)
         return self._caller.decode(response, wire.catalog_decoder, ERRORS).types
@@ -71,7 +71,7 @@
         pages = -(-machine_count // MACHINES_PER_PAGE)
         return timedelta(seconds=pages / self._calls_per_second)
 
-    async def machines(self) -> list[wire.ListedMachine]:
+    async def list_machines(self) -> list[wire.ListedMachine]:
         """Return all machines in the cloud's list, which lags behind rentals and deletions."""
         machines: list[wire.ListedMachine] = []
         last_name = ""
--- a/badgerroute/storage/entries.py
+++ b/badgerroute/storage/entries.py
@@ -50,7 +50,7 @@
         entry = self.by_key.get(key)
         return entry.revision if entry else 0
 
-    def under(self, prefix: str) -> list[str]:
+    def keys_under(self, prefix: str) -> list[str]:
         """Return the keys that begin with a prefix, which ends in a slash, and have no further slash."""
         return list(self._keys_under.get(prefix, ()))
 
--- a/badgerroute/storage/key_value_client.py
+++ b/badgerroute/storage/key_value_client.py
@@ -68,12 +68,12 @@
         self._limits = limits
         self._sizes = SizeLimits.of_store(limits)
         self.rates = StoreRates(loop, limits, size)
-        self._caller = ServiceCaller(loop, self.rates.requests, "key-value store")
+        self._caller = ServiceCaller(loop, self.rates.request_limiter, "key-value store")
 
     @property
     def requests(self) -> int:
         """The number of requests that were sent."""
-        return self._caller.requests
+        return self._caller.request_count
 
     def divide_rates(self, size: int) -> None:
         """Divide the rate limits among this number of controllers."""
@@ -150,7 +150,7 @@
         Raises CompareFailedError, LeaseExpiredError, RequestRefusedError, OutcomeUnknownError, StoreUnavailableError.
         """
         try:
-            await self.rates.changes.take(max(1, len(changes)), urgency, timeout)
+            await self.rates.change_limiter.take(max(1, len(changes)), urgency, timeout)
         except RateLimitExceededError as error:
             raise StoreUnavailableError(str(error)) from None
         transaction = wire.Transaction([*conditions], [*changes])
@@ -180,7 +180,7 @@
             raise LeaseExpiredError(f"lease {lease} has ended")
         _require_ok(response)
 
-    async def follow(self, prefix: str, after_revision: int, block: timedelta) -> wire.Changes:
+    async def watch(self, prefix: str, after_revision: int, block: timedelta) -> wire.Changes:
         """Wait up to `block` for changes under a prefix after a revision.
 
         Raise WatchExpiredError if the store no longer holds all changes after that revision.
--- a/badgerroute/storage/replica.py
+++ b/badgerroute/storage/replica.py
@@ -93,7 +93,7 @@
 
         Looks them up in an index, since this is called several times a second.
         """
-        return self._entries.under(prefix)
+        return self._entries.keys_under(prefix)
 
     def learn(self, key: str, value: bytes | None, revision: int) -> None:
         """Apply a change that was received from another source than the watch (a removal if `value` is None).
@@ -129,7 +129,7 @@
                 if not loaded:
                     await self._load()
                     loaded = True
-                changes = await self._store.follow(PREFIX, self.revision, WATCH_BLOCK)
+                changes = await self._store.watch(PREFIX, self.revision, WATCH_BLOCK)
             except WatchExpiredError:
                 log.info("event=watch_expired")
                 loaded = False
--- a/badgerroute/storage/service_caller.py
+++ b/badgerroute/storage/service_caller.py
@@ -17,12 +17,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceRequest:
-    """One HTTP request. `limit`: how long it may wait for the rate limiter, and then again for its response."""
+    """One HTTP request. `timeout`: how long it may wait for the rate limiter, and then again for its response."""
 
     method: str
     target: str
     urgency: Urgency
-    limit: timedelta
+    timeout: timedelta
     body: bytes = b""
 
 
@@ -41,17 +41,17 @@
         self._limiter = limiter
         self._service = service
         self._failed_at: timedelta | None = None  # when a request last got no response or UNAVAILABLE_STATUS
-        self.requests = 0  # number of requests sent, with or without a response
+        self.request_count = 0  # number of requests sent, with or without a response
 
     async def send(self, client: Client, request: ServiceRequest, errors: ErrorTypes) -> Response:
         """Send a request and return the response, whatever its status. Raise one of `errors` if there is none."""
         try:
-            await self._limiter.take(1, request.urgency, request.limit)
+            await self._limiter.take(1, request.urgency, request.timeout)
         except RateLimitExceededError as error:
             raise errors.not_executed(str(error)) from None
-        self.requests += 1
+        self.request_count += 1
         try:
-            response = await client.request(request.method, request.target, request.body, request.limit)
+            response = await client.request(request.method, request.target, request.body, request.timeout)
         except NoAnswerError as error:
             self._failed_at = self._loop.now()
             error_type = errors.outcome_unknown if error.sent else errors.not_executed
--- a/badgerroute/storage/store_rates.py
+++ b/badgerroute/storage/store_rates.py
@@ -36,17 +36,17 @@
         self._clients = clients
         self._refusals: list[timedelta] = []  # times of 429 responses within the last REFUSAL_WINDOW
         share = self._share(self._rates.requests)
-        self.requests = RateLimiter(loop, rate=share, burst=share)
+        self.request_limiter = RateLimiter(loop, rate=share, burst=share)
         share = self._share(self._rates.changes)
-        self.changes = RateLimiter(loop, rate=share, burst=share)
+        self.change_limiter = RateLimiter(loop, rate=share, burst=share)
 
     def divide(self, clients: int) -> None:
         """Divide the limits among this number of clients, so that the others can use a failed controller's portion."""
         self._clients = clients
         share = self._share(self._rates.requests)
-        self.requests.set_rate(share, burst=share)
+        self.request_limiter.set_rate(share, burst=share)
         share = self._share(self._rates.changes)
-        self.changes.set_rate(share, burst=share)
+        self.change_limiter.set_rate(share, burst=share)
 
     def record_refusal(self) -> None:
         """Record a 429 response, and lower the rates after several of them.
--- a/tests/test_autoscaling.py
+++ b/tests/test_autoscaling.py
@@ -32,7 +32,7 @@
     pending = pending_machines(loop, first=now, second=now + 6 * SECOND)  # by more than the list may be old
     late = now + 46 * SECOND
     assert pending.remove_timed_out(set(), late) == []
-    pending.started(["second"])
+    pending.remove_started(["second"])
     assert pending.remove_timed_out(set(), late) == ["first"]
     assert "first" not in pending and pending.machine_count() == 0
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -186,18 +186,18 @@
     day = Day(seed=22)
     day.run(10)
     states = {host: controller.storage.store for host, (controller, _) in day.controllers.items()}
-    full = states[HOSTS[0]].rates.changes.rate
+    full = states[HOSTS[0]].rates.change_limiter.rate
     day.crash(HOSTS[2])
     day.run(3)
-    assert states[HOSTS[0]].rates.changes.rate == full, "it may come back at once"
-    assert day.until(lambda: states[HOSTS[0]].rates.changes.rate == 1.5 * full, 15)
+    assert states[HOSTS[0]].rates.change_limiter.rate == full, "it may come back at once"
+    assert day.until(lambda: states[HOSTS[0]].rates.change_limiter.rate == 1.5 * full, 15)
     day.start(HOSTS[2])
-    assert day.until(lambda: states[HOSTS[0]].rates.changes.rate == full, 3), "and shares again"
+    assert day.until(lambda: states[HOSTS[0]].rates.change_limiter.rate == full, 3), "and shares again"
     for number, host in enumerate(HOSTS):  # only unheard: each holds its leadership
         for other in HOSTS[:number]:
             day.world.cut(host, other, "reset")
     day.run(20)
-    assert states[HOSTS[0]].rates.changes.rate == full
+    assert states[HOSTS[0]].rates.change_limiter.rate == full
 
 
 def test_a_machine_that_joined_somebody_else_is_not_deleted() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -286,10 +286,10 @@
     day = Day(seed=63, later=LaterStoreLimits(write_rps=write_rps))
     day.run(3)
     state = day.controllers[HOSTS[0]][0].storage.store
-    full = state.rates.changes.rate
+    full = state.rates.change_limiter.rate
     for _ in range(refused):
         state.rates.record_refusal()
-    assert (state.rates.changes.rate < full) is lowered
+    assert (state.rates.change_limiter.rate < full) is lowered
 
 
 def test_what_is_refused_for_its_size_is_never_sent_again() -> None:
