--- a/badgerroute/storage/cloud_client.py
+++ b/badgerroute/storage/cloud_client.py
@@ -1,4 +1,4 @@
-"""Client of the cloud, which rents machines and deletes them."""
+"""Client of the cloud API, which rents out machines, lists them and deletes them."""
 
 from datetime import timedelta
 
@@ -12,19 +12,20 @@
 from badgerroute.transport.loop import Loop
 from badgerroute.transport.net import Network
 
-ANSWER_LIMIT = timedelta(seconds=6)
+RESPONSE_TIMEOUT = timedelta(seconds=6)
 MAX_MACHINES_PER_RENTAL = 50
 MAX_MACHINES_PER_DELETION = 100
 MACHINES_PER_PAGE = 500
-SAFETY_FACTOR = 0.9  # of the published rate: clocks differ, and an answer of 429 helps nobody
-# All requests may be repeated (a rental by its name), so it makes no difference whether one was done.
-ERRORS = ErrorTypes(not_done=CloudUnavailableError, unknown=CloudUnavailableError)
+# The portion of the published rate limit that is used: clocks differ, and a request that gets status 429 is wasted.
+SAFETY_FACTOR = 0.9
+# All requests are idempotent (a rental by its request name), so it does not matter whether a failed one was executed.
+ERRORS = ErrorTypes(not_executed=CloudUnavailableError, outcome_unknown=CloudUnavailableError)
 
 
 class CloudClient:
-    """Client of the cloud, whose rate limit is divided equally among `size` controllers.
+    """Client of the cloud API, whose rate limit is divided equally among `size` controllers.
 
-    All requests raise CloudUnavailableError if there is no usable answer.
+    All requests raise CloudUnavailableError if there is no usable response.
     """
 
     def __init__(self, loop: Loop, network: Network, address: str, limits: CloudLimits, size: int) -> None:
@@ -34,7 +35,7 @@
         self._caller = ServiceCaller(loop, limiter, "cloud")
 
     async def _call(self, method: str, target: str, urgency: Urgency, body: bytes = b"") -> Response:
-        request = ServiceRequest(method, target, urgency, ANSWER_LIMIT, body)
+        request = ServiceRequest(method, target, urgency, RESPONSE_TIMEOUT, body)
         response = await self._caller.send(self._client, request, ERRORS)
         if response.status == 503 and b"no capacity" in response.body:
             raise NoCapacityError
@@ -42,40 +43,43 @@
             raise CloudUnavailableError(f"status {response.status}")
         return response
 
-    async def catalog(self) -> list[wire.MachineType]:
-        """The machine types that can be rented."""
+    async def fetch_catalog(self) -> list[wire.MachineType]:
+        """Return the machine types that can be rented."""
         response = await self._call("GET", "/catalog", Urgency.READ)
         return self._caller.decode(response, wire.catalog_decoder, ERRORS).types
 
-    async def rent(self, request: str, kind: str, zone: str, spot: bool, count: int) -> list[str]:
-        """Rent up to `count` machines of the type `kind`; their names. NoCapacityError if there are none to be had.
+    async def rent(self, request_name: str, machine_type: str, zone: str, spot: bool, count: int) -> list[str]:
+        """Rent up to `count` machines of a type and return their names; raises NoCapacityError if none are available.
 
-        `request` names the rental: sent again under the same name it rents nothing more, so a name is never used for
-        another rental.
+        `request_name` makes the rental idempotent: a repeated request with the same name rents
+        no further machines. Every rental therefore needs a name of its own.
         """
-        body = encode(wire.RentalRequest(request, kind, zone, spot, min(count, MAX_MACHINES_PER_RENTAL)))
+        body = encode(wire.RentalRequest(request_name, machine_type, zone, spot, min(count, MAX_MACHINES_PER_RENTAL)))
         response = await self._call("POST", "/rentals", Urgency.COMPLETE, body)
         return self._caller.decode(response, wire.rented_decoder, ERRORS).machines
 
     async def delete(self, names: list[str]) -> None:
-        """Delete the first MAX_MACHINES_PER_DELETION of these; when this returns they and all on them are gone."""
+        """Delete the first MAX_MACHINES_PER_DELETION of the named machines.
+
+        When this returns, these machines and all tasks on them have ended.
+        """
         body = encode(wire.Deletion(names[:MAX_MACHINES_PER_DELETION]))
         await self._call("POST", "/rentals/delete", Urgency.LEADERSHIP, body)
 
-    def listing_time(self, machines: int) -> timedelta:
-        """How long it takes to list so many machines at the rate that this controller may use."""
-        pages = -(-machines // MACHINES_PER_PAGE)
+    def listing_time(self, machine_count: int) -> timedelta:
+        """Return how long listing this number of machines takes at the request rate of this controller."""
+        pages = -(-machine_count // MACHINES_PER_PAGE)
         return timedelta(seconds=pages / self._calls_per_second)
 
-    async def machines(self) -> list[wire.ListedMachine]:
-        """All machines, as the cloud's list has them, which lags behind what was rented and deleted."""
+    async def list_machines(self) -> list[wire.ListedMachine]:
+        """Return all machines in the cloud's list, which lags behind rentals and deletions."""
         machines: list[wire.ListedMachine] = []
-        since = ""
+        last_name = ""
         while True:
-            target = f"/rentals?limit={MACHINES_PER_PAGE}" + (f"&since={since}" if since else "")
+            target = f"/rentals?limit={MACHINES_PER_PAGE}" + (f"&since={last_name}" if last_name else "")
             response = await self._call("GET", target, Urgency.READ)
             page = self._caller.decode(response, wire.list_decoder, ERRORS)
             machines.extend(page.machines)
             if not page.more or not page.machines:
                 return machines
-            since = page.machines[-1].name
+            last_name = page.machines[-1].name
--- a/tests/test_autoscaling.py
+++ b/tests/test_autoscaling.py
@@ -20,7 +20,7 @@
 
 
 def pending_machines(loop: Loop, **since: timedelta) -> PendingMachines:
-    pending = PendingMachines(loop, {"g8": TYPE}, list_age=5 * SECOND)
+    pending = PendingMachines(loop, {"g8": TYPE}, max_list_age=5 * SECOND)
     for name, rented_at in since.items():
         pending.add(name, PendingRental(POOL, 1, rented_at))
     return pending
@@ -32,7 +32,7 @@
     pending = pending_machines(loop, first=now, second=now + 6 * SECOND)  # by more than the list may be old
     late = now + 46 * SECOND
     assert pending.remove_timed_out(set(), late) == []
-    pending.started(["second"])
+    pending.remove_started(["second"])
     assert pending.remove_timed_out(set(), late) == ["first"]
     assert "first" not in pending and pending.machine_count() == 0
 
@@ -69,11 +69,11 @@
 
     pauses = []
     for _ in range(4):
-        backoff.record(POOL, asked=5, rented=0)
+        backoff.record(POOL, requested=5, rented=0)
         pauses.append(pause())
     assert pauses == [10 * SECOND, 20 * SECOND, 40 * SECOND, 60 * SECOND]
     assert not backoff.allows(POOL)
-    backoff.record(POOL, asked=5, rented=2)
+    backoff.record(POOL, requested=5, rented=2)
     assert pause() == 10 * SECOND
-    backoff.record(POOL, asked=5, rented=5)
+    backoff.record(POOL, requested=5, rented=5)
     assert backoff.allows(POOL)
