--- a/badgerroute/assembly.py
+++ b/badgerroute/assembly.py
@@ -1,4 +1,4 @@
-"""A controller with the subsystems that the operators have switched on; these are loaded only then."""
+"""Builds a controller with the optional subsystems that are enabled. The others are not imported."""
 
 from badgerroute.coordination.controller import Controller
 from badgerroute.settings import Settings
@@ -7,13 +7,13 @@
 
 
 def build_controller(settings: Settings, loop: Loop, network: Network, group: TaskGroup) -> Controller:
-    """A controller that is ready to run."""
+    """Return a controller that is ready to run."""
     rebalancing = settings.operator.rebalancing
     if rebalancing is None:
         return Controller(settings, loop, network, group)
     from badgerroute.rebalancing.service import Rebalancer
 
     rebalancer = Rebalancer(settings, rebalancing, loop)
-    controller = Controller(settings, loop, network, group, rebalancer.guidance)
+    controller = Controller(settings, loop, network, group, rebalancer.new_guidance)
     rebalancer.attach(controller, group)
     return controller
--- a/badgerroute/rebalancing/drain_command.py
+++ b/badgerroute/rebalancing/drain_command.py
@@ -1,6 +1,7 @@
-"""`badgerroute drain` and `badgerroute undrain`: the operators' word on the command line.
+"""The commands `badgerroute drain` and `badgerroute undrain`.
 
-They speak to the key-value store, so they work whichever controller owns the machine, and while none does.
+They write to the key-value store directly, so they work whichever controller leads the machine's shard, and also while
+none does.
 """
 
 import argparse
@@ -17,45 +18,45 @@
 
 DRAIN, UNDRAIN = "drain", "undrain"
 DEFAULT_WITHIN_S = 120.0
-OK, BAD_USAGE, UNREACHABLE, NOT_FOUND = 0, 2, 3, 5
+EXIT_OK, EXIT_BAD_USAGE, EXIT_UNREACHABLE, EXIT_NOT_FOUND = 0, 2, 3, 5
 NOT_FOUND_ANSWERS = (DrainAnswer.UNKNOWN, DrainAnswer.GONE)
 
 
-def parser(command: str) -> argparse.ArgumentParser:
-    """The command line of one of the two."""
-    made = argparse.ArgumentParser(prog=f"badgerroute {command}")
-    made.add_argument("--config", metavar="FILE", required=True, help="the platform's settings (TOML)")
-    made.add_argument("machines", metavar="MACHINE", nargs="+")
+def build_parser(command: str) -> argparse.ArgumentParser:
+    """Build the parser for the arguments of `drain` or `undrain`."""
+    parser = argparse.ArgumentParser(prog=f"badgerroute {command}")
+    parser.add_argument("--config", metavar="FILE", required=True, help="the platform's settings (TOML)")
+    parser.add_argument("machines", metavar="MACHINE", nargs="+")
     if command == DRAIN:
-        made.add_argument(
+        parser.add_argument(
             "--within", metavar="SECONDS", type=float, default=DEFAULT_WITHIN_S, help="be empty by then (default: 120)"
         )
-        made.add_argument("--delete", action="store_true", help="delete the machine at the cloud once it is empty")
-    return made
+        parser.add_argument("--delete", action="store_true", help="delete the machine at the cloud once it is empty")
+    return parser
 
 
 def main(command: str, arguments: list[str]) -> int:
-    """Run the command; its exit code."""
-    options = parser(command).parse_args(arguments)
+    """Run the command and return its exit code."""
+    options = build_parser(command).parse_args(arguments)
     try:
         settings = load(options.config)
     except SettingsError as error:
         print(f"badgerroute: {error}", file=sys.stderr)
-        return BAD_USAGE
+        return EXIT_BAD_USAGE
     if command == DRAIN and not options.within > 0:
         print("badgerroute: --within: must be above 0", file=sys.stderr)
-        return BAD_USAGE
+        return EXIT_BAD_USAGE
     poller = SelectorPoller()
     loop = Loop(SystemClock(), poller)
     params = settings.params
-    # As one more user of the service than there are controllers, it stays within the limits beside all of them.
+    # Counts as one more client beside the controllers among which the rate limits are divided, to stay within them.
     address = settings.platform.endpoints.state
     store = KeyValueClient(loop, TcpNetwork(loop, poller), address, params.state, params.size + 1)
     return loop.run(loop.spawn(_run(command, options, DrainRequests(loop, store)), command))
 
 
 async def _run(command: str, options: argparse.Namespace, requests: DrainRequests) -> int:
-    code = OK
+    code = EXIT_OK
     for machine in options.machines:
         try:
             if command == DRAIN:
@@ -64,10 +65,10 @@
                 outcome = await requests.undrain(machine)
         except StoreUnavailableError as error:
             print(f"badgerroute: {machine}: the state service does not answer ({error}); try again", file=sys.stderr)
-            return UNREACHABLE
+            return EXIT_UNREACHABLE
         if outcome.answer in NOT_FOUND_ANSWERS:
             print(f"badgerroute: {machine}: {outcome.answer}", file=sys.stderr)
-            code = NOT_FOUND
+            code = EXIT_NOT_FOUND
         else:
             print(f"{machine}: {_describe(outcome)}")
     return code
--- a/badgerroute/rebalancing/drain_requests.py
+++ b/badgerroute/rebalancing/drain_requests.py
@@ -1,4 +1,4 @@
-"""Operators' requests to drain machines, written to the key-value store. The machine's leader acts on them."""
+"""Operators' requests to drain machines, written to the key-value store. The leaders of the shards carry them out."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -13,12 +13,12 @@
 from badgerroute.storage.records import DrainRecord, TombstoneRecord
 from badgerroute.transport.loop import Loop
 
-MAX_TRIES = 5
+MAX_ATTEMPTS = 5
 RETRY_PAUSE = timedelta(milliseconds=300)
 
 
 class DrainAnswer(StrEnum):
-    """What became of a request."""
+    """The result of a drain or undrain request, as the command prints it."""
 
     DRAINING = "draining"
     ALREADY_DRAINING = "already draining"
@@ -30,49 +30,49 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainOutcome:
-    """A request's answer, and the deadline on record (time of day, seconds since 1970), if there is one."""
+    """The result of a request, and the stored deadline (seconds since 1970) if the machine is to be drained."""
 
     answer: DrainAnswer
     deadline: float | None = None
 
 
 class DrainRequests:
-    """Each request is one conditional write. After a lost answer, the keys are read back.
+    """Writes drain requests, each with one conditional transaction. If its response is lost, the keys are read again.
 
-    Raises StoreUnavailableError if the outcome is not known; the request may be repeated.
+    Raises StoreUnavailableError if the outcome remains unknown; the request may then be repeated.
     """
 
     def __init__(self, loop: Loop, store: KeyValueClient) -> None:
         self._loop, self._store = loop, store
 
     async def drain(self, machine: str, within: timedelta, delete: bool = False) -> DrainOutcome:
-        """Have a machine emptied within so long. One that is draining keeps the deadline it has."""
-        for _ in range(MAX_TRIES):
-            member = await self._store.get(MACHINES + machine, Urgency.SUBMIT)
-            if member is None:
+        """Request that a machine be emptied within a given time. If it is already draining, it keeps its deadline."""
+        for _ in range(MAX_ATTEMPTS):
+            machine_item = await self._store.get(MACHINES + machine, Urgency.SUBMIT)
+            if machine_item is None:
                 return DrainOutcome(DrainAnswer.GONE if await self._was_deleted(machine) else DrainAnswer.UNKNOWN)
-            known = await self._known(machine)
-            if known is not None:
-                return DrainOutcome(DrainAnswer.ALREADY_DRAINING, known.deadline)
+            recorded = await self._recorded_drain(machine)
+            if recorded is not None:
+                return DrainOutcome(DrainAnswer.ALREADY_DRAINING, recorded.deadline)
             deadline = self._loop.clock.today().timestamp() + within.total_seconds()
             record = records.write(DrainRecord(deadline, delete))
-            conditions = [compare(MACHINES + machine, member.revision), compare(DRAINS + machine, 0)]
+            conditions = [compare(MACHINES + machine, machine_item.revision), compare(DRAINS + machine, 0)]
             try:
                 await self._store.transact(conditions, [put(DRAINS + machine, record)], Urgency.SUBMIT)
             except (CompareFailedError, OutcomeUnknownError):
-                await self._loop.sleep(RETRY_PAUSE)  # what became of it is read at the next turn
+                await self._loop.sleep(RETRY_PAUSE)  # the next attempt reads the outcome
                 continue
             return DrainOutcome(DrainAnswer.DRAINING, deadline)
-        raise StoreUnavailableError("the request met others too often")
+        raise StoreUnavailableError("each attempt conflicted with another change or its response was lost")
 
     async def undrain(self, machine: str) -> DrainOutcome:
-        """Take a drain back; what has moved by then stays where it is."""
-        tried = False
-        for _ in range(MAX_TRIES):
+        """Withdraw a drain request. Tasks that were already moved are not moved back."""
+        removal_attempted = False
+        for _ in range(MAX_ATTEMPTS):
             item = await self._store.get(DRAINS + machine, Urgency.SUBMIT)
             if item is None:
-                return DrainOutcome(DrainAnswer.NO_LONGER_DRAINING if tried else DrainAnswer.NOT_DRAINING)
-            tried = True
+                return DrainOutcome(DrainAnswer.NO_LONGER_DRAINING if removal_attempted else DrainAnswer.NOT_DRAINING)
+            removal_attempted = True
             try:
                 await self._store.transact(
                     [compare(DRAINS + machine, item.revision)], [remove(DRAINS + machine)], Urgency.SUBMIT
@@ -81,9 +81,9 @@
                 await self._loop.sleep(RETRY_PAUSE)
                 continue
             return DrainOutcome(DrainAnswer.NO_LONGER_DRAINING)
-        raise StoreUnavailableError("the request met others too often")
+        raise StoreUnavailableError("each attempt conflicted with another change or its response was lost")
 
-    async def _known(self, machine: str) -> DrainRecord | None:
+    async def _recorded_drain(self, machine: str) -> DrainRecord | None:
         item = await self._store.get(DRAINS + machine, Urgency.SUBMIT)
         return records.read(bytes(item.value), DrainRecord) if item is not None else None
 
--- a/badgerroute/rebalancing/drains.py
+++ b/badgerroute/rebalancing/drains.py
@@ -1,4 +1,4 @@
-"""Machines to be drained: the operators' records, and what the leader of such a machine does by them."""
+"""Draining of machines: the stored drain requests, and their effect on the machines of a shard."""
 
 import logging
 from dataclasses import dataclass
@@ -16,54 +16,52 @@
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
-ORPHANED_AFTER = timedelta(
-    seconds=60
-)  # a machine that is no member for so long has gone; one that is transferred comes back
+# A drain is removed once its machine has had no record for this long. A shorter gap may be a machine transfer, after
+# which the record returns.
+ORPHANED_AFTER = timedelta(seconds=60)
 
 
 @dataclass(frozen=True, slots=True)
 class Drain:
-    """A machine that is to be empty by a deadline on the steady clock."""
+    """A drain of one machine; the deadline is on the monotonic clock."""
 
     deadline: timedelta
     delete: bool
 
 
 class DrainRegistry:
-    """The drains on record, as the replica has them. They belong to no leader, so they outlive every one."""
+    """The stored drains, as the local replica has them. They belong to no leader, so they remain after a failover."""
 
     def __init__(self, loop: Loop, replica: Replica, store: KeyValueClient) -> None:
         self._loop, self._replica, self._store = loop, replica, store
-        self._orphaned: dict[str, timedelta] = {}  # machine -> since when it is no member
+        self._missing_since: dict[str, timedelta] = {}  # machine -> when its record was first found missing
 
-    def names(self) -> list[str]:
-        """The machines that are to be drained."""
+    def machine_names(self) -> list[str]:
+        """Return the names of the machines that are to be drained."""
         return [key.removeprefix(DRAINS) for key in self._replica.under(DRAINS)]
 
     def get(self, machine: str) -> Drain | None:
-        """A machine's drain, if there is one."""
+        """Return the drain of a machine, or None if it is not to be drained."""
         value = self._replica.value(DRAINS + machine)
         if value is None:
             return None
         record = records.read(value, DrainRecord)
-        left = record.deadline - self._loop.clock.today().timestamp()
-        return Drain(self._loop.now() + timedelta(seconds=left), record.delete)
+        remaining_s = record.deadline - self._loop.clock.today().timestamp()
+        return Drain(self._loop.now() + timedelta(seconds=remaining_s), record.delete)
 
     async def remove_orphans(self) -> None:
-        """Remove the drains of machines that have gone; called now and then, by the holder of the autoscaler
-        leadership.
-        """
+        """Remove the drains of machines that no longer exist. Only the autoscaler's leader calls this, periodically."""
         now = self._loop.now()
-        gone = {name for name in self.names() if self._replica.value(MACHINES + name) is None}
-        self._orphaned = {name: self._orphaned.get(name, now) for name in gone}
-        for name, since in self._orphaned.items():
-            if now - since >= ORPHANED_AFTER:
+        missing = {name for name in self.machine_names() if self._replica.value(MACHINES + name) is None}
+        self._missing_since = {name: self._missing_since.get(name, now) for name in missing}
+        for name, missing_since in self._missing_since.items():
+            if now - missing_since >= ORPHANED_AFTER:
                 await self._remove(name)
 
     async def _remove(self, name: str) -> None:
         key = DRAINS + name
         try:
-            at = await self._store.transact(
+            revision = await self._store.transact(
                 [compare(key, self._replica.revision_of(key)), compare(MACHINES + name, 0)],
                 [remove(key)],
                 Urgency.PROGRESS,
@@ -71,36 +69,39 @@
         except (StoreUnavailableError, OutcomeUnknownError, CompareFailedError) as error:
             log.info("event=drain_removal_failed machine=%s error=%s", name, error)
             return
-        self._replica.learn(key, None, at)
+        self._replica.learn(key, None, revision)
         log.info("event=drain_removed machine=%s", name)
 
 
 class DrainProgress:
-    """Which of a shard's drained machines are empty, told once each."""
+    """Applies drains to the machines of one shard, and reports each machine once when it has become empty."""
 
     def __init__(self, shard: int) -> None:
         self._shard = shard
-        self._empty: set[str] = set()
+        self._reported_empty: set[str] = set()
 
     def apply(self, machine: Machine, drain: Drain | None) -> None:
-        """Take note of a drain that is new, changed or taken back."""
+        """Apply a drain that is new, changed or withdrawn (None) to its machine."""
         if drain is None:
             if machine.drain_deadline is not None:
                 log.info("event=drain_ended machine=%s shard=%d", machine.name, self._shard)
             machine.drain_deadline = None
-            self._empty.discard(machine.name)
+            self._reported_empty.discard(machine.name)
             return
         if machine.drain_deadline is None:
             log.info("event=machine_cordoned machine=%s shard=%d", machine.name, self._shard)
         machine.drain_deadline = drain.deadline
 
-    def emptied(self, machine: Machine) -> bool:
-        """Whether a drained machine has become empty since this was asked last. Only its own heartbeat proves that."""
+    def became_empty(self, machine: Machine) -> bool:
+        """Return whether a drained machine has become empty since the last call.
+
+        Only a heartbeat of the machine itself proves that it is empty.
+        """
         if not (machine.empty and machine.fenced and machine.alive):
-            self._empty.discard(machine.name)
+            self._reported_empty.discard(machine.name)
             return False
-        if machine.name in self._empty:
+        if machine.name in self._reported_empty:
             return False
-        self._empty.add(machine.name)
+        self._reported_empty.add(machine.name)
         log.info("event=machine_drained machine=%s shard=%d", machine.name, self._shard)
         return True
--- a/badgerroute/rebalancing/fetch_rates.py
+++ b/badgerroute/rebalancing/fetch_rates.py
@@ -1,4 +1,4 @@
-"""How fast machines fetch images, by machine type, as it was measured."""
+"""Measured rates at which machines fetch images, by machine type."""
 
 from datetime import timedelta
 
@@ -6,30 +6,33 @@
 from badgerroute.scheduling.model import ZERO, Job, Machine, Placement
 
 SMOOTHING = 0.2  # the weight of a new measurement
-MIN_MEASUREMENTS = 3  # before they replace what the machine type says
-MAX_FACTOR = 8.0  # that measurements may lie above or below it: heartbeats come late, clocks stand still
+MIN_MEASUREMENTS = 3  # with fewer, the nominal rate of the machine type is used
+# Rates are limited to the nominal rate times or divided by this: a late heartbeat or a stopped clock distorts them.
+MAX_DEVIATION_FACTOR = 8.0
 
 
 class FetchRates:
-    """GB a second by machine type, smoothed over fetches that were seen from beginning to end."""
+    """Rates in GB per second by machine type, smoothed over the fetches that were observed from start to end."""
 
     def __init__(self) -> None:
         self._rates: dict[str, float] = {}
         self._counts: dict[str, int] = {}
 
-    def learn(self, placement: Placement, took: timedelta) -> None:
-        """A machine has fetched a task's image in so long."""
-        kind, image_gb = placement.machine.kind, placement.job.spec.image_gb
-        if took <= ZERO or image_gb <= 0:
+    def record_fetch(self, placement: Placement, duration: timedelta) -> None:
+        """Record how long a machine took to fetch a task's image."""
+        machine_type, image_gb = placement.machine.kind, placement.job.spec.image_gb
+        if duration <= ZERO or image_gb <= 0:
             return
-        nominal = max(kind.fetch_gb_per_s, 1e-6)
-        rate = min(nominal * MAX_FACTOR, max(nominal / MAX_FACTOR, image_gb / took.total_seconds()))
-        previous = self._rates.get(kind.name, rate)
-        self._rates[kind.name] = previous + SMOOTHING * (rate - previous)
-        self._counts[kind.name] = self._counts.get(kind.name, 0) + 1
+        nominal = max(machine_type.fetch_gb_per_s, 1e-6)
+        rate = min(
+            nominal * MAX_DEVIATION_FACTOR, max(nominal / MAX_DEVIATION_FACTOR, image_gb / duration.total_seconds())
+        )
+        previous = self._rates.get(machine_type.name, rate)
+        self._rates[machine_type.name] = previous + SMOOTHING * (rate - previous)
+        self._counts[machine_type.name] = self._counts.get(machine_type.name, 0) + 1
 
     def fetch_time(self, job: Job, machine: Machine) -> timedelta:
-        """How long a machine should take to fetch a job's image."""
+        """Return the expected time in which a machine fetches a job's image."""
         if self._counts.get(machine.kind.name, 0) < MIN_MEASUREMENTS:
             return delay_scheduling.fetch_time(job, machine)
         return timedelta(seconds=job.spec.image_gb / self._rates[machine.kind.name])
--- a/badgerroute/rebalancing/local_waits.py
+++ b/badgerroute/rebalancing/local_waits.py
@@ -1,4 +1,4 @@
-"""How soon machines that cache an image should have capacity for the tasks that wait for it."""
+"""Estimates how soon machines that cache an image will have free capacity for the waiting tasks that use it."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -6,36 +6,38 @@
 from badgerroute.scheduling.model import ZERO, Job, Machine
 from badgerroute.scheduling.shard import Shard
 
-MAX_ENDS = 512  # ends of tasks that are kept for an image: those that wait beyond have to look elsewhere anyway
-FOREVER = timedelta(days=1)
-MACHINES_BETWEEN_CLOCKS = 32
+MAX_ENDS_PER_IMAGE = 512  # if more tasks wait for an image, the rest must start on machines without it anyway
+FOREVER = timedelta(days=1)  # the estimate if more tasks wait than are expected to end
+MACHINES_PER_TIME_CHECK = 32
 
 
 class LocalWaits:
-    """One shard's images. A pass over its machines is done in slices, within the time of a round."""
+    """Estimates for the images of one shard.
+
+    They are computed in passes over its machines; a pass is spread over several rounds if it exceeds the time of one.
+    """
 
     def __init__(self, shard: Shard, run_time: Callable[[Job], timedelta], valid_for: timedelta) -> None:
         self._shard, self._run_time, self._valid_for = shard, run_time, valid_for
-        self._ends: dict[
-            str, list[timedelta]
-        ] = {}  # image -> when tasks on machines that cache it should end, soonest first
-        self._waiting: dict[str, int] = {}  # image -> tasks that wait for it
-        self._made_at: timedelta | None = None
-        self._left: list[Machine] | None = None  # machines that the pass under way has not seen
-        self._found: dict[str, list[timedelta]] = {}
+        # image -> when tasks on machines that cache it are expected to end, soonest first
+        self._task_ends: dict[str, list[timedelta]] = {}
+        self._waiting_tasks: dict[str, int] = {}  # image -> number of waiting tasks that use it
+        self._completed_at: timedelta | None = None
+        self._unvisited: list[Machine] | None = None  # machines that the current pass has still to visit
+        self._ends_so_far: dict[str, list[timedelta]] = {}
 
-    def advance(self, now: timedelta, over: Callable[[], bool]) -> bool:
-        """Go on with the pass until the time is over; whether it came to its end."""
-        if self._left is None:
-            self._left = list(self._shard.machines.values())
-            self._found = {}
-        seen = 0
-        while self._left:
-            self._collect_ends(self._left.pop(), now)
-            seen += 1
-            if seen % MACHINES_BETWEEN_CLOCKS == 0 and over():
+    def advance(self, now: timedelta, out_of_time: Callable[[], bool]) -> bool:
+        """Continue the current pass until it is complete or `out_of_time` returns true. Return whether it completed."""
+        if self._unvisited is None:
+            self._unvisited = list(self._shard.machines.values())
+            self._ends_so_far = {}
+        visited = 0
+        while self._unvisited:
+            self._collect_ends(self._unvisited.pop(), now)
+            visited += 1
+            if visited % MACHINES_PER_TIME_CHECK == 0 and out_of_time():
                 return False
-        self._finish(now)
+        self._complete_pass(now)
         return True
 
     def _collect_ends(self, machine: Machine, now: timedelta) -> None:
@@ -47,25 +49,28 @@
             if placement.running_since is not None and not placement.job.gang
         ]
         for image in machine.fetched_images:
-            self._found.setdefault(image, []).extend(ends)
+            self._ends_so_far.setdefault(image, []).extend(ends)
 
-    def _finish(self, now: timedelta) -> None:
-        self._left = None
-        self._ends = {image: sorted(ends)[:MAX_ENDS] for image, ends in self._found.items()}
-        self._waiting = {}
+    def _complete_pass(self, now: timedelta) -> None:
+        self._unvisited = None
+        self._task_ends = {image: sorted(ends)[:MAX_ENDS_PER_IMAGE] for image, ends in self._ends_so_far.items()}
+        self._waiting_tasks = {}
         for job in self._shard.jobs.values():
             if job.startable and not job.gang:
-                self._waiting[job.spec.image] = self._waiting.get(job.spec.image, 0) + job.startable
-        self._made_at = now
+                self._waiting_tasks[job.spec.image] = self._waiting_tasks.get(job.spec.image, 0) + job.startable
+        self._completed_at = now
 
     def expected(self, job: Job, now: timedelta) -> timedelta | None:
-        """How long the last task that waits for a job's image should wait to run near it; None: unknown."""
-        if self._made_at is None or now - self._made_at > self._valid_for or job.gang:
+        """Return the expected wait of the last queued task that uses a job's image for a machine that caches it.
+
+        Return None if the wait is unknown.
+        """
+        if self._completed_at is None or now - self._completed_at > self._valid_for or job.gang:
             return None
-        waiting = self._waiting.get(job.spec.image, 0)
+        waiting = self._waiting_tasks.get(job.spec.image, 0)
         if not waiting:
             return None
-        ends = self._ends.get(job.spec.image, ())
+        ends = self._task_ends.get(job.spec.image, ())
         if waiting > len(ends):
             return FOREVER
         return max(ZERO, ends[waiting - 1] - now)
--- a/badgerroute/rebalancing/move_ledger.py
+++ b/badgerroute/rebalancing/move_ledger.py
@@ -1,4 +1,4 @@
-"""A record of recent moves, by which the next ones are limited."""
+"""A record of recent moves, which limits how many tasks are moved and how often."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -8,33 +8,35 @@
 
 @dataclass(slots=True)
 class MoveLedger:
-    """What was moved lately, so that no task is moved back and forth and no period sees too many moves."""
+    """The recent moves of a shard. It keeps a task from moving back and forth, and limits the moves in a period."""
 
     period: timedelta
-    rest: timedelta  # how long a moved task stays where it is, and away from where it was
-    most: int  # moves in a period
-    moved: dict[tuple[str, int], timedelta] = field(default_factory=dict)  # task, by Placement.key -> when
-    _recent: list[timedelta] = field(default_factory=list)  # when each move of this period was made
-    count: int = 0  # since the shard was taken over
-    cost: float = 0.0  # processor-seconds that the moves were expected to cost
-
-    def left(self, now: timedelta) -> int:
-        """How many moves this period still allows."""
-        self._recent = [at for at in self._recent if now - at < self.period]
-        return self.most - len(self._recent)
-
-    def resting(self, placement: Placement, now: timedelta) -> bool:
-        """Whether a task was moved so lately that it must not be moved again."""
-        moved_at = self.moved.get(placement.key)
-        return moved_at is not None and now - moved_at < self.rest
+    rest_time: timedelta  # how long a moved task may not move again, nor its job return to the machine that it left
+    max_moves: int  # in a period
+    last_moved_at: dict[tuple[str, int], timedelta] = field(default_factory=dict)  # by Placement.key
+    _moves_in_period: list[timedelta] = field(default_factory=list)  # when each move within the last period was made
+    total_moves: int = 0  # since this controller began to lead the shard
+    total_cost: float = 0.0  # expected cost of these moves in CPU-seconds
+
+    def remaining_moves(self, now: timedelta) -> int:
+        """Return how many more moves the current period allows."""
+        self._moves_in_period = [moved_at for moved_at in self._moves_in_period if now - moved_at < self.period]
+        return self.max_moves - len(self._moves_in_period)
+
+    def is_resting(self, placement: Placement, now: timedelta) -> bool:
+        """Return whether a task was moved so recently that it must not be moved again."""
+        moved_at = self.last_moved_at.get(placement.key)
+        return moved_at is not None and now - moved_at < self.rest_time
 
     def record(self, placement: Placement, loss: float, now: timedelta) -> None:
-        """A task is moved; its job does not go back to that machine before it has rested."""
-        self.moved = {key: at for key, at in self.moved.items() if now - at < self.rest}
-        self.moved[placement.key] = now
-        self._recent.append(now)
-        self.count += 1
-        self.cost += loss
+        """Record the move of a task, and keep its job from returning to that machine for the rest time."""
+        self.last_moved_at = {
+            key: moved_at for key, moved_at in self.last_moved_at.items() if now - moved_at < self.rest_time
+        }
+        self.last_moved_at[placement.key] = now
+        self._moves_in_period.append(now)
+        self.total_moves += 1
+        self.total_cost += loss
         job = placement.job
         job.no_return_until = {name: until for name, until in job.no_return_until.items() if until > now}
-        job.no_return_until[placement.machine.name] = now + self.rest
+        job.no_return_until[placement.machine.name] = now + self.rest_time
--- a/badgerroute/rebalancing/moves.py
+++ b/badgerroute/rebalancing/moves.py
@@ -1,7 +1,7 @@
-"""Moving running work: tasks that save are stopped where their going lets others start, and start again elsewhere.
+"""Moves running tasks: stops tasks that save checkpoints so that a waiting job can start, and restarts them elsewhere.
 
-A move obeys the preemption rules: it only ever stops what the order of service lets the waiting job stop. It differs
-from preemption in that each stopped task has a machine to go to, so the job need not wait as long before it.
+A move obeys the preemption rules: it stops only tasks that the waiting job may preempt. Unlike a preemption, it
+requires a machine on which each stopped task can restart, so the job need not wait as long before it.
 """
 
 import heapq
@@ -22,26 +22,26 @@
 from badgerroute.settings import Rebalancing
 
 log = logging.getLogger(__name__)
-HEARTBEATS_PER_MOVE = 2  # one carries the stop, another shows that the task is gone
-HEARTBEATS_BEFORE_MOVE = 2  # that a job waits before work is moved for it
-RESERVATION_AFTER_SAVE = timedelta(seconds=5)  # how long the machine stays reserved once the moved work is gone
-MAX_CANDIDATES = 64  # machines that are looked at for one job
-MAX_DESTINATIONS = 64  # machines to which work could go
-MAX_JOBS_LOOKED_AT = 16  # in one round, of those that fit nowhere
+HEARTBEATS_PER_MOVE = 2  # one to send the stop command, one to confirm that the task no longer runs
+HEARTBEATS_BEFORE_MOVE = 2  # how long a job waits before tasks are moved for it
+RESERVATION_AFTER_SAVE = timedelta(seconds=5)  # how long the job's reservation lasts after the moved tasks stop
+MAX_CANDIDATES = 64  # machines from which moves are considered for one job
+MAX_DESTINATIONS = 64  # machines to which moves are considered for one job
+MAX_JOBS_PER_ROUND = 16  # waiting jobs that lack capacity and are examined in one round
 
 
 @dataclass(frozen=True, slots=True)
 class MoveOption:
-    """One machine that could be cleared for a task, and what that costs and gains in processor-seconds."""
+    """A machine from which tasks could be moved to make space for a waiting task. The loss is in CPU-seconds."""
 
     machine: Machine
     victims: list[Placement]
-    natural_wait: timedelta  # until the victims end by themselves
+    wait_without_move: timedelta  # until the victims would end without a move
     loss: float
 
 
 class MovePlanner:
-    """Chooses and begins moves within one shard."""
+    """Plans and starts moves within one shard."""
 
     def __init__(
         self, shard: Shard, planner: Planner, settings: Rebalancing, heartbeat: timedelta, guidance: Guidance
@@ -50,29 +50,29 @@
         self._guidance = guidance
         self.ledger = MoveLedger(settings.move_period, settings.move_rest, settings.moves_per_period)
 
-    def round(self, now: timedelta, over: Callable[[], bool]) -> int:
-        """Begin moves for jobs that wait, in the order of service; how many tasks are moved."""
-        moved = looked = 0
+    def start_moves(self, now: timedelta, out_of_time: Callable[[], bool]) -> int:
+        """Start moves for waiting jobs in their scheduling order. Return the number of moved tasks."""
+        moved = examined = 0
         if not self._shard.reconciled:
             return 0
         for job in self._planner.waiting_jobs(now):
-            if over() or looked >= MAX_JOBS_LOOKED_AT or self.ledger.left(now) <= 0:
+            if out_of_time() or examined >= MAX_JOBS_PER_ROUND or self.ledger.remaining_moves(now) <= 0:
                 break
-            if not self._may_gain(job, now):
+            if not self._could_benefit(job, now):
                 continue
-            looked += 1
+            examined += 1
             moved += self._move_for(job, now)
         return moved
 
-    def _may_gain(self, job: Job, now: timedelta) -> bool:
-        """Whether a job has waited long enough, and lacks capacity and nothing else."""
+    def _could_benefit(self, job: Job, now: timedelta) -> bool:
+        """Return whether a job has waited long enough, and waits only for capacity."""
         if job.failing or now - job.since < HEARTBEATS_BEFORE_MOVE * self._heartbeat or self._shard.short_of_quota(job):
             return False
         needed = self._tasks_at_once(job)
         if job.placed and job.gang:
             return False
         if any(machine.reserved_for == job.ref for machine in self._shard.machines.values()):
-            return False  # capacity is on its way
+            return False  # a reserved machine will be free soon
         free = sum(machine.free.times(job.need) for machine in self._planner.candidates(job, now, free=True))
         return needed > 0 and free < needed
 
@@ -82,24 +82,27 @@
 
     def _move_for(self, job: Job, now: timedelta) -> int:
         needed = self._tasks_at_once(job)
-        options = self._options(job, now)
-        chosen = self._choose(job, options, needed)
+        options = self._move_options(job, now)
+        chosen = self._choose_machines(job, options, needed)
         victims = sum(len(option.victims) for option in chosen)
-        if not chosen or victims > self.ledger.left(now):
+        if not chosen or victims > self.ledger.remaining_moves(now):
             return 0
-        # What would be there without a move: as many machines free by themselves as the job needs.
-        waits = sorted(option.natural_wait for option in options)
-        avoided = waits[needed - 1] - self._slowest_stop(chosen)
-        gain = avoided.total_seconds() * max(job.need.cpus, job.need.accelerators) * needed
+        # Without a move, the job would start once as many of these machines as it needs have become free.
+        waits_without_move = sorted(option.wait_without_move for option in options)
+        wait_avoided = waits_without_move[needed - 1] - self._longest_stop_time(chosen)
+        gain = wait_avoided.total_seconds() * max(job.need.cpus, job.need.accelerators) * needed
         loss = sum(option.loss for option in chosen)
         if gain <= self._settings.move_gain * loss:
             return 0
         for option in chosen:
-            self._begin(option, job, now)
+            self._start_move(option, job, now)
         return victims
 
-    def _options(self, job: Job, now: timedelta) -> list[MoveOption]:
-        """Machines that could be cleared. Of thousands, only those with most free processors are looked at."""
+    def _move_options(self, job: Job, now: timedelta) -> list[MoveOption]:
+        """Return the machines from which tasks could be moved.
+
+        To bound the time, only the candidates and destinations with the most free CPUs are considered.
+        """
         free = [
             machine
             for machine in self._shard.machines.values()
@@ -109,100 +112,111 @@
             and machine.free.cpus > EPSILON
         ]
         destinations = heapq.nlargest(MAX_DESTINATIONS, free, key=lambda machine: machine.free.cpus)
-        free_on = {machine.name: machine.free.copy() for machine in destinations}
+        free_resources = {machine.name: machine.free.copy() for machine in destinations}
         candidates = [machine for machine in self._planner.candidates(job, now) if machine.reserved_for is None]
         options = []
         for machine in heapq.nlargest(MAX_CANDIDATES, candidates, key=lambda machine: machine.free.cpus):
-            option = self._option(job, machine, free_on, now)
+            option = self._move_option(job, machine, free_resources, now)
             if option is not None:
                 options.append(option)
         return options
 
-    def _option(self, job: Job, machine: Machine, free_on: dict[str, Resources], now: timedelta) -> MoveOption | None:
-        """The cheapest tasks to move off a machine so that the job fits, each with a place to go to; if there are."""
+    def _move_option(
+        self, job: Job, machine: Machine, free_resources: dict[str, Resources], now: timedelta
+    ) -> MoveOption | None:
+        """Return the cheapest tasks to move off a machine so that the job fits, or None if it cannot be made to fit.
+
+        Each task needs a destination with free capacity, which is claimed in `free_resources`.
+        """
         available = machine.free.copy()
         victims: list[Placement] = []
-        taken_from: list[tuple[Machine, Resources]] = []
+        claimed: list[tuple[Machine, Resources]] = []
         loss = 0.0
-        for placement in sorted(machine.placements.values(), key=self._loss_at_least):
+        for placement in sorted(machine.placements.values(), key=self._min_loss):
             if available.holds(job.need):
                 break
-            if not self._movable(placement, job, now):
+            if not self._may_move(placement, job, now):
                 continue
-            destination = self._destination(placement, machine, free_on, now)
+            destination = self._destination(placement, machine, free_resources, now)
             if destination is None:
                 continue
-            free_on[destination.name].take(placement.job.need)
-            taken_from.append((destination, placement.job.need))
+            free_resources[destination.name].take(placement.job.need)
+            claimed.append((destination, placement.job.need))
             victims.append(placement)
             available.add(placement.job.need)
             loss += self._loss(placement, destination)
         if not victims or not available.holds(job.need):
-            for destination, taken in taken_from:
-                free_on[destination.name].add(taken)
+            for destination, taken in claimed:
+                free_resources[destination.name].add(taken)
             return None
-        natural = max(self._remaining(victim, now) for victim in victims)
-        return MoveOption(machine, victims, natural, loss)
+        wait_without_move = max(self._remaining(victim, now) for victim in victims)
+        return MoveOption(machine, victims, wait_without_move, loss)
 
-    def _movable(self, placement: Placement, job: Job, now: timedelta) -> bool:
-        """Running array tasks that save, that the waiting job may stop, and that were not moved lately."""
+    def _may_move(self, placement: Placement, job: Job, now: timedelta) -> bool:
+        """Return whether a task runs, saves checkpoints, may be stopped for the job and was not moved recently.
+
+        Tasks of gangs are not moved.
+        """
         victim = placement.job
         return (
             placement.running_since is not None
             and not placement.stopping
             and not victim.gang
             and victim.spec.checkpoint_s > 0
-            and not self.ledger.resting(placement, now)
+            and not self.ledger.is_resting(placement, now)
             and self._planner.may_stop(victim, job)
         )
 
     def _destination(
-        self, placement: Placement, machine: Machine, free_on: dict[str, Resources], now: timedelta
+        self, placement: Placement, machine: Machine, free_resources: dict[str, Resources], now: timedelta
     ) -> Machine | None:
-        """Where a task could start again, on a machine that caches its image if possible."""
+        """Return a machine where a task could restart, if possible one that caches its image, or None."""
         job = placement.job
-        best: Machine | None = None
-        for name, free in free_on.items():
-            other = self._shard.machines[name]
-            if other is machine or not free.holds(job.need):
+        fallback: Machine | None = None
+        for name, free in free_resources.items():
+            candidate = self._shard.machines[name]
+            if candidate is machine or not free.holds(job.need):
                 continue
             if name in job.failed_on or job.no_return_until.get(name, ZERO) > now:
                 continue
-            if not allows(job.spec, other.kind.name, other.zone, other.spot):
+            if not allows(job.spec, candidate.kind.name, candidate.zone, candidate.spot):
                 continue
-            if job.spec.together and other.zone != machine.zone:
+            if job.spec.together and candidate.zone != machine.zone:
                 continue
-            if job.spec.spread and not PlacementRules.zone_allowed(job, other.zone, 1):
+            if job.spec.spread and not PlacementRules.zone_allowed(job, candidate.zone, 1):
                 continue
-            if job.spec.image in other.fetched_images:
-                return other
-            best = best or other
-        return best
+            if job.spec.image in candidate.fetched_images:
+                return candidate
+            fallback = fallback or candidate
+        return fallback
 
     def _remaining(self, placement: Placement, now: timedelta) -> timedelta:
-        began = placement.running_since if placement.running_since is not None else now
-        return max(ZERO, self._planner.run_time(placement.job) - (now - began))
+        started_at = placement.running_since if placement.running_since is not None else now
+        return max(ZERO, self._planner.run_time(placement.job) - (now - started_at))
 
-    def _loss_at_least(self, placement: Placement) -> float:
-        """Processor-seconds of a move to a machine that caches the image."""
+    def _min_loss(self, placement: Placement) -> float:
+        """Return the CPU-seconds that a move to a machine which caches the image costs."""
         pause = save_time(placement.job) + HEARTBEATS_PER_MOVE * self._heartbeat
         return pause.total_seconds() * max(placement.job.need.cpus, placement.job.need.accelerators)
 
     def _loss(self, placement: Placement, destination: Machine) -> float:
         job = placement.job
-        loss = self._loss_at_least(placement)
+        loss = self._min_loss(placement)
         if job.spec.image not in destination.fetched_images:
             fetch = self._guidance.fetch_time(job, destination)
             loss += fetch.total_seconds() * max(job.need.cpus, job.need.accelerators)
         return loss
 
-    def _slowest_stop(self, options: list[MoveOption]) -> timedelta:
+    def _longest_stop_time(self, options: list[MoveOption]) -> timedelta:
         saves = [save_time(victim.job) for option in options for victim in option.victims]
         return max(saves, default=ZERO) + HEARTBEATS_PER_MOVE * self._heartbeat
 
     @staticmethod
-    def _choose(job: Job, options: list[MoveOption], needed: int) -> list[MoveOption]:
-        """The cheapest machines, as many as are needed; in one zone if the job's tasks must lie together."""
+    def _choose_machines(job: Job, options: list[MoveOption], needed: int) -> list[MoveOption]:
+        """Return the cheapest machines, as many as needed, or none if there are too few.
+
+        They are in one zone if the job's tasks must run together.
+        """
         ordered = sorted(options, key=lambda option: (option.loss, option.machine.name))
         if not job.spec.together:
             return ordered[:needed] if len(ordered) >= needed else []
@@ -212,8 +226,8 @@
                 return in_zone[:needed]
         return []
 
-    def _begin(self, option: MoveOption, job: Job, now: timedelta) -> None:
-        """Stop the victims with time to save; the machine is reserved for the job that they make way for."""
+    def _start_move(self, option: MoveOption, job: Job, now: timedelta) -> None:
+        """Stop the victims with enough time to save, and reserve the machine for the waiting job."""
         machine = option.machine
         longest_save = max(save_time(victim.job) for victim in option.victims)
         machine.reserved_for = job.ref
--- a/badgerroute/rebalancing/service.py
+++ b/badgerroute/rebalancing/service.py
@@ -1,4 +1,4 @@
-"""The rebalancing duty of one controller: keeps the view, advises its shards, moves work and drains machines."""
+"""Rebalancing on one controller: maintains the view of the fleet, guides shards, moves tasks and drains machines."""
 
 import logging
 from collections.abc import Callable
@@ -13,8 +13,8 @@
 from badgerroute.rebalancing.local_waits import LocalWaits
 from badgerroute.rebalancing.moves import MovePlanner
 from badgerroute.rebalancing.shard_guidance import ShardGuidance
-from badgerroute.rebalancing.spreading import offered_capacity, work_lacking
-from badgerroute.rebalancing.view import FleetView, ShardReading
+from badgerroute.rebalancing.spreading import missing_work, offered_capacity
+from badgerroute.rebalancing.view import FleetView, ShardWaitReport
 from badgerroute.scheduling.draining import Evacuation, evacuate
 from badgerroute.scheduling.model import ZERO
 from badgerroute.settings import Rebalancing, Settings
@@ -22,21 +22,21 @@
 from badgerroute.transport.loop import Loop, TaskGroup
 
 log = logging.getLogger(__name__)
-ROUND = timedelta(milliseconds=500)
-VIEW_KEPT = timedelta(seconds=1)
-SPREAD_PAUSE = timedelta(seconds=2)
-VIEW_LOGGED = timedelta(seconds=10)
-ORPHANS_LOOKED_FOR = timedelta(seconds=10)
-HEARTBEATS_OF_MARGIN = 2  # before a drain's deadline: one carries the command, another shows that the task is gone
-TARGET = 0.5  # of the highest wait ratio: above this a team's work is hastened
-STEEPNESS = 3.0  # with which it is hastened as its waits grow beyond that
+ROUND_INTERVAL = timedelta(milliseconds=500)
+VIEW_REFRESH_INTERVAL = timedelta(seconds=1)
+WORK_REQUEST_INTERVAL = timedelta(seconds=2)
+VIEW_LOG_INTERVAL = timedelta(seconds=10)
+ORPHAN_CHECK_INTERVAL = timedelta(seconds=10)
+DRAIN_MARGIN_HEARTBEATS = 2  # before the deadline: one to send the stop, one to confirm that the task no longer runs
+URGENCY_THRESHOLD = 0.5  # fraction of `max_wait_ratio` above which the urgency of a team exceeds 1
+URGENCY_EXPONENT = 3.0  # how steeply the urgency grows with the wait ratio above the threshold
 MAX_URGENCY = 64.0
-LEAST_ENTITLEMENT = 0.1  # of the mean guarantee, for teams with little or none
+MIN_ENTITLEMENT = 0.1  # fraction of the mean guarantee, for teams with a smaller guarantee or none
 
 
 @dataclass(slots=True)
-class _ShardRebalancing:
-    """What is kept for one shard that this controller leads."""
+class _LedShard:
+    """The rebalancing state of one shard that this controller leads."""
 
     leader: ShardLeader
     guidance: ShardGuidance
@@ -46,28 +46,31 @@
 
 
 class Rebalancer:
-    """Made before its controller, which asks it for guidance; attached to it afterwards."""
+    """Runs rebalancing for one controller.
+
+    It is created before the controller, which takes guidance from it, and attached to the controller afterwards.
+    """
 
     def __init__(self, settings: Settings, rebalancing: Rebalancing, loop: Loop) -> None:
         self._settings, self._rebalancing, self._loop = settings, rebalancing, loop
         self._heartbeat = settings.params.workers.heartbeat_interval
         self._guidances: dict[int, ShardGuidance] = {}
-        self._duties: dict[int, _ShardRebalancing] = {}
+        self._led_shards: dict[int, _LedShard] = {}
         self._controller: Controller | None = None
         self._drains: DrainRegistry | None = None
-        self._view_at: timedelta | None = None
-        self._spread_at = -SPREAD_PAUSE
+        self._view_refreshed_at: timedelta | None = None
+        self._work_requested_at = -WORK_REQUEST_INTERVAL
         self.view = FleetView([], rebalancing.stale)
         self._urgencies: dict[str, float] = {}
         guarantees = [team.cpus for team in settings.params.teams if team.cpus > 0]
         mean = sum(guarantees) / len(guarantees) if guarantees else 1.0
-        self._least_entitlement = LEAST_ENTITLEMENT * mean
-        self._entitlements = {team.name: max(team.cpus, self._least_entitlement) for team in settings.params.teams}
+        self._min_entitlement = MIN_ENTITLEMENT * mean
+        self._entitlements = {team.name: max(team.cpus, self._min_entitlement) for team in settings.params.teams}
 
-    # -- what the controller asks
+    # -- called by the controller
 
-    def guidance(self, shard: int) -> ShardGuidance:
-        """New advice for a shard that this controller begins to own."""
+    def new_guidance(self, shard: int) -> ShardGuidance:
+        """Create the guidance for a shard that this controller begins to lead."""
         guidance = ShardGuidance(
             self._loop, self._rebalancing.window, self._entitlement, self.urgency, self._drain_deadline
         )
@@ -75,25 +78,28 @@
         return guidance
 
     def _entitlement(self, team: str) -> float:
-        return self._entitlements.get(team, self._least_entitlement)
+        return self._entitlements.get(team, self._min_entitlement)
 
     def urgency(self, team: str) -> float:
-        """How much sooner a team's work comes: above 1 once its waits come near the highest allowed ratio."""
+        """Return the factor by which a team's claim to capacity is raised.
+
+        It is 1 until the team's wait ratio approaches the configured maximum, and grows beyond that.
+        """
         return self._urgencies.get(team, 1.0)
 
-    def _urgency_of(self, team: str) -> float:
+    def _compute_urgency(self, team: str) -> float:
         ratio = self.view.wait_ratio(team, 2 * self._heartbeat)
-        target = TARGET * self._rebalancing.max_wait_ratio
-        return min(MAX_URGENCY, max(1.0, ratio / target) ** STEEPNESS)
+        target = URGENCY_THRESHOLD * self._rebalancing.max_wait_ratio
+        return min(MAX_URGENCY, max(1.0, ratio / target) ** URGENCY_EXPONENT)
 
     def _drain_deadline(self, machine: str) -> timedelta | None:
         drain = self._drains.get(machine) if self._drains is not None else None
         return drain.deadline if drain is not None else None
 
-    # -- life
+    # -- background tasks
 
     def attach(self, controller: Controller, group: TaskGroup) -> None:
-        """Begin the duty beside a controller that has not loaded its replica yet."""
+        """Start the background tasks. The controller must not have loaded its replica yet."""
         self._controller = controller
         self._drains = DrainRegistry(self._loop, controller.storage.replica, controller.storage.store)
         controller.storage.replica.list_first(DRAINS)
@@ -104,79 +110,89 @@
 
     async def _run(self) -> None:
         while True:
-            await self._loop.sleep(ROUND)
+            await self._loop.sleep(ROUND_INTERVAL)
             now = self._loop.now()
             deadline = now + self._settings.operator.scheduling.round
 
-            def over(deadline: timedelta = deadline) -> bool:
+            def out_of_time(deadline: timedelta = deadline) -> bool:
                 return self._loop.now() > deadline
 
             self._refresh_view(now)
-            self._spread(now)
-            for entry in self._refresh_shards():
-                self._round(entry, now, over)
+            self._request_missing_work(now)
+            for led_shard in self._refresh_led_shards():
+                self._run_shard_round(led_shard, now, out_of_time)
+
+    def _refresh_led_shards(self) -> list[_LedShard]:
+        """Return the shards that are led here and for which tasks may be started.
 
-    def _refresh_shards(self) -> list[_ShardRebalancing]:
-        """Of the shards that are led here and may be acted for; what belonged to former leaders is dropped."""
+        The state of shards that have a new leader, or are no longer led here, is dropped.
+        """
         assert self._controller is not None
         leaders = self._controller.leaders
-        self._duties = {number: entry for number, entry in self._duties.items() if leaders.get(number) is entry.leader}
+        self._led_shards = {
+            number: led_shard
+            for number, led_shard in self._led_shards.items()
+            if leaders.get(number) is led_shard.leader
+        }
         for number, leader in leaders.items():
-            if leader.ready and number not in self._duties:
-                self._duties[number] = self._new_shard(number, leader)
+            if leader.ready and number not in self._led_shards:
+                self._led_shards[number] = self._new_led_shard(number, leader)
         policy = self._controller.leadership.policy
-        return [entry for number, entry in self._duties.items() if policy.allows_for(number, Action.START)]
+        return [led_shard for number, led_shard in self._led_shards.items() if policy.allows_for(number, Action.START)]
 
-    def _may_ask(self, leader: ShardLeader) -> bool:
-        """Whether a shard may ask others for work."""
+    def _may_request_work(self, leader: ShardLeader) -> bool:
+        """Return whether a shard may request work from other shards."""
         policy = self._controller.leadership.policy if self._controller is not None else None
         return leader.shard.reconciled and policy is not None and policy.allows_for(leader.number, Action.STEAL)
 
-    def _new_shard(self, number: int, leader: ShardLeader) -> _ShardRebalancing:
+    def _new_led_shard(self, number: int, leader: ShardLeader) -> _LedShard:
         guidance = self._guidances[number]
         local = LocalWaits(leader.shard, leader.planner.run_time, self._rebalancing.stale)
         guidance.attach(leader.shard.usage, local)
         moves = MovePlanner(leader.shard, leader.planner, self._rebalancing, self._heartbeat, guidance)
-        return _ShardRebalancing(leader, guidance, local, moves, DrainProgress(number))
+        return _LedShard(leader, guidance, local, moves, DrainProgress(number))
 
-    def _round(self, entry: _ShardRebalancing, now: timedelta, over: Callable[[], bool]) -> None:
-        self._drain_machines(entry, now)
-        if entry.leader.shard.reconciled:
-            entry.local.advance(now, over)
-            entry.moves.round(now, over)
+    def _run_shard_round(self, led_shard: _LedShard, now: timedelta, out_of_time: Callable[[], bool]) -> None:
+        self._drain_machines(led_shard, now)
+        if led_shard.leader.shard.reconciled:
+            led_shard.local.advance(now, out_of_time)
+            led_shard.moves.start_moves(now, out_of_time)
 
     # -- the view
 
     def _refresh_view(self, now: timedelta) -> None:
         assert self._controller is not None
-        if self._view_at is not None and now - self._view_at < VIEW_KEPT:
+        if self._view_refreshed_at is not None and now - self._view_refreshed_at < VIEW_REFRESH_INTERVAL:
             return
-        self._view_at = now
+        self._view_refreshed_at = now
         peers = self._controller.membership.peers
         own = {leader.number: leader.summary() for leader in self._controller.leaders.values() if leader.ready}
-        readings = [ShardReading(summary, ZERO) for summary in own.values()]
-        readings += [ShardReading(summary, age) for summary, age in peers.shard_reports() if summary.shard not in own]
-        self.view = FleetView(readings, self._rebalancing.stale)
-        # Asked for at every turn of every job, so worked out once: a percentile looks at all that is counted.
-        self._urgencies = {team: self._urgency_of(team) for team in self.view.teams}
-
-    def _spread(self, now: timedelta) -> None:
-        """Ask for waiting work of hastened teams that lies in few shards; now and then, so that an answer can come."""
+        reports = [ShardWaitReport(summary, ZERO) for summary in own.values()]
+        reports += [ShardWaitReport(summary, age) for summary, age in peers.shard_reports() if summary.shard not in own]
+        self.view = FleetView(reports, self._rebalancing.stale)
+        # Computed once per view, as each comparison of jobs uses it and a percentile iterates over the whole histogram.
+        self._urgencies = {team: self._compute_urgency(team) for team in self.view.teams}
+
+    def _request_missing_work(self, now: timedelta) -> None:
+        """Request waiting work of teams with raised urgency that is concentrated in other shards.
+
+        The interval between requests leaves time for the responses.
+        """
         assert self._controller is not None
-        if now - self._spread_at < SPREAD_PAUSE:
+        if now - self._work_requested_at < WORK_REQUEST_INTERVAL:
             return
-        self._spread_at = now
+        self._work_requested_at = now
         teams = [team for team, urgency in self._urgencies.items() if urgency > 1.0]
-        for entry in self._duties.values():
-            own = entry.leader.summary()
+        for led_shard in self._led_shards.values():
+            own = led_shard.leader.summary()
             others = [summary for summary in self.view.summaries if summary.shard != own.shard and summary.reconciled]
-            if not others or not self._may_ask(entry.leader):
+            if not others or not self._may_request_work(led_shard.leader):
                 continue
-            for request in work_lacking(own, others, teams):
+            for request in missing_work(own, others, teams):
                 message = StealRequest(
                     request.victim,
                     own.shard,
-                    offered_capacity(entry.leader.shard, request),
+                    offered_capacity(led_shard.leader.shard, request),
                     own.images,
                     sorted({demand.team for shard in others for demand in shard.demands} - {request.team}),
                 )
@@ -185,13 +201,13 @@
 
     async def _log_view(self) -> None:
         while True:
-            await self._loop.sleep(VIEW_LOGGED)
-            moves = sum(entry.moves.ledger.count for entry in self._duties.values())
+            await self._loop.sleep(VIEW_LOG_INTERVAL)
+            moves = sum(led_shard.moves.ledger.total_moves for led_shard in self._led_shards.values())
             log.info(
                 "event=rebalancing_view_reported median=%.1f stale=%s silent=%s moves=%d load=%s",
                 self.view.fleet.median.total_seconds(),
                 self.view.stale_shards,
-                self.view.silent_shards,
+                self.view.shards_without_load,
                 moves,
                 ",".join(map(str, self.view.machines_by_load)),
             )
@@ -207,32 +223,32 @@
     # -- drains
 
     def _drain_changed(self, key: str, value: bytes | None, revision: int) -> None:
-        """Act on it in this very step: nothing more may start on a machine that is to be emptied."""
+        """Apply a changed drain at once, since no task may start any more on a machine that is to be emptied."""
         assert self._controller is not None and self._drains is not None
         name = key.removeprefix(DRAINS)
-        for entry in self._duties.values():
-            machine = entry.leader.shard.machines.get(name)
+        for led_shard in self._led_shards.values():
+            machine = led_shard.leader.shard.machines.get(name)
             if machine is not None:
-                entry.drains.apply(machine, self._drains.get(name))
+                led_shard.drains.apply(machine, self._drains.get(name))
 
-    def _drain_machines(self, entry: _ShardRebalancing, now: timedelta) -> None:
+    def _drain_machines(self, led_shard: _LedShard, now: timedelta) -> None:
         assert self._controller is not None and self._drains is not None
-        shard = entry.leader.shard
+        shard = led_shard.leader.shard
         drained = {name for name, machine in shard.machines.items() if machine.drain_deadline is not None}
-        for name in drained.union(name for name in self._drains.names() if name in shard.machines):
+        for name in drained.union(name for name in self._drains.machine_names() if name in shard.machines):
             machine, drain = shard.machines[name], self._drains.get(name)
-            entry.drains.apply(machine, drain)
+            led_shard.drains.apply(machine, drain)
             if drain is None:
                 continue
-            plan = Evacuation(drain.deadline, HEARTBEATS_OF_MARGIN * self._heartbeat, patient=True)
-            evacuate(shard, machine, plan, now, entry.leader.planner.run_time, entry.guidance.fetch_time)
-            if entry.drains.emptied(machine) and drain.delete:
+            plan = Evacuation(drain.deadline, DRAIN_MARGIN_HEARTBEATS * self._heartbeat, patient=True)
+            evacuate(shard, machine, plan, now, led_shard.leader.planner.run_time, led_shard.guidance.fetch_time)
+            if led_shard.drains.became_empty(machine) and drain.delete:
                 self._controller.autoscaling.deletion_queue.delete([name])
 
     async def _remove_orphans(self) -> None:
         assert self._controller is not None and self._drains is not None
         while True:
-            await self._loop.sleep(ORPHANS_LOOKED_FOR)
+            await self._loop.sleep(ORPHAN_CHECK_INTERVAL)
             if (
                 self._controller.leadership_state.autoscaler_term is not None
                 and self._controller.leadership.policy.allows(Action.CLEAN_UP)
--- a/badgerroute/rebalancing/shard_guidance.py
+++ b/badgerroute/rebalancing/shard_guidance.py
@@ -1,4 +1,4 @@
-"""What rebalancing advises one shard: see scheduling/guidance.py for where it is asked."""
+"""The scheduling guidance that rebalancing gives to one shard: an implementation of `scheduling.guidance.Guidance`."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -6,19 +6,22 @@
 from badgerroute.protocol.mesh import ShardLoad
 from badgerroute.rebalancing.fetch_rates import FetchRates
 from badgerroute.rebalancing.local_waits import LocalWaits
-from badgerroute.rebalancing.waits import RecentWaits, busy_machines
+from badgerroute.rebalancing.waits import RecentWaits, machines_by_utilization
 from badgerroute.scheduling.guidance import Guidance
 from badgerroute.scheduling.model import Job, Machine, Placement
 from badgerroute.scheduling.quota_ledger import Usage
 from badgerroute.scheduling.shard_state import ShardView
 from badgerroute.transport.loop import Loop
 
-MEAN_KEPT = timedelta(milliseconds=100)
-ACCELERATOR_WEIGHT = 8  # processors that an accelerator counts as, as in the order of service
+MEAN_REFRESH_INTERVAL = timedelta(milliseconds=100)
+ACCELERATOR_WEIGHT = 8  # CPUs that one accelerator counts as; the same as in the scheduling order of jobs
 
 
 class ShardGuidance(Guidance):
-    """Advice for one shard. `urgency` is how much sooner a team's work is to come for its waits: 1 is as it is."""
+    """Guidance for one shard.
+
+    `entitlement` returns a team's share in CPUs. `urgency` returns the factor by which long waits raise it: 1 for none.
+    """
 
     def __init__(
         self,
@@ -32,12 +35,12 @@
         self._drain_deadline = drain_deadline
         self.waits = RecentWaits(window, loop.now())
         self.rates = FetchRates()
-        self.usage: dict[str, Usage] = {}  # the shard's own use of quota, by team
+        self.usage: dict[str, Usage] = {}  # the quota in use in this shard, by team
         self.local: LocalWaits | None = None
-        self._mean, self._mean_at = 0.0, -timedelta(days=1)
+        self._mean_ratio, self._mean_computed_at = 0.0, -timedelta(days=1)
 
     def attach(self, usage: dict[str, Usage], local: LocalWaits) -> None:
-        """The shard that is advised is there."""
+        """Set the shard's quota usage and wait estimates, once its leader is ready."""
         self.usage, self.local = usage, local
 
     def task_placed(self, job: Job, waited: timedelta, now: timedelta) -> None:
@@ -46,41 +49,42 @@
 
     def image_fetched(self, placement: Placement, took: timedelta) -> None:
         """See Guidance."""
-        self.rates.learn(placement, took)
+        self.rates.record_fetch(placement, took)
 
     def precedence(self, job: Job) -> float:
-        """The team that holds least of the shard for what it is entitled to comes first, sooner if its tasks wait long.
+        """Put the team first that uses the least of the shard relative to its entitlement and urgency.
 
-        Counted by jobs, a team with many small ones always held least, and an array of another team never had its turn.
+        Usage is summed by team: when it was compared by job instead, a team with many small jobs always came first, and
+        the array of another team never had its turn.
         """
         if job.gang:
-            return 0.0  # gangs come in the order of their arrival: each needs much at once, and waits for all of it
+            return 0.0  # gangs keep their order of arrival: each waits until all of its tasks fit at once
         team = job.spec.team
-        one_more = job.need.cpus + ACCELERATOR_WEIGHT * job.need.accelerators
-        return (self._held(team) + one_more) / (self._entitlement(team) * self._urgency(team))
+        task_usage = job.need.cpus + ACCELERATOR_WEIGHT * job.need.accelerators
+        return (self._usage_of(team) + task_usage) / (self._entitlement(team) * self._urgency(team))
 
     def may_exceed_desire(self, job: Job) -> bool:
-        """A team that holds less of the shard than the others, for what it is entitled to, need not wait for desires.
+        """Return whether a job's team uses less of the shard than the mean, relative to its entitlement and urgency.
 
-        A job that comes while nothing is free begins with a desire of one slot: beside a team that sends jobs of one
-        task, whose desires are always filled first, an array then got one slot more only every ten seconds.
+        A job that arrives while nothing is free starts with a desire of one slot. Next to a team that submits jobs of
+        one task, whose desires are always filled first, an array would get only one more slot every ten seconds.
         """
         team = job.spec.team
-        return self._held(team) / (self._entitlement(team) * self._urgency(team)) < self._mean_held()
+        return self._usage_of(team) / (self._entitlement(team) * self._urgency(team)) < self._mean_usage_ratio()
 
-    def _held(self, team: str) -> float:
+    def _usage_of(self, team: str) -> float:
         used = self.usage.get(team)
         return used.cpus + ACCELERATOR_WEIGHT * used.accelerators if used is not None else 0.0
 
-    def _mean_held(self) -> float:
-        """What the teams hold of the shard, for what all of them together are entitled to."""
+    def _mean_usage_ratio(self) -> float:
+        """Return the total usage of the teams with tasks in the shard, divided by their total entitlement."""
         now = self._loop.now()
-        if now - self._mean_at >= MEAN_KEPT:
-            self._mean_at = now
+        if now - self._mean_computed_at >= MEAN_REFRESH_INTERVAL:
+            self._mean_computed_at = now
             teams = [team for team, used in self.usage.items() if used.tasks]
             entitled = sum(self._entitlement(team) for team in teams)
-            self._mean = sum(self._held(team) for team in teams) / entitled if entitled else 0.0
-        return self._mean
+            self._mean_ratio = sum(self._usage_of(team) for team in teams) / entitled if entitled else 0.0
+        return self._mean_ratio
 
     def fetch_time(self, job: Job, machine: Machine) -> timedelta:
         """See Guidance."""
@@ -96,4 +100,4 @@
 
     def load(self, shard: ShardView, now: timedelta) -> ShardLoad:
         """See Guidance."""
-        return ShardLoad(self.waits.snapshot(shard, now), busy_machines(shard))
+        return ShardLoad(self.waits.snapshot(shard, now), machines_by_utilization(shard))
--- a/badgerroute/rebalancing/spreading.py
+++ b/badgerroute/rebalancing/spreading.py
@@ -1,6 +1,6 @@
-"""Spreading a team's waiting work over the shards: who lacks how much of it, and whom to ask.
+"""Spreads a team's waiting tasks over the shards: computes how many a shard should request, and from which shard.
 
-Asked for as an ordinary steal request, so the leader of the work decides and writes, whatever its version.
+The request is an ordinary steal request, so the leader that has the tasks decides and writes, also in older versions.
 """
 
 from dataclasses import dataclass
@@ -8,13 +8,15 @@
 from badgerroute.protocol.mesh import FreeCapacity, ShardLoad, ShardSummary
 from badgerroute.scheduling.shard import Shard
 
-LACKING = 0.5  # a shard with less of its portion asks for the rest; both then have enough, so nobody asks back
-LEAST_TASKS = 2  # what is not worth a write
+# A shard with less than this fraction of its fair share requests the rest. Afterwards neither shard is below it, so no
+# tasks are requested back.
+REQUEST_THRESHOLD = 0.5
+MIN_TASKS = 2  # fewer are not worth a write to the key-value store
 
 
 @dataclass(frozen=True, slots=True)
 class WorkRequest:
-    """Waiting tasks of a team that one shard should get from another."""
+    """Waiting tasks of a team that a shard requests from another, the victim."""
 
     team: str
     victim: int
@@ -22,36 +24,39 @@
     cpus_per_task: float
 
 
-def _waiting(summary: ShardSummary, team: str) -> int:
+def _waiting_tasks(summary: ShardSummary, team: str) -> int:
     if not isinstance(summary.load, ShardLoad):
         return 0
     return sum(waits.waiting for waits in summary.load.waits if waits.team == team)
 
 
-def work_lacking(own: ShardSummary, others: list[ShardSummary], teams: list[str]) -> list[WorkRequest]:
-    """What a shard lacks of teams' waiting work for its portion of the machines, and of whom to ask it."""
-    found: list[WorkRequest] = []
+def missing_work(own: ShardSummary, others: list[ShardSummary], teams: list[str]) -> list[WorkRequest]:
+    """Return the requests with which a shard gets its fair share of teams' waiting tasks.
+
+    The fair share is proportional to the shard's machines; the victim has the most waiting tasks per machine.
+    """
+    requests: list[WorkRequest] = []
     shards = [own, *others]
     machines = sum(shard.machines for shard in shards)
     if not machines:
-        return found
+        return requests
     for team in teams:
-        total = sum(_waiting(shard, team) for shard in shards)
-        portion = total * own.machines / machines
-        here = _waiting(own, team)
-        tasks = int(portion - here)
-        if here >= LACKING * portion or tasks < LEAST_TASKS:
+        total = sum(_waiting_tasks(shard, team) for shard in shards)
+        fair_share = total * own.machines / machines
+        own_waiting = _waiting_tasks(own, team)
+        tasks = int(fair_share - own_waiting)
+        if own_waiting >= REQUEST_THRESHOLD * fair_share or tasks < MIN_TASKS:
             continue
-        victim = max(others, key=lambda shard: _waiting(shard, team) / max(1, shard.machines))
-        surplus = _waiting(victim, team) - total * victim.machines / machines
+        victim = max(others, key=lambda shard: _waiting_tasks(shard, team) / max(1, shard.machines))
+        surplus = _waiting_tasks(victim, team) - total * victim.machines / machines
         tasks = min(tasks, int(surplus))
-        if tasks >= LEAST_TASKS:
-            found.append(WorkRequest(team, victim.shard, tasks, _cpus_per_task(victim, team)))
-    return found
+        if tasks >= MIN_TASKS:
+            requests.append(WorkRequest(team, victim.shard, tasks, _cpus_per_task(victim, team)))
+    return requests
 
 
 def _cpus_per_task(summary: ShardSummary, team: str) -> float:
-    """Of the team's tasks that wait in a shard, on average."""
+    """Return the mean CPUs per task of a team's waiting tasks in a shard."""
     demands = [demand for demand in summary.demands if demand.team == team]
     tasks = sum(demand.count for demand in demands)
     if not tasks:
@@ -60,7 +65,7 @@
 
 
 def offered_capacity(shard: Shard, request: WorkRequest) -> list[FreeCapacity]:
-    """Machines of a shard for so many tasks, as if they were free: some of their capacity soon will be."""
+    """Return enough machines for the requested tasks, with all their CPUs as if free: some will be free soon."""
     cpus_left = request.tasks * request.cpus_per_task
     offered: list[FreeCapacity] = []
     for machine in shard.machines.values():
@@ -68,8 +73,18 @@
             break
         if not machine.usable or machine.reserved_for is not None:
             continue
-        kind = machine.kind
-        cpus = min(kind.cpus, max(request.cpus_per_task, cpus_left))
+        machine_type = machine.kind
+        cpus = min(machine_type.cpus, max(request.cpus_per_task, cpus_left))
         cpus_left -= cpus
-        offered.append(FreeCapacity(kind.name, machine.zone, machine.spot, cpus, kind.accelerators, kind.memory_gb, 1))
+        offered.append(
+            FreeCapacity(
+                machine_type.name,
+                machine.zone,
+                machine.spot,
+                cpus,
+                machine_type.accelerators,
+                machine_type.memory_gb,
+                1,
+            )
+        )
     return offered
--- a/badgerroute/rebalancing/view.py
+++ b/badgerroute/rebalancing/view.py
@@ -1,4 +1,4 @@
-"""The view of imbalance: how long each team's tasks wait in the whole fleet, from what the shards tell."""
+"""The queue waits of each team's tasks in the whole fleet, merged from the reports of all shards."""
 
 import logging
 import zlib
@@ -13,16 +13,16 @@
 from badgerroute.scheduling.model import ZERO
 
 log = logging.getLogger(__name__)
-MEDIAN = 50.0
-TAIL = 95.0
-MAX_HISTOGRAM_TEXT = 8192  # characters of a histogram that a peer sends: ours take a few hundred
+MEDIAN_PERCENT = 50.0
+TAIL_PERCENT = 95.0
+MAX_HISTOGRAM_CHARS = 8192  # longest histogram that is accepted from a peer; typical ones have a few hundred
 
-UNREADABLE = (HdrCookieException, HdrHistogramSettingsException, HdrLengthException, ValueError, zlib.error)
+DECODE_ERRORS = (HdrCookieException, HdrHistogramSettingsException, HdrLengthException, ValueError, zlib.error)
 
 
 @dataclass(frozen=True, slots=True)
-class ShardReading:
-    """What a shard told last, and how long ago."""
+class ShardWaitReport:
+    """The last summary of a shard, and its age."""
 
     summary: ShardSummary
     age: timedelta
@@ -30,24 +30,24 @@
 
 @dataclass(slots=True)
 class WaitStatistics:
-    """Waits of a team, of one of its classes, or of the fleet."""
+    """Wait statistics of a team, of one of its job classes, of a shard or of the fleet."""
 
     histogram: HdrHistogram = field(default_factory=new_histogram)
     waiting: int = 0
     oldest: timedelta = ZERO
 
     def add(self, waits: ClassWaits) -> None:
-        """Take in one shard's waits; what can't be read counts for nothing."""
-        if len(waits.histogram) <= MAX_HISTOGRAM_TEXT:
+        """Add the waits that a shard reports. A histogram that can't be decoded is ignored."""
+        if len(waits.histogram) <= MAX_HISTOGRAM_CHARS:
             try:
                 self.histogram.decode_and_add(waits.histogram.encode())
-            except UNREADABLE as error:
+            except DECODE_ERRORS as error:
                 log.debug("event=waits_rejected team=%s error=%s", waits.team, error)
         self.waiting += waits.waiting
         self.oldest = max(self.oldest, timedelta(seconds=waits.oldest_s))
 
     def describe(self) -> str:
-        """For a log line."""
+        """Format the statistics for a log line."""
         return (
             f"waiting={self.waiting} median={self.median.total_seconds():.1f} p95={self.tail.total_seconds():.1f} "
             f"oldest={self.oldest.total_seconds():.1f}"
@@ -55,45 +55,48 @@
 
     @property
     def tasks(self) -> int:
-        """How many tasks are counted, started lately or waiting."""
+        """Return the number of tasks in the histogram: recently started or waiting."""
         return self.histogram.get_total_count()
 
     @property
     def median(self) -> timedelta:
-        """The wait that half of the tasks did not exceed."""
-        return percentile(self.histogram, MEDIAN)
+        """Return the median wait."""
+        return percentile(self.histogram, MEDIAN_PERCENT)
 
     @property
     def tail(self) -> timedelta:
-        """The wait that 95% of the tasks did not exceed."""
-        return percentile(self.histogram, TAIL)
+        """Return the 95th percentile of the waits."""
+        return percentile(self.histogram, TAIL_PERCENT)
 
 
 class FleetView:
-    """Made of fresh readings only; shards whose reading is stale, or that tell nothing of it, are named."""
+    """Wait statistics of the fleet, from recent reports only.
 
-    def __init__(self, readings: list[ShardReading], stale_after: timedelta) -> None:
+    Shards with a stale report, or with one that contains no load, are listed separately.
+    """
+
+    def __init__(self, reports: list[ShardWaitReport], stale_after: timedelta) -> None:
         self.fleet = WaitStatistics()
         self._fleet_median: timedelta | None = None
         self.teams: dict[str, WaitStatistics] = {}
         self.classes: dict[tuple[str, str], WaitStatistics] = {}
         self.shards: dict[int, WaitStatistics] = {}
         self.machines_by_load = [0] * 10
-        self.summaries: list[ShardSummary] = []  # the fresh ones
+        self.summaries: list[ShardSummary] = []  # those that are not stale and contain the load
         self.stale_shards: list[int] = []
-        self.silent_shards: list[int] = []  # of versions that tell nothing of their load
-        latest: dict[int, ShardReading] = {}  # two controllers may name a shard for a moment
-        for reading in sorted(readings, key=lambda reading: reading.age, reverse=True):
-            latest[reading.summary.shard] = reading
-        for reading in latest.values():
-            load = reading.summary.load
-            if reading.age > stale_after:
-                self.stale_shards.append(reading.summary.shard)
+        self.shards_without_load: list[int] = []  # led by versions that do not report their load
+        latest: dict[int, ShardWaitReport] = {}  # two controllers may briefly both report a shard
+        for report in sorted(reports, key=lambda report: report.age, reverse=True):
+            latest[report.summary.shard] = report
+        for report in latest.values():
+            load = report.summary.load
+            if report.age > stale_after:
+                self.stale_shards.append(report.summary.shard)
             elif not isinstance(load, ShardLoad):
-                self.silent_shards.append(reading.summary.shard)
+                self.shards_without_load.append(report.summary.shard)
             else:
-                self.summaries.append(reading.summary)
-                self._add(reading.summary.shard, load)
+                self.summaries.append(report.summary)
+                self._add(report.summary.shard, load)
 
     def _add(self, shard: int, load: ShardLoad) -> None:
         self.shards[shard] = WaitStatistics()
@@ -105,11 +108,11 @@
         for decile, count in enumerate(load.machines_by_load[: len(self.machines_by_load)]):
             self.machines_by_load[decile] += count
 
-    def wait_ratio(self, team: str, least: timedelta) -> float:
-        """How many times the fleet's median wait a team's is; waits below `least` count as that."""
-        known = self.teams.get(team)
-        if known is None or not known.tasks:
+    def wait_ratio(self, team: str, min_wait: timedelta) -> float:
+        """Return the ratio of a team's median wait to the fleet's. Waits below `min_wait` count as `min_wait`."""
+        team_waits = self.teams.get(team)
+        if team_waits is None or not team_waits.tasks:
             return 1.0
         if self._fleet_median is None:
             self._fleet_median = self.fleet.median
-        return max(known.median, least) / max(self._fleet_median, least)
+        return max(team_waits.median, min_wait) / max(self._fleet_median, min_wait)
--- a/badgerroute/rebalancing/waits.py
+++ b/badgerroute/rebalancing/waits.py
@@ -10,36 +10,36 @@
 from badgerroute.scheduling.shard_state import ShardView
 
 MIN_MS = 1
-MAX_MS = 3_600_000  # an hour: longer waits count as this
+MAX_MS = 3_600_000  # one hour; longer waits count as one hour
 SIGNIFICANT_DIGITS = 2
-MAX_CLASSES = 200  # teams times job classes that are told apart; what comes beyond counts for its team alone
+MAX_CLASSES = 200  # pairs of team and job class with their own histogram; further classes of a team share one
 OTHER_CLASSES = "*"
-MAX_REQUEUED_COUNTED = 64  # tasks of a job whose waits are counted one by one
+MAX_REQUEUED_COUNTED = 64  # requeued tasks of a job whose waits are counted individually
 MILLISECOND = timedelta(milliseconds=1)
 
 ClassKey = tuple[str, str]  # team, job class
 
 
 def new_histogram() -> HdrHistogram:
-    """An empty histogram of milliseconds."""
+    """Create an empty histogram of waits in milliseconds."""
     return HdrHistogram(MIN_MS, MAX_MS, SIGNIFICANT_DIGITS)
 
 
 def record_wait(histogram: HdrHistogram, wait: timedelta, tasks: int = 1) -> None:
-    """Count so many tasks that waited for so long."""
+    """Record the same wait for a number of tasks."""
     histogram.record_value(min(MAX_MS, max(MIN_MS, wait // MILLISECOND)), tasks)
 
 
 def percentile(histogram: HdrHistogram, percent: float) -> timedelta:
-    """The wait that so many percent of the tasks did not exceed; none if there are no tasks."""
+    """Return the given percentile of the waits, or zero if there are none."""
     if not histogram.get_total_count():
         return ZERO
     return histogram.get_value_at_percentile(percent) * MILLISECOND
 
 
 @dataclass(slots=True)
-class _Pending:
-    """Tasks of one class that wait by now."""
+class _PendingWaits:
+    """The waiting tasks of one class."""
 
     histogram: HdrHistogram
     tasks: int = 0
@@ -47,19 +47,20 @@
 
 
 class RecentWaits:
-    """Waits of the tasks that were started within the last window, and of those that wait by now.
+    """Waits of the tasks that were started within the last window, and of those that are waiting.
 
-    The window is kept in two halves: what is told covers between half of it and all of it.
+    The window consists of two halves, of which the older is dropped at once, so a snapshot covers between half of the
+    window and all of it.
     """
 
     def __init__(self, window: timedelta, now: timedelta) -> None:
         self._half = window / 2
-        self._began = now
+        self._half_started_at = now
         self._current: dict[ClassKey, HdrHistogram] = {}
         self._previous: dict[ClassKey, HdrHistogram] = {}
 
     def record(self, job: Job, wait: timedelta, now: timedelta) -> None:
-        """A task of the job was placed after it had waited for so long."""
+        """Record how long a task of the job waited before it was placed."""
         self._rotate(now)
         key = self._key(job)
         histogram = self._current.get(key)
@@ -68,12 +69,12 @@
         record_wait(histogram, wait)
 
     def _rotate(self, now: timedelta) -> None:
-        if now - self._began < self._half:
+        if now - self._half_started_at < self._half:
             return
-        overdue = now - self._began >= 2 * self._half
-        self._previous = {} if overdue else self._current
+        both_halves_expired = now - self._half_started_at >= 2 * self._half
+        self._previous = {} if both_halves_expired else self._current
         self._current = {}
-        self._began = now
+        self._half_started_at = now
 
     def _key(self, job: Job) -> ClassKey:
         key = (job.spec.team, job.spec.job_class)
@@ -82,15 +83,15 @@
         return job.spec.team, OTHER_CLASSES
 
     def snapshot(self, shard: ShardView, now: timedelta) -> list[ClassWaits]:
-        """The waits as the other controllers are told of them."""
+        """Return the waits by class, as they are reported to the other controllers."""
         self._rotate(now)
-        pending = self._pending(shard, now)
+        pending = self._pending_by_class(shard, now)
         snapshot = []
         for key in {**self._previous, **self._current, **pending}:
             histogram = new_histogram()
-            for known in (self._previous.get(key), self._current.get(key)):
-                if known is not None:
-                    histogram.add(known)
+            for histogram_of_half in (self._previous.get(key), self._current.get(key)):
+                if histogram_of_half is not None:
+                    histogram.add(histogram_of_half)
             waiting = pending.get(key)
             if waiting is not None:
                 histogram.add(waiting.histogram)
@@ -98,26 +99,29 @@
             snapshot.append(ClassWaits(*key, tasks, oldest.total_seconds(), histogram.encode().decode()))
         return snapshot
 
-    def _pending(self, shard: ShardView, now: timedelta) -> dict[ClassKey, _Pending]:
-        """Tasks that wait for a place. What waits for its team's limit waits for nobody else's work."""
-        found: dict[ClassKey, _Pending] = {}
+    def _pending_by_class(self, shard: ShardView, now: timedelta) -> dict[ClassKey, _PendingWaits]:
+        """Return the tasks that wait for capacity.
+
+        Tasks that wait for their team's quota are left out, since no other team's tasks delay them.
+        """
+        pending_by_class: dict[ClassKey, _PendingWaits] = {}
         for job in shard.jobs.values():
             count = job.startable
             if not count or job.failing or job.blocked_until > now or shard.short_of_quota(job):
                 continue
-            pending = found.setdefault(self._key(job), _Pending(new_histogram()))
+            pending = pending_by_class.setdefault(self._key(job), _PendingWaits(new_histogram()))
             pending.tasks += count
             pending.oldest = max(pending.oldest, now - job.accepted)
             requeued = list(job.requeued.values())[: min(count, MAX_REQUEUED_COUNTED)]
-            for since in requeued:
-                record_wait(pending.histogram, now - since)
+            for requeued_at in requeued:
+                record_wait(pending.histogram, now - requeued_at)
             if count > len(requeued):
                 record_wait(pending.histogram, now - job.accepted, count - len(requeued))
-        return found
+        return pending_by_class
 
 
-def busy_machines(shard: ShardView) -> list[int]:
-    """How many machines are up to a tenth used, up to two tenths, and so on."""
+def machines_by_utilization(shard: ShardView) -> list[int]:
+    """Return the number of machines in each tenth of CPU utilization, the least utilized first."""
     counts = [0] * 10
     for machine in shard.machines.values():
         used = 1.0 - machine.free.cpus / machine.kind.cpus if machine.kind.cpus else 0.0
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -16,8 +16,8 @@
 from badgerroute.rebalancing.local_waits import FOREVER, LocalWaits
 from badgerroute.rebalancing.moves import MovePlanner
 from badgerroute.rebalancing.shard_guidance import ShardGuidance
-from badgerroute.rebalancing.spreading import WorkRequest, offered_capacity, work_lacking
-from badgerroute.rebalancing.view import FleetView, ShardReading
+from badgerroute.rebalancing.spreading import WorkRequest, missing_work, offered_capacity
+from badgerroute.rebalancing.view import FleetView, ShardWaitReport
 from badgerroute.rebalancing.waits import MAX_CLASSES, RecentWaits
 from badgerroute.scheduling.draining import Evacuation, evacuate
 from badgerroute.scheduling.guidance import Guidance
@@ -135,9 +135,9 @@
     assert len(waits.snapshot(one, 2 * S)) == MAX_CLASSES + 1
 
 
-def reading(one: Shard, waits: list, age: timedelta = 0 * S, number: int = 0) -> ShardReading:
+def reading(one: Shard, waits: list, age: timedelta = 0 * S, number: int = 0) -> ShardWaitReport:
     summary = ShardSummary(number, 1, True, 1, [], {}, {}, {}, [], 0.0, {}, {}, load=ShardLoad(waits, [1] * 10))
-    return ShardReading(summary, age)
+    return ShardWaitReport(summary, age)
 
 
 def waits_of(seconds: float, team: str = "blue", tasks: int = 10) -> tuple[Shard, list]:
@@ -153,11 +153,11 @@
 def test_the_view_merges_shards_and_leaves_out_what_is_stale_or_silent() -> None:
     one, short = waits_of(1.0)
     _, long = waits_of(9.0, "red")
-    old_version = ShardReading(ShardSummary(3, 1, True, 1, [], {}, {}, {}, [], 0.0, {}, {}), 0 * S)
+    old_version = ShardWaitReport(ShardSummary(3, 1, True, 1, [], {}, {}, {}, [], 0.0, {}, {}), 0 * S)
     _, late = waits_of(500.0)
     readings = [reading(one, short), reading(one, long, number=1), reading(one, late, 6 * S, 2), old_version]
     view = FleetView(readings, 5 * S)
-    assert view.stale_shards == [2] and view.silent_shards == [3]
+    assert view.stale_shards == [2] and view.shards_without_load == [3]
     assert view.fleet.tasks == 20 and view.machines_by_load == [2] * 10
     assert view.wait_ratio("red", S / 2) == pytest.approx(9.0, rel=0.05)
     assert view.wait_ratio("red", 20 * S) == 1.0, "too short to matter"
@@ -331,7 +331,7 @@
     own: tuple[int, int], others: list[tuple[int, int]], expected: tuple[int, int] | None
 ) -> None:
     summaries = [told(number + 1, machines, {"red": count}) for number, (machines, count) in enumerate(others)]
-    found = work_lacking(told(0, own[0], {"red": own[1]}), summaries, ["red"])
+    found = missing_work(told(0, own[0], {"red": own[1]}), summaries, ["red"])
     assert [(one.victim, one.tasks) for one in found] == ([] if expected is None else [expected])
 
 
@@ -340,10 +340,10 @@
     for here in range(0, 40):
         for there in range(0, 40):
             own, other = told(0, 7, {"red": here}), told(1, 5, {"red": there})
-            for request in work_lacking(own, [other], ["red"]):
+            for request in missing_work(own, [other], ["red"]):
                 after = told(0, 7, {"red": here + request.tasks}), told(1, 5, {"red": there - request.tasks})
-                assert work_lacking(after[0], [after[1]], ["red"]) == []
-                assert work_lacking(after[1], [after[0]], ["red"]) == []
+                assert missing_work(after[0], [after[1]], ["red"]) == []
+                assert missing_work(after[1], [after[0]], ["red"]) == []
 
 
 def test_offered_capacity_is_what_was_asked_for() -> None:
@@ -381,7 +381,7 @@
 
 def test_a_move_stops_with_time_to_save_and_keeps_the_room() -> None:
     one, victim = crowded_shard()
-    assert mover(one).round(10 * S, never) == 2
+    assert mover(one).start_moves(10 * S, never) == 2
     assert [placement.grace for placement in stopping(one)] == [S, S]
     assert one.machines["host-0"].reserved_for == "run-u"
     assert victim.no_return_until["host-0"] > 10 * S, "and it does not go back"
@@ -434,7 +434,7 @@
 def test_nothing_is_moved(change: Callable[[Shard], None]) -> None:
     one, _ = crowded_shard()
     change(one)
-    assert mover(one).round(10 * S, never) == 0
+    assert mover(one).start_moves(10 * S, never) == 0
     assert stopping(one) == []
 
 
@@ -442,21 +442,21 @@
     one = shard(machines=2)
     running(one, "run-v", "host-0", 0 * S, tasks=4, cpus=2.0, kind="group", checkpoint_s=5.0, estimate_s=300.0)
     add(one, urgent())
-    assert mover(one).round(10 * S, never) == 0
+    assert mover(one).start_moves(10 * S, never) == 0
 
 
 def test_moves_are_few_and_what_was_moved_rests() -> None:
     one, victim = crowded_shard()
     moves = mover(one, moves_per_period=3, move_period_s=30.0, move_rest_s=90.0)
-    assert moves.round(10 * S, never) == 2
+    assert moves.start_moves(10 * S, never) == 2
     for placement in stopping(one):
         one.release(placement, 11 * S)
     one.machines["host-0"].reserved_for = None
     assert planner_of(one).fill(one.machines["host-0"], 11 * S, never) == 1, "the urgent one only: nothing goes back"
     add(one, urgent(ref="run-u2"))
-    assert moves.round(15 * S, never) == 0, "two more would be more than three in a period"
-    assert moves.round(41 * S, never) == 2
-    assert moves.ledger.count == 4 and victim.no_return_until
+    assert moves.start_moves(15 * S, never) == 0, "two more would be more than three in a period"
+    assert moves.start_moves(41 * S, never) == 2
+    assert moves.ledger.total_moves == 4 and victim.no_return_until
 
 
 # -- draining a machine
--- a/tests/test_rebalancing_days.py
+++ b/tests/test_rebalancing_days.py
@@ -157,7 +157,7 @@
 
 
 def moves(day: Day) -> int:
-    return sum(run_forever.moves.ledger.count for one in rebalancers(day) for run_forever in one._duties.values())
+    return sum(shard.moves.ledger.total_moves for one in rebalancers(day) for shard in one._led_shards.values())
 
 
 def test_work_moves_aside_for_what_can_run_nowhere_else() -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -22,7 +22,7 @@
 from badgerroute.rebalancing.local_waits import LocalWaits
 from badgerroute.rebalancing.moves import MovePlanner
 from badgerroute.rebalancing.shard_guidance import ShardGuidance
-from badgerroute.rebalancing.waits import RecentWaits, busy_machines
+from badgerroute.rebalancing.waits import RecentWaits, machines_by_utilization
 from badgerroute.scheduling.heartbeat_reconciliation import HeartbeatReconciler
 from badgerroute.scheduling.planner import Planner
 from badgerroute.scheduling.scale_out_planning import ScaleOutPlan
@@ -165,8 +165,8 @@
     costs = []
     for machines in (FEW, MANY):
         shard, moves = gaining_shard(machines)
-        costs.append(calls_in(lambda moves=moves: moves.round(100 * SECOND, never)))
-        assert moves.ledger.count > 0
+        costs.append(calls_in(lambda moves=moves: moves.start_moves(100 * SECOND, never)))
+        assert moves.ledger.total_moves > 0
     assert costs[1] < 4.5 * costs[0]
 
 
@@ -177,7 +177,9 @@
         waits = RecentWaits(60 * SECOND, timedelta(0))
         for number in range(machines):
             waits.record(shard.jobs["run-waits"], number * timedelta(milliseconds=10), SECOND)
-        sizes.append(len(mesh.encoder.encode(ShardLoad(waits.snapshot(shard, 2 * SECOND), busy_machines(shard)))))
+        sizes.append(
+            len(mesh.encoder.encode(ShardLoad(waits.snapshot(shard, 2 * SECOND), machines_by_utilization(shard))))
+        )
     assert sizes[1] < 2 * sizes[0] < 20_000
 
 
--- a/tools/rebalancing_measurement.py
+++ b/tools/rebalancing_measurement.py
@@ -56,7 +56,7 @@
     unfinished = day.finish(END_LIMIT_S)
     history = day.rules.history
     teams = {ref: described["crew"] for ref, described in day.site.jobs.items()}
-    ledgers = [run_forever.moves.ledger for one in rebalancers for run_forever in one._duties.values()]
+    ledgers = [shard.moves.ledger for one in rebalancers for shard in one._led_shards.values()]
     waits = []
     for task, runs in history.runs.items():
         ref = task.rpartition("/")[0]
@@ -68,8 +68,8 @@
         machines=machines,
         ratios=wait_ratios(history.waits(teams)),
         makespan_s=(day.loop.now() - began) / SECOND,
-        moves=sum(ledger.count for ledger in ledgers),
-        move_cost_cpu_s=sum(ledger.cost for ledger in ledgers),
+        moves=sum(ledger.total_moves for ledger in ledgers),
+        move_cost_cpu_s=sum(ledger.total_cost for ledger in ledgers),
         runs_stopped=len(history.stops()),
         starts=day.rules.starts,
         problems=[*day.rules.broken, *day.history_problems(), *(f"unfinished: {ref}" for ref in unfinished)],
