--- a/badgerroute/__init__.py
+++ b/badgerroute/__init__.py
@@ -1,5 +1,6 @@
 """badgerroute: a cluster scheduler of cooperating controllers.
 
-The modules here are the programs: `cli` (command line), `daemon` (one controller as a process) and `assembly` (a
-controller with the subsystems that are switched on). They own no state and no keys, and may import every package.
+The modules at this level are entry points: `cli` (command line), `daemon` (runs a controller as a process) and
+`assembly` (builds a controller with the optional subsystems that are enabled). They own no state and no keys, and may
+import every package.
 """
--- a/badgerroute/__main__.py
+++ b/badgerroute/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m badgerroute`: the same as the installed command."""
+"""Runs the command line as `python -m badgerroute`."""
 
 import sys
 
--- a/badgerroute/cli.py
+++ b/badgerroute/cli.py
@@ -1,4 +1,4 @@
-"""The command line: run a controller, check its settings, or have machines drained."""
+"""The command line: runs a controller, checks its settings, or drains machines."""
 
 import argparse
 import logging
@@ -7,47 +7,50 @@
 
 from badgerroute import settings as settings_module
 
-LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
+LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 DRAIN_COMMANDS = ("drain", "undrain")
-OPERATOR_FILE = "BADGERROUTE_OPERATOR_SETTINGS"
+OPERATOR_SETTINGS_VARIABLE = "BADGERROUTE_OPERATOR_SETTINGS"
 
 
-def parser() -> argparse.ArgumentParser:
-    """The command line."""
-    made = argparse.ArgumentParser(prog="badgerroute", description="Run a controller of the badgerroute scheduler.")
-    made.add_argument("--config", metavar="FILE", required=True, help="the platform's settings (TOML)")
-    made.add_argument(
+def build_parser() -> argparse.ArgumentParser:
+    """Build the parser for the arguments of a controller."""
+    parser = argparse.ArgumentParser(prog="badgerroute", description="Run a controller of the badgerroute scheduler.")
+    parser.add_argument("--config", metavar="FILE", required=True, help="the platform's settings (TOML)")
+    parser.add_argument(
         "--operator-settings",
         metavar="FILE",
-        default=os.environ.get(OPERATOR_FILE),
-        help=f"the operators' own settings (HCL); default: ${OPERATOR_FILE}, else none",
+        default=os.environ.get(OPERATOR_SETTINGS_VARIABLE),
+        help=f"the operators' own settings (HCL); default: ${OPERATOR_SETTINGS_VARIABLE}, else none",
     )
-    made.add_argument("--check", action="store_true", help="check the settings, print what follows from them, and end")
-    return made
+    parser.add_argument(
+        "--check", action="store_true", help="check the settings, print what follows from them, and end"
+    )
+    return parser
 
 
 def set_up_logging() -> None:
-    """Log to standard error, as much as LOG_LEVEL says, one line an event."""
+    """Log to standard error with one line per event, at the level in the environment variable LOG_LEVEL."""
     level = os.environ.get("LOG_LEVEL", "info").lower()
     logging.basicConfig(
         stream=sys.stderr,
-        level=LEVELS.get(level, logging.INFO),
+        level=LOG_LEVELS.get(level, logging.INFO),
         format="level=%(levelname)s logger=%(name)s %(message)s",
     )
     logging.raiseExceptions = False
-    if level not in LEVELS:
+    if level not in LOG_LEVELS:
         logging.getLogger("badgerroute").warning("event=log_level_unknown value=%r used=info", level)
 
 
 def describe(settings: settings_module.Settings) -> str:
-    """What follows from the settings, for `--check`."""
+    """Return the text that `--check` prints: values that are derived from the settings."""
     params, scheduling = settings.params, settings.operator.scheduling
     return "\n".join(
         [
             f"controller {settings.platform.host_name}: home shard {settings.home} of {params.size}",
             f"teams: {', '.join(team.name for team in params.teams) or 'none'}",
             f"acts without confirmation of its leadership for {settings.grace.total_seconds():.1f} s",
-            f"takes a silent machine for rid of its tasks after {settings.machine_lease.total_seconds():.1f} s",
+            "assumes that an unresponsive machine's tasks have ended after "
+            f"{settings.machine_lease.total_seconds():.1f} s",
             f"delay scheduling: tau {scheduling.tau}; utilization feedback: delta {scheduling.delta}, "
             f"rho {scheduling.rho}, period {scheduling.period_s} s",
         ]
@@ -55,13 +58,13 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run the program; its exit code."""
+    """Run the program and return its exit code."""
     arguments = sys.argv[1:] if arguments is None else arguments
     if arguments and arguments[0] in DRAIN_COMMANDS:
         from badgerroute.rebalancing import drain_command
 
         return drain_command.main(arguments[0], arguments[1:])
-    options = parser().parse_args(arguments)
+    options = build_parser().parse_args(arguments)
     set_up_logging()
     try:
         settings = settings_module.load(options.config, options.operator_settings)
--- a/badgerroute/daemon.py
+++ b/badgerroute/daemon.py
@@ -1,4 +1,4 @@
-"""One controller on the real system: the clock, the sockets and the loop that everything else is handed."""
+"""Runs a controller as a process, with the system's clock, TCP sockets and an event loop over both."""
 
 import gc
 import logging
@@ -13,11 +13,11 @@
 
 
 def run(settings: Settings) -> int:
-    """Run one controller until it is killed; the program's exit code."""
+    """Run a controller until it is stopped, and return the exit code."""
     poller = SelectorPoller()
     loop = Loop(SystemClock(), poller)
     group = TaskGroup(loop, settings.platform.host_name)
-    gc.freeze()  # modules and settings stay for ever: no collection need look at them again
+    gc.freeze()  # modules and settings are never freed, so the garbage collector need not examine them
     gc.set_threshold(20_000, 20, 50)
     controller = build_controller(settings, loop, TcpNetwork(loop, poller), group)
     try:
--- a/badgerroute/settings/__init__.py
+++ b/badgerroute/settings/__init__.py
@@ -1,7 +1,7 @@
-"""The settings of a controller: the platform's (TOML), the operators' own (HCL), and what follows from both.
+"""The settings of a controller: the platform's (TOML), the operators' (HCL), and values derived from both.
 
-Owns the names, forms and limits of all settings; their values are read once, at the start, and do not change. It knows
-no keys. Imports no other package.
+Owns the names, types and limits of all settings. Their values are read once, at startup, and do not change. Uses no
+keys of the key-value store. Imports no other package.
 """
 
 from badgerroute.settings.derived import Settings
--- a/badgerroute/settings/derived.py
+++ b/badgerroute/settings/derived.py
@@ -1,4 +1,4 @@
-"""All settings of a controller, and what follows from them."""
+"""All settings of a controller, and the values that are derived from them."""
 
 from datetime import timedelta
 
@@ -9,19 +9,19 @@
 
 
 class Settings(Struct, frozen=True):
-    """All settings of a controller, and what follows from them."""
+    """The platform's and the operators' settings, and values derived from them."""
 
     platform: PlatformSettings
     operator: OperatorSettings = OperatorSettings()
 
     @property
     def params(self) -> Params:
-        """What all controllers of the deployment have in common."""
+        """The settings that all controllers of the deployment share."""
         return self.platform.params
 
     @property
     def hosts(self) -> list[str]:
-        """All controllers in one order that every one of them computes alike; its index is a home shard."""
+        """All controllers in an order that is the same on each of them. A controller's index is its home shard."""
         return sorted([self.platform.host_name, *(peer.host_name for peer in self.platform.peers)])
 
     @property
@@ -31,15 +31,18 @@
 
     @property
     def drift(self) -> timedelta:
-        """What two steady clocks (0.05% each way) may disagree by over the longest wait that safety rests on."""
+        """The most by which two monotonic clocks may drift apart during the longest wait that safety relies on.
+
+        That wait is `cancel_s`. Each clock may be up to 0.05% fast or slow.
+        """
         return timedelta(seconds=0.002 * self.params.workers.cancel_s)
 
     @property
     def grace(self) -> timedelta:
-        """How long a leader may act without a confirmation of its leadership: G of docs/safety.md.
+        """How long a leader may act without confirmation of its leadership, called G in docs/safety.md.
 
-        G + lease + drift must stay well inside `cancel_s`, or a controller that is cut off could keep a
-        cancelled job's task alive for too long.
+        G + lease + drift must stay well below `cancel_s`. Otherwise a controller that is cut off could keep a cancelled
+        job's task running for too long.
         """
         workers = self.params.workers
         margin = timedelta(seconds=3) + 0.05 * workers.cancel + self.drift
@@ -47,5 +50,5 @@
 
     @property
     def machine_lease(self) -> timedelta:
-        """After so long without an answer to its heartbeats, a machine has certainly killed its tasks."""
+        """The time without a response to its heartbeats after which a machine has certainly killed its tasks."""
         return self.params.workers.lease + self.drift + timedelta(milliseconds=500)
--- a/badgerroute/settings/loading.py
+++ b/badgerroute/settings/loading.py
@@ -1,4 +1,4 @@
-"""Reading both settings files, checked before anything starts: an error is one line that names the field."""
+"""Reads and checks both settings files before anything starts. An error is one line that names the field."""
 
 import importlib.util
 import tomllib
@@ -14,15 +14,15 @@
 
 
 class SettingsError(Exception):
-    """One line that names the field and what is wrong with it."""
+    """A setting is invalid. The message is one line with the file, the field and the reason."""
 
 
-def _convert(data: Any, kind: type, source: str) -> Any:
+def _convert(data: Any, struct_type: type, source: str) -> Any:
     try:
-        return msgspec.convert(data, kind)
+        return msgspec.convert(data, struct_type)
     except msgspec.ValidationError as error:
-        message, _, where = str(error).partition(" - at ")
-        path = where.strip("`").removeprefix("$.") or "top level"
+        message, _, location = str(error).partition(" - at ")
+        path = location.strip("`").removeprefix("$.") or "top level"
         raise SettingsError(f"{source}: {path}: {message}") from None
 
 
@@ -47,7 +47,7 @@
 
 
 def load_platform(path: str) -> PlatformSettings:
-    """Read the platform's file; SettingsError names the field that is wrong."""
+    """Read the platform's settings file. Raise SettingsError if a field is invalid."""
     try:
         with open(path, "rb") as file:
             data = tomllib.load(file)
@@ -61,9 +61,12 @@
 
 
 def _unquote(value: Any) -> Any:
-    """python-hcl2 gives blocks as one-element lists and adds keys of its own that begin with `__`."""
+    """Normalize the result of python-hcl2, which quotes strings and returns blocks as lists of one element.
+
+    Keys that python-hcl2 adds begin with `__` and are left out.
+    """
     if isinstance(value, dict):
-        return {key.strip('"'): _unquote(one) for key, one in value.items() if not key.startswith("__")}
+        return {key.strip('"'): _unquote(item) for key, item in value.items() if not key.startswith("__")}
     if isinstance(value, list) and len(value) == 1 and isinstance(value[0], dict):
         return _unquote(value[0])
     return value.strip('"') if isinstance(value, str) else value
@@ -79,29 +82,29 @@
     if rebalancing.move_rest_s < rebalancing.move_period_s:
         raise SettingsError(f"{source}: rebalancing.move_rest_s: must not be below move_period_s")
     if importlib.util.find_spec("hdrh") is None:
-        raise SettingsError(f"{source}: rebalancing: needs the libraries of requirements-rebalancing.txt")
+        raise SettingsError(f"{source}: rebalancing: requires the packages in requirements-rebalancing.txt")
 
 
 def _parse_hcl(text: str) -> Any:
-    import hcl2  # a parser generator comes with it: too heavy to load where no such file is used
+    import hcl2  # imported only when needed: it loads a parser generator, which takes much memory
 
     return hcl2.loads(text)
 
 
 def _parse_operator_file(path: str, text: str) -> Any:
-    """HCL, or its JSON form where the file's name ends in .json.
+    """Parse HCL, or its JSON form if the name of the file ends in .json.
 
-    On the smallest hosts the parser of the native form, loaded once at the start, had controllers killed for memory.
+    The JSON form exists because loading the HCL parser made controllers run out of memory on the smallest hosts.
     """
     try:
         return msgspec.json.decode(text) if path.endswith(JSON_SUFFIX) else _parse_hcl(text)
-    except Exception as error:  # the library lets its parser's own errors through
-        first = (str(error).strip().splitlines() or ["syntax error"])[0]
-        raise SettingsError(f"{path}: not HCL: {first}") from None
+    except Exception as error:  # python-hcl2 does not wrap its parser's errors
+        first_line = (str(error).strip().splitlines() or ["syntax error"])[0]
+        raise SettingsError(f"{path}: not HCL: {first_line}") from None
 
 
 def load_operator(path: str) -> OperatorSettings:
-    """Read the operators' file; SettingsError names the field that is wrong."""
+    """Read the operators' settings file. Raise SettingsError if a field is invalid."""
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read()
@@ -116,7 +119,7 @@
 
 
 def load(path: str, operator_path: str | None = None) -> Settings:
-    """Read both files."""
+    """Read both settings files. Without an operators' file, its defaults apply."""
     platform = load_platform(path)
     operator = load_operator(operator_path) if operator_path else OperatorSettings()
     return Settings(platform, operator)
--- a/badgerroute/settings/operator.py
+++ b/badgerroute/settings/operator.py
@@ -1,4 +1,4 @@
-"""The operators' own settings (HCL), as typed values. Unknown names are refused: a misspelt one would go unnoticed."""
+"""The operators' settings (HCL) as typed values. Unknown names are rejected, so that misspelt ones are noticed."""
 
 from datetime import timedelta
 from typing import Annotated
@@ -7,7 +7,10 @@
 
 
 class Scheduling(Struct, frozen=True, forbid_unknown_fields=True):
-    """The design's own knobs, by the paper's names."""
+    """Parameters of delay scheduling (`tau`, `wait_cap_s`) and utilization feedback (`delta`, `rho`, `period_s`).
+
+    The Greek names are those of the paper that describes the algorithms.
+    """
 
     tau: Annotated[float, Meta(ge=0, le=100)] = 1.0
     delta: Annotated[float, Meta(gt=0, lt=1)] = 0.6
@@ -18,22 +21,26 @@
 
     @property
     def period(self) -> timedelta:
-        """The time between two desires of a job."""
+        """The interval at which the desire of a job (the number of slots it asks for) is updated."""
         return timedelta(seconds=self.period_s)
 
     @property
     def wait_cap(self) -> timedelta:
-        """The longest wait for a cached image."""
+        """The longest time that a task waits for a machine that caches its image."""
         return timedelta(seconds=self.wait_cap_s)
 
     @property
     def round(self) -> timedelta:
-        """The time for one round of decisions."""
+        """The time limit of one scheduling round."""
         return timedelta(milliseconds=self.round_ms)
 
 
 class FleetSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """`return_idle`: null decides by the objectives (see `scheduling.scale_out_planning.scales_out_ahead`)."""
+    """Settings of the autoscaler.
+
+    `return_idle` is whether idle machines are returned to the cloud. If it is null, the objectives decide: see
+    `scheduling.scale_out_planning.scales_out_ahead`.
+    """
 
     return_idle: bool | None = None
     idle_s: Annotated[float, Meta(ge=0, le=86400)] = 40.0
@@ -41,12 +48,12 @@
 
     @property
     def idle(self) -> timedelta:
-        """How long an idle machine is kept."""
+        """How long a machine may be idle before it is returned to the cloud."""
         return timedelta(seconds=self.idle_s)
 
 
 class ElectionSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """Leases of shards."""
+    """Settings of the leases with which controllers lead shards."""
 
     ttl_s: Annotated[float, Meta(ge=1, le=60)] = 4.0
 
@@ -57,7 +64,7 @@
 
 
 class Rebalancing(Struct, frozen=True, forbid_unknown_fields=True):
-    """Hot teams, locality and draining of machines: off without this block. See docs/rebalancing.md."""
+    """Settings of rebalancing, which is off if the file has no such block. See docs/rebalancing.md."""
 
     window_s: Annotated[float, Meta(ge=5, le=3600)] = 60.0
     stale_s: Annotated[float, Meta(ge=1, le=60)] = 5.0
@@ -69,27 +76,27 @@
 
     @property
     def window(self) -> timedelta:
-        """Within which waits count."""
+        """The time window over which queue waits are measured."""
         return timedelta(seconds=self.window_s)
 
     @property
     def stale(self) -> timedelta:
-        """The age from which a view is not acted upon."""
+        """The age above which reports of other shards and wait estimates are ignored."""
         return timedelta(seconds=self.stale_s)
 
     @property
     def move_period(self) -> timedelta:
-        """The period that a budget of moves is for."""
+        """The period in which at most `moves_per_period` tasks are moved."""
         return timedelta(seconds=self.move_period_s)
 
     @property
     def move_rest(self) -> timedelta:
-        """How long a moved task rests."""
+        """How long a moved task may not be moved again."""
         return timedelta(seconds=self.move_rest_s)
 
 
 class Connectivity(Struct, frozen=True, forbid_unknown_fields=True):
-    """What controllers do for each other while one of them reaches only some others. See docs/connectivity.md."""
+    """Settings for partial network failures, such as the relaying of heartbeats. See docs/connectivity.md."""
 
     relay: bool = False
     relay_s: Annotated[float, Meta(ge=0, le=3600)] = 45.0
@@ -100,27 +107,27 @@
 
     @property
     def relay_for(self) -> timedelta:
-        """How long heartbeats are relayed before the shards are handed over."""
+        """How long heartbeats are relayed before leadership of the shards is transferred."""
         return timedelta(seconds=self.relay_s)
 
     @property
     def settle(self) -> timedelta:
-        """How long links must be good before shards come back."""
+        """How long connections must be stable before shards return to their home controller."""
         return timedelta(seconds=self.settle_s)
 
     @property
     def longest_settle(self) -> timedelta:
-        """The same for links that flap."""
+        """The longest such time, for connections that fail repeatedly."""
         return timedelta(seconds=self.longest_settle_s)
 
     @property
     def penalty_half_life(self) -> timedelta:
-        """In which the penalty for flapping halves."""
+        """The half-life of the penalty for connections that fail repeatedly."""
         return timedelta(seconds=self.penalty_half_life_s)
 
 
 class OperatorSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """The operators' own settings file."""
+    """The operators' settings file."""
 
     rebalancing: Rebalancing | None = None
 
--- a/badgerroute/settings/platform.py
+++ b/badgerroute/settings/platform.py
@@ -1,4 +1,4 @@
-"""The platform's settings file (TOML), as typed values. It may add fields at any time, so unknown ones are ignored."""
+"""The platform's settings file (TOML) as typed values. Unknown fields are ignored, as the platform may add some."""
 
 from datetime import timedelta
 from math import inf
@@ -13,7 +13,7 @@
 
 
 class PeerAddress(Struct, frozen=True):
-    """Another controller."""
+    """The host name, zone and address of another controller."""
 
     host_name: Name
     zone: Name
@@ -21,14 +21,14 @@
 
 
 class Endpoints(Struct, frozen=True):
-    """Where the outside systems are."""
+    """The addresses of the cloud and of the state service, which is the key-value store."""
 
     cloud: Address
     state: Address
 
 
 class Team(Struct, frozen=True):
-    """A team's guarantee and limit."""
+    """The quota of a team: `cpus` and `gpus` are guaranteed, `cpus_max` and `gpus_max` are limits."""
 
     name: Name
     cpus: Amount = 0.0
@@ -38,15 +38,16 @@
 
     @property
     def limits(self) -> tuple[float, float]:
-        """What the team's tasks may use at any time, processors and accelerators.
+        """The most CPUs and accelerators that the team's tasks may use at the same time.
 
-        0 is the platform's word for no limit. Taken for "nothing", it once had every job of a guest team refused.
+        In the file, 0 means no limit. When it was read as a limit of 0, all jobs of a team without a guarantee were
+        refused.
         """
         return self.cpus_max or inf, self.gpus_max or inf
 
 
 class Objective(Struct, frozen=True):
-    """An aim of the users."""
+    """A service objective of the deployment, such as a share of jobs that must start within a given time."""
 
     kind: str
     share: float = 1.0
@@ -56,7 +57,7 @@
 
 
 class WorkerLimits(Struct, frozen=True):
-    """The times that workers keep to."""
+    """The times that workers adhere to, in seconds."""
 
     report_s: Positive
     lease_s: Positive
@@ -66,27 +67,27 @@
 
     @property
     def heartbeat_interval(self) -> timedelta:
-        """The time between two heartbeats."""
+        """The time between two heartbeats of a worker."""
         return timedelta(seconds=self.report_s)
 
     @property
     def lease(self) -> timedelta:
-        """How long a worker keeps its tasks without an answer."""
+        """How long a worker keeps its tasks running without a response to its heartbeats."""
         return timedelta(seconds=self.lease_s)
 
     @property
     def cancel(self) -> timedelta:
-        """How long a cancelled task may still be on a machine."""
+        """How long a cancelled task may still run on a machine."""
         return timedelta(seconds=self.cancel_s)
 
     @property
     def gang_peer(self) -> timedelta:
-        """How soon a gang's tasks notice that one is gone, or stop together."""
+        """The time in which a gang's tasks notice that one of them has ended, and in which they stop together."""
         return timedelta(seconds=self.gang_peer_s)
 
 
 class LaterStoreLimits(Struct, frozen=True):
-    """Limits that the key-value store will have from some moment on, without notice; null: as now."""
+    """Limits that the key-value store will switch to later, without notice. Those that are null do not change."""
 
     rps: Positive | None = None
     write_rps: Positive | None = None
@@ -95,7 +96,7 @@
 
 
 class StoreLimits(Struct, frozen=True):
-    """What the key-value store takes."""
+    """The limits of the key-value store: requests and changes per second, size of a value, changes per transaction."""
 
     rps: Positive
     write_rps: Positive
@@ -105,35 +106,35 @@
 
     @property
     def max_changes(self) -> int:
-        """In one transaction, now and later: nobody says when the lower limit comes."""
+        """The most changes in a transaction under both the current and the later limit, which may apply at any time."""
         return min(self.txn_ops, (self.next and self.next.txn_ops) or self.txn_ops)
 
     @property
     def max_value_bytes(self) -> int:
-        """Of a value, now and later."""
+        """The largest size of a value under both the current and the later limit."""
         return int(min(self.value_kb, (self.next and self.next.value_kb) or self.value_kb) * 1024)
 
     @property
     def lower_rates(self) -> tuple[float, float]:
-        """Requests and changes a second once the service has lowered its limits."""
+        """The limits of requests and of changes per second after the service has switched to its later limits."""
         later = self.next or LaterStoreLimits()
         return min(self.rps, later.rps or self.rps), min(self.write_rps, later.write_rps or self.write_rps)
 
 
 class CloudLimits(Struct, frozen=True):
-    """What the cloud takes, and how far its list lags."""
+    """The request rate that the cloud accepts, and the delay of its machine list."""
 
     rps: Positive
     list_lag_s: Amount
 
     @property
     def list_lag(self) -> timedelta:
-        """How old the machine list usually is."""
+        """The usual age of the machine list that the cloud returns."""
         return timedelta(seconds=self.list_lag_s)
 
 
 class HostLimits(Struct, frozen=True):
-    """What a controller may use of its host."""
+    """The resources of its host that a controller may use: CPUs, memory in MB, file descriptors."""
 
     cpu: Positive
     mem_mb: Positive
@@ -141,7 +142,7 @@
 
 
 class Params(Struct, frozen=True):
-    """What all controllers of a deployment have in common."""
+    """The settings that all controllers of a deployment share."""
 
     size: Annotated[int, Meta(ge=1, le=64)]
     zones: list[Name]
