--- a/badgerroute/rebalancing/local_waits.py
+++ b/badgerroute/rebalancing/local_waits.py
@@ -60,7 +60,7 @@
                 self._waiting_tasks[job.spec.image] = self._waiting_tasks.get(job.spec.image, 0) + job.startable
         self._completed_at = now
 
-    def expected(self, job: Job, now: timedelta) -> timedelta | None:
+    def expected_wait(self, job: Job, now: timedelta) -> timedelta | None:
         """Return the expected wait of the last queued task that uses a job's image for a machine that caches it.
 
         Return None if the wait is unknown.
--- a/badgerroute/rebalancing/service.py
+++ b/badgerroute/rebalancing/service.py
@@ -40,7 +40,7 @@
 
     leader: ShardLeader
     guidance: ShardGuidance
-    local: LocalWaits
+    local_waits: LocalWaits
     moves: MovePlanner
     drains: DrainProgress
 
@@ -155,7 +155,7 @@
     def _run_shard_round(self, led_shard: _LedShard, now: timedelta, out_of_time: Callable[[], bool]) -> None:
         self._drain_machines(led_shard, now)
         if led_shard.leader.shard.reconciled:
-            led_shard.local.advance(now, out_of_time)
+            led_shard.local_waits.advance(now, out_of_time)
             led_shard.moves.start_moves(now, out_of_time)
 
     # -- the view
--- a/badgerroute/rebalancing/shard_guidance.py
+++ b/badgerroute/rebalancing/shard_guidance.py
@@ -33,23 +33,23 @@
     ) -> None:
         self._loop, self._entitlement, self._urgency = loop, entitlement, urgency
         self._drain_deadline = drain_deadline
-        self.waits = RecentWaits(window, loop.now())
-        self.rates = FetchRates()
+        self.recent_waits = RecentWaits(window, loop.now())
+        self.fetch_rates = FetchRates()
         self.usage: dict[str, Usage] = {}  # the quota in use in this shard, by team
-        self.local: LocalWaits | None = None
+        self.local_waits: LocalWaits | None = None
         self._mean_ratio, self._mean_computed_at = 0.0, -timedelta(days=1)
 
     def attach(self, usage: dict[str, Usage], local: LocalWaits) -> None:
         """Set the shard's quota usage and wait estimates, once its leader is ready."""
-        self.usage, self.local = usage, local
+        self.usage, self.local_waits = usage, local
 
     def task_placed(self, job: Job, waited: timedelta, now: timedelta) -> None:
         """See Guidance."""
-        self.waits.record(job, waited, now)
+        self.recent_waits.record(job, waited, now)
 
     def image_fetched(self, placement: Placement, took: timedelta) -> None:
         """See Guidance."""
-        self.rates.record_fetch(placement, took)
+        self.fetch_rates.record_fetch(placement, took)
 
     def precedence(self, job: Job) -> float:
         """Put the team first that uses the least of the shard relative to its entitlement and urgency.
@@ -88,11 +88,11 @@
 
     def fetch_time(self, job: Job, machine: Machine) -> timedelta:
         """See Guidance."""
-        return self.rates.fetch_time(job, machine)
+        return self.fetch_rates.fetch_time(job, machine)
 
     def local_wait(self, job: Job) -> timedelta | None:
         """See Guidance."""
-        return self.local.expected(job, self._loop.now()) if self.local is not None else None
+        return self.local_waits.expected_wait(job, self._loop.now()) if self.local_waits is not None else None
 
     def drain_deadline(self, machine: str) -> timedelta | None:
         """See Guidance."""
@@ -100,4 +100,4 @@
 
     def load(self, shard: ShardView, now: timedelta) -> ShardLoad:
         """See Guidance."""
-        return ShardLoad(self.waits.snapshot(shard, now), machines_by_utilization(shard))
+        return ShardLoad(self.recent_waits.snapshot(shard, now), machines_by_utilization(shard))
--- a/badgerroute/rebalancing/view.py
+++ b/badgerroute/rebalancing/view.py
@@ -54,7 +54,7 @@
         )
 
     @property
-    def tasks(self) -> int:
+    def task_count(self) -> int:
         """Return the number of tasks in the histogram: recently started or waiting."""
         return self.histogram.get_total_count()
 
@@ -111,7 +111,7 @@
     def wait_ratio(self, team: str, min_wait: timedelta) -> float:
         """Return the ratio of a team's median wait to the fleet's. Waits below `min_wait` count as `min_wait`."""
         team_waits = self.teams.get(team)
-        if team_waits is None or not team_waits.tasks:
+        if team_waits is None or not team_waits.task_count:
             return 1.0
         if self._fleet_median is None:
             self._fleet_median = self.fleet.median
--- a/badgerroute/settings/operator.py
+++ b/badgerroute/settings/operator.py
@@ -9,7 +9,8 @@
 class Scheduling(Struct, frozen=True, forbid_unknown_fields=True):
     """Parameters of delay scheduling (`tau`, `wait_cap_s`) and utilization feedback (`delta`, `rho`, `period_s`).
 
-    The Greek names are those of the paper that describes the algorithms.
+    `tau`, `delta` and `rho` are the symbols of the paper that describes both algorithms. They are explained in
+    `scheduling.delay_scheduling` and `scheduling.utilization_feedback`.
     """
 
     tau: Annotated[float, Meta(ge=0, le=100)] = 1.0
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -111,7 +111,7 @@
     told = waits.snapshot(one, 5 * S)
     assert [(each.team, each.job_class, each.waiting, each.oldest_s) for each in told] == [("blue", "batch", 4, 5.0)]
     view = FleetView([reading(one, told)], 5 * S)
-    assert view.teams["blue"].tasks == 13
+    assert view.teams["blue"].task_count == 13
     assert view.teams["blue"].median / S == pytest.approx(3.0, rel=0.02)
     assert view.teams["blue"].tail / S == pytest.approx(5.0, rel=0.02)
     one.jobs.clear()
@@ -158,7 +158,7 @@
     readings = [reading(one, short), reading(one, long, number=1), reading(one, late, 6 * S, 2), old_version]
     view = FleetView(readings, 5 * S)
     assert view.stale_shards == [2] and view.shards_without_load == [3]
-    assert view.fleet.tasks == 20 and view.machines_by_load == [2] * 10
+    assert view.fleet.task_count == 20 and view.machines_by_load == [2] * 10
     assert view.wait_ratio("red", S / 2) == pytest.approx(9.0, rel=0.05)
     assert view.wait_ratio("red", 20 * S) == 1.0, "too short to matter"
     assert [view.shards[shard].median > 5 * S for shard in sorted(view.shards)] == [False, True]
@@ -177,7 +177,7 @@
 def test_waits_that_cannot_be_read_count_for_nothing(text: str) -> None:
     one, waits = waits_of(1.0)
     waits[0].histogram = text
-    assert FleetView([reading(one, waits)], 5 * S).fleet.tasks == 0
+    assert FleetView([reading(one, waits)], 5 * S).fleet.task_count == 0
 
 
 # -- locality
@@ -233,10 +233,10 @@
         running(one, f"run-{number}", "host-0", since * S, estimate_s=10.0)
     job = add(one, submission("run-w", tasks=waiting, cpus=1.0))
     local = LocalWaits(one, planner_of(one).run_time, 5 * S)
-    assert local.expected(job, 5 * S) is None, "nothing is known yet"
+    assert local.expected_wait(job, 5 * S) is None, "nothing is known yet"
     assert local.advance(5 * S, never)
-    assert local.expected(job, 5 * S) == (FOREVER if expected is None else expected * S)
-    assert local.expected(job, 11 * S) is None, "too old to go by"
+    assert local.expected_wait(job, 5 * S) == (FOREVER if expected is None else expected * S)
+    assert local.expected_wait(job, 11 * S) is None, "too old to go by"
 
 
 def test_a_pass_over_many_machines_goes_on_where_its_time_ran_out() -> None:
