--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -200,7 +200,7 @@
     placement = Placement(job, 0, 1, machine, Phase.RUNNING, 0 * S)
     rates = FetchRates()
     for took in fetches:
-        rates.learn(placement, took * S)
+        rates.record_fetch(placement, took * S)
     assert rates.fetch_time(job, machine) / S == pytest.approx(expected, rel=0.05)
 
 
