--- a/badgerroute/rebalancing/service.py
+++ b/badgerroute/rebalancing/service.py
@@ -60,7 +60,7 @@
         self._drains: DrainRegistry | None = None
         self._view_refreshed_at: timedelta | None = None
         self._work_requested_at = -WORK_REQUEST_INTERVAL
-        self.view = FleetView([], rebalancing.stale)
+        self.view = FleetView([], rebalancing.stale_after)
         self._urgencies: dict[str, float] = {}
         guarantees = [team.cpus for team in settings.params.teams if team.cpus > 0]
         mean = sum(guarantees) / len(guarantees) if guarantees else 1.0
@@ -147,7 +147,7 @@
 
     def _new_led_shard(self, number: int, leader: ShardLeader) -> _LedShard:
         guidance = self._guidances[number]
-        local = LocalWaits(leader.shard, leader.planner.run_time, self._rebalancing.stale)
+        local = LocalWaits(leader.shard, leader.planner.run_time, self._rebalancing.stale_after)
         guidance.attach(leader.shard.usage, local)
         moves = MovePlanner(leader.shard, leader.planner, self._rebalancing, self._heartbeat, guidance)
         return _LedShard(leader, guidance, local, moves, DrainProgress(number))
@@ -169,7 +169,7 @@
         own = {leader.number: leader.summary() for leader in self._controller.leaders.values() if leader.ready}
         reports = [ShardWaitReport(summary, ZERO) for summary in own.values()]
         reports += [ShardWaitReport(summary, age) for summary, age in peers.shard_reports() if summary.shard not in own]
-        self.view = FleetView(reports, self._rebalancing.stale)
+        self.view = FleetView(reports, self._rebalancing.stale_after)
         # Computed once per view, as each comparison of jobs uses it and a percentile iterates over the whole histogram.
         self._urgencies = {team: self._compute_urgency(team) for team in self.view.teams}
 
--- a/badgerroute/settings/derived.py
+++ b/badgerroute/settings/derived.py
@@ -30,7 +30,7 @@
         return self.hosts.index(self.platform.host_name)
 
     @property
-    def drift(self) -> timedelta:
+    def max_clock_drift(self) -> timedelta:
         """The most by which two monotonic clocks may drift apart during the longest wait that safety relies on.
 
         That wait is `cancel_s`. Each clock may be up to 0.05% fast or slow.
@@ -41,14 +41,14 @@
     def grace(self) -> timedelta:
         """How long a leader may act without confirmation of its leadership, called G in docs/safety.md.
 
-        G + lease + drift must stay well below `cancel_s`. Otherwise a controller that is cut off could keep a cancelled
-        job's task running for too long.
+        G + lease + `max_clock_drift` must stay well below `cancel_s`. Otherwise a controller that is cut off could keep
+        a cancelled job's task running for too long.
         """
         workers = self.params.workers
-        margin = timedelta(seconds=3) + 0.05 * workers.cancel + self.drift
+        margin = timedelta(seconds=3) + 0.05 * workers.cancel + self.max_clock_drift
         return max(timedelta(seconds=1), workers.cancel - workers.lease - margin)
 
     @property
     def machine_lease(self) -> timedelta:
         """The time without a response to its heartbeats after which a machine has certainly killed its tasks."""
-        return self.params.workers.lease + self.drift + timedelta(milliseconds=500)
+        return self.params.workers.lease + self.max_clock_drift + timedelta(milliseconds=500)
--- a/badgerroute/settings/operator.py
+++ b/badgerroute/settings/operator.py
@@ -81,7 +81,7 @@
         return timedelta(seconds=self.window_s)
 
     @property
-    def stale(self) -> timedelta:
+    def stale_after(self) -> timedelta:
         """The age above which reports of other shards and wait estimates are ignored."""
         return timedelta(seconds=self.stale_s)
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -115,7 +115,7 @@
     old = production.module("settings")
     theirs = old.Settings(msgspec.convert(msgspec.to_builtins(platform), old.PlatformSettings))
     mine = new_settings.Settings(platform)
-    assert (mine.grace, mine.machine_lease, mine.drift) == (theirs.grace, theirs.machine_lease, theirs.drift)
+    assert (mine.grace, mine.machine_lease, mine.max_clock_drift) == (theirs.grace, theirs.machine_lease, theirs.drift)
     assert mine.operator.election.ttl == theirs.operator.claims.ttl
     assert mine.hosts == theirs.hosts and mine.home == theirs.home
 
