--- a/badgerroute/scheduling/array_placement.py
+++ b/badgerroute/scheduling/array_placement.py
@@ -2,8 +2,9 @@
 
 The paper's algorithm 2 (Parades, section IV.D), procedure ONUPDATE(n, delta, tau) with `n` the reporting machine: first
 tasks whose image it caches, then tasks that delay scheduling allows farther from their image. Free slots go to the job
-that holds the least, up to its desire (algorithm 1). Added here: capacity that remains after all desires are met goes
-to any job.
+that uses the smallest share of the shard, up to its desired slots: the number of tasks that it should run at once
+according to its utilization feedback (algorithm 1, `utilization_feedback`). Added here: capacity that remains when all
+jobs have their desired slots goes to any job.
 """
 
 import heapq
@@ -24,7 +25,7 @@
 from badgerroute.storage.bitset import lowest
 
 log = logging.getLogger(__name__)
-SHARED_MACHINE_WAIT = timedelta(seconds=6)  # how long a task waits for a machine in use rather than an empty one
+SHARED_MACHINE_WAIT = timedelta(seconds=6)  # a task waits this long for a machine in use before it takes an empty one
 
 
 class ArrayPlacement:
@@ -67,7 +68,10 @@
     def _admitted_jobs(
         self, jobs: list[Job], machine: Machine, in_use: list[Machine] | None, now: timedelta
     ) -> list[Job]:
-        """Filter jobs that may use a machine: it may be reserved, or empty and better kept for gangs."""
+        """Return the jobs that may use a machine, which may be reserved for one job or, if empty, be kept for gangs.
+
+        `in_use` lists the machines to prefer to this one; it is None if this machine is in use itself or reserved.
+        """
         if machine.reserved_for is not None:
             jobs = self._jobs_for_reserved_machine(machine, jobs)
         if in_use is not None:
@@ -75,7 +79,7 @@
         return jobs
 
     def _machines_in_use(self, machine: Machine) -> list[Machine]:
-        """Machines of the same zone that run tasks. Small tasks use these first, which leaves empty ones for gangs."""
+        """Machines of the same zone that run tasks. Arrays use these first, to leave empty ones for gangs."""
         return [
             other
             for other in self._shard.machines.values()
@@ -83,7 +87,10 @@
         ]
 
     def _should_wait_for_machines(self, job: Job, machines: list[Machine], now: timedelta) -> bool:
-        """Whether a job should wait: all its waiting tasks fit on machines in use that cache its image."""
+        """Whether a job should leave an empty machine alone and wait for `machines`, which already run tasks.
+
+        It should if all its waiting tasks fit on those that cache its image, until it has waited SHARED_MACHINE_WAIT.
+        """
         waiting = job.waiting_bits
         if not waiting or now - job.requeued.get(lowest(waiting), job.since) > SHARED_MACHINE_WAIT:
             return False
@@ -97,9 +104,9 @@
         return False
 
     def _jobs_for_reserved_machine(self, machine: Machine, jobs: list[Job]) -> list[Job]:
-        """The jobs that may use a reserved machine: the one it is reserved for, and those it may not preempt.
+        """The jobs that may use a reserved machine: the job it is reserved for, and those that job may not preempt.
 
-        Otherwise the capacity would go back to the tasks that were just stopped for it.
+        If other jobs could use it, the capacity would go back to the tasks that were just stopped to free it.
         """
         reserver = self._shard.jobs.get(machine.reserved_for or "")
         if reserver is None or not reserver.waiting_bits:
@@ -107,7 +114,7 @@
         return [job for job in jobs if job is reserver or not self._evictions.may_stop(job, reserver)]
 
     def _fill_group(self, machine: Machine, jobs: list[Job], now: timedelta, beyond_desire: bool) -> int:
-        """Start tasks of jobs with equal rank: nearest image first, then the job with the smallest share."""
+        """Start tasks of jobs with equal rank: nearest image first, then the job that uses the least of the shard."""
         started = 0
         for locality in LocalityLevel:
             queue: list[tuple[tuple[float, float], int, Job]] = []
@@ -126,7 +133,10 @@
     def _eligible(
         self, job: Job, machine: Machine, locality: LocalityLevel, now: timedelta, beyond_desire: bool
     ) -> bool:
-        """Whether a task of the job may start on the machine, and the machine is at this distance from the image."""
+        """Whether a task of the job may start on the machine, and `locality` is the machine's locality for the job.
+
+        With `beyond_desire`, the job may already have its desired slots.
+        """
         spec = job.spec
         if not machine.free.holds(job.need) or not allows(spec, machine.kind.name, machine.zone, machine.spot):
             return False
@@ -145,7 +155,7 @@
     def _may_fetch(self, job: Job, machine: Machine, locality: LocalityLevel, now: timedelta) -> bool:
         """Whether a task may start on a machine that must fetch its image."""
         if machine.awaits_image(gangs_only=True):
-            return False  # two fetches share the bandwidth, so this one would delay a whole gang
+            return False  # fetches share the machine's bandwidth, so a second one would delay the whole gang
         if machine.reserved_for == job.ref:
             return True
         waiting = job.waiting_bits
--- a/badgerroute/scheduling/capacities.py
+++ b/badgerroute/scheduling/capacities.py
@@ -8,16 +8,16 @@
 from badgerroute.scheduling.placement_constraints import allows
 from badgerroute.scheduling.resources import Resources
 
-ANY_ZONE = ""  # key of the slots of a job whose tasks may lie in several zones
+ANY_ZONE = ""  # the key for jobs whose tasks may run in different zones, in the result of `slots_by_zone`
 
 
 def free_resources_of(capacity: FreeCapacity) -> Resources:
-    """The free resources of each machine that the capacity describes."""
+    """The free resources of each single machine that `capacity` describes."""
     return Resources(capacity.cpus, capacity.accelerators, capacity.memory_gb)
 
 
 def fits_capacity(demand: PendingDemand, capacity: FreeCapacity) -> bool:
-    """Whether a waiting task fits in the free capacity of such a machine, and may run there."""
+    """Whether a waiting task may run, and fits, on a machine that `capacity` describes."""
     return (
         (demand.types is None or capacity.type in demand.types)
         and demand.zone in (None, capacity.zone)
@@ -27,7 +27,7 @@
 
 
 def slots_by_zone(job: Job, capacities: Iterable[FreeCapacity]) -> Counter[str]:
-    """How many tasks of a job fit: by zone if all must be in the same zone, otherwise under `ANY_ZONE`."""
+    """How many tasks of a job fit: by zone if all tasks must be in one zone, otherwise as one sum for `ANY_ZONE`."""
     slots: Counter[str] = Counter()
     for capacity in capacities:
         if allows(job.spec, capacity.type, capacity.zone, capacity.spot):
@@ -37,5 +37,5 @@
 
 
 def holds_whole_job(job: Job, capacities: Iterable[FreeCapacity]) -> bool:
-    """Whether all tasks of a job fit in these capacities at once."""
+    """Whether all tasks of a job fit in these capacities at the same time."""
     return max(slots_by_zone(job, capacities).values(), default=0) >= job.spec.tasks
--- a/badgerroute/scheduling/command_building.py
+++ b/badgerroute/scheduling/command_building.py
@@ -13,9 +13,11 @@
 ) -> list[Command]:
     """Return the halt, clear and start commands for a machine.
 
+    A halt stops a task; a clear lets the worker remove an exited task from its task list.
+
     Invariant: starts are sent once, and only in a heartbeat response (`include_starts`). Clears too are sent only in
     heartbeat responses: a clear in a direct command may be executed late, and would then clear the exit of a task that
-    was started again. `clearable` tells whether the exit of a task, by job and number, is no longer needed as evidence.
+    was started again. `clearable` returns, for a job's ID and a task's number, whether its exit may be cleared.
     """
     commands = [Command("halt", orphan.task, orphan.attempt, 0.0) for orphan in machine.orphans]
     if include_starts:
@@ -39,9 +41,9 @@
 
 
 def _start(machine: Machine, placement: Placement, now: timedelta) -> Command:
-    """Mark a start as sent and return the command. A later heartbeat shows whether it was executed."""
+    """Mark a start as sent and return the command. A later heartbeat shows whether the worker executed it."""
     placement.phase = Phase.SENT
-    machine.last_task_list = None  # read the next list even if it is unchanged
+    machine.last_task_list = None  # so that the next task list is read even if it is unchanged
     placement.sent = HeartbeatNumber(machine.incarnation, machine.sequence)
     if not placement.gang_wait_restarts:
         placement.start_requested_at = now
--- a/badgerroute/scheduling/deadline_feasibility.py
+++ b/badgerroute/scheduling/deadline_feasibility.py
@@ -2,7 +2,7 @@
 
 When there is more work than the machines can do in time, equal shares make every job late. Users count how many jobs
 complete in time, and the Moore-Hodgson algorithm maximizes that number: take the jobs in the order of their due times,
-and whenever one would be late, drop the one with the most work.
+and whenever one would be late, drop the job with the most work among those taken so far.
 """
 
 import heapq
@@ -12,15 +12,16 @@
 
 from badgerroute.scheduling.model import ZERO
 
-MIN_SPARE_TIME = timedelta(seconds=60)  # a job that can wait has this much spare time beyond twice its duration
+# Other jobs go first only if the job's spare time exceeds twice its shortest duration by more than this.
+MIN_SPARE_TIME = timedelta(seconds=60)
 
 
 @dataclass(slots=True)
 class Load:
     """The remaining work of a job.
 
-    `work` is the total processor time, `least` the shortest time in which the job can complete, `due` the time that
-    remains until each of its due times.
+    `work` is the total processor time, `least` the shortest time in which the job can complete. A job may have several
+    due times; `due` holds the time that remains until each.
     """
 
     ref: str
@@ -30,8 +31,8 @@
 
 
 def _on_time_loads(loads: Iterable[Load], due_index: int, earlier_work: timedelta, processors: float) -> list[Load]:
-    """The jobs that can meet their due time at `due_index` if work that takes `earlier_work` precedes them."""
-    kept: list[tuple[timedelta, str, Load]] = []  # a heap with the most work first
+    """The jobs that can meet their due time number `due_index` if they start after work that takes `earlier_work`."""
+    kept: list[tuple[timedelta, str, Load]] = []  # a heap; the job with the most work is popped first
     total = earlier_work
     candidates = [load for load in loads if due_index < len(load.due) and load.least <= load.due[due_index]]
     for load in sorted(candidates, key=lambda candidate: (candidate.due[due_index], candidate.ref)):
@@ -43,14 +44,15 @@
 
 
 def _can_wait(load: Load, due_index: int) -> bool:
-    """Whether a job has enough time to spare for other jobs to go first."""
+    """Whether a job has so much time to spare before this due time that other jobs may go first."""
     return load.due[due_index] - load.least > 2 * load.least + MIN_SPARE_TIME
 
 
 def tiers(groups: Iterable[Sequence[Load]], processors: float) -> dict[str, float]:
-    """How many of its due times each job will miss, plus 0.5 if it can wait for others, by job.
+    """Return the lateness tier of each job: how many of its due times it will miss, plus 0.5 if it can wait.
 
-    `groups` are in the order of service: the jobs of a group precede those of all later groups.
+    A job can wait if it has so much spare time that other jobs may go first (`_can_wait`). `groups` are in the order of
+    service: the jobs of a group precede those of all later groups.
     """
     processors = max(processors, 1.0)
     tier_by_ref: dict[str, float] = {}
--- a/badgerroute/scheduling/delay_scheduling.py
+++ b/badgerroute/scheduling/delay_scheduling.py
@@ -7,8 +7,9 @@
 - after `tau * p` on a machine in a zone where some machine caches it (the paper: rack-local);
 - after `2 * tau * p` on any machine that fits (the paper: if also n.free >= 1 - delta).
 
-Changed here: no wait is longer than fetching the image would take, or than `scheduling.wait_cap_s`, or than allows the
-task to start when its user expects it. Tasks do not wait for an image that no machine of the shard caches.
+Changed here: each wait is limited to the image's fetch time, to `scheduling.wait_cap_s`, and to the longest wait after
+which the task could still fetch its image and start as soon as its user expects. Tasks do not wait at all if no machine
+of the shard caches their image.
 """
 
 from collections.abc import Iterable
@@ -22,15 +23,15 @@
 
 
 class LocalityLevel(IntEnum):
-    """How far a machine is from a task's image, as levels with increasing distance."""
+    """How far a machine is from a task's image; a higher level is a greater distance."""
 
-    CACHED = 0
-    ZONE = 1
-    ANY = 2
+    CACHED = 0  # the machine caches the image
+    ZONE = 1  # another machine of its zone does
+    ANY = 2  # no machine of its zone does
 
 
 class ImageLocations:
-    """Where images are cached in a shard, collected once per computed order of service."""
+    """The zones in which each image is cached in a shard, as found when the order of service was last computed."""
 
     def __init__(self, machines: Iterable[Machine]) -> None:
         self.zones: dict[str, set[str]] = {}
@@ -44,7 +45,7 @@
         return image in self.zones
 
     def in_zone(self, image: str, zone: str) -> bool:
-        """Whether a machine in a zone caches an image."""
+        """Whether any machine of the shard in a zone caches an image."""
         return zone in self.zones.get(image, ())
 
 
@@ -71,9 +72,9 @@
 ) -> LocalityLevel:
     """The highest locality level that a task may use after a wait.
 
-    `fetch` is how long fetching the image would take, `correction` the factor by which runs of the job's class exceed
-    their estimates. `start_within` is how soon the task is expected to start: it must not wait so long for a cached
-    image that a fetch would end too late.
+    `fetch` is how long fetching the image would take, `correction` the mean ratio of actual to estimated run times in
+    the job's class. `start_within` is how soon the task is expected to start: it must not wait so long for a machine
+    that caches the image that a fetch begun afterwards would end too late.
     """
     if not images.cached(job.spec.image):
         return LocalityLevel.ANY
--- a/badgerroute/scheduling/dependencies.py
+++ b/badgerroute/scheduling/dependencies.py
@@ -1,7 +1,8 @@
-"""The dependency graph of jobs: which jobs are released, and which are cancelled because a predecessor was.
+"""The dependency graph of jobs: which jobs are released, and which are cancelled because a predecessor was cancelled.
 
-All results are derived from final states, which are durable and never change. So every controller reaches the same
-result at any time, also after a failover. There are no counters that could become wrong.
+A job is released, that is, may be scheduled, once all its predecessors are done. All results are derived from final
+states, which are durable and never change. So every controller reaches the same result at any time, also after a
+failover. There are no counters that could become wrong.
 """
 
 from collections.abc import Callable, Container, Iterable, Iterator
@@ -12,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FinalState:
-    """How a job ended, the wall-clock time at which it did, and the revision of the record of its final state."""
+    """How a job ended, the wall-clock time at which it ended, and the revision of the record that says so."""
 
     state: JobState
     reached: float
@@ -25,16 +26,17 @@
 class Dependencies:
     """Tracks unfinished jobs and their predecessors.
 
-    `final` returns the known final state of a job. `released` and `cancelled` are called once for each job.
+    `final` returns the known final state of a job. `released` and `cancelled` are called at most once for each job,
+    when all its predecessors are done and when a predecessor is cancelled.
     """
 
     def __init__(self, final: FinalStateOf, released: Callable[[str], None], cancelled: Callable[[str], None]) -> None:
         self._final, self._released, self._cancelled = final, released, cancelled
         self._predecessors: dict[str, tuple[str, ...]] = {}  # unfinished job -> its predecessors
         self._unfinished_predecessors: dict[str, set[str]] = {}  # waiting job -> predecessors not known to be done
-        self._released_at: dict[str, float] = {}  # unfinished job -> when its last known predecessor was done
+        self._released_at: dict[str, float] = {}  # unfinished job -> latest completion of a predecessor so far
         self._dependents: dict[str, dict[str, None]] = {}  # predecessor -> unfinished jobs that wait for it
-        self.cancelled: set[str] = set()  # unfinished jobs that are cancelled because a predecessor is
+        self.cancelled: set[str] = set()  # unfinished jobs that are cancelled because a predecessor was
 
     def add(self, ref: str, predecessors: Iterable[str]) -> None:
         """Add an unfinished job and the jobs that it waits for."""
@@ -102,7 +104,7 @@
             self._cancelled(current)
 
     def waits(self, ref: str) -> bool:
-        """Whether some predecessor is not known to be done; until all are, the job is not scheduled."""
+        """Whether some predecessor is not known to be done. The job is not scheduled until all are."""
         return ref in self._unfinished_predecessors
 
     def waits_for(self, ref: str) -> Iterable[str]:
@@ -110,7 +112,7 @@
         return self._unfinished_predecessors.get(ref, ())
 
     def released_at(self, ref: str) -> float:
-        """The wall-clock time at which the last of a job's predecessors was done."""
+        """The wall-clock time at which the last of a job's predecessors was done, or 0.0 if none is known."""
         return self._released_at.get(ref, 0.0)
 
     def predecessors(self) -> list[str]:
@@ -118,15 +120,15 @@
         return list(self._dependents)
 
     def dependents(self, ref: str) -> Iterable[str]:
-        """The jobs that name a job as a predecessor."""
+        """The unfinished jobs that wait for a job."""
         return self._dependents.get(ref, ())
 
     def unknown(self, unfinished: Container[str]) -> list[str]:
-        """Predecessors that are neither known to be unfinished nor have a known final state."""
+        """The predecessors whose state is not known: they are not in `unfinished` and have no known final state."""
         return [ref for ref in self._dependents if ref not in unfinished]
 
     def unknown_ancestors(self, ref: str, unfinished: Container[str]) -> Iterator[str]:
-        """Yield the unknown predecessors of a job and of all jobs that it waits for, directly or indirectly."""
+        """Yield those jobs that a job waits for, directly or indirectly, whose state is not known (see `unknown`)."""
         seen, queue = {ref}, [ref]
         while queue:
             for predecessor in self._unfinished_predecessors.get(queue.pop(), ()):
--- a/badgerroute/scheduling/draining.py
+++ b/badgerroute/scheduling/draining.py
@@ -1,4 +1,4 @@
-"""Empties a machine by a deadline: decides which tasks may finish there and when the others are stopped."""
+"""Empties a machine by a deadline: decides which tasks may finish on it and when the others are stopped."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -16,9 +16,10 @@
 class Evacuation:
     """How a machine is emptied by a deadline.
 
-    `margin` is how long before the deadline the last command must be sent, since commands wait for heartbeats. A
-    `patient` evacuation lets tasks without checkpoints run until then, in case their estimate is too long. Otherwise,
-    tasks that will probably not finish in time are stopped at once.
+    `margin` is how long before the deadline the last stop command must be sent, since commands wait for heartbeats. A
+    `patient` evacuation lets running tasks without checkpoints run until `margin` before the deadline, in case they
+    finish earlier than their estimated run time says. An evacuation that is not patient stops tasks at once if they
+    will probably not finish by the deadline or do not run yet.
     """
 
     deadline: timedelta
@@ -27,12 +28,12 @@
 
 
 def save_time(job: Job) -> timedelta:
-    """The grace period in which a task can save its work; zero if it has no checkpoints."""
+    """The grace period in which a job's tasks can save their work; zero if they have no checkpoints."""
     return timedelta(seconds=job.spec.save_s) if job.spec.checkpoint_s else ZERO
 
 
 def remaining_time(placement: Placement, now: timedelta, run_time: RunTime, fetch_time: FetchTime) -> timedelta:
-    """The expected remaining time of a task on its machine, including an image fetch that has not ended."""
+    """How much longer a task is expected to stay on its machine, with a whole image fetch if that has not ended."""
     run = run_time(placement.job)
     if placement.running_since is not None:
         return max(ZERO, run - (now - placement.running_since))
@@ -43,11 +44,14 @@
 def evacuate(
     shard: Shard, machine: Machine, plan: Evacuation, now: timedelta, run_time: RunTime, fetch_time: FetchTime
 ) -> int:
-    """Stop the tasks that must leave a machine now, with their whole gangs. Return how many stops were needed."""
+    """Stop the tasks that must leave a machine now, with their whole gangs. Return the number of stops.
+
+    Stopping a gang counts once.
+    """
     stopped = 0
     for placement in list(machine.placements.values()):
         if machine.placements.get(placement.key) is not placement:
-            continue  # it was removed when its gang was stopped for another task
+            continue  # removed when its gang was stopped because of another task of it
         grace = _grace_if_due(placement, plan, now, remaining_time(placement, now, run_time, fetch_time))
         if grace is None or (placement.grace is not None and placement.grace <= grace):
             continue
@@ -60,7 +64,7 @@
 
 
 def _grace_if_due(placement: Placement, plan: Evacuation, now: timedelta, remaining: timedelta) -> timedelta | None:
-    """The grace period with which to stop a task now, or None if it need not stop yet or should finish in time."""
+    """The grace period with which to stop a task now, or None if it need not stop now or is already stopping."""
     time_left = plan.deadline - now
     if time_left <= ZERO:
         return ZERO
--- a/badgerroute/scheduling/events.py
+++ b/badgerroute/scheduling/events.py
@@ -1,4 +1,4 @@
-"""The changes that a message from a machine brought about, for callers to act on."""
+"""The changes that a message from a machine caused in the shard's state, for callers to act on."""
 
 from dataclasses import dataclass, field
 
@@ -11,4 +11,4 @@
 
     progressed: set[str] = field(default_factory=set)  # IDs of jobs with newly completed tasks
     capacity_freed: bool = False  # a placement was removed
-    quarantined: list[Machine] = field(default_factory=list)
+    quarantined: list[Machine] = field(default_factory=list)  # newly quarantined, because tasks fail on them
--- a/badgerroute/scheduling/evictions.py
+++ b/badgerroute/scheduling/evictions.py
@@ -1,4 +1,4 @@
-"""Finds which tasks could be stopped for a job, on which machines and at what cost; `preemption` decides."""
+"""Finds the tasks that could be stopped for a job, their machines and the cost; `preemption` decides which to stop."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -11,7 +11,7 @@
 from badgerroute.scheduling.shard import Shard
 from badgerroute.scheduling.task_phase import Phase
 
-MIN_CPUS_COUNTED = 0.01  # so that stopping tasks that use almost no processors has a cost too
+MIN_CPUS_COUNTED = 0.01  # lower bound per task, so that stopping a task that uses almost no processors has a cost
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +24,7 @@
 
 
 class EvictionPlanner:
-    """Finds the machines of one shard on which a job could run, and the tasks to stop there for it."""
+    """Finds the machines of one shard on which a job could run, and the tasks to stop on them to make room for it."""
 
     def __init__(self, shard: Shard, order: ServiceOrder) -> None:
         self._shard, self._order = shard, order
@@ -46,8 +46,9 @@
     def may_stop(self, victim: Job, job: Job) -> bool:
         """Whether a victim's tasks may be stopped for a job.
 
-        The order of service decides, as it does for starts. If two jobs could stop each other, they would do so in turn
-        and neither would ever complete.
+        The job must be of a higher priority class, and of another team if both have the same level. The class also
+        decides which job starts first: if two jobs could stop each other, they would do so in turn and neither would
+        ever complete.
         """
         if self._order.priority_class(job) >= self._order.priority_class(victim):
             return False
@@ -57,8 +58,8 @@
     def _loss(placement: Placement, now: timedelta) -> float:
         """The cost of stopping a task, in processor-seconds: the work it would lose, or the time spent on its fetch.
 
-        The cost grows with each earlier preemption of the job. Otherwise a gang that is always still fetching, and so
-        always the cheapest to stop, would never run.
+        The cost grows with each earlier preemption of the task's gang. Without that, a gang that is stopped during each
+        image fetch, when it is the cheapest to stop, might never run.
         """
         spec = placement.job.spec
         if placement.running_since is None:
@@ -72,10 +73,11 @@
     def cheapest(self, machine: Machine, job: Job, now: timedelta) -> Eviction | None:
         """Find the cheapest tasks to stop on a machine so that one task of the job fits.
 
-        The eviction has no victims if the tasks that are already stopping free enough. Return None if the task would
-        not fit even if all tasks that may be stopped were.
+        The eviction has no victims if the tasks that are already stopping free enough capacity. Return None if the task
+        would not fit even after every task that may be stopped was stopped.
         """
-        # Most machines run too few lower-level tasks; the sums per level show this without a look at each task.
+        # On most machines, the tasks below the job's level use too little to make room for it. The sums per level show
+        # this without iterating over the tasks.
         if not machine.stopping_count and not self.reclaimable_on(machine, job.level + job.guaranteed).holds(job.need):
             return None
         available = machine.free.copy()
@@ -99,7 +101,7 @@
 
     @staticmethod
     def reclaimable_on(machine: Machine, level: int) -> Resources:
-        """The capacity a machine could offer a job of a level: what is free or used by tasks below the level."""
+        """The capacity that a machine could offer to a job of a level: what is free or used by tasks below it."""
         total = machine.free.copy()
         for allocated_level, allocated in machine.allocated_by_level.items():
             if allocated_level < level:
@@ -107,7 +109,7 @@
         return total
 
     def reclaimable_by_machine(self, level: int) -> list[tuple[Machine, Resources]]:
-        """The capacity that each usable machine without a reservation could offer a job of a level."""
+        """The capacity that each usable machine could offer to a job of a level. Reserved machines are left out."""
         return [
             (machine, self.reclaimable_on(machine, level))
             for machine in self._shard.machines.values()
@@ -115,7 +117,7 @@
         ]
 
     def reclaimable_cpus_by_image(self, level: int, max_machines: int) -> dict[str, list[float]]:
-        """For each image, the processors that machines caching it could offer a job of a level, largest first.
+        """For each image, the processors that each machine caching it could offer to a job of a level, largest first.
 
         Machines that could offer less than half of their processors are left out. At most `max_machines` machines are
         listed per image.
--- a/badgerroute/scheduling/failures.py
+++ b/badgerroute/scheduling/failures.py
@@ -1,4 +1,4 @@
-"""Tells faulty machines, on which tasks fail that run elsewhere, from faulty jobs, which fail on every machine."""
+"""Distinguishes faulty machines, on which tasks of healthy jobs fail, from faulty jobs, which fail on every machine."""
 
 import logging
 from datetime import timedelta
@@ -8,14 +8,16 @@
 from badgerroute.scheduling.shard_state import ShardState
 
 log = logging.getLogger(__name__)
-QUARANTINE_JOBS = 2  # a machine on which this many different jobs fail is suspect
-QUARANTINE_FAILURES = 3  # so is a machine on which a job that succeeds elsewhere fails this often
+QUARANTINE_JOBS = 2  # a machine on which at least this many jobs fail is quarantined
+QUARANTINE_FAILURES = 3  # so is one on which a job that succeeds elsewhere fails at least this often
 AVOID_AFTER_FAILURE = timedelta(seconds=5)  # how long no task is placed on a machine after a failure
-FAILURES_CLEARED_AFTER = timedelta(seconds=30)  # then a job may use a machine again on which it failed
-FAILING_AFTER_MACHINES = 3  # a job that fails on this many and succeeds on none is faulty itself
+# When a job has had no failure for this long, it may again use the machines on which it failed.
+FAILURES_CLEARED_AFTER = timedelta(seconds=30)
+FAILING_AFTER_MACHINES = 3  # a job that fails on at least this many, and succeeds on none, is faulty itself
 AVOID_AFTER_REFUSAL = timedelta(seconds=2)  # how long no task is placed on a machine that refused a start
-BACKOFF_BASE = timedelta(seconds=2)  # wait after `no_such`; doubled with each failed try of a failing job
-MAX_BACKOFF = timedelta(seconds=60)
+# The wait after the exit cause `no_such`; for a failing job, it is doubled with each failed try.
+BACKOFF_BASE = timedelta(seconds=2)
+MAX_BACKOFF = timedelta(seconds=60)  # longest wait between two tries of a failing job
 
 
 class FailureTracker:
@@ -53,7 +55,8 @@
     def _seems_failing(job: Job) -> bool:
         """Whether the job itself seems faulty: no task of it was ever done, and it fails on every machine.
 
-        Many machines may be faulty at once, so it must have failed on more machines than it runs on.
+        Many machines may be faulty at once. So it must also have failed on more machines than those on which it runs
+        and has not failed.
         """
         if job.failing or job.done | job.done_here:
             return job.failing
@@ -61,17 +64,20 @@
         return len(job.failed_on) >= FAILING_AFTER_MACHINES and len(job.failed_on) > len(running - job.failed_on.keys())
 
     def _jobs_failing_only_on(self, machine: Machine) -> int:
-        """How many jobs failed on this machine only; jobs that fail elsewhere too may be faulty themselves."""
+        """How many jobs failed on this machine only. Jobs that failed elsewhere too may be faulty themselves."""
         jobs = [self._shard.jobs.get(ref) for ref in machine.failed_jobs]
         return sum(job is not None and job.failed_on.keys() == {machine.name} for job in jobs)
 
     def clear_failures(self, job: Job, now: timedelta) -> None:
-        """Forget old failures of a job, which could otherwise wait for ever if only those machines may run it."""
+        """Forget the old failures of a job, so that it may use the machines again on which it failed.
+
+        If only these machines may run it, it would otherwise wait for ever.
+        """
         if job.failed_on and not job.failing and now - job.last_failure_at >= FAILURES_CLEARED_AFTER:
             job.failed_on = {}
 
     def _mark_job_failing(self, job: Job, machine: Machine, now: timedelta) -> None:
-        """Mark a job as failing, so it is tried seldom and its failures do not get healthy machines quarantined."""
+        """Mark a job as failing, so that it is retried rarely and its failures do not quarantine healthy machines."""
         if not job.failing:
             log.info(
                 "event=job_marked_failing job=%s shard=%d machines=%d", job.ref, self._shard.number, len(job.failed_on)
@@ -84,10 +90,10 @@
         if now >= job.blocked_until:  # failures of tasks that were started together count once
             job.probe_count += 1
             job.blocked_until = now + min(MAX_BACKOFF, BACKOFF_BASE * 2 ** min(10, job.probe_count))
-        job.failed_on = {machine.name: 1}  # the next try may use any other machine
+        job.failed_on = {machine.name: 1}  # the next try may use any machine but this one
 
     def attribute_to_machines(self, job: Job, machine: Machine, events: Events) -> None:
-        """Attribute a job's earlier failures to the machines, since a task of it was done and so it is not faulty."""
+        """Attribute a job's earlier failures to the machines: a task was done on `machine`, so the job is healthy."""
         failed_on, job.failed_on = job.failed_on, {}
         job.failing, job.probe_count, job.blocked_until = False, 0, ZERO
         for name, tasks in failed_on.items():
--- a/badgerroute/scheduling/gang_placement.py
+++ b/badgerroute/scheduling/gang_placement.py
@@ -1,7 +1,7 @@
-"""Placement of gangs: all tasks of a gang are placed in one round or none, near copies of their image if possible.
+"""Placement of gangs: all tasks of a gang are placed in one round or none, near cached copies of their image.
 
-An addition to the paper, whose tasks start one by one (docs/design.md). Delay scheduling decides how far from their
-image tasks may start, as for arrays.
+An addition to the paper, whose tasks start one by one (docs/design.md). As for arrays, delay scheduling decides how far
+from their image tasks may start.
 """
 
 import logging
@@ -21,7 +21,7 @@
 from badgerroute.storage.bitset import lowest
 
 log = logging.getLogger(__name__)
-FETCHING_PENALTY = 1000.0  # greater than the number of images that a machine caches
+FETCHING_PENALTY = 1000.0  # exceeds the number of images on any machine, so machines that already fetch sort last
 
 
 class _Option(NamedTuple):
@@ -30,12 +30,13 @@
     locality: LocalityLevel
     fetch_penalty: float
     free_cpus: float
-    last_message_s: float  # the machine whose next heartbeat is due first gets the start command first
+    # Machines with older last messages come first: they send heartbeats, and receive start commands, sooner.
+    last_message_s: float
     machine: Machine
 
 
 class GangPlacement:
-    """Places the gangs of one shard, on heartbeats and in rounds of their own."""
+    """Places the gangs of one shard: on each heartbeat of a machine, and in periodic rounds over all gangs."""
 
     def __init__(
         self,
@@ -55,7 +56,9 @@
         self.overrun_rounds = 0  # rounds that ran out of time
 
     def place_on(self, machine: Machine, now: timedelta, out_of_time: Callable[[], bool]) -> int:
-        """Place gangs that may have lacked only this machine, without preemption. Return how many were placed.
+        """Place gangs that may have waited only for capacity on this machine. Return how many were placed.
+
+        Preempts tasks only for a gang whose image fetch would take too long.
 
         `out_of_time` tells when the round must end.
         """
@@ -109,7 +112,7 @@
         return True
 
     def _find_options(self, job: Job, wait: timedelta, now: timedelta) -> tuple[list[_Option], bool]:
-        """The machines on which a task may start now, and whether others are excluded only by their image distance."""
+        """The machines on which a task may start now, and whether delay scheduling alone excludes some others."""
         options: list[_Option] = []
         blocked_by_locality = False
         for machine in self._evictions.candidates(job, now, with_free_cpus=True):
@@ -126,7 +129,7 @@
 
     @staticmethod
     def _fetch_penalty(machine: Machine, locality: LocalityLevel) -> float:
-        """How unsuitable a machine is for a fetch: it may evict images, and concurrent fetches share its bandwidth."""
+        """How unsuitable a machine is for a fetch, which may evict images and shares bandwidth with other fetches."""
         if locality is LocalityLevel.CACHED:
             return 0.0
         return len(machine.images) + (FETCHING_PENALTY if machine.awaits_image() else 0.0)
@@ -152,7 +155,7 @@
                 machine.reserved_for = None
 
     def _choose_machines(self, job: Job, tasks: int, options: list[_Option]) -> list[Machine] | None:
-        """Choose machines for all tasks, nearest image first, then the tightest fit; None if there are too few."""
+        """Choose machines for all tasks: nearest image first, then least free processors; None if there are too few."""
         options = sorted(options, key=lambda option: (*option[:4], option.machine.name))
         if not job.spec.together:
             return self._first_fitting(job, tasks, [option.machine for option in options])
@@ -183,9 +186,11 @@
     def _preempt_on_caching_machines(
         self, job: Job, tasks: int, chosen: list[Machine], wait: timedelta, now: timedelta
     ) -> bool:
-        """Preempt on machines that cache the image if a fetch would take too long and cost at least as much.
+        """Preempt tasks on machines that cache the image if fetching it on the chosen machines would take too long.
 
-        Return whether tasks were stopped; the gang then waits for those machines.
+        A machine is used only if the work lost by preemption on it is at most the processor time that a task of the
+        gang would spend waiting for the fetch. Return whether tasks were stopped for the gang; it then waits until the
+        machines on which they ran have room.
         """
         fetch = max(
             (fetch_time(job, machine) for machine in chosen if job.spec.image not in machine.images), default=ZERO
@@ -203,7 +208,7 @@
         return self._preemption.evict_for_gang(job, tasks, options, now)
 
     def unplaceable_gangs(self, now: timedelta) -> list[Job]:
-        """Gangs that have waited long and for which preemption in this shard could not free enough capacity."""
+        """Gangs that have waited long enough to preempt, but for which this shard could not free enough capacity."""
         holders = {machine.reserved_for for machine in self._shard.machines.values()}
         return [
             job
--- a/badgerroute/scheduling/guidance.py
+++ b/badgerroute/scheduling/guidance.py
@@ -1,8 +1,8 @@
-"""The interface through which code outside the scheduling core influences a shard's decisions.
+"""The interface through which code outside this package influences a shard's decisions.
 
-The scheduling rules ask for guidance where they leave a choice: which job of a group comes first, how long it pays to
-wait for a cached image, and which machines to drain. The neutral defaults in this module influence nothing. An
-implementation is passed to the shard; it never starts or stops tasks itself.
+The scheduling rules ask for guidance where they leave a choice: which of several jobs of equal rank comes first, how
+long it pays to wait for a machine that caches the image, and which machines to drain. The neutral defaults in this
+module change no decision. An implementation is passed to the shard; it never starts or stops tasks itself.
 """
 
 from datetime import timedelta
@@ -19,17 +19,17 @@
     """Neutral guidance; implementations override the methods for which they have information."""
 
     def task_placed(self, job: "Job", waited: timedelta, now: timedelta) -> None:
-        """Called when a task was placed on a machine, with how long it had waited."""
+        """Called when a task was placed on a machine; `waited` is how long the task had waited."""
 
     def image_fetched(self, placement: "Placement", took: timedelta) -> None:
-        """Called when a machine has fetched a task's image, with how long the fetch took."""
+        """Called when a machine has fetched a task's image; `took` is the duration of the fetch."""
 
     def precedence(self, job: "Job") -> float:
         """Sort key of a job among jobs of equal rank in the order of service; lower values come first."""
         return 0.0
 
     def may_exceed_desire(self, job: "Job") -> bool:
-        """Whether a job that holds its desired slots may start more tasks before other jobs have theirs."""
+        """Whether a job may start tasks beyond its desired slots even before other jobs have their desired slots."""
         return False
 
     def fetch_time(self, job: "Job", machine: "Machine") -> timedelta:
@@ -41,11 +41,11 @@
         return None
 
     def drain_deadline(self, machine: str) -> timedelta | None:
-        """When a machine must be empty, on the monotonic clock, or None if it is not drained."""
+        """When a machine must be empty, on the monotonic clock, or None if it is not being drained."""
         return None
 
     def load(self, shard: ShardView, now: timedelta) -> ShardLoad | UnsetType:
-        """The shard's waits and load for the other controllers, or UNSET if they are not reported."""
+        """The shard's load and waiting times to report to the other controllers, or UNSET to report none."""
         return UNSET
 
 
--- a/badgerroute/scheduling/heartbeat_reconciliation.py
+++ b/badgerroute/scheduling/heartbeat_reconciliation.py
@@ -1,7 +1,7 @@
 """Reconciles a shard's placements with the task lists that its machines report in heartbeats.
 
-Safety depends on these rules (docs/safety.md): they determine which start commands arrived, which tasks certainly no
-longer run, and which tasks a former leader started.
+Safety depends on the rules in this module (docs/safety.md): they determine which start commands arrived, which tasks
+certainly no longer run, and which tasks a former leader started.
 """
 
 import logging
@@ -18,13 +18,13 @@
 from badgerroute.scheduling.task_phase import Phase
 
 log = logging.getLogger(__name__)
-PHASES = {  # by the task states in heartbeats
+PHASES = {  # task state in a heartbeat -> phase
     "fetching": Phase.FETCHING,
     "waiting": Phase.WAITING,
     "running": Phase.RUNNING,
     "flushing": Phase.SAVING,
 }
-MAX_MISSED_STARTS = 2  # a single response may be lost in the network
+MAX_MISSED_STARTS = 2  # then the machine counts as unreachable; a single response may be lost in the network
 
 
 class HeartbeatReconciler:
@@ -35,7 +35,7 @@
         self._exits = TaskExits(shard, failures)
 
     def on_heartbeat(self, machine: Machine, heartbeat: Heartbeat, periodic: bool, now: timedelta) -> Events | None:
-        """Apply a message's task list. Return the changes, or None if the message is stale and was ignored.
+        """Apply the task list of a message. Return the changes, or None if the message is stale and was ignored.
 
         `periodic`: the message is a heartbeat, not the response to a direct command.
         """
@@ -45,7 +45,7 @@
         message = TaskListMessage(machine, heartbeat, periodic, timing_known, now)
         self._update_machine(message)
         if heartbeat.fencing_token < self._shard.required_fencing_token and not machine.never_commanded:
-            # Commands of a former leader may still reach the machine, so its task list may be outdated soon.
+            # A former leader may still send it commands and so change its tasks after this list was sent.
             machine.fenced = False
             return message.events
         if self._is_unchanged(machine, heartbeat):
@@ -55,7 +55,7 @@
 
     @staticmethod
     def _is_stale(machine: Machine, heartbeat: Heartbeat) -> bool:
-        """Whether a newer message was already processed, or the lease expired in the message's incarnation or later."""
+        """Whether this or a newer message was processed, or the lease expired in this incarnation or a later one."""
         return heartbeat.incarnation <= machine.expired_incarnation or not heartbeat.newer_than(
             machine.incarnation, machine.sequence
         )
@@ -88,15 +88,18 @@
         machine.preemption_notice = None if notice_s is None else now + timedelta(seconds=max(0.0, notice_s))
 
     def _restart_machine(self, message: TaskListMessage) -> None:
-        """Release all tasks of a machine with a new incarnation: its lease expired, so the worker killed them."""
+        """Release all tasks of a machine whose incarnation is new: its lease expired, so the worker killed them."""
         machine = message.machine
         self._shard.lose_tasks(machine, message.now)
         message.events.capacity_freed = True
         if message.periodic and machine.answered is not None and message.now - machine.answered < self._shard.lease:
-            self._mark_unreachable(machine)  # the lease expired despite a recent response: responses don't arrive
+            self._mark_unreachable(machine)  # its lease expired despite a recent response, so responses don't arrive
 
     def _mark_unreachable(self, machine: Machine) -> None:
-        """Stop placing tasks on a machine: they would be started, found missing and started again without end."""
+        """Stop placing tasks on a machine that commands do not reach.
+
+        Its tasks would be started, found missing and started again without end.
+        """
         if not machine.unreachable:
             log.info("event=machine_marked_unreachable machine=%s shard=%d", machine.name, self._shard.number)
         machine.unreachable = True
@@ -121,7 +124,8 @@
     def _read_tasks(self, message: TaskListMessage) -> set[tuple[str, int]]:
         """Process the listed tasks. Return the keys of those that are on the machine.
 
-        Exits are processed first: a refused start must not release a task of which an older attempt is running.
+        Exits are processed first. If a worker refuses a start since an older attempt of the task runs, it lists both
+        attempts: the refusal releases the new attempt's placement, then the running attempt gets one.
         """
         present: dict[tuple[str, int], TaskStatus] = {}
         for task in message.heartbeat.tasks:
@@ -191,7 +195,7 @@
         )
 
     def _record_fetch(self, placement: Placement, now: timedelta) -> None:
-        """Report how long an image fetch took since its first request, if both times are known."""
+        """Report how long an image fetch took, from the first start command that needed it, if both times are known."""
         machine, image = placement.machine, placement.job.spec.image
         if image in machine.fetched_images or not placement.timing_known:
             return
@@ -229,9 +233,9 @@
         return placement
 
     def _keep_undecided(self, machine: Machine, task: TaskAttempt) -> None:
-        """Keep a task until it is known whether its job was released; if it was not, the task is an orphan.
+        """Keep a task until it is known whether its job may run (was released); if not, the task is an orphan.
 
-        No tasks are placed until then: this task is already running, and it counts towards its team's quota.
+        No tasks are placed in the shard until that is known, since a running task counts towards its team's quota.
         """
         machine.undecided.add(task)
         self._shard.reconciled = False
--- a/badgerroute/scheduling/inheritance.py
+++ b/badgerroute/scheduling/inheritance.py
@@ -1,8 +1,9 @@
 """Priority and deadline inheritance: upstream jobs inherit levels and due times from their downstream jobs.
 
-A job is scheduled at the highest of its own level and those of its dependents. It is due at the earliest of its own due
-time and its dependents' due times less their expected durations. With thousands of waiting jobs, computing this takes
-longer than one scheduling round may, so it is done in slices: each resumes where the last one stopped.
+A job is scheduled at the highest of its own level and the levels of its dependents. It is due at the earliest of its
+own due time and, for each dependent, the dependent's due time less its expected duration. With thousands of waiting
+jobs, computing this takes longer than one scheduling round may. So it is done in slices, each of which resumes where
+the previous one stopped.
 """
 
 from collections.abc import Callable
@@ -22,9 +23,9 @@
 
 
 class InheritancePass:
-    """One pass over all jobs that others wait for.
+    """One computation of the inherited values of all jobs that other jobs wait for.
 
-    `own_values` returns a job's values without its dependents', `duration` the expected duration of a job in seconds.
+    `own_values` returns a job's level and due time before inheritance, `duration` its expected duration in seconds.
     """
 
     def __init__(
@@ -48,7 +49,7 @@
         return True
 
     def _visit(self, ref: str) -> None:
-        """Compute the top job of the stack, or push those of its dependents that must be computed first."""
+        """Compute the values of the job on top of the stack, or push the dependents whose values are needed first."""
         result = self.result
         if ref not in result:
             cancelled = self._graph.cancelled
--- a/badgerroute/scheduling/lease_expiry.py
+++ b/badgerroute/scheduling/lease_expiry.py
@@ -1,4 +1,4 @@
-"""Decides when a silent machine's lease has certainly expired, so that its tasks may start elsewhere."""
+"""Decides when the lease of an unresponsive machine has certainly expired, so that its tasks may start elsewhere."""
 
 from datetime import timedelta
 
@@ -11,11 +11,10 @@
 ) -> list[Machine]:
     """Release the tasks of machines whose lease has certainly expired, and return these machines.
 
-    `last_confirmed` is when this controller's leadership was last confirmed, not the current time. A machine's lease
-    expires if this leader does not respond to it, but only while no other leader can renew it. From `last_confirmed` on
-    a new leader may: a leader that is cut off but within its grace period must not declare its successor's machines
-    dead. `lease` is the duration of the workers' leases including clock drift, `grace` how long a former leader may
-    have continued to respond.
+    `last_confirmed` is when this controller's leadership was last confirmed. Leases are compared with this time, not
+    with `now`, because another leader may have been elected since then and may renew them. So a leader that is cut off,
+    but still within its grace period, does not declare its successor's machines dead. `lease` is the duration of the
+    workers' leases including clock drift, `grace` how long a former leader may have continued to respond.
     """
     lost_machines = []
     for machine in shard.machines.values():
@@ -27,7 +26,10 @@
 
 
 def _latest_lease_end(shard: ShardState, machine: Machine, lease: timedelta, grace: timedelta) -> timedelta:
-    """The time by which the worker has killed its tasks, unless a newer leader has renewed its lease."""
+    """The time by which a machine's lease has ended and its worker has killed its tasks.
+
+    A newer leader may have renewed the lease since; `expire_leases` takes this into account.
+    """
     if machine.fenced and machine.answered is not None:
         return machine.answered + lease
     # A former leader may have renewed the lease until its own grace period ended.
@@ -35,7 +37,7 @@
 
 
 def _mark_lost(shard: ShardState, machine: Machine, now: timedelta) -> None:
-    """Release a machine's tasks, and ignore further messages of its current incarnation."""
+    """Release a machine's tasks, and ignore all further messages of its current incarnation."""
     shard.lose_tasks(machine, now)
     machine.orphans.clear()
     machine.undecided.clear()
--- a/badgerroute/scheduling/model.py
+++ b/badgerroute/scheduling/model.py
@@ -4,7 +4,8 @@
 share a module because they refer to each other: a placement has a job and a machine, and both list their placements.
 
 Times are points on this process's monotonic clock, as durations since its start. Bit sets are integers in which bit
-`i` stands for task number `i` of the job.
+`i` stands for task number `i` of the job. A slot is capacity for one task of a job. A job is released, that is, may be
+scheduled, when all its upstream jobs are done.
 """
 
 from collections.abc import Iterator
@@ -42,13 +43,13 @@
     attempt: int
     machine: "Machine"
     phase: Phase
-    start_requested_at: timedelta  # when the start command was first sent; until then, when the start was decided
+    start_requested_at: timedelta  # when the start command was first sent; before that, when the task was placed
     running_since: timedelta | None = None
     sent: HeartbeatNumber | None = None  # the heartbeat whose response carried the start command
-    grace: timedelta | None = None  # set if the task is to stop: the time that it has to save its work
+    grace: timedelta | None = None  # if the task is to stop: the time that it has to save its work
     stopped_at: timedelta | None = None  # when the command to stop it was first sent
     timing_known: bool = True  # False if the machine or the controller was silent when it began to fetch or to run
-    gang_wait_restarts: int = 0  # restarts with the same attempt number, to go on waiting for its gang
+    gang_wait_restarts: int = 0  # how often it was restarted, as the same attempt, to wait for its gang longer
 
     @property
     def key(self) -> tuple[str, int]:
@@ -71,47 +72,49 @@
     zone: str
     spot: bool
     joined: timedelta
-    free: Resources  # its capacity less what its placements use
-    allocated_by_level: dict[int, Resources] = field(default_factory=dict)  # priority level -> usage of its tasks
+    free: Resources  # its capacity less the resources of its placements
+    allocated_by_level: dict[int, Resources] = field(default_factory=dict)  # job level -> resources of the tasks
     stopping_count: int = 0  # placements that are stopping (`Placement.stopping`)
 
     # Reported by its heartbeats
     incarnation: int = 0  # `incarnation` and `sequence` are those of the last message processed
     sequence: int = -1
     alive: bool = False  # it sends heartbeats, and its lease has not expired
-    last_message_at: timedelta | None = None  # its last heartbeat or response to a direct command
-    last_heartbeat: timedelta | None = None  # its last heartbeat received directly, not forwarded by a peer
+    last_message_at: timedelta | None = None  # when its last heartbeat or response to a direct command arrived
+    last_heartbeat: timedelta | None = None  # when its last heartbeat arrived that was not forwarded by a peer
     answered: timedelta | None = None  # when this controller last responded to one of its heartbeats
     preemption_notice: timedelta | None = None  # when the cloud provider will reclaim it, if that was announced
     last_task_list: list[TaskStatus] | None = None  # None: read the next list even if it is unchanged
 
     # Fencing and leases
-    fenced: bool = False  # it has seen this leader's fencing token, and its task list was read after that
+    fenced: bool = False  # it saw this leader's fencing token, and its task list was read afterwards
     never_commanded: bool = False  # no leader ever sent it a command, so there is no former leader to fence off
     highest_token_seen: int = 0  # the highest fencing token that it has reported
-    expired_incarnation: int = 0  # its lease expired in this incarnation; messages up to this incarnation are stale
-    missed_starts: int = 0  # consecutive heartbeats that lacked a task whose start command had been sent
+    expired_incarnation: int = 0  # its lease expired in this incarnation; messages of it or earlier ones are stale
+    missed_starts: int = 0  # consecutive heartbeats without a task whose start command had been sent
     unreachable: bool = False  # its heartbeats arrive, but the responses apparently do not reach it
     lost_at: timedelta | None = None  # when its lease was found to have expired
 
     # Tasks on it
     placements: dict[tuple[str, int], Placement] = field(default_factory=dict)  # by Placement.key
     exited: set[TaskAttempt] = field(default_factory=set)  # reported as exited, not yet cleared from its task list
-    orphans: set[TaskAttempt] = field(default_factory=set)  # tasks on it that do not belong to this shard: to be halted
-    undecided: set[TaskAttempt] = field(default_factory=set)  # tasks of jobs that may have been released: left running
-    failed_jobs: dict[str, timedelta] = field(default_factory=dict)  # job -> first failure since a task completed here
+    # Tasks on it that do not belong to this shard, and so are to be halted
+    orphans: set[TaskAttempt] = field(default_factory=set)
+    # Tasks whose job may or may not have been released; they are left running until this is known
+    undecided: set[TaskAttempt] = field(default_factory=set)
+    failed_jobs: dict[str, timedelta] = field(default_factory=dict)  # job -> first failure since any task was done here
 
     # Images
     images: dict[str, float] = field(default_factory=dict)  # image -> GB, least recently used first
     fetched_images: set[str] = field(default_factory=set)  # the subset of `images` whose fetch has certainly ended
 
     # Placement
-    draining: bool = False  # quarantined after failures: no task is started on it
-    drain_deadline: timedelta | None = None  # set while it drains: no task is started, and it must be empty by then
+    draining: bool = False  # it was quarantined after failures, so no task is started on it
+    drain_deadline: timedelta | None = None  # while it drains: when it must be empty; no task is started on it
     reserved_for: str | None = None  # the job for which its free capacity is reserved
     reserved_until: timedelta | None = None
     idle_since: timedelta | None = None
-    avoid_until: timedelta = ZERO  # not used for placement until then, after a failure or a refused start
+    avoid_until: timedelta = ZERO  # after a failure or a refused start: no task is placed on it before this time
 
     @property
     def usable(self) -> bool:
@@ -128,7 +131,7 @@
 
     @property
     def empty(self) -> bool:
-        """Whether the machine has no tasks and no exits that remain to be cleared."""
+        """Whether the machine has no tasks, and no exited tasks that must still be cleared from its task list."""
         return not self.placements and not self.exited and not self.orphans and not self.undecided
 
     def touch_image(self, image: str, size_gb: float) -> None:
@@ -154,7 +157,7 @@
         )
 
     def drop_unfetched_image(self, image: str) -> None:
-        """Remove an image that is not fetched yet if no task uses it any more: the worker cancels such a fetch.
+        """Remove an image that is not fetched yet if no task uses it any more, since the worker then cancels the fetch.
 
         A partially fetched image must not count as cached, or gangs would be placed here because of it.
         """
@@ -172,11 +175,12 @@
     accepted: timedelta  # when it was accepted, or released if it waited for upstream jobs
     owned: int  # bit set: the tasks that belong to this shard
     done: int  # bit set: the tasks, of any shard, that are recorded as done
-    start_window: int  # array tasks start only if their number is less than this above the first that is not done
+    # An array's task may start only if its number is less than the number of the first task not done plus this.
+    start_window: int
     need: Resources  # resources that each task uses
-    since: timedelta  # when its tasks in this shard began to wait
-    done_here: int = 0  # bit set: tasks reported done in this shard and not yet recorded
-    in_transfer: int = 0  # bit set: given to another shard by a write whose outcome is unknown; must not be started
+    since: timedelta  # when its tasks began to wait in this shard
+    done_here: int = 0  # bit set: tasks reported as done in this shard, but not yet recorded as done
+    in_transfer: int = 0  # bit set: given to another shard by a write whose outcome is unknown; not to be started
     placed: dict[int, Placement] = field(default_factory=dict)  # by task number
     placed_bits: int = 0  # bit set: the keys of `placed`
     requeued: dict[int, timedelta] = field(default_factory=dict)  # task number -> when it last returned to the queue
@@ -187,20 +191,23 @@
     # Order of service
     level: int = 0  # its priority level, or a higher one inherited from a downstream job
     guaranteed: bool = False  # it is within its team's guarantee
-    lateness_tier: float = 0  # due times that it will miss, plus 0.5 if it can wait; negative: it has waited too long
+    # The number of due times that it will miss, plus 0.5 if it has enough spare time for other jobs to go first (see
+    # `deadline_feasibility`). Negative if it has waited too long and so goes before the other jobs.
+    lateness_tier: float = 0
     dependency_wait: timedelta = ZERO  # from its acceptance to its release; its deadline counts from the acceptance
-    start_by: timedelta | None = None  # if it starts later, a downstream job will be late
-    blocked_until: timedelta = ZERO  # none of its tasks is started before then
-    no_return_until: dict[str, timedelta] = field(default_factory=dict)  # machine -> until when moved tasks avoid it
+    start_by: timedelta | None = None  # a downstream job will be late if this one starts later than this
+    blocked_until: timedelta = ZERO  # none of its tasks is started before this time
+    # Machine -> the time before which its tasks that were moved away from the machine are not started there again
+    no_return_until: dict[str, timedelta] = field(default_factory=dict)
     preemption_count: int = 0  # times that this gang was preempted
 
-    # Utilization feedback (see utilization_feedback): the desired slots, and the samples of the current period
-    desire: float = 0.0  # slots that the job should have in this shard
-    used_slots_sum: float = 0.0  # slots in use, summed over the samples
-    granted_slots_sum: float = 0.0  # slots that were available to it, summed over the samples
+    # Utilization feedback (see utilization_feedback): the desired slots, and the samples of the current feedback period
+    desire: float = 0.0  # number of slots that its utilization feedback computed for this shard
+    used_slots_sum: float = 0.0  # number of slots in use, summed over the samples
+    granted_slots_sum: float = 0.0  # number of slots that were available to it, up to the desired ones, summed likewise
     samples: int = 0
     starved: bool = False  # tasks were waiting in at least one sample
-    period_began: timedelta | None = None  # None if no desire was set yet
+    period_began: timedelta | None = None  # None until its first number of desired slots is computed
 
     # Finished runs, from which the mean run time is computed
     total_run_time: timedelta = ZERO
@@ -209,7 +216,7 @@
     # Failures (see failures)
     failed_on: dict[str, int] = field(default_factory=dict)  # machine -> failures of its tasks there
     last_failure_at: timedelta = ZERO
-    failing: bool = False  # it fails on every machine, so the job itself is faulty: one task at a time is tried
+    failing: bool = False  # it fails on every machine and so seems faulty itself; one task at a time is tried
     probe_count: int = 0  # failed tries of a failing job; they determine its backoff
     _waiting: tuple[tuple[int, ...], int] = ((), 0)  # cache of `waiting_bits`: its inputs and its value
 
@@ -235,7 +242,7 @@
 
     @property
     def startable(self) -> int:
-        """The number of tasks that may start now: all that wait, or one at a time of an array marked as failing."""
+        """The number of tasks that may start now: all that wait, but one at a time of an array marked as failing."""
         count = self.waiting_bits.bit_count()
         if self.failing and not self.gang:
             return min(count, 0 if self.placed else 1)
@@ -245,13 +252,13 @@
     def can_be_dropped(self) -> bool:
         """Whether the shard may forget this job.
 
-        It may not while tasks are done but not recorded, since they would run again. Nor may it while tasks are in
-        transfer, during which `owned` may be empty for a moment.
+        It may not while tasks are done but not yet recorded as done, since they would run again. Nor may it while tasks
+        are in transfer to another shard, when `owned` may be empty for a moment.
         """
         return not self.owned and not self.placed and not self.done_here and not self.in_transfer
 
     def waited(self, index: int, now: timedelta) -> timedelta:
-        """How long a task has waited, since it last returned to the queue if it ever did."""
+        """How long a task has waited: since it last returned to the queue or, if it never did, since `since`."""
         return now - self.requeued.get(index, self.since)
 
     def place(self, placement: Placement) -> None:
--- a/badgerroute/scheduling/objectives.py
+++ b/badgerroute/scheduling/objectives.py
@@ -33,9 +33,9 @@
                 self._guaranteed_start_within = min(self._guaranteed_start_within, within)
 
     def start_within(self, job: Job) -> timedelta:
-        """How soon the job's tasks are expected to start."""
+        """How long after they begin to wait the job's tasks are expected to start, at the latest."""
         within = self._start_within.get(job.spec.job_class, DEFAULT_START_WITHIN)
-        if job.start_by is not None:  # half of the time left, as downstream jobs need some of it too
+        if job.start_by is not None:  # half of the time until `start_by`, as downstream jobs need some of it
             within = min(within, max(ZERO, (job.start_by - job.accepted) / 2))
         return min(within, self._guaranteed_start_within) if job.guaranteed else within
 
@@ -57,11 +57,14 @@
         return timedelta(seconds=spec.deadline_s) * min(self._deadline_multiples[spec.job_class])
 
     def count_missed_due_times(self, job: Job, now: timedelta, run: timedelta) -> int:
-        """How many of the job's due times can no longer be met, including that inherited from downstream jobs."""
+        """How many due times a job will miss if it runs for `run` from now on.
+
+        `start_by`, which is inherited from downstream jobs, counts as one of them.
+        """
         late = job.start_by is not None and now > job.start_by
         return late + sum(now - job.accepted + run > due for due in self.due(job.spec, job.dependency_wait))
 
     @property
     def shortest_start_within(self) -> timedelta:
-        """The shortest time within which any job is expected to start."""
+        """The shortest time within which the jobs of any class are expected to start."""
         return min([self._guaranteed_start_within, *self._start_within.values()])
--- a/badgerroute/scheduling/placement_rules.py
+++ b/badgerroute/scheduling/placement_rules.py
@@ -10,11 +10,11 @@
 from badgerroute.scheduling.shard import Shard
 from badgerroute.settings import Scheduling
 
-SLOW_FETCH_FACTOR = 1.3  # fetches may take up to this factor longer than at the machine type's rate
+SLOW_FETCH_FACTOR = 1.3  # fetches may take up to this many times as long as at the machine type's rate
 
 
 class PlacementRules:
-    """Rules for placing single tasks. `quota_shortfalls`: by team, the quota that its jobs lacked in this shard."""
+    """Rules for placing single tasks. `quota_shortfalls`: by team, the quota for which its jobs wait in this shard."""
 
     def __init__(
         self, shard: Shard, order: ServiceOrder, settings: Scheduling, objectives: Objectives, heartbeat: timedelta
@@ -24,7 +24,7 @@
         self.quota_shortfalls: dict[str, Resources] = {}
 
     def allowed_locality(self, job: Job, machine: Machine, wait: timedelta) -> delay_scheduling.LocalityLevel:
-        """The highest locality level that a task may use on a machine after a wait."""
+        """The highest locality level at which a task that has waited for `wait` may start on a machine."""
         fetch = self._shard.guidance.fetch_time(job, machine)
         local_wait = self._shard.guidance.local_wait(job)
         if local_wait is not None and local_wait > fetch:
@@ -36,7 +36,7 @@
         )
 
     def _start_within_margin(self, job: Job, fetch: timedelta) -> timedelta:
-        """The time within which a task should start, less a margin for two heartbeats and a slow fetch."""
+        """The time within which the job should start, less a margin for two heartbeat periods and a slow fetch."""
         return self._objectives.start_within(job) - 2 * self._heartbeat - fetch * (SLOW_FETCH_FACTOR - 1)
 
     @staticmethod
@@ -50,7 +50,7 @@
         return True
 
     def record_shortfall(self, job: Job, tasks: int) -> None:
-        """Record the quota that a job's team needs for `tasks` tasks and lacks in this shard."""
+        """Record that a job's team lacks quota in this shard: it needs at least enough for `tasks` tasks of the job."""
         shortfall = self.quota_shortfalls.setdefault(job.spec.team, Resources())
         shortfall.cpus = max(shortfall.cpus, job.need.cpus * tasks)
         shortfall.accelerators = max(shortfall.accelerators, job.need.accelerators * tasks)
--- a/badgerroute/scheduling/planner.py
+++ b/badgerroute/scheduling/planner.py
@@ -1,4 +1,4 @@
-"""Scheduling rounds for one shard: fill a machine on its heartbeat, place gangs, preempt, apply feedback.
+"""Scheduling rounds for one shard: start tasks on a heartbeat, place gangs, preempt, compute utilization feedback.
 
 A facade over the other modules. The paper's algorithms are in `array_placement` and `delay_scheduling` (Parades),
 `stealing` (SENDSTEAL) and `utilization_feedback` (Af); `gang_placement` and `preemption` are additions.
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class WaitingDemand:
-    """A job's waiting tasks, as the autoscaler and the other shards need to know them."""
+    """The waiting tasks of a job, as reported to the autoscaler and to the other shards."""
 
     ref: str
     team: str
@@ -38,7 +38,7 @@
 
 
 class Planner:
-    """The scheduling operations that a leader calls. `out_of_time` arguments tell when a round must end."""
+    """The scheduling operations that a leader calls. `out_of_time` arguments return true when the round must end."""
 
     def __init__(
         self, shard: Shard, settings: Scheduling, objectives: Objectives, heartbeat: timedelta = timedelta(seconds=1)
@@ -96,7 +96,7 @@
         return self._gangs.place_on(machine, now, out_of_time)
 
     def unplaceable_gangs(self, now: timedelta) -> list[Job]:
-        """Gangs that this shard can't place even with preemption; see `GangPlacement.unplaceable_gangs`."""
+        """Gangs that this shard can't place, even with preemption; see `GangPlacement.unplaceable_gangs`."""
         return self._gangs.unplaceable_gangs(now)
 
     def preempt_for_arrays(self, now: timedelta, out_of_time: Callable[[], bool]) -> None:
@@ -108,7 +108,7 @@
         self._preemption.release_reservations(now)
 
     def reclaimable_by_machine(self, level: int) -> list[tuple[Machine, Resources]]:
-        """What each usable machine could offer a job of a level; see `EvictionPlanner.reclaimable_by_machine`."""
+        """The capacity that machines could offer to a job of a level; see `EvictionPlanner.reclaimable_by_machine`."""
         return self._evictions.reclaimable_by_machine(level)
 
     def reclaimable_cpus_by_image(self, level: int, max_machines: int) -> dict[str, list[float]]:
@@ -121,12 +121,15 @@
         return self._gangs.overrun_rounds + self._arrays.overrun_rounds + self._preemption.overrun_rounds
 
     def collect_quota_shortfalls(self) -> dict[str, Resources]:
-        """By team, the quota that its jobs lacked in the rounds since the last call."""
+        """By team, the quota for which its jobs had to wait in the rounds since the last call."""
         shortfalls, self._rules.quota_shortfalls = self._rules.quota_shortfalls, {}
         return shortfalls
 
     def feedback(self, now: timedelta) -> None:
-        """Sample the slots of every job, and update the desire of those whose feedback period has ended."""
+        """Record how many tasks each job runs and how many wait, for the utilization feedback.
+
+        When a job's feedback period has ended, compute its number of desired slots for the next one.
+        """
         for job in self.shard.jobs.values():
             if job.period_began is None:
                 continue
@@ -135,7 +138,7 @@
                 utilization_feedback.end_period(job, now, self._settings)
 
     def waiting_demands(self, now: timedelta) -> list[WaitingDemand]:
-        """The waiting tasks of each job that may start now."""
+        """The tasks of each job that wait and may start now."""
         demands = []
         for job in self.shard.jobs.values():
             count = job.startable
@@ -156,13 +159,16 @@
         return demands
 
     def freeing(self, now: timedelta) -> float:
-        """Processors of array tasks that should end before a newly rented machine could boot and fetch an image."""
+        """The number of processors of array tasks that should end before a newly rented machine could start a task.
+
+        Such a machine must first boot and fetch the job's image.
+        """
         total = 0.0
         for job in self.shard.jobs.values():
             if job.gang or not job.placed:
                 continue
             run = delay_scheduling.run_time(job, self.shard.estimates.correction(job.spec.job_class))
-            latest_starts: dict[str, timedelta] = {}  # machine type -> runs that began before then will have ended
+            latest_starts: dict[str, timedelta] = {}  # machine type -> tasks that began to run earlier will end in time
             for placement in job.placed.values():
                 running_since = placement.running_since
                 if running_since is None:
--- a/badgerroute/scheduling/preemption.py
+++ b/badgerroute/scheduling/preemption.py
@@ -18,10 +18,10 @@
 
 log = logging.getLogger(__name__)
 ARRAY_RESERVATION = timedelta(seconds=6)  # how long capacity freed for an array stays reserved
-GANG_RESERVATION = timedelta(seconds=30)  # the same for a gang; its victims save their work first
-HEARTBEATS_UNTIL_START = 3  # from the decision to stop tasks until others start in their place
-SLACK_DIVISOR = 3  # preemption begins once the slack divided by this has passed
-MAX_STOPS_PER_ROUND = 64  # tasks stopped for arrays in one round
+GANG_RESERVATION = timedelta(seconds=30)  # the same for a gang; longer, since the stopped tasks save their work first
+HEARTBEATS_UNTIL_START = 3  # heartbeat periods from the decision to stop tasks until others start in their place
+SLACK_DIVISOR = 3  # a job may preempt after its slack (see `wait_before_preemption`) divided by this
+MAX_STOPS_PER_ROUND = 64  # at most this many tasks are stopped for arrays in one round
 
 
 class Preemption:
@@ -44,8 +44,8 @@
     def wait_before_preemption(self, job: Job) -> timedelta:
         """How long a job waits before other tasks are preempted for it: a third of its slack.
 
-        The slack is the time within which it should start, less the heartbeats that pass until the stop and the start
-        arrive, and less the time to fetch its image.
+        The slack is the time within which it should start, less the heartbeat periods until the stop and the start
+        commands have arrived, and less the time to fetch its image.
         """
         start_delay = HEARTBEATS_UNTIL_START * self._heartbeat
         slack = self._objectives.start_within(job) - start_delay - self._shard.min_fetch_time(job)
@@ -54,7 +54,7 @@
     # -- gangs
 
     def preempt_for_gang(self, job: Job, tasks: int, now: timedelta) -> None:
-        """Stop the tasks with the lowest cost so that a gang fits, if it has waited long enough."""
+        """Make room for a gang with the evictions of least loss, if it has waited for `wait_before_preemption`."""
         if now - job.since < self.wait_before_preemption(job):
             return
         options: list[Eviction] = []
@@ -69,8 +69,8 @@
     def evict_for_gang(self, job: Job, tasks: int, options: list[Eviction], now: timedelta) -> bool:
         """Carry out the cheapest evictions, on as many machines as the gang has tasks. Return False if too few exist.
 
-        Machines already reserved for the gang come first. Otherwise every round would reserve other machines, and in
-        total more than the gang can use.
+        Machines already reserved for the gang come first. Otherwise each round could reserve further machines, in total
+        more than the gang can use.
         """
         options.sort(key=lambda option: (option.machine.reserved_for != job.ref, option.loss, option.machine.name))
         if job.spec.together and options:
@@ -83,7 +83,7 @@
 
     @staticmethod
     def _cheapest_zone(options: list[Eviction], tasks: int) -> list[Eviction]:
-        """The cheapest sufficient set of evictions within one zone, or an empty list if no zone has enough."""
+        """The cheapest evictions within one zone that make room for all tasks, or an empty list if there are none."""
         by_zone: dict[str, list[Eviction]] = {}
         for option in options:
             by_zone.setdefault(option.machine.zone, []).append(option)
@@ -93,10 +93,10 @@
     # -- arrays
 
     def preempt_for_arrays(self, now: timedelta, out_of_time: Callable[[], bool]) -> None:
-        """Stop preemptible tasks for arrays within their team's guarantee or of a higher priority level.
+        """Stop tasks for arrays that have a higher priority level or are within their team's guarantee.
 
-        `out_of_time` tells when the round must end; the next round resumes with the next job. The round is limited
-        since a pass over thousands of jobs takes seconds, during which no heartbeat is answered.
+        `out_of_time` returns true when the round must end; the next round then resumes at the same job. Rounds are
+        limited because a pass over thousands of jobs takes seconds, during which no heartbeat is answered.
         """
         if not self._shard.reconciled:
             return
@@ -119,7 +119,10 @@
         self._cursor = 0
 
     def _array_tasks_without_capacity(self, job: Job, limit: int, now: timedelta) -> int:
-        """How many tasks of an array have waited long enough for preemption and fit in no free capacity."""
+        """How many tasks of an array fit in no free capacity, at most `limit`.
+
+        The result is 0 if the array may not preempt, for example because it has not waited long enough.
+        """
         min_wait = self.wait_before_preemption(job)
         if job.gang or job.failing or now - job.since < min_wait or self._order.yields_to_gang(job):
             return 0
@@ -154,7 +157,7 @@
     # -- gangs and arrays
 
     def _evict(self, eviction: Eviction, job: Job, reserved_until: timedelta) -> None:
-        """Stop the victims, and reserve the machine so that they are not started there again."""
+        """Stop the victims, and reserve their machine for the job so that they are not started on it again."""
         eviction.machine.reserved_for = job.ref
         eviction.machine.reserved_until = reserved_until
         for victim in eviction.victims:
@@ -177,7 +180,7 @@
             self._shard.stop(victim, grace)
 
     def release_reservations(self, now: timedelta) -> None:
-        """Release reservations that have expired or whose job has no waiting tasks here, as it was moved or placed.
+        """Release reservations that have expired, or whose job was placed or moved and no longer waits in this shard.
 
         A machine that stayed reserved would remain idle and never be returned to the cloud.
         """
--- a/badgerroute/scheduling/quota_ledger.py
+++ b/badgerroute/scheduling/quota_ledger.py
@@ -1,4 +1,4 @@
-"""The quota that teams use in one shard, and the quota reserved for other shards."""
+"""How much quota each team uses in one shard, and how much of it is reserved for other shards."""
 
 from collections import defaultdict
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class Usage:
-    """The resources that a team's tasks use, including all tasks that may be on a machine."""
+    """The resources that a team's tasks use, counting every task that may still run on a machine."""
 
     cpus: float = 0.0
     accelerators: float = 0.0
@@ -23,7 +23,7 @@
 
 
 class Reservation(NamedTuple):
-    """Quota of a team that is reserved for another shard as tasks end in this one, until a time."""
+    """Quota of a team that is kept for another shard until a time: tasks that end in this shard free it."""
 
     resources: Resources
     until: timedelta
@@ -69,7 +69,7 @@
         return max(0, min(tasks, unused.times(Resources(job.need.cpus, job.need.accelerators))))
 
     def reserve_for_peer(self, team: str, resources: Resources, until: timedelta) -> None:
-        """Reserve a team's quota for another shard: the quota freed as tasks end is not used for starts here."""
+        """Reserve a team's quota for another shard: quota that tasks free when they end is not used in this one."""
         if resources.cpus > EPSILON or resources.accelerators > EPSILON:
             self.reserved_for_peers[team] = Reservation(resources, until)
         else:
--- a/badgerroute/scheduling/resources.py
+++ b/badgerroute/scheduling/resources.py
@@ -6,14 +6,14 @@
 from badgerroute.protocol.users import Submission
 
 EPSILON = 1e-6  # differences below this are rounding errors of sums
-MAX_TASKS = 1_000_000  # above the maximum number of tasks of a job
+MAX_COUNT = 1_000_000  # limit for the result of `Resources.times`; no job has as many tasks
 
 
 @dataclass(slots=True)
 class Resources:
-    """An amount of each resource. `add` and `take` change it in place, since sums are kept over many tasks.
+    """An amount of each resource. `add` and `take` change it in place, to keep running sums over many tasks cheaply.
 
-    Amounts may be fractional, and negative where a limit was lowered below the usage.
+    Amounts may be fractional. They may be negative, such as unused quota when a limit was lowered below the usage.
     """
 
     cpus: float = 0.0
@@ -33,7 +33,7 @@
         self.memory_gb -= other.memory_gb
 
     def holds(self, other: "Resources") -> bool:
-        """Whether another amount fits, rounding errors aside."""
+        """Whether another amount fits in this one, rounding errors aside."""
         return (
             other.cpus <= self.cpus + EPSILON
             and other.accelerators <= self.accelerators + EPSILON
@@ -41,7 +41,10 @@
         )
 
     def times(self, other: "Resources") -> int:
-        """How many times another amount fits, at most MAX_TASKS, which is also the result for an empty amount."""
+        """How many times another amount fits in this one, at most MAX_COUNT.
+
+        An empty amount fits MAX_COUNT times.
+        """
         counts = [
             (available + EPSILON) / needed
             for available, needed in (
@@ -51,10 +54,10 @@
             )
             if needed > 0
         ]
-        return max(0, int(min([MAX_TASKS, *counts])))
+        return max(0, int(min([MAX_COUNT, *counts])))
 
     def copy(self) -> "Resources":
-        """Return a copy."""
+        """Return a copy, which can be changed without changing this amount."""
         return Resources(self.cpus, self.accelerators, self.memory_gb)
 
 
--- a/badgerroute/scheduling/scale_out_planning.py
+++ b/badgerroute/scheduling/scale_out_planning.py
@@ -1,6 +1,7 @@
-"""Decides which machines to rent: those needed by waiting tasks beyond the free and the expected capacity.
+"""Decides which machines to rent for waiting tasks that fit neither on the present nor on the expected machines.
 
-Does no I/O: the shards' summaries, the expected machines and the pools that may be requested from are arguments.
+Expected machines were requested but have not arrived yet. Does no I/O: the shards' summaries, the expected machines
+and the pools from which machines may be requested are arguments.
 """
 
 from collections.abc import Callable
@@ -26,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExpectedMachines:
-    """Machines that were requested from a pool and are expected to arrive."""
+    """Machines that were requested from a pool and have not arrived yet."""
 
     place: MachinePool
     count: int
@@ -43,7 +44,7 @@
 
 
 def price_per_cpu(pool: MachinePool, catalog: dict[str, MachineType]) -> float:
-    """The list price of one processor of the pool, per hour."""
+    """The list price per processor and hour of a pool's machines."""
     machine_type = catalog[pool.type]
     return (machine_type.spot_price if pool.spot else machine_type.price) / max(machine_type.cpus, 1e-9)
 
@@ -65,7 +66,10 @@
     count: int
 
     def fill(self, need: Resources, tasks: int) -> tuple[int, list["_CapacityGroup"]]:
-        """Assign up to `tasks` tasks to these machines. Return how many fit, and the groups that result."""
+        """Assign up to `tasks` tasks to these machines. Return how many fit, and the groups that replace this one.
+
+        These are the full machines, the last one used, and the machines without a new task.
+        """
         tasks_per_machine = self.free.times(need)
         full_machines = min(self.count, tasks // tasks_per_machine)
         fitting = full_machines * tasks_per_machine
@@ -84,9 +88,10 @@
 
 
 class ScaleOutPlan:
-    """One round's plan.
+    """Computes which machines to request in one scale-out round.
 
-    `may_request` tells whether a pool has not refused a request recently; `max_per_pool` limits each request.
+    `may_request` returns whether machines may be requested from a pool, which must not have refused a request recently.
+    `max_per_pool` is the largest number of machines to request from one pool.
     """
 
     def __init__(
@@ -99,14 +104,14 @@
         self._catalog, self._may_request, self._max_per_pool = catalog, may_request, max_per_pool
         self._teams = {team.name: team for team in teams}
         self._groups: list[_CapacityGroup] = []
-        self._least_need = Resources()  # groups with less free capacity fit no demand and are dropped
+        self._least_need = Resources()  # machines with less free capacity have room for no waiting task
         self._used: dict[str, Resources] = {}
         self._wanted: dict[MachinePool, int] = {}
 
     def machines_wanted(
         self, summaries: list[ShardSummary], expected: list[ExpectedMachines]
     ) -> dict[MachinePool, int]:
-        """The number of machines to request from each pool, beyond the free and the expected capacity."""
+        """The number of machines to request from each pool, in addition to the present and the expected machines."""
         self._count_capacity(summaries, expected)
         freeing_cpus = sum(shard.soon_free_cpus for shard in summaries)
         demands = [demand for shard in summaries for demand in shard.demands]
@@ -119,7 +124,7 @@
         for demand in demands:
             count = self._within_limit(demand)
             if not demand.gang and demand.cpus > 0:
-                # Running tasks will end, and leave their images cached, before a new machine could start tasks.
+                # Some running tasks will end before a new machine could start tasks, and leave their images cached.
                 served = min(count, int(freeing_cpus / demand.cpus))
                 freeing_cpus -= served * demand.cpus
                 count -= served
@@ -140,7 +145,7 @@
                 self._groups.append(_CapacityGroup(machines.place, capacity_of(machine_type), machines.count))
 
     def _within_limit(self, demand: PendingDemand) -> int:
-        """How many tasks of a demand fit in its team's limit; for a gang, all or none."""
+        """How many tasks of a demand fit in its team's quota limit, all or none for a gang. Counts them as used."""
         team = self._teams.get(demand.team)
         if team is None:
             return 0
@@ -192,10 +197,10 @@
 
 
 def scales_out_ahead(settings: Settings, catalog: dict[str, MachineType]) -> bool:
-    """Whether machines must be running before the work arrives.
+    """Whether to keep idle machines running for jobs that have not been submitted yet.
 
-    If jobs are expected to start sooner than a machine boots, renting on demand is too late. If there is time to boot,
-    idle machines only cost money.
+    If jobs are expected to start sooner than a machine can boot, renting one after the submission is too late.
+    Otherwise, idle machines only cost money. The operator's setting `return_idle` overrides this.
     """
     if settings.operator.fleet.return_idle is not None:
         return not settings.operator.fleet.return_idle
--- a/badgerroute/scheduling/service_order.py
+++ b/badgerroute/scheduling/service_order.py
@@ -1,7 +1,8 @@
 """The order of service of a shard's jobs: which job starts first, and which may preempt which.
 
-Within a group of equal rank it is the paper's fair scheduler (section IV.E): the job that holds the least of the shard
-goes first. The groups are an addition: by priority level, guarantee, and lateness (docs/design.md).
+Jobs of equal rank form a group. Within a group, the order is that of the paper's fair scheduler (section IV.E): the job
+whose tasks use the least of the shard goes first. The groups are an addition to the paper: they depend on the priority
+level, on whether the job is within its team's guarantee, and on its lateness (docs/design.md).
 """
 
 from datetime import timedelta
@@ -13,8 +14,8 @@
 from badgerroute.scheduling.resources import Resources
 from badgerroute.scheduling.shard import Shard
 
-ORDER_MAX_AGE = timedelta(milliseconds=250)  # how long a computed order is used
-CPUS_PER_ACCELERATOR = 8  # processors that one accelerator counts as in a job's share
+ORDER_MAX_AGE = timedelta(milliseconds=250)  # a computed order is used for this long
+CPUS_PER_ACCELERATOR = 8  # in a job's share, an accelerator counts as this many processors
 
 
 class ServiceOrder:
@@ -23,14 +24,14 @@
     def __init__(self, shard: Shard, objectives: Objectives) -> None:
         self._shard, self._objectives = shard, objectives
         self.jobs: list[Job] = []
-        self.least_need = Resources()  # lower bound of the resources of any waiting array task
+        self.least_need = Resources()  # at most the resources of any waiting array task
         self.images = delay_scheduling.ImageLocations([])
         self._lateness_tiers: dict[str, float] = {}
         self._gangs_lacking_quota: dict[str, list[Job]] = {}  # team -> gangs that wait for quota
         self._ordered_at = -timedelta(days=1)
 
     def refresh(self, now: timedelta) -> None:
-        """Compute the order again, unless it is recent."""
+        """Compute the order again unless it is more recent than ORDER_MAX_AGE."""
         if now - self._ordered_at < ORDER_MAX_AGE:
             return
         self._ordered_at = now
@@ -60,9 +61,9 @@
         return delay_scheduling.run_time(job, self._shard.estimates.correction(job.spec.job_class))
 
     def group_key(self, job: Job) -> tuple[int, bool, float]:
-        """Priority class and lateness tier; jobs with equal values form a group, ordered by their shares.
+        """Priority class and lateness tier; jobs with equal values form a group, which is ordered by `share_key`.
 
-        Jobs that can still complete in time precede those that can't: being less late has no value.
+        Jobs that can still complete in time precede those that can't, since completing a little less late has no value.
         """
         return (*self.priority_class(job), self._lateness_tiers.get(job.ref, 0))
 
@@ -73,18 +74,18 @@
     def yields_to_gang(self, job: Job) -> bool:
         """Whether a gang of the same team with a higher priority class waits for quota in this shard.
 
-        Quota that becomes free or comes from other shards is then kept for the gang, which needs much at once. The
-        team's smaller tasks would otherwise use it up bit by bit.
+        Quota that becomes free or comes from other shards is then kept for the gang, which needs quota for all its
+        tasks at once. The team's array tasks would otherwise use it up one by one.
         """
         gangs = self._gangs_lacking_quota.get(job.spec.team)
         return gangs is not None and any(self.priority_class(gang) < self.priority_class(job) for gang in gangs)
 
     @staticmethod
     def priority_class(job: Job) -> tuple[int, bool]:
-        """Sort key: higher levels first, then jobs within their team's guarantee."""
+        """Sort key: jobs of higher levels first and, within a level, jobs within their team's guarantee first."""
         return (-job.level, not job.guaranteed)
 
     def share_key(self, job: Job) -> tuple[float, float]:
-        """Sort key within a group: lower precedence value first, then the smaller share of the shard."""
+        """Sort key within a group: the precedence given by guidance, then the share of the shard that the job uses."""
         held = len(job.placed) * (job.need.cpus + CPUS_PER_ACCELERATOR * job.need.accelerators)
         return self._shard.guidance.precedence(job), held
--- a/badgerroute/scheduling/shard.py
+++ b/badgerroute/scheduling/shard.py
@@ -1,7 +1,7 @@
 """The state of one shard: its machines, its jobs, and which attempts of tasks may be on which machine.
 
-Safety depends on this state (docs/safety.md). It is deterministic: messages and the time are arguments, and commands
-are results. It uses no sockets and no clock.
+Safety depends on this state (docs/safety.md). The code is deterministic: messages and the time are arguments, commands
+are return values. It uses no sockets and no clock.
 """
 
 import logging
@@ -26,14 +26,14 @@
 from badgerroute.storage.records import JobRecord, MachineRecord
 
 log = logging.getLogger(__name__)
-ATTEMPT_BITS = 24  # low bits of an attempt number, which hold a counter; the term is in the bits above
+ATTEMPT_BITS = 24  # an attempt number is a counter in this many low bits, and the leader's term above them
 
 
 class Shard:
     """The machines, jobs and placements of one shard, as known to its leader.
 
     Invariant: a placement exists from the decision to start a task on a machine until it is proven that the machine no
-    longer runs it. No task is placed until `reconciled` is true: until then, what some machine runs is unknown.
+    longer runs it. No task is placed until `reconciled` is true, since it is not known before what every machine runs.
     """
 
     def __init__(
@@ -49,18 +49,18 @@
         self.number, self.term = number, term
         self.lease = lease  # duration of the workers' leases
         self.guidance = guidance
-        self.undecided = undecided  # whether a job that is not in `jobs` may have been released
+        self.undecided = undecided  # by ID: whether a job that is not in `jobs` may have been released (may run)
         self.required_fencing_token = term  # a machine is fenced once it has seen at least this token
         self.led_since = now
         self.machines: dict[str, Machine] = {}
         self.jobs: dict[str, Job] = {}
         self.quota = QuotaLedger(allocation_of)
         self.estimates = DurationEstimates()
-        self.reconciled = False  # it is known which tasks run on every machine
+        self.reconciled = False  # whether it is known which tasks run on every machine
         self._failures = FailureTracker(self)
         self._reconciler = HeartbeatReconciler(self, self._failures)
         self._attempt_counter = 0
-        self._max_fetch_gb_per_s = 1e-6  # of all machines that ever belonged to this shard
+        self._max_fetch_gb_per_s = 1e-6  # the highest rate of all machines that ever belonged to this shard
 
     @property
     def usage(self) -> defaultdict[str, Usage]:
@@ -83,7 +83,7 @@
         return machine
 
     def min_fetch_time(self, job: Job) -> timedelta:
-        """How long the fastest machines of this shard take to fetch the job's image."""
+        """How long fetching the job's image takes at the highest rate of any machine that this shard ever had."""
         return timedelta(seconds=job.spec.image_gb / self._max_fetch_gb_per_s) if self.machines else ZERO
 
     def remove_machine(self, name: str, now: timedelta) -> None:
@@ -93,7 +93,7 @@
             self.lose_tasks(machine, now)
 
     def lose_tasks(self, machine: Machine, now: timedelta) -> None:
-        """Release all tasks of a machine, which are proven to be dead."""
+        """Release all tasks of a machine, which are proven not to run any more."""
         for placement in list(machine.placements.values()):
             self.release(placement, now)
         machine.last_task_list = None
@@ -113,8 +113,9 @@
     ) -> Job | None:
         """Add a job or apply its changed record. Return None if none of its tasks belongs to this shard.
 
-        `accepted` is when its waiting time begins: its release if it waited for upstream jobs, for `dependency_wait`.
-        `done` is the bit set of its done tasks if the record does not have all of them.
+        `accepted` is when its waiting time begins. For a job that waited for upstream jobs, this is its release, and
+        `dependency_wait` is how long it waited for them. `done` is the bit set of its done tasks; None means that the
+        record has all of them.
         """
         done = record.done() if done is None else done
         owned = record.owned(self.number)
@@ -181,7 +182,7 @@
         return self.quota.fitting_tasks(job, tasks)
 
     def reserve_for_peer(self, team: str, resources: Resources, until: timedelta) -> None:
-        """Reserve a team's quota for another shard, as the team's tasks end in this one."""
+        """Reserve a team's quota for another shard: quota that tasks free when they end is not used in this one."""
         self.quota.reserve_for_peer(team, resources, until)
 
     def expire_reservations(self, now: timedelta) -> None:
@@ -189,7 +190,7 @@
         self.quota.expire_reservations(now)
 
     def short_of_quota(self, job: Job) -> bool:
-        """Whether quota keeps a job from starting: for all tasks of a gang, or for one task of an array."""
+        """Whether the quota is too small for a job to start: for all tasks of a gang, or for one task of an array."""
         needed = job.spec.tasks if job.gang else 1
         return job.startable > 0 and self.fits_quota(job, needed) < needed
 
@@ -236,7 +237,7 @@
                 self.jobs.pop(job.ref, None)
 
     def release(self, placement: Placement, now: timedelta) -> None:
-        """Remove the placement of a task that is proven to have ended; unless the task is done, it waits again."""
+        """Remove the placement of a task that is proven not to run any more; unless the task is done, it waits."""
         self.remove_placement(placement)
         job = placement.job
         if not (job.done | job.done_here) >> placement.index & 1:
@@ -264,7 +265,7 @@
         return self._reconciler.on_heartbeat(machine, heartbeat, periodic, now)
 
     def clear_failures(self, job: Job, now: timedelta) -> None:
-        """Let a job use machines again on which it failed long ago."""
+        """Let a job use the machines again on which it failed, unless it failed recently; see `FailureTracker`."""
         self._failures.clear_failures(job, now)
 
     # -- commands
@@ -274,7 +275,10 @@
         return build_commands(machine, now, starts, self._clearable)
 
     def _clearable(self, ref: str, index: int) -> bool:
-        """Whether an exited task may be cleared. Until its completion is recorded, only the machine knows of it."""
+        """Whether an exited task may be cleared from a machine's task list.
+
+        Until the task is recorded as done, the list may be the only evidence that it is.
+        """
         job = self.jobs.get(ref)
         if job is None:
             return not self.undecided(ref)
@@ -289,7 +293,7 @@
     def reconcile(self) -> bool:
         """Update and return `reconciled`: whether it is known what every machine runs, so that tasks may be placed."""
         if not self.reconciled:
-            # An orphan's team is unknown, so its usage can't be counted: wait until it no longer runs.
+            # An orphaned task's team is unknown, so the quota it uses can't be counted: wait until it no longer runs.
             self.reconciled = not self.unreconciled_machines()
             if self.reconciled:
                 machines = len(self.machines)
@@ -297,6 +301,6 @@
         return self.reconciled
 
     def unreconciled_machines(self) -> list[Machine]:
-        """Machines whose tasks are not certainly known, or that run tasks which can't be counted towards a quota."""
+        """Machines whose tasks are not known for certain, or that run tasks which can't be counted towards a quota."""
         machines = self.machines.values()
         return [machine for machine in machines if not machine.fenced or machine.orphans or machine.undecided]
--- a/badgerroute/scheduling/shard_state.py
+++ b/badgerroute/scheduling/shard_state.py
@@ -1,4 +1,4 @@
-"""Interfaces to a shard's state for the modules that `shard` itself imports, which avoids import cycles."""
+"""Interfaces to a shard's state, used by modules that `shard` itself imports; this avoids import cycles."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -35,7 +35,7 @@
         """The callback for each fetched image, with the duration of the fetch."""
 
     def lose_tasks(self, machine: Machine, now: timedelta) -> None:
-        """Release all tasks of a machine, which are proven to be dead."""
+        """Release all tasks of a machine, which are proven not to run any more."""
 
     def place(self, job: Job, index: int, attempt: int, machine: Machine, now: timedelta, phase: Phase) -> Placement:
         """Record an attempt of a task as placed on a machine."""
@@ -44,10 +44,10 @@
         """Remove a placement from its machine and its job."""
 
     def release(self, placement: Placement, now: timedelta) -> None:
-        """Remove a placement; unless the task is done, it waits again."""
+        """Remove the placement of a task that is proven not to run any more; unless the task is done, it waits."""
 
     def stop(self, placement: Placement, grace: timedelta) -> None:
-        """Stop a task with a grace period."""
+        """Stop a task with a grace period to save its work."""
 
     def stop_gang(self, job: Job, grace: timedelta) -> None:
-        """Stop all tasks of a gang with a grace period."""
+        """Stop all tasks of a gang with a grace period to save their work."""
--- a/badgerroute/scheduling/stealing.py
+++ b/badgerroute/scheduling/stealing.py
@@ -1,8 +1,9 @@
 """Work stealing, the victim's side: chooses the waiting tasks that a shard gives to an idle one.
 
 After the paper's algorithm 2 (Parades, section IV.D), procedures STEAL, SENDSTEAL and ONRECEIVESTEAL(n): the thief has
-no waiting task and offers its free capacity `n` to the victim, which decides. Changed here: one request offers many
-machines, and the chosen tasks are transferred by a transaction elsewhere (`coordination.shards.migration`).
+no waiting task and offers its free capacity `n` to the victim, which decides which tasks to give away. Changed here:
+one request offers many machines, and the chosen tasks are transferred by a transaction
+(`coordination.shards.migration`).
 """
 
 from collections.abc import Container
@@ -17,12 +18,12 @@
 from badgerroute.storage.bitset import lowest, span, trailing_ones
 from badgerroute.storage.task_ranges import TaskRange, assign_tasks
 
-UNCACHED_WAIT = timedelta(seconds=1)  # how long a task is kept if the idle shard does not cache its image
+UNCACHED_WAIT = timedelta(seconds=1)  # a job's tasks wait this long before a shard without their image may take them
 
 
 @dataclass(slots=True)
 class _Offer:
-    """Machines of the idle shard with equal free capacity; `machines_left` of them have no chosen task."""
+    """Machines of the idle shard with equal free capacity; no task is chosen yet for `machines_left` of them."""
 
     capacity: FreeCapacity
     machines_left: int
@@ -39,8 +40,8 @@
         """Choose waiting tasks of a job to give to the other shard, as a bit set."""
         same_shard = job.gang or job.spec.together or job.spec.spread
         if same_shard and job.placed:
-            return 0  # its constraints apply to all of its tasks, so these must be in one shard
-        # Only machines that the job may use count. Otherwise tasks would stay in a shard that can never run them.
+            return 0  # its tasks must all be in one shard, since its constraints apply to them together
+        # `room_for` counts only machines that the job may use, so tasks don't stay in a shard that can never run them.
         waiting = job.waiting_bits
         fitting_here = self._shard.room_for(job)
         wanted = waiting.bit_count() - (0 if same_shard else min(fitting_here, waiting.bit_count()))
@@ -49,8 +50,8 @@
         if job.spec.image not in self._images and self._now - job.since < UNCACHED_WAIT:
             return 0
         fitting, used = self._fitting_offers(job, wanted)
-        # An array that must stay in one shard can run a few tasks at a time there. If none of its tasks fits in this
-        # shard, it is given away without waiting for a shard with capacity for all of them.
+        # An array whose tasks must all be in one shard can run a few of them at a time. If none fits in this shard, the
+        # array is given away even if the other shard has no capacity for all of its tasks.
         partial_suffices = same_shard and not job.gang and not fitting_here
         count = min(fitting, wanted)
         if count <= 0 or (same_shard and fitting < wanted and not partial_suffices):
@@ -60,7 +61,10 @@
         return span(0, job.spec.tasks) & job.owned if same_shard else _highest_bits(waiting, count)
 
     def _fitting_offers(self, job: Job, wanted: int) -> tuple[int, list[tuple[_Offer, int]]]:
-        """How many tasks fit, up to `wanted`, and how many machines of each offer they use."""
+        """How many tasks the offered machines can hold, and the number of machines of each offer to use.
+
+        Whole machines are counted, so the number may exceed `wanted` by less than the tasks that fit on one machine.
+        """
         fitting = 0
         used: list[tuple[_Offer, int]] = []
         for offer in self._offers:
@@ -79,7 +83,7 @@
 
 
 def _highest_bits(bits: int, count: int) -> int:
-    """The `count` highest bits of a bit set, so that the bits that stay form one range."""
+    """The `count` highest bits of a bit set. Taking these leaves a contiguous set contiguous."""
     highest = 0
     for _ in range(count):
         top = 1 << (bits.bit_length() - 1)
@@ -89,7 +93,7 @@
 
 
 def given_ranges(ranges: list[TaskRange], tasks: int, shard: int) -> list[TaskRange]:
-    """Return the task ranges after a bit set of tasks was given to a shard."""
+    """Return a job's task ranges, which map its tasks to shards, after a bit set of tasks is given to a shard."""
     while tasks:
         first = lowest(tasks)
         length = trailing_ones(tasks >> first)
--- a/badgerroute/scheduling/task_exits.py
+++ b/badgerroute/scheduling/task_exits.py
@@ -9,7 +9,7 @@
 from badgerroute.scheduling.task_list_message import TaskListMessage
 from badgerroute.scheduling.task_phase import Phase
 
-CAUSES_IMPLYING_IMAGE = frozenset({"done", "alone"})  # tasks that exit with these causes had their image
+CAUSES_IMPLYING_IMAGE = frozenset({"done", "alone"})  # a task exits with these causes only after its image was fetched
 MAX_GANG_WAIT_RESTARTS = 12  # a gang that still lacks an image on some machine after this many restarts is placed again
 
 
@@ -35,7 +35,7 @@
 
     @staticmethod
     def _placement_of(machine: Machine, task: TaskAttempt) -> Placement | None:
-        """Return the placement of the attempt that exited, or None if the exit is that of another attempt."""
+        """Return the placement of the attempt that exited, or None if the attempt has none on the machine."""
         placement = machine.placements.get((task.ref, task.number))
         if placement is None or placement.attempt != task.attempt or placement.phase is Phase.RESERVED:
             return None
@@ -43,7 +43,7 @@
 
     @staticmethod
     def _may_precede_restart(message: TaskListMessage, placement: Placement) -> bool:
-        """Whether the exit may belong to the run before a restart, which has the same attempt number."""
+        """Whether the exit may precede the restart of the attempt, since a restart keeps the attempt number."""
         return (
             placement.phase is Phase.SENT
             and placement.gang_wait_restarts > 0
@@ -51,10 +51,10 @@
         )
 
     def _process_incomplete_exit(self, message: TaskListMessage, placement: Placement, cause: str) -> None:
-        """Process an exit before completion: restart a task that waited for its gang, release any other."""
+        """Process an exit before completion: restart a task whose wait for its gang timed out, release others."""
         if cause == "alone" and self._may_continue_waiting(placement):
-            # Other machines may still fetch the image, which can take longer than a task waits for its gang.
-            # Stopping the gang would cancel those fetches (docs/incidents.md, gangs begun anew).
+            # Other machines of the gang may still be fetching the image, which can take longer than a task waits for
+            # its gang. Stopping the gang would cancel these fetches (docs/incidents.md, gangs begun anew).
             placement.phase, placement.sent = Phase.RESERVED, None
             placement.gang_wait_restarts += 1
             return
@@ -64,11 +64,11 @@
 
     @staticmethod
     def _may_continue_waiting(placement: Placement) -> bool:
-        """Whether a gang's task whose wait timed out may be restarted, with the same attempt, to go on waiting."""
+        """Whether a task whose wait for its gang timed out may be restarted, as the same attempt, to wait longer."""
         job = placement.job
         return (
             job.gang
-            and len(job.placed) == job.spec.tasks  # otherwise the gang is incomplete, and waiting is useless
+            and len(job.placed) == job.spec.tasks  # waiting for an incomplete gang is useless
             and placement.gang_wait_restarts < MAX_GANG_WAIT_RESTARTS
             and placement.machine.usable
             and placement.attempt == job.gang_attempt
@@ -89,7 +89,7 @@
 
     @staticmethod
     def _record_done(message: TaskListMessage, job: Job, index: int) -> int:
-        """Mark a task, or a whole gang, which completes together, as done. Return the newly done tasks as a bit set."""
+        """Mark a task as done, or all tasks of a gang at once. Return the newly done tasks as a bit set."""
         ended = (1 << job.spec.tasks) - 1 if job.spec.gang else 1 << index
         newly_done = ended & job.owned & ~(job.done | job.done_here)
         if newly_done:
@@ -98,9 +98,9 @@
         return newly_done
 
     def _learn_run_time(self, placement: Placement, now: timedelta) -> None:
-        """Add a run to the job's mean and the class's estimate, if the times of its start and end are known.
+        """Add a run to the job's mean and to the estimate of its class, if the times of its start and end are known.
 
-        A pause of this controller must not count as run time: jobs that have only begun would be considered late.
+        A pause of this controller must not count as run time. Otherwise jobs that have just begun would seem late.
         """
         if placement.running_since is None or not placement.timing_known:
             return
--- a/badgerroute/scheduling/task_list_message.py
+++ b/badgerroute/scheduling/task_list_message.py
@@ -1,4 +1,4 @@
-"""A message from a machine with its task list, and what the list proves."""
+"""A message with a machine's task list, and what a task's absence from the list proves."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -10,11 +10,11 @@
 
 @dataclass(slots=True)
 class TaskListMessage:
-    """A task list that is newer than all others processed for its machine.
+    """A machine's task list, newer than all task lists of the machine that were processed before.
 
-    `periodic`: the message is a heartbeat, not the response to a direct command. `timing_known`: the previous message
-    was processed recently. After a gap, since the machine or this controller was silent, it is unknown when the changes
-    in the list happened. `events` collects the changes that the message causes.
+    `periodic`: the message is a heartbeat, not the response to a direct command. `timing_known`: the machine's previous
+    message was processed recently. If not, because the machine or this controller was silent, it is unknown when the
+    changes in the list happened. `events` collects the changes to the shard that the message causes.
     """
 
     machine: Machine
@@ -27,6 +27,7 @@
     def confirms_absence(self, placement: Placement) -> bool:
         """Whether a task missing from this list proves that its start command was not and will not be executed.
 
-        A worker has one heartbeat in flight and ignores late responses, so only a later *heartbeat* proves it.
+        A worker has one heartbeat in flight and ignores late responses. So the proof is a heartbeat that was sent after
+        the one whose response carried the command; the response to a direct command proves nothing.
         """
         return self.periodic and placement.sent is not None and self.heartbeat.newer_than(*placement.sent)
--- a/badgerroute/scheduling/task_phase.py
+++ b/badgerroute/scheduling/task_phase.py
@@ -8,10 +8,10 @@
 
     RESERVED = "reserved"  # placed; the start command has not been sent
     SENT = "sent"  # the start command was sent in a heartbeat response; a later heartbeat shows whether it arrived
-    FETCHING = "fetching"
-    WAITING = "waiting"
+    FETCHING = "fetching"  # the machine fetches the image
+    WAITING = "waiting"  # the image is fetched; the task waits for the other tasks of its gang
     RUNNING = "running"
-    SAVING = "flushing"
+    SAVING = "flushing"  # the task is stopping and saves its work
 
 
 PHASES_WITHOUT_IMAGE = frozenset({Phase.RESERVED, Phase.SENT, Phase.FETCHING})
--- a/badgerroute/scheduling/utilization_feedback.py
+++ b/badgerroute/scheduling/utilization_feedback.py
@@ -1,4 +1,6 @@
-"""Adaptive feedback (Af): how many slots a job desires in a shard during the next period.
+"""Adaptive feedback (Af): computes a job's desire, the number of slots that it should have in a shard in a period.
+
+A slot is capacity for one task of the job.
 
 After the paper's algorithm 1 (section IV.C). Its symbols: `q` counts periods of length `L` (`scheduling.period_s`);
 `d(q)` is the desire, `a(q)` the allocation, `u(q)` the utilization of period `q`; `delta` is the utilization below
@@ -8,8 +10,8 @@
 - efficient and deprived (`d > a`): `d`;
 - efficient and satisfied: `d * rho`.
 
-Changed here: utilization is the share of the desired slots that were in use, since workers report no load; and the
-first desire is not one slot (`begin`).
+Changed here: utilization is the fraction of the desired slots that were in use, since workers report no load; and the
+first desire may be more than one slot (`begin`).
 """
 
 from datetime import timedelta
@@ -21,7 +23,7 @@
 def next_desire(
     desire: float, allocation: float, utilization: float, tasks_waited: bool, delta: float, rho: float
 ) -> float:
-    """Compute d(q) from d(q-1), a(q-1) and u(q-1), which are `desire`, `allocation` and `utilization`."""
+    """Compute the desire d(q); `desire`, `allocation` and `utilization` are d(q-1), a(q-1) and u(q-1)."""
     if utilization < delta and not tasks_waited:
         return max(1.0, desire / rho)
     if desire > allocation:
@@ -30,7 +32,10 @@
 
 
 def sample(job: Job, waiting: int) -> None:
-    """Add a sample of the job's slots to the period's sums. `waiting` is the number of its waiting tasks."""
+    """Add the job's slots in use and the slots available to it to the sums of the period.
+
+    `waiting` is the number of its waiting tasks.
+    """
     job.samples += 1
     in_use = len(job.placed)
     job.used_slots_sum += in_use
@@ -39,9 +44,10 @@
 
 
 def begin(job: Job, now: timedelta, waiting: int, free_slots: int) -> None:
-    """Set the first desire: the minimum of waiting tasks and free slots, and at least one (the paper: one slot).
+    """Set a job's first desire to the smaller of `waiting` and `free_slots`, but at least one, and begin a period.
 
-    Doubling it every period, starting at one slot, would take longer than most jobs run.
+    The paper begins with one slot. Growing from there, even by doubling each period, would take longer than most jobs
+    run.
     """
     job.desire = float(max(1, min(waiting, free_slots)))
     _begin_period(job, now)
