--- a/badgerroute/connectivity/damping.py
+++ b/badgerroute/connectivity/damping.py
@@ -1,6 +1,6 @@
 """Damping of flapping links by a decaying penalty, modelled on BGP route flap damping (RFC 2439).
 
-It only delays voluntary transfers of shards, never a campaign for a shard without a leader.
+Damping only delays voluntary transfers of shards, never a campaign for a shard without a leader.
 """
 
 from dataclasses import dataclass, field
@@ -11,12 +11,12 @@
 ZERO = timedelta(0)
 PENALTY_PER_LOSS = 1.0
 MAX_PENALTY = 8.0
-MAX_COUNTED_HALF_LIVES = 64.0  # the penalty is negligible after that; bounds the exponent
+MAX_COUNTED_HALF_LIVES = 64.0  # later the penalty is negligible; the bound keeps the exponent small
 
 
 @dataclass(slots=True)
 class FlapDamping:
-    """Computes how long all links must have been up before this controller takes shards back.
+    """Computes how long all links must have been up before this controller may receive shards again.
 
     Every lost link adds to a penalty, which halves in each `half_life`. The delay is `base_delay` after the first loss,
     and doubles with each further point of penalty up to `max_delay`.
@@ -25,7 +25,7 @@
     base_delay: timedelta
     max_delay: timedelta
     half_life: timedelta
-    _penalty: float = 0.0  # as of the last loss
+    _penalty: float = 0.0  # at the time of the last loss, before any later decay
     _last_loss: timedelta = field(default=ZERO)
 
     @classmethod
@@ -34,7 +34,7 @@
         return cls(settings.settle, settings.longest_settle, settings.penalty_half_life)
 
     def penalty(self, now: timedelta) -> float:
-        """Return the penalty after decay."""
+        """Return the penalty at `now`, after its decay since the last loss."""
         half_lives = min((now - self._last_loss) / self.half_life, MAX_COUNTED_HALF_LIVES)
         return float(self._penalty * 0.5 ** max(0.0, half_lives))
 
@@ -48,6 +48,6 @@
         return max(ZERO, self.delay(now) - self.base_delay)
 
     def delay(self, now: timedelta) -> timedelta:
-        """Return how long links must have been up. A first loss adds nothing to `base_delay`."""
+        """Return how long all links must have been up. After a first loss this is `base_delay`."""
         penalty_beyond_first_loss = max(0.0, self.penalty(now) - PENALTY_PER_LOSS)
         return min(self.max_delay, self.base_delay * 2.0**penalty_beyond_first_loss)
--- a/badgerroute/connectivity/failure_detector.py
+++ b/badgerroute/connectivity/failure_detector.py
@@ -30,7 +30,8 @@
 class FailureDetector:
     """Monitors one endpoint. All times are readings of the caller's monotonic clock.
 
-    A suspicion may be wrong, so safety does not depend on it, but on terms, the grace period and the workers' leases.
+    A suspicion may be wrong, so safety does not depend on suspicions. It depends on terms, the grace period and the
+    workers' leases.
     """
 
     bounds: TimeoutBounds
@@ -40,7 +41,7 @@
     _deviation: timedelta = field(default=ZERO)  # smoothed
 
     def record_heartbeat(self, received_at: timedelta) -> None:
-        """Record a heartbeat or any other message of the endpoint. One older than the last is ignored."""
+        """Record a heartbeat or any other message of the endpoint. It is ignored if it is older than the last one."""
         if self.last_heartbeat is not None:
             if received_at <= self.last_heartbeat:
                 return
--- a/badgerroute/connectivity/mode_machine.py
+++ b/badgerroute/connectivity/mode_machine.py
@@ -32,7 +32,7 @@
 
 
 class ModeMachine:
-    """Holds the current mode. It starts as SERVING, since a new process has not lost any link yet."""
+    """Holds the current mode. The first mode is SERVING, since a new process has not lost any link yet."""
 
     def __init__(self, damping: FlapDamping) -> None:
         self.damping = damping
@@ -41,7 +41,7 @@
         self.mode = Mode.SERVING
 
     def update(self, reachability: Reachability, now: timedelta) -> ModeChange | None:
-        """Update the mode from what is reachable, and return the change, or None if the mode stays."""
+        """Update the mode from what is reachable, and return the change, or None if the mode is still the same."""
         before = self.mode
         if mode_of(reachability, stable=True) in IMPAIRED_MODES:
             self._links_good_since = None
--- a/badgerroute/connectivity/modes.py
+++ b/badgerroute/connectivity/modes.py
@@ -1,7 +1,8 @@
 """The connectivity modes of a controller, and the actions that each mode allows.
 
-`PERMISSIONS` is the only definition of these permissions. It restricts the rules of docs/safety.md further and never
-relaxes them: the grace period and the lease limit every action in each mode as they do without modes.
+`PERMISSIONS` is the only place where these permissions are defined. A mode can forbid an action that the safety rules
+of docs/safety.md allow, but never allow one that they forbid. The checks of the grace period and of the lease therefore
+apply in every mode.
 """
 
 from dataclasses import dataclass
@@ -12,11 +13,11 @@
     """What a controller can reach."""
 
     SERVING = "serving"  # reaches the key-value store and the workers
-    RECOVERING = "recovering"  # reaches both again, but has not done so for long enough
-    OUTAGE = "outage"  # no controller that is not suspected reaches the key-value store
-    STORE_UNREACHABLE = "unrecorded"  # lacks the key-value store; a peer reaches it, or all are suspected
+    RECOVERING = "recovering"  # reaches both again, but not yet for the delay that `damping` requires
+    OUTAGE = "outage"  # neither this controller nor any peer that it can reach has access to the store
+    STORE_UNREACHABLE = "unrecorded"  # reaches the workers, but not the store, which a peer may reach
     WORKERS_UNREACHABLE = "unheard"  # reaches the key-value store, but not the workers
-    ISOLATED = "isolated"  # lacks the key-value store as STORE_UNREACHABLE does, and the workers
+    ISOLATED = "isolated"  # reaches neither the workers nor the store, which a peer may reach
 
 
 class Action(Enum):
@@ -30,14 +31,14 @@
     ANSWER_POLL = "answer_poll"
     STEAL = "steal"
     GIVE_WORK = "give_work"
-    MOVE_QUOTA = "move_share"  # of a team, from or to another shard
+    MOVE_QUOTA = "move_share"  # move quota of a team from or to another shard
     ADD_MEMBER = "add_member"
-    CLEAN_UP = "clean_up"  # of records that belong to no shard
+    CLEAN_UP = "clean_up"  # remove stored records that belong to no shard
     TRANSFER_MACHINES = "lend_machines"
     RENT = "rent"
     RETURN_IDLE = "return_idle"
     GIVE_UP_MACHINE = "give_up_machine"  # have a machine deleted because its heartbeats are missing
-    DELETE = "delete"  # a machine at the cloud, for any reason
+    DELETE = "delete"  # have the cloud delete a machine, for any reason
     CAMPAIGN = "claim"
     TRANSFER_SHARD = "hand_over"
     RECEIVE_SHARD = "receive_part"
@@ -47,8 +48,8 @@
     """Whether an action is allowed, and under which condition."""
 
     ALLOWED = "allowed"
-    WITHIN_GRACE = "within_grace"  # until the last confirmation of leadership is as old as the grace period
-    WHILE_CERTAIN = "while_certain"  # until the lease may have expired since the last confirmation
+    WITHIN_GRACE = "within_grace"  # while the last confirmation of leadership is younger than the grace period
+    WHILE_CERTAIN = "while_certain"  # while the lease cannot have expired since the last confirmation
     RELUCTANT = "reluctant"  # after a delay, so that controllers with better connectivity act first
     FROM_MEMORY = "from_memory"  # only from memory, without reading from the key-value store
     REFUSED = "refused"
@@ -90,17 +91,17 @@
 
     store: bool
     workers: bool
-    peers: bool  # at least one peer is not suspected, or there are no peers
-    peer_with_store: bool  # at least one peer that is not suspected reaches the key-value store
+    peers: bool  # whether at least one peer is not suspected, or there are no peers
+    peer_with_store: bool  # whether a peer that is not suspected reaches the key-value store
 
     @property
     def lacks_store_alone(self) -> bool:
-        """Whether this controller lacks the key-value store while a peer has it or all peers are suspected."""
+        """Whether only this controller may lack the key-value store: a peer reaches it, or all peers are suspected."""
         return not self.store and (self.peer_with_store or not self.peers)
 
 
 def mode_of(reachability: Reachability, stable: bool) -> Mode:
-    """Return the mode for what is reachable; `stable` means that all links have been up for long enough."""
+    """Return the mode for what is reachable; `stable` means that all links were up for the delay of the damping."""
     if not reachability.store:
         if not reachability.lacks_store_alone:
             return Mode.OUTAGE
--- a/badgerroute/connectivity/overdue_heartbeats.py
+++ b/badgerroute/connectivity/overdue_heartbeats.py
@@ -6,9 +6,9 @@
 from badgerroute.scheduling.shard_state import ShardView
 
 MIN_EXPECTED_MACHINES = 3  # with fewer, overdue heartbeats say little about this controller's link
-HEARTBEAT_INTERVAL_FACTOR = 1.5  # the interval between two heartbeats varies by a quarter
+HEARTBEAT_INTERVAL_FACTOR = 1.5  # intervals between heartbeats vary by up to a quarter
 HEARTBEAT_TRANSIT_TIME = timedelta(seconds=1)  # allowance for the network
-FAILOVER_TIME = timedelta(seconds=5)  # of a worker: 4 s until its request times out, then a pause of 1 s
+FAILOVER_TIME = timedelta(seconds=5)  # a worker tries another controller after a timeout of 4 s and a pause of 1 s
 
 
 def is_overdue(
@@ -16,7 +16,7 @@
 ) -> bool:
     """Whether a heartbeat of a member machine is overdue. Heartbeats relayed by a peer don't count.
 
-    `resumed_at` is the end of this process's last pause, during which nothing could be received.
+    `resumed_at` is when this process resumed after its last pause, during which it could receive no heartbeat.
     """
     if machine.last_heartbeat is None:
         last_heartbeat_due_from = max(machine.joined, shard.led_since) + FAILOVER_TIME
@@ -29,7 +29,7 @@
 
 
 def count_overdue(shard: ShardView, heartbeat_interval: timedelta, resumed_at: timedelta, now: timedelta) -> int:
-    """Return how many machines have overdue heartbeats, or 0 if fewer than half have. Lost machines don't count."""
+    """Return how many machines have overdue heartbeats, or 0 if less than half have. Lost machines are ignored."""
     # A machine that was fenced by a direct command is not alive before its first heartbeat, but not lost either. If it
     # did not count, a network partition right after a failover would go unnoticed (docs/incidents.md).
     expected = [machine for machine in shard.machines.values() if machine.alive or machine.lost_at is None]
--- a/badgerroute/connectivity/process_pause.py
+++ b/badgerroute/connectivity/process_pause.py
@@ -1,4 +1,4 @@
-"""Detects that this process was paused, from a periodic task that runs much later than scheduled."""
+"""Detects that this process was paused: a periodic task then runs much later than scheduled."""
 
 from datetime import timedelta
 
@@ -14,7 +14,7 @@
         self.resumed_at = now  # the end of the last pause, or the start of the process
 
     def tick(self, now: timedelta) -> timedelta:
-        """Record a run of the task, and return how long the process was paused before it, or zero."""
+        """Record a run of the task, and return how long the process was paused before this run, or zero."""
         delay = now - self._last_tick - self._period
         self._last_tick = now
         if delay < MIN_PAUSE:
--- a/badgerroute/connectivity/relay_routes.py
+++ b/badgerroute/connectivity/relay_routes.py
@@ -1,20 +1,20 @@
-"""Decides whether a controller that does not lead a machine's shard relays its heartbeat to the leader or redirects it.
+"""Decides what a controller does with a heartbeat for a shard that it does not lead: relay it, or redirect the machine.
 
-A machine that returns soon after a redirect can't reach its leader, so its heartbeats are relayed afterwards. It is
-redirected again after a delay, which doubles each time, to find out whether it can reach its leader again.
+A machine that returns soon after a redirect can't reach its shard's leader, so its heartbeats are relayed from then on.
+It is redirected again after a delay, which doubles each time, to find out whether it can reach the leader again.
 """
 
 from dataclasses import dataclass
 from datetime import timedelta
 from enum import Enum
 
-# A machine that returns within this time could not reach its leader: a worker times out after 4 s, and tries the next
-# controller 1 s later.
+# A machine that returns within this time after a redirect could not reach its leader: its request to the leader times
+# out after 4 s, and it tries the next controller 1 s later.
 REDIRECT_FAILURE_WINDOW = timedelta(seconds=9)
 MIN_REDIRECT_DELAY = timedelta(seconds=10)
 MAX_REDIRECT_DELAY = timedelta(seconds=80)
 ROUTE_TTL = timedelta(seconds=120)
-REDIRECT_SPREAD_PERIOD = timedelta(seconds=4)  # over which machines are redirected to a recovered leader
+REDIRECT_SPREAD_PERIOD = timedelta(seconds=4)  # redirects to a recovered leader are spread over this time
 REDIRECT_BUCKETS = 16
 NEVER = timedelta(0)
 
@@ -29,10 +29,10 @@
 @dataclass(slots=True)
 class _MachineRoute:
     leader: str
-    last_heartbeat: timedelta  # received by this controller
+    last_heartbeat: timedelta  # when this controller received the last heartbeat
     relayed: bool
     next_redirect_at: timedelta  # when to redirect the machine again
-    redirected_at: timedelta | None = None  # None if the last heartbeat here was relayed
+    redirected_at: timedelta | None = None  # None if the last heartbeat was relayed instead
     redirect_failed_at: timedelta = NEVER
     redirect_delay: timedelta = MIN_REDIRECT_DELAY
 
@@ -43,7 +43,7 @@
     def __init__(self) -> None:
         self._routes: dict[str, _MachineRoute] = {}  # by machine
         self._last_cleanup = NEVER
-        self._leaders_without_workers: set[str] = set()  # whose workers could not reach them at the last heartbeat
+        self._leaders_without_workers: set[str] = set()  # leaders that reported it at the last decision
         self._leader_recovered_at: dict[str, timedelta] = {}  # leader -> when its workers could reach it again
 
     def __len__(self) -> int:
@@ -54,7 +54,7 @@
 
         `workers_unreachable` means that the leader reports that its workers can't reach it; `has_tasks`, that the
         heartbeat lists tasks. The first heartbeat of a machine with tasks is relayed: if the machine can't reach its
-        leader, a redirect might take longer to fail than its lease still lasts.
+        leader, its lease might expire before a redirect to the leader times out.
         """
         self._remove_expired_routes(now)
         self._record_leader_state(leader, workers_unreachable, now)
@@ -91,7 +91,7 @@
         route.redirected_at = None
 
     def _may_redirect(self, route: _MachineRoute, machine: str, now: timedelta) -> bool:
-        """Whether to redirect a machine now. After the leader's recovery, the machines are spread over some seconds."""
+        """Whether to redirect a machine now. Redirects after the leader's recovery are spread over several seconds."""
         if not route.relayed:
             return True
         leader_recovered_at = self._leader_recovered_at.get(route.leader, NEVER)
--- a/badgerroute/connectivity/transfer_target.py
+++ b/badgerroute/connectivity/transfer_target.py
@@ -13,10 +13,10 @@
 
 
 def choose_transfer_target(candidates: list[TransferCandidate], shard_machines: int) -> TransferCandidate | None:
-    """Return the least loaded candidate that enough machines report to, or None if no machine reports to a candidate.
+    """Return the candidate that leads the fewest machines, or None if no machine of the shard reports to a candidate.
 
-    Enough is at least half as many as report to the candidate with the most. `shard_machines` is the number of machines
-    in the shard, by which the load of its new leader grows.
+    Only candidates are considered to which at least half as many machines of the shard report as to the candidate with
+    the most. `shard_machines` is the number of machines in the shard, by which the load of its new leader grows.
     """
     reporting_candidates = [candidate for candidate in candidates if candidate.machines_reporting > 0]
     if not reporting_candidates:
--- a/badgerroute/connectivity/worker_link.py
+++ b/badgerroute/connectivity/worker_link.py
@@ -1,18 +1,18 @@
-"""Detects that workers can't reach this controller, from overdue heartbeats and from heartbeats sent to peers."""
+"""Detects that workers can't reach this controller: heartbeats are overdue here, and peers receive some of them."""
 
 from collections import Counter
 from dataclasses import dataclass
 from datetime import timedelta
 
 PEER_HEARTBEAT_TTL = timedelta(seconds=6)
-MIN_MACHINES_AT_PEERS = 2  # machines of one shard
-OVERDUE_PER_MACHINE_AT_PEERS = 8  # overdue machines for each that must send heartbeats to peers
-PROBATION = timedelta(seconds=8)  # how long workers have to send heartbeats here again after one was reached
+MIN_MACHINES_AT_PEERS = 2  # at least this many machines of one shard must send heartbeats to peers
+OVERDUE_PER_MACHINE_AT_PEERS = 8  # and at least one for each 8 machines with overdue heartbeats
+PROBATION = timedelta(seconds=8)  # once a worker was reached, the link is not lost again for this long
 
 
 @dataclass(frozen=True, slots=True)
 class _PeerHeartbeat:
-    """The last heartbeat that one of our machines sent to a peer."""
+    """The last heartbeat that a machine of a shard led here sent to a peer."""
 
     peer: str
     received_at: timedelta
@@ -23,7 +23,7 @@
     """The state of the link from all workers to this controller.
 
     Overdue heartbeats alone don't show that the link is lost, since the machines may have failed. Peers must also
-    receive heartbeats from some of these machines.
+    have received heartbeats from some machines of the same shard.
     """
 
     def __init__(self) -> None:
@@ -57,10 +57,12 @@
         return list(heartbeats.values())
 
     def shard_suspected(self, shard: int, overdue: int, now: timedelta, unrelayed_only: bool = False) -> bool:
-        """Whether so many of a shard's machines send heartbeats to peers that it is not a coincidence.
+        """Whether machines of a shard probably can't reach this controller.
 
-        `overdue` is the number of its machines with overdue heartbeats. With `unrelayed_only`, machines whose
-        heartbeats the peer relayed to this controller don't count.
+        This is the case if heartbeats are overdue, and if at least `MIN_MACHINES_AT_PEERS` of them, and at least one
+        for every 8 with overdue heartbeats, sent heartbeats to peers recently. `overdue` is the number of machines with
+        overdue heartbeats. With `unrelayed_only`, machines whose heartbeats the peer relayed to this controller don't
+        count.
         """
         machines_at_peers = sum(
             not (unrelayed_only and heartbeat.relayed) for heartbeat in self._recent_peer_heartbeats(shard, now)
@@ -68,7 +70,7 @@
         return overdue > 0 and machines_at_peers >= max(MIN_MACHINES_AT_PEERS, overdue // OVERDUE_PER_MACHINE_AT_PEERS)
 
     def update(self, overdue_by_shard: dict[int, int], now: timedelta) -> None:
-        """Update the state of the link from the number of overdue machines in each shard led here."""
+        """Update the state of the link from the number of machines with overdue heartbeats in each shard led here."""
         in_probation = self._probation_ends is not None and now < self._probation_ends
         if any(self.shard_suspected(shard, overdue, now) for shard, overdue in overdue_by_shard.items()):
             if not self.lost and not in_probation:
@@ -83,5 +85,5 @@
             self._probation_ends = now + PROBATION
 
     def forget_shard(self, shard: int) -> None:
-        """Drop the records of a shard that was transferred because its workers can't reach this controller."""
+        """Drop the heartbeat records of a shard that was transferred to another controller."""
         self._peer_heartbeats.pop(shard, None)
--- a/badgerroute/coordination/leadership/action_policy.py
+++ b/badgerroute/coordination/leadership/action_policy.py
@@ -1,4 +1,4 @@
-"""Decides whether an action is allowed now, from the connectivity mode and the last confirmation of leadership.
+"""Decides whether an action is allowed now, by the connectivity mode and the last confirmation of leadership.
 
 No other module outside `leadership_state` calls `within_grace` or `lease_surely_valid`; a test checks that.
 """
@@ -11,7 +11,7 @@
 class ActionPolicy:
     """Authorizes actions.
 
-    Callers must ask after every await, in the same step in which they act: the result can change during an await.
+    Callers must check the permission again after every await, right before they act: it can change during an await.
     """
 
     def __init__(self, leadership_state: LeadershipState, mode_machine: ModeMachine) -> None:
--- a/badgerroute/coordination/leadership/autoscaler_election.py
+++ b/badgerroute/coordination/leadership/autoscaler_election.py
@@ -16,14 +16,14 @@
 
 
 class AutoscalerElection:
-    """Campaigns for the autoscaler leader key, and ends the autoscaler term when the key changes afterwards."""
+    """Campaigns for the autoscaler leader key, and ends the term of this controller when the key changes later."""
 
     def __init__(self, store: KeyValueClient, replica: Replica, leadership_state: LeadershipState, host: str) -> None:
         self._store, self._replica, self._state, self._host = store, replica, leadership_state, host
         replica.listen(AUTOSCALER_LEADER, self._record_changed)
 
     async def campaign(self) -> None:
-        """Write the leader key if it does not exist, or was written by an earlier run of this controller.
+        """Write the leader key if it does not exist or was written by an earlier run of this controller.
 
         Raises LeaseExpiredError, StoreUnavailableError or OutcomeUnknownError.
         """
--- a/badgerroute/coordination/leadership/leader_election.py
+++ b/badgerroute/coordination/leadership/leader_election.py
@@ -20,15 +20,16 @@
 from badgerroute.transport.loop import Future, Loop
 
 log = logging.getLogger(__name__)
-# For this long after its start, a controller leaves shards that have had no leader yet to their home controllers.
+# For this long after its start, a controller does not campaign for shards that have had no leader yet, except its home
+# shard, so that each of them can be led by its home controller.
 HOME_PRIORITY_PERIOD = timedelta(seconds=3)
 RETRY_DELAY = timedelta(milliseconds=250)
 RELUCTANT_CAMPAIGN_DELAY = timedelta(seconds=1)
-CAMPAIGN_DELAY_PER_LED_SHARD = timedelta(milliseconds=80)  # extra delay of a campaign per shard already led
+CAMPAIGN_DELAY_PER_LED_SHARD = timedelta(milliseconds=80)  # for each shard that the controller leads
 
 
 class ClaimFailure(Enum):
-    """Why this controller did not become the leader of a shard, or not in a higher term."""
+    """Why this controller did not become the leader of a shard, or could not raise the term of a shard it leads."""
 
     NOT_LEADER = "this controller does not lead the shard, so it can't raise the term"
     WRITE_PENDING = "another write of the leader record is in flight"
@@ -39,7 +40,7 @@
 
 
 class LeadershipNotGainedError(Exception):
-    """This controller did not become the leader of a shard, or not in a higher term.
+    """This controller did not become the leader of a shard, or could not raise the term of a shard that it leads.
 
     The caller must not act in a new term. The election loop retries.
     """
@@ -70,7 +71,7 @@
         self._host = settings.platform.host_name
         self._started_at = loop.now()
         self._shard_freed = Future()  # set when a leader record is deleted
-        self._ever_led: set[int] = set()  # shards with a leader at some time since this controller started
+        self._ever_led: set[int] = set()  # shards that had a leader at any time since this controller started
         self._peer_terms: dict[int, int] = {}  # shard -> the highest term that a peer reported as its own
         replica.listen(SHARD_LEADERS, self._record_changed)
 
@@ -93,13 +94,13 @@
 
     async def _wait_for_free_shard(self) -> None:
         # The watch event of a deleted leader record wakes all controllers at the same time, so the campaign delay lets
-        # the one with the fewest shards write first. If each only woke at its own interval, a controller with many
-        # shards could write before one with none.
+        # the one with the fewest shards write first. If each woke only at its own interval, a controller that leads
+        # many shards could write before one that leads none.
         pause = self._settings.operator.election.ttl / 4
         await self._loop.first(self._shard_freed, min(pause, RETRY_DELAY) if self._any_shard_free() else pause)
         self._shard_freed = Future()
 
-    # -- campaign
+    # -- campaigning
 
     def _any_shard_free(self) -> bool:
         return any(self._may_campaign(shard) for shard in range(self._settings.params.size))
@@ -129,8 +130,8 @@
     def _campaign_delay(self) -> timedelta:
         """Return how long to wait before campaigning for a shard other than the home shard.
 
-        The controller that leads the fewest shards waits least, and so wins most races. A controller that its workers
-        can't reach waits longer still, so that any other controller wins.
+        The controller that leads the fewest shards waits the shortest time and so wins most elections. A controller
+        that workers can't reach waits one second longer, so that any other controller wins.
         """
         reluctant = self._policy.permission(Action.CAMPAIGN) is Permission.RELUCTANT
         return CAMPAIGN_DELAY_PER_LED_SHARD * len(self._state.leaderships) + (
@@ -147,11 +148,11 @@
     def _grace_end_for_claim(self, record: ShardLeaderRecord | None) -> float:
         """Return the time of day until which an earlier leader may still act, for the new leader record.
 
-        A record that names this controller is from an earlier run of it, which has ended, or was written by a leader
-        that stepped down and transferred the shard here. A leader before that may have been cut off, so the time in the
-        record is kept as a minimum. It is sufficient only after a transfer. Otherwise the store may have applied a
-        delayed write of ours for the absent key after another controller led the shard and was cut off, and the time in
-        the record is then too early.
+        A record that names this controller was written by an earlier run of it, which has ended, or by a leader that
+        stepped down and transferred the shard here. Since a still earlier leader may have been cut off, the returned
+        time is never before the time in the record. Only after a transfer is the time in the record sufficient. In the
+        other case the store may have applied a delayed write of ours after another controller had led the shard and was
+        cut off; the time in the record would then be too early.
         """
         grace_end = record.until if record is not None else 0.0
         if record is not None and record.transferred:
@@ -190,7 +191,7 @@
                 log.info("event=election_lost shard=%d", shard)
                 await self._records.refresh(shard)
                 raise LeadershipNotGainedError(shard, ClaimFailure.COMPARE_FAILED) from error
-        if lease != self._state.lease:  # the key was deleted with the lease
+        if lease != self._state.lease:  # the lease ended during the write, and the key was deleted with it
             raise LeadershipNotGainedError(shard, ClaimFailure.LEASE_EXPIRED)
         if max(self._peer_terms.get(shard, 0), self._records.term(shard)) > term:
             raise LeadershipNotGainedError(shard, ClaimFailure.OUTRANKED)
@@ -211,11 +212,11 @@
     # -- stepping down
 
     def step_down_if_outranked(self, shard: int, peer_term: int) -> None:
-        """Step down from a shard that a peer reports to lead in a higher term, without waiting for the grace period G.
+        """Step down at once, before the grace period ends, if a peer reports that it leads the shard in a higher term.
 
-        This applies also while a write of ours is in flight: raising our term is conditional on the old term, so the
-        write was applied before the peer's election or never will be. Waiting for it would not help, since a leader
-        that can't reach the key-value store always has a write in flight.
+        The controller also steps down while its own write to raise the term is in flight. That write is conditional on
+        the old term, so it was applied before the peer's election or never will be. Waiting for its outcome would not
+        help, since a leader that can't reach the key-value store always has such a write in flight.
         """
         self._peer_terms[shard] = max(peer_term, self._peer_terms.get(shard, 0))
         leadership = self._state.leaderships.get(shard)
--- a/badgerroute/coordination/leadership/leader_records.py
+++ b/badgerroute/coordination/leadership/leader_records.py
@@ -35,8 +35,8 @@
 class LeaderRecords:
     """Reads leader records from the replica, and writes them conditionally to the store.
 
-    Invariant: this controller has at most one write per shard in flight. Writers check `pending_writes` first, and then
-    write within `pending_write`.
+    Invariant: this controller has at most one write of each shard's record in flight. Callers of `write` check
+    `pending_writes` first, and then write within `pending_write`.
     """
 
     def __init__(self, store: KeyValueClient, replica: Replica) -> None:
@@ -49,12 +49,12 @@
         return records.read(value, ShardLeaderRecord) if value else None
 
     def leader(self, shard: int) -> str | None:
-        """Return the host that leads a shard by the replica, or None if the shard has no leader."""
+        """Return the host that leads a shard according to the replica, or None if the shard has no leader."""
         record = self.record(shard)
         return None if record is None else record.leader
 
     def term(self, shard: int) -> int:
-        """Return the term of the shard's leader by the replica, or 0 if there is none."""
+        """Return the term of the shard's leader according to the replica, or 0 if the shard has no leader."""
         return self._replica.revision_of(shard_leader_key(shard))
 
     def grace_end(self, shard: int) -> float:
@@ -84,7 +84,7 @@
         )
 
     def learn(self, shard: int, record: ShardLeaderRecord, term: int) -> None:
-        """Add a record that was just written to the replica, before the watch delivers it."""
+        """Add a record to the replica that this controller has just written, before the watch reports it."""
         self._replica.learn(shard_leader_key(shard), bytes(records.write(record)), term)
 
     async def refresh(self, shard: int) -> None:
--- a/badgerroute/coordination/leadership/leadership_state.py
+++ b/badgerroute/coordination/leadership/leadership_state.py
@@ -1,6 +1,6 @@
-"""The shards that this controller leads, and how recently that was confirmed.
+"""The shards that this controller leads, and when its leadership was last confirmed.
 
-Other packages read it before they act for a shard; only the modules of this package change it.
+Other packages read this state before they act for a shard; only the modules of this package change it.
 """
 
 from dataclasses import dataclass
@@ -21,11 +21,11 @@
     """The leadership of one shard by this controller."""
 
     term: int
-    grace: timedelta  # how long after the election earlier leaders may still act for the shard
+    grace: timedelta  # for how long after this election an earlier leader may still act for the shard
 
 
 class LeadershipListener(Protocol):
-    """Notified of every shard that this controller begins or ceases to lead, synchronously with the change."""
+    """Is notified whenever this controller begins or ceases to lead a shard, synchronously with the change."""
 
     def elected(self, shard: int, leadership: Leadership) -> None:
         """This controller has been elected leader of the shard."""
@@ -43,14 +43,14 @@
 
 
 class LeadershipState:
-    """The shards that this controller leads, its lease, and when both were last confirmed.
+    """The shards that this controller leads, its lease, and when they were last confirmed.
 
     Invariant: a controller without a lease leads no shard. Times are readings of the event loop's monotonic clock.
     """
 
     def __init__(self, settings: Settings, loop: Loop, replica: Replica) -> None:
         self._loop, self._replica = loop, replica
-        self._grace = settings.grace  # cached: the property is computed, and every heartbeat needs it
+        self._grace = settings.grace  # cached: each access computes the property anew, and every heartbeat needs it
         self._ttl = settings.operator.election.ttl
         self._listeners: list[LeadershipListener] = []
         self.leaderships: dict[int, Leadership] = {}  # by shard
@@ -65,7 +65,7 @@
     # -- for other packages
 
     def condition(self, shard: int) -> Compare:
-        """Return the compare that every write for a shard must include. Raises NotLeaderError."""
+        """Return the compare that every write for a shard must include. Raise NotLeaderError if it is not led here."""
         leadership = self.leaderships.get(shard)
         if leadership is None:
             raise NotLeaderError(shard)
@@ -79,8 +79,8 @@
     def last_confirmed(self) -> timedelta:
         """The latest time at which this controller is known to have been the only leader of its shards.
 
-        It is the earlier of the last lease renewal and the last watch response, since a renewed lease does not rule out
-        changes that the watch has not delivered yet.
+        This is the earlier of the last lease renewal and the last watch response: even with a renewed lease, a shard
+        may have a new leader that the watch has not reported yet.
         """
         return min(self.lease_confirmed_at, self._replica.last_confirmed)
 
@@ -89,10 +89,10 @@
         return self._loop.now() - self.last_confirmed < self._grace
 
     def lease_surely_valid(self) -> bool:
-        """Whether the lease can't have expired yet, so that no other controller can lead a shard of ours now.
+        """Whether the lease can't have expired yet, so that no other controller can lead one of its shards now.
 
-        This is stricter than `within_grace`. During the grace period this controller may still act, since its successor
-        waits for the period to end, but it must not destroy anything that may already belong to the successor.
+        This is stricter than `within_grace`. During the grace period this controller may still act, because a new
+        leader waits for the period to end, but it must not destroy anything that may already belong to that leader.
         """
         return self._loop.now() - self.last_confirmed < self._ttl
 
@@ -116,7 +116,7 @@
             listener.deposed(shard)
 
     def clear_lease(self) -> None:
-        """Forget the lease, and stop leading all shards and running the autoscaler, which depend on it."""
+        """Forget the lease, and stop leading shards and running the autoscaler, which both require the lease."""
         self.lease = None
         self.lease_confirmed_at = NEVER_CONFIRMED
         self.autoscaler_term = None
--- a/badgerroute/coordination/leadership/lease_keeper.py
+++ b/badgerroute/coordination/leadership/lease_keeper.py
@@ -9,7 +9,7 @@
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
-MAX_RENEWAL_TIMEOUT = timedelta(seconds=1.5)  # of one renewal; half the lease's time to live if that is shorter
+MAX_RENEWAL_TIMEOUT = timedelta(seconds=1.5)  # at most half the lease's time to live
 RENEWALS_PER_TTL = 5
 
 
@@ -23,7 +23,7 @@
         self._ttl = settings.operator.election.ttl
 
     async def renew(self) -> None:
-        """Request a lease if there is none; otherwise renew it if that is due.
+        """Request a lease if there is none; otherwise renew it if a renewal is due.
 
         Raises LeaseExpiredError (the caller must call `drop_expired_lease`), StoreUnavailableError or
         OutcomeUnknownError (the caller may retry).
@@ -36,7 +36,8 @@
             if sent_at - self._state.lease_confirmed_at < self._ttl / RENEWALS_PER_TTL:
                 return
             await self._store.touch(self._state.lease, min(self._ttl / 2, MAX_RENEWAL_TIMEOUT))
-        # The store starts the time to live when it receives the request, so counting from when it was sent is safe.
+        # The time to live starts when the store receives the request, so it is safe to count it from the time of
+        # sending.
         self._state.lease_confirmed_at = sent_at
 
     def drop_expired_lease(self) -> None:
--- a/badgerroute/coordination/leadership/shard_transfer.py
+++ b/badgerroute/coordination/leadership/shard_transfer.py
@@ -1,4 +1,4 @@
-"""Transfers the leadership of a shard to another controller."""
+"""Transfers the leadership of a shard to another controller by writing the shard's leader record."""
 
 import logging
 
--- a/badgerroute/coordination/leadership/subsystem.py
+++ b/badgerroute/coordination/leadership/subsystem.py
@@ -20,7 +20,7 @@
 class LeadershipSubsystem:
     """The components for shard leadership.
 
-    `state` holds the shards that this controller leads. `policy` decides which actions are allowed now, from the
+    `state` holds the shards that this controller leads. `policy` decides which actions are allowed now, by the
     connectivity mode and the last confirmation of leadership.
     """
 
