--- a/badgerroute/coordination/jobs/cancellation_broadcast.py
+++ b/badgerroute/coordination/jobs/cancellation_broadcast.py
@@ -2,8 +2,8 @@
 
 A leader that cannot reach the key-value store does not see cancellations in its watch, and a push may be lost with its
 connection. Every controller that learns of a cancellation therefore sends it to each peer repeatedly, also after a
-reconnect. It is not enough that the controller that answered the user does so, because it may crash right after its
-answer.
+reconnect. If only the controller that answered the user did so, the notice would be lost if that controller crashed
+right after its answer.
 """
 
 from collections.abc import Iterable
@@ -16,8 +16,8 @@
 
 RESEND_INTERVAL = timedelta(milliseconds=900)
 MAX_CANCELLATIONS_PER_MESSAGE = 200
-# Per peer. Dropping the oldest is safe: the peer later learns of the cancellation from its watch, or stops acting on
-# the job when its grace period ends.
+# The limit applies to each peer. Dropping the oldest notices is safe: the peer later learns of the cancellation from
+# its watch, or stops acting on the job when its grace period ends.
 MAX_UNACKNOWLEDGED_CANCELLATIONS = 4000
 
 
@@ -30,15 +30,15 @@
     sent_at: timedelta | None  # or None if not sent yet
 
     def send_due(self, now: timedelta) -> bool:
-        """Return whether the notice has not been sent yet or is due to be resent."""
+        """Return whether the notice is due: it has not been sent yet, or its resend interval is over."""
         return self.sent_at is None or now - self.sent_at >= RESEND_INTERVAL
 
 
 class CancellationBroadcast:
     """Tracks, for each peer, the cancellations that it has not acknowledged, and resends them.
 
-    `retention` is how long an unacknowledged notice is kept. If a peer still acts on the job after that time, it has
-    confirmed its leadership of the shard more recently than the cancellation, so it no longer needs the notice.
+    `retention` is how long an unacknowledged notice is kept. A peer that still acts on the job after that time has
+    confirmed its leadership since the cancellation, and so has learned of the cancellation from its watch.
     """
 
     def __init__(
--- a/badgerroute/coordination/jobs/downstream_cancellation.py
+++ b/badgerroute/coordination/jobs/downstream_cancellation.py
@@ -1,7 +1,7 @@
 """Background task that writes the final states of jobs that are cancelled because a predecessor is cancelled.
 
-Any controller can resume this work from the stored records alone. The writes are conditional and their content is
-derived from final states, so any controller, or several at once, may perform them.
+Any controller can resume this work from the stored records alone. Each write is conditional on an unchanged job record,
+so several controllers may attempt it at the same time.
 """
 
 import logging
@@ -22,8 +22,8 @@
 log = logging.getLogger(__name__)
 INTERVAL = timedelta(milliseconds=200)
 RETRY_PAUSE = 2 * INTERVAL
-NON_LEADER_DELAY = timedelta(seconds=3)  # until controllers that do not lead the job's first shard write it too
-CHANGES_PER_JOB = 2
+NON_LEADER_DELAY = timedelta(seconds=3)  # after which controllers that do not lead the job's first shard write too
+CHANGES_PER_JOB = 2  # the record is removed and the final state is put
 
 
 class ShardLeaderships(Protocol):
@@ -95,7 +95,7 @@
         log.info("event=downstream_jobs_cancelled jobs=%s", ",".join(jobs))
 
     def _unfinished(self, refs: list[str]) -> dict[str, JobRecord]:
-        """Return the records of those jobs that are still in the replica."""
+        """Return the records of the given jobs that still have a record in the replica."""
         return {
             ref: record
             for ref in refs
--- a/badgerroute/coordination/jobs/job_listeners.py
+++ b/badgerroute/coordination/jobs/job_listeners.py
@@ -7,7 +7,7 @@
     """Is notified of jobs whose predecessors are all done."""
 
     def job_released(self, ref: str) -> None:
-        """Handle a job that no longer waits for predecessors, so its tasks may be scheduled."""
+        """Handle a job that no longer waits for predecessors, so that its tasks may be scheduled."""
 
 
 class CancellationListener(Protocol):
--- a/badgerroute/coordination/jobs/job_reader.py
+++ b/badgerroute/coordination/jobs/job_reader.py
@@ -1,4 +1,4 @@
-"""Job look-ups, which read from the key-value store, or from the replica once it has caught up with the store."""
+"""Job look-ups that read from the key-value store, or from the replica once it has caught up with the store."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -18,18 +18,18 @@
 from badgerroute.storage.replica import Replica
 from badgerroute.transport.loop import Loop
 
-MAX_LOOKUP_ROUNDS = 40  # per look-up; each round but the last reveals further upstream jobs
+MAX_LOOKUP_ROUNDS = 40  # per job; each round but the last finds further upstream jobs
 MAX_LOOKUPS_PER_ROUND = 500
 FINAL_STATES_PER_PAGE = 100
-REMOVAL_PAUSE = timedelta(milliseconds=50)  # for the watch to report the final state that replaced a removed record
+REMOVAL_PAUSE = timedelta(milliseconds=50)  # lets the watch report the final state that replaced the removed record
 
 
 @dataclass(frozen=True, slots=True)
 class _FinalStatesPage:
     """A page of final states in key order.
 
-    `decided` lists the requested jobs that lie within the page's key range: a page that lacks one of them proves that
-    the job has no final state. `entries` holds the page's entries by job.
+    `decided` lists the requested jobs whose keys lie within the page's key range. If the page has no entry for such a
+    job, the job has no final state. `entries` holds the page's entries by job.
     """
 
     decided: list[str]
@@ -44,8 +44,8 @@
 class JobReader:
     """Looks up jobs with linearizable results.
 
-    A result is at least as recent as anything that any controller had told any user when the look-up began. All
-    look-ups raise StoreUnavailableError if that cannot be guaranteed at the moment; the caller may retry.
+    A result is at least as recent as any result that any controller had returned to a user when the look-up began. All
+    look-ups raise StoreUnavailableError if this cannot be guaranteed at the moment; the caller may retry.
     """
 
     def __init__(self, loop: Loop, store: KeyValueClient, replica: Replica, job_store: JobStore) -> None:
@@ -67,7 +67,7 @@
         return lookup
 
     async def look_up_replicated(self, ref: str) -> JobLookup:
-        """Look up a job in the replica after that has caught up. Concurrent polls share one request to the store."""
+        """Look up a job in the replica once it has caught up. Concurrent look-ups share one request to the store."""
         final = self._job_store.final_state(ref)
         if final is None:
             await self._replica.wait_until_current()
@@ -84,16 +84,17 @@
         return await self._read_final_state(ref, Urgency.READ)
 
     async def find_unknown(self, refs: Iterable[str], urgency: Urgency) -> list[str]:
-        """Return those of these jobs that no controller has ever accepted, according to the key-value store.
+        """Return which of the given jobs no controller has ever accepted, according to the key-value store.
 
-        Afterwards the job store knows of each other job that it is unfinished, or its final state. Final states are
-        read by the page, and a page decides all jobs up to its last key, since a look-up of each job would use up the
+        Afterwards the job store holds the record or the final state of every other given job. Final states are read in
+        pages, each of which covers all jobs up to its last key, because reading each job separately would use up the
         rate limit for reads for seconds.
         """
         remaining = self._not_accepted(refs)
         if not remaining:
             return []
-        await self._replica.wait_until_current()  # now the replica has all jobs that were unfinished at the call
+        # Afterwards the replica has every job that was unfinished when this method was called.
+        await self._replica.wait_until_current()
         remaining = self._not_accepted(remaining)
         unknown: list[str] = []
         while remaining:
@@ -110,7 +111,7 @@
         return sorted({ref for ref in refs if not self._job_store.is_accepted(ref)})
 
     async def _final_states_page(self, refs: list[str], urgency: Urgency) -> _FinalStatesPage:
-        """Read a page of final states that begins at the first of these jobs; `refs` must be sorted."""
+        """Read a page of final states that begins at the first job of `refs`, which must be sorted."""
         limit = FINAL_STATES_PER_PAGE if len(refs) > 1 else 1
         page = await self._store.page(FINAL_STATES, _key_before(FINAL_STATES + refs[0]), limit, urgency)
         entries = {entry.key.removeprefix(FINAL_STATES): entry for entry in page.items}
@@ -121,7 +122,7 @@
         return _FinalStatesPage(decided, entries)
 
     async def condition_after_acceptance(self, ref: str) -> JobCondition:
-        """Return the condition to report for a newly accepted job: CANCELLED if it is known to be so, else QUEUED."""
+        """Return the condition to report for a newly accepted job: CANCELLED if that is known already, else QUEUED."""
         try:
             # A peer may have cancelled the job as soon as it saw the record.
             lookup = await self._look_up_waiting_job(ref) or await self.look_up(ref)
@@ -152,10 +153,11 @@
         return JobView(ref, JobCondition.QUEUED.value, done_tasks, running)
 
     async def _look_up_waiting_job(self, ref: str) -> ActiveJob | FinishedJob | None:
-        """Look up a job that waits for predecessors in the replica; None if the replica has no record of it.
+        """Look up, in the replica, a job that waits for predecessors; return None if the replica has no record of it.
 
-        Such a job is cancelled as soon as any job upstream of it is, even while its own record still exists. Another
-        controller may have reported that to a user already, so upstream jobs of unknown state are looked up first.
+        Such a job counts as cancelled as soon as any job upstream of it is cancelled, even while its own record still
+        exists. Another controller may already have reported this to a user, so upstream jobs of unknown state are
+        looked up first.
         """
         dependencies = self._job_store.dependencies
         for _ in range(MAX_LOOKUP_ROUNDS):
--- a/badgerroute/coordination/jobs/job_store.py
+++ b/badgerroute/coordination/jobs/job_store.py
@@ -40,12 +40,12 @@
         self._release_listener, self._cancellation_listener = release_listener, cancellation_listener
         self.active: dict[str, JobRecord] = {}
         self._final_states: OrderedDict[str, FinalState] = OrderedDict()  # least recently learned first
-        self._lacking_predecessor_pages: set[str] = set()  # unfinished jobs of which a page is not in the replica yet
+        self._lacking_predecessor_pages: set[str] = set()  # unfinished jobs with a page that is not in the replica yet
         self._schedulable: dict[str, JobRecord] = {}  # unfinished jobs that do not wait for predecessors
         self.inherited: dict[str, Inherited] = {}  # priority and deadline from downstream jobs
-        self._awaited_cancellations: set[str] = set()  # jobs of which a user is waiting for the cancellation
+        self._awaited_cancellations: set[str] = set()  # jobs whose cancellation a user here is waiting for
         self.dependencies = Dependencies(self._final_states.get, self._on_released, self._on_cancelled_upstream)
-        self.pages = PageIndex(replica)  # registers its listeners first, because the listeners below read it
+        self.pages = PageIndex(replica)  # its listeners must run before those registered below, which read it
         replica.listen(PREDECESSORS, self._predecessors_changed)
         replica.listen(JOBS, self._job_changed)
         replica.listen(FINAL_STATES, self._final_state_changed)
@@ -74,7 +74,7 @@
             self._lacking_predecessor_pages.discard(ref)
             self.dependencies.add(ref, self.pages.predecessors(ref, record))
         else:
-            self._lacking_predecessor_pages.add(ref)  # pages are written before the record, so they will follow
+            self._lacking_predecessor_pages.add(ref)  # the pages exist, since they are written before the record
 
     def _predecessors_changed(self, key: str, value: bytes | None, revision: int) -> None:
         ref = job_of_page(key, PREDECESSORS)
@@ -88,7 +88,7 @@
     # -- changes learned by other means than the watch
 
     def learn_final_state(self, ref: str, record: FinalStateRecord, revision: int) -> None:
-        """Remember a final state written at `revision`. Final states never change, so they may be read from memory."""
+        """Remember a final state written at `revision`. It never changes, so look-ups may use the copy in memory."""
         is_new = ref not in self._final_states
         self._final_states[ref] = final = FinalState(record.state, record.at, revision)
         self._final_states.move_to_end(ref)
@@ -109,13 +109,13 @@
         self._publisher.publish(key, value, revision)
 
     def forget_record(self, ref: str) -> None:
-        """Forget a removed record, so that nothing more is written for its job. Its final state may be unknown yet."""
+        """Forget a removed record, so that nothing more is written for its job. The final state may be unknown yet."""
         self.active.pop(ref, None)
         self._schedulable.pop(ref, None)
 
     @contextmanager
     def confirming_cancellation(self, ref: str) -> Iterator[None]:
-        """Mark a job, within the context, as one whose cancellation a user of this controller waits for."""
+        """While the `with` block runs, mark the job as one whose cancellation a user of this controller waits for."""
         self._awaited_cancellations.add(ref)
         try:
             yield
@@ -139,10 +139,10 @@
         return ref in self._lacking_predecessor_pages or self.dependencies.waits(ref)
 
     def release_pending(self, ref: str) -> bool:
-        """Return whether an unfinished job that waits, as far as this controller knows, may have been released already.
+        """Return whether a job that this controller regards as waiting may have been released already.
 
-        This is the case if its predecessors are not known here, or if none of those that it still waits for is known
-        to be unfinished.
+        This is the case if its predecessors are not known here, or if none of the predecessors that it still waits for
+        is known to be unfinished.
         """
         if ref not in self.active or ref in self.dependencies.cancelled or not self.waits(ref):
             return False
@@ -155,7 +155,7 @@
         return ref in self._lacking_predecessor_pages
 
     def unknown_predecessors(self) -> list[str]:
-        """Return the predecessors of which this controller has neither a record nor a final state."""
+        """Return the predecessors for which this controller has neither a record nor a final state."""
         return self.dependencies.unknown(self.active)
 
     # -- in-memory look-ups
--- a/badgerroute/coordination/jobs/job_transaction.py
+++ b/badgerroute/coordination/jobs/job_transaction.py
@@ -13,13 +13,13 @@
 from badgerroute.storage.records import FinalStateRecord
 from badgerroute.storage.replica import Replica
 
-# After any of these errors a background task may retry later with new conditions, because it derives what it writes
-# from what is stored at that time.
+# After any of these errors a background task may simply retry later, because it derives the changes and conditions of
+# each attempt from what is stored at that time.
 WRITE_ERRORS = (StoreUnavailableError, OutcomeUnknownError, CompareFailedError, LeaseExpiredError)
 
 
 class JobTransaction:
-    """Builds and commits one transaction, and then passes its changes to the job store and the peers at once."""
+    """Builds and commits one transaction, and then immediately passes its changes to the job store and the peers."""
 
     def __init__(self, store: KeyValueClient, replica: Replica, job_store: JobStore) -> None:
         self._store, self._replica, self._job_store = store, replica, job_store
--- a/badgerroute/coordination/jobs/job_writer.py
+++ b/badgerroute/coordination/jobs/job_writer.py
@@ -1,4 +1,4 @@
-"""Accepts and cancels jobs on request of users."""
+"""Accepts and cancels jobs at the request of users."""
 
 import logging
 
@@ -30,7 +30,7 @@
 
 
 class JobWriter:
-    """Accepts and cancels jobs. The result is durable when a method returns."""
+    """Accepts and cancels jobs. When a method returns, its result is durably stored."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
 
         Returns False if the job was stored already, by this or another controller. Raises RecordTooLargeError if the
         job can never be stored, StoreUnavailableError if it was not stored, and OutcomeUnknownError if it may have
-        been. After the latter two the user may submit the job again.
+        been. After the last two errors the user may submit the job again.
         """
         compact = self._pager.compact(self._new_record(job, ranges))
         absent_conditions = [compare(JOBS + job.ref, 0), compare(FINAL_STATES + job.ref, 0)]
@@ -76,7 +76,7 @@
             return False
         except RequestRefusedError as error:
             if error.by_size:
-                raise  # the client has lowered its size limits, so the next attempt sends less
+                raise  # the store client has lowered its size limit, so a repeated submission sends smaller values
             raise RecordTooLargeError(f"the state service does not take it: {error}") from None
         return True
 
@@ -86,12 +86,12 @@
         return JobRecord(job, self._unix_time(), ranges)
 
     async def _write_pages(self, pages: list[KeyValue], absent_conditions: list[Compare]) -> list[Compare]:
-        """Write a new job's pages, and return the conditions that the job's record has to be written under.
+        """Write a new job's pages, and return the conditions under which the job's record must be written.
 
         The pages are written before the record, so that every controller that sees the record has its pages. They are
-        written only if no such job exists, because a page that is applied late would change the predecessors of an
-        accepted job. The conditions say that the pages are unchanged when the record is written: in between, another
-        controller may have removed them, or overwritten them for a repeated submission with other predecessors.
+        written only if no such job exists, because a delayed write of a page would change the predecessors of an
+        accepted job. The returned conditions require that the pages have not changed when the record is written: until
+        then another controller may remove them, or overwrite them for a repeated submission with other predecessors.
         """
         conditions: list[Compare] = []
         for first in range(0, len(pages), self._store.max_changes):
--- a/badgerroute/coordination/jobs/page_garbage_collector.py
+++ b/badgerroute/coordination/jobs/page_garbage_collector.py
@@ -1,4 +1,4 @@
-"""Background task that removes orphaned pages, of jobs that have ended or whose submission was interrupted."""
+"""Background task that removes orphaned pages: those of jobs that have ended or whose submission was interrupted."""
 
 import logging
 from datetime import timedelta
@@ -16,7 +16,7 @@
 
 log = logging.getLogger(__name__)
 INTERVAL = timedelta(seconds=10)
-MIN_AGE = timedelta(seconds=60)  # a job's pages are written before its record, which may still follow
+MIN_AGE = timedelta(seconds=60)  # long enough for a submission in progress to write its record after its pages
 
 
 class GarbageCollectionPermission(Protocol):
@@ -72,4 +72,4 @@
         conditions = [compare(key, self._replica.revision_of(key)) for key in keys]
         revision = await self._store.transact(conditions, [remove(key) for key in keys], Urgency.PROGRESS)
         for key in keys:
-            self._replica.learn(key, None, revision)  # not pushed to the peers, since nothing acts on the removal
+            self._replica.learn(key, None, revision)  # not pushed to the peers, which do not react to the removal
--- a/badgerroute/coordination/jobs/page_index.py
+++ b/badgerroute/coordination/jobs/page_index.py
@@ -41,7 +41,7 @@
         return self._done.get(ref, 0)
 
     def forget_done(self, ref: str) -> None:
-        """Forget the done tasks of a job that has ended, since they are no longer read."""
+        """Forget the done tasks of a job that has ended, since nothing reads them afterwards."""
         self._done.pop(ref, None)
 
     def has_predecessors(self, ref: str, record: JobRecord) -> bool:
--- a/badgerroute/coordination/jobs/peer_messaging.py
+++ b/badgerroute/coordination/jobs/peer_messaging.py
@@ -22,7 +22,7 @@
     """Receives every write of this controller that the key-value store has applied."""
 
     def publish(self, key: str, value: bytes | None, revision: int) -> None:
-        """Publish that a key got this value at `revision`, or was removed if the value is None."""
+        """Publish that a key was set to `value` at `revision`, or was removed if `value` is None."""
 
 
 class ChangeBroadcast:
@@ -32,5 +32,5 @@
         self._messenger = messenger
 
     def publish(self, key: str, value: bytes | None, revision: int) -> None:
-        """Push one write to all peers; see `ChangePublisher`."""
+        """Push one applied write to all peers; the arguments are those of `ChangePublisher.publish`."""
         self._messenger.broadcast(Push(key, revision, value))
--- a/badgerroute/coordination/jobs/progress_writer.py
+++ b/badgerroute/coordination/jobs/progress_writer.py
@@ -18,12 +18,12 @@
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
-MAX_TRANSACTION_BYTES = 40_000  # no further job is added beyond this; a transaction may have 64 KiB
+MAX_TRANSACTION_BYTES = 40_000  # no job is added once this is exceeded; a transaction may have up to 64 KiB
 MAX_PROGRESS_ATTEMPTS = 5
 CHANGES_PER_COMPLETED_JOB = 2  # the record is removed and the final state is put
 
-# Returns the condition under which a transaction applies only while this controller leads a shard, or None if it does
-# not lead that shard.
+# Takes a shard, and returns the condition that makes a transaction fail unless this controller still leads the shard,
+# or None if it does not lead the shard now.
 LeadershipCheck = Callable[[int], Compare | None]
 
 
@@ -64,10 +64,10 @@
         return self._loop.clock.today().timestamp()
 
     async def write_progress(self, batch: list[Progress], leadership_check: LeadershipCheck) -> None:
-        """Write done tasks and completed jobs in one transaction. What does not fit is left for the next call.
+        """Write done tasks and completed jobs in one transaction. Progress that does not fit is not written.
 
         Raises StoreUnavailableError if nothing was written. Each shard leader keeps its progress until it is stored,
-        and passes the rest again.
+        and passes unwritten progress again in the next call.
         """
         for _ in range(MAX_PROGRESS_ATTEMPTS):
             pending = self._transaction(batch, leadership_check)
--- a/badgerroute/coordination/jobs/record_paging.py
+++ b/badgerroute/coordination/jobs/record_paging.py
@@ -1,4 +1,4 @@
-"""Keeps job records within the size limit of a value by moving what does not fit to further keys, called pages."""
+"""Keeps job records within the size limit of a value by moving data that does not fit to further keys, called pages."""
 
 import logging
 from collections.abc import Container
@@ -22,7 +22,7 @@
 
 log = logging.getLogger(__name__)
 MAX_PREDECESSORS = 1000
-CONDITIONS_PER_NEW_JOB = 2  # no record exists, and no final state
+CONDITIONS_PER_NEW_JOB = 2  # that it has no record yet, and no final state
 # Must be the same in all controllers, since any of them may write a page of a repeated submission.
 PREDECESSORS_PER_PAGE = 24
 
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompactRecord:
-    """A record that fits the size limit, and pages with what did not fit into it."""
+    """A record that fits the size limit, and pages with the data that did not fit into it."""
 
     record: JobRecord
     pages: list[KeyValue]
@@ -68,14 +68,14 @@
     def max_predecessors(self) -> int:
         """The number of predecessors that a job may have.
 
-        It is limited because the record is written with one condition for each page of predecessors.
+        It is limited because the transaction that writes the record has one condition for each page of predecessors.
         """
         return min(MAX_PREDECESSORS, PREDECESSORS_PER_PAGE * (self._store.max_conditions - CONDITIONS_PER_NEW_JOB))
 
     def compact(self, record: JobRecord) -> CompactRecord:
         """Return a new job's record, with its predecessors in pages if they do not fit into the record.
 
-        Raises RecordTooLargeError if the record exceeds the announced size limit of the key-value store, and
+        Raises RecordTooLargeError if the record exceeds the size limit that the key-value store announces, and
         StoreUnavailableError if it exceeds only the lower limit that applies while the store refuses large values.
         """
         pages: list[KeyValue] = []
@@ -108,9 +108,9 @@
         return msgspec.structs.replace(record, job=msgspec.structs.replace(record.job, types=types))
 
     def progress_writes(self, ref: str, record: JobRecord, stored_done: int, done: int) -> list[KeyValue]:
-        """Return the writes that extend the stored done tasks from `stored_done` to `done`, which are both bit sets.
+        """Return the writes that extend the stored done tasks from `stored_done` to `done`, both of which are bit sets.
 
-        These are a write of the record, or writes of pages if the record would become too large.
+        This is one write of the record, or writes of pages if the record would become too large.
         """
         updated = record.with_done(done)
         if self.fits(updated):
@@ -132,10 +132,10 @@
         return KeyValue(page_key(DONE, ref, page_number), records.write(DonePage(pack(bits))))
 
     async def page_out(self, ref: str) -> None:
-        """Shrink a record that an older version wrote and that is too large to be written again.
+        """Shrink a record that an older version of this program wrote and that is too large to be written again.
 
         The bits of done tasks are moved to pages, in as many transactions as needed, and the record is rewritten last.
-        The record holds the bits until the pages do, so none is lost if this is interrupted. Any controller may do
+        The record holds the bits until the pages do, so none is lost if this is interrupted. Any controller may call
         this.
         """
         record, revision = self._job_store.active.get(ref), self._replica.revision_of(JOBS + ref)
--- a/badgerroute/coordination/jobs/upstream_resolver.py
+++ b/badgerroute/coordination/jobs/upstream_resolver.py
@@ -12,12 +12,12 @@
 log = logging.getLogger(__name__)
 INTERVAL = timedelta(milliseconds=200)
 RETRY_PAUSE = 5 * INTERVAL
-REPEAT_INTERVAL = timedelta(seconds=2)  # until the same predecessor is looked up again
+REPEAT_INTERVAL = timedelta(seconds=2)  # between two look-ups of the same predecessor
 MAX_LOOKUPS_PER_ROUND = 500
 
 
 class UpstreamResolver:
-    """Looks up predecessors of which this controller has neither a record nor a final state.
+    """Looks up predecessors for which this controller has neither a record nor a final state.
 
     The watch does not report jobs that ended before this controller started, and messages from peers may be lost.
     """
@@ -27,7 +27,7 @@
         self._looked_up: dict[str, timedelta] = {}  # predecessor -> when it was last looked up
 
     async def run(self) -> None:
-        """Look up unknown predecessors in an endless loop, which adds the results to the job store."""
+        """Look up unknown predecessors in an endless loop. Each look-up adds its result to the job store."""
         while True:
             await self._loop.sleep(INTERVAL)
             unknown = self._predecessors_due()
