--- a/badgerroute/coordination/quotas/quota_allocation.py
+++ b/badgerroute/coordination/quotas/quota_allocation.py
@@ -32,7 +32,7 @@
         return self.cpus > limit.cpus + EPSILON or self.accelerators > limit.accelerators + EPSILON
 
     def covers(self, needed: Resources) -> bool:
-        """Return whether both numbers suffice, apart from rounding errors."""
+        """Return whether the allocation is at least as large as `needed`, apart from rounding errors."""
         return self.cpus >= needed.cpus - EPSILON and self.accelerators >= needed.accelerators - EPSILON
 
     def is_negligible(self) -> bool:
--- a/badgerroute/coordination/quotas/quota_allocator.py
+++ b/badgerroute/coordination/quotas/quota_allocator.py
@@ -30,14 +30,14 @@
         """Return the numbers of these shards."""
 
     def condition(self, shard: int) -> Compare:
-        """Return the condition, for a write, that this controller still leads a shard that it believes it leads."""
+        """Return the compare for writes that holds only while this controller still leads the shard."""
 
 
 class QuotaAllocator:
     """Reads and changes the allocations of the shards that this controller leads.
 
-    While a transfer is being written, `_transferring` holds the giving shard's remaining allocation. No task may start
-    within the transferred quota from then on, even though the write may not have been applied yet.
+    While a transfer is being written, `_transferring` holds the allocation that the giving shard will have afterwards.
+    The transferred quota may no longer be used for starting tasks, even if the write has not been applied yet.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
     # -- changes
 
     async def allocate(self, shard: int, team: str, shortfall: Resources) -> bool:
-        """Increase a shard's allocation by its shortfall, as far as unallocated quota goes.
+        """Increase a shard's allocation by its shortfall, or by the unallocated quota if that is less.
 
         Returns whether there was enough unallocated quota for all of the shortfall.
         """
--- a/badgerroute/coordination/quotas/quota_store.py
+++ b/badgerroute/coordination/quotas/quota_store.py
@@ -32,7 +32,7 @@
 class QuotaStore:
     """Reads the allocations of every team from the replica, and writes them conditionally.
 
-    `writing` holds the teams for which the replica may not show a write of this controller yet.
+    `writing` holds the teams whose record this controller is writing. For these the replica may be out of date.
     """
 
     def __init__(self, loop: Loop, store: KeyValueClient, replica: Replica, publisher: ChangePublisher) -> None:
@@ -53,10 +53,10 @@
         return self._allocations.get(team, NO_ALLOCATIONS)
 
     async def write(self, team: str, allocations: TeamAllocations, leadership: Compare) -> bool:
-        """Replace a team's record, provided that `leadership` holds and the record is as the replica has it.
+        """Replace a team's record, provided that `leadership` holds and the record is still as in the replica.
 
-        Returns whether the record was written. If the outcome of the write is unknown, returns False, but only once
-        the write has been applied or can no longer be.
+        Returns whether the record was written. If the store does not report the outcome, returns False, but only after
+        it is certain that the write has been applied or can't be applied any more.
         """
         key = QUOTA_ALLOCATIONS + team
         value = records.write(allocations.record())
@@ -96,6 +96,6 @@
         return entry
 
     async def _rewrite(self, key: str, revision: int, value: msgspec.Raw) -> None:
-        """Rewrite a key with its current value, so that the lost transaction can no longer be applied."""
+        """Rewrite a key with its current value, so that the unanswered transaction can't be applied later."""
         new_revision = await self._store.transact([compare(key, revision)], [put(key, value)], Urgency.COMPLETE)
         self._replica.learn(key, bytes(value), new_revision)
--- a/badgerroute/coordination/shards/cpu_usage.py
+++ b/badgerroute/coordination/shards/cpu_usage.py
@@ -1,4 +1,4 @@
-"""How many of a shard's processors are in each state of use, for on-call engineers and for accounting."""
+"""Counts a shard's processors by their current use, for on-call engineers and for accounting."""
 
 from dataclasses import asdict, dataclass
 
@@ -20,7 +20,7 @@
     """Numbers of processors by their use at one moment. The field names are the keys of the log line."""
 
     running: float = 0.0
-    starting: float = 0.0  # allocated to a task whose start command was sent or is about to be
+    starting: float = 0.0  # allocated to a task whose start command has been sent or is about to be sent
     fetching: float = 0.0  # allocated to a task whose machine fetches its image
     waiting: float = 0.0  # allocated to a gang's task that waits for the gang's other tasks
     saving: float = 0.0  # allocated to a task that is being stopped and saves its work
--- a/badgerroute/coordination/shards/deadline_tiers.py
+++ b/badgerroute/coordination/shards/deadline_tiers.py
@@ -1,4 +1,4 @@
-"""Tiers of jobs that are not gangs: which of its due times each job can still meet, given the load of all others."""
+"""Assigns each job that is not a gang to a tier, by how many of its due times it will miss under current load."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
@@ -13,7 +13,7 @@
 from badgerroute.settings import Team
 from badgerroute.storage.records import JobRecord
 
-STARVING_AFTER = timedelta(seconds=160)  # a job older than this with unstarted tasks comes first, however late it is
+STARVING_AFTER = timedelta(seconds=160)  # an older job with unstarted tasks comes first, however late it is
 STARVING_TIER = -1  # the tier of such a job
 
 
@@ -22,7 +22,7 @@
     """Unfinished jobs of all shards, in the order of their arrival."""
 
     tasks_left: dict[str, int] = field(default_factory=dict)  # by job reference
-    guaranteed: dict[str, bool] = field(default_factory=dict)  # by job reference: whether within the team's guarantee
+    guaranteed: dict[str, bool] = field(default_factory=dict)  # by job reference: whether in the team's guarantee
 
 
 class DeadlineTiers:
@@ -44,7 +44,7 @@
     def compute(self, work: OpenWork, inherited_due: Mapping[str, float]) -> dict[str, float]:
         """Return the tiers by job.
 
-        `inherited_due`: by job, the time in seconds since 1970 by which the job must be complete for its dependents.
+        `inherited_due`: by job, the Unix time by which it must be complete for its downstream jobs to be on time.
         """
         processors = self._capacity.processors()
         running = self._running_tasks()
@@ -80,7 +80,7 @@
         return running
 
     def _max_parallel_tasks(self, record: JobRecord, processors: float) -> int:
-        """Return how many of a job's tasks may run at the same time, by its team's limit and the fleet's processors."""
+        """Return how many of a job's tasks may run at once, given its team's limit and the fleet's processors."""
         limit = min(processors, self._teams[record.job.team].limits[0])
         return max(1, int(limit / record.job.cpus))
 
--- a/badgerroute/coordination/shards/failover.py
+++ b/badgerroute/coordination/shards/failover.py
@@ -40,7 +40,7 @@
 
     async def run(self) -> None:
         """Load the shard's members and jobs, mark the leader as ready, then begin to fence the members."""
-        await self._replica.wait_for_revision(self._shard.term)  # no write of the former leader has a later revision
+        await self._replica.wait_for_revision(self._shard.term)  # every write of the former leader has a lower revision
         while not self._catalog:
             await self._loop.sleep(CATALOG_RETRY_PAUSE)
         loaded_at = self._loop.now()
--- a/badgerroute/coordination/shards/fencing.py
+++ b/badgerroute/coordination/shards/fencing.py
@@ -1,4 +1,4 @@
-"""Fencing: makes the machines of a shard learn its current term, after which they reject former leaders' commands."""
+"""Fencing: makes each machine of a shard learn the current term, so that it rejects commands of former leaders."""
 
 import logging
 from collections.abc import Callable
@@ -14,8 +14,8 @@
 
 log = logging.getLogger(__name__)
 FENCE_RETRY_PAUSE = timedelta(milliseconds=700)
-SILENCE_TIMEOUT = timedelta(seconds=3.5)  # for answers after a failover; then the cloud is asked to delete the machine
-LONG_SILENCE_TIMEOUT = 5 * SILENCE_TIMEOUT  # while most members are silent
+SILENCE_TIMEOUT = timedelta(seconds=3.5)  # a machine that answers no command for this long is deleted
+LONG_SILENCE_TIMEOUT = 5 * SILENCE_TIMEOUT  # the timeout while most members are silent
 
 
 class Fencing:
@@ -47,7 +47,8 @@
         """Repeat the command until the machine is reachable and has sent its task list, or has left the shard."""
         try:
             while self._shard.machines.get(machine.name) is machine and (not machine.fenced or machine.unreachable):
-                # Among thousands of commands, one may wait seconds for the semaphore: that does not count as silence.
+                # If thousands of commands are queued, a command may wait for the semaphore for seconds. The machine's
+                # silence is therefore measured from the time when the semaphore admits the command.
                 if not await self._commands.send(machine, [], on_admitted=partial(self._record_sending, machine)):
                     self._delete_if_silent(machine)
                     await self._loop.sleep(FENCE_RETRY_PAUSE)
@@ -78,7 +79,7 @@
         return machine.name in self._unresponsive
 
     def _silence_timeout(self) -> timedelta:
-        """Return how long a member may stay silent before its deletion is requested.
+        """Return how long a member may leave commands unanswered before its deletion is requested.
 
         If most members are silent, the fault is more likely on this controller's side. The longer timeout then keeps
         it from having all of them deleted at once.
--- a/badgerroute/coordination/shards/forecast.py
+++ b/badgerroute/coordination/shards/forecast.py
@@ -1,7 +1,7 @@
 """Forecast of each unfinished job: whether it lies within its team's guarantee and can meet its deadlines.
 
-Every controller computes the forecast for all jobs, from data that all controllers have, so that the shards that a job
-spans agree on it.
+Every controller computes the forecast for all jobs, from data that all controllers have, so that the leaders of
+different shards make consistent decisions about a job whose tasks are spread over these shards.
 """
 
 from collections.abc import Callable, Mapping
@@ -68,7 +68,7 @@
             self._update_shard(leader, work, due, tiers)
 
     def advance_inheritance(self, is_over: Callable[[], bool]) -> bool:
-        """Continue to compute what jobs inherit from their downstream jobs, until `is_over` returns true.
+        """Continue to compute which priorities and due times jobs inherit, until `is_over` returns true.
 
         Returns whether the computation is complete, in which case its results apply from now on.
         """
@@ -79,9 +79,9 @@
         return self._estimates.time_left(record)
 
     def _open_work(self) -> OpenWork:
-        """Return the unfinished jobs in the order of arrival.
+        """Return the unfinished jobs that can be scheduled, in the order of arrival.
 
-        A team's jobs are guaranteed for as long as the demand of these jobs in total lies within the team's guarantee.
+        A job is within its team's guarantee if its demand and that of the team's earlier jobs fit into it together.
         """
         work = OpenWork()
         demand: dict[str, Resources] = {}  # by team
--- a/badgerroute/coordination/shards/forecast_task.py
+++ b/badgerroute/coordination/shards/forecast_task.py
@@ -21,7 +21,7 @@
     async def run(self) -> None:
         """Update the forecast until the task is cancelled.
 
-        The number of updates between two passes over the dependency graph is the number of slices that a pass took.
+        After a pass over the dependency graph that took n slices, n updates follow before the next pass.
         """
         updates_left = 0
         while True:
@@ -32,7 +32,7 @@
             self._forecast.update()
 
     async def _compute_inheritance(self) -> int:
-        """Compute what jobs inherit from their downstream jobs, and return the number of slices that it took."""
+        """Compute which priorities and due times jobs inherit; return the number of slices that it took."""
         slices = 1
         while not self._forecast.advance_inheritance(self._start_slice()):
             slices += 1
--- a/badgerroute/coordination/shards/gang_migration.py
+++ b/badgerroute/coordination/shards/gang_migration.py
@@ -20,7 +20,7 @@
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
-# A gang that was migrated, or that machines were requested for, is not migrated again for this time.
+# After a gang was migrated or machines were requested for it, it is not migrated again for this time.
 MIGRATION_PAUSE = timedelta(seconds=8)
 
 
@@ -49,7 +49,7 @@
     ) -> None:
         self._shard, self._planner, self._loop, self._job_store = shard, planner, loop, job_store
         self._job_transfers, self._request_machines = job_transfers, request_machines
-        self._last_migrated: dict[str, timedelta] = {}  # by gang
+        self._last_migrated: dict[str, timedelta] = {}  # when each gang was last migrated
         self._last_request: _GangMachineRequest | None = None
 
     def gang_to_hold_for(self, now: timedelta) -> str | None:
@@ -62,7 +62,7 @@
         return None
 
     async def migrate_unplaceable(self, summaries: list[ShardSummary]) -> None:
-        """Move gangs that don't fit here to a shard where they fit now, or could after preemption."""
+        """Move each gang that doesn't fit here to a shard where it fits now or would fit after preemption."""
         now = self._loop.now()
         number = self._shard.number
         for job in self._planner.unplaceable_gangs(now):
@@ -84,7 +84,7 @@
 
     @staticmethod
     def _candidate_shards(job: Job, other_shards: list[ShardSummary]) -> list[ShardSummary]:
-        """Return the shards where the whole gang fits; if there are none, those where it could after preemption."""
+        """Return the shards where the whole gang fits; if there are none, those where it would after preemption."""
         fitting = [summary for summary in other_shards if holds_whole_job(job, summary.capacities)]
         return fitting or [
             summary
@@ -96,7 +96,7 @@
     def _best_shard(job: Job, candidates: list[ShardSummary]) -> int:
         """Return the shard where most of the gang's tasks would find their image cached.
 
-        Of several such shards, this is the one where the fewest gangs wait.
+        If several shards are equal in this, it is the one of them where the fewest gangs wait.
         """
 
         def sort_key(summary: ShardSummary) -> tuple[int, int, int]:
@@ -112,7 +112,7 @@
         self._last_migrated[job.ref] = now
 
     def _request_machines_for(self, job: Job, now: timedelta, other_shards: list[ShardSummary]) -> None:
-        """Request the empty machines that a gang lacks here from other shards, as it fits in none of them either."""
+        """Request the empty machines that a gang lacks here from other shards, as it fits in none of those either."""
         slots_here = self._slots_here(job)
         slots = slots_here + sum((slots_by_zone(job, summary.capacities) for summary in other_shards), Counter())
         if not slots:
--- a/badgerroute/coordination/shards/heartbeat_intake.py
+++ b/badgerroute/coordination/shards/heartbeat_intake.py
@@ -14,7 +14,7 @@
 
 
 class HeartbeatIntake:
-    """Applies task lists to one shard, and retires machines on which, by these lists, every task fails."""
+    """Applies task lists to one shard, and retires machines on which every task fails according to these lists."""
 
     def __init__(
         self,
--- a/badgerroute/coordination/shards/heartbeat_responder.py
+++ b/badgerroute/coordination/shards/heartbeat_responder.py
@@ -31,7 +31,7 @@
 
 
 class HeartbeatResponder:
-    """Answers the heartbeats of one shard's machines. `planning_time_limit`: how long the planner may take for each."""
+    """Answers the heartbeats of one shard's machines. `planning_time_limit`: the planner's time limit for each."""
 
     def __init__(
         self,
@@ -54,8 +54,8 @@
     async def answer(self, heartbeat: Heartbeat, relayed: bool) -> HeartbeatResponse | HeartbeatRefusal:
         """Apply a heartbeat, choose the commands for its machine, and return them as the answer.
 
-        `relayed`: the heartbeat came through a peer, which passes the answer on to the worker. Everything after the
-        last await runs in one step of the event loop, so that the permissions still hold when the commands are built.
+        `relayed`: the heartbeat came through a peer, which passes the answer on to the worker. After the last await,
+        the permissions are checked and the commands built without another await, so that the permissions still hold.
         """
         machine = self._shard.machines.get(heartbeat.machine)
         if machine is None:
@@ -65,21 +65,22 @@
         if heartbeat.fencing_token > self._shard.term and not await self._term_raiser.raise_term():
             return HeartbeatRefusal.TERM_OUTDATED
         if heartbeat.fencing_token > self._shard.term:
-            # After a 200 the machine would keep sending its heartbeats here until its lease expires.
+            # The machine would ignore commands in the lower term, but after a response with status 200 it would keep
+            # sending its heartbeats here until its lease expires.
             return HeartbeatRefusal.TERM_OUTDATED
         acting = self._policy.allows_for(self._shard.number, Action.ANSWER_HEARTBEAT)
         if not acting or self._shard.machines.get(heartbeat.machine) is not machine:
             return HeartbeatRefusal.NOT_ACTING
         if machine.unreachable or self._fencing.is_unresponsive(machine):
-            # Each answer would renew the machine's lease, and so delay the time from which on it certainly no longer
-            # runs its tasks.
+            # An answer would renew the machine's lease, and so delay the time when the machine is certain to have
+            # stopped its tasks.
             self._fencing.fence(machine)
             return HeartbeatRefusal.UNREACHABLE
         commands = self._choose_commands(machine, heartbeat, relayed)
         return HeartbeatResponse(self._shard.term, commands)
 
     def _choose_commands(self, machine: Machine, heartbeat: Heartbeat, relayed: bool) -> list[Command]:
-        """Return the commands for a machine that has just sent its task list; none if the list is outdated."""
+        """Return the commands for a machine that has just sent its task list, or none if the list is outdated."""
         is_new = self._intake.apply(machine, heartbeat, periodic=True)
         now = self._loop.now()
         may_start = is_new and self._policy.allows_for(self._shard.number, Action.START)
@@ -87,7 +88,7 @@
             machine.last_heartbeat = now
         if may_start:
             time_is_up = deadline_check(self._loop, now + self._planning_time_limit)
-            # Gangs come first, and are placed here rather than in the next scheduling round, after which their starts
+            # Gangs come first. They are placed here because, after the next scheduling round, their start commands
             # would have to wait for the machine's next heartbeat.
             self._planner.gangs_on(machine, now, time_is_up)
             self._planner.fill(machine, now, time_is_up)
@@ -112,8 +113,8 @@
 
 
 def _never_commanded(written: Future, heartbeat: Heartbeat) -> bool:
-    """Whether no former leader can have commanded the machine, so that none has to be fenced off.
+    """Whether no former leader can have sent commands to the machine, so that the machine needs no fencing.
 
-    If this leader registered the machine, in this term, no other leader was ever allowed to start tasks on it.
+    If this leader registered the machine in this term, no other leader was ever allowed to start tasks on it.
     """
     return bool(written.done and written.result and not heartbeat.tasks and heartbeat.fencing_token == 0)
--- a/badgerroute/coordination/shards/job_estimates.py
+++ b/badgerroute/coordination/shards/job_estimates.py
@@ -1,4 +1,4 @@
-"""Estimates how long jobs run, by the runs seen in the shards that this controller leads, and when they are due."""
+"""Estimates how long jobs run, from past runs in the shards that this controller leads, and when jobs are due."""
 
 from collections.abc import Mapping
 from datetime import timedelta
@@ -27,7 +27,8 @@
     def run_time(self, record: JobRecord) -> timedelta:
         """Return how long one of a job's tasks should run.
 
-        The user's estimate is corrected by the runs of the job's class in the shards that this controller leads.
+        The user's estimate is corrected by past runs of jobs of the same class in the shards that this controller
+        leads.
         """
         correction = 1.0
         for leader in self._leaders.values():
@@ -38,7 +39,7 @@
         return timedelta(seconds=record.job.estimate_s * correction)
 
     def times_until_due(self, record: JobRecord, age: timedelta) -> list[timedelta]:
-        """Return how long a job of this age has until each of its due times; negative for those that have passed."""
+        """Return the time left until each due time of a job of the given age; negative for due times in the past."""
         arrival = self._job_store.effective_arrival(record.job.ref, record)
         held_back = timedelta(seconds=arrival - record.accepted)
         return [due - age for due in self._objectives.due(record.job, held_back)]
--- a/badgerroute/coordination/shards/job_inheritance.py
+++ b/badgerroute/coordination/shards/job_inheritance.py
@@ -1,4 +1,4 @@
-"""What jobs inherit from the downstream jobs that wait for them.
+"""Computes the priority level and the due time that jobs inherit from the downstream jobs that wait for them.
 
 The computation runs in time slices, and its result takes effect when a pass over all jobs is complete.
 """
@@ -12,8 +12,8 @@
 from badgerroute.scheduling.inheritance import InheritancePass, Inherited
 from badgerroute.scheduling.objectives import Objectives
 
-HEARTBEATS_BETWEEN_STAGES = 2  # between the end of a pipeline stage and the start of the next
-TIME_BETWEEN_STAGES = timedelta(seconds=5)  # for the rest: recording the end of the stage, fetching an image
+HEARTBEATS_BETWEEN_STAGES = 2  # heartbeats that pass between the end of a pipeline stage and the start of the next
+TIME_BETWEEN_STAGES = timedelta(seconds=5)  # added for recording the end of the stage and fetching an image
 FINISHED = Inherited(0, inf)  # what a finished job passes on: no level and no due time
 
 
@@ -30,11 +30,11 @@
     ) -> None:
         self._job_store, self._objectives, self._estimates = job_store, objectives, estimates
         self._between_stages = HEARTBEATS_BETWEEN_STAGES * heartbeat_interval + TIME_BETWEEN_STAGES
-        self._pass: InheritancePass | None = None  # in progress
+        self._pass: InheritancePass | None = None  # the pass in progress, if any
         self._own_cache: dict[str, Inherited] = {}
 
     def advance(self, time_is_up: Callable[[], bool]) -> bool:
-        """Continue the pass until the time is up; return whether it is complete and its result in effect."""
+        """Continue the pass until the time is up; return whether it is complete, so that its result now applies."""
         if self._pass is None:
             active = self._job_store.active
             self._own_cache = {ref: own for ref, own in self._own_cache.items() if ref in active}
@@ -45,7 +45,7 @@
         return True
 
     def _own_level_and_due(self, ref: str) -> Inherited:
-        """Return the level and due time that a job has without any dependents. They never change."""
+        """Return the level and due time that a job has regardless of its downstream jobs. They never change."""
         own = self._own_cache.get(ref)
         if own is not None:
             return own
@@ -58,6 +58,6 @@
         return own
 
     def _stage_duration(self, ref: str) -> float:
-        """Return how many seconds a stage should take, including the delay before it starts."""
+        """Return the estimated duration of a job as a pipeline stage, in seconds, with the delay before it starts."""
         record = self._job_store.active.get(ref)
         return (self._estimates.run_time(record) + self._between_stages).total_seconds() if record else 0.0
--- a/badgerroute/coordination/shards/job_sync.py
+++ b/badgerroute/coordination/shards/job_sync.py
@@ -11,7 +11,7 @@
 class JobSync:
     """Keeps the jobs of one shard up to date.
 
-    `window`: how far beyond its first unfinished task a job may start others.
+    `window`: how many tasks after its first unfinished one a job may start.
     """
 
     def __init__(self, *, shard: Shard, loop: Loop, job_store: JobStore, window: int) -> None:
@@ -24,7 +24,7 @@
             self._shard.drop_job(ref)
             return
         if self._job_store.waits(ref):
-            return  # the job is not loaded before this controller itself has seen its release
+            return  # wait until this controller itself learns that the job was released
         now = self._loop.now()
         arrival = self._job_store.effective_arrival(ref, record)
         age = timedelta(seconds=self._loop.clock.today().timestamp() - arrival)
--- a/badgerroute/coordination/shards/job_transfers.py
+++ b/badgerroute/coordination/shards/job_transfers.py
@@ -75,7 +75,7 @@
         until the outcome is certain.
         """
         if not self._status.allows(Action.GIVE_WORK):
-            return  # the leadership ended while an earlier write of the same round was in flight
+            return  # the leadership ended during an earlier write of the same round
         writes = [
             write
             for reassignment in reassignments
@@ -88,7 +88,7 @@
         changes = [write.put for write in writes]
         result = await self._storage.try_write(conditions, changes, Urgency.PROGRESS)
         if result.outcome is WriteOutcome.UNKNOWN:
-            # The write may still be applied: withhold the tasks until another write of the key rules that out.
+            # The write may still be applied. Withhold the tasks until another write of the key has ruled that out.
             for write in writes:
                 self._group.spawn(self._reconcile(write.job, write.tasks), "settle-steal")
             return
@@ -114,8 +114,8 @@
             return None
         tasks = job.owned & ~record.owned(self._shard.number)
         if tasks & (job.placed_bits | job.in_transfer):
-            # Since the tasks were chosen, one was placed or became part of another transfer, so it could run in both
-            # shards. This happens because other writes of the same round may be awaited after the choice.
+            # One of the tasks was placed or became part of another transfer after the tasks had been chosen, while an
+            # earlier write of the same round was awaited. If it were transferred, it could run in both shards.
             return None
         # No task in `in_transfer` starts here while the write is in flight. Removing the tasks from `owned` would not
         # be enough: `owned` may be read from the stored record again meanwhile, for example when an earlier write is
@@ -126,7 +126,7 @@
         return _TransferWrite(job, tasks, condition, put(key, records.write(record)))
 
     def _end_transfer(self, job: Job, tasks: int) -> None:
-        """End a transfer whose outcome is known, and read from the job's record which tasks this shard owns."""
+        """End a transfer whose outcome is known: the job's record now tells which tasks this shard owns."""
         job.in_transfer &= ~tasks
         self._job_sync.job_changed(job.ref)
 
--- a/badgerroute/coordination/shards/leader_context.py
+++ b/badgerroute/coordination/shards/leader_context.py
@@ -1,4 +1,4 @@
-"""What all shard leaders of one controller share, grouped so that each component gets only what it needs."""
+"""Objects that all shard leaders of one controller share, grouped so that each component gets only what it needs."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeadershipAccess:
-    """Which shards this controller leads, and what it may do for them now."""
+    """Tells which shards this controller leads, and what it may do for them now."""
 
     state: LeadershipState
     election: LeaderElection
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineAccess:
-    """What is needed to send commands to machines, and to have them deleted."""
+    """The objects for sending commands to machines and for having them deleted."""
 
     network: Network
     semaphore: Semaphore  # limits the commands that are in flight to machines
--- a/badgerroute/coordination/shards/leader_parts.py
+++ b/badgerroute/coordination/shards/leader_parts.py
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderCore:
-    """What every component of one leader is built from. `group` runs all background tasks of the leader."""
+    """The objects from which every component of one leader is built. `group` runs the leader's background tasks."""
 
     context: LeaderContext
     group: TaskGroup
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineLink:
-    """The components that send commands to the shard's machines and apply the task lists that these send."""
+    """The components that send commands to the shard's machines and apply the task lists that these machines send."""
 
     progress: ProgressBatch
     intake: HeartbeatIntake
--- a/badgerroute/coordination/shards/leader_status.py
+++ b/badgerroute/coordination/shards/leader_status.py
@@ -1,4 +1,4 @@
-"""Whether the leader of a shard may act now; its components ask before they write."""
+"""Tells whether the leader of a shard may act now. Its components check this before they write."""
 
 from badgerroute.connectivity.modes import Action
 from badgerroute.coordination.leadership.action_policy import ActionPolicy
--- a/badgerroute/coordination/shards/machine_commands.py
+++ b/badgerroute/coordination/shards/machine_commands.py
@@ -1,4 +1,4 @@
-"""Sends commands directly to machines' own addresses, except starts, which are sent in answers to heartbeats only."""
+"""Sends commands directly to machines' addresses, except starts, which are sent only in answers to heartbeats."""
 
 import logging
 from collections.abc import Callable
@@ -17,9 +17,9 @@
 log = logging.getLogger(__name__)
 REQUEST_TIMEOUT = timedelta(seconds=2)
 CONNECT_TIMEOUT = timedelta(seconds=1)
-MAX_SEND_ATTEMPTS = 2  # the second is sent in a higher term, if the machine had seen a higher fencing token
+MAX_SEND_ATTEMPTS = 2  # the second, in a higher term, follows if the machine had seen a higher fencing token
 ACCEPTED = 200
-TERM_OUTDATED = 409  # the machine has seen a higher fencing token; the response has its task list too
+TERM_OUTDATED = 409  # the machine has seen a higher fencing token; the response also has its task list
 
 
 class MachineCommands:
@@ -51,8 +51,8 @@
         """Send commands to a machine's own address; return whether it accepted them in the shard's term.
 
         Starts are left out, since a direct command may arrive minutes late. `on_admitted` is called once the semaphore
-        admits the request, which may take seconds. The connection is closed afterwards: a controller that leads all
-        shards has a thousand members, each of which already keeps a connection to the controller open.
+        admits the request, which may take seconds. The connection is closed afterwards, because a controller that leads
+        all shards may have a thousand members, each of which already keeps another connection to the controller open.
         """
         async with self._semaphore.acquire(urgent):
             if on_admitted is not None:
@@ -82,7 +82,7 @@
         return False
 
     def _parse_task_list(self, machine: Machine, response: Response) -> Heartbeat | None:
-        """Return the task list in a machine's response; None if there is none, or it is not that of this member."""
+        """Return the task list in a machine's response; None if there is none or if it is from another machine."""
         if response.status not in (ACCEPTED, TERM_OUTDATED):
             return None
         try:
--- a/badgerroute/coordination/shards/machine_expiry.py
+++ b/badgerroute/coordination/shards/machine_expiry.py
@@ -1,4 +1,4 @@
-"""Handles machines that are lost or preempted: expires their leases, has them deleted, or moves their tasks in time."""
+"""Handles lost and preempted machines: expires their leases, has them deleted, or moves their tasks elsewhere."""
 
 import logging
 from collections.abc import Callable
@@ -14,11 +14,11 @@
 
 log = logging.getLogger(__name__)
 SILENCE_TIMEOUT = timedelta(seconds=4)  # a lost machine that stays silent for longer is deleted
-LONG_SILENCE_TIMEOUT = 5 * SILENCE_TIMEOUT  # while so many are lost that the fault may be on this controller's side
+LONG_SILENCE_TIMEOUT = 5 * SILENCE_TIMEOUT  # if so many are lost that this controller's link may be at fault
 
 
 class MachineExpiry:
-    """Expires the leases of one shard's machines. `grace`: how long a former leader may act after the election."""
+    """Expires the leases of one shard's machines. `grace`: for how long after the election a former leader may act."""
 
     def __init__(
         self,
@@ -49,8 +49,8 @@
     def _delete_lost(self, now: timedelta) -> None:
         """Have machines deleted that stay silent after their lease has expired.
 
-        The timeout lets machines come back first: after a time in which this controller could not answer, all do so by
-        themselves.
+        The timeout gives machines time to return, since after an interruption during which this controller could not
+        answer heartbeats, all machines return by themselves.
         """
         lost_since = {
             machine.name: machine.lost_at
@@ -64,7 +64,7 @@
             self._delete_machines(names)
 
     def evacuate_preempted(self, now: timedelta) -> None:
-        """Evacuate the spot machines that have a preemption notice, in the time that they have left."""
+        """Move the tasks off spot machines that have a preemption notice, within the time until the preemption."""
         for machine in self._shard.machines.values():
             if machine.preemption_notice is not None:
                 plan = draining.Evacuation(machine.preemption_notice, self._evacuation_margin, patient=False)
--- a/badgerroute/coordination/shards/machine_sync.py
+++ b/badgerroute/coordination/shards/machine_sync.py
@@ -17,7 +17,7 @@
         self._shard, self._loop, self._catalog, self._gang_migration = shard, loop, catalog, gang_migration
 
     def machine_changed(self, name: str, value: bytes | None) -> None:
-        """Apply a machine's record that was created, changed or removed (None)."""
+        """Apply a machine's record that was created or changed, or removed if `value` is None."""
         now = self._loop.now()
         record = records.read(value, MachineRecord) if value else None
         member = self._shard.machines.get(name)
--- a/badgerroute/coordination/shards/machine_transfers.py
+++ b/badgerroute/coordination/shards/machine_transfers.py
@@ -44,8 +44,8 @@
     async def transfer(self, message: MachineRequest) -> None:
         """Give empty machines to a shard that is too small for a gang, in one conditional write.
 
-        Only machines without tasks and without start commands in flight are given. From before the write, this shard
-        starts nothing on them.
+        Only machines without tasks and without start commands in flight are given. Already before the write, this shard
+        stops starting tasks on them.
         """
         if not self._shard.reconciled or not self._status.allows(Action.TRANSFER_MACHINES):
             return
@@ -65,12 +65,13 @@
                 for machine in machines:
                     machine.draining = False
             case WriteOutcome.UNKNOWN:
-                # The write may still be applied: nothing starts on these machines until another write rules that out.
+                # The write may still be applied. Start nothing on these machines until another write has ruled that
+                # out.
                 for machine in machines:
                     self._group.spawn(self._reconcile(machine), "settle-lend")
 
     def _select_machines(self, message: MachineRequest) -> list[Machine]:
-        """Return empty machines for as many of the gang's tasks as the message asks for, or for fewer."""
+        """Return empty machines for the number of tasks that the message asks for, or for as many as possible."""
         need = need_of(message.job)
         selected: list[Machine] = []
         slots = 0
@@ -95,7 +96,7 @@
         log.info("event=machines_transferred shard=%d to=%d machines=%s", self._shard.number, shard, names)
 
     async def _reconcile(self, machine: Machine) -> None:
-        """Rewrite a machine's record unchanged, with retries, so that the lost transaction can no longer be applied."""
+        """Rewrite a machine's record unchanged, with retries, so that the lost transaction can't be applied later."""
         key = MACHINES + machine.name
         while self._shard.machines.get(machine.name) is machine:
             try:
--- a/badgerroute/coordination/shards/member_registry.py
+++ b/badgerroute/coordination/shards/member_registry.py
@@ -71,9 +71,9 @@
                 registration.written.set(name in written)
 
     async def _write(self, batch: dict[str, MachineRecord]) -> set[str]:
-        """Write the records of machines that belong to a shard led here and have none yet; return the names written.
+        """Write the records of those machines that have none yet and belong to a shard led here; return their names.
 
-        Either all of these are written or none.
+        Either all of these records are written or none.
         """
         batch = {
             name: record
--- a/badgerroute/coordination/shards/progress_flusher.py
+++ b/badgerroute/coordination/shards/progress_flusher.py
@@ -1,4 +1,4 @@
-"""Writes the progress of all leaders' jobs to the key-value store, in batches."""
+"""Writes the progress of jobs in all shards of this controller to the key-value store, in batches."""
 
 import logging
 from collections.abc import Mapping
@@ -18,7 +18,7 @@
 class ProgressFlusher:
     """Merges the progress of each job over the shards of this controller, and writes it.
 
-    `leadership_check` returns the condition under which this controller leads a shard.
+    `leadership_check` returns, for a shard, the condition of a write that this controller still leads the shard.
     """
 
     def __init__(
@@ -75,8 +75,8 @@
     def _write_order(self, progress: Progress) -> tuple[int, timedelta]:
         """Return the sort key of a write: fewest unfinished tasks first, then least time left.
 
-        Complete jobs thus come first, those closest to their deadline before others. Writing a thousand small jobs
-        that end together may take minutes, and a larger job that was done in time must not be recorded as late.
+        Complete jobs thus come first, and of these the one closest to its deadline. Writing a thousand small jobs that
+        end together may take minutes, and a larger job that was done in time must not be recorded as late.
         """
         record = self._job_store.active.get(progress.ref)
         if record is None:
--- a/badgerroute/coordination/shards/quota_exchange.py
+++ b/badgerroute/coordination/shards/quota_exchange.py
@@ -1,4 +1,4 @@
-"""Quota exchange: how a shard obtains quota within teams' limits, and how much of its own it gives to other shards."""
+"""Quota exchange: how a shard obtains quota of teams' limits, and how much of its quota it gives to other shards."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,8 +14,9 @@
 from badgerroute.scheduling.shard import Shard
 from badgerroute.transport.loop import Loop
 
-RESERVATION_TTL = timedelta(seconds=2.5)  # outlasts the 1 s after which a shard that lacks quota asks again
-# A shard yields quota to jobs of equal rank only if it would have to yield more than this fraction of its own quota.
+RESERVATION_TTL = timedelta(seconds=2.5)  # longer than the 1 s after which a shard that lacks quota asks again
+# A shard yields quota to another shard's jobs of equal rank only if the amount to yield exceeds this fraction of its
+# own quota.
 MIN_YIELDED_FRACTION = 0.15
 
 
@@ -46,7 +47,7 @@
         self._request_quota = request_quota
 
     async def acquire_missing_quota(self) -> None:
-        """Allocate the quota that teams lack in this shard from what no shard holds, or ask the other shards for it."""
+        """Allocate the quota that teams lack here from quota that no shard holds, or ask the other shards for it."""
         for team, shortfall in self._planner.collect_quota_shortfalls().items():
             if await self._quota_allocator.allocate(self._shard.number, team, shortfall):
                 continue
@@ -69,7 +70,7 @@
         )
 
     def _top_ranked_shortage(self, team: str) -> QuotaShortage | None:
-        """Return what the first of a team's jobs in the order of service lack, or None if no job lacks quota."""
+        """Return what the jobs that are served first among those lacking quota need, or None if no job lacks quota."""
         waiting = [
             job for job in self._shard.jobs.values() if job.spec.team == team and self._shard.short_of_quota(job)
         ]
@@ -112,8 +113,8 @@
             if job.spec.team != message.team:
                 continue
             if self._shard.short_of_quota(job) and self._requester_is_older(message, job):
-                # The quota held here is too small for this job as well, so leave it to the requester's older job.
-                # Otherwise two gangs could wait for ever, each with a part of the limit that is too small for it.
+                # This shard's quota is too small for this job, so leave it to the requester's older job. Otherwise two
+                # gangs could wait forever, each with a part of the limit that is too small for it.
                 continue
             count = job.startable
             if count:
@@ -123,7 +124,7 @@
         return usable
 
     def _requester_is_older(self, message: QuotaRequest, job: Job) -> bool:
-        """Return whether the requester's oldest job is older than a job of this shard; ties go to the lower shard."""
+        """Return whether the requester's oldest job is older than `job`; at equal age, the lower shard number wins."""
         age_s = (self._loop.now() - job.accepted).total_seconds()
         return (message.age_s, -message.shard) > (age_s, -self._shard.number)
 
@@ -155,13 +156,14 @@
         return wanted
 
     def _surplus(self, message: QuotaRequest) -> float:
-        """Return how many processors this shard would have to give for both to use the same number."""
-        # Count quota that is reserved for another shard: it is unused by now, but not available to this shard's jobs.
+        """Return how many processors this shard would have to give so that both shards could use the same number."""
+        # Quota that is reserved for another shard is counted as used: tasks that used it have ended since it was
+        # reserved, but the jobs of this shard can't use it.
         reserved, _ = self._shard.quota.reserved_for_peers.get(message.team, (Resources(), ZERO))
         return (self._shard.usage[message.team].cpus + reserved.cpus - message.used) / 2
 
     def _reserve_missing(self, team: str, wanted: Resources, unused: Resources) -> None:
-        """Reserve the part of `wanted` that exceeds the unused quota, to be given as this shard's tasks end."""
+        """Reserve the part of `wanted` that exceeds the unused quota. The other shard gets it as tasks end here."""
         used = self._shard.usage[team]
         missing = Resources(
             min(max(0.0, wanted.cpus - unused.cpus), used.cpus),
--- a/badgerroute/coordination/shards/scheduling_rounds.py
+++ b/badgerroute/coordination/shards/scheduling_rounds.py
@@ -1,4 +1,4 @@
-"""The periodic scheduling round of a shard; other decisions are made on each heartbeat."""
+"""The periodic scheduling round of a shard. Other scheduling decisions are made when a heartbeat arrives."""
 
 from datetime import timedelta
 
@@ -45,7 +45,7 @@
                 await self._quota_exchange.acquire_missing_quota()
 
     def _run_round(self, now: timedelta) -> None:
-        """Run one round without awaiting: expire lost machines, place or preempt for waiting jobs, then send stops."""
+        """Run one round without awaiting: expire lost machines, place jobs or preempt others, then send stops."""
         out_of_time = deadline_check(self._loop, now + self._limit)
         self._machine_expiry.expire(now)
         self._machine_expiry.evacuate_preempted(now)
--- a/badgerroute/coordination/shards/shard_leader.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -68,7 +68,7 @@
     # -- changes of stored records
 
     def machine_changed(self, name: str, value: bytes | None) -> None:
-        """Apply a machine's record that was created, changed or removed (None)."""
+        """Apply a machine's record that was created or changed, or removed if `value` is None."""
         self._machine_sync.machine_changed(name, value)
 
     def job_changed(self, ref: str) -> None:
@@ -98,7 +98,7 @@
         return summary.idle_capacities(self.shard)
 
     def summary(self) -> ShardSummary:
-        """Return what the other shards need to know of this one; recomputed a few times a second at most."""
+        """Return the shard's summary for the other shards. It is recomputed at most a few times a second."""
         return self._summaries.summary()
 
     def heartbeat_overdue(self, name: str) -> bool:
@@ -106,5 +106,5 @@
         return self._summaries.heartbeat_overdue(name)
 
     def silent_machines(self) -> int:
-        """Return how many machines' heartbeats are overdue, or 0 if fewer than half are; cached like the summary."""
+        """Return how many machines' heartbeats are overdue, or 0 if less than half are. Cached like the summary."""
         return self._summaries.silent_machines()
--- a/badgerroute/coordination/shards/shard_leaders.py
+++ b/badgerroute/coordination/shards/shard_leaders.py
@@ -14,7 +14,7 @@
 
 
 class ShardLeaders(dict[int, ShardLeader]):
-    """Maps shard numbers to their leaders, and forwards notifications to these.
+    """Maps shard numbers to their leaders, and forwards notifications to these leaders.
 
     Leaders that are not ready yet are not notified, since their failover loads the current state when it runs.
     """
@@ -53,7 +53,7 @@
         """Have the leaders of their shards remove machines that the cloud has deleted, and write their tombstones."""
         members = {name for leader in self.values() for name in leader.shard.machines}
         for index, leader in enumerate(list(self.values())):
-            # The tombstone of a machine that never was a member may be written by any shard: the first is used.
+            # Any leader may write the tombstone of a machine that never was a member: the first leader does.
             deleted = [name for name in names if name in leader.shard.machines or (index == 0 and name not in members)]
             if deleted:
                 self._group.spawn(leader.tombstone_writer.remove_machines(deleted), "forget")
@@ -67,7 +67,7 @@
 
 
 class LeaderLifecycle:
-    """Starts the leader of a shard that is won, and closes that of a shard that is lost.
+    """Creates a `ShardLeader` when this controller wins a shard, and closes it when the controller loses the shard.
 
     Deletions that the leader of a lost shard requested are cancelled, since its successor decides about the machines.
     """
--- a/badgerroute/coordination/shards/shard_storage.py
+++ b/badgerroute/coordination/shards/shard_storage.py
@@ -16,11 +16,11 @@
 
 
 class WriteOutcome(Enum):
-    """What is known about a conditional write once it was answered or has failed."""
+    """What is known about a conditional write that failed or was answered."""
 
     APPLIED = "applied"
-    NOT_APPLIED = "not applied"  # and it can no longer be applied
-    UNKNOWN = "unknown"  # it may have been applied, or may yet be until another write changes its keys
+    NOT_APPLIED = "not applied"  # and it can't be applied later either
+    UNKNOWN = "unknown"  # it may have been applied, or may still be until another write changes its keys
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,7 @@
 
     @property
     def condition_failed(self) -> bool:
-        """Return whether a key differed from what the write required, so that the replica may be outdated."""
+        """Return whether the write failed because a key had changed, so that the replica may be outdated."""
         return isinstance(self.error, CompareFailedError)
 
 
@@ -66,7 +66,7 @@
         return WriteResult(WriteOutcome.APPLIED, revision)
 
     def record_applied(self, changes: Sequence[Put | Remove], revision: int) -> None:
-        """Update the replica with changes that were applied, and publish them, one after the other."""
+        """For each applied change, update the replica and publish the change to the peers."""
         for change in changes:
             value = bytes(change.value) if isinstance(change, Put) else None
             self.replica.learn(change.key, value, revision)
--- a/badgerroute/coordination/shards/small_task_capacity.py
+++ b/badgerroute/coordination/shards/small_task_capacity.py
@@ -8,7 +8,7 @@
 from badgerroute.storage.keys import MACHINES
 from badgerroute.storage.replica import Replica
 
-MIN_SMALL_TASK_FRACTION = 0.25  # of all processors, counted as available to small tasks whatever the gangs need
+MIN_SMALL_TASK_FRACTION = 0.25  # at least this part of all processors counts as available to small tasks
 
 
 class SmallTaskCapacity:
@@ -19,9 +19,10 @@
         self._types: dict[str, str] = {}  # by the key of a machine's record; a machine's type never changes
 
     def processors(self) -> float:
-        """Return the number of processors minus those that waiting and running gangs need.
+        """Return the number of processors of all machines, minus those that waiting and running gangs need.
 
-        Gangs reduce the number at most by the processors of the machine types that they can use.
+        For gangs, at most the processors of the machine types that they can use are subtracted. The result is at least
+        `MIN_SMALL_TASK_FRACTION` of all processors.
         """
         by_type = self._processors_by_type()
         gangs = [record.job for _, record in self._job_store.schedulable() if record.job.gang]
--- a/badgerroute/coordination/shards/subsystem.py
+++ b/badgerroute/coordination/shards/subsystem.py
@@ -88,7 +88,8 @@
         guidance=guidance,
     )
     leadership.state.register(LeaderLifecycle(leaders, context, deletion))
-    # The job store's listeners were added before, and must run first: leaders look up jobs in it.
+    # The job store's listeners were registered earlier and must run first, because leaders look up jobs in the job
+    # store.
     storage.replica.listen(DONE, leaders.done_page_changed)
     storage.replica.listen(JOBS, leaders.job_record_changed)
     storage.replica.listen(MACHINES, leaders.machine_record_changed)
--- a/badgerroute/coordination/shards/summary.py
+++ b/badgerroute/coordination/shards/summary.py
@@ -12,11 +12,11 @@
 from badgerroute.scheduling.resources import Resources
 from badgerroute.scheduling.shard import Shard
 
-MIN_DEMANDS = 200  # the number of waiting jobs that a summary may list, however small the shard is
+MIN_DEMANDS = 200  # a summary may list at least this many waiting jobs, however small the shard is
 MACHINES_PER_DEMAND = 2  # the summary of a large shard may list one waiting job per two machines
 MAX_CAPACITY_GROUPS = 500  # groups of machines with equal free capacity in a summary
-ROUNDING_STEPS = (0.25, 1.0, 4.0, 16.0)  # of processors and GB, tried in turn while there are more groups than that
-MAX_IMAGE_MACHINES = 16  # listed for each image in a summary
+ROUNDING_STEPS = (0.25, 1.0, 4.0, 16.0)  # of processors and GB; the next is tried while there are too many groups
+MAX_IMAGE_MACHINES = 16  # a summary lists at most this many machines for each image
 MIN_FREE_CPUS = 1e-6  # a smaller amount is a rounding error
 
 # Plain tuples for speed: one of each is created for every machine several times a second.
@@ -121,7 +121,7 @@
 ) -> ShardSummary:
     """Return the summary of a shard as it is now; this visits every machine and every waiting job.
 
-    `levels`: the priority levels of all gangs; other shards may want to preempt tasks here for a gang.
+    `levels`: the priority levels of all gangs, since other shards may want to preempt tasks here for a gang.
     `scales_out_ahead`: whether machines are rented before work arrives, rather than on demand.
     `workers_silent`: whether the heartbeats of at least half of the machines are overdue.
     """
--- a/badgerroute/coordination/shards/summary_cache.py
+++ b/badgerroute/coordination/shards/summary_cache.py
@@ -1,4 +1,4 @@
-"""Cache of results for which every machine of a shard is visited, renewed at most a few times a second."""
+"""Caches results that depend on every machine of a shard, and recomputes them at most a few times a second."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -15,8 +15,8 @@
 from badgerroute.settings import Settings
 from badgerroute.transport.loop import Loop
 
-# A cached result is replaced once it is MIN_RENEWAL_AGE old, or older in a large shard: RENEWAL_AGE_PER_MACHINE times
-# the number of machines.
+# A cached result is recomputed when its age reaches the larger of MIN_RENEWAL_AGE and RENEWAL_AGE_PER_MACHINE times the
+# number of machines.
 MIN_RENEWAL_AGE = timedelta(milliseconds=400)
 RENEWAL_AGE_PER_MACHINE = timedelta(microseconds=500)  # visiting 4,000 machines takes some 30 ms of a core
 
@@ -40,7 +40,7 @@
 class SummaryCache:
     """Caches the summary of one shard and the number of its silent machines, those whose heartbeats are overdue.
 
-    `resumed_at`: the end of this process's last pause, during which it couldn't receive heartbeats.
+    `resumed_at`: returns when this process resumed after its last pause, during which it couldn't receive heartbeats.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         return self._summary.summary
 
     def silent_machines(self) -> int:
-        """Return how many machines' heartbeats are overdue, or 0 if these are less than half of the machines."""
+        """Return how many machines' heartbeats are overdue, or 0 if less than half are."""
         now = self._loop.now()
         if self._silence is None or now - self._silence.taken_at >= self._renewal_age():
             machines = count_overdue(self._shard, self._heartbeat_interval, self._resumed_at(), now)
--- a/badgerroute/coordination/shards/term_raiser.py
+++ b/badgerroute/coordination/shards/term_raiser.py
@@ -9,21 +9,21 @@
 from badgerroute.transport.loop import Future, Loop
 
 log = logging.getLogger(__name__)
-RAISE_WAIT_TIMEOUT = timedelta(seconds=1)  # for callers that wait for a raise that another caller began
+RAISE_WAIT_TIMEOUT = timedelta(seconds=1)  # for callers that wait until another caller has raised the term
 
 
 class TermRaiser:
-    """Raises the term of one shard. Concurrent callers share one raise."""
+    """Raises the term of one shard. Concurrent callers share one write."""
 
     def __init__(self, *, shard: Shard, loop: Loop, election: LeaderElection) -> None:
         self._shard, self._loop, self._election = shard, loop, election
-        self._pending_raise: Future | None = None  # in progress; its result is whether the term was raised
+        self._pending_raise: Future | None = None  # None if no write is in flight; the result is whether it succeeded
 
     async def raise_term(self) -> bool:
-        """Get a term above the fencing token that a machine has seen elsewhere; return whether that succeeded."""
+        """Obtain a higher term, since a machine has seen a higher fencing token; return whether that succeeded."""
         if self._pending_raise is not None:
-            # The caller must learn the result of the raise that it waits for: if the raise failed, the machine would
-            # ignore an answer in the old term, yet keep sending its heartbeats here until its lease expires.
+            # Wait for the result: if the term was not raised, the caller must not answer the machine, which would
+            # ignore an answer in the old term but keep sending its heartbeats here until its lease expires.
             pending_raise = self._pending_raise
             return await self._loop.first(pending_raise, RAISE_WAIT_TIMEOUT) and pending_raise.result
         self._pending_raise = Future()
--- a/badgerroute/coordination/shards/tombstone_writer.py
+++ b/badgerroute/coordination/shards/tombstone_writer.py
@@ -17,8 +17,8 @@
 
 log = logging.getLogger(__name__)
 RETRY_PAUSE = timedelta(seconds=1)
-MAX_MACHINES_PER_WRITE = 8  # a transaction as large as the rate limiter's burst waits until nobody else writes
-NAMES_PER_PAGE = 100  # few, since a page may be rewritten for each deleted machine
+MAX_MACHINES_PER_WRITE = 8  # a transaction as large as the rate limiter's burst would wait until nobody else writes
+NAMES_PER_PAGE = 100  # kept low, since each deletion may rewrite a page
 MACHINE_NAME_BYTES = 64  # reserved for each name on a page, about twice what a name takes
 MIN_PAGES = 4
 
@@ -31,7 +31,7 @@
 
 
 class TombstoneWriter:
-    """Records the deleted machines of one shard, in pages that belong to this shard."""
+    """Records the names of one shard's deleted machines, in pages that belong to this shard."""
 
     def __init__(self, *, shard: Shard, loop: Loop, storage: ShardStorage, leadership_state: LeadershipState) -> None:
         self._shard, self._loop, self._leadership_state = shard, loop, leadership_state
@@ -66,7 +66,7 @@
         tombstones = records.write(TombstoneRecord([*page.names, *(name for name in batch if name not in page.names)]))
         members = [MACHINES + name for name in batch if self._replica.revision_of(MACHINES + name)]
         changes: list[Put | Remove] = [put(key, tombstones), *(remove(member) for member in members)]
-        # The page must be as in the replica: otherwise an older write that is applied late would remove newer names.
+        # The page must be as in the replica: otherwise a delayed older write would remove newer names.
         unchanged = compare(key, self._replica.revision_of(key))
         conditions = [self._leadership_state.condition(self._shard.number), unchanged]
         await self._storage.write(conditions, changes, Urgency.PROGRESS)
@@ -74,8 +74,8 @@
     def _choose_page(self) -> _Page:
         """Return the page for the next deleted machines.
 
-        Pages are small, since each deletion rewrites one. There are pages for twice as many machines as the shard has
-        ever had at the same time; when all are full, the oldest is overwritten.
+        Pages are small, since each deletion rewrites one. All pages together hold at least twice as many names as the
+        shard has ever had machines at the same time; when all are full, the oldest page is overwritten.
         """
         prefix = f"{TOMBSTONES}{self._shard.number}/"
         pages = sorted(self._replica.under(prefix), key=self._replica.revision_of)
--- a/badgerroute/coordination/shards/urgent_stops.py
+++ b/badgerroute/coordination/shards/urgent_stops.py
@@ -6,15 +6,15 @@
 from badgerroute.scheduling.task_phase import Phase
 from badgerroute.transport.loop import Loop, TaskGroup
 
-MAX_DIRECT_CANCELLATIONS = 16  # machines per round; others get their stops in heartbeat answers
+MAX_DIRECT_CANCELLATIONS = 16  # machines per round; the others get their stops in heartbeat answers
 
 
 class UrgentStops:
     """Sends the urgent stops of one shard: those of gangs and of cancelled jobs.
 
-    A gang's tasks must stop at nearly the same time. No task of a cancelled job should start after its user has got the
-    answer, so machines where such a task still fetches its image come first. Running tasks of cancelled jobs are
-    stopped early too, since nobody needs their results.
+    A gang's tasks must stop at nearly the same time. No task of a cancelled job should start after its user has
+    received the confirmation, so machines where such a task still fetches its image come first. Running tasks of
+    cancelled jobs are stopped early too, since nobody needs their results.
     """
 
     def __init__(self, *, shard: Shard, loop: Loop, group: TaskGroup, commands: MachineCommands) -> None:
--- a/badgerroute/coordination/shards/work_stealing.py
+++ b/badgerroute/coordination/shards/work_stealing.py
@@ -18,12 +18,13 @@
 
 MAX_RANGES = 48  # a job whose tasks are split into more ranges is not stolen from
 MAX_JOBS_PER_STEAL = 6
-# A gang that has waited longer and does not fit no longer keeps its shard from stealing work for the free capacity.
+# While a gang waits, its shard does not steal work for its free capacity, unless the gang does not fit and has waited
+# longer than this.
 GANG_WAIT_LIMIT = timedelta(seconds=30)
 
 
 class _JobShape(NamedTuple):
-    """The requirements that decide which free capacity a job's tasks can use."""
+    """The requirements of a job's tasks that determine which free capacity they can use."""
 
     cpus: float
     accelerators: float
@@ -40,7 +41,7 @@
 
 
 class WorkStealing:
-    """The part of one shard in work stealing, both as the thief and as the victim."""
+    """Work stealing by and from one shard, both as the idle shard (thief) and as the busy one (victim)."""
 
     def __init__(
         self,
@@ -56,17 +57,17 @@
         self._job_store, self._status, self._job_transfers = job_store, status, job_transfers
 
     def teams_lacking_quota(self) -> set[str]:
-        """Return the teams whose jobs wait here for lack of quota: stolen tasks of these teams would wait as well."""
+        """Return the teams whose jobs wait here for quota. Stolen tasks of these teams would have to wait too."""
         return {job.spec.team for job in self._shard.jobs.values() if self._shard.short_of_quota(job)}
 
     def has_work_for(self, capacities: list[FreeCapacity], teams_lacking_quota: set[str]) -> bool:
-        """Return whether a task that waits here could soon use the free capacity.
+        """Return whether a task that waits in this shard could soon use the given free capacity.
 
-        Jobs don't count if no machine here may run them, if their team's limit holds them back or if their tasks have
-        failed: the capacity would stay idle while tasks of other shards wait for it.
+        A job is ignored if no machine here may run it, if its team's limit prevents its start or if its tasks have
+        failed. The capacity would otherwise stay idle for it while tasks of other shards could use it.
         """
         now = self._loop.now()
-        checked_shapes: set[_JobShape] = set()  # many jobs share few shapes, so each shape is checked once
+        checked_shapes: set[_JobShape] = set()  # many jobs have the same shape, and each shape is checked once
         for job in self._shard.jobs.values():
             if job.failing or job.failed_on or job.spec.team in teams_lacking_quota:
                 continue
@@ -82,7 +83,7 @@
         return False
 
     async def on_steal(self, message: StealRequest) -> None:
-        """Answer an idle shard's request: reassign tasks that wait here and fit there, in one conditional write."""
+        """Answer an idle shard's request: reassign waiting tasks that fit there, in one conditional write."""
         if not self._shard.reconciled or not self._status.allows(Action.GIVE_WORK):
             return
         selection = StealSelection(self._shard, message.capacities, message.images, self._loop.now())
