--- a/badgerroute/storage/key_value_client.py
+++ b/badgerroute/storage/key_value_client.py
@@ -27,9 +27,9 @@
 
 log = logging.getLogger(__name__)
 RESPONSE_TIMEOUT = timedelta(milliseconds=1500)
-WATCH_MARGIN = timedelta(seconds=3)  # the response to a watch may arrive this long after its blocking time
+WATCH_MARGIN = timedelta(seconds=3)  # a watch times out this long after the time for which the store may hold it open
 KEYS_PER_PAGE = 500
-MAX_CONDITIONS_PER_CHANGE = 4  # a transaction may have this many conditions for each change that the store permits
+MAX_CONDITIONS_PER_CHANGE = 4  # maximum number of conditions in a transaction / maximum number of changes in it
 LOGGED_BODY_BYTES = 120
 RATE_LIMITED_STATUS = 429
 NOT_EXECUTED_STATUSES = (RATE_LIMITED_STATUS, 503)
@@ -38,7 +38,7 @@
 
 
 class KeyList(NamedTuple):
-    """All keys under a prefix, and the lowest revision of the pages that were read for them."""
+    """All keys under a prefix with their values, and the lowest revision at which a page of the list was read."""
 
     items: list[wire.KeyValueEntry]
     revision: int
@@ -72,7 +72,7 @@
 
     @property
     def requests(self) -> int:
-        """The number of requests that were sent."""
+        """The number of requests sent since the client was created."""
         return self._caller.request_count
 
     def divide_rates(self, size: int) -> None:
@@ -85,24 +85,30 @@
 
     @property
     def max_changes(self) -> int:
-        """The maximum number of changes in a transaction, within the current and the announced limit of the store."""
+        """The maximum number of changes in a transaction: the store's current or announced limit, whichever is lower.
+
+        It is lower still for some time after a refused transaction.
+        """
         self._sizes.recover(self._loop.now())
         return self._sizes.changes.current
 
     @property
     def max_value_bytes(self) -> int:
-        """The maximum size of a value in bytes, within the current and the announced limit of the store."""
+        """The maximum size of a value in bytes: slightly below the store's current or announced limit.
+
+        The lower of the two limits counts. The maximum is lower still for some time after a refused transaction.
+        """
         self._sizes.recover(self._loop.now())
         return self._sizes.value_bytes.current
 
     @property
     def announced_value_bytes(self) -> int:
-        """The maximum size of a value in bytes by the settings, not lowered by refused transactions."""
+        """The maximum size of a value in bytes that follows from the settings, whatever transactions were refused."""
         return self._sizes.value_bytes.maximum
 
     @property
     def max_conditions(self) -> int:
-        """The maximum number of conditions in a transaction, by the settings."""
+        """The maximum number of conditions in a transaction. It follows from the settings and does not change."""
         return MAX_CONDITIONS_PER_CHANGE * self._limits.max_changes
 
     async def get(self, key: str, urgency: Urgency = Urgency.READ) -> wire.KeyValueEntry | None:
@@ -114,13 +120,16 @@
         return self._caller.decode(response, wire.entry_decoder, READ_ERRORS)
 
     async def revision(self, nonexistent_key: str, urgency: Urgency = Urgency.READ) -> int:
-        """Return the revision that the store has applied. The response for a nonexistent key contains it."""
+        """Return the latest revision that the store has applied, which its response for a nonexistent key contains."""
         response = await self._read("/kv/" + quote(nonexistent_key, safe="/"), urgency)
         _require_ok(response, accepted=(404,))
         return self._caller.decode(response, wire.missing_decoder, READ_ERRORS).revision
 
     async def page(self, prefix: str, after_key: str, limit: int, urgency: Urgency) -> wire.KeyValuePage:
-        """Return the first `limit` keys, in sorted order, under a prefix and after `after_key`."""
+        """Return the first `limit` keys, in sorted order, under a prefix.
+
+        If `after_key` is not empty, only keys that sort after it are returned.
+        """
         target = f"/kv?under={quote(prefix, safe='/')}&limit={limit}"
         if after_key:
             target += f"&since={quote(after_key, safe='/')}"
@@ -129,7 +138,7 @@
         return self._caller.decode(response, wire.page_decoder, READ_ERRORS)
 
     async def list(self, prefix: str) -> KeyList:
-        """Read all keys under a prefix, page by page."""
+        """Read all keys under a prefix, page by page; the store may change between two pages."""
         page = await self.page(prefix, "", KEYS_PER_PAGE, Urgency.LEADERSHIP)
         items, revision = page.items, page.revision
         while page.more and page.items:
@@ -162,12 +171,13 @@
             raise LeaseExpiredError("no such lease")
         if response.status == 400:
             lowered = self._lower_sizes(transaction, body)
-            raise RequestRefusedError(f"transaction refused: {response.body[:100]!r}", lowered)
+            # Users see this text: JobWriter.accept puts it into the body of a 422 response, so it must not change.
+            raise RequestRefusedError(f"refused: {response.body[:100]!r}", lowered)
         _require_ok(response)
         return self._caller.decode(response, wire.applied_decoder, WRITE_ERRORS).revision
 
     async def grant(self, ttl: timedelta) -> int:
-        """Create a lease that ends `ttl` after its last renewal, and return its id."""
+        """Create a lease and return its id. The lease ends when it has not been renewed for `ttl`."""
         body = encode({"ttl_ms": _milliseconds(ttl)})
         response = await self._write_lease("/grants", RESPONSE_TIMEOUT, body)
         _require_ok(response, accepted=(200, 201))
@@ -181,7 +191,7 @@
         _require_ok(response)
 
     async def watch(self, prefix: str, after_revision: int, block: timedelta) -> wire.Changes:
-        """Wait up to `block` for changes under a prefix after a revision.
+        """Return the changes under a prefix after a revision. If there are none yet, wait up to `block` for them.
 
         Raise WatchExpiredError if the store no longer holds all changes after that revision.
         """
