--- a/badgerroute/storage/bitset.py
+++ b/badgerroute/storage/bitset.py
@@ -2,8 +2,9 @@
 
 import base64
 
-# Number of tasks whose bits one page holds. Small, so that a page fits any value size limit of the store. Since pages
-# are stored, all versions must use the same number.
+# Large bit sets are stored as pages, each with the bits of this many consecutive tasks. The number is so small that a
+# page fits any limit that the store may have on the size of a value. Pages remain stored when the controllers are
+# upgraded, so all versions must use the same number.
 PAGE_TASKS = 4096
 
 
@@ -26,7 +27,7 @@
 
 
 def trailing_ones(bits: int) -> int:
-    """Return how many consecutive bits are set, counted from the lowest bit."""
+    """Return how many consecutive bits are set, starting with the lowest bit."""
     return (~bits & (bits + 1)).bit_length() - 1
 
 
--- a/badgerroute/storage/cloud_client.py
+++ b/badgerroute/storage/cloud_client.py
@@ -16,16 +16,18 @@
 MAX_MACHINES_PER_RENTAL = 50
 MAX_MACHINES_PER_DELETION = 100
 MACHINES_PER_PAGE = 500
-# The portion of the published rate limit that is used: clocks differ, and a request that gets status 429 is wasted.
+# The controllers together use only this portion of the published rate limit. Their clocks differ from the cloud's, and
+# a request that exceeds the limit is wasted, since it gets only status 429 (too many requests).
 SAFETY_FACTOR = 0.9
-# All requests are idempotent (a rental by its request name), so it does not matter whether a failed one was executed.
+# All requests are idempotent (a rental because of its request name). A caller may therefore repeat a failed request
+# whether or not it was executed, so both cases raise the same error.
 ERRORS = ErrorTypes(not_executed=CloudUnavailableError, outcome_unknown=CloudUnavailableError)
 
 
 class CloudClient:
     """Client of the cloud API, whose rate limit is divided equally among `size` controllers.
 
-    All requests raise CloudUnavailableError if there is no usable response.
+    All requests raise CloudUnavailableError if no response arrives, if its status is not 200 or if it is malformed.
     """
 
     def __init__(self, loop: Loop, network: Network, address: str, limits: CloudLimits, size: int) -> None:
@@ -49,10 +51,10 @@
         return self._caller.decode(response, wire.catalog_decoder, ERRORS).types
 
     async def rent(self, request_name: str, machine_type: str, zone: str, spot: bool, count: int) -> list[str]:
-        """Rent up to `count` machines of a type and return their names; raises NoCapacityError if none are available.
+        """Rent up to `count` machines (at most MAX_MACHINES_PER_RENTAL) and return their names.
 
-        `request_name` makes the rental idempotent: a repeated request with the same name rents
-        no further machines. Every rental therefore needs a name of its own.
+        Raises NoCapacityError if none are available. `request_name` makes the rental idempotent: a repeated request
+        with the same name rents no further machines. Every rental therefore needs a name of its own.
         """
         body = encode(wire.RentalRequest(request_name, machine_type, zone, spot, min(count, MAX_MACHINES_PER_RENTAL)))
         response = await self._call("POST", "/rentals", Urgency.COMPLETE, body)
@@ -67,12 +69,12 @@
         await self._call("POST", "/rentals/delete", Urgency.LEADERSHIP, body)
 
     def listing_time(self, machine_count: int) -> timedelta:
-        """Return how long listing this number of machines takes at the request rate of this controller."""
+        """Return how long a listing of this many machines takes at the request rate that this controller may use."""
         pages = -(-machine_count // MACHINES_PER_PAGE)
         return timedelta(seconds=pages / self._calls_per_second)
 
     async def list_machines(self) -> list[wire.ListedMachine]:
-        """Return all machines in the cloud's list, which lags behind rentals and deletions."""
+        """Return all machines in the cloud's list, which shows rentals and deletions only after a delay."""
         machines: list[wire.ListedMachine] = []
         last_name = ""
         while True:
--- a/badgerroute/storage/entries.py
+++ b/badgerroute/storage/entries.py
@@ -1,4 +1,7 @@
-"""The keys and values that a replica holds, indexed by prefix, with the revisions that order changes to them."""
+"""The keys and values that a replica holds, indexed by prefix, with the revision at which each was last changed.
+
+Every transaction of the store has a revision, a number that is higher than those of all earlier transactions.
+"""
 
 import logging
 from collections.abc import Callable
@@ -30,7 +33,7 @@
 
 
 class ReplicaEntries:
-    """Entries by key. A change is applied only if it is newer than the entry, so changes may arrive in any order.
+    """Entries by key. A change is applied only if it is newer than the key's entry, so changes may arrive in any order.
 
     Invariant: `_keys_under[parent_prefix(key)]` holds `key` if and only if `by_key` does.
     """
@@ -51,11 +54,14 @@
         return entry.revision if entry else 0
 
     def keys_under(self, prefix: str) -> list[str]:
-        """Return the keys that begin with a prefix, which ends in a slash, and have no further slash."""
+        """Return the keys directly under a prefix, which must end in a slash: those with no slash after the prefix."""
         return list(self._keys_under.get(prefix, ()))
 
     def apply(self, key: str, value: bytes | None, revision: int) -> bool:
-        """Apply a change (a removal if `value` is None) unless it is outdated; return whether it was applied."""
+        """Apply a change (a removal if `value` is None) and call the listeners. Return whether it was applied.
+
+        A change is ignored if a change of the key with the same or a higher revision has already been applied.
+        """
         if revision <= self.revision_of(key) or revision <= self._removed.get(key, 0):
             return False
         if value is None:
@@ -84,9 +90,10 @@
                     log.error("event=listener_failed key=%s error=%r", key, error, exc_info=error)
 
     def forget_removals(self, revision: int) -> None:
-        """Forget the removals up to this revision, once the watch has delivered all changes up to it.
+        """Forget the removals up to this revision. Called when the watch has delivered all changes up to it.
 
-        From then on `Replica.learn` rejects older copies of a removed key, so they cannot bring it back.
+        From then on `Replica.learn` rejects changes up to this revision, so a late copy of an old change cannot bring a
+        removed key back.
         """
         if self._removed:
             self._removed = {key: removed for key, removed in self._removed.items() if removed > revision}
--- a/badgerroute/storage/errors.py
+++ b/badgerroute/storage/errors.py
@@ -2,15 +2,15 @@
 
 
 class StoreUnavailableError(Exception):
-    """The key-value store has not executed the request and never will: the caller may send it again."""
+    """The key-value store did not and will not execute the write, or a read failed: the caller may send it again."""
 
 
 class OutcomeUnknownError(Exception):
-    """The transaction may have been applied, or may still be: the caller must read the keys before it continues."""
+    """The transaction may have been applied, or may yet be applied: the caller must read the keys before it goes on."""
 
 
 class CompareFailedError(Exception):
-    """Conditions of the transaction did not hold, so it was not applied: the caller reads the keys and decides again.
+    """A condition of the transaction did not hold, so it was not applied: the caller reads the keys and decides again.
 
     `failed`: the keys whose conditions did not hold.
     """
@@ -23,8 +23,8 @@
 class RequestRefusedError(StoreUnavailableError):
     """The store rejected the transaction as malformed or too large: it must not be sent again unchanged.
 
-    `by_size`: its size may have been the reason. The client has lowered its size limits, so the caller may retry with a
-    smaller transaction.
+    `by_size`: the transaction's size may have been the reason. The client has then lowered its size limits, and the
+    caller may retry with a smaller transaction.
     """
 
     def __init__(self, text: str, by_size: bool) -> None:
@@ -33,7 +33,7 @@
 
 
 class LeaseExpiredError(Exception):
-    """The lease has expired and its keys were removed: the caller leads no shard and needs a new lease."""
+    """The lease has expired and its keys were removed: the caller no longer leads any shard and needs a new lease."""
 
 
 class WatchExpiredError(Exception):
@@ -43,9 +43,12 @@
 class CloudUnavailableError(Exception):
     """There was no usable response from the cloud.
 
-    The request may have been executed, or may still be: the cloud's list of machines will show it.
+    The request may have been executed, or may yet be. The cloud's list of machines will show whether it was.
     """
 
 
 class NoCapacityError(Exception):
-    """The cloud has no machine of the requested type and zone (spot or not): the caller tries another pool or waits."""
+    """The cloud has no machine of the requested type, zone and kind (spot or not) available.
+
+    The caller tries another combination of these, or waits.
+    """
--- a/badgerroute/storage/keys.py
+++ b/badgerroute/storage/keys.py
@@ -1,13 +1,14 @@
-"""The keys of the key-value store. They are stored and shared with other versions, so their text must not change.
+"""The keys of the key-value store. Other versions of the controllers use the same keys, so they must not be renamed.
 
-There is one constant for each family of keys; `records` defines the values. Where the constant ends in a slash, the
-family holds one key for each of the objects that its comment names in capitals. Every write by a shard's leader is
-conditional on its leadership.
+There is one constant for each family of keys; `records` defines the values. A constant that ends in a slash is the
+prefix of a family with one key for each of the objects that its comment names in capitals. A shard's leader makes every
+write conditional on its leadership, so the write fails if the shard has another leader.
 """
 
 PREFIX = "b/"  # shared by all keys, so that a single watch delivers all changes in order
 
-# b/parts/SHARD: ShardLeaderRecord. Written by: the shard's leader, with its lease. The key's revision is the term.
+# b/parts/SHARD: ShardLeaderRecord. Written by: the shard's leader, with its lease. The key's revision is the leader's
+# term, so each leader of a shard has a higher term than those before it.
 SHARD_LEADERS = "b/parts/"
 
 # b/fleet: AutoscalerLeaderRecord. Written by: the controller that rents machines, with its lease.
@@ -35,7 +36,7 @@
 # b/gone/SHARD/PAGE: TombstoneRecord. Written by: the shard's leader.
 TOMBSTONES = "b/gone/"
 
-# b/done/JOB/PAGE: DonePage. Written by: the writers of the job's record.
+# b/done/JOB/PAGE: DonePage. Written by: the controllers that write the job's record.
 DONE = "b/done/"
 
 # b/before/JOB/PAGE: PredecessorsPage. Written by: the controller that accepted the job.
@@ -45,7 +46,7 @@
 # machine is no longer a member of a shard.
 DRAINS = "b/drains/"
 
-NONEXISTENT = PREFIX + "nowhere"  # never written: reading it returns the revision that the store has applied
+NONEXISTENT = PREFIX + "nowhere"  # never written; the response to a read of it contains the store's revision
 
 
 def parent_prefix(key: str) -> str:
--- a/badgerroute/storage/rate_limiter.py
+++ b/badgerroute/storage/rate_limiter.py
@@ -25,7 +25,7 @@
 
 
 class RateLimitExceededError(Exception):
-    """No tokens become available within the time that the caller can wait. None were taken; the caller may retry."""
+    """The tokens did not become available within the caller's timeout. None were taken, so the caller may retry."""
 
 
 class _Waiter(NamedTuple):
@@ -38,7 +38,7 @@
 
 
 class RateLimiter:
-    """A token bucket. `rate` is in tokens per second; `burst` is the bucket's capacity (at least one token)."""
+    """A token bucket. `rate` is in tokens per second. `burst` is the bucket's capacity; it is raised to 1 if lower."""
 
     def __init__(self, loop: Loop, rate: float, burst: float) -> None:
         self._loop = loop
@@ -56,7 +56,7 @@
         return self._rate
 
     def set_rate(self, rate: float, burst: float) -> None:
-        """Change the rate and the burst. If the rate stays the same, the burst is not changed either."""
+        """Change the rate and the burst. If the rate is the current one, the burst is not changed either."""
         if rate != self._rate:
             self._refill()
             self._rate = rate
@@ -65,7 +65,7 @@
     async def take(self, cost: float, urgency: Urgency, timeout: timedelta) -> None:
         """Take `cost` tokens, waiting at most `timeout`; raise RateLimitExceededError if they don't become available.
 
-        A request that costs more than the burst waits for a full bucket and makes the balance negative.
+        If `cost` exceeds the burst, the caller waits for a full bucket, and the number of tokens becomes negative.
         """
         self._refill()
         if not self._waiting and self._tokens >= min(cost, self._burst):
--- a/badgerroute/storage/read_barrier.py
+++ b/badgerroute/storage/read_barrier.py
@@ -1,4 +1,4 @@
-"""Lets readers wait until the replica has reached a revision, or the store's current revision."""
+"""Lets readers wait until the replica has applied all changes up to a given, or the store's current, revision."""
 
 from datetime import timedelta
 from typing import NamedTuple
@@ -8,7 +8,7 @@
 from badgerroute.storage.keys import NONEXISTENT
 from badgerroute.transport.loop import Future, Loop
 
-MIN_INTERVAL = timedelta(milliseconds=80)  # between requests for the store's revision
+MIN_INTERVAL = timedelta(milliseconds=80)  # minimum time between requests for the store's revision
 MAX_WAIT = timedelta(milliseconds=1500)
 
 
@@ -18,15 +18,15 @@
 
 
 class ReadBarrier:
-    """Lets readers wait for the replica. One request for the store's revision serves all readers that are waiting.
+    """Lets readers wait until the replica is current. One request for the store's revision serves all waiting readers.
 
-    A request for each read would use up the rate limit when many jobs are polled.
+    A request for each reader would use up the rate limit when users poll many jobs.
     """
 
     def __init__(self, loop: Loop, store: KeyValueClient) -> None:
         self._loop = loop
         self._store = store
-        self._revision = 0
+        self._revision = 0  # up to which the watch has delivered all changes
         self._waiters: list[_Waiter] = []  # waiting for a revision that the watch has not reached
         self._readers: list[Future] = []  # waiting for the next request for the store's revision
         self._reader_arrived = Future()
@@ -44,7 +44,7 @@
                 self._waiters.append(waiter)
 
     async def wait_for_revision(self, revision: int) -> None:
-        """Wait, without a time limit, until the watch has reached a revision."""
+        """Wait, without a time limit, until the watch has delivered all changes up to a revision."""
         if self._revision < revision:
             reached = Future()
             self._waiters.append(_Waiter(revision, reached))
@@ -53,8 +53,8 @@
     async def wait_until_current(self) -> None:
         """Wait until the replica has applied all changes that the store had applied when this was called.
 
-        A read after that is linearizable: it returns nothing older than any earlier response did. Raises
-        StoreUnavailableError if the store does not respond, or if the watch does not reach the revision within
+        A read of the replica after that is linearizable: it returns nothing older than any earlier response did. Raises
+        StoreUnavailableError if the store does not respond, or if the replica has not applied the changes within
         MAX_WAIT.
         """
         reader = Future()
--- a/badgerroute/storage/records.py
+++ b/badgerroute/storage/records.py
@@ -1,7 +1,7 @@
 """The records that are stored as values in the key-value store, encoded as JSON.
 
-Several versions of the controllers read and write the same store, so stored names and formats must not change, and a
-new field needs a default. `keys` documents under which key each record is stored.
+Several versions of the controllers read and write the same store. Stored names and formats must therefore not change,
+and a new field needs a default. `keys` documents under which key each record is stored.
 """
 
 from enum import StrEnum
@@ -15,11 +15,11 @@
 from badgerroute.storage.task_ranges import TaskRange
 
 BITS_PER_CHARACTER = 6  # of base64
-MIN_TASKS_AHEAD = 64
+MIN_TASKS_AHEAD = 64  # the least that `max_tasks_ahead` returns
 
 
 class ShardLeaderRecord(Struct):
-    """Which controller leads a shard. The revision of the key is the leader's term."""
+    """Which controller leads a shard. The revision at which the record was last written is the leader's term."""
 
     leader: str = field(name="owner")
     until: float = 0.0  # POSIX time until which the previous leader may still act
@@ -29,7 +29,7 @@
 
 
 class AutoscalerLeaderRecord(Struct):
-    """Which controller is the autoscaler leader, which rents machines."""
+    """Which controller is the autoscaler leader, the only one that rents machines."""
 
     leader: str = field(name="owner")
 
@@ -45,13 +45,13 @@
 
 
 class TombstoneRecord(Struct):
-    """The names of recently deleted machines of a shard."""
+    """The names of recently deleted machines of a shard, which must not become members again."""
 
     names: list[str]
 
 
 class DrainRecord(Struct):
-    """A machine that operators drain: it is to be empty by `deadline`, a POSIX time."""
+    """An operator's request to drain a machine: no task may run on it after `deadline`, a POSIX time."""
 
     deadline: float
     delete: bool = False  # whether to delete the machine at the cloud once it is empty
@@ -72,7 +72,10 @@
 
 
 class FinalStateRecord(Struct):
-    """A job's final state, kept permanently. `at`: POSIX time it was reached, or 0 if an older version wrote this."""
+    """A job's final state, kept permanently.
+
+    `at` is the POSIX time at which the state was reached, or 0 in a record that an older version wrote.
+    """
 
     state: JobState
     tasks: int
@@ -80,22 +83,25 @@
 
 
 class DonePage(Struct):
-    """Done tasks that did not fit into their job's record: the bits of `bitset.PAGE_TASKS` tasks, packed."""
+    """Done tasks that did not fit into their job's record: the packed bits of `bitset.PAGE_TASKS` consecutive tasks."""
 
     bits: str
 
 
 class PredecessorsPage(Struct):
-    """Predecessors that did not fit into their job's record."""
+    """Predecessors (the jobs that a job waits for) that did not fit into the job's record."""
 
     refs: list[str]
 
 
 class JobRecord(Struct):
-    """An unfinished job. All tasks below `base` are done; `bits` is the bit set of the later ones, from `base` on.
+    """An unfinished job.
 
-    `ranges` says which shard owns which tasks. While the job waits for its predecessors, `planned` holds the ranges and
-    `ranges` is empty, so that after a rollback a version that does not support predecessors won't start the job.
+    All tasks below `base` are done. `bits` holds the done tasks from `base` on, encoded by `bitset.pack`, with task
+    `base` as the lowest bit. `ranges` says which shard owns which tasks. While the job waits for its predecessors,
+    `planned` holds the ranges and `ranges` is empty, so that after a rollback a version that does not support
+    predecessors won't start the job. The job is released when it no longer waits: then `ranges` holds the ranges, and
+    `planned` is unset.
     """
 
     job: Submission
@@ -108,11 +114,11 @@
 
     @property
     def assigned(self) -> list[TaskRange]:
-        """Which shard owns which tasks once the job is released."""
+        """Which shard owns which tasks; if the job is not released yet, which shard will own them."""
         return self.ranges if self.planned is UNSET else self.planned
 
     def with_ranges(self, ranges: list[TaskRange]) -> "JobRecord":
-        """Return the record with a new assignment of tasks to shards; the job is released."""
+        """Return the record of the job as released, with a new assignment of tasks to shards."""
         return msgspec.structs.replace(self, ranges=ranges, planned=UNSET)
 
     def done(self) -> int:
@@ -121,13 +127,13 @@
         return below_base | (unpack(self.bits) << self.base) if self.bits else below_base
 
     def with_done(self, done: int) -> "JobRecord":
-        """Return the record with these tasks done, as a released job: only released jobs make progress."""
+        """Return the record of the job as released, with exactly these tasks done. Only released jobs make progress."""
         base = trailing_ones(done)
         bits = pack(done >> base)
         return msgspec.structs.replace(self, ranges=self.assigned, planned=UNSET, base=base, bits=bits)
 
     def without_bits(self, done: int) -> "JobRecord":
-        """Return the record with only `base` for the done tasks: the remaining bits are stored on pages."""
+        """Return the record with the `base` for these done tasks but no `bits`, as their bits are stored in pages."""
         return msgspec.structs.replace(self, base=trailing_ones(done), bits="")
 
     def owned(self, shard: int) -> int:
@@ -140,9 +146,10 @@
 
 
 def max_tasks_ahead(max_value_bytes: int) -> int:
-    """Return how far beyond its first unfinished task a job may start others, so that its record fits into one value.
+    """Return how many task numbers beyond its first unfinished task a job may start tasks.
 
-    Half of the value is reserved for the bits of done tasks, half for everything else.
+    The limit lets the bits of the done tasks fit into half of the largest permitted value. The other half is reserved
+    for the rest of the job's record.
     """
     return max(MIN_TASKS_AHEAD, max_value_bytes // 2 * BITS_PER_CHARACTER)
 
@@ -159,5 +166,5 @@
 
 
 def write(record: Struct) -> msgspec.Raw:
-    """Encode a record as a value to be stored. Sends nothing to the store."""
+    """Encode a record as a value for a transaction. This sends nothing to the store."""
     return msgspec.Raw(msgspec.json.encode(record))
--- a/badgerroute/storage/replica.py
+++ b/badgerroute/storage/replica.py
@@ -1,7 +1,8 @@
-"""An in-memory copy of the key-value store, updated by a watch.
+"""An in-memory copy of the key-value store, updated by a watch: repeated requests for the changes since a revision.
 
 All keys share one prefix, so a single watch delivers all changes in order. This controller's own writes, and changes
-that peers push, are applied before the watch delivers them; `revision` is the one that the watch itself has reached.
+that peers send, are applied even before the watch delivers them. `Replica.revision` is the revision up to which the
+watch has delivered all changes.
 """
 
 import logging
@@ -42,7 +43,7 @@
     CATALOG,
     TOMBSTONES,
 )
-WATCH_BLOCK = timedelta(seconds=1)  # how long the store may block a watch that has no changes to deliver
+WATCH_BLOCK = timedelta(seconds=1)  # how long the store may hold a watch request open while it has no changes
 WATCH_INTERVAL = timedelta(
     milliseconds=150
 )  # minimum time between watch requests, since each counts towards the rate limit
@@ -60,7 +61,7 @@
         self._loaded_prefixes: tuple[str, ...] = LOADED_PREFIXES
         self.revision = 0
         self.ready = Future()  # set once all keys have been loaded
-        self.last_confirmed = -timedelta(days=1)  # when the last successful watch request was sent
+        self.last_confirmed = -timedelta(days=1)  # when the last successful load or watch request began
 
     @property
     def entries(self) -> dict[str, Entry]:
@@ -68,7 +69,7 @@
         return self._entries.by_key
 
     def list_first(self, prefix: str) -> None:
-        """Also load the keys of this prefix, before all others. For keys that only an optional feature needs."""
+        """Also load the keys of this prefix, before all others. Used for keys that only an optional feature needs."""
         self._loaded_prefixes = (prefix, *self._loaded_prefixes)
 
     def listen(self, prefix: str, listener: Listener) -> None:
@@ -89,34 +90,34 @@
         return self._entries.by_key[key].value
 
     def under(self, prefix: str) -> list[str]:
-        """Return the keys that begin with a prefix, which ends in a slash, and have no further slash.
+        """Return the keys directly under a prefix, which must end in a slash: those with no slash after the prefix.
 
-        Looks them up in an index, since this is called several times a second.
+        They are looked up in an index, since this is called several times a second.
         """
         return self._entries.keys_under(prefix)
 
     def learn(self, key: str, value: bytes | None, revision: int) -> None:
         """Apply a change that was received from another source than the watch (a removal if `value` is None).
 
-        Changes up to the revision of the watch are ignored: a copy of an old message that arrives minutes late must not
-        bring a removed key back.
+        A change whose revision the watch has already reached is ignored. Otherwise the copy of an old message that
+        arrives minutes late could bring a removed key back.
         """
         if revision > self.revision:
             self._apply(key, value, revision)
 
     async def wait_for_revision(self, revision: int) -> None:
-        """Wait, without a time limit, until the watch has reached a revision."""
+        """Wait, without a time limit, until the watch has delivered all changes up to a revision."""
         await self._barrier.wait_for_revision(revision)
 
     async def wait_until_current(self) -> None:
         """Wait until the replica has applied all changes that the store had applied when this was called.
 
-        Raise StoreUnavailableError if the store does not respond or the watch lags behind.
+        Raise StoreUnavailableError if the store does not respond, or if the changes are not applied in time.
         """
         await self._barrier.wait_until_current()
 
     async def answer_readers(self) -> None:
-        """Run the background work of `wait_until_current`; runs until cancelled."""
+        """Request the store's revision for the callers of `wait_until_current`; runs until cancelled."""
         await self._barrier.answer_readers()
 
     async def run(self) -> None:
--- a/badgerroute/storage/service_caller.py
+++ b/badgerroute/storage/service_caller.py
@@ -1,4 +1,7 @@
-"""Rate-limited requests to a service, with typed errors for missing responses. Shared by both clients."""
+"""Rate-limited requests to an external service, with the errors to raise when there is no response.
+
+Used by the clients of the key-value store and of the cloud.
+"""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -17,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceRequest:
-    """One HTTP request. `timeout`: how long it may wait for the rate limiter, and then again for its response."""
+    """One HTTP request. `timeout` limits the wait for the rate limiter, and separately the wait for the response."""
 
     method: str
     target: str
@@ -27,7 +30,10 @@
 
 
 class ErrorTypes(NamedTuple):
-    """The errors to raise: `not_executed` if the request was not and won't be executed, else `outcome_unknown`."""
+    """The errors to raise for a request without a usable response.
+
+    `not_executed` is for a request that certainly was not and will not be executed, `outcome_unknown` for any other.
+    """
 
     not_executed: type[Exception]
     outcome_unknown: type[Exception]
@@ -44,7 +50,7 @@
         self.request_count = 0  # number of requests sent, with or without a response
 
     async def send(self, client: Client, request: ServiceRequest, errors: ErrorTypes) -> Response:
-        """Send a request and return the response, whatever its status. Raise one of `errors` if there is none."""
+        """Send a request and return the response, whatever its status. Raise one of `errors` if no response arrives."""
         try:
             await self._limiter.take(1, request.urgency, request.timeout)
         except RateLimitExceededError as error:
@@ -65,7 +71,7 @@
         return self._failed_at is not None and self._loop.now() - self._failed_at < RECENT_FAILURE
 
     def decode(self, response: Response, decoder: msgspec.json.Decoder, errors: ErrorTypes) -> Any:
-        """Decode a response body. If it is malformed the outcome is unknown, so raise `errors.outcome_unknown`."""
+        """Decode a response body. A malformed one does not show the outcome, so it raises `errors.outcome_unknown`."""
         try:
             return decode(response.body, decoder)
         except MalformedError as error:
--- a/badgerroute/storage/size_limits.py
+++ b/badgerroute/storage/size_limits.py
@@ -1,7 +1,8 @@
-"""Limits on the sizes of transactions and values: set by the settings, and lowered for a while after refusals.
+"""Limits on a transaction's number of changes and on the size of a value.
 
-If the settings announce a lower future limit, the client observes it from the first write on, so that size cannot be
-the reason for a refusal. Any other limit that may be the reason is lowered at once, so that the same transaction is not
+They are taken from the settings and lowered for some time after the store has refused a transaction. If the settings
+announce a future limit, the client observes the lower of both from the first write on, so exceeding it cannot be the
+reason for a refusal. Any other limit that may be the reason is lowered at once, so that the same transaction is not
 sent again. It is then raised step by step, since the reason may have been a different one (docs/incidents.md, "A
 controller squeezed for good").
 """
@@ -11,25 +12,27 @@
 
 from badgerroute.settings import LaterStoreLimits, StoreLimits
 
-VALUE_SAFETY_FACTOR = 0.95  # the portion of the published limit that is used, as for the rates
-MIN_CHANGES = 2
-MIN_VALUE_BYTES = 512
+VALUE_SAFETY_FACTOR = 0.95  # portion of the store's limit on the size of a value that the client uses
+MIN_CHANGES = 2  # refusals do not lower the limit on the number of changes below this
+MIN_VALUE_BYTES = 512  # refusals do not lower the limit on the size of a value below this
 FIRST_RECOVERY = timedelta(seconds=5)  # time between increases after the first refusal; each further refusal doubles it
+# The maximum of that time. If a limit has been back at its maximum for this long, earlier refusals no longer count.
 MAX_RECOVERY = timedelta(minutes=10)
 
 
 @dataclass(frozen=True, slots=True)
 class TransactionSize:
-    """The limited sizes of a transaction: its number of changes, and the size of its largest value in bytes."""
+    """The sizes of a transaction to which limits apply: its number of changes, and its largest value in bytes."""
 
     changes: int
     value_bytes: int
 
 
 class SizeLimit:
-    """One limit: `current` lies between `minimum` and `maximum`.
+    """One limit, whose value `current` lies between `minimum` and `maximum`.
 
-    `announced`: the settings announce the store's future limit, which `maximum` includes, so it is never lowered.
+    `announced` is whether the settings announce a future limit of the store. `maximum` already respects that limit, so
+    refusals then do not lower `current`.
     """
 
     def __init__(self, maximum: int, minimum: int, announced: bool) -> None:
@@ -41,7 +44,10 @@
         self._lowered_at: timedelta | None = None
 
     def lower_after_refusal(self, size: int, now: timedelta) -> bool:
-        """Halve the limit after a transaction of this size was refused; return whether the size may be the reason."""
+        """Lower the limit if the size of a refused transaction may be the reason, and return whether it may be.
+
+        The new limit is half of that size or of the current limit, whichever is less, but at least the minimum.
+        """
         if self._announced or size <= self._minimum:
             return False
         if self._lowered_at is not None:
@@ -51,7 +57,7 @@
         return True
 
     def recover(self, now: timedelta) -> None:
-        """Double a lowered limit once for each recovery pause that has passed."""
+        """Double a lowered limit once for each recovery pause that has passed, up to the maximum."""
         if self._lowered_at is None:
             return
         while self.current < self.maximum and now - self._lowered_at >= self._recovery_pause:
@@ -63,7 +69,7 @@
 
 
 class SizeLimits:
-    """The limits on the number of changes and on the value size of a transaction."""
+    """The limits on a transaction's number of changes and on the size of each of its values."""
 
     def __init__(
         self, max_changes: int, max_value_bytes: int, changes_announced: bool, value_bytes_announced: bool
@@ -73,7 +79,7 @@
 
     @classmethod
     def of_store(cls, limits: StoreLimits) -> "SizeLimits":
-        """Create the limits from the settings: the lower of the store's current and announced limits.
+        """Create the limits from the settings: each is the lower of the store's current and its announced limit.
 
         The announced limits are observed from the first write on, since the settings don't say when they take effect.
         """
@@ -86,12 +92,12 @@
         )
 
     def lower_after_refusal(self, size: TransactionSize, now: timedelta) -> bool:
-        """Lower the limits that may be the reason for a refusal; return whether there are any."""
+        """Lower the limits that may be why a transaction of this size was refused; return whether there are any."""
         by_changes = self.changes.lower_after_refusal(size.changes, now)
         by_value = self.value_bytes.lower_after_refusal(size.value_bytes, now)
         return by_changes or by_value
 
     def recover(self, now: timedelta) -> None:
-        """Raise lowered limits again as time passes. Call this before reading a limit."""
+        """Raise lowered limits by the time that has passed. Must be called before a limit is read."""
         self.changes.recover(now)
         self.value_bytes.recover(now)
--- a/badgerroute/storage/store_rates.py
+++ b/badgerroute/storage/store_rates.py
@@ -1,4 +1,4 @@
-"""The key-value store's rate limits, divided among the controllers that use it."""
+"""The key-value store's limits on requests and changes per second, divided equally among its clients."""
 
 import logging
 from datetime import timedelta
@@ -9,24 +9,25 @@
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
-# The portion of the published rate limits that is used: clocks differ, and a request that gets status 429 is wasted.
+# The clients together use only this portion of the published rate limits. Their clocks differ from the store's, and a
+# request that exceeds a limit is wasted, since it gets only status 429 (too many requests).
 SAFETY_FACTOR = 0.95
 REFUSALS_BEFORE_LOWERING = 3  # this many 429 responses within REFUSAL_WINDOW show that the store has lowered its limits
 REFUSAL_WINDOW = timedelta(seconds=5)
 
 
 class _Rates(NamedTuple):
-    """The rate limits for all controllers together, per second."""
+    """The rate limits for all clients together, per second."""
 
     requests: float
     changes: float
 
 
 class StoreRates:
-    """One controller's portion of the store's rate limits.
+    """One client's portion of the store's rate limits. `clients` is the number of clients that share the limits.
 
     The settings may announce lower future limits, but not when they take effect. Several 429 responses in quick
-    succession show that they have, and from then on the client observes them.
+    succession show that they have taken effect, and from then on the client observes them.
     """
 
     def __init__(self, loop: Loop, limits: StoreLimits, clients: int) -> None:
@@ -41,7 +42,7 @@
         self.change_limiter = RateLimiter(loop, rate=share, burst=share)
 
     def divide(self, clients: int) -> None:
-        """Divide the limits among this number of clients, so that the others can use a failed controller's portion."""
+        """Divide the limits among this number of clients, so that others can use the portion of a failed controller."""
         self._clients = clients
         share = self._share(self._rates.requests)
         self.request_limiter.set_rate(share, burst=share)
@@ -49,10 +50,10 @@
         self.change_limiter.set_rate(share, burst=share)
 
     def record_refusal(self) -> None:
-        """Record a 429 response, and lower the rates after several of them.
+        """Record a 429 response. The REFUSALS_BEFORE_LOWERING-th within REFUSAL_WINDOW lowers the rates.
 
-        Single ones occur when the bursts of two controllers coincide. Several mean that the store's limits are lower
-        now.
+        A single 429 response occurs when the bursts of two controllers coincide. Several show that the store's limits
+        are lower now.
         """
         now = self._loop.now()
         self._refusals = [refused_at for refused_at in self._refusals if now - refused_at < REFUSAL_WINDOW]
@@ -61,7 +62,7 @@
             self._use_lower_rates()
 
     def _share(self, rate: float) -> float:
-        """Return one client's portion of a rate, which is also its burst: what it may use in one second."""
+        """Return one client's portion of a rate. It is also used as the burst, as a client may save up one second's."""
         return rate * SAFETY_FACTOR / self._clients
 
     def _use_lower_rates(self) -> None:
