--- a/badgerroute/coordination/autoscaling/autoscaler_authority.py
+++ b/badgerroute/coordination/autoscaling/autoscaler_authority.py
@@ -6,7 +6,7 @@
 
 
 class AutoscalerAuthority:
-    """Decides whether this controller is the autoscaler leader and its mode allows an action."""
+    """Checks that this controller is the autoscaler leader and that its connectivity mode allows an action."""
 
     def __init__(self, leadership_state: LeadershipState, policy: ActionPolicy) -> None:
         self._leadership_state, self._policy = leadership_state, policy
@@ -16,7 +16,7 @@
         return self._allows(Action.RENT)
 
     def may_collect_garbage(self) -> bool:
-        """Return whether this controller may remove keys that are no longer needed."""
+        """Return whether this controller may remove keys from the key-value store that are no longer needed."""
         return self._allows(Action.CLEAN_UP)
 
     def _allows(self, action: Action) -> bool:
--- a/badgerroute/coordination/autoscaling/catalog.py
+++ b/badgerroute/coordination/autoscaling/catalog.py
@@ -1,4 +1,7 @@
-"""The catalog of machine types: fetched from the cloud, and stored for restarts during an outage of the cloud."""
+"""The catalog of machine types. It is fetched from the cloud and kept in the key-value store.
+
+The stored catalog serves controllers that restart during an outage of the cloud.
+"""
 
 import logging
 from datetime import timedelta
@@ -29,7 +32,7 @@
 
 
 class CatalogRecord(msgspec.Struct):
-    """Machine types as stored. One key holds all of them, or one key per type if they don't fit into one value."""
+    """The stored form of machine types: all types in one value or, if that would be too large, one type per value."""
 
     types: list[MachineType]
 
@@ -37,7 +40,8 @@
 class MachineCatalog:
     """The known machine types; `types` holds them by name.
 
-    Other objects keep references to that dictionary. Types are added to it and updated in it, never removed.
+    Other objects keep references to this dictionary, so it is never replaced. Types are added and updated in it, but
+    never removed.
     """
 
     def __init__(
@@ -81,7 +85,10 @@
             await self._store_types(types)
 
     async def _store_types(self, types: list[MachineType]) -> None:
-        """Write one key for all types, or one per type if the value is too large. All versions read both forms."""
+        """Write one key for all types, or one key per type if the value would be too large.
+
+        All versions of the controllers read both forms.
+        """
         values = {CATALOG: records.write(CatalogRecord(types))}
         if len(bytes(values[CATALOG])) > self._store.max_value_bytes:
             values = {
@@ -92,7 +99,7 @@
                 await self._write(key, value)
 
     async def _write(self, key: str, value: msgspec.Raw) -> None:
-        """Write one key. A failed write is repeated only if no catalog is stored or the set of types changes."""
+        """Write one key. If that fails, it is tried again only if no catalog is stored or the set of types changes."""
         unchanged = compare(key, self._replica.revision_of(key))
         try:
             revision = await self._store.transact([unchanged], [put(key, value)], Urgency.PROGRESS)
--- a/badgerroute/coordination/autoscaling/machine_deletion.py
+++ b/badgerroute/coordination/autoscaling/machine_deletion.py
@@ -22,17 +22,17 @@
 
 
 class MachineDeletionListener(Protocol):
-    """Is notified of deletions that the cloud has confirmed."""
+    """Receives the names of machines whose deletion the cloud has confirmed."""
 
     def machines_deleted(self, names: list[str]) -> None:
-        """Called when these machines, and all tasks on them, have ended."""
+        """Called when the cloud has confirmed that these machines, and with them all their tasks, have ended."""
 
 
 class MachineDeletionQueue:
-    """Queue of machines to delete, in the order of the requests.
+    """Queue of machines to delete, in the order in which their deletion was requested.
 
-    A machine stays in the queue until the cloud confirms its deletion, until it turns out to be a member of a shard
-    with another leader, or until the deletion is cancelled.
+    A machine stays in the queue until the cloud confirms its deletion, until it is found to be a member of a shard that
+    another controller leads, or until its deletion is cancelled.
     """
 
     def __init__(
@@ -49,11 +49,11 @@
         self._queue: dict[str, None] = {}
 
     def delete(self, names: Iterable[str]) -> None:
-        """Queue machines for deletion."""
+        """Queue machines for deletion. A machine that is queued already keeps its position."""
         self._queue.update(dict.fromkeys(names))
 
     def cancel(self, names: Iterable[str]) -> None:
-        """Remove machines from the queue, for example because another leader is responsible for them now."""
+        """Remove machines from the queue, for example because another controller is responsible for them now."""
         for name in names:
             self._queue.pop(name, None)
 
--- a/badgerroute/coordination/autoscaling/machine_inventory.py
+++ b/badgerroute/coordination/autoscaling/machine_inventory.py
@@ -1,4 +1,4 @@
-"""Reads the cloud's list of machines and queues rented machines that will most likely never be used for deletion."""
+"""Reads the cloud's list of rented machines, and deletes the machines that will most likely never run a task."""
 
 import logging
 from datetime import timedelta
@@ -14,17 +14,21 @@
 
 log = logging.getLogger(__name__)
 MIN_LIST_INTERVAL = timedelta(seconds=3)
-MAX_LIST_SHARE = 0.5  # the portion of the cloud's rate limit for listing: a list of 4,000 machines takes eight pages
+# Listing uses at most this portion of this controller's request rate at the cloud: 4,000 machines take eight requests.
+MAX_LIST_SHARE = 0.5
 LIST_AGE_MARGIN = timedelta(seconds=5)
 
 
 def max_list_age(settings: Settings) -> timedelta:
-    """Return how far the cloud's list may lag behind."""
+    """Return how old the cloud's list may be: at most twice its usual delay plus a margin."""
     return 2 * settings.params.cloud.list_lag + LIST_AGE_MARGIN
 
 
 class MachineInventory:
-    """Compares the cloud's list with the members and the pending machines. Used by the autoscaler leader only."""
+    """Compares the cloud's list of machines with the members of all shards and with the pending machines.
+
+    Used by the autoscaler leader only.
+    """
 
     def __init__(
         self,
@@ -40,19 +44,19 @@
         self._pending, self._deletion_queue = pending, deletion_queue
         self._min_interval = max(MIN_LIST_INTERVAL, settings.params.cloud.list_lag / 2)
         self._unclaimed_timeout = 2 * max_list_age(settings) + settings.params.workers.lease
-        self._listed_at: timedelta | None = None  # last request for the list; None if not yet in this term
+        self._listed_at: timedelta | None = None  # last read of the list; None if not since the last `reset`
         self._listing_time = timedelta(0)  # time to list all machines at this controller's request rate
-        self._unclaimed_since: dict[str, timedelta] = {}  # running machines that belong to no shard -> first seen so
+        self._unclaimed_since: dict[str, timedelta] = {}  # running machine without a shard -> when first found so
 
     def reset(self) -> None:
-        """Have the next `refresh` read the list at once. Called while this controller may not rent."""
+        """Have the next `refresh` read the list without delay. Called while this controller may not rent machines."""
         self._listed_at = None
 
     async def refresh(self) -> None:
-        """Read the list if it is due, and discard unusable machines.
+        """Read the list, unless it was read recently, and queue unusable machines for deletion.
 
-        The list lags, so only states that last for some time can be concluded from it. Raises CloudUnavailableError if
-        it cannot be read; the next call tries again.
+        The list lags behind, so a machine that boots or belongs to no shard counts as unusable only after a timeout.
+        Raises CloudUnavailableError if the list cannot be read; the next call tries again.
         """
         now = self._loop.now()
         interval = max(self._min_interval, self._listing_time / MAX_LIST_SHARE)
@@ -82,7 +86,7 @@
         if machine.state == "failed":
             return not self._ownership.has_other_leader(
                 machine.name
-            )  # if it has one, that leader detects the failure sooner
+            )  # another controller that leads its shard detects the failure sooner
         if machine.name in members:
             self._pending.remove_started([machine.name])
             return False
@@ -91,7 +95,10 @@
         return self._is_unclaimed(machine, now)
 
     def _is_stuck(self, machine: ListedMachine, now: timedelta) -> bool:
-        """Return whether a booting machine has timed out. If not, add it to the pending machines, whoever rented it."""
+        """Return whether a booting machine has timed out. If not, add it to the pending machines.
+
+        It may be missing there because an earlier autoscaler leader rented it.
+        """
         rented_at = now - timedelta(seconds=machine.age_s)
         if self._pending.has_timed_out(machine.type, rented_at, now):
             return True
@@ -101,7 +108,7 @@
         return False
 
     def _is_unclaimed(self, machine: ListedMachine, now: timedelta) -> bool:
-        """Return whether a running machine has belonged to no shard for too long: its worker may be unreachable."""
+        """Return whether a running machine has belonged to no shard for too long, as when its worker is unreachable."""
         if self._pending.expects(machine.name):
             return False
         unclaimed_since = self._unclaimed_since.setdefault(machine.name, now)
--- a/badgerroute/coordination/autoscaling/machine_tombstones.py
+++ b/badgerroute/coordination/autoscaling/machine_tombstones.py
@@ -1,11 +1,13 @@
-"""Names of deleted machines: any further message from one of them can only be a delayed duplicate."""
+"""Names of deleted machines. Any message from one of them can only be a late copy of an old message."""
 
 from collections.abc import Iterable
 
 from badgerroute.storage import records
 from badgerroute.storage.records import TombstoneRecord
 
-TOMBSTONES_PER_MACHINE = 2  # per machine of the largest permitted fleet: duplicates are delayed by minutes, not weeks
+# The number of names kept per machine of the largest permitted fleet. It need not be larger, since copies of messages
+# arrive minutes late, not weeks.
+TOMBSTONES_PER_MACHINE = 2
 
 
 class MachineTombstones:
@@ -22,12 +24,12 @@
         return len(self._names)
 
     def record_changed(self, key: str, value: bytes | None, revision: int) -> None:
-        """Replica listener for keys under `TOMBSTONES`. Names are kept when a record is removed."""
+        """Add the names in a changed tombstone record of the replica. When a record is removed, its names are kept."""
         if value is not None:
             self.add(records.read(value, TombstoneRecord).names)
 
     def add(self, names: Iterable[str]) -> None:
-        """Add names, and remove the oldest ones above the capacity."""
+        """Add names. If there are then more than the capacity, remove the oldest ones."""
         self._names.update(dict.fromkeys(names))
         while len(self._names) > self._capacity:
             del self._names[next(iter(self._names))]
--- a/badgerroute/coordination/autoscaling/pending_machines.py
+++ b/badgerroute/coordination/autoscaling/pending_machines.py
@@ -1,4 +1,4 @@
-"""Rented machines that have not sent a heartbeat yet, and their provisioning timeouts."""
+"""Rented machines that are not up yet, that is, are not members of a shard, and their provisioning timeouts."""
 
 from collections.abc import Container, Iterable, Mapping
 from dataclasses import dataclass
@@ -11,13 +11,13 @@
 DEFAULT_BOOT_TIME = timedelta(seconds=60)  # for a machine type that is not in the catalog
 # As multiples of the machine type's nominal boot time:
 EXPECTED_WITHIN = 3  # after this, scale-out planning no longer counts on a machine and may rent a replacement
-OVERTAKEN_TIMEOUT = 4  # for a machine that was rented earlier than one that is up already
-PROVISIONING_TIMEOUT = 15  # for any other machine
+OVERTAKEN_TIMEOUT = 4  # provisioning timeout of a machine that was rented earlier than some machine that is up
+PROVISIONING_TIMEOUT = 15  # provisioning timeout of any other machine
 
 
 @dataclass(frozen=True, slots=True)
 class PendingRental:
-    """A machine that is not up yet, or `count` machines of a rental request whose outcome is unknown."""
+    """One machine that is not up yet, or the `count` machines of a rental request whose outcome is unknown."""
 
     pool: MachinePool
     count: int
@@ -27,7 +27,7 @@
 class PendingMachines:
     """The pending rentals, by machine name, or by request name if the response to the request was lost.
 
-    `max_list_age` is how far the cloud's list of machines may lag, and so how long it may lack a new machine.
+    `max_list_age` is the greatest age of the cloud's list of machines, and so how long it may lack a new machine.
     """
 
     def __init__(self, loop: Loop, catalog: Mapping[str, MachineType], max_list_age: timedelta) -> None:
@@ -43,32 +43,32 @@
         self._rentals[name] = rental
 
     def remove_started(self, names: Iterable[str]) -> None:
-        """Remove machines that are up, and record their rental times."""
+        """Remove machines that are up, and remember the latest of their rental times."""
         for name in names:
             rental = self._rentals.pop(name, None)
             if rental is not None and (self._latest_rented_at is None or rental.rented_at > self._latest_rented_at):
                 self._latest_rented_at = rental.rented_at
 
     def machines_deleted(self, names: list[str]) -> None:
-        """See `MachineDeletionListener`."""
+        """Remove machines whose deletion the cloud has confirmed."""
         for name in names:
             self._rentals.pop(name, None)
 
     def machine_count(self) -> int:
-        """Return the number of machines that may come up."""
+        """Return the number of pending machines, including those of requests whose outcome is unknown."""
         return sum(rental.count for rental in self._rentals.values())
 
     def expected(self) -> list[ExpectedMachines]:
-        """Return the pending machines that scale-out planning can count on."""
+        """Return the pending machines that were rented recently enough for scale-out planning to count on them."""
         rentals = self._rentals.values()
         return [ExpectedMachines(rental.pool, rental.count) for rental in rentals if self._is_expected(rental)]
 
     def expects(self, name: str) -> bool:
-        """Return whether a machine is pending and scale-out planning can still count on it."""
+        """Return whether a machine is pending and was rented recently enough to count on it."""
         return name in self._rentals and self._is_expected(self._rentals[name])
 
     def remove_timed_out(self, members: Container[str], now: timedelta) -> list[str]:
-        """Remove the rentals of members and those that have timed out; return the names of the latter."""
+        """Remove the rentals of members of shards and those that have timed out; return the names of the latter."""
         timed_out = []
         for name, rental in list(self._rentals.items()):
             if name in members:
@@ -79,10 +79,11 @@
         return timed_out
 
     def has_timed_out(self, type_name: str, rented_at: timedelta, now: timedelta) -> bool:
-        """Return whether a machine that has been booting for so long will most likely never be up.
+        """Return whether a machine that was rented at this time and is not up will most likely never be up.
 
-        The timeout is short only if a machine that was rented later is up already, which shows that this one is stuck.
-        When all machines boot slowly, a short timeout by age alone would delete every machine just before it is up.
+        The timeout is short only if a machine that was rented later is already up, which shows that this one is stuck.
+        If every machine had the short timeout, all of them would be deleted just before they are up when booting is
+        slow.
         """
         overtaken = self._latest_rented_at is not None and self._latest_rented_at > rented_at
         return now - rented_at > (OVERTAKEN_TIMEOUT if overtaken else PROVISIONING_TIMEOUT) * self._boot_time(type_name)
--- a/badgerroute/coordination/autoscaling/rental_backoff.py
+++ b/badgerroute/coordination/autoscaling/rental_backoff.py
@@ -1,4 +1,4 @@
-"""Backoff for rental requests to machine pools that lack capacity."""
+"""Backoff for rental requests to machine pools (a machine type in a zone, spot or not) that lack capacity."""
 
 from datetime import timedelta
 from typing import NamedTuple
@@ -12,7 +12,7 @@
 
 
 class _Backoff(NamedTuple):
-    """No request before `until`, which is when the latest `pause` ends."""
+    """The latest pause of a pool: its length, and the time `until` which no machines are requested."""
 
     until: timedelta
     pause: timedelta
@@ -22,7 +22,11 @@
 
 
 class RentalBackoff:
-    """Decides which pools may be asked for machines. A pool's pause doubles with each request that yields none."""
+    """Decides from which pools machines may be requested.
+
+    After a request that yields too few machines, the pool is not used for a pause. The pause is MIN_PAUSE if some were
+    rented. If none were, it is twice the previous pause, from MIN_PAUSE up to MAX_PAUSE.
+    """
 
     def __init__(self, loop: Loop) -> None:
         self._loop = loop
--- a/badgerroute/coordination/autoscaling/scale_in.py
+++ b/badgerroute/coordination/autoscaling/scale_in.py
@@ -1,4 +1,7 @@
-"""The scale-in loop: leaders return idle machines, unless machines are rented ahead of demand."""
+"""The scale-in loop: each shard's leader returns idle machines to the cloud.
+
+It returns none while the settings have machines rented ahead of demand.
+"""
 
 import logging
 from collections.abc import Mapping
@@ -17,7 +20,8 @@
 
 log = logging.getLogger(__name__)
 INTERVAL = timedelta(seconds=2)
-# Without jobs, the maximum idle time is divided by this, since no job could use the images that the machines cache.
+# While there are no jobs, the maximum idle time is divided by this, since no job could use the images that the machines
+# cache.
 IDLE_DIVISOR_WITHOUT_JOBS = 2
 
 
@@ -42,7 +46,7 @@
         self._catalog, self._leaders, self._deletion_queue = catalog, leaders, deletion_queue
 
     async def run(self) -> None:
-        """Return machines that have been idle for too long; runs until cancelled."""
+        """Return machines to the cloud that exceed the maximum idle time; runs until cancelled."""
         while True:
             await self._loop.sleep(INTERVAL)
             if not self._catalog or scales_out_ahead(self._settings, self._catalog):
@@ -62,7 +66,7 @@
     def _return_idle(self, leader: ShardLeader, max_idle: timedelta) -> None:
         machines = [machine for machine in leader.shard.machines.values() if self._is_unneeded(machine, max_idle)]
         for machine in machines:
-            machine.draining = True  # no task is started on it any more
+            machine.draining = True  # so that no more tasks are started on it
         if machines:
             names = [machine.name for machine in machines]
             log.info("event=machines_scaled_in shard=%d machines=%s", leader.number, ",".join(names))
--- a/badgerroute/coordination/autoscaling/scale_out.py
+++ b/badgerroute/coordination/autoscaling/scale_out.py
@@ -1,4 +1,4 @@
-"""The scale-out loop: the autoscaler leader rents the machines that are needed."""
+"""The scale-out loop: the autoscaler leader rents machines for waiting tasks or, if so set, ahead of demand."""
 
 import logging
 from datetime import timedelta
@@ -30,16 +30,16 @@
 
 
 class SummarySource(Protocol):
-    """Provides the last reported state of all shards."""
+    """Provides the latest summary that each shard's leader has sent."""
 
     def summaries(self) -> list[ShardSummary]:
-        """Return one summary for each shard that has reported."""
+        """Return the latest summary of each shard from which there is one."""
 
 
 class ScaleOut:
-    """Rents machines according to a plan for the waiting tasks, up to the fleet's limit.
+    """Rents machines until the fleet has `most_machines` (a setting) or nothing more is needed.
 
-    Request names consist of the autoscaler leader's term and `_request_count`, so every name is unique.
+    The name of each rental request contains the autoscaler leader's term and `_request_count`, so it is unique.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         self._request_count = 0
 
     async def run(self) -> None:
-        """Rent the machines that are needed while this controller is the autoscaler leader; runs until cancelled."""
+        """Rent machines while this controller is the autoscaler leader and may rent; runs until cancelled."""
         while True:
             await self._loop.sleep(INTERVAL)
             if not self._authority.may_rent() or not self._catalog:
@@ -77,7 +77,7 @@
                 log.info("event=cloud_request_failed error=%s", error)
 
     async def _scale_out(self) -> None:
-        """Run one round, which rents from the cheapest pools first."""
+        """Rent the machines that are needed now, first from the pools with the lowest price per CPU."""
         members = self._ownership.members()
         self._pending.remove_started(members)
         remaining = self._settings.operator.fleet.most_machines - len(members) - self._pending.machine_count()
@@ -91,7 +91,10 @@
                 remaining -= await self._rent(pool, count)
 
     def _machines_to_request(self) -> dict[MachinePool, int]:
-        """Return the machines to request: as many as possible if rented ahead of demand, else what the tasks need."""
+        """Return how many machines to request from each pool.
+
+        That is the most per request if machines are rented ahead of demand, else what the waiting tasks need.
+        """
         if scales_out_ahead(self._settings, self._catalog):
             pools = machine_pools(self._catalog)
             return {pool: MAX_MACHINES_PER_RENTAL for pool in pools if self._backoff.allows(pool)}
@@ -100,7 +103,7 @@
         return plan.machines_wanted(self._summary_source.summaries(), self._pending.expected())
 
     async def _rent(self, pool: MachinePool, count: int) -> int:
-        """Rent up to `count` machines; return how many were, or may have been, rented.
+        """Rent up to `count` machines, and return how many were rented or, if that is unknown, may have been.
 
         If a response is lost, the request is sent again under the same name, so that it is executed only once.
         """
--- a/badgerroute/coordination/autoscaling/subsystem.py
+++ b/badgerroute/coordination/autoscaling/subsystem.py
@@ -22,7 +22,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AutoscalingSubsystem:
-    """Scale-out runs only at the autoscaler leader; scale-in and deletion run at every controller for its shards."""
+    """The autoscaling components of one controller.
+
+    Scale-out acts only at the autoscaler leader. Every controller returns and deletes machines of the shards it leads.
+    """
 
     tombstones: MachineTombstones
     deletion_queue: MachineDeletionQueue
@@ -42,7 +45,7 @@
     catalog: dict[str, MachineType],
     summary_source: SummarySource,
 ) -> AutoscalingSubsystem:
-    """Build the subsystem. `catalog` holds the machine types by name and is filled as they become known."""
+    """Build the subsystem. `catalog` maps names to machine types; it is empty until the types have been fetched."""
     tombstones = MachineTombstones(settings.operator.fleet.most_machines)
     ownership = MachineOwnership(storage.replica, leadership.state)
     pending = PendingMachines(loop, catalog, max_list_age(settings))
