--- a/badgerroute/rebalancing/drain_requests.py
+++ b/badgerroute/rebalancing/drain_requests.py
@@ -1,4 +1,4 @@
-"""Operators' requests to drain machines, written to the key-value store. The leaders of the shards carry them out."""
+"""Writes operators' requests to drain machines to the key-value store. The leader of a machine's shard drains it."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -30,23 +30,27 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainOutcome:
-    """The result of a request, and the stored deadline (seconds since 1970) if the machine is to be drained."""
+    """The result of a request, and the deadline (a POSIX time) if the machine is being drained afterwards."""
 
     answer: DrainAnswer
     deadline: float | None = None
 
 
 class DrainRequests:
-    """Writes drain requests, each with one conditional transaction. If its response is lost, the keys are read again.
+    """Writes and withdraws drain requests, each with one conditional transaction.
 
-    Raises StoreUnavailableError if the outcome remains unknown; the request may then be repeated.
+    If the conditions fail or the response is lost, the keys are read again and the request is tried again. After
+    MAX_ATTEMPTS this raises StoreUnavailableError; the caller may then repeat the request.
     """
 
     def __init__(self, loop: Loop, store: KeyValueClient) -> None:
         self._loop, self._store = loop, store
 
     async def drain(self, machine: str, within: timedelta, delete: bool = False) -> DrainOutcome:
-        """Request that a machine be emptied within a given time. If it is already draining, it keeps its deadline."""
+        """Request that a machine be emptied within a given time and, with `delete`, deleted at the cloud afterwards.
+
+        If the machine is already draining, its earlier request stays unchanged.
+        """
         for _ in range(MAX_ATTEMPTS):
             machine_item = await self._store.get(MACHINES + machine, Urgency.SUBMIT)
             if machine_item is None:
@@ -66,7 +70,7 @@
         raise StoreUnavailableError("each attempt conflicted with another change or its response was lost")
 
     async def undrain(self, machine: str) -> DrainOutcome:
-        """Withdraw a drain request. Tasks that were already moved are not moved back."""
+        """Withdraw a machine's drain request. Tasks that have already been moved off the machine are not moved back."""
         removal_attempted = False
         for _ in range(MAX_ATTEMPTS):
             item = await self._store.get(DRAINS + machine, Urgency.SUBMIT)
--- a/badgerroute/rebalancing/drains.py
+++ b/badgerroute/rebalancing/drains.py
@@ -1,4 +1,4 @@
-"""Draining of machines: the stored drain requests, and their effect on the machines of a shard."""
+"""Draining of machines: reads the stored drain requests (drains) and applies them to the machines of a shard."""
 
 import logging
 from dataclasses import dataclass
@@ -16,32 +16,32 @@
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
-# A drain is removed once its machine has had no record for this long. A shorter gap may be a machine transfer, after
-# which the record returns.
+# A drain is removed once its machine has had no record in the key-value store for this long. During a transfer of the
+# machine to another shard the record may be missing for less time.
 ORPHANED_AFTER = timedelta(seconds=60)
 
 
 @dataclass(frozen=True, slots=True)
 class Drain:
-    """A drain of one machine; the deadline is on the monotonic clock."""
+    """A request to empty one machine by `deadline`, on the monotonic clock, and then, if `delete`, to delete it."""
 
     deadline: timedelta
     delete: bool
 
 
 class DrainRegistry:
-    """The stored drains, as the local replica has them. They belong to no leader, so they remain after a failover."""
+    """The stored drains, read from the local replica. Being stored, they outlast a failover of the machine's shard."""
 
     def __init__(self, loop: Loop, replica: Replica, store: KeyValueClient) -> None:
         self._loop, self._replica, self._store = loop, replica, store
         self._missing_since: dict[str, timedelta] = {}  # machine -> when its record was first found missing
 
     def machine_names(self) -> list[str]:
-        """Return the names of the machines that are to be drained."""
+        """Return the names of the machines for which a drain is stored."""
         return [key.removeprefix(DRAINS) for key in self._replica.under(DRAINS)]
 
     def get(self, machine: str) -> Drain | None:
-        """Return the drain of a machine, or None if it is not to be drained."""
+        """Return the drain of a machine, or None if none is stored."""
         value = self._replica.value(DRAINS + machine)
         if value is None:
             return None
@@ -50,7 +50,10 @@
         return Drain(self._loop.now() + timedelta(seconds=remaining_s), record.delete)
 
     async def remove_orphans(self) -> None:
-        """Remove the drains of machines that no longer exist. Only the autoscaler's leader calls this, periodically."""
+        """Remove the drains of machines that have had no record for ORPHANED_AFTER.
+
+        Only the autoscaler leader calls this, periodically.
+        """
         now = self._loop.now()
         missing = {name for name in self.machine_names() if self._replica.value(MACHINES + name) is None}
         self._missing_since = {name: self._missing_since.get(name, now) for name in missing}
@@ -74,14 +77,14 @@
 
 
 class DrainProgress:
-    """Applies drains to the machines of one shard, and reports each machine once when it has become empty."""
+    """Applies drains to the machines of one shard, and determines when a drained machine has become empty."""
 
     def __init__(self, shard: int) -> None:
         self._shard = shard
         self._reported_empty: set[str] = set()
 
     def apply(self, machine: Machine, drain: Drain | None) -> None:
-        """Apply a drain that is new, changed or withdrawn (None) to its machine."""
+        """Apply a machine's drain, which may be new or changed. None means that it was withdrawn."""
         if drain is None:
             if machine.drain_deadline is not None:
                 log.info("event=drain_ended machine=%s shard=%d", machine.name, self._shard)
@@ -93,9 +96,9 @@
         machine.drain_deadline = drain.deadline
 
     def became_empty(self, machine: Machine) -> bool:
-        """Return whether a drained machine has become empty since the last call.
+        """Return whether a drained machine is empty and was not empty at the previous call.
 
-        Only a heartbeat of the machine itself proves that it is empty.
+        It counts as empty only if it has listed its tasks in a heartbeat to the shard's current leader.
         """
         if not (machine.empty and machine.fenced and machine.alive):
             self._reported_empty.discard(machine.name)
--- a/badgerroute/rebalancing/fetch_rates.py
+++ b/badgerroute/rebalancing/fetch_rates.py
@@ -1,18 +1,22 @@
-"""Measured rates at which machines fetch images, by machine type."""
+"""Measures the rates at which machines fetch images, by machine type."""
 
 from datetime import timedelta
 
 from badgerroute.scheduling import delay_scheduling
 from badgerroute.scheduling.model import ZERO, Job, Machine, Placement
 
-SMOOTHING = 0.2  # the weight of a new measurement
+SMOOTHING = 0.2  # weight of a new measurement in the moving average
 MIN_MEASUREMENTS = 3  # with fewer, the nominal rate of the machine type is used
-# Rates are limited to the nominal rate times or divided by this: a late heartbeat or a stopped clock distorts them.
+# Since a late heartbeat or a stopped clock distorts a measurement, each measured rate is limited to at most the nominal
+# rate of the machine type times this factor, and to at least the nominal rate divided by it.
 MAX_DEVIATION_FACTOR = 8.0
 
 
 class FetchRates:
-    """Rates in GB per second by machine type, smoothed over the fetches that were observed from start to end."""
+    """Moving averages of fetch rates in GB per second, by machine type.
+
+    Only fetches that were observed from start to end are measured.
+    """
 
     def __init__(self) -> None:
         self._rates: dict[str, float] = {}
@@ -32,7 +36,7 @@
         self._counts[machine_type.name] = self._counts.get(machine_type.name, 0) + 1
 
     def fetch_time(self, job: Job, machine: Machine) -> timedelta:
-        """Return the expected time in which a machine fetches a job's image."""
+        """Return how long a machine is expected to take to fetch a job's image."""
         if self._counts.get(machine.kind.name, 0) < MIN_MEASUREMENTS:
             return delay_scheduling.fetch_time(job, machine)
         return timedelta(seconds=job.spec.image_gb / self._rates[machine.kind.name])
--- a/badgerroute/rebalancing/local_waits.py
+++ b/badgerroute/rebalancing/local_waits.py
@@ -7,14 +7,15 @@
 from badgerroute.scheduling.shard import Shard
 
 MAX_ENDS_PER_IMAGE = 512  # if more tasks wait for an image, the rest must start on machines without it anyway
-FOREVER = timedelta(days=1)  # the estimate if more tasks wait than are expected to end
-MACHINES_PER_TIME_CHECK = 32
+FOREVER = timedelta(days=1)  # the estimate if more tasks wait for an image than run on the machines that cache it
+MACHINES_PER_TIME_CHECK = 32  # number of machines visited between two checks of the time limit
 
 
 class LocalWaits:
-    """Estimates for the images of one shard.
+    """Estimates, for each image in one shard, how long its waiting tasks wait for a machine that caches it.
 
-    They are computed in passes over its machines; a pass is spread over several rounds if it exceeds the time of one.
+    The estimates are computed in passes over the shard's machines. A pass that exceeds the time limit of one scheduling
+    round is continued in the next rounds. Estimates are used for at most `valid_for` after their pass was completed.
     """
 
     def __init__(self, shard: Shard, run_time: Callable[[Job], timedelta], valid_for: timedelta) -> None:
@@ -22,9 +23,9 @@
         # image -> when tasks on machines that cache it are expected to end, soonest first
         self._task_ends: dict[str, list[timedelta]] = {}
         self._waiting_tasks: dict[str, int] = {}  # image -> number of waiting tasks that use it
-        self._completed_at: timedelta | None = None
+        self._completed_at: timedelta | None = None  # when the last pass was completed
         self._unvisited: list[Machine] | None = None  # machines that the current pass has still to visit
-        self._ends_so_far: dict[str, list[timedelta]] = {}
+        self._ends_so_far: dict[str, list[timedelta]] = {}  # like `_task_ends`, but unsorted, by the current pass
 
     def advance(self, now: timedelta, out_of_time: Callable[[], bool]) -> bool:
         """Continue the current pass until it is complete or `out_of_time` returns true. Return whether it completed."""
@@ -61,9 +62,10 @@
         self._completed_at = now
 
     def expected_wait(self, job: Job, now: timedelta) -> timedelta | None:
-        """Return the expected wait of the last queued task that uses a job's image for a machine that caches it.
+        """Return how long the waiting tasks that use a job's image are expected to wait for machines that cache it.
 
-        Return None if the wait is unknown.
+        This is the wait of the last of these tasks. Return None if there are none, if the job is a gang, or if no pass
+        was completed recently enough.
         """
         if self._completed_at is None or now - self._completed_at > self._valid_for or job.gang:
             return None
--- a/badgerroute/rebalancing/move_ledger.py
+++ b/badgerroute/rebalancing/move_ledger.py
@@ -1,4 +1,4 @@
-"""A record of recent moves, which limits how many tasks are moved and how often."""
+"""A record of a shard's recent moves of running tasks, which limits how many tasks are moved and how often."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -8,18 +8,21 @@
 
 @dataclass(slots=True)
 class MoveLedger:
-    """The recent moves of a shard. It keeps a task from moving back and forth, and limits the moves in a period."""
+    """The recent moves of a shard.
+
+    It keeps a task from moving back and forth, and limits the number of moves within any `period`.
+    """
 
     period: timedelta
-    rest_time: timedelta  # how long a moved task may not move again, nor its job return to the machine that it left
-    max_moves: int  # in a period
+    rest_time: timedelta  # how long a moved task may not move again, and its job may not use the machine that it left
+    max_moves: int  # within any `period`
     last_moved_at: dict[tuple[str, int], timedelta] = field(default_factory=dict)  # by Placement.key
-    _moves_in_period: list[timedelta] = field(default_factory=list)  # when each move within the last period was made
-    total_moves: int = 0  # since this controller began to lead the shard
+    _moves_in_period: list[timedelta] = field(default_factory=list)  # times of the moves within the last `period`
+    total_moves: int = 0  # cumulative, since this controller began to lead the shard
     total_cost: float = 0.0  # expected cost of these moves in CPU-seconds
 
     def remaining_moves(self, now: timedelta) -> int:
-        """Return how many more moves the current period allows."""
+        """Return how many more tasks may be moved now, given the moves within the last `period`."""
         self._moves_in_period = [moved_at for moved_at in self._moves_in_period if now - moved_at < self.period]
         return self.max_moves - len(self._moves_in_period)
 
@@ -29,7 +32,10 @@
         return moved_at is not None and now - moved_at < self.rest_time
 
     def record(self, placement: Placement, loss: float, now: timedelta) -> None:
-        """Record the move of a task, and keep its job from returning to that machine for the rest time."""
+        """Record the move of a task and its expected cost in CPU-seconds (`loss`).
+
+        For the rest time, no task of its job may start on the machine that the task leaves.
+        """
         self.last_moved_at = {
             key: moved_at for key, moved_at in self.last_moved_at.items() if now - moved_at < self.rest_time
         }
--- a/badgerroute/rebalancing/moves.py
+++ b/badgerroute/rebalancing/moves.py
@@ -1,7 +1,8 @@
-"""Moves running tasks: stops tasks that save checkpoints so that a waiting job can start, and restarts them elsewhere.
+"""Moves running tasks: stops tasks that save checkpoints so that a waiting job can start on their machines.
 
-A move obeys the preemption rules: it stops only tasks that the waiting job may preempt. Unlike a preemption, it
-requires a machine on which each stopped task can restart, so the job need not wait as long before it.
+A move obeys the preemption rules: it stops only tasks that the waiting job may preempt. Unlike a preemption, it is made
+only if each stopped task can restart on another machine. A job therefore need not wait as long for a move as for a
+preemption.
 """
 
 import heapq
@@ -23,20 +24,23 @@
 
 log = logging.getLogger(__name__)
 HEARTBEATS_PER_MOVE = 2  # one to send the stop command, one to confirm that the task no longer runs
-HEARTBEATS_BEFORE_MOVE = 2  # how long a job waits before tasks are moved for it
-RESERVATION_AFTER_SAVE = timedelta(seconds=5)  # how long the job's reservation lasts after the moved tasks stop
-MAX_CANDIDATES = 64  # machines from which moves are considered for one job
-MAX_DESTINATIONS = 64  # machines to which moves are considered for one job
-MAX_JOBS_PER_ROUND = 16  # waiting jobs that lack capacity and are examined in one round
+HEARTBEATS_BEFORE_MOVE = 2  # how long a job waits, in heartbeat intervals, before tasks are moved for it
+RESERVATION_AFTER_SAVE = timedelta(seconds=5)  # how long a machine stays reserved for the job after the expected stop
+MAX_CANDIDATES = 64  # maximum number of machines from which moves are considered for one job
+MAX_DESTINATIONS = 64  # maximum number of machines to which moves are considered for one job
+MAX_JOBS_PER_ROUND = 16  # maximum number of waiting jobs for which moves are planned in one round
 
 
 @dataclass(frozen=True, slots=True)
 class MoveOption:
-    """A machine from which tasks could be moved to make space for a waiting task. The loss is in CPU-seconds."""
+    """A machine, and tasks (`victims`) that could be moved off it to make space for a waiting task.
+
+    `loss` is the expected cost of the moves in CPU-seconds.
+    """
 
     machine: Machine
     victims: list[Placement]
-    wait_without_move: timedelta  # until the victims would end without a move
+    wait_without_move: timedelta  # until all victims are expected to end if they are not moved
     loss: float
 
 
@@ -51,7 +55,10 @@
         self.ledger = MoveLedger(settings.move_period, settings.move_rest, settings.moves_per_period)
 
     def start_moves(self, now: timedelta, out_of_time: Callable[[], bool]) -> int:
-        """Start moves for waiting jobs in their scheduling order. Return the number of moved tasks."""
+        """Start moves for waiting jobs, in scheduling order, until `out_of_time` returns true or a limit is reached.
+
+        Return the number of tasks that are moved.
+        """
         moved = examined = 0
         if not self._shard.reconciled:
             return 0
@@ -65,7 +72,7 @@
         return moved
 
     def _could_benefit(self, job: Job, now: timedelta) -> bool:
-        """Return whether a job has waited long enough, and waits only for capacity."""
+        """Return whether a job has waited long enough for a move, and lacks nothing but free capacity."""
         if job.failing or now - job.since < HEARTBEATS_BEFORE_MOVE * self._heartbeat or self._shard.short_of_quota(job):
             return False
         needed = self._tasks_at_once(job)
@@ -87,7 +94,7 @@
         victims = sum(len(option.victims) for option in chosen)
         if not chosen or victims > self.ledger.remaining_moves(now):
             return 0
-        # Without a move, the job would start once as many of these machines as it needs have become free.
+        # Without moves, the job would start once the victims on as many of these machines as it needs have ended.
         waits_without_move = sorted(option.wait_without_move for option in options)
         wait_avoided = waits_without_move[needed - 1] - self._longest_stop_time(chosen)
         gain = wait_avoided.total_seconds() * max(job.need.cpus, job.need.accelerators) * needed
@@ -99,9 +106,10 @@
         return victims
 
     def _move_options(self, job: Job, now: timedelta) -> list[MoveOption]:
-        """Return the machines from which tasks could be moved.
+        """Return the machines from which tasks could be moved so that a task of the job can start there.
 
-        To bound the time, only the candidates and destinations with the most free CPUs are considered.
+        To limit the computing time, only the MAX_CANDIDATES machines to move tasks from and the MAX_DESTINATIONS
+        machines to move tasks to that have the most free CPUs are considered.
         """
         free = [
             machine
@@ -124,9 +132,10 @@
     def _move_option(
         self, job: Job, machine: Machine, free_resources: dict[str, Resources], now: timedelta
     ) -> MoveOption | None:
-        """Return the cheapest tasks to move off a machine so that the job fits, or None if it cannot be made to fit.
+        """Return tasks to move off a machine so that one task of the job fits, or None if it cannot be made to fit.
 
-        Each task needs a destination with free capacity, which is claimed in `free_resources`.
+        Tasks that are cheaper to move are chosen first. Each needs a destination with free capacity, which is then
+        subtracted in `free_resources`.
         """
         available = machine.free.copy()
         victims: list[Placement] = []
@@ -153,9 +162,9 @@
         return MoveOption(machine, victims, wait_without_move, loss)
 
     def _may_move(self, placement: Placement, job: Job, now: timedelta) -> bool:
-        """Return whether a task runs, saves checkpoints, may be stopped for the job and was not moved recently.
+        """Return whether a task may be moved to make space for the job.
 
-        Tasks of gangs are not moved.
+        It must run, save checkpoints, belong to no gang, be preemptible by the job, and not have been moved recently.
         """
         victim = placement.job
         return (
@@ -170,7 +179,7 @@
     def _destination(
         self, placement: Placement, machine: Machine, free_resources: dict[str, Resources], now: timedelta
     ) -> Machine | None:
-        """Return a machine where a task could restart, if possible one that caches its image, or None."""
+        """Return a machine on which a task could restart, or None. Prefer a machine that caches the task's image."""
         job = placement.job
         fallback: Machine | None = None
         for name, free in free_resources.items():
@@ -195,7 +204,7 @@
         return max(ZERO, self._planner.run_time(placement.job) - (now - started_at))
 
     def _min_loss(self, placement: Placement) -> float:
-        """Return the CPU-seconds that a move to a machine which caches the image costs."""
+        """Return the cost of moving a task, in CPU-seconds, if its destination already caches its image."""
         pause = save_time(placement.job) + HEARTBEATS_PER_MOVE * self._heartbeat
         return pause.total_seconds() * max(placement.job.need.cpus, placement.job.need.accelerators)
 
@@ -213,9 +222,9 @@
 
     @staticmethod
     def _choose_machines(job: Job, options: list[MoveOption], needed: int) -> list[MoveOption]:
-        """Return the cheapest machines, as many as needed, or none if there are too few.
+        """Return the `needed` machines with the lowest loss, or none if there are fewer.
 
-        They are in one zone if the job's tasks must run together.
+        If the job's tasks must run together, all of the machines are in one zone.
         """
         ordered = sorted(options, key=lambda option: (option.loss, option.machine.name))
         if not job.spec.together:
@@ -227,7 +236,7 @@
         return []
 
     def _start_move(self, option: MoveOption, job: Job, now: timedelta) -> None:
-        """Stop the victims with enough time to save, and reserve the machine for the waiting job."""
+        """Stop the victims, with enough time to save their work, and reserve the machine for the waiting job."""
         machine = option.machine
         longest_save = max(save_time(victim.job) for victim in option.victims)
         machine.reserved_for = job.ref
--- a/badgerroute/rebalancing/service.py
+++ b/badgerroute/rebalancing/service.py
@@ -1,4 +1,4 @@
-"""Rebalancing on one controller: maintains the view of the fleet, guides shards, moves tasks and drains machines."""
+"""Rebalancing on one controller: maintains the view of the fleet, guides scheduling, moves tasks, drains machines."""
 
 import logging
 from collections.abc import Callable
@@ -27,11 +27,16 @@
 WORK_REQUEST_INTERVAL = timedelta(seconds=2)
 VIEW_LOG_INTERVAL = timedelta(seconds=10)
 ORPHAN_CHECK_INTERVAL = timedelta(seconds=10)
-DRAIN_MARGIN_HEARTBEATS = 2  # before the deadline: one to send the stop, one to confirm that the task no longer runs
-URGENCY_THRESHOLD = 0.5  # fraction of `max_wait_ratio` above which the urgency of a team exceeds 1
-URGENCY_EXPONENT = 3.0  # how steeply the urgency grows with the wait ratio above the threshold
+# How many heartbeat intervals before a drain's deadline the last tasks are stopped: one heartbeat to send the stop
+# command, one to confirm that the task no longer runs.
+DRAIN_MARGIN_HEARTBEATS = 2
+# A team's wait ratio is its median queue wait divided by the fleet's. The team's urgency is 1 as long as this ratio is
+# at most URGENCY_THRESHOLD * `max_wait_ratio` (a setting). Above that, it is the quotient of the two, to the power of
+# URGENCY_EXPONENT, but at most MAX_URGENCY.
+URGENCY_THRESHOLD = 0.5
+URGENCY_EXPONENT = 3.0
 MAX_URGENCY = 64.0
-MIN_ENTITLEMENT = 0.1  # fraction of the mean guarantee, for teams with a smaller guarantee or none
+MIN_ENTITLEMENT = 0.1  # minimum entitlement of a team, as a fraction of the mean CPU guarantee of teams that have one
 
 
 @dataclass(slots=True)
@@ -48,7 +53,8 @@
 class Rebalancer:
     """Runs rebalancing for one controller.
 
-    It is created before the controller, which takes guidance from it, and attached to the controller afterwards.
+    It is created before the controller, whose shards get their scheduling guidance from it, and is attached to the
+    controller afterwards.
     """
 
     def __init__(self, settings: Settings, rebalancing: Rebalancing, loop: Loop) -> None:
@@ -81,9 +87,9 @@
         return self._entitlements.get(team, self._min_entitlement)
 
     def urgency(self, team: str) -> float:
-        """Return the factor by which a team's claim to capacity is raised.
+        """Return the factor by which a team's entitlement to capacity is raised because its tasks wait long.
 
-        It is 1 until the team's wait ratio approaches the configured maximum, and grows beyond that.
+        It is 1 up to a wait ratio of URGENCY_THRESHOLD * `max_wait_ratio`, and grows with higher ratios.
         """
         return self._urgencies.get(team, 1.0)
 
@@ -99,7 +105,7 @@
     # -- background tasks
 
     def attach(self, controller: Controller, group: TaskGroup) -> None:
-        """Start the background tasks. The controller must not have loaded its replica yet."""
+        """Start the background tasks of rebalancing. Must be called before the controller loads its replica."""
         self._controller = controller
         self._drains = DrainRegistry(self._loop, controller.storage.replica, controller.storage.store)
         controller.storage.replica.list_first(DRAINS)
@@ -123,9 +129,9 @@
                 self._run_shard_round(led_shard, now, out_of_time)
 
     def _refresh_led_shards(self) -> list[_LedShard]:
-        """Return the shards that are led here and for which tasks may be started.
+        """Return the shards that this controller leads and in which it may start tasks now.
 
-        The state of shards that have a new leader, or are no longer led here, is dropped.
+        The rebalancing state of a shard is dropped when this controller no longer leads it, or leads it anew.
         """
         assert self._controller is not None
         leaders = self._controller.leaders
@@ -170,13 +176,14 @@
         reports = [ShardWaitReport(summary, ZERO) for summary in own.values()]
         reports += [ShardWaitReport(summary, age) for summary, age in peers.shard_reports() if summary.shard not in own]
         self.view = FleetView(reports, self._rebalancing.stale_after)
-        # Computed once per view, as each comparison of jobs uses it and a percentile iterates over the whole histogram.
+        # The urgencies are computed once per view: each comparison of two jobs uses them, and computing a percentile
+        # iterates over a whole histogram.
         self._urgencies = {team: self._compute_urgency(team) for team in self.view.teams}
 
     def _request_missing_work(self, now: timedelta) -> None:
-        """Request waiting work of teams with raised urgency that is concentrated in other shards.
+        """Request waiting tasks from shards that have more than their fair share of a team's waiting tasks.
 
-        The interval between requests leaves time for the responses.
+        Only teams with an urgency above 1 count. WORK_REQUEST_INTERVAL leaves time for the responses to take effect.
         """
         assert self._controller is not None
         if now - self._work_requested_at < WORK_REQUEST_INTERVAL:
@@ -223,7 +230,7 @@
     # -- drains
 
     def _drain_changed(self, key: str, value: bytes | None, revision: int) -> None:
-        """Apply a changed drain at once, since no task may start any more on a machine that is to be emptied."""
+        """Apply a changed drain without waiting for the next round: no more tasks may start on a draining machine."""
         assert self._controller is not None and self._drains is not None
         name = key.removeprefix(DRAINS)
         for led_shard in self._led_shards.values():
--- a/badgerroute/rebalancing/shard_guidance.py
+++ b/badgerroute/rebalancing/shard_guidance.py
@@ -14,13 +14,15 @@
 from badgerroute.transport.loop import Loop
 
 MEAN_REFRESH_INTERVAL = timedelta(milliseconds=100)
-ACCELERATOR_WEIGHT = 8  # CPUs that one accelerator counts as; the same as in the scheduling order of jobs
+ACCELERATOR_WEIGHT = 8  # an accelerator counts as this many CPUs, as it does in the scheduling order of jobs
 
 
 class ShardGuidance(Guidance):
     """Guidance for one shard.
 
-    `entitlement` returns a team's share in CPUs. `urgency` returns the factor by which long waits raise it: 1 for none.
+    For a team, `entitlement` returns the CPUs that it is entitled to, and `urgency` the factor, at least 1, by which
+    long queue waits raise this entitlement. `drain_deadline` returns when a machine must be empty, on the monotonic
+    clock, or None.
     """
 
     def __init__(
@@ -40,34 +42,38 @@
         self._mean_ratio, self._mean_computed_at = 0.0, -timedelta(days=1)
 
     def attach(self, usage: dict[str, Usage], local: LocalWaits) -> None:
-        """Set the shard's quota usage and wait estimates, once its leader is ready."""
+        """Set the shard's quota usage and wait estimates. Called when the shard's leader is ready."""
         self.usage, self.local_waits = usage, local
 
     def task_placed(self, job: Job, waited: timedelta, now: timedelta) -> None:
-        """See Guidance."""
+        """Record how long a task waited before it was placed."""
         self.recent_waits.record(job, waited, now)
 
     def image_fetched(self, placement: Placement, took: timedelta) -> None:
-        """See Guidance."""
+        """Record how long a machine took to fetch a task's image."""
         self.fetch_rates.record_fetch(placement, took)
 
     def precedence(self, job: Job) -> float:
-        """Put the team first that uses the least of the shard relative to its entitlement and urgency.
+        """Return a sort key that puts the jobs first whose team uses the least relative to its entitlement and urgency.
 
-        Usage is summed by team: when it was compared by job instead, a team with many small jobs always came first, and
-        the array of another team never had its turn.
+        The key is the team's usage of the shard, with one more task of the job, divided by its entitlement times its
+        urgency. Usage is summed by team. When it was compared by job instead, a team with many small jobs always came
+        first, and the array of another team never had its turn.
         """
         if job.gang:
-            return 0.0  # gangs keep their order of arrival: each waits until all of its tasks fit at once
+            return 0.0  # gangs keep their order of arrival, since each waits until all of its tasks fit at once
         team = job.spec.team
         task_usage = job.need.cpus + ACCELERATOR_WEIGHT * job.need.accelerators
         return (self._usage_of(team) + task_usage) / (self._entitlement(team) * self._urgency(team))
 
     def may_exceed_desire(self, job: Job) -> bool:
-        """Return whether a job's team uses less of the shard than the mean, relative to its entitlement and urgency.
+        """Return whether a job may start tasks beyond its desire, because its team uses less than the mean.
 
-        A job that arrives while nothing is free starts with a desire of one slot. Next to a team that submits jobs of
-        one task, whose desires are always filled first, an array would get only one more slot every ten seconds.
+        A desire is the number of slots that utilization feedback computes for a job. What is compared is the team's
+        usage, divided by its entitlement and urgency, with the ratio of usage to entitlement of all teams with tasks in
+        the shard. A job that arrives while nothing is free starts with a desire of one slot. Next to a team that
+        submits jobs of one task, whose desires are always filled first, an array would get only one more slot every
+        ten seconds.
         """
         team = job.spec.team
         return self._usage_of(team) / (self._entitlement(team) * self._urgency(team)) < self._mean_usage_ratio()
@@ -77,7 +83,10 @@
         return used.cpus + ACCELERATOR_WEIGHT * used.accelerators if used is not None else 0.0
 
     def _mean_usage_ratio(self) -> float:
-        """Return the total usage of the teams with tasks in the shard, divided by their total entitlement."""
+        """Return the total usage of the teams with tasks in the shard, divided by their total entitlement.
+
+        It is computed at most once in MEAN_REFRESH_INTERVAL.
+        """
         now = self._loop.now()
         if now - self._mean_computed_at >= MEAN_REFRESH_INTERVAL:
             self._mean_computed_at = now
@@ -87,17 +96,17 @@
         return self._mean_ratio
 
     def fetch_time(self, job: Job, machine: Machine) -> timedelta:
-        """See Guidance."""
+        """Return how long a machine is expected to take to fetch a job's image."""
         return self.fetch_rates.fetch_time(job, machine)
 
     def local_wait(self, job: Job) -> timedelta | None:
-        """See Guidance."""
+        """Return how long the job's tasks may wait for machines that cache their image, or None if unknown."""
         return self.local_waits.expected_wait(job, self._loop.now()) if self.local_waits is not None else None
 
     def drain_deadline(self, machine: str) -> timedelta | None:
-        """See Guidance."""
+        """Return when a machine must be empty, on the monotonic clock, or None if it is not draining."""
         return self._drain_deadline(machine)
 
     def load(self, shard: ShardView, now: timedelta) -> ShardLoad:
-        """See Guidance."""
+        """Return the queue waits and machine utilization of the shard, to report to the other controllers."""
         return ShardLoad(self.recent_waits.snapshot(shard, now), machines_by_utilization(shard))
--- a/badgerroute/rebalancing/spreading.py
+++ b/badgerroute/rebalancing/spreading.py
@@ -1,6 +1,7 @@
 """Spreads a team's waiting tasks over the shards: computes how many a shard should request, and from which shard.
 
-The request is an ordinary steal request, so the leader that has the tasks decides and writes, also in older versions.
+A request is an ordinary work-stealing request: the leader of the shard that owns the tasks decides which ones to hand
+over and records the transfer. Leaders of older versions do this too.
 """
 
 from dataclasses import dataclass
@@ -8,15 +9,15 @@
 from badgerroute.protocol.mesh import FreeCapacity, ShardLoad, ShardSummary
 from badgerroute.scheduling.shard import Shard
 
-# A shard with less than this fraction of its fair share requests the rest. Afterwards neither shard is below it, so no
-# tasks are requested back.
+# A shard with less than this fraction of its fair share of a team's waiting tasks requests the rest of that share.
+# Afterwards neither of the two shards is below this fraction, so no tasks are requested back.
 REQUEST_THRESHOLD = 0.5
 MIN_TASKS = 2  # fewer are not worth a write to the key-value store
 
 
 @dataclass(frozen=True, slots=True)
 class WorkRequest:
-    """Waiting tasks of a team that a shard requests from another, the victim."""
+    """The number of a team's waiting tasks that a shard requests from another shard, the victim."""
 
     team: str
     victim: int
@@ -31,9 +32,10 @@
 
 
 def missing_work(own: ShardSummary, others: list[ShardSummary], teams: list[str]) -> list[WorkRequest]:
-    """Return the requests with which a shard gets its fair share of teams' waiting tasks.
+    """Return the requests with which a shard gets its fair share of the given teams' waiting tasks.
 
-    The fair share is proportional to the shard's machines; the victim has the most waiting tasks per machine.
+    A shard's fair share of a team's waiting tasks is proportional to its number of machines. The victim is the shard
+    with the most waiting tasks of the team per machine.
     """
     requests: list[WorkRequest] = []
     shards = [own, *others]
@@ -65,7 +67,10 @@
 
 
 def offered_capacity(shard: Shard, request: WorkRequest) -> list[FreeCapacity]:
-    """Return enough machines for the requested tasks, with all their CPUs as if free: some will be free soon."""
+    """Return capacity of usable machines for the requested tasks, in the form of a steal request.
+
+    CPUs in use are offered as if they were free, since some of them will be free soon.
+    """
     cpus_left = request.tasks * request.cpus_per_task
     offered: list[FreeCapacity] = []
     for machine in shard.machines.values():
--- a/badgerroute/rebalancing/view.py
+++ b/badgerroute/rebalancing/view.py
@@ -1,4 +1,4 @@
-"""The queue waits of each team's tasks in the whole fleet, merged from the reports of all shards."""
+"""Statistics of the queue waits of each team's tasks in the whole fleet, merged from the reports of all shards."""
 
 import logging
 import zlib
@@ -15,14 +15,14 @@
 log = logging.getLogger(__name__)
 MEDIAN_PERCENT = 50.0
 TAIL_PERCENT = 95.0
-MAX_HISTOGRAM_CHARS = 8192  # longest histogram that is accepted from a peer; typical ones have a few hundred
+MAX_HISTOGRAM_CHARS = 8192  # longest encoded histogram that is accepted from a peer; typical ones have a few hundred
 
 DECODE_ERRORS = (HdrCookieException, HdrHistogramSettingsException, HdrLengthException, ValueError, zlib.error)
 
 
 @dataclass(frozen=True, slots=True)
 class ShardWaitReport:
-    """The last summary of a shard, and its age."""
+    """The last summary that a shard's leader sent, and the summary's age."""
 
     summary: ShardSummary
     age: timedelta
@@ -30,14 +30,18 @@
 
 @dataclass(slots=True)
 class WaitStatistics:
-    """Wait statistics of a team, of one of its job classes, of a shard or of the fleet."""
+    """Wait statistics of a team, of one of its job classes, of a shard or of the fleet.
+
+    The histogram holds the waits of recently started and of waiting tasks. `waiting` is the number of waiting tasks,
+    `oldest` the longest wait among them.
+    """
 
     histogram: HdrHistogram = field(default_factory=new_histogram)
     waiting: int = 0
     oldest: timedelta = ZERO
 
     def add(self, waits: ClassWaits) -> None:
-        """Add the waits that a shard reports. A histogram that can't be decoded is ignored."""
+        """Add the waits that a shard reports. A histogram that is too long or can't be decoded is ignored."""
         if len(waits.histogram) <= MAX_HISTOGRAM_CHARS:
             try:
                 self.histogram.decode_and_add(waits.histogram.encode())
@@ -55,24 +59,25 @@
 
     @property
     def task_count(self) -> int:
-        """Return the number of tasks in the histogram: recently started or waiting."""
+        """Return the number of tasks in the histogram, both recently started and waiting ones."""
         return self.histogram.get_total_count()
 
     @property
     def median(self) -> timedelta:
-        """Return the median wait."""
+        """Return the median of the waits in the histogram."""
         return percentile(self.histogram, MEDIAN_PERCENT)
 
     @property
     def tail(self) -> timedelta:
-        """Return the 95th percentile of the waits."""
+        """Return the 95th percentile of the waits in the histogram."""
         return percentile(self.histogram, TAIL_PERCENT)
 
 
 class FleetView:
     """Wait statistics of the fleet, from recent reports only.
 
-    Shards with a stale report, or with one that contains no load, are listed separately.
+    The statistics leave out shards whose report is older than `stale_after` or does not contain the shard's load. These
+    shards are listed in `stale_shards` and `shards_without_load`.
     """
 
     def __init__(self, reports: list[ShardWaitReport], stale_after: timedelta) -> None:
@@ -81,8 +86,8 @@
         self.teams: dict[str, WaitStatistics] = {}
         self.classes: dict[tuple[str, str], WaitStatistics] = {}
         self.shards: dict[int, WaitStatistics] = {}
-        self.machines_by_load = [0] * 10
-        self.summaries: list[ShardSummary] = []  # those that are not stale and contain the load
+        self.machines_by_load = [0] * 10  # number of machines in each tenth of CPU utilization, lowest first
+        self.summaries: list[ShardSummary] = []  # summaries that are not stale and contain the shard's load
         self.stale_shards: list[int] = []
         self.shards_without_load: list[int] = []  # led by versions that do not report their load
         latest: dict[int, ShardWaitReport] = {}  # two controllers may briefly both report a shard
@@ -109,7 +114,10 @@
             self.machines_by_load[decile] += count
 
     def wait_ratio(self, team: str, min_wait: timedelta) -> float:
-        """Return the ratio of a team's median wait to the fleet's. Waits below `min_wait` count as `min_wait`."""
+        """Return a team's median wait divided by the fleet's, or 1 if there are no waits of the team.
+
+        A median below `min_wait` counts as `min_wait`.
+        """
         team_waits = self.teams.get(team)
         if team_waits is None or not team_waits.task_count:
             return 1.0
--- a/badgerroute/rebalancing/waits.py
+++ b/badgerroute/rebalancing/waits.py
@@ -1,4 +1,4 @@
-"""Queue waits of one shard by team and job class, in histograms of bounded size."""
+"""How long tasks of one shard wait in the queue, by team and job class, in histograms of bounded size."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -12,9 +12,9 @@
 MIN_MS = 1
 MAX_MS = 3_600_000  # one hour; longer waits count as one hour
 SIGNIFICANT_DIGITS = 2
-MAX_CLASSES = 200  # pairs of team and job class with their own histogram; further classes of a team share one
+MAX_CLASSES = 200  # at most this many pairs of team and job class have their own histogram; the rest share one per team
 OTHER_CLASSES = "*"
-MAX_REQUEUED_COUNTED = 64  # requeued tasks of a job whose waits are counted individually
+MAX_REQUEUED_COUNTED = 64  # for at most this many tasks of a job, the wait since their return to the queue is counted
 MILLISECOND = timedelta(milliseconds=1)
 
 ClassKey = tuple[str, str]  # team, job class
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class _PendingWaits:
-    """The waiting tasks of one class."""
+    """The waiting tasks of one team and job class: a histogram of their waits so far, their number, the longest."""
 
     histogram: HdrHistogram
     tasks: int = 0
@@ -47,10 +47,10 @@
 
 
 class RecentWaits:
-    """Waits of the tasks that were started within the last window, and of those that are waiting.
+    """Waits of the tasks that were placed recently, and of those that are waiting.
 
-    The window consists of two halves, of which the older is dropped at once, so a snapshot covers between half of the
-    window and all of it.
+    Waits of placed tasks are kept for half of `window` to all of it: they are collected in one histogram for each half,
+    and the older half is dropped as a whole.
     """
 
     def __init__(self, window: timedelta, now: timedelta) -> None:
@@ -83,7 +83,7 @@
         return job.spec.team, OTHER_CLASSES
 
     def snapshot(self, shard: ShardView, now: timedelta) -> list[ClassWaits]:
-        """Return the waits by class, as they are reported to the other controllers."""
+        """Return the waits by team and job class, in the form in which they are reported to the other controllers."""
         self._rotate(now)
         pending = self._pending_by_class(shard, now)
         snapshot = []
@@ -100,9 +100,9 @@
         return snapshot
 
     def _pending_by_class(self, shard: ShardView, now: timedelta) -> dict[ClassKey, _PendingWaits]:
-        """Return the tasks that wait for capacity.
+        """Return the tasks that wait for free capacity, by team and job class.
 
-        Tasks that wait for their team's quota are left out, since no other team's tasks delay them.
+        Tasks that wait for their own team's quota are left out, since no other team's tasks delay them.
         """
         pending_by_class: dict[ClassKey, _PendingWaits] = {}
         for job in shard.jobs.values():
@@ -121,7 +121,7 @@
 
 
 def machines_by_utilization(shard: ShardView) -> list[int]:
-    """Return the number of machines in each tenth of CPU utilization, the least utilized first."""
+    """Return ten numbers of machines: those with CPU utilization below 10%, from 10% to below 20%, and so on."""
     counts = [0] * 10
     for machine in shard.machines.values():
         used = 1.0 - machine.free.cpus / machine.kind.cpus if machine.kind.cpus else 0.0
