--- a/badgerroute/assembly.py
+++ b/badgerroute/assembly.py
@@ -1,4 +1,4 @@
-"""Builds a controller with the optional subsystems that are enabled. The others are not imported."""
+"""Builds a controller with the optional subsystems that are enabled. Disabled ones are not even imported."""
 
 from badgerroute.coordination.controller import Controller
 from badgerroute.settings import Settings
@@ -7,7 +7,7 @@
 
 
 def build_controller(settings: Settings, loop: Loop, network: Network, group: TaskGroup) -> Controller:
-    """Return a controller that is ready to run."""
+    """Build a controller, with rebalancing if the operators' settings enable it."""
     rebalancing = settings.operator.rebalancing
     if rebalancing is None:
         return Controller(settings, loop, network, group)
--- a/badgerroute/cli.py
+++ b/badgerroute/cli.py
@@ -13,7 +13,7 @@
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """Build the parser for the arguments of a controller."""
+    """Build the parser for the arguments with which a controller is started or its settings are checked."""
     parser = argparse.ArgumentParser(prog="badgerroute", description="Run a controller of the badgerroute scheduler.")
     parser.add_argument("--config", metavar="FILE", required=True, help="the platform's settings (TOML)")
     parser.add_argument(
@@ -42,7 +42,7 @@
 
 
 def describe(settings: settings_module.Settings) -> str:
-    """Return the text that `--check` prints: values that are derived from the settings."""
+    """Return the text that `--check` prints: the main settings and the times that are derived from them."""
     params, scheduling = settings.params, settings.operator.scheduling
     return "\n".join(
         [
@@ -58,7 +58,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run the program and return its exit code."""
+    """Run the command that the arguments name and return the exit code. Uses `sys.argv` if no arguments are given."""
     arguments = sys.argv[1:] if arguments is None else arguments
     if arguments and arguments[0] in DRAIN_COMMANDS:
         from badgerroute.rebalancing import drain_command
--- a/badgerroute/daemon.py
+++ b/badgerroute/daemon.py
@@ -1,4 +1,4 @@
-"""Runs a controller as a process, with the system's clock, TCP sockets and an event loop over both."""
+"""Runs a controller as a process, with an event loop that uses the system's clock and TCP sockets."""
 
 import gc
 import logging
@@ -13,11 +13,11 @@
 
 
 def run(settings: Settings) -> int:
-    """Run a controller until it is stopped, and return the exit code."""
+    """Run a controller until it is interrupted or fails to start listening, and return the exit code."""
     poller = SelectorPoller()
     loop = Loop(SystemClock(), poller)
     group = TaskGroup(loop, settings.platform.host_name)
-    gc.freeze()  # modules and settings are never freed, so the garbage collector need not examine them
+    gc.freeze()  # modules and settings are never freed, so the garbage collector need not scan them
     gc.set_threshold(20_000, 20, 50)
     controller = build_controller(settings, loop, TcpNetwork(loop, poller), group)
     try:
--- a/badgerroute/settings/__init__.py
+++ b/badgerroute/settings/__init__.py
@@ -1,7 +1,7 @@
 """The settings of a controller: the platform's (TOML), the operators' (HCL), and values derived from both.
 
 Owns the names, types and limits of all settings. Their values are read once, at startup, and do not change. Uses no
-keys of the key-value store. Imports no other package.
+keys of the key-value store. Imports no other package of badgerroute.
 """
 
 from badgerroute.settings.derived import Settings
--- a/badgerroute/settings/derived.py
+++ b/badgerroute/settings/derived.py
@@ -31,18 +31,18 @@
 
     @property
     def max_clock_drift(self) -> timedelta:
-        """The most by which two monotonic clocks may drift apart during the longest wait that safety relies on.
+        """How far two hosts' monotonic clocks may drift apart, at most, during the longest wait that safety relies on.
 
-        That wait is `cancel_s`. Each clock may be up to 0.05% fast or slow.
+        That wait is the setting `cancel_s`. Each clock may be up to 0.05% fast or slow.
         """
         return timedelta(seconds=0.002 * self.params.workers.cancel_s)
 
     @property
     def grace(self) -> timedelta:
-        """How long a leader may act without confirmation of its leadership, called G in docs/safety.md.
+        """How long a leader may act without confirmation of its leadership by the key-value store.
 
-        G + lease + `max_clock_drift` must stay well below `cancel_s`. Otherwise a controller that is cut off could keep
-        a cancelled job's task running for too long.
+        docs/safety.md calls this time G. G + the workers' lease + `max_clock_drift` must stay well below `cancel_s`.
+        Otherwise a controller that is cut off from the store could keep a cancelled job's task running for too long.
         """
         workers = self.params.workers
         margin = timedelta(seconds=3) + 0.05 * workers.cancel + self.max_clock_drift
@@ -50,5 +50,5 @@
 
     @property
     def machine_lease(self) -> timedelta:
-        """The time without a response to its heartbeats after which a machine has certainly killed its tasks."""
+        """The time after which a machine whose heartbeats got no response has certainly killed its tasks."""
         return self.params.workers.lease + self.max_clock_drift + timedelta(milliseconds=500)
--- a/badgerroute/settings/loading.py
+++ b/badgerroute/settings/loading.py
@@ -119,7 +119,7 @@
 
 
 def load(path: str, operator_path: str | None = None) -> Settings:
-    """Read both settings files. Without an operators' file, its defaults apply."""
+    """Read both settings files. Without a path for the operators' file, the defaults of its settings apply."""
     platform = load_platform(path)
     operator = load_operator(operator_path) if operator_path else OperatorSettings()
     return Settings(platform, operator)
--- a/badgerroute/settings/operator.py
+++ b/badgerroute/settings/operator.py
@@ -10,7 +10,7 @@
     """Parameters of delay scheduling (`tau`, `wait_cap_s`) and utilization feedback (`delta`, `rho`, `period_s`).
 
     `tau`, `delta` and `rho` are the symbols of the paper that describes both algorithms. They are explained in
-    `scheduling.delay_scheduling` and `scheduling.utilization_feedback`.
+    `scheduling.delay_scheduling` and `scheduling.utilization_feedback`. `round_ms` limits each scheduling round.
     """
 
     tau: Annotated[float, Meta(ge=0, le=100)] = 1.0
@@ -22,25 +22,25 @@
 
     @property
     def period(self) -> timedelta:
-        """The interval at which the desire of a job (the number of slots it asks for) is updated."""
+        """The interval at which utilization feedback updates each job's desire, the number of slots it should have."""
         return timedelta(seconds=self.period_s)
 
     @property
     def wait_cap(self) -> timedelta:
-        """The longest time that a task waits for a machine that caches its image."""
+        """The longest time that a task waits for a nearer machine before it may start farther from its image."""
         return timedelta(seconds=self.wait_cap_s)
 
     @property
     def round(self) -> timedelta:
-        """The time limit of one scheduling round."""
+        """The time after which one scheduling round stops; the next round continues."""
         return timedelta(milliseconds=self.round_ms)
 
 
 class FleetSettings(Struct, frozen=True, forbid_unknown_fields=True):
     """Settings of the autoscaler.
 
-    `return_idle` is whether idle machines are returned to the cloud. If it is null, the objectives decide: see
-    `scheduling.scale_out_planning.scales_out_ahead`.
+    `return_idle` is whether idle machines are returned to the cloud. If it is null, the platform's service objectives
+    decide (see `scheduling.scale_out_planning.scales_out_ahead`). `most_machines` is the maximum size of the fleet.
     """
 
     return_idle: bool | None = None
@@ -54,18 +54,22 @@
 
 
 class ElectionSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """Settings of the leases with which controllers lead shards."""
+    """Settings of the lease that each controller holds in the key-value store in order to lead shards."""
 
     ttl_s: Annotated[float, Meta(ge=1, le=60)] = 4.0
 
     @property
     def ttl(self) -> timedelta:
-        """The time to live of a controller's lease."""
+        """How long a controller's lease lasts without renewal."""
         return timedelta(seconds=self.ttl_s)
 
 
 class Rebalancing(Struct, frozen=True, forbid_unknown_fields=True):
-    """Settings of rebalancing, which is off if the file has no such block. See docs/rebalancing.md."""
+    """Settings of rebalancing, which is off if the file has no such block. See docs/rebalancing.md.
+
+    `max_wait_ratio`: a team's tasks start sooner as its median queue wait approaches this multiple of the fleet's.
+    `move_gain`: tasks are moved only if the move saves more than this many times its cost, both in CPU-seconds.
+    """
 
     window_s: Annotated[float, Meta(ge=5, le=3600)] = 60.0
     stale_s: Annotated[float, Meta(ge=1, le=60)] = 5.0
@@ -82,7 +86,7 @@
 
     @property
     def stale_after(self) -> timedelta:
-        """The age above which reports of other shards and wait estimates are ignored."""
+        """The age above which the reports of shards and the estimates of waits are ignored."""
         return timedelta(seconds=self.stale_s)
 
     @property
@@ -92,7 +96,7 @@
 
     @property
     def move_rest(self) -> timedelta:
-        """How long a moved task may not be moved again."""
+        """How long a moved task may not be moved again, and its job may not use the machine that the task left."""
         return timedelta(seconds=self.move_rest_s)
 
 
@@ -108,22 +112,22 @@
 
     @property
     def relay_for(self) -> timedelta:
-        """How long heartbeats are relayed before leadership of the shards is transferred."""
+        """How long heartbeats are relayed to a leader that its workers can't reach before leadership is transferred."""
         return timedelta(seconds=self.relay_s)
 
     @property
     def settle(self) -> timedelta:
-        """How long connections must be stable before shards return to their home controller."""
+        """The minimum time for which connections must be stable before a shard returns to its home controller."""
         return timedelta(seconds=self.settle_s)
 
     @property
     def longest_settle(self) -> timedelta:
-        """The longest such time, for connections that fail repeatedly."""
+        """The maximum of the settle time, which grows from `settle` for connections that fail repeatedly."""
         return timedelta(seconds=self.longest_settle_s)
 
     @property
     def penalty_half_life(self) -> timedelta:
-        """The half-life of the penalty for connections that fail repeatedly."""
+        """The half-life of the penalty by which repeated failures of a connection lengthen its settle time."""
         return timedelta(seconds=self.penalty_half_life_s)
 
 
--- a/badgerroute/settings/platform.py
+++ b/badgerroute/settings/platform.py
@@ -28,7 +28,7 @@
 
 
 class Team(Struct, frozen=True):
-    """The quota of a team: `cpus` and `gpus` are guaranteed, `cpus_max` and `gpus_max` are limits."""
+    """The quota of a team: `cpus` and `gpus` are guaranteed, `cpus_max` and `gpus_max` are limits (0 for none)."""
 
     name: Name
     cpus: Amount = 0.0
@@ -47,7 +47,7 @@
 
 
 class Objective(Struct, frozen=True):
-    """A service objective of the deployment, such as a share of jobs that must start within a given time."""
+    """A service objective of the deployment, for example the share of jobs that must start within a given time."""
 
     kind: str
     share: float = 1.0
@@ -57,7 +57,7 @@
 
 
 class WorkerLimits(Struct, frozen=True):
-    """The times that workers adhere to, in seconds."""
+    """Time limits that workers observe, and the interval of their heartbeats, in seconds."""
 
     report_s: Positive
     lease_s: Positive
@@ -77,17 +77,17 @@
 
     @property
     def cancel(self) -> timedelta:
-        """How long a cancelled task may still run on a machine."""
+        """The longest time that a task may still run on a machine after its job was cancelled."""
         return timedelta(seconds=self.cancel_s)
 
     @property
     def gang_peer(self) -> timedelta:
-        """The time in which a gang's tasks notice that one of them has ended, and in which they stop together."""
+        """The time within which a gang's tasks notice that one of them has ended, and within which all of them stop."""
         return timedelta(seconds=self.gang_peer_s)
 
 
 class LaterStoreLimits(Struct, frozen=True):
-    """Limits that the key-value store will switch to later, without notice. Those that are null do not change."""
+    """Limits that the key-value store will adopt at some later time, without notice. A null limit does not change."""
 
     rps: Positive | None = None
     write_rps: Positive | None = None
@@ -96,7 +96,10 @@
 
 
 class StoreLimits(Struct, frozen=True):
-    """The limits of the key-value store: requests and changes per second, size of a value, changes per transaction."""
+    """The limits of the key-value store: requests and changes per second, size of a value, changes per transaction.
+
+    `next` holds the limits that the store will adopt later, if they are known.
+    """
 
     rps: Positive
     write_rps: Positive
@@ -106,23 +109,26 @@
 
     @property
     def max_changes(self) -> int:
-        """The most changes in a transaction under both the current and the later limit, which may apply at any time."""
+        """The maximum number of changes in a transaction: the lower of the current limit and the later one.
+
+        The later limit may take effect at any time.
+        """
         return min(self.txn_ops, (self.next and self.next.txn_ops) or self.txn_ops)
 
     @property
     def max_value_bytes(self) -> int:
-        """The largest size of a value under both the current and the later limit."""
+        """The maximum size of a value: the lower of the current limit and the later one."""
         return int(min(self.value_kb, (self.next and self.next.value_kb) or self.value_kb) * 1024)
 
     @property
     def lower_rates(self) -> tuple[float, float]:
-        """The limits of requests and of changes per second after the service has switched to its later limits."""
+        """The limits of requests and of changes per second once the later limits apply, if these are lower."""
         later = self.next or LaterStoreLimits()
         return min(self.rps, later.rps or self.rps), min(self.write_rps, later.write_rps or self.write_rps)
 
 
 class CloudLimits(Struct, frozen=True):
-    """The request rate that the cloud accepts, and the delay of its machine list."""
+    """The number of requests per second that the cloud accepts, and the usual age of its machine list."""
 
     rps: Positive
     list_lag_s: Amount
@@ -142,7 +148,10 @@
 
 
 class Params(Struct, frozen=True):
-    """The settings that all controllers of a deployment share."""
+    """The settings that all controllers of a deployment share.
+
+    `size` is the number of controllers. `time_bound_ms` is the largest error of a host's wall clock.
+    """
 
     size: Annotated[int, Meta(ge=1, le=64)]
     zones: list[Name]
