--- a/badgerroute/settings/operator.py
+++ b/badgerroute/settings/operator.py
@@ -67,7 +67,7 @@
 class Rebalancing(Struct, frozen=True, forbid_unknown_fields=True):
     """Settings of rebalancing, which is off if the file has no such block. See docs/rebalancing.md.
 
-    `max_wait_ratio`: a team's tasks start sooner as its median queue wait approaches this multiple of the fleet's.
+    `max_wait_ratio`: a team's tasks are favored when its median queue wait exceeds half this multiple of the fleet's.
     `move_gain`: tasks are moved only if the move saves more than this many times its cost, both in CPU-seconds.
     """
 
--- a/badgerroute/storage/key_value_client.py
+++ b/badgerroute/storage/key_value_client.py
@@ -29,7 +29,7 @@
 RESPONSE_TIMEOUT = timedelta(milliseconds=1500)
 WATCH_MARGIN = timedelta(seconds=3)  # a watch times out this long after the time for which the store may hold it open
 KEYS_PER_PAGE = 500
-MAX_CONDITIONS_PER_CHANGE = 4  # maximum number of conditions in a transaction / maximum number of changes in it
+MAX_CONDITIONS_PER_CHANGE = 4  # a transaction may have at most max_changes * this many conditions
 LOGGED_BODY_BYTES = 120
 RATE_LIMITED_STATUS = 429
 NOT_EXECUTED_STATUSES = (RATE_LIMITED_STATUS, 503)
@@ -87,7 +87,7 @@
     def max_changes(self) -> int:
         """The maximum number of changes in a transaction: the store's current or announced limit, whichever is lower.
 
-        It is lower still for some time after a refused transaction.
+        It may be lower still for some time after a refused transaction.
         """
         self._sizes.recover(self._loop.now())
         return self._sizes.changes.current
@@ -96,7 +96,7 @@
     def max_value_bytes(self) -> int:
         """The maximum size of a value in bytes: slightly below the store's current or announced limit.
 
-        The lower of the two limits counts. The maximum is lower still for some time after a refused transaction.
+        The lower of the two limits counts. The maximum may be lower still for some time after a refused transaction.
         """
         self._sizes.recover(self._loop.now())
         return self._sizes.value_bytes.current
--- a/badgerroute/storage/size_limits.py
+++ b/badgerroute/storage/size_limits.py
@@ -16,7 +16,8 @@
 MIN_CHANGES = 2  # refusals do not lower the limit on the number of changes below this
 MIN_VALUE_BYTES = 512  # refusals do not lower the limit on the size of a value below this
 FIRST_RECOVERY = timedelta(seconds=5)  # time between increases after the first refusal; each further refusal doubles it
-# The maximum of that time. If a limit has been back at its maximum for this long, earlier refusals no longer count.
+# The maximum time between increases. If a limit has been back at its maximum for this long, earlier refusals no longer
+# count.
 MAX_RECOVERY = timedelta(minutes=10)
 
 
