--- a/badgerroute/connectivity/overdue_heartbeats.py
+++ b/badgerroute/connectivity/overdue_heartbeats.py
@@ -18,10 +18,10 @@
 
     `resumed_at` is when this process resumed after its last pause, during which it could receive no heartbeat.
     """
-    if machine.last_heartbeat is None:
-        last_heartbeat_due_from = max(machine.joined, shard.led_since) + FAILOVER_TIME
+    if machine.last_heartbeat_at is None:
+        last_heartbeat_due_from = max(machine.joined_at, shard.led_since) + FAILOVER_TIME
     else:
-        last_heartbeat_due_from = machine.last_heartbeat
+        last_heartbeat_due_from = machine.last_heartbeat_at
     return (
         now - max(last_heartbeat_due_from, resumed_at)
         > heartbeat_interval * HEARTBEAT_INTERVAL_FACTOR + HEARTBEAT_TRANSIT_TIME
--- a/badgerroute/coordination/membership/peers.py
+++ b/badgerroute/coordination/membership/peers.py
@@ -119,7 +119,7 @@
             placement.running_since is not None
             for leader in self._leaders.values()
             if ref in leader.shard.jobs
-            for placement in leader.shard.jobs[ref].placed.values()
+            for placement in leader.shard.jobs[ref].placements.values()
         )
         running_at_peers = sum(
             summary.running.get(ref, 0)
--- a/badgerroute/coordination/shards/cpu_usage.py
+++ b/badgerroute/coordination/shards/cpu_usage.py
@@ -39,7 +39,7 @@
     for machine in shard.machines.values():
         for placement in machine.placements.values():
             name = FIELD_BY_PHASE[placement.phase]
-            setattr(usage, name, getattr(usage, name) + placement.job.need.cpus)
+            setattr(usage, name, getattr(usage, name) + placement.job.task_resources.cpus)
         if not machine.usable:
             usage.unusable += machine.free.cpus
         elif machine.reserved_for is not None:
--- a/badgerroute/coordination/shards/gang_migration.py
+++ b/badgerroute/coordination/shards/gang_migration.py
@@ -130,8 +130,8 @@
         """Return how many of the gang's tasks fit in this shard, by zone if the gang must lie in one."""
         slots: Counter[str] = Counter()
         for machine, resources in self._planner.reclaimable_by_machine(job.level):
-            if allows(job.spec, machine.kind.name, machine.zone, machine.spot):
-                slots[machine.zone if job.spec.together else ANY_ZONE] += resources.times(job.need)
+            if allows(job.spec, machine.machine_type.name, machine.zone, machine.spot):
+                slots[machine.zone if job.spec.together else ANY_ZONE] += resources.times(job.task_resources)
         for machine in self._shard.machines.values():
             if machine.reserved_for == job.ref:
                 slots[machine.zone if job.spec.together else ANY_ZONE] += 1
@@ -141,4 +141,4 @@
 def tasks_with_image(job: Job, summary: ShardSummary) -> int:
     """Return how many of a gang's tasks could run on machines of a shard that cache their image."""
     free_cpus = summary.cached_image_cpus.get(job.spec.image, ())
-    return min(job.spec.tasks, sum(cpus >= job.need.cpus for cpus in free_cpus))
+    return min(job.spec.tasks, sum(cpus >= job.task_resources.cpus for cpus in free_cpus))
--- a/badgerroute/coordination/shards/heartbeat_responder.py
+++ b/badgerroute/coordination/shards/heartbeat_responder.py
@@ -85,7 +85,7 @@
         now = self._loop.now()
         may_start = is_new and self._policy.allows_for(self._shard.number, Action.START)
         if is_new and not relayed:
-            machine.last_heartbeat = now
+            machine.last_heartbeat_at = now
         if may_start:
             time_is_up = deadline_check(self._loop, now + self._planning_time_limit)
             # Gangs come first. They are placed here because, after the next scheduling round, their start commands
@@ -93,7 +93,7 @@
             self._planner.gangs_on(machine, now, time_is_up)
             self._planner.fill(machine, now, time_is_up)
         commands = self._shard.commands(machine, now, starts=may_start) if is_new else []
-        machine.answered = now
+        machine.last_response_at = now
         if not machine.fenced or machine.unreachable:
             self._fencing.fence(machine)
         return commands
--- a/badgerroute/coordination/shards/machine_transfers.py
+++ b/badgerroute/coordination/shards/machine_transfers.py
@@ -63,7 +63,7 @@
             case WriteOutcome.NOT_APPLIED:
                 log.debug("event=machine_transfer_failed shard=%d error=%s", self._shard.number, result.error)
                 for machine in machines:
-                    machine.draining = False
+                    machine.quarantined = False
             case WriteOutcome.UNKNOWN:
                 # The write may still be applied. Start nothing on these machines until another write has ruled that
                 # out.
@@ -79,7 +79,7 @@
             if slots >= message.count or len(selected) >= self._store.max_changes:
                 break
             fits = machine.usable and machine.empty and machine.reserved_for is None and machine.free.holds(need)
-            if fits and allows(message.job, machine.kind.name, machine.zone, machine.spot):
+            if fits and allows(message.job, machine.machine_type.name, machine.zone, machine.spot):
                 slots += machine.free.times(need)
                 selected.append(machine)
         return selected
@@ -87,8 +87,8 @@
     @staticmethod
     def _prepare_transfer(machine: Machine, shard: int) -> Put:
         """Stop placement on a machine, and return the write that makes it a member of another shard."""
-        machine.draining = True
-        record = MachineRecord(shard, machine.address, machine.kind.name, machine.zone, machine.spot)
+        machine.quarantined = True
+        record = MachineRecord(shard, machine.address, machine.machine_type.name, machine.zone, machine.spot)
         return put(MACHINES + machine.name, records.write(record))
 
     def _log_transferred(self, machines: list[Machine], shard: int) -> None:
@@ -106,7 +106,7 @@
                 conditions = [self._leadership_state.condition(self._shard.number), compare(key, entry.revision)]
                 revision = await self._store.transact(conditions, [put(key, entry.value)], Urgency.COMPLETE)
                 self._replica.learn(key, bytes(entry.value), revision)
-                machine.draining = False
+                machine.quarantined = False
                 return
             except WRITE_ERRORS:
                 await self._loop.sleep(RECONCILE_RETRY_INTERVAL)
--- a/badgerroute/coordination/shards/progress_batch.py
+++ b/badgerroute/coordination/shards/progress_batch.py
@@ -40,7 +40,7 @@
                 self._jobs.discard(ref)
                 continue
             may_complete = not job.owned & ~(job.done | job.done_here)
-            if may_complete or now - job.written >= PARTIAL_WRITE_INTERVAL:
-                job.written = now
+            if may_complete or now - job.progress_written_at >= PARTIAL_WRITE_INTERVAL:
+                job.progress_written_at = now
                 batch.append(Progress(ref, job.done_here, {self._shard.number}))
         return batch
--- a/badgerroute/coordination/shards/quota_exchange.py
+++ b/badgerroute/coordination/shards/quota_exchange.py
@@ -82,8 +82,8 @@
         top_ranked = [job for job in waiting if self._planner.rank(job) == rank]
         for job in top_ranked:
             count = job.startable
-            shortfall.cpus += count * job.need.cpus
-            shortfall.accelerators += count * job.need.accelerators
+            shortfall.cpus += count * job.task_resources.cpus
+            shortfall.accelerators += count * job.task_resources.accelerators
         return QuotaShortage(rank, shortfall, max(now - job.accepted for job in top_ranked))
 
     async def grant(self, message: QuotaRequest) -> None:
@@ -119,8 +119,8 @@
             count = job.startable
             if count:
                 fitting = self._shard.room_for(job)
-                usable.cpus += min(count, fitting) * job.need.cpus
-                usable.accelerators += min(count, fitting) * job.need.accelerators
+                usable.cpus += min(count, fitting) * job.task_resources.cpus
+                usable.accelerators += min(count, fitting) * job.task_resources.accelerators
         return usable
 
     def _requester_is_older(self, message: QuotaRequest, job: Job) -> bool:
--- a/badgerroute/coordination/shards/summary.py
+++ b/badgerroute/coordination/shards/summary.py
@@ -65,7 +65,7 @@
 ) -> Counter[CapacityKey]:
     return Counter(
         (
-            machine.kind.name,
+            machine.machine_type.name,
             machine.zone,
             machine.spot,
             rounding(resources.cpus),
@@ -129,7 +129,7 @@
     running = {
         job.ref: count
         for job in shard.jobs.values()
-        if (count := sum(placement.running_since is not None for placement in job.placed.values()))
+        if (count := sum(placement.running_since is not None for placement in job.placements.values()))
     }
     return ShardSummary(
         shard=shard.number,
--- a/badgerroute/coordination/shards/urgent_stops.py
+++ b/badgerroute/coordination/shards/urgent_stops.py
@@ -27,7 +27,7 @@
         for job in self._shard.jobs.values():
             if not job.gang and job.owned:
                 continue
-            for placement in job.placed.values():
+            for placement in job.placements.values():
                 if not placement.stopping or placement.stopped_at is not None or placement.phase is Phase.SENT:
                     continue
                 if job.gang:
--- a/badgerroute/coordination/shards/work_stealing.py
+++ b/badgerroute/coordination/shards/work_stealing.py
@@ -73,7 +73,7 @@
                 continue
             if not job.startable or job.blocked_until > now:
                 continue
-            if job.gang and now - job.since > GANG_WAIT_LIMIT and not holds_whole_job(job, capacities):
+            if job.gang and now - job.waiting_since > GANG_WAIT_LIMIT and not holds_whole_job(job, capacities):
                 continue
             shape = _JobShape.of(job)
             if shape not in checked_shapes:
--- a/badgerroute/rebalancing/fetch_rates.py
+++ b/badgerroute/rebalancing/fetch_rates.py
@@ -20,7 +20,7 @@
 
     def record_fetch(self, placement: Placement, duration: timedelta) -> None:
         """Record how long a machine took to fetch a task's image."""
-        machine_type, image_gb = placement.machine.kind, placement.job.spec.image_gb
+        machine_type, image_gb = placement.machine.machine_type, placement.job.spec.image_gb
         if duration <= ZERO or image_gb <= 0:
             return
         nominal = max(machine_type.fetch_gb_per_s, 1e-6)
@@ -33,6 +33,6 @@
 
     def fetch_time(self, job: Job, machine: Machine) -> timedelta:
         """Return the expected time in which a machine fetches a job's image."""
-        if self._counts.get(machine.kind.name, 0) < MIN_MEASUREMENTS:
+        if self._counts.get(machine.machine_type.name, 0) < MIN_MEASUREMENTS:
             return delay_scheduling.fetch_time(job, machine)
-        return timedelta(seconds=job.spec.image_gb / self._rates[machine.kind.name])
+        return timedelta(seconds=job.spec.image_gb / self._rates[machine.machine_type.name])
--- a/badgerroute/rebalancing/moves.py
+++ b/badgerroute/rebalancing/moves.py
@@ -66,14 +66,18 @@
 
     def _could_benefit(self, job: Job, now: timedelta) -> bool:
         """Return whether a job has waited long enough, and waits only for capacity."""
-        if job.failing or now - job.since < HEARTBEATS_BEFORE_MOVE * self._heartbeat or self._shard.short_of_quota(job):
+        if (
+            job.failing
+            or now - job.waiting_since < HEARTBEATS_BEFORE_MOVE * self._heartbeat
+            or self._shard.short_of_quota(job)
+        ):
             return False
         needed = self._tasks_at_once(job)
-        if job.placed and job.gang:
+        if job.placements and job.gang:
             return False
         if any(machine.reserved_for == job.ref for machine in self._shard.machines.values()):
             return False  # a reserved machine will be free soon
-        free = sum(machine.free.times(job.need) for machine in self._planner.candidates(job, now, free=True))
+        free = sum(machine.free.times(job.task_resources) for machine in self._planner.candidates(job, now, free=True))
         return needed > 0 and free < needed
 
     @staticmethod
@@ -90,7 +94,7 @@
         # Without a move, the job would start once as many of these machines as it needs have become free.
         waits_without_move = sorted(option.wait_without_move for option in options)
         wait_avoided = waits_without_move[needed - 1] - self._longest_stop_time(chosen)
-        gain = wait_avoided.total_seconds() * max(job.need.cpus, job.need.accelerators) * needed
+        gain = wait_avoided.total_seconds() * max(job.task_resources.cpus, job.task_resources.accelerators) * needed
         loss = sum(option.loss for option in chosen)
         if gain <= self._settings.move_gain * loss:
             return 0
@@ -133,19 +137,19 @@
         claimed: list[tuple[Machine, Resources]] = []
         loss = 0.0
         for placement in sorted(machine.placements.values(), key=self._min_loss):
-            if available.holds(job.need):
+            if available.holds(job.task_resources):
                 break
             if not self._may_move(placement, job, now):
                 continue
             destination = self._destination(placement, machine, free_resources, now)
             if destination is None:
                 continue
-            free_resources[destination.name].take(placement.job.need)
-            claimed.append((destination, placement.job.need))
+            free_resources[destination.name].take(placement.job.task_resources)
+            claimed.append((destination, placement.job.task_resources))
             victims.append(placement)
-            available.add(placement.job.need)
+            available.add(placement.job.task_resources)
             loss += self._loss(placement, destination)
-        if not victims or not available.holds(job.need):
+        if not victims or not available.holds(job.task_resources):
             for destination, taken in claimed:
                 free_resources[destination.name].add(taken)
             return None
@@ -175,11 +179,11 @@
         fallback: Machine | None = None
         for name, free in free_resources.items():
             candidate = self._shard.machines[name]
-            if candidate is machine or not free.holds(job.need):
+            if candidate is machine or not free.holds(job.task_resources):
                 continue
             if name in job.failed_on or job.no_return_until.get(name, ZERO) > now:
                 continue
-            if not allows(job.spec, candidate.kind.name, candidate.zone, candidate.spot):
+            if not allows(job.spec, candidate.machine_type.name, candidate.zone, candidate.spot):
                 continue
             if job.spec.together and candidate.zone != machine.zone:
                 continue
@@ -197,14 +201,14 @@
     def _min_loss(self, placement: Placement) -> float:
         """Return the CPU-seconds that a move to a machine which caches the image costs."""
         pause = save_time(placement.job) + HEARTBEATS_PER_MOVE * self._heartbeat
-        return pause.total_seconds() * max(placement.job.need.cpus, placement.job.need.accelerators)
+        return pause.total_seconds() * max(placement.job.task_resources.cpus, placement.job.task_resources.accelerators)
 
     def _loss(self, placement: Placement, destination: Machine) -> float:
         job = placement.job
         loss = self._min_loss(placement)
         if job.spec.image not in destination.fetched_images:
             fetch = self._guidance.fetch_time(job, destination)
-            loss += fetch.total_seconds() * max(job.need.cpus, job.need.accelerators)
+            loss += fetch.total_seconds() * max(job.task_resources.cpus, job.task_resources.accelerators)
         return loss
 
     def _longest_stop_time(self, options: list[MoveOption]) -> timedelta:
--- a/badgerroute/rebalancing/shard_guidance.py
+++ b/badgerroute/rebalancing/shard_guidance.py
@@ -60,7 +60,7 @@
         if job.gang:
             return 0.0  # gangs keep their order of arrival: each waits until all of its tasks fit at once
         team = job.spec.team
-        task_usage = job.need.cpus + ACCELERATOR_WEIGHT * job.need.accelerators
+        task_usage = job.task_resources.cpus + ACCELERATOR_WEIGHT * job.task_resources.accelerators
         return (self._usage_of(team) + task_usage) / (self._entitlement(team) * self._urgency(team))
 
     def may_exceed_desire(self, job: Job) -> bool:
--- a/badgerroute/rebalancing/spreading.py
+++ b/badgerroute/rebalancing/spreading.py
@@ -73,7 +73,7 @@
             break
         if not machine.usable or machine.reserved_for is not None:
             continue
-        machine_type = machine.kind
+        machine_type = machine.machine_type
         cpus = min(machine_type.cpus, max(request.cpus_per_task, cpus_left))
         cpus_left -= cpus
         offered.append(
--- a/badgerroute/rebalancing/waits.py
+++ b/badgerroute/rebalancing/waits.py
@@ -124,6 +124,6 @@
     """Return the number of machines in each tenth of CPU utilization, the least utilized first."""
     counts = [0] * 10
     for machine in shard.machines.values():
-        used = 1.0 - machine.free.cpus / machine.kind.cpus if machine.kind.cpus else 0.0
+        used = 1.0 - machine.free.cpus / machine.machine_type.cpus if machine.machine_type.cpus else 0.0
         counts[min(9, max(0, int(used * 10)))] += 1
     return counts
--- a/badgerroute/scheduling/array_placement.py
+++ b/badgerroute/scheduling/array_placement.py
@@ -92,13 +92,13 @@
         It should if all its waiting tasks fit on those that cache its image, until it has waited SHARED_MACHINE_WAIT.
         """
         waiting = job.waiting_bits
-        if not waiting or now - job.requeued.get(lowest(waiting), job.since) > SHARED_MACHINE_WAIT:
+        if not waiting or now - job.requeued.get(lowest(waiting), job.waiting_since) > SHARED_MACHINE_WAIT:
             return False
         remaining = waiting.bit_count()
         for machine in machines:
-            if allows(job.spec, machine.kind.name, machine.zone, machine.spot):
+            if allows(job.spec, machine.machine_type.name, machine.zone, machine.spot):
                 if locality_of(job, machine, self._order.images) is LocalityLevel.CACHED:
-                    remaining -= machine.free.times(job.need)
+                    remaining -= machine.free.times(job.task_resources)
                     if remaining <= 0:
                         return True
         return False
@@ -138,9 +138,11 @@
         With `beyond_desire`, the job may already have its desired slots.
         """
         spec = job.spec
-        if not machine.free.holds(job.need) or not allows(spec, machine.kind.name, machine.zone, machine.spot):
+        if not machine.free.holds(job.task_resources) or not allows(
+            spec, machine.machine_type.name, machine.zone, machine.spot
+        ):
             return False
-        if job.failing and job.placed:
+        if job.failing and job.placements:
             return False
         if machine.name in job.no_return_until and job.no_return_until[machine.name] > now:
             return False
@@ -164,16 +166,16 @@
         return self._rules.allowed_locality(job, machine, job.waited(lowest(waiting), now)) >= locality
 
     def _below_desire(self, job: Job) -> bool:
-        return len(job.placed) < job.desire or self._shard.guidance.may_exceed_desire(job)
+        return len(job.placements) < job.desire or self._shard.guidance.may_exceed_desire(job)
 
     def _begin_desire(self, job: Job, now: timedelta) -> None:
         utilization_feedback.begin(job, now, job.waiting_bits.bit_count(), self._shard.room_for(job))
 
     def _start_next_task(self, job: Job, machine: Machine, now: timedelta, beyond_desire: bool) -> bool:
-        if not machine.free.holds(job.need) or not (beyond_desire or self._below_desire(job)):
+        if not machine.free.holds(job.task_resources) or not (beyond_desire or self._below_desire(job)):
             return False
         waiting = job.waiting_bits
-        if not waiting or (job.failing and job.placed) or not self._rules.zone_allowed(job, machine.zone, 1):
+        if not waiting or (job.failing and job.placements) or not self._rules.zone_allowed(job, machine.zone, 1):
             return False
         if self._order.yields_to_gang(job):
             return False
--- a/badgerroute/scheduling/delay_scheduling.py
+++ b/badgerroute/scheduling/delay_scheduling.py
@@ -58,7 +58,7 @@
 
 def fetch_time(job: Job, machine: Machine) -> timedelta:
     """How long a machine takes to fetch a job's image at the rate of its machine type."""
-    return timedelta(seconds=job.spec.image_gb / max(machine.kind.fetch_gb_per_s, MIN_FETCH_GB_PER_S))
+    return timedelta(seconds=job.spec.image_gb / max(machine.machine_type.fetch_gb_per_s, MIN_FETCH_GB_PER_S))
 
 
 def allowed_locality(
--- a/badgerroute/scheduling/evictions.py
+++ b/badgerroute/scheduling/evictions.py
@@ -31,7 +31,7 @@
 
     def candidates(self, job: Job, now: timedelta, with_free_cpus: bool = False) -> list[Machine]:
         """Machines that may run the job; with `with_free_cpus`, only those with enough free processors for a task."""
-        spec, min_free_cpus = job.spec, job.need.cpus - EPSILON if with_free_cpus else -1.0
+        spec, min_free_cpus = job.spec, job.task_resources.cpus - EPSILON if with_free_cpus else -1.0
         return [
             machine
             for machine in self._shard.machines.values()
@@ -40,7 +40,7 @@
             and machine.avoid_until <= now
             and machine.name not in job.failed_on
             and job.no_return_until.get(machine.name, ZERO) <= now
-            and allows(spec, machine.kind.name, machine.zone, machine.spot)
+            and allows(spec, machine.machine_type.name, machine.zone, machine.spot)
         ]
 
     def may_stop(self, victim: Job, job: Job) -> bool:
@@ -67,7 +67,7 @@
         else:
             run_s = (now - placement.running_since).total_seconds()
             lost_s = min(run_s, spec.save_s + 1.0) if spec.checkpoint_s else run_s
-        tasks = len(placement.job.placed) if spec.gang else 1
+        tasks = len(placement.job.placements) if spec.gang else 1
         return lost_s * max(spec.cpus, MIN_CPUS_COUNTED) * tasks * (1 + placement.job.preemption_count)
 
     def cheapest(self, machine: Machine, job: Job, now: timedelta) -> Eviction | None:
@@ -78,24 +78,26 @@
         """
         # On most machines, the tasks below the job's level use too little to make room for it. The sums per level show
         # this without iterating over the tasks.
-        if not machine.stopping_count and not self.reclaimable_on(machine, job.level + job.guaranteed).holds(job.need):
+        if not machine.stopping_count and not self.reclaimable_on(machine, job.level + job.guaranteed).holds(
+            job.task_resources
+        ):
             return None
         available = machine.free.copy()
         stoppable = []
         for placement in machine.placements.values():
             if placement.stopping:
-                available.add(placement.job.need)
+                available.add(placement.job.task_resources)
             elif placement.phase is not Phase.SENT and self.may_stop(placement.job, job):
                 stoppable.append((self._loss(placement, now), placement.key, placement))
         victims: list[Placement] = []
-        if available.holds(job.need):
+        if available.holds(job.task_resources):
             return Eviction(machine, victims, 0.0)
         total_loss = 0.0
         for loss, _, placement in sorted(stoppable, key=itemgetter(0, 1)):
             victims.append(placement)
             total_loss += loss
-            available.add(placement.job.need)
-            if available.holds(job.need):
+            available.add(placement.job.task_resources)
+            if available.holds(job.task_resources):
                 return Eviction(machine, victims, total_loss)
         return None
 
@@ -124,7 +126,7 @@
         """
         cpus_by_image: dict[str, list[float]] = {}
         for machine, resources in self.reclaimable_by_machine(level):
-            if 2 * resources.cpus >= machine.kind.cpus:
+            if 2 * resources.cpus >= machine.machine_type.cpus:
                 for image in machine.images:
                     cpus_by_image.setdefault(image, []).append(resources.cpus)
         return {image: sorted(cpus, reverse=True)[:max_machines] for image, cpus in cpus_by_image.items()}
--- a/badgerroute/scheduling/failures.py
+++ b/badgerroute/scheduling/failures.py
@@ -60,7 +60,9 @@
         """
         if job.failing or job.done | job.done_here:
             return job.failing
-        running = {placement.machine.name for placement in job.placed.values() if placement.running_since is not None}
+        running = {
+            placement.machine.name for placement in job.placements.values() if placement.running_since is not None
+        }
         return len(job.failed_on) >= FAILING_AFTER_MACHINES and len(job.failed_on) > len(running - job.failed_on.keys())
 
     def _jobs_failing_only_on(self, machine: Machine) -> int:
@@ -104,7 +106,7 @@
                 self._quarantine(other, events)
 
     def _quarantine(self, machine: Machine, events: Events) -> None:
-        if not machine.draining:
-            machine.draining = True
+        if not machine.quarantined:
+            machine.quarantined = True
             events.quarantined.append(machine)
             log.info("event=machine_quarantined machine=%s jobs=%d", machine.name, len(machine.failed_jobs))
--- a/badgerroute/scheduling/gang_placement.py
+++ b/badgerroute/scheduling/gang_placement.py
@@ -67,7 +67,7 @@
         self._order.refresh(now)
         placed = 0
         for job in self._order.jobs:
-            if job.gang and not job.placed and machine.free.holds(job.need) and job.waiting_bits:
+            if job.gang and not job.placements and machine.free.holds(job.task_resources) and job.waiting_bits:
                 if machine.reserved_for not in (None, job.ref):
                     continue
                 if out_of_time():
@@ -81,7 +81,7 @@
         if not self._shard.reconciled:
             return 0
         self._order.refresh(now)
-        waiting = [job for job in self._order.jobs if job.gang and not job.placed and job.waiting_bits]
+        waiting = [job for job in self._order.jobs if job.gang and not job.placements and job.waiting_bits]
         if self._cursor >= len(waiting):
             self._cursor = 0
         placed = 0
@@ -99,7 +99,7 @@
         if self._lacks_quota(job, tasks):
             self._rules.record_shortfall(job, tasks)
             return False
-        wait = now - job.since
+        wait = now - job.waiting_since
         options, blocked_by_locality = self._find_options(job, wait, now)
         chosen = self._choose_machines(job, tasks, options)
         if chosen is None:
@@ -116,7 +116,7 @@
         options: list[_Option] = []
         blocked_by_locality = False
         for machine in self._evictions.candidates(job, now, with_free_cpus=True):
-            if not machine.free.holds(job.need) or machine.reserved_for not in (None, job.ref):
+            if not machine.free.holds(job.task_resources) or machine.reserved_for not in (None, job.ref):
                 continue
             locality = locality_of(job, machine, self._order.images)
             if locality > self._rules.allowed_locality(job, machine, wait):
@@ -174,7 +174,7 @@
         per_zone: dict[str, int] = {}
         max_per_zone = (job.spec.tasks + 1) // 2 if job.spec.spread else tasks
         for machine in machines:
-            for _ in range(machine.free.times(job.need)):
+            for _ in range(machine.free.times(job.task_resources)):
                 if len(chosen) == tasks:
                     return chosen
                 if per_zone.get(machine.zone, 0) >= max_per_zone:
@@ -203,7 +203,7 @@
         for machine in self._evictions.candidates(job, now):
             if job.spec.image in machine.images and machine.reserved_for in (None, job.ref):
                 eviction = self._evictions.cheapest(machine, job, now)
-                if eviction is not None and eviction.loss <= job.need.cpus * fetch.total_seconds():
+                if eviction is not None and eviction.loss <= job.task_resources.cpus * fetch.total_seconds():
                     options.append(eviction)
         return self._preemption.evict_for_gang(job, tasks, options, now)
 
@@ -214,11 +214,11 @@
             job
             for job in self._order.jobs
             if job.gang
-            and not job.placed
+            and not job.placements
             and not job.failing
             and job.ref not in holders
             and job.waiting_bits
-            and now - job.since >= self._preemption.wait_before_preemption(job)
+            and now - job.waiting_since >= self._preemption.wait_before_preemption(job)
             and not self._lacks_quota(job, job.spec.tasks)  # other shards could not place it either
         ]
 
--- a/badgerroute/scheduling/heartbeat_reconciliation.py
+++ b/badgerroute/scheduling/heartbeat_reconciliation.py
@@ -92,7 +92,11 @@
         machine = message.machine
         self._shard.lose_tasks(machine, message.now)
         message.events.capacity_freed = True
-        if message.periodic and machine.answered is not None and message.now - machine.answered < self._shard.lease:
+        if (
+            message.periodic
+            and machine.last_response_at is not None
+            and message.now - machine.last_response_at < self._shard.lease
+        ):
             self._mark_unreachable(machine)  # its lease expired despite a recent response, so responses don't arrive
 
     def _mark_unreachable(self, machine: Machine) -> None:
@@ -219,7 +223,7 @@
         if job is None and self._shard.undecided(task.ref):
             self._keep_undecided(machine, task)
             return None
-        if job is None or not job.owned >> task.number & 1 or task.number in job.placed:
+        if job is None or not job.owned >> task.number & 1 or task.number in job.placements:
             log.info("event=task_orphaned machine=%s task=%s", machine.name, task.task)
             machine.orphans.add(task)
             return None
--- a/badgerroute/scheduling/lease_expiry.py
+++ b/badgerroute/scheduling/lease_expiry.py
@@ -30,10 +30,10 @@
 
     A newer leader may have renewed the lease since; `expire_leases` takes this into account.
     """
-    if machine.fenced and machine.answered is not None:
-        return machine.answered + lease
+    if machine.fenced and machine.last_response_at is not None:
+        return machine.last_response_at + lease
     # A former leader may have renewed the lease until its own grace period ended.
-    return max(shard.led_since + grace, machine.answered or ZERO, machine.joined) + lease
+    return max(shard.led_since + grace, machine.last_response_at or ZERO, machine.joined_at) + lease
 
 
 def _mark_lost(shard: ShardState, machine: Machine, now: timedelta) -> None:
--- a/badgerroute/scheduling/model.py
+++ b/badgerroute/scheduling/model.py
@@ -68,10 +68,10 @@
 
     name: str
     address: str
-    kind: MachineType
+    machine_type: MachineType
     zone: str
     spot: bool
-    joined: timedelta
+    joined_at: timedelta
     free: Resources  # its capacity less the resources of its placements
     allocated_by_level: dict[int, Resources] = field(default_factory=dict)  # job level -> resources of the tasks
     stopping_count: int = 0  # placements that are stopping (`Placement.stopping`)
@@ -81,8 +81,8 @@
     sequence: int = -1
     alive: bool = False  # it sends heartbeats, and its lease has not expired
     last_message_at: timedelta | None = None  # when its last heartbeat or response to a direct command arrived
-    last_heartbeat: timedelta | None = None  # when its last heartbeat arrived that was not forwarded by a peer
-    answered: timedelta | None = None  # when this controller last responded to one of its heartbeats
+    last_heartbeat_at: timedelta | None = None  # when its last heartbeat arrived that was not forwarded by a peer
+    last_response_at: timedelta | None = None  # when this controller last responded to one of its heartbeats
     preemption_notice: timedelta | None = None  # when the cloud provider will reclaim it, if that was announced
     last_task_list: list[TaskStatus] | None = None  # None: read the next list even if it is unchanged
 
@@ -109,7 +109,7 @@
     fetched_images: set[str] = field(default_factory=set)  # the subset of `images` whose fetch has certainly ended
 
     # Placement
-    draining: bool = False  # it was quarantined after failures, so no task is started on it
+    quarantined: bool = False  # it was quarantined after failures, so no task is started on it
     drain_deadline: timedelta | None = None  # while it drains: when it must be empty; no task is started on it
     reserved_for: str | None = None  # the job for which its free capacity is reserved
     reserved_until: timedelta | None = None
@@ -122,7 +122,7 @@
         return (
             self.alive
             and self.fenced
-            and not self.draining
+            and not self.quarantined
             and self.drain_deadline is None
             and not self.unreachable
             and self.preemption_notice is None
@@ -141,7 +141,7 @@
         self.images.pop(image, None)
         self.images[image] = size_gb
         total = sum(self.images.values())
-        while total > self.kind.cache_gb and len(self.images) > 1:
+        while total > self.machine_type.cache_gb and len(self.images) > 1:
             oldest = next(iter(self.images))
             total -= self.images.pop(oldest)
             self.fetched_images.discard(oldest)
@@ -177,16 +177,16 @@
     done: int  # bit set: the tasks, of any shard, that are recorded as done
     # An array's task may start only if its number is less than the number of the first task not done plus this.
     start_window: int
-    need: Resources  # resources that each task uses
-    since: timedelta  # when its tasks began to wait in this shard
+    task_resources: Resources  # resources that each task uses
+    waiting_since: timedelta  # when its tasks began to wait in this shard
     done_here: int = 0  # bit set: tasks reported as done in this shard, but not yet recorded as done
     in_transfer: int = 0  # bit set: given to another shard by a write whose outcome is unknown; not to be started
-    placed: dict[int, Placement] = field(default_factory=dict)  # by task number
-    placed_bits: int = 0  # bit set: the keys of `placed`
+    placements: dict[int, Placement] = field(default_factory=dict)  # by task number
+    placed_bits: int = 0  # bit set: the keys of `placements`
     requeued: dict[int, timedelta] = field(default_factory=dict)  # task number -> when it last returned to the queue
     gang: bool = False
     gang_attempt: int | None = None  # the attempt number that all tasks of a gang share
-    written: timedelta = -timedelta(days=1)  # when its progress was last written to the key-value store
+    progress_written_at: timedelta = -timedelta(days=1)  # when its progress was last written to the key-value store
 
     # Order of service
     level: int = 0  # its priority level, or a higher one inherited from a downstream job
@@ -245,7 +245,7 @@
         """The number of tasks that may start now: all that wait, but one at a time of an array marked as failing."""
         count = self.waiting_bits.bit_count()
         if self.failing and not self.gang:
-            return min(count, 0 if self.placed else 1)
+            return min(count, 0 if self.placements else 1)
         return count
 
     @property
@@ -255,24 +255,24 @@
         It may not while tasks are done but not yet recorded as done, since they would run again. Nor may it while tasks
         are in transfer to another shard, when `owned` may be empty for a moment.
         """
-        return not self.owned and not self.placed and not self.done_here and not self.in_transfer
+        return not self.owned and not self.placements and not self.done_here and not self.in_transfer
 
     def waited(self, index: int, now: timedelta) -> timedelta:
-        """How long a task has waited: since it last returned to the queue or, if it never did, since `since`."""
-        return now - self.requeued.get(index, self.since)
+        """How long a task has waited: since it last returned to the queue or, if it never did, since `waiting_since`."""
+        return now - self.requeued.get(index, self.waiting_since)
 
     def place(self, placement: Placement) -> None:
         """Record the placement of a task."""
-        self.placed[placement.index] = placement
+        self.placements[placement.index] = placement
         self.placed_bits |= 1 << placement.index
         self.requeued.pop(placement.index, None)
 
     def unplace(self, index: int) -> None:
         """Record that a task is on no machine."""
-        self.placed.pop(index, None)
+        self.placements.pop(index, None)
         self.placed_bits &= ~(1 << index)
 
     def zones(self) -> Iterator[str]:
         """Yield the zone of each placement, so a zone appears once for every task in it."""
-        for placement in self.placed.values():
+        for placement in self.placements.values():
             yield placement.machine.zone
--- a/badgerroute/scheduling/placement_rules.py
+++ b/badgerroute/scheduling/placement_rules.py
@@ -52,5 +52,5 @@
     def record_shortfall(self, job: Job, tasks: int) -> None:
         """Record that a job's team lacks quota in this shard: it needs at least enough for `tasks` tasks of the job."""
         shortfall = self.quota_shortfalls.setdefault(job.spec.team, Resources())
-        shortfall.cpus = max(shortfall.cpus, job.need.cpus * tasks)
-        shortfall.accelerators = max(shortfall.accelerators, job.need.accelerators * tasks)
+        shortfall.cpus = max(shortfall.cpus, job.task_resources.cpus * tasks)
+        shortfall.accelerators = max(shortfall.accelerators, job.task_resources.accelerators * tasks)
--- a/badgerroute/scheduling/planner.py
+++ b/badgerroute/scheduling/planner.py
@@ -147,12 +147,12 @@
                     WaitingDemand(
                         job.ref,
                         job.spec.team,
-                        job.need,
+                        job.task_resources,
                         count,
                         job.spec.gang,
                         job.level,
                         job.guaranteed,
-                        now - job.since,
+                        now - job.waiting_since,
                         job,
                     )
                 )
@@ -165,15 +165,15 @@
         """
         total = 0.0
         for job in self.shard.jobs.values():
-            if job.gang or not job.placed:
+            if job.gang or not job.placements:
                 continue
             run = delay_scheduling.run_time(job, self.shard.estimates.correction(job.spec.job_class))
             latest_starts: dict[str, timedelta] = {}  # machine type -> tasks that began to run earlier will end in time
-            for placement in job.placed.values():
+            for placement in job.placements.values():
                 running_since = placement.running_since
                 if running_since is None:
                     continue
-                machine_type = placement.machine.kind
+                machine_type = placement.machine.machine_type
                 latest_start = latest_starts.get(machine_type.name)
                 if latest_start is None:
                     startup = timedelta(seconds=machine_type.boot_s) + delay_scheduling.fetch_time(
@@ -181,5 +181,5 @@
                     )
                     latest_start = latest_starts[machine_type.name] = now + startup - run
                 if running_since < latest_start:
-                    total += job.need.cpus
+                    total += job.task_resources.cpus
         return total
--- a/badgerroute/scheduling/preemption.py
+++ b/badgerroute/scheduling/preemption.py
@@ -55,7 +55,7 @@
 
     def preempt_for_gang(self, job: Job, tasks: int, now: timedelta) -> None:
         """Make room for a gang with the evictions of least loss, if it has waited for `wait_before_preemption`."""
-        if now - job.since < self.wait_before_preemption(job):
+        if now - job.waiting_since < self.wait_before_preemption(job):
             return
         options: list[Eviction] = []
         for machine in self._evictions.candidates(job, now):
@@ -124,16 +124,16 @@
         The result is 0 if the array may not preempt, for example because it has not waited long enough.
         """
         min_wait = self.wait_before_preemption(job)
-        if job.gang or job.failing or now - job.since < min_wait or self._order.yields_to_gang(job):
+        if job.gang or job.failing or now - job.waiting_since < min_wait or self._order.yields_to_gang(job):
             return 0
         waiting = job.waiting_bits
-        if not waiting or now - min(job.requeued.get(lowest(waiting), job.since), now) < min_wait:
+        if not waiting or now - min(job.requeued.get(lowest(waiting), job.waiting_since), now) < min_wait:
             return 0
         wanted = min(waiting.bit_count(), self._shard.fits_quota(job, limit), limit)
         for machine in self._evictions.candidates(job, now, with_free_cpus=True):
             if wanted <= 0:
                 break
-            wanted -= machine.free.times(job.need)
+            wanted -= machine.free.times(job.task_resources)
         return wanted
 
     def _preempt_for_array(self, job: Job, wanted: int, now: timedelta) -> int:
--- a/badgerroute/scheduling/quota_ledger.py
+++ b/badgerroute/scheduling/quota_ledger.py
@@ -43,8 +43,8 @@
     def add(self, job: Job) -> None:
         """Add the usage of one task of a job when it is placed."""
         used = self.usage[job.spec.team]
-        used.cpus += job.need.cpus
-        used.accelerators += job.need.accelerators
+        used.cpus += job.task_resources.cpus
+        used.accelerators += job.task_resources.accelerators
         used.tasks += 1
 
     def remove(self, job: Job) -> None:
@@ -52,8 +52,8 @@
         used = self.usage[job.spec.team]
         used.tasks -= 1
         if used.tasks:
-            used.cpus -= job.need.cpus
-            used.accelerators -= job.need.accelerators
+            used.cpus -= job.task_resources.cpus
+            used.accelerators -= job.task_resources.accelerators
         else:
             used.cpus = used.accelerators = 0.0  # discards accumulated rounding errors
 
@@ -66,7 +66,7 @@
             cpus, accelerators = cpus - reserved.cpus, accelerators - reserved.accelerators
         used = self.usage[team]
         unused = Resources(cpus - used.cpus, accelerators - used.accelerators)
-        return max(0, min(tasks, unused.times(Resources(job.need.cpus, job.need.accelerators))))
+        return max(0, min(tasks, unused.times(Resources(job.task_resources.cpus, job.task_resources.accelerators))))
 
     def reserve_for_peer(self, team: str, resources: Resources, until: timedelta) -> None:
         """Reserve a team's quota for another shard: quota that tasks free when they end is not used in this one."""
--- a/badgerroute/scheduling/service_order.py
+++ b/badgerroute/scheduling/service_order.py
@@ -44,9 +44,9 @@
         self.jobs = waiting
         self._gangs_lacking_quota = {}
         for job in waiting:
-            if job.gang and not job.placed and not job.failing and self._shard.short_of_quota(job):
+            if job.gang and not job.placements and not job.failing and self._shard.short_of_quota(job):
                 self._gangs_lacking_quota.setdefault(job.spec.team, []).append(job)
-        needs = [job.need for job in waiting if not job.gang]
+        needs = [job.task_resources for job in waiting if not job.gang]
         self.least_need = Resources(
             min((need.cpus for need in needs), default=inf), 0.0, min((need.memory_gb for need in needs), default=inf)
         )
@@ -87,5 +87,5 @@
 
     def share_key(self, job: Job) -> tuple[float, float]:
         """Sort key within a group: the precedence given by guidance, then the share of the shard that the job uses."""
-        held = len(job.placed) * (job.need.cpus + CPUS_PER_ACCELERATOR * job.need.accelerators)
+        held = len(job.placements) * (job.task_resources.cpus + CPUS_PER_ACCELERATOR * job.task_resources.accelerators)
         return self._shard.guidance.precedence(job), held
--- a/badgerroute/scheduling/shard.py
+++ b/badgerroute/scheduling/shard.py
@@ -136,7 +136,7 @@
     def _update_job(self, job: Job, owned: int, done: int, now: timedelta) -> Job | None:
         """Apply changed bit sets of owned and done tasks. Return None if the shard no longer needs the job."""
         if owned & ~job.owned and not job.waiting_bits:
-            job.since = now
+            job.waiting_since = now
         job.owned = owned
         job.done |= done
         job.done_here &= ~job.done
@@ -150,10 +150,10 @@
         """Set the level at which a job is scheduled: its own, or one inherited from a downstream job."""
         if level == job.level:
             return
-        for placement in job.placed.values():
+        for placement in job.placements.values():
             allocated = placement.machine.allocated_by_level
-            allocated[job.level].take(job.need)
-            allocated.setdefault(level, Resources()).add(job.need)
+            allocated[job.level].take(job.task_resources)
+            allocated.setdefault(level, Resources()).add(job.task_resources)
         job.level = level
 
     def drop_job(self, ref: str) -> None:
@@ -162,12 +162,12 @@
         if job is None:
             return
         job.owned = job.in_transfer = job.done_here = 0
-        for placement in list(job.placed.values()):
+        for placement in list(job.placements.values()):
             if placement.phase is Phase.RESERVED:
                 self.remove_placement(placement)
             else:
                 self.stop(placement, ZERO)
-        if not job.placed:
+        if not job.placements:
             self.jobs.pop(ref, None)
 
     # -- placements
@@ -197,11 +197,11 @@
     def room_for(self, job: Job) -> int:
         """How many tasks of a job fit in the free capacity of the machines that it may use."""
         return sum(
-            machine.free.times(job.need)
+            machine.free.times(job.task_resources)
             for machine in self.machines.values()
             if machine.usable
             and machine.reserved_for in (None, job.ref)
-            and allows(job.spec, machine.kind.name, machine.zone, machine.spot)
+            and allows(job.spec, machine.machine_type.name, machine.zone, machine.spot)
         )
 
     def place(self, job: Job, index: int, attempt: int, machine: Machine, now: timedelta, phase: Phase) -> Placement:
@@ -210,8 +210,8 @@
         if phase is Phase.RESERVED:
             self.guidance.task_placed(job, now - job.requeued.get(index, job.accepted), now)
         machine.placements[placement.key] = placement
-        machine.free.take(job.need)
-        machine.allocated_by_level.setdefault(job.level, Resources()).add(job.need)
+        machine.free.take(job.task_resources)
+        machine.allocated_by_level.setdefault(job.level, Resources()).add(job.task_resources)
         machine.idle_since = None
         job.place(placement)
         self.quota.add(job)
@@ -222,16 +222,16 @@
         machine, job = placement.machine, placement.job
         if machine.placements.pop(placement.key, None) is None:
             return
-        machine.free.add(job.need)
-        machine.allocated_by_level[job.level].take(job.need)
+        machine.free.add(job.task_resources)
+        machine.allocated_by_level[job.level].take(job.task_resources)
         machine.stopping_count -= placement.stopping
         machine.drop_unfetched_image(job.spec.image)
         job.unplace(placement.index)
         self.quota.remove(job)
         if not machine.placements:
-            machine.free = capacity_of(machine.kind)
+            machine.free = capacity_of(machine.machine_type)
             machine.allocated_by_level.clear()
-        if not job.placed:
+        if not job.placements:
             job.gang_attempt = None
             if job.can_be_dropped:
                 self.jobs.pop(job.ref, None)
@@ -242,12 +242,12 @@
         job = placement.job
         if not (job.done | job.done_here) >> placement.index & 1:
             job.requeued[placement.index] = now
-        if job.spec.gang and job.placed:
+        if job.spec.gang and job.placements:
             self.stop_gang(job, ZERO)
 
     def stop_gang(self, job: Job, grace: timedelta) -> None:
         """Stop all placed tasks of a gang: without one of them, the others can't make progress."""
-        for placement in list(job.placed.values()):
+        for placement in list(job.placements.values()):
             self.stop(placement, grace)
 
     def stop(self, placement: Placement, grace: timedelta) -> None:
--- a/badgerroute/scheduling/stealing.py
+++ b/badgerroute/scheduling/stealing.py
@@ -39,7 +39,7 @@
     def choose(self, job: Job) -> int:
         """Choose waiting tasks of a job to give to the other shard, as a bit set."""
         same_shard = job.gang or job.spec.together or job.spec.spread
-        if same_shard and job.placed:
+        if same_shard and job.placements:
             return 0  # its tasks must all be in one shard, since its constraints apply to them together
         # `room_for` counts only machines that the job may use, so tasks don't stay in a shard that can never run them.
         waiting = job.waiting_bits
@@ -47,7 +47,7 @@
         wanted = waiting.bit_count() - (0 if same_shard else min(fitting_here, waiting.bit_count()))
         if same_shard and fitting_here >= wanted:
             return 0
-        if job.spec.image not in self._images and self._now - job.since < UNCACHED_WAIT:
+        if job.spec.image not in self._images and self._now - job.waiting_since < UNCACHED_WAIT:
             return 0
         fitting, used = self._fitting_offers(job, wanted)
         # An array whose tasks must all be in one shard can run a few of them at a time. If none fits in this shard, the
@@ -73,7 +73,7 @@
                 continue
             if not allows(job.spec, capacity.type, capacity.zone, capacity.spot):
                 continue
-            tasks_per_machine = free_resources_of(capacity).times(job.need)
+            tasks_per_machine = free_resources_of(capacity).times(job.task_resources)
             if not tasks_per_machine:
                 continue
             machines = min(offer.machines_left, -(-(wanted - fitting) // tasks_per_machine))
--- a/badgerroute/scheduling/task_exits.py
+++ b/badgerroute/scheduling/task_exits.py
@@ -68,11 +68,11 @@
         job = placement.job
         return (
             job.gang
-            and len(job.placed) == job.spec.tasks  # waiting for an incomplete gang is useless
+            and len(job.placements) == job.spec.tasks  # waiting for an incomplete gang is useless
             and placement.gang_wait_restarts < MAX_GANG_WAIT_RESTARTS
             and placement.machine.usable
             and placement.attempt == job.gang_attempt
-            and not any(other.stopping or other.running_since is not None for other in job.placed.values())
+            and not any(other.stopping or other.running_since is not None for other in job.placements.values())
         )
 
     def _process_completion(self, message: TaskListMessage, job: Job, index: int, placement: Placement | None) -> None:
--- a/badgerroute/scheduling/utilization_feedback.py
+++ b/badgerroute/scheduling/utilization_feedback.py
@@ -37,7 +37,7 @@
     `waiting` is the number of its waiting tasks.
     """
     job.samples += 1
-    in_use = len(job.placed)
+    in_use = len(job.placements)
     job.used_slots_sum += in_use
     job.granted_slots_sum += min(job.desire, in_use + (0 if waiting else job.desire))
     job.starved = job.starved or waiting > 0
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -58,7 +58,7 @@
         record = MachineRecord(0, "m:1", "k8", "ab"[number % 2], False)
         machine = made.add_machine(f"host-{number}", record, KIND, timedelta(0))
         machine.alive = machine.fenced = True
-        machine.incarnation, machine.sequence, machine.answered = 1, 0, timedelta(0)
+        machine.incarnation, machine.sequence, machine.last_response_at = 1, 0, timedelta(0)
     made.reconciled = True
     return made
 
@@ -126,11 +126,11 @@
     target.machines["host-0"].touch_image("img-1", 5.0)
     planner = Planner(target, Scheduling(), Objectives([]))
     assert planner.fill(target.machines["host-0"], 1 * S, never) == 4
-    assert (len(near.placed), len(far.placed)) == (4, 0)
+    assert (len(near.placements), len(far.placements)) == (4, 0)
     target = shard(1)
     one, two = add(target, submission("run-one")), add(target, submission("run-two"))
     Planner(target, Scheduling(), Objectives([])).fill(target.machines["host-0"], 1 * S, never)
-    assert (len(one.placed), len(two.placed)) == (2, 2)
+    assert (len(one.placements), len(two.placements)) == (2, 2)
 
 
 def test_round_out_of_time_goes_on_where_it_stopped() -> None:
@@ -168,8 +168,8 @@
     target = shard(2, share)
     job = add(target, submission(kind="group", **changes))
     Planner(target, Scheduling(), Objectives([])).gangs(1 * S, never)
-    assert len(job.placed) == placed
-    zones = [one.machine.zone for one in job.placed.values()]
+    assert len(job.placements) == placed
+    zones = [one.machine.zone for one in job.placements.values()]
     if changes.get("spread"):
         assert sorted(zones) == ["a", "b"]
     if changes.get("together") or changes.get("zone"):
@@ -194,7 +194,7 @@
     gang = add(target, submission("run-g", kind="group", tasks=1, cpus=8.0, priority=Priority.URGENT))
     gang.guaranteed = guaranteed
     Planner(target, Scheduling(), Objectives([])).gangs(200 * S, never)
-    assert running.placed[0].stopping is stopped
+    assert running.placements[0].stopping is stopped
 
 
 def test_room_for_a_gang_is_made_once() -> None:
@@ -213,8 +213,8 @@
         target.machines[name].alive = True
         target.place(lesser, number + 2, 2, target.machines[name], 201 * S, Phase.FETCHING)
     planner.gangs(201 * S, never)
-    assert not gang.placed
-    assert {one.machine.name for one in lesser.placed.values() if one.stopping} == {"host-2", "host-3"}
+    assert not gang.placements
+    assert {one.machine.name for one in lesser.placements.values() if one.stopping} == {"host-2", "host-3"}
 
 
 def test_gang_that_was_stopped_is_dearer_to_stop() -> None:
@@ -226,7 +226,7 @@
     other = add(target, submission("run-g", kind="group", tasks=1, cpus=8.0))
     other.guaranteed = True
     Planner(target, Scheduling(), Objectives([])).gangs(200 * S, never)
-    assert [gang.placed[0].stopping for gang in gangs] == [False, True]
+    assert [gang.placements[0].stopping for gang in gangs] == [False, True]
 
 
 # -- which shard gets what
@@ -327,7 +327,7 @@
     target.machines["host-0"].touch_image("img-2", 5.0)  # its image is here, and still it waits
     planner = Planner(target, Scheduling(), Objectives([]))
     assert planner.fill(target.machines["host-0"], 100 * S, never) == 4
-    assert [len(job.placed) for job in (near, far)] == ([4, 0] if first == "run-near" else [0, 4])
+    assert [len(job.placements) for job in (near, far)] == ([4, 0] if first == "run-near" else [0, 4])
 
 
 # -- what messages prove
@@ -370,7 +370,7 @@
     target = shard(1)
     job = started(target)
     target.on_heartbeat(target.machines["host-0"], heartbeat(sequence, tasks, incarnation=incarnation), periodic, 2 * S)
-    assert (0 in job.placed) is still_placed
+    assert (0 in job.placements) is still_placed
     assert target.usage["blue"].cpus == (2.0 if still_placed else 0.0)
 
 
@@ -407,19 +407,19 @@
 
 
 def set_running(gang: Job) -> None:
-    gang.placed[1].running_since = S
+    gang.placements[1].running_since = S
 
 
 def set_stopping(gang: Job) -> None:
-    gang.placed[1].grace = timedelta(0)
+    gang.placements[1].grace = timedelta(0)
 
 
 def set_tired(gang: Job) -> None:
-    gang.placed[0].gang_wait_restarts = 1000
+    gang.placements[0].gang_wait_restarts = 1000
 
 
 def set_draining(gang: Job) -> None:
-    gang.placed[0].machine.draining = True
+    gang.placements[0].machine.quarantined = True
 
 
 @pytest.mark.parametrize(
@@ -444,10 +444,10 @@
     assert [one.kind for one in sent] == commands
     assert {one.attempt for one in sent} == {99}
     if "start" in commands:
-        assert not gang.placed[1].stopping
+        assert not gang.placements[1].stopping
         assert target.usage["blue"].cpus == 4.0, "it counts as on its machine all the time"
     else:
-        assert 0 not in gang.placed and all(one.stopping for one in gang.placed.values())
+        assert 0 not in gang.placements and all(one.stopping for one in gang.placements.values())
 
 
 @pytest.mark.parametrize(
@@ -469,7 +469,7 @@
     target.on_heartbeat(machine, heartbeat(1, [ALONE]), True, 30 * S)
     target.commands(machine, 30 * S, starts=True)
     fresh = target.on_heartbeat(machine, heartbeat(sequence, [task]), periodic, 31 * S)
-    assert 0 in gang.placed, "it may be on its machine"
+    assert 0 in gang.placements, "it may be on its machine"
     assert [one.kind for one in target.commands(machine, 31 * S, starts=True) if fresh and periodic] == commands
 
 
@@ -512,7 +512,7 @@
     job = started(target)
     tasks = [TaskStatus("run-1/0", 5, "running"), TaskStatus("run-1/0", 99, "exited", "in_use")]
     target.on_heartbeat(target.machines["host-0"], heartbeat(2, tasks), True, 2 * S)
-    assert 0 in job.placed and job.placed[0].attempt == 5
+    assert 0 in job.placements and job.placements[0].attempt == 5
 
 
 def test_lower_token_is_no_last_word() -> None:
@@ -538,7 +538,7 @@
 def test_silent_machines(answered: float | None, fenced: bool, grace: float, now: float, lost: bool) -> None:
     target = shard(1)
     machine = target.machines["host-0"]
-    machine.answered = None if answered is None else answered * S
+    machine.last_response_at = None if answered is None else answered * S
     machine.fenced = fenced
     assert bool(target.expire(now * S + S, now * S, 11 * S, grace * S)) is lost
 
@@ -579,7 +579,7 @@
         target.commands(machine, now, starts=True)
         ended = TaskStatus(f"{ref}/{number}", number, "exited", cause)
         target.on_heartbeat(machine, heartbeat(2 * number + 2, [ended]), True, now)
-    assert {one.name for one in target.machines.values() if one.draining} == drained
+    assert {one.name for one in target.machines.values() if one.quarantined} == drained
     assert target.jobs["run-1"].failing is failing
     assert target.jobs["run-1"].startable == (1 if failing else target.jobs["run-1"].waiting_bits.bit_count())
 
@@ -605,10 +605,10 @@
     machine = target.machines["host-0"]
     job = started(target)
     target.on_heartbeat(machine, heartbeat(2, [RUNNING]), True, 2 * S)
-    before = (dict(job.placed), job.done_here, machine.fenced, machine.alive, machine.sequence, job.waiting_bits)
+    before = (dict(job.placements), job.done_here, machine.fenced, machine.alive, machine.sequence, job.waiting_bits)
     assert target.on_heartbeat(machine, heartbeat(sequence, tasks, fencing_token, incarnation), True, 20 * S) is None
     assert (
-        dict(job.placed),
+        dict(job.placements),
         job.done_here,
         machine.fenced,
         machine.alive,
@@ -623,10 +623,10 @@
     machine = target.machines["host-0"]
     job = started(target)
     target.on_heartbeat(machine, heartbeat(2, [RUNNING]), True, 2 * S)
-    machine.answered = 2 * S
+    machine.last_response_at = 2 * S
     assert target.expire(20 * S, 20 * S, 11 * S, 5 * S) == [machine]
     assert target.on_heartbeat(machine, heartbeat(9, [RUNNING]), True, 21 * S) is None
-    assert not machine.alive and not job.placed and job.waiting_bits == 1
+    assert not machine.alive and not job.placements and job.waiting_bits == 1
     assert target.on_heartbeat(machine, heartbeat(10, [], incarnation=2), True, 22 * S) is not None
     assert machine.usable
 
@@ -644,10 +644,10 @@
     target = shard(1)
     machine = target.machines["host-0"]
     job = started(target)
-    machine.answered = 1 * S
+    machine.last_response_at = 1 * S
     for sequence, incarnation, tasks in heartbeats:
         target.on_heartbeat(machine, heartbeat(sequence, tasks, incarnation=incarnation), True, sequence * S)
-        if not job.placed and machine.usable:
+        if not job.placements and machine.usable:
             target.place(job, 0, 99, machine, sequence * S, Phase.RESERVED)
             target.commands(machine, sequence * S, starts=True)
     assert machine.unreachable is unreachable and machine.usable is not unreachable
@@ -725,7 +725,7 @@
     planner = Planner(target, Scheduling(), Objectives([]))
     assert planner.fill(other, 2 * S, never) == 0
     assert target.on_heartbeat(machine, heartbeat(2, [RUNNING]), True, 2 * S) is not None
-    assert target.reconcile() and machine.usable and job.placed[0].machine is machine
+    assert target.reconcile() and machine.usable and job.placements[0].machine is machine
     done = TaskStatus(RUNNING.task, RUNNING.attempt, "exited", "done")
     undecided.add("run-2")
     other_done = TaskStatus("run-2/0", 5, "exited", "done")
@@ -739,7 +739,7 @@
     machines = list(target.machines.values())
     for index, (machine, phase) in enumerate(zip(machines, (Phase.RUNNING, Phase.FETCHING, Phase.SENT), strict=False)):
         target.place(job, index, 99, machine, 0 * S, phase)
-    machines[1].reserved_for, machines[2].draining = "run-9", True
+    machines[1].reserved_for, machines[2].quarantined = "run-9", True
     use = cpu_usage(target)
     assert use == CpuUsage(running=2, fetching=2, starting=2, beside=6, held=6, unusable=6, empty=8)
     assert str(use).startswith("running=2 starting=2 fetching=2 waiting=0")
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -618,7 +618,7 @@
                 moved = msgspec.structs.replace(record, ranges=[TaskRange(thief, 0, one.spec.tasks)])
                 day.loop.run(day.loop.spawn(leader.job_transfers.write([Reassignment(one.ref, moved)], thief), "give"))
                 assert controller.jobs.store.active[one.ref].ranges == record.ranges
-                tried += bool(one.placed)
+                tried += bool(one.placements)
     assert tried
     assert day.finish() == []
     assert day.rules.broken == []
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -252,7 +252,7 @@
     for number in range(machines):
         machine = shard.add_machine(f"host-{number}", records.MachineRecord(0, "m:1", "k8", "a", False), kind, SECOND)
         machine.alive = machine.fenced = True
-        machine.incarnation, machine.answered = 1, SECOND
+        machine.incarnation, machine.last_response_at = 1, SECOND
     shard.reconciled = True
     for ref, count in (("run-on", 8 * machines), ("run-waits", 50)):
         spec = parse_submission(json.dumps(job(ref, heads=count)).encode())
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -348,7 +348,7 @@
 
 def test_offered_capacity_is_what_was_asked_for() -> None:
     one = shard(machines=4)
-    one.machines["host-0"].draining = True
+    one.machines["host-0"].quarantined = True
     offered = offered_capacity(one, WorkRequest("red", 1, 6, 2.0))
     assert [(capacity.cpus, capacity.count) for capacity in offered] == [(8.0, 1), (4.0, 1)]
     assert len(offered_capacity(one, WorkRequest("red", 1, 600, 2.0))) == 3
@@ -388,11 +388,11 @@
 
 
 def no_landing(one: Shard) -> None:
-    one.machines["host-1"].draining = True
+    one.machines["host-1"].quarantined = True
 
 
 def nearly_done(one: Shard) -> None:
-    for placement in one.jobs["run-v"].placed.values():
+    for placement in one.jobs["run-v"].placements.values():
         placement.running_since = -297 * S
 
 
@@ -406,7 +406,7 @@
 
 
 def just_came(one: Shard) -> None:
-    one.jobs["run-u"].since = 9 * S
+    one.jobs["run-u"].waiting_since = 9 * S
 
 
 def fits_already(one: Shard) -> None:
@@ -483,14 +483,14 @@
     one = shard(machines=2)
     job = running(one, "run-v", "host-0", 0 * S, tasks=2, **changes)
     now = (ran or 0) * S
-    for placement in job.placed.values():
+    for placement in job.placements.values():
         if ran is None:
             placement.phase, placement.running_since = Phase.FETCHING, None
     plan = Evacuation(now + left * S, 3 * S, patient)
     planner = planner_of(one)
     for _ in range(2):  # asking again changes nothing
         stopped = evacuate(one, one.machines["host-0"], plan, now, planner.run_time, Guidance().fetch_time)
-    graces = {placement.grace for placement in job.placed.values()}
+    graces = {placement.grace for placement in job.placements.values()}
     assert graces == {None if grace is None else grace * S}
     assert stopped == 0
 
@@ -503,7 +503,7 @@
         placement.running_since = 0 * S
     plan = Evacuation(50 * S, 3 * S, patient=True)
     evacuate(one, one.machines["host-0"], plan, 1 * S, planner_of(one).run_time, Guidance().fetch_time)
-    assert [placement.grace for placement in job.placed.values()] == [S, S]
+    assert [placement.grace for placement in job.placements.values()] == [S, S]
 
 
 @pytest.mark.parametrize(
