--- a/badgerroute/connectivity/worker_link.py
+++ b/badgerroute/connectivity/worker_link.py
@@ -78,7 +78,7 @@
         elif overdue_by_shard and not any(overdue_by_shard.values()):
             self._lost_at = None
 
-    def machine_reached(self, now: timedelta) -> None:
+    def record_machine_reached(self, now: timedelta) -> None:
         """Consider the link up: a machine answered a probe, or sent a heartbeat here while no shard is led here."""
         if self.lost:
             self._lost_at = None
--- a/badgerroute/coordination/jobs/job_reader.py
+++ b/badgerroute/coordination/jobs/job_reader.py
@@ -61,7 +61,7 @@
         if final is not None:
             return FinishedJob(final)
         lookup = await self._read_through(ref, urgency)
-        if not isinstance(lookup, UnknownJob) and self._job_store.waits(ref):
+        if not isinstance(lookup, UnknownJob) and self._job_store.waits_for_predecessors(ref):
             await self._replica.wait_until_current()
             return await self._look_up_waiting_job(ref) or await self._read_through(ref, urgency)
         return lookup
@@ -71,7 +71,7 @@
         final = self._job_store.final_state(ref)
         if final is None:
             await self._replica.wait_until_current()
-            if self._job_store.waits(ref):
+            if self._job_store.waits_for_predecessors(ref):
                 lookup = await self._look_up_waiting_job(ref)
                 if lookup is not None:
                     return lookup
@@ -146,7 +146,7 @@
         if isinstance(lookup, FinishedJob):
             done = lookup.state is JobState.DONE
             return JobView(ref, JobCondition.DONE.value if done else JobCondition.CANCELLED.value)
-        done_tasks = self._job_store.done(ref, lookup.record).bit_count()
+        done_tasks = self._job_store.done_tasks(ref, lookup.record).bit_count()
         running = min(running, lookup.record.job.tasks - done_tasks)
         if running:
             return JobView(ref, JobCondition.RUNNING.value, done_tasks, running)
--- a/badgerroute/coordination/jobs/job_store.py
+++ b/badgerroute/coordination/jobs/job_store.py
@@ -60,7 +60,7 @@
         self.active[ref] = record = records.read(value, JobRecord)
         if record.job.predecessors or record.pages:
             self._add_dependencies(ref, record)
-        if not self.waits(ref):
+        if not self.waits_for_predecessors(ref):
             self._schedulable[ref] = record
 
     def _remove(self, ref: str) -> None:
@@ -134,17 +134,17 @@
     def _on_cancelled_upstream(ref: str) -> None:
         log.info("event=job_cancelled_upstream job=%s", ref)
 
-    def waits(self, ref: str) -> bool:
+    def waits_for_predecessors(self, ref: str) -> bool:
         """Return whether a job waits for predecessors. Such a job can be looked up, but must not be scheduled."""
         return ref in self._lacking_predecessor_pages or self.dependencies.waits(ref)
 
-    def release_pending(self, ref: str) -> bool:
+    def may_be_released(self, ref: str) -> bool:
         """Return whether a job that this controller regards as waiting may have been released already.
 
         This is the case if its predecessors are not known here, or if none of the predecessors that it still waits for
         is known to be unfinished.
         """
-        if ref not in self.active or ref in self.dependencies.cancelled or not self.waits(ref):
+        if ref not in self.active or ref in self.dependencies.cancelled or not self.waits_for_predecessors(ref):
             return False
         return ref in self._lacking_predecessor_pages or not any(
             predecessor in self.active for predecessor in self.dependencies.waits_for(ref)
@@ -164,7 +164,7 @@
         """Iterate over the unfinished jobs that do not wait for predecessors."""
         return iter(self._schedulable.items())
 
-    def level(self, ref: str) -> int:
+    def effective_level(self, ref: str) -> int:
         """Return a job's priority level: its own, or the one inherited from a downstream job if that is higher."""
         own_level = self.active[ref].job.priority.level
         inherited = self.inherited.get(ref)
@@ -174,7 +174,7 @@
         """Return when a job became runnable, as a Unix time: when it was accepted or its last predecessor was done."""
         return max(record.accepted, self.dependencies.released_at(ref))
 
-    def done(self, ref: str, record: JobRecord) -> int:
+    def done_tasks(self, ref: str, record: JobRecord) -> int:
         """Return the done tasks that the key-value store holds, in the job's record or its pages, as a bit set."""
         return record.done() | self.pages.done(ref)
 
--- a/badgerroute/coordination/jobs/progress_writer.py
+++ b/badgerroute/coordination/jobs/progress_writer.py
@@ -107,7 +107,7 @@
         self, pending: ProgressTransaction, progress: Progress, record: JobRecord, remaining_changes: int
     ) -> None:
         transaction = pending.transaction
-        stored_done = self._job_store.done(progress.ref, record)
+        stored_done = self._job_store.done_tasks(progress.ref, record)
         done = stored_done | progress.done
         if done.bit_count() >= record.job.tasks:
             final = FinalStateRecord(JobState.DONE, record.job.tasks, self._unix_time())
--- a/badgerroute/coordination/jobs/record_paging.py
+++ b/badgerroute/coordination/jobs/record_paging.py
@@ -141,7 +141,7 @@
         record, revision = self._job_store.active.get(ref), self._replica.revision_of(JOBS + ref)
         if record is None:
             return
-        done = self._job_store.done(ref, record)
+        done = self._job_store.done_tasks(ref, record)
         shrunk = self._without_unknown_types(record.without_bits(done))
         if not self.fits(shrunk):
             log.info("event=record_size_exceeded job=%s", ref)
--- a/badgerroute/coordination/leadership/leader_election.py
+++ b/badgerroute/coordination/leadership/leader_election.py
@@ -108,7 +108,7 @@
     def _may_campaign(self, shard: int) -> bool:
         if shard in self._state.leaderships or shard in self._records.pending_writes:
             return False
-        leader = self._records.leader(shard)
+        leader = self._records.leader_host(shard)
         if leader is not None:
             return leader == self._host
         if shard == self._settings.home or shard in self._ever_led:
@@ -121,7 +121,7 @@
             shard = (home + offset) % size
             if not self._may_campaign(shard):
                 continue
-            if shard != home and self._records.leader(shard) is None:
+            if shard != home and self._records.leader_host(shard) is None:
                 await self._loop.sleep(self._campaign_delay())
             if self._may_campaign(shard):
                 await self._campaign(shard)
--- a/badgerroute/coordination/leadership/leader_records.py
+++ b/badgerroute/coordination/leadership/leader_records.py
@@ -48,7 +48,7 @@
         value = self._replica.value(shard_leader_key(shard))
         return records.read(value, ShardLeaderRecord) if value else None
 
-    def leader(self, shard: int) -> str | None:
+    def leader_host(self, shard: int) -> str | None:
         """Return the host that leads a shard according to the replica, or None if the shard has no leader."""
         record = self.record(shard)
         return None if record is None else record.leader
--- a/badgerroute/coordination/leadership/leadership_state.py
+++ b/badgerroute/coordination/leadership/leadership_state.py
@@ -64,16 +64,16 @@
 
     # -- for other packages
 
-    def condition(self, shard: int) -> Compare:
+    def leadership_condition(self, shard: int) -> Compare:
         """Return the compare that every write for a shard must include. Raise NotLeaderError if it is not led here."""
         leadership = self.leaderships.get(shard)
         if leadership is None:
             raise NotLeaderError(shard)
         return term_condition(shard, leadership.term)
 
-    def condition_if_led(self, shard: int) -> Compare | None:
-        """Return `condition(shard)`, or None if this controller does not lead the shard."""
-        return self.condition(shard) if shard in self.leaderships else None
+    def leadership_condition_if_led(self, shard: int) -> Compare | None:
+        """Return `leadership_condition(shard)`, or None if this controller does not lead the shard."""
+        return self.leadership_condition(shard) if shard in self.leaderships else None
 
     @property
     def last_confirmed(self) -> timedelta:
--- a/badgerroute/coordination/membership/peers.py
+++ b/badgerroute/coordination/membership/peers.py
@@ -89,12 +89,12 @@
             for summary in peer.gossip.shards
         ]
 
-    def leader(self, shard: int) -> str | None:
+    def leader_host(self, shard: int) -> str | None:
         """Return the host that leads a shard, according to its leader record or to gossip of a peer with a higher term.
 
         A controller that can't reach the key-value store learns of newer leaders only from their gossip.
         """
-        host, term = self._leader_records.leader(shard), self._leader_records.term(shard)
+        host, term = self._leader_records.leader_host(shard), self._leader_records.term(shard)
         for peer_host, peer in self.reachable().items():
             for summary in peer.gossip.shards:
                 if summary.shard == shard and summary.term > term:
@@ -107,13 +107,13 @@
         Right after the start of this controller, when it has received no gossip yet, every peer counts.
         """
         now = self._loop.now()
-        leader_hosts = {self._leader_records.leader(shard) for shard in range(self._settings.params.size)}
+        leader_hosts = {self._leader_records.leader_host(shard) for shard in range(self._settings.params.size)}
         return 1 + sum(
             host in leader_hosts or not failure_detector.presumed_dead(now)
             for host, failure_detector in self.failure_detectors.items()
         )
 
-    def running(self, ref: str) -> int:
+    def running_task_count(self, ref: str) -> int:
         """Return how many of a job's tasks run, as shown to users."""
         running_locally = sum(
             placement.running_since is not None
--- a/badgerroute/coordination/membership/worker_prober.py
+++ b/badgerroute/coordination/membership/worker_prober.py
@@ -55,7 +55,7 @@
             value = self._replica.value(key)
             if value is not None and await self._answers_status_request(records.read(value, MachineRecord).address):
                 log.info("event=workers_probed again=%s", key.removeprefix(MACHINES))
-                self._worker_link.machine_reached(self._loop.now())
+                self._worker_link.record_machine_reached(self._loop.now())
                 return
 
     async def _answers_status_request(self, address: str) -> bool:
--- a/badgerroute/coordination/quotas/quota_allocator.py
+++ b/badgerroute/coordination/quotas/quota_allocator.py
@@ -29,7 +29,7 @@
     def leaderships(self) -> Container[int]:
         """Return the numbers of these shards."""
 
-    def condition(self, shard: int) -> Compare:
+    def leadership_condition(self, shard: int) -> Compare:
         """Return the compare for writes that holds only while this controller still leads the shard."""
 
 
@@ -125,7 +125,7 @@
         """Write some shards' allocations as the leader of the shard `writer`; return whether they were written."""
         if writer not in self._leadership_state.leaderships:
             return False
-        leadership = self._leadership_state.condition(writer)
+        leadership = self._leadership_state.leadership_condition(writer)
         allocations = self._quota_store.allocations(team).replaced(changed)
         if allocations.total().exceeds(self._limits[team]):
             return False
--- a/badgerroute/coordination/requests/heartbeat_handler.py
+++ b/badgerroute/coordination/requests/heartbeat_handler.py
@@ -67,7 +67,7 @@
         except MalformedError as problem:
             return error(400, str(problem))
         if relay is None and not self._leaders:
-            self._worker_link.machine_reached(self._loop.now())
+            self._worker_link.record_machine_reached(self._loop.now())
         if heartbeat.machine in self._tombstones:
             return retry_later("this machine was deleted")  # a delayed duplicate, so its content is ignored
         shard = self._shard_of(heartbeat.machine)
@@ -91,7 +91,7 @@
         return answer(200, result)
 
     async def _answer_for_other_shard(self, request: Request, heartbeat: Heartbeat, shard: int) -> Response:
-        host = self._peers.leader(shard)
+        host = self._peers.leader_host(shard)
         if host is None or host == self._host:
             return answer(421, Redirect())
         peer = self._peers.reachable_peer(host)
--- a/badgerroute/coordination/requests/job_splitting.py
+++ b/badgerroute/coordination/requests/job_splitting.py
@@ -60,7 +60,8 @@
     """Return how many tasks of the job fit into the free capacity of the machines that the job allows."""
     task_resources = need_of(job)
     return sum(
-        capacity.count * Resources(capacity.cpus, capacity.accelerators, capacity.memory_gb).times(task_resources)
+        capacity.count
+        * Resources(capacity.cpus, capacity.accelerators, capacity.memory_gb).count_fitting(task_resources)
         for capacity in summary.capacities
         if (job.types is None or capacity.type in job.types)
         and (job.zone is None or job.zone == capacity.zone)
--- a/badgerroute/coordination/requests/shard_requests.py
+++ b/badgerroute/coordination/requests/shard_requests.py
@@ -59,14 +59,14 @@
             return
         victim = busiest_shard(self._peers.summaries(), leader.number, capacities, short_teams)
         if victim is not None:
-            self.steal_from(victim, StealRequest(victim, leader.number, capacities, images, sorted(short_teams)))
+            self.request_work_from(victim, StealRequest(victim, leader.number, capacities, images, sorted(short_teams)))
 
-    def steal_from(self, victim: int, message: StealRequest) -> None:
+    def request_work_from(self, victim: int, message: StealRequest) -> None:
         """Request waiting tasks from a shard, which this controller or a peer leads."""
         if victim in self._leaders:
             self._group.spawn(self._leaders[victim].work_stealing.on_steal(message), "steal")
         else:
-            host = self._leader_records.leader(victim)
+            host = self._leader_records.leader_host(victim)
             if host is not None:
                 self._mesh.send(host, message)
 
--- a/badgerroute/coordination/requests/subsystem.py
+++ b/badgerroute/coordination/requests/subsystem.py
@@ -74,7 +74,7 @@
         replica=storage.replica,
         catalog=catalog,
         summaries=membership.peers.summaries,
-        running=membership.peers.running,
+        running=membership.peers.running_task_count,
     )
     heartbeat_handler = HeartbeatHandler(
         settings=settings,
--- a/badgerroute/coordination/shards/deadline_tiers.py
+++ b/badgerroute/coordination/shards/deadline_tiers.py
@@ -65,7 +65,7 @@
             due = self._estimates.times_until_due(record, age)
             if ref in inherited_due:
                 due.append(timedelta(seconds=inherited_due[ref] - current_time))
-            group = (-self._job_store.level(ref), not work.guaranteed[ref])
+            group = (-self._job_store.effective_level(ref), not work.guaranteed[ref])
             groups.setdefault(group, []).append(self._load(record, tasks_left, max_parallel, due))
         tier_of_job = tiers([groups[group] for group in sorted(groups)], processors)
         tier_of_job.update(dict.fromkeys(starving, STARVING_TIER))
--- a/badgerroute/coordination/shards/forecast.py
+++ b/badgerroute/coordination/shards/forecast.py
@@ -92,7 +92,7 @@
             team = self._teams.get(job.team)
             if team is None:
                 continue
-            tasks_left = job.tasks - self._job_store.done(ref, record).bit_count()
+            tasks_left = job.tasks - self._job_store.done_tasks(ref, record).bit_count()
             team_demand = demand.setdefault(team.name, Resources())
             team_demand.add(Resources(tasks_left * job.cpus, tasks_left * job.accelerators))
             work.tasks_left[ref] = tasks_left
@@ -109,7 +109,7 @@
             record = self._job_store.active.get(job.ref)
             if record is None:
                 continue
-            leader.shard.set_level(job, self._job_store.level(job.ref))
+            leader.shard.set_level(job, self._job_store.effective_level(job.ref))
             due = inherited_due.get(job.ref)
             if due is None:
                 job.start_by = None
--- a/badgerroute/coordination/shards/gang_migration.py
+++ b/badgerroute/coordination/shards/gang_migration.py
@@ -120,7 +120,7 @@
         # A gang that must lie in one zone can't use capacity in two, so request machines only in the best zone.
         zone = max(sorted(slots), key=lambda name: (min(job.spec.tasks, slots[name]), slots_here[name]))
         missing_slots = job.spec.tasks - slots_here[zone]
-        if missing_slots > 0 and self._shard.fits_quota(job, job.spec.tasks) >= job.spec.tasks:
+        if missing_slots > 0 and self._shard.tasks_within_quota(job, job.spec.tasks) >= job.spec.tasks:
             self._last_request = _GangMachineRequest(job.ref, now)
             self._last_migrated[job.ref] = now
             spec = msgspec.structs.replace(job.spec, zone=zone) if zone else job.spec
@@ -131,7 +131,7 @@
         slots: Counter[str] = Counter()
         for machine, resources in self._planner.reclaimable_by_machine(job.level):
             if allows(job.spec, machine.machine_type.name, machine.zone, machine.spot):
-                slots[machine.zone if job.spec.together else ANY_ZONE] += resources.times(job.task_resources)
+                slots[machine.zone if job.spec.together else ANY_ZONE] += resources.count_fitting(job.task_resources)
         for machine in self._shard.machines.values():
             if machine.reserved_for == job.ref:
                 slots[machine.zone if job.spec.together else ANY_ZONE] += 1
--- a/badgerroute/coordination/shards/heartbeat_responder.py
+++ b/badgerroute/coordination/shards/heartbeat_responder.py
@@ -90,8 +90,8 @@
             time_is_up = deadline_check(self._loop, now + self._planning_time_limit)
             # Gangs come first. They are placed here because, after the next scheduling round, their start commands
             # would have to wait for the machine's next heartbeat.
-            self._planner.gangs_on(machine, now, time_is_up)
-            self._planner.fill(machine, now, time_is_up)
+            self._planner.place_gangs_on(machine, now, time_is_up)
+            self._planner.fill_machine(machine, now, time_is_up)
         commands = self._shard.commands(machine, now, starts=may_start) if is_new else []
         machine.last_response_at = now
         if not machine.fenced or machine.unreachable:
--- a/badgerroute/coordination/shards/job_sync.py
+++ b/badgerroute/coordination/shards/job_sync.py
@@ -23,13 +23,13 @@
         if record is None:
             self._shard.drop_job(ref)
             return
-        if self._job_store.waits(ref):
+        if self._job_store.waits_for_predecessors(ref):
             return  # wait until this controller itself learns that the job was released
         now = self._loop.now()
         arrival = self._job_store.effective_arrival(ref, record)
         age = timedelta(seconds=self._loop.clock.today().timestamp() - arrival)
         held_back = timedelta(seconds=arrival - record.accepted)
-        done = self._job_store.done(ref, record)
+        done = self._job_store.done_tasks(ref, record)
         job = self._shard.add_job(record, now - max(ZERO, age), self._window, now, done, held_back)
         if job is not None:
-            self._shard.set_level(job, self._job_store.level(ref))
+            self._shard.set_level(job, self._job_store.effective_level(ref))
--- a/badgerroute/coordination/shards/job_transfers.py
+++ b/badgerroute/coordination/shards/job_transfers.py
@@ -84,7 +84,7 @@
         if not writes:
             return
         number = self._shard.number
-        conditions = [self._leadership_state.condition(number), *(write.condition for write in writes)]
+        conditions = [self._leadership_state.leadership_condition(number), *(write.condition for write in writes)]
         changes = [write.put for write in writes]
         result = await self._storage.try_write(conditions, changes, Urgency.PROGRESS)
         if result.outcome is WriteOutcome.UNKNOWN:
--- a/badgerroute/coordination/shards/leader_parts.py
+++ b/badgerroute/coordination/shards/leader_parts.py
@@ -76,7 +76,7 @@
         partial(context.jobs.quota_allocator.usable_quota, number),
         context.loop.now(),
         workers.lease,
-        context.jobs.job_store.release_pending,
+        context.jobs.job_store.may_be_released,
         context.guidance(number),
     )
     objectives = Objectives(settings.params.objectives)
--- a/badgerroute/coordination/shards/machine_expiry.py
+++ b/badgerroute/coordination/shards/machine_expiry.py
@@ -38,7 +38,7 @@
 
     def expire(self, now: timedelta) -> None:
         """Reclaim the tasks of machines whose lease has certainly expired, and have machines deleted that stay lost."""
-        lost = self._shard.expire(now, self._leadership_state.last_confirmed, self._machine_lease, self._grace)
+        lost = self._shard.expire_leases(now, self._leadership_state.last_confirmed, self._machine_lease, self._grace)
         for machine in lost:
             machine.lost_at = now
         if lost:
--- a/badgerroute/coordination/shards/machine_transfers.py
+++ b/badgerroute/coordination/shards/machine_transfers.py
@@ -53,7 +53,7 @@
         if not machines:
             return
         changes = [self._prepare_transfer(machine, message.shard) for machine in machines]
-        conditions = [self._leadership_state.condition(self._shard.number)]
+        conditions = [self._leadership_state.leadership_condition(self._shard.number)]
         conditions += [compare(change.key, self._replica.revision_of(change.key)) for change in changes]
         result = await self._storage.try_write(conditions, changes, Urgency.PROGRESS)
         match result.outcome:
@@ -80,7 +80,7 @@
                 break
             fits = machine.usable and machine.empty and machine.reserved_for is None and machine.free.holds(need)
             if fits and allows(message.job, machine.machine_type.name, machine.zone, machine.spot):
-                slots += machine.free.times(need)
+                slots += machine.free.count_fitting(need)
                 selected.append(machine)
         return selected
 
@@ -103,7 +103,10 @@
                 entry = await self._store.get(key, Urgency.COMPLETE)
                 if entry is None or records.read(bytes(entry.value), MachineRecord).shard != self._shard.number:
                     return  # this shard has lost the machine: the watch reports the change
-                conditions = [self._leadership_state.condition(self._shard.number), compare(key, entry.revision)]
+                conditions = [
+                    self._leadership_state.leadership_condition(self._shard.number),
+                    compare(key, entry.revision),
+                ]
                 revision = await self._store.transact(conditions, [put(key, entry.value)], Urgency.COMPLETE)
                 self._replica.learn(key, bytes(entry.value), revision)
                 machine.quarantined = False
--- a/badgerroute/coordination/shards/member_registry.py
+++ b/badgerroute/coordination/shards/member_registry.py
@@ -82,7 +82,9 @@
         }
         if not batch:
             return set()
-        conditions = [self._leadership_state.condition(shard) for shard in {record.shard for record in batch.values()}]
+        conditions = [
+            self._leadership_state.leadership_condition(shard) for shard in {record.shard for record in batch.values()}
+        ]
         conditions += [compare(MACHINES + name, 0) for name in batch]
         changes = [put(MACHINES + name, records.write(record)) for name, record in batch.items()]
         try:
--- a/badgerroute/coordination/shards/progress_flusher.py
+++ b/badgerroute/coordination/shards/progress_flusher.py
@@ -81,5 +81,5 @@
         record = self._job_store.active.get(progress.ref)
         if record is None:
             return 0, timedelta.max
-        done = self._job_store.done(progress.ref, record) | progress.done
+        done = self._job_store.done_tasks(progress.ref, record) | progress.done
         return record.job.tasks - done.bit_count(), self._forecast.time_left(record)
--- a/badgerroute/coordination/shards/quota_exchange.py
+++ b/badgerroute/coordination/shards/quota_exchange.py
@@ -72,7 +72,7 @@
     def _top_ranked_shortage(self, team: str) -> QuotaShortage | None:
         """Return what the jobs that are served first among those lacking quota need, or None if no job lacks quota."""
         waiting = [
-            job for job in self._shard.jobs.values() if job.spec.team == team and self._shard.short_of_quota(job)
+            job for job in self._shard.jobs.values() if job.spec.team == team and self._shard.waits_for_quota(job)
         ]
         if not waiting:
             return None
@@ -101,7 +101,7 @@
         unused = Resources(cpus - used.cpus, accelerators - used.accelerators)
         yielded_quota = self._quota_to_yield(message, shortfall, unused)
         if yielded_quota is None:
-            unused.take(self._usable_by_waiting_jobs(message))
+            unused.subtract(self._usable_by_waiting_jobs(message))
         else:
             shortfall = yielded_quota
         await self._quota_allocator.transfer(self._shard.number, message.shard, team, shortfall, unused)
@@ -112,13 +112,13 @@
         for job in self._shard.jobs.values():
             if job.spec.team != message.team:
                 continue
-            if self._shard.short_of_quota(job) and self._requester_is_older(message, job):
+            if self._shard.waits_for_quota(job) and self._requester_is_older(message, job):
                 # This shard's quota is too small for this job, so leave it to the requester's older job. Otherwise two
                 # gangs could wait forever, each with a part of the limit that is too small for it.
                 continue
             count = job.startable
             if count:
-                fitting = self._shard.room_for(job)
+                fitting = self._shard.count_free_slots(job)
                 usable.cpus += min(count, fitting) * job.task_resources.cpus
                 usable.accelerators += min(count, fitting) * job.task_resources.accelerators
         return usable
--- a/badgerroute/coordination/shards/scheduling_rounds.py
+++ b/badgerroute/coordination/shards/scheduling_rounds.py
@@ -53,8 +53,8 @@
         self._shard.reconcile()
         self._planner.release_reservations(now)
         if self._policy.allows_for(self._shard.number, Action.START):
-            self._planner.gangs(now, out_of_time)
+            self._planner.place_gangs(now, out_of_time)
             if not out_of_time():
                 self._planner.preempt_for_arrays(now, out_of_time)
-        self._planner.feedback(now)
+        self._planner.update_desires(now)
         self._urgent_stops.send()
--- a/badgerroute/coordination/shards/summary.py
+++ b/badgerroute/coordination/shards/summary.py
@@ -143,7 +143,7 @@
         ),
         preemptible_capacities={level: _group_capacities(planner.reclaimable_by_machine(level)) for level in levels},
         demands=_demands(planner, now),
-        soon_free_cpus=0.0 if scales_out_ahead else planner.freeing(now),  # used only when renting on demand
+        soon_free_cpus=0.0 if scales_out_ahead else planner.soon_free_cpus(now),  # used only when renting on demand
         running=running,
         used={team: (usage.cpus, usage.accelerators) for team, usage in shard.usage.items() if usage.tasks},
         workers_silent=workers_silent,
--- a/badgerroute/coordination/shards/summary_cache.py
+++ b/badgerroute/coordination/shards/summary_cache.py
@@ -65,7 +65,9 @@
         now = self._loop.now()
         if self._summary is None or now - self._summary.taken_at >= self._renewal_age():
             rents_ahead = scales_out_ahead(self._settings, self._catalog)
-            levels = {self._job_store.level(ref) for ref, record in self._job_store.schedulable() if record.job.gang}
+            levels = {
+                self._job_store.effective_level(ref) for ref, record in self._job_store.schedulable() if record.job.gang
+            }
             workers_silent = self.silent_machines() > 0
             self._summary = _CachedSummary(
                 now, summarize(self._shard, self._planner, levels, rents_ahead, now, workers_silent)
--- a/badgerroute/coordination/shards/tombstone_writer.py
+++ b/badgerroute/coordination/shards/tombstone_writer.py
@@ -68,7 +68,7 @@
         changes: list[Put | Remove] = [put(key, tombstones), *(remove(member) for member in members)]
         # The page must be as in the replica: otherwise a delayed older write would remove newer names.
         unchanged = compare(key, self._replica.revision_of(key))
-        conditions = [self._leadership_state.condition(self._shard.number), unchanged]
+        conditions = [self._leadership_state.leadership_condition(self._shard.number), unchanged]
         await self._storage.write(conditions, changes, Urgency.PROGRESS)
 
     def _choose_page(self) -> _Page:
--- a/badgerroute/coordination/shards/work_stealing.py
+++ b/badgerroute/coordination/shards/work_stealing.py
@@ -58,7 +58,7 @@
 
     def teams_lacking_quota(self) -> set[str]:
         """Return the teams whose jobs wait here for quota. Stolen tasks of these teams would have to wait too."""
-        return {job.spec.team for job in self._shard.jobs.values() if self._shard.short_of_quota(job)}
+        return {job.spec.team for job in self._shard.jobs.values() if self._shard.waits_for_quota(job)}
 
     def has_work_for(self, capacities: list[FreeCapacity], teams_lacking_quota: set[str]) -> bool:
         """Return whether a task that waits in this shard could soon use the given free capacity.
--- a/badgerroute/rebalancing/moves.py
+++ b/badgerroute/rebalancing/moves.py
@@ -69,7 +69,7 @@
         if (
             job.failing
             or now - job.waiting_since < HEARTBEATS_BEFORE_MOVE * self._heartbeat
-            or self._shard.short_of_quota(job)
+            or self._shard.waits_for_quota(job)
         ):
             return False
         needed = self._tasks_at_once(job)
@@ -77,7 +77,9 @@
             return False
         if any(machine.reserved_for == job.ref for machine in self._shard.machines.values()):
             return False  # a reserved machine will be free soon
-        free = sum(machine.free.times(job.task_resources) for machine in self._planner.candidates(job, now, free=True))
+        free = sum(
+            machine.free.count_fitting(job.task_resources) for machine in self._planner.candidates(job, now, free=True)
+        )
         return needed > 0 and free < needed
 
     @staticmethod
@@ -144,7 +146,7 @@
             destination = self._destination(placement, machine, free_resources, now)
             if destination is None:
                 continue
-            free_resources[destination.name].take(placement.job.task_resources)
+            free_resources[destination.name].subtract(placement.job.task_resources)
             claimed.append((destination, placement.job.task_resources))
             victims.append(placement)
             available.add(placement.job.task_resources)
--- a/badgerroute/rebalancing/service.py
+++ b/badgerroute/rebalancing/service.py
@@ -197,7 +197,7 @@
                     sorted({demand.team for shard in others for demand in shard.demands} - {request.team}),
                 )
                 log.info("event=work_requested shard=%d from=%d team=%s", own.shard, request.victim, request.team)
-                self._controller.requests.shard_requests.steal_from(request.victim, message)
+                self._controller.requests.shard_requests.request_work_from(request.victim, message)
 
     async def _log_view(self) -> None:
         while True:
--- a/badgerroute/rebalancing/waits.py
+++ b/badgerroute/rebalancing/waits.py
@@ -107,7 +107,7 @@
         pending_by_class: dict[ClassKey, _PendingWaits] = {}
         for job in shard.jobs.values():
             count = job.startable
-            if not count or job.failing or job.blocked_until > now or shard.short_of_quota(job):
+            if not count or job.failing or job.blocked_until > now or shard.waits_for_quota(job):
                 continue
             pending = pending_by_class.setdefault(self._key(job), _PendingWaits(new_histogram()))
             pending.tasks += count
--- a/badgerroute/scheduling/array_placement.py
+++ b/badgerroute/scheduling/array_placement.py
@@ -98,7 +98,7 @@
         for machine in machines:
             if allows(job.spec, machine.machine_type.name, machine.zone, machine.spot):
                 if locality_of(job, machine, self._order.images) is LocalityLevel.CACHED:
-                    remaining -= machine.free.times(job.task_resources)
+                    remaining -= machine.free.count_fitting(job.task_resources)
                     if remaining <= 0:
                         return True
         return False
@@ -169,7 +169,7 @@
         return len(job.placements) < job.desire or self._shard.guidance.may_exceed_desire(job)
 
     def _begin_desire(self, job: Job, now: timedelta) -> None:
-        utilization_feedback.begin(job, now, job.waiting_bits.bit_count(), self._shard.room_for(job))
+        utilization_feedback.begin(job, now, job.waiting_bits.bit_count(), self._shard.count_free_slots(job))
 
     def _start_next_task(self, job: Job, machine: Machine, now: timedelta, beyond_desire: bool) -> bool:
         if not machine.free.holds(job.task_resources) or not (beyond_desire or self._below_desire(job)):
@@ -179,7 +179,7 @@
             return False
         if self._order.yields_to_gang(job):
             return False
-        if not self._shard.fits_quota(job):
+        if not self._shard.tasks_within_quota(job):
             self._rules.record_shortfall(job, waiting.bit_count())
             return False
         index = lowest(waiting)
--- a/badgerroute/scheduling/capacities.py
+++ b/badgerroute/scheduling/capacities.py
@@ -32,7 +32,7 @@
     for capacity in capacities:
         if allows(job.spec, capacity.type, capacity.zone, capacity.spot):
             zone_key = capacity.zone if job.spec.together else ANY_ZONE
-            slots[zone_key] += capacity.count * free_resources_of(capacity).times(job.task_resources)
+            slots[zone_key] += capacity.count * free_resources_of(capacity).count_fitting(job.task_resources)
     return slots
 
 
--- a/badgerroute/scheduling/gang_placement.py
+++ b/badgerroute/scheduling/gang_placement.py
@@ -174,7 +174,7 @@
         per_zone: dict[str, int] = {}
         max_per_zone = (job.spec.tasks + 1) // 2 if job.spec.spread else tasks
         for machine in machines:
-            for _ in range(machine.free.times(job.task_resources)):
+            for _ in range(machine.free.count_fitting(job.task_resources)):
                 if len(chosen) == tasks:
                     return chosen
                 if per_zone.get(machine.zone, 0) >= max_per_zone:
@@ -223,4 +223,4 @@
         ]
 
     def _lacks_quota(self, job: Job, tasks: int) -> bool:
-        return self._shard.fits_quota(job, tasks) < tasks
+        return self._shard.tasks_within_quota(job, tasks) < tasks
--- a/badgerroute/scheduling/model.py
+++ b/badgerroute/scheduling/model.py
@@ -258,7 +258,7 @@
         return not self.owned and not self.placements and not self.done_here and not self.in_transfer
 
     def waited(self, index: int, now: timedelta) -> timedelta:
-        """How long a task has waited: since it last returned to the queue or, if it never did, since `waiting_since`."""
+        """How long a task has waited: since it last returned to the queue or, if it never did, `waiting_since`."""
         return now - self.requeued.get(index, self.waiting_since)
 
     def place(self, placement: Placement) -> None:
--- a/badgerroute/scheduling/planner.py
+++ b/badgerroute/scheduling/planner.py
@@ -83,15 +83,15 @@
         """Machines that may run the job; see `EvictionPlanner.candidates`."""
         return self._evictions.candidates(job, now, free)
 
-    def fill(self, machine: Machine, now: timedelta, out_of_time: Callable[[], bool]) -> int:
+    def fill_machine(self, machine: Machine, now: timedelta, out_of_time: Callable[[], bool]) -> int:
         """Start array tasks on a machine; see `ArrayPlacement.fill`."""
         return self._arrays.fill(machine, now, out_of_time)
 
-    def gangs(self, now: timedelta, out_of_time: Callable[[], bool]) -> int:
+    def place_gangs(self, now: timedelta, out_of_time: Callable[[], bool]) -> int:
         """Place waiting gangs, with preemption; see `GangPlacement.place`."""
         return self._gangs.place(now, out_of_time)
 
-    def gangs_on(self, machine: Machine, now: timedelta, out_of_time: Callable[[], bool]) -> int:
+    def place_gangs_on(self, machine: Machine, now: timedelta, out_of_time: Callable[[], bool]) -> int:
         """Place gangs on a machine's heartbeat, without preemption; see `GangPlacement.place_on`."""
         return self._gangs.place_on(machine, now, out_of_time)
 
@@ -125,7 +125,7 @@
         shortfalls, self._rules.quota_shortfalls = self._rules.quota_shortfalls, {}
         return shortfalls
 
-    def feedback(self, now: timedelta) -> None:
+    def update_desires(self, now: timedelta) -> None:
         """Record how many tasks each job runs and how many wait, for the utilization feedback.
 
         When a job's feedback period has ended, compute its number of desired slots for the next one.
@@ -158,7 +158,7 @@
                 )
         return demands
 
-    def freeing(self, now: timedelta) -> float:
+    def soon_free_cpus(self, now: timedelta) -> float:
         """The number of processors of array tasks that should end before a newly rented machine could start a task.
 
         Such a machine must first boot and fetch the job's image.
--- a/badgerroute/scheduling/preemption.py
+++ b/badgerroute/scheduling/preemption.py
@@ -129,11 +129,11 @@
         waiting = job.waiting_bits
         if not waiting or now - min(job.requeued.get(lowest(waiting), job.waiting_since), now) < min_wait:
             return 0
-        wanted = min(waiting.bit_count(), self._shard.fits_quota(job, limit), limit)
+        wanted = min(waiting.bit_count(), self._shard.tasks_within_quota(job, limit), limit)
         for machine in self._evictions.candidates(job, now, with_free_cpus=True):
             if wanted <= 0:
                 break
-            wanted -= machine.free.times(job.task_resources)
+            wanted -= machine.free.count_fitting(job.task_resources)
         return wanted
 
     def _preempt_for_array(self, job: Job, wanted: int, now: timedelta) -> int:
--- a/badgerroute/scheduling/quota_ledger.py
+++ b/badgerroute/scheduling/quota_ledger.py
@@ -66,7 +66,9 @@
             cpus, accelerators = cpus - reserved.cpus, accelerators - reserved.accelerators
         used = self.usage[team]
         unused = Resources(cpus - used.cpus, accelerators - used.accelerators)
-        return max(0, min(tasks, unused.times(Resources(job.task_resources.cpus, job.task_resources.accelerators))))
+        return max(
+            0, min(tasks, unused.count_fitting(Resources(job.task_resources.cpus, job.task_resources.accelerators)))
+        )
 
     def reserve_for_peer(self, team: str, resources: Resources, until: timedelta) -> None:
         """Reserve a team's quota for another shard: quota that tasks free when they end is not used in this one."""
--- a/badgerroute/scheduling/resources.py
+++ b/badgerroute/scheduling/resources.py
@@ -6,12 +6,12 @@
 from badgerroute.protocol.users import Submission
 
 EPSILON = 1e-6  # differences below this are rounding errors of sums
-MAX_COUNT = 1_000_000  # limit for the result of `Resources.times`; no job has as many tasks
+MAX_COUNT = 1_000_000  # limit for the result of `Resources.count_fitting`; no job has as many tasks
 
 
 @dataclass(slots=True)
 class Resources:
-    """An amount of each resource. `add` and `take` change it in place, to keep running sums over many tasks cheaply.
+    """An amount of each resource. `add` and `subtract` change it in place, to keep sums over many tasks cheaply.
 
     Amounts may be fractional. They may be negative, such as unused quota when a limit was lowered below the usage.
     """
@@ -26,7 +26,7 @@
         self.accelerators += other.accelerators
         self.memory_gb += other.memory_gb
 
-    def take(self, other: "Resources") -> None:
+    def subtract(self, other: "Resources") -> None:
         """Subtract another amount from this one."""
         self.cpus -= other.cpus
         self.accelerators -= other.accelerators
@@ -40,7 +40,7 @@
             and other.memory_gb <= self.memory_gb + EPSILON
         )
 
-    def times(self, other: "Resources") -> int:
+    def count_fitting(self, other: "Resources") -> int:
         """How many times another amount fits in this one, at most MAX_COUNT.
 
         An empty amount fits MAX_COUNT times.
--- a/badgerroute/scheduling/scale_out_planning.py
+++ b/badgerroute/scheduling/scale_out_planning.py
@@ -29,7 +29,7 @@
 class ExpectedMachines:
     """Machines that were requested from a pool and have not arrived yet."""
 
-    place: MachinePool
+    pool: MachinePool
     count: int
 
 
@@ -70,7 +70,7 @@
 
         These are the full machines, the last one used, and the machines without a new task.
         """
-        tasks_per_machine = self.free.times(need)
+        tasks_per_machine = self.free.count_fitting(need)
         full_machines = min(self.count, tasks // tasks_per_machine)
         fitting = full_machines * tasks_per_machine
         tasks_on_last = min(tasks - fitting, tasks_per_machine) if full_machines < self.count else 0
@@ -83,7 +83,7 @@
 
     def _after(self, need: Resources, tasks: int, machines: int) -> "_CapacityGroup":
         free = self.free.copy()
-        free.take(Resources(need.cpus * tasks, need.accelerators * tasks, need.memory_gb * tasks))
+        free.subtract(Resources(need.cpus * tasks, need.accelerators * tasks, need.memory_gb * tasks))
         return _CapacityGroup(self.pool, free, machines)
 
 
@@ -140,9 +140,9 @@
             for team, (cpus, accelerators) in shard.used.items():
                 self._used.setdefault(team, Resources()).add(Resources(cpus, accelerators))
         for machines in expected:
-            machine_type = self._catalog.get(machines.place.type)
+            machine_type = self._catalog.get(machines.pool.type)
             if machine_type is not None:
-                self._groups.append(_CapacityGroup(machines.place, capacity_of(machine_type), machines.count))
+                self._groups.append(_CapacityGroup(machines.pool, capacity_of(machine_type), machines.count))
 
     def _within_limit(self, demand: PendingDemand) -> int:
         """How many tasks of a demand fit in its team's quota limit, all or none for a gang. Counts them as used."""
@@ -152,7 +152,7 @@
         used = self._used.setdefault(demand.team, Resources())
         cpus, accelerators = team.limits
         available = Resources(cpus - used.cpus, accelerators - used.accelerators)
-        count = min(demand.count, available.times(Resources(demand.cpus, demand.accelerators)))
+        count = min(demand.count, available.count_fitting(Resources(demand.cpus, demand.accelerators)))
         if demand.gang and count < demand.count:
             return 0
         used.add(Resources(count * demand.cpus, count * demand.accelerators))
@@ -188,7 +188,7 @@
 
     def _add_machines(self, pool: MachinePool, need: Resources, tasks: int) -> None:
         capacity = capacity_of(self._catalog[pool.type])
-        machines = min(-(-tasks // capacity.times(need)), self._max_per_pool - self._wanted.get(pool, 0))
+        machines = min(-(-tasks // capacity.count_fitting(need)), self._max_per_pool - self._wanted.get(pool, 0))
         if machines <= 0:
             return
         self._wanted[pool] = self._wanted.get(pool, 0) + machines
--- a/badgerroute/scheduling/service_order.py
+++ b/badgerroute/scheduling/service_order.py
@@ -44,7 +44,7 @@
         self.jobs = waiting
         self._gangs_lacking_quota = {}
         for job in waiting:
-            if job.gang and not job.placements and not job.failing and self._shard.short_of_quota(job):
+            if job.gang and not job.placements and not job.failing and self._shard.waits_for_quota(job):
                 self._gangs_lacking_quota.setdefault(job.spec.team, []).append(job)
         needs = [job.task_resources for job in waiting if not job.gang]
         self.least_need = Resources(
--- a/badgerroute/scheduling/shard.py
+++ b/badgerroute/scheduling/shard.py
@@ -152,7 +152,7 @@
             return
         for placement in job.placements.values():
             allocated = placement.machine.allocated_by_level
-            allocated[job.level].take(job.task_resources)
+            allocated[job.level].subtract(job.task_resources)
             allocated.setdefault(level, Resources()).add(job.task_resources)
         job.level = level
 
@@ -177,7 +177,7 @@
         self._attempt_counter += 1
         return (self.term << ATTEMPT_BITS) | self._attempt_counter
 
-    def fits_quota(self, job: Job, tasks: int = 1) -> int:
+    def tasks_within_quota(self, job: Job, tasks: int = 1) -> int:
         """How many of `tasks` tasks of a job fit in its team's quota in this shard."""
         return self.quota.fitting_tasks(job, tasks)
 
@@ -189,15 +189,15 @@
         """Release quota that was reserved for other shards and not requested in time."""
         self.quota.expire_reservations(now)
 
-    def short_of_quota(self, job: Job) -> bool:
+    def waits_for_quota(self, job: Job) -> bool:
         """Whether the quota is too small for a job to start: for all tasks of a gang, or for one task of an array."""
         needed = job.spec.tasks if job.gang else 1
-        return job.startable > 0 and self.fits_quota(job, needed) < needed
+        return job.startable > 0 and self.tasks_within_quota(job, needed) < needed
 
-    def room_for(self, job: Job) -> int:
+    def count_free_slots(self, job: Job) -> int:
         """How many tasks of a job fit in the free capacity of the machines that it may use."""
         return sum(
-            machine.free.times(job.task_resources)
+            machine.free.count_fitting(job.task_resources)
             for machine in self.machines.values()
             if machine.usable
             and machine.reserved_for in (None, job.ref)
@@ -210,7 +210,7 @@
         if phase is Phase.RESERVED:
             self.guidance.task_placed(job, now - job.requeued.get(index, job.accepted), now)
         machine.placements[placement.key] = placement
-        machine.free.take(job.task_resources)
+        machine.free.subtract(job.task_resources)
         machine.allocated_by_level.setdefault(job.level, Resources()).add(job.task_resources)
         machine.idle_since = None
         job.place(placement)
@@ -223,7 +223,7 @@
         if machine.placements.pop(placement.key, None) is None:
             return
         machine.free.add(job.task_resources)
-        machine.allocated_by_level[job.level].take(job.task_resources)
+        machine.allocated_by_level[job.level].subtract(job.task_resources)
         machine.stopping_count -= placement.stopping
         machine.drop_unfetched_image(job.spec.image)
         job.unplace(placement.index)
@@ -286,7 +286,9 @@
 
     # -- time
 
-    def expire(self, now: timedelta, last_confirmed: timedelta, lease: timedelta, grace: timedelta) -> list[Machine]:
+    def expire_leases(
+        self, now: timedelta, last_confirmed: timedelta, lease: timedelta, grace: timedelta
+    ) -> list[Machine]:
         """Release the tasks of machines whose lease has certainly expired, and return these; see `expire_leases`."""
         return expire_leases(self, now, last_confirmed, lease, grace)
 
--- a/badgerroute/scheduling/shard_state.py
+++ b/badgerroute/scheduling/shard_state.py
@@ -18,7 +18,7 @@
     machines: dict[str, Machine]
     jobs: dict[str, Job]
 
-    def short_of_quota(self, job: Job) -> bool:
+    def waits_for_quota(self, job: Job) -> bool:
         """Whether a job can't start because its team's quota in this shard is used up."""
 
 
--- a/badgerroute/scheduling/stealing.py
+++ b/badgerroute/scheduling/stealing.py
@@ -41,9 +41,9 @@
         same_shard = job.gang or job.spec.together or job.spec.spread
         if same_shard and job.placements:
             return 0  # its tasks must all be in one shard, since its constraints apply to them together
-        # `room_for` counts only machines that the job may use, so tasks don't stay in a shard that can never run them.
+        # `count_free_slots` counts only machines that the job may use: a shard must not keep tasks that it can't ever run.
         waiting = job.waiting_bits
-        fitting_here = self._shard.room_for(job)
+        fitting_here = self._shard.count_free_slots(job)
         wanted = waiting.bit_count() - (0 if same_shard else min(fitting_here, waiting.bit_count()))
         if same_shard and fitting_here >= wanted:
             return 0
@@ -73,7 +73,7 @@
                 continue
             if not allows(job.spec, capacity.type, capacity.zone, capacity.spot):
                 continue
-            tasks_per_machine = free_resources_of(capacity).times(job.task_resources)
+            tasks_per_machine = free_resources_of(capacity).count_fitting(job.task_resources)
             if not tasks_per_machine:
                 continue
             machines = min(offer.machines_left, -(-(wanted - fitting) // tasks_per_machine))
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -274,7 +274,7 @@
 
     note(SECOND)
     assert link.lost
-    link.machine_reached(2 * SECOND)
+    link.record_machine_reached(2 * SECOND)
     assert not link.lost
     note(3 * SECOND)
     assert not link.lost, "they are on trial"
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -125,11 +125,11 @@
     near, far = add(target, submission("run-near")), add(target, submission("run-far", image="img-2"))
     target.machines["host-0"].touch_image("img-1", 5.0)
     planner = Planner(target, Scheduling(), Objectives([]))
-    assert planner.fill(target.machines["host-0"], 1 * S, never) == 4
+    assert planner.fill_machine(target.machines["host-0"], 1 * S, never) == 4
     assert (len(near.placements), len(far.placements)) == (4, 0)
     target = shard(1)
     one, two = add(target, submission("run-one")), add(target, submission("run-two"))
-    Planner(target, Scheduling(), Objectives([])).fill(target.machines["host-0"], 1 * S, never)
+    Planner(target, Scheduling(), Objectives([])).fill_machine(target.machines["host-0"], 1 * S, never)
     assert (len(one.placements), len(two.placements)) == (2, 2)
 
 
@@ -140,9 +140,9 @@
     planner = Planner(target, Scheduling(), Objectives([]))
     calls = iter([False, True])
     machine = target.machines["host-0"]
-    assert planner.fill(machine, 1 * S, lambda: next(calls)) == 1
+    assert planner.fill_machine(machine, 1 * S, lambda: next(calls)) == 1
     calls = iter([False, True])
-    assert planner.fill(machine, 1 * S, lambda: next(calls)) == 1
+    assert planner.fill_machine(machine, 1 * S, lambda: next(calls)) == 1
     assert sorted(key[0] for key in machine.placements) == ["run-0", "run-1"]
     assert planner.overrun_rounds == 2
 
@@ -167,7 +167,7 @@
 def test_gangs(changes: dict, share: float, placed: int) -> None:
     target = shard(2, share)
     job = add(target, submission(kind="group", **changes))
-    Planner(target, Scheduling(), Objectives([])).gangs(1 * S, never)
+    Planner(target, Scheduling(), Objectives([])).place_gangs(1 * S, never)
     assert len(job.placements) == placed
     zones = [one.machine.zone for one in job.placements.values()]
     if changes.get("spread"):
@@ -193,7 +193,7 @@
     target.place(running, 0, 1, machine, timedelta(0), Phase.RUNNING)
     gang = add(target, submission("run-g", kind="group", tasks=1, cpus=8.0, priority=Priority.URGENT))
     gang.guaranteed = guaranteed
-    Planner(target, Scheduling(), Objectives([])).gangs(200 * S, never)
+    Planner(target, Scheduling(), Objectives([])).place_gangs(200 * S, never)
     assert running.placements[0].stopping is stopped
 
 
@@ -208,11 +208,11 @@
     for name in ("host-0", "host-1"):
         target.machines[name].alive = False
     planner = Planner(target, Scheduling(), Objectives([]))
-    planner.gangs(200 * S, never)
+    planner.place_gangs(200 * S, never)
     for number, name in enumerate(("host-0", "host-1")):
         target.machines[name].alive = True
         target.place(lesser, number + 2, 2, target.machines[name], 201 * S, Phase.FETCHING)
-    planner.gangs(201 * S, never)
+    planner.place_gangs(201 * S, never)
     assert not gang.placements
     assert {one.machine.name for one in lesser.placements.values() if one.stopping} == {"host-2", "host-3"}
 
@@ -225,7 +225,7 @@
     gangs[0].preemption_count = 1
     other = add(target, submission("run-g", kind="group", tasks=1, cpus=8.0))
     other.guaranteed = True
-    Planner(target, Scheduling(), Objectives([])).gangs(200 * S, never)
+    Planner(target, Scheduling(), Objectives([])).place_gangs(200 * S, never)
     assert [gang.placements[0].stopping for gang in gangs] == [False, True]
 
 
@@ -326,7 +326,7 @@
     far.lateness_tier = tier
     target.machines["host-0"].touch_image("img-2", 5.0)  # its image is here, and still it waits
     planner = Planner(target, Scheduling(), Objectives([]))
-    assert planner.fill(target.machines["host-0"], 100 * S, never) == 4
+    assert planner.fill_machine(target.machines["host-0"], 100 * S, never) == 4
     assert [len(job.placements) for job in (near, far)] == ([4, 0] if first == "run-near" else [0, 4])
 
 
@@ -390,7 +390,7 @@
     target.place(gang, 0, 99, machine, timedelta(0), phase).running_since = S if phase is Phase.RUNNING else None
     machine.touch_image(image, 1.0)
     add(target, submission("run-1", tasks=2))
-    Planner(target, Scheduling(), Objectives([])).fill(machine, 60 * S, never)
+    Planner(target, Scheduling(), Objectives([])).fill_machine(machine, 60 * S, never)
     assert len(machine.placements) == 1 + started
 
 
@@ -540,7 +540,7 @@
     machine = target.machines["host-0"]
     machine.last_response_at = None if answered is None else answered * S
     machine.fenced = fenced
-    assert bool(target.expire(now * S + S, now * S, 11 * S, grace * S)) is lost
+    assert bool(target.expire_leases(now * S + S, now * S, 11 * S, grace * S)) is lost
 
 
 @pytest.mark.parametrize(
@@ -624,7 +624,7 @@
     job = started(target)
     target.on_heartbeat(machine, heartbeat(2, [RUNNING]), True, 2 * S)
     machine.last_response_at = 2 * S
-    assert target.expire(20 * S, 20 * S, 11 * S, 5 * S) == [machine]
+    assert target.expire_leases(20 * S, 20 * S, 11 * S, 5 * S) == [machine]
     assert target.on_heartbeat(machine, heartbeat(9, [RUNNING]), True, 21 * S) is None
     assert not machine.alive and not job.placements and job.waiting_bits == 1
     assert target.on_heartbeat(machine, heartbeat(10, [], incarnation=2), True, 22 * S) is not None
@@ -681,7 +681,7 @@
 def test_bits() -> None:
     assert [trailing_ones(0b0111), trailing_ones(0), trailing_ones(0b1011)] == [3, 0, 2]
     assert span(2, 4) == 0b1100 and lowest(0b1100) == 2
-    assert Resources(8, 0, 32).times(Resources(3, 0, 1)) == 2
+    assert Resources(8, 0, 32).count_fitting(Resources(3, 0, 1)) == 2
 
 
 @pytest.mark.parametrize(
@@ -723,7 +723,7 @@
     job = add(target, submission(tasks=1))
     undecided.clear()
     planner = Planner(target, Scheduling(), Objectives([]))
-    assert planner.fill(other, 2 * S, never) == 0
+    assert planner.fill_machine(other, 2 * S, never) == 0
     assert target.on_heartbeat(machine, heartbeat(2, [RUNNING]), True, 2 * S) is not None
     assert target.reconcile() and machine.usable and job.placements[0].machine is machine
     done = TaskStatus(RUNNING.task, RUNNING.attempt, "exited", "done")
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -466,7 +466,7 @@
 
 def quota_given_while_used(day: Day, monkeypatch: pytest.MonkeyPatch) -> None:
     """Leaders that ignore what they use when they count what fits their share."""
-    monkeypatch.setattr("badgerroute.scheduling.shard.Shard.fits_quota", lambda self, job, tasks=1: tasks)
+    monkeypatch.setattr("badgerroute.scheduling.shard.Shard.tasks_within_quota", lambda self, job, tasks=1: tasks)
 
 
 def start_in_do(day: Day, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -273,8 +273,8 @@
         def heartbeat(sequence: int, shard=shard, planner=planner, machine=machine, tasks=tasks) -> None:
             one = Heartbeat(machine.name, "m:1", "k8", "a", False, 1, sequence, 7, None, list(tasks))
             assert shard.on_heartbeat(machine, one, True, 2 * SECOND) is not None
-            planner.gangs_on(machine, 2 * SECOND, lambda: False)
-            planner.fill(machine, 2 * SECOND, lambda: False)
+            planner.place_gangs_on(machine, 2 * SECOND, lambda: False)
+            planner.fill_machine(machine, 2 * SECOND, lambda: False)
             assert shard.commands(machine, 2 * SECOND, starts=True) == []
 
         heartbeat(1)  # the order of jobs, and where images lie, are found anew a few times a second
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -27,7 +27,7 @@
     before = controller.leadership_state.leaderships[0].term
     term = raise_term(day, controller, 0)
     assert term > before and controller.leadership_state.leaderships[0].term == term
-    assert controller.leadership_state.condition(0) == compare("b/parts/0", term)
+    assert controller.leadership_state.leadership_condition(0) == compare("b/parts/0", term)
 
 
 @pytest.mark.parametrize(
@@ -71,7 +71,7 @@
 def test_a_shard_that_is_not_led_has_no_condition() -> None:
     _, controller = elected_controller()
     with pytest.raises(NotLeaderError) as caught:
-        controller.leadership_state.condition(1)
+        controller.leadership_state.leadership_condition(1)
     assert caught.value.shard == 1
 
 
--- a/tests/test_left_waiting.py
+++ b/tests/test_left_waiting.py
@@ -118,7 +118,7 @@
 
 def test_the_checker_sees_work_left_waiting(monkeypatch: pytest.MonkeyPatch) -> None:
     """The days' check is worth something only if it catches a shard that places nothing."""
-    monkeypatch.setattr("badgerroute.scheduling.planner.Planner.fill", lambda self, *args: 0)
+    monkeypatch.setattr("badgerroute.scheduling.planner.Planner.fill_machine", lambda self, *args: 0)
     day = Day(seed=33, machines=3)
     day.run(5)
     day.submit(job("run-a"))
--- a/tests/test_pipeline_edges.py
+++ b/tests/test_pipeline_edges.py
@@ -271,12 +271,12 @@
     day.run(1)
     store = day.controllers[HOSTS[0]][0].jobs.store
     assert (
-        not store.release_pending("run-b")
-        and not store.release_pending("run-a")
-        and not store.release_pending("run-none")
+        not store.may_be_released("run-b")
+        and not store.may_be_released("run-a")
+        and not store.may_be_released("run-none")
     )
     day.cancel("run-a")
-    assert not store.release_pending("run-b")
+    assert not store.may_be_released("run-b")
 
 
 def test_a_final_state_without_a_time_leaves_the_arrival() -> None:
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -492,7 +492,11 @@
 @pytest.mark.parametrize(
     ("target", "cheat", "rule"),
     [
-        ("badgerroute.coordination.jobs.job_store.JobStore.waits", lambda self, ref: False, "too_early"),
+        (
+            "badgerroute.coordination.jobs.job_store.JobStore.waits_for_predecessors",
+            lambda self, ref: False,
+            "too_early",
+        ),
         ("badgerroute.coordination.jobs.job_reader.JobReader.look_up_replicated", looks_at_the_record_only, "orphaned"),
     ],
     ids=["starts what waits", "forgets dependents"],
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -298,7 +298,7 @@
     one.guidance = LocalAdvice(wait)
     running(one, "run-on", "host-0", 0 * S, tasks=8, estimate_s=60.0)
     add(one, submission("run-w", tasks=1, estimate_s=60.0))
-    assert planner_of(one).fill(one.machines["host-1"], 1 * S, never) == starts
+    assert planner_of(one).fill_machine(one.machines["host-1"], 1 * S, never) == starts
 
 
 # -- spreading waiting work over the shards
@@ -452,7 +452,9 @@
     for placement in stopping(one):
         one.release(placement, 11 * S)
     one.machines["host-0"].reserved_for = None
-    assert planner_of(one).fill(one.machines["host-0"], 11 * S, never) == 1, "the urgent one only: nothing goes back"
+    assert planner_of(one).fill_machine(one.machines["host-0"], 11 * S, never) == 1, (
+        "the urgent one only: nothing goes back"
+    )
     add(one, urgent(ref="run-u2"))
     assert moves.start_moves(15 * S, never) == 0, "two more would be more than three in a period"
     assert moves.start_moves(41 * S, never) == 2
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -67,8 +67,8 @@
         def heartbeat(sequence: int, shard=shard, planner=planner, machine=machine, tasks=tasks) -> None:
             message = Heartbeat(machine.name, "m:1", "k8", "a", False, 1, sequence, 7, None, list(tasks))
             assert shard.on_heartbeat(machine, message, True, 2 * SECOND) is not None
-            planner.gangs_on(machine, 2 * SECOND, never)
-            planner.fill(machine, 2 * SECOND, never)
+            planner.place_gangs_on(machine, 2 * SECOND, never)
+            planner.fill_machine(machine, 2 * SECOND, never)
             shard.commands(machine, 2 * SECOND, starts=True)
 
         heartbeat(1)
@@ -98,7 +98,7 @@
                 shard.remove_placement(placement)  # so that something starts
 
         def fill(name: str, shard=shard, planner=planner) -> None:
-            assert planner.fill(shard.machines[name], 2 * SECOND, never) == 2
+            assert planner.fill_machine(shard.machines[name], 2 * SECOND, never) == 2
 
         fill("host-9")  # the order of jobs, and a job's first desire, are found once
         costs.append(calls_in(lambda fill=fill: fill("host-7")))
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -261,7 +261,7 @@
     day.store.items["b/jobs/run-big"] = (left_by_an_old_version(40000, missing, [[0, 0, 40000]], None), 1, None)
     day.run(4)
     job_store = day.controllers[HOSTS[0]][0].jobs.store
-    before = job_store.done("run-big", job_store.active["run-big"])
+    before = job_store.done_tasks("run-big", job_store.active["run-big"])
     day.store.lower(day.settings[HOSTS[0]].params.state)
     day.store.late_writes = 0.4
     for turn in range(60):
@@ -274,7 +274,7 @@
             day.store.late_writes = 0.0
         for controller, _ in day.controllers.values():
             record = controller.jobs.store.active.get("run-big")
-            assert record is None or controller.jobs.store.done("run-big", record) == before
+            assert record is None or controller.jobs.store.done_tasks("run-big", record) == before
     assert day.store.items["b/jobs/run-big"][0]["bits"] == ""
     assert day.store.too_large == []
 
