--- a/badgerroute/cli.py
+++ b/badgerroute/cli.py
@@ -46,7 +46,7 @@
     params, scheduling = settings.params, settings.operator.scheduling
     return "\n".join(
         [
-            f"controller {settings.platform.host_name}: home shard {settings.home} of {params.size}",
+            f"controller {settings.platform.host_name}: home shard {settings.home_shard} of {params.size}",
             f"teams: {', '.join(team.name for team in params.teams) or 'none'}",
             f"acts without confirmation of its leadership for {settings.grace.total_seconds():.1f} s",
             "assumes that an unresponsive machine's tasks have ended after "
--- a/badgerroute/coordination/autoscaling/scale_in.py
+++ b/badgerroute/coordination/autoscaling/scale_in.py
@@ -53,7 +53,7 @@
                     self._return_idle(leader, max_idle)
 
     def _max_idle(self) -> timedelta:
-        max_idle = self._settings.operator.fleet.idle
+        max_idle = self._settings.operator.fleet.max_idle_time
         return max_idle if self._job_store.active else max_idle / IDLE_DIVISOR_WITHOUT_JOBS
 
     def _may_return_machines(self, leader: ShardLeader) -> bool:
--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -150,7 +150,9 @@
 
     async def run(self) -> None:
         """Listen, start every background task, and run until it is cancelled."""
-        log.info("event=controller_started host=%s home_shard=%d", self.settings.platform.host_name, self.settings.home)
+        log.info(
+            "event=controller_started host=%s home_shard=%d", self.settings.platform.host_name, self.settings.home_shard
+        )
         listener = self._network.listen(self.settings.platform.public_addr)
         self._group.spawn(self._server.serve(listener), "serve")
         self.membership.mesh.start(self.requests.mesh_dispatcher.receive)
--- a/badgerroute/coordination/jobs/subsystem.py
+++ b/badgerroute/coordination/jobs/subsystem.py
@@ -75,7 +75,7 @@
             replica=replica,
             job_store=job_store,
             leadership_state=leadership_state,
-            home_shard=settings.home,
+            home_shard=settings.home_shard,
         ),
         page_garbage_collector=PageGarbageCollector(
             loop=loop,
--- a/badgerroute/coordination/leadership/leader_election.py
+++ b/badgerroute/coordination/leadership/leader_election.py
@@ -111,12 +111,12 @@
         leader = self._records.leader_host(shard)
         if leader is not None:
             return leader == self._host
-        if shard == self._settings.home or shard in self._ever_led:
+        if shard == self._settings.home_shard or shard in self._ever_led:
             return True
         return self._loop.now() - self._started_at > HOME_PRIORITY_PERIOD
 
     async def _campaign_for_all(self) -> None:
-        size, home = self._settings.params.size, self._settings.home
+        size, home = self._settings.params.size, self._settings.home_shard
         for offset in range(size):  # starts with the home shard
             shard = (home + offset) % size
             if not self._may_campaign(shard):
--- a/badgerroute/coordination/membership/connectivity_monitor.py
+++ b/badgerroute/coordination/membership/connectivity_monitor.py
@@ -72,7 +72,7 @@
         if process_pause:
             self._discount_pause(process_pause, now)
         self.worker_link.update(
-            {leader.number: leader.silent_machines() for leader in self._leaders.values() if leader.ready}, now
+            {leader.number: leader.count_silent_machines() for leader in self._leaders.values() if leader.ready}, now
         )
         change = self._mode_machine.update(self._reachability(), now)
         if change is not None:
--- a/badgerroute/coordination/membership/leadership_transfer.py
+++ b/badgerroute/coordination/membership/leadership_transfer.py
@@ -38,7 +38,7 @@
         self._leadership_state, self._shard_transfer = leadership_state, shard_transfer
         self._peers, self._monitor, self._leaders = peers, monitor, leaders
         self._worker_link = monitor.worker_link
-        self._max_relay_time = settings.operator.connectivity.relay_for
+        self._max_relay_time = settings.operator.connectivity.relay_duration
 
     async def run(self) -> None:
         """Transfer at most one shard per round; shards whose workers can't reach this controller take precedence."""
@@ -101,7 +101,7 @@
         return False
 
     def _workers_lost(self, leader: ShardLeader, now: timedelta, unrelayed_only: bool) -> bool:
-        overdue = leader.silent_machines() if leader.ready else 0
+        overdue = leader.count_silent_machines() if leader.ready else 0
         return self._worker_link.lost and self._worker_link.shard_suspected(leader.number, overdue, now, unrelayed_only)
 
     def _transfer_target(self, leader: ShardLeader, now: timedelta) -> Peer | None:
--- a/badgerroute/coordination/shards/deadline_tiers.py
+++ b/badgerroute/coordination/shards/deadline_tiers.py
@@ -22,7 +22,7 @@
     """Unfinished jobs of all shards, in the order of their arrival."""
 
     tasks_left: dict[str, int] = field(default_factory=dict)  # by job reference
-    guaranteed: dict[str, bool] = field(default_factory=dict)  # by job reference: whether in the team's guarantee
+    within_guarantee: dict[str, bool] = field(default_factory=dict)  # by job reference: whether in the team's guarantee
 
 
 class DeadlineTiers:
@@ -48,7 +48,7 @@
         """
         processors = self._capacity.processors()
         running = self._running_tasks()
-        current_time = self._estimates.time_of_day()
+        current_time = self._estimates.seconds_since_epoch()
         failing = {job.ref for leader in self._leaders.values() for job in leader.shard.jobs.values() if job.failing}
         groups: dict[tuple[int, bool], list[Load]] = {}  # by negated priority level, and whether outside the guarantee
         starving: set[str] = set()
@@ -65,7 +65,7 @@
             due = self._estimates.times_until_due(record, age)
             if ref in inherited_due:
                 due.append(timedelta(seconds=inherited_due[ref] - current_time))
-            group = (-self._job_store.effective_level(ref), not work.guaranteed[ref])
+            group = (-self._job_store.effective_level(ref), not work.within_guarantee[ref])
             groups.setdefault(group, []).append(self._load(record, tasks_left, max_parallel, due))
         tier_of_job = tiers([groups[group] for group in sorted(groups)], processors)
         tier_of_job.update(dict.fromkeys(starving, STARVING_TIER))
--- a/badgerroute/coordination/shards/forecast.py
+++ b/badgerroute/coordination/shards/forecast.py
@@ -74,9 +74,9 @@
         """
         return self._inheritance.advance(is_over)
 
-    def time_left(self, record: JobRecord) -> timedelta:
+    def time_until_due(self, record: JobRecord) -> timedelta:
         """Return the time left until the job's next due time, or `timedelta.max` if it has none."""
-        return self._estimates.time_left(record)
+        return self._estimates.time_until_due(record)
 
     def _open_work(self) -> OpenWork:
         """Return the unfinished jobs that can be scheduled, in the order of arrival.
@@ -96,15 +96,15 @@
             team_demand = demand.setdefault(team.name, Resources())
             team_demand.add(Resources(tasks_left * job.cpus, tasks_left * job.accelerators))
             work.tasks_left[ref] = tasks_left
-            work.guaranteed[ref] = Resources(team.cpus, team.gpus).holds(team_demand)
+            work.within_guarantee[ref] = Resources(team.cpus, team.gpus).holds(team_demand)
         return work
 
     def _update_shard(
         self, leader: ShardLeader, work: OpenWork, inherited_due: dict[str, float], tiers: dict[str, float]
     ) -> None:
-        now, time_of_day = self._loop.now(), self._estimates.time_of_day()
+        now, time_of_day = self._loop.now(), self._estimates.seconds_since_epoch()
         for job in leader.shard.jobs.values():
-            job.guaranteed = work.guaranteed.get(job.ref, False)
+            job.guaranteed = work.within_guarantee.get(job.ref, False)
             job.lateness_tier = tiers.get(job.ref, 0)
             record = self._job_store.active.get(job.ref)
             if record is None:
--- a/badgerroute/coordination/shards/gang_migration.py
+++ b/badgerroute/coordination/shards/gang_migration.py
@@ -52,7 +52,7 @@
         self._last_migrated: dict[str, timedelta] = {}  # when each gang was last migrated
         self._last_request: _GangMachineRequest | None = None
 
-    def gang_to_hold_for(self, now: timedelta) -> str | None:
+    def gang_to_reserve_for(self, now: timedelta) -> str | None:
         """Return the gang that machines were requested for recently, or None if there is none.
 
         A machine that joins the shard now is reserved for this gang.
--- a/badgerroute/coordination/shards/job_estimates.py
+++ b/badgerroute/coordination/shards/job_estimates.py
@@ -20,7 +20,7 @@
     ) -> None:
         self._loop, self._job_store, self._leaders, self._objectives = loop, job_store, leaders, objectives
 
-    def time_of_day(self) -> float:
+    def seconds_since_epoch(self) -> float:
         """Return the current time in seconds since 1970, as in stored records."""
         return self._loop.clock.today().timestamp()
 
@@ -44,8 +44,8 @@
         held_back = timedelta(seconds=arrival - record.accepted)
         return [due - age for due in self._objectives.due(record.job, held_back)]
 
-    def time_left(self, record: JobRecord) -> timedelta:
+    def time_until_due(self, record: JobRecord) -> timedelta:
         """Return the time until the job's next due time; `timedelta.max` if there is none."""
         arrival = self._job_store.effective_arrival(record.job.ref, record)
-        age = timedelta(seconds=self.time_of_day() - arrival)
+        age = timedelta(seconds=self.seconds_since_epoch() - arrival)
         return min((time for time in self.times_until_due(record, age) if time > ZERO), default=timedelta.max)
--- a/badgerroute/coordination/shards/leader_context.py
+++ b/badgerroute/coordination/shards/leader_context.py
@@ -38,7 +38,7 @@
     job_reader: JobReader
     pager: RecordPager
     quota_allocator: QuotaAllocator
-    progressed: Callable[[], None]  # to be called when there is progress to be written
+    request_flush: Callable[[], None]  # to be called when there is progress to be written
 
 
 @dataclass(frozen=True, slots=True)
--- a/badgerroute/coordination/shards/leader_parts.py
+++ b/badgerroute/coordination/shards/leader_parts.py
@@ -87,7 +87,7 @@
 def build_machine_link(core: LeaderCore) -> MachineLink:
     """Build the components that send commands, fence machines and apply task lists."""
     context, shard, loop, machines = core.context, core.shard, core.context.loop, core.context.machines
-    progress = ProgressBatch(shard=shard, loop=loop, progressed=context.jobs.progressed)
+    progress = ProgressBatch(shard=shard, loop=loop, request_flush=context.jobs.request_flush)
     intake = HeartbeatIntake(
         shard=shard, loop=loop, group=core.group, progress=progress, delete_machines=machines.delete_machines
     )
@@ -225,7 +225,7 @@
         machine_expiry=machine_expiry,
         urgent_stops=urgent_stops,
         quota_exchange=quota_exchange,
-        limit=context.settings.operator.scheduling.round,
+        planning_time_limit=context.settings.operator.scheduling.round,
     )
 
 
--- a/badgerroute/coordination/shards/progress_batch.py
+++ b/badgerroute/coordination/shards/progress_batch.py
@@ -12,16 +12,16 @@
 
 
 class ProgressBatch:
-    """Collects jobs with newly done tasks and calls `progressed` each time jobs are added."""
+    """Collects jobs with newly done tasks and calls `request_flush` each time jobs are added."""
 
-    def __init__(self, *, shard: Shard, loop: Loop, progressed: Callable[[], None]) -> None:
-        self._shard, self._loop, self._progressed = shard, loop, progressed
+    def __init__(self, *, shard: Shard, loop: Loop, request_flush: Callable[[], None]) -> None:
+        self._shard, self._loop, self._request_flush = shard, loop, request_flush
         self._jobs: set[str] = set()
 
     def add(self, jobs: set[str]) -> None:
         """Add jobs that have newly done tasks."""
         self._jobs |= jobs
-        self._progressed()
+        self._request_flush()
 
     def pending(self) -> bool:
         """Return whether any progress has not been written yet."""
--- a/badgerroute/coordination/shards/progress_flusher.py
+++ b/badgerroute/coordination/shards/progress_flusher.py
@@ -82,4 +82,4 @@
         if record is None:
             return 0, timedelta.max
         done = self._job_store.done_tasks(progress.ref, record) | progress.done
-        return record.job.tasks - done.bit_count(), self._forecast.time_left(record)
+        return record.job.tasks - done.bit_count(), self._forecast.time_until_due(record)
--- a/badgerroute/coordination/shards/scheduling_rounds.py
+++ b/badgerroute/coordination/shards/scheduling_rounds.py
@@ -16,7 +16,7 @@
 
 
 class SchedulingRounds:
-    """Runs the scheduling rounds of one shard; `limit` is the time that the planner may take in each."""
+    """Runs the scheduling rounds of one shard; `planning_time_limit` is the time that the planner may take in each."""
 
     def __init__(
         self,
@@ -28,11 +28,11 @@
         machine_expiry: MachineExpiry,
         urgent_stops: UrgentStops,
         quota_exchange: QuotaExchange,
-        limit: timedelta,
+        planning_time_limit: timedelta,
     ) -> None:
         self._shard, self._planner, self._loop, self._policy = shard, planner, loop, policy
         self._machine_expiry, self._urgent_stops = machine_expiry, urgent_stops
-        self._quota_exchange, self._limit = quota_exchange, limit
+        self._quota_exchange, self._planning_time_limit = quota_exchange, planning_time_limit
 
     async def run(self) -> None:
         """Run a round every `ROUND_INTERVAL` for as long as this controller may stop tasks of the shard."""
@@ -46,7 +46,7 @@
 
     def _run_round(self, now: timedelta) -> None:
         """Run one round without awaiting: expire lost machines, place jobs or preempt others, then send stops."""
-        out_of_time = deadline_check(self._loop, now + self._limit)
+        out_of_time = deadline_check(self._loop, now + self._planning_time_limit)
         self._machine_expiry.expire(now)
         self._machine_expiry.evacuate_preempted(now)
         self._shard.expire_reservations(now)
--- a/badgerroute/coordination/shards/shard_leader.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -105,6 +105,6 @@
         """Whether a machine is a member of the shard and its heartbeat is overdue."""
         return self._summaries.heartbeat_overdue(name)
 
-    def silent_machines(self) -> int:
+    def count_silent_machines(self) -> int:
         """Return how many machines' heartbeats are overdue, or 0 if less than half are. Cached like the summary."""
-        return self._summaries.silent_machines()
+        return self._summaries.count_silent_machines()
--- a/badgerroute/coordination/shards/subsystem.py
+++ b/badgerroute/coordination/shards/subsystem.py
@@ -81,7 +81,7 @@
             job_reader=jobs.reader,
             pager=jobs.pager,
             quota_allocator=quota_allocator,
-            progressed=progress_flusher.request_flush,
+            request_flush=progress_flusher.request_flush,
         ),
         machines=machines,
         peer_requests=peer_requests,
--- a/badgerroute/coordination/shards/summary_cache.py
+++ b/badgerroute/coordination/shards/summary_cache.py
@@ -68,13 +68,13 @@
             levels = {
                 self._job_store.effective_level(ref) for ref, record in self._job_store.schedulable() if record.job.gang
             }
-            workers_silent = self.silent_machines() > 0
+            workers_silent = self.count_silent_machines() > 0
             self._summary = _CachedSummary(
                 now, summarize(self._shard, self._planner, levels, rents_ahead, now, workers_silent)
             )
         return self._summary.summary
 
-    def silent_machines(self) -> int:
+    def count_silent_machines(self) -> int:
         """Return how many machines' heartbeats are overdue, or 0 if less than half are."""
         now = self._loop.now()
         if self._silence is None or now - self._silence.taken_at >= self._renewal_age():
--- a/badgerroute/settings/derived.py
+++ b/badgerroute/settings/derived.py
@@ -25,7 +25,7 @@
         return sorted([self.platform.host_name, *(peer.host_name for peer in self.platform.peers)])
 
     @property
-    def home(self) -> int:
+    def home_shard(self) -> int:
         """The number of this controller's home shard."""
         return self.hosts.index(self.platform.host_name)
 
--- a/badgerroute/settings/operator.py
+++ b/badgerroute/settings/operator.py
@@ -48,7 +48,7 @@
     most_machines: Annotated[int, Meta(ge=1)] = 5000
 
     @property
-    def idle(self) -> timedelta:
+    def max_idle_time(self) -> timedelta:
         """How long a machine may be idle before it is returned to the cloud."""
         return timedelta(seconds=self.idle_s)
 
@@ -107,7 +107,7 @@
     penalty_half_life_s: Annotated[float, Meta(ge=1, le=3600)] = 30.0
 
     @property
-    def relay_for(self) -> timedelta:
+    def relay_duration(self) -> timedelta:
         """How long heartbeats are relayed before leadership of the shards is transferred."""
         return timedelta(seconds=self.relay_s)
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -117,7 +117,7 @@
     mine = new_settings.Settings(platform)
     assert (mine.grace, mine.machine_lease, mine.max_clock_drift) == (theirs.grace, theirs.machine_lease, theirs.drift)
     assert mine.operator.election.ttl == theirs.operator.claims.ttl
-    assert mine.hosts == theirs.hosts and mine.home == theirs.home
+    assert mine.hosts == theirs.hosts and mine.home_shard == theirs.home
 
 
 # -- Days that begin with the version in production
