--- a/badgerroute/connectivity/damping.py
+++ b/badgerroute/connectivity/damping.py
@@ -31,7 +31,7 @@
     @classmethod
     def from_settings(cls, settings: Connectivity) -> "FlapDamping":
         """Create the damping from the operator settings."""
-        return cls(settings.settle, settings.longest_settle, settings.penalty_half_life)
+        return cls(settings.settle_time, settings.max_settle_time, settings.penalty_half_life)
 
     def penalty(self, now: timedelta) -> float:
         """Return the penalty at `now`, after its decay since the last loss."""
--- a/badgerroute/coordination/autoscaling/catalog.py
+++ b/badgerroute/coordination/autoscaling/catalog.py
@@ -99,4 +99,4 @@
         except (StoreUnavailableError, OutcomeUnknownError, CompareFailedError) as error:
             log.debug("event=catalog_write_failed error=%s", error)
         else:
-            self._replica.learn(key, bytes(value), revision)
+            self._replica.apply_early(key, bytes(value), revision)
--- a/badgerroute/coordination/autoscaling/machine_ownership.py
+++ b/badgerroute/coordination/autoscaling/machine_ownership.py
@@ -15,7 +15,7 @@
 
     def members(self) -> set[str]:
         """Return the names of the members of all shards."""
-        return {key.removeprefix(MACHINES) for key in self._replica.under(MACHINES)}
+        return {key.removeprefix(MACHINES) for key in self._replica.keys_under(MACHINES)}
 
     def has_other_leader(self, name: str) -> bool:
         """Return whether a machine belongs to a shard of another controller, which may be using the machine."""
--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -158,7 +158,7 @@
         self.membership.mesh.start(self.requests.mesh_dispatcher.receive)
         for run, name in (
             (self.storage.replica.run, "replica"),
-            (self.storage.replica.answer_readers, "reads"),
+            (self.storage.replica.serve_readers, "reads"),
             (self.leadership.election.run, "election"),
             (self.machine_catalog.run, "catalog"),
             (self._gossip_task.run, "gossip"),
--- a/badgerroute/coordination/jobs/downstream_cancellation.py
+++ b/badgerroute/coordination/jobs/downstream_cancellation.py
@@ -78,7 +78,11 @@
 
     def _write_delay(self, ref: str) -> timedelta:
         record = self._job_store.active.get(ref)
-        if record is not None and record.assigned and record.assigned[0].shard in self._leadership_state.leaderships:
+        if (
+            record is not None
+            and record.assigned_ranges
+            and record.assigned_ranges[0].shard in self._leadership_state.leaderships
+        ):
             return ZERO
         return self._non_leader_delay
 
--- a/badgerroute/coordination/jobs/job_reader.py
+++ b/badgerroute/coordination/jobs/job_reader.py
@@ -136,7 +136,7 @@
         for key in keys:
             entry = await self._store.get(key, Urgency.COMPLETE)
             if entry is not None:
-                self._replica.learn(key, bytes(entry.value), entry.revision)
+                self._replica.apply_early(key, bytes(entry.value), entry.revision)
             elif key.startswith(JOBS):
                 self._job_store.forget_record(key.removeprefix(JOBS))
                 await self._loop.sleep(REMOVAL_PAUSE)
@@ -180,7 +180,7 @@
         entry = await self._store.get(JOBS + ref, urgency)
         if entry is None:
             return await self._read_final_state(ref, urgency)
-        self._replica.learn(entry.key, bytes(entry.value), entry.revision)
+        self._replica.apply_early(entry.key, bytes(entry.value), entry.revision)
         return ActiveJob(records.read(bytes(entry.value), JobRecord), entry.revision)
 
     async def _read_final_state(self, ref: str, urgency: Urgency) -> FinishedJob | UnknownJob:
@@ -194,5 +194,5 @@
         self._job_store.learn_final_state(ref, final, entry.revision)
         # The transaction that wrote the final state removed the record. If the replica kept the record until the watch
         # reports the removal, this controller could start a task of a job whose cancellation a peer has confirmed.
-        self._replica.learn(JOBS + ref, None, entry.revision)
+        self._replica.apply_early(JOBS + ref, None, entry.revision)
         return final.state
--- a/badgerroute/coordination/jobs/job_store.py
+++ b/badgerroute/coordination/jobs/job_store.py
@@ -101,11 +101,11 @@
     def learn_cancelled(self, ref: str, revision: int) -> None:
         """Apply a cancellation reported by a peer, which this controller's own watch may report much later."""
         self.learn_final_state(ref, FinalStateRecord(JobState.CANCELLED, 0), revision)
-        self._replica.learn(JOBS + ref, None, revision)
+        self._replica.apply_early(JOBS + ref, None, revision)
 
     def apply_write(self, key: str, value: bytes | None, revision: int) -> None:
         """Apply a write of this controller, which the key-value store has applied, and push it to the peers."""
-        self._replica.learn(key, value, revision)
+        self._replica.apply_early(key, value, revision)
         self._publisher.publish(key, value, revision)
 
     def forget_record(self, ref: str) -> None:
@@ -176,7 +176,7 @@
 
     def done_tasks(self, ref: str, record: JobRecord) -> int:
         """Return the done tasks that the key-value store holds, in the job's record or its pages, as a bit set."""
-        return record.done() | self.pages.done(ref)
+        return record.stored_done_tasks() | self.pages.done(ref)
 
     def is_accepted(self, ref: str) -> bool:
         """Return whether a job is known to have been accepted."""
--- a/badgerroute/coordination/jobs/page_garbage_collector.py
+++ b/badgerroute/coordination/jobs/page_garbage_collector.py
@@ -72,4 +72,4 @@
         conditions = [compare(key, self._replica.revision_of(key)) for key in keys]
         revision = await self._store.transact(conditions, [remove(key) for key in keys], Urgency.PROGRESS)
         for key in keys:
-            self._replica.learn(key, None, revision)  # not pushed to the peers, which do not react to the removal
+            self._replica.apply_early(key, None, revision)  # not pushed to the peers, which do not react to the removal
--- a/badgerroute/coordination/jobs/page_index.py
+++ b/badgerroute/coordination/jobs/page_index.py
@@ -55,7 +55,7 @@
         """Return a job's predecessors from its record and its pages, all of which must be in the replica."""
         predecessors = list(record.job.predecessors or ())
         for page_number in range(record.pages):
-            page = self._replica.stored(page_key(PREDECESSORS, ref, page_number))
+            page = self._replica.existing_value(page_key(PREDECESSORS, ref, page_number))
             predecessors += records.read(page, PredecessorsPage).refs
         return predecessors
 
--- a/badgerroute/coordination/jobs/subsystem.py
+++ b/badgerroute/coordination/jobs/subsystem.py
@@ -51,7 +51,7 @@
     peers = [peer.host_name for peer in settings.platform.peers]
     change_broadcast = ChangeBroadcast(messenger)
     cancellation_broadcast = CancellationBroadcast(
-        loop, settings.platform.host_name, peers, messenger, settings.params.workers.cancel
+        loop, settings.platform.host_name, peers, messenger, settings.params.workers.max_cancellation_time
     )
     job_store = JobStore(replica, change_broadcast, release_listener, cancellation_broadcast)
     reader = JobReader(loop, storage.store, replica, job_store)
--- a/badgerroute/coordination/leadership/autoscaler_election.py
+++ b/badgerroute/coordination/leadership/autoscaler_election.py
@@ -42,7 +42,7 @@
         if lease != self._state.lease:
             return  # the lease ended during the write, and the key was deleted with it
         self._state.autoscaler_term = term
-        self._replica.learn(AUTOSCALER_LEADER, bytes(record), term)
+        self._replica.apply_early(AUTOSCALER_LEADER, bytes(record), term)
         log.info("event=autoscaler_elected term=%d", term)
 
     def _led_by_another(self) -> bool:
--- a/badgerroute/coordination/leadership/leader_records.py
+++ b/badgerroute/coordination/leadership/leader_records.py
@@ -85,11 +85,11 @@
 
     def learn(self, shard: int, record: ShardLeaderRecord, term: int) -> None:
         """Add a record to the replica that this controller has just written, before the watch reports it."""
-        self._replica.learn(shard_leader_key(shard), bytes(records.write(record)), term)
+        self._replica.apply_early(shard_leader_key(shard), bytes(records.write(record)), term)
 
     async def refresh(self, shard: int) -> None:
         """Read a shard's record into the replica. Raises StoreUnavailableError."""
         key = shard_leader_key(shard)
         item = await self._store.get(key, Urgency.LEADERSHIP)
         if item is not None:
-            self._replica.learn(key, bytes(item.value), item.revision)
+            self._replica.apply_early(key, bytes(item.value), item.revision)
--- a/badgerroute/coordination/leadership/lease_keeper.py
+++ b/badgerroute/coordination/leadership/lease_keeper.py
@@ -30,12 +30,12 @@
         """
         sent_at = self._loop.now()
         if self._state.lease is None:
-            self._state.lease = await self._store.grant(self._ttl)
+            self._state.lease = await self._store.grant_lease(self._ttl)
             log.info("event=lease_granted lease=%d", self._state.lease)
         else:
             if sent_at - self._state.lease_confirmed_at < self._ttl / RENEWALS_PER_TTL:
                 return
-            await self._store.touch(self._state.lease, min(self._ttl / 2, MAX_RENEWAL_TIMEOUT))
+            await self._store.renew_lease(self._state.lease, min(self._ttl / 2, MAX_RENEWAL_TIMEOUT))
         # The time to live starts when the store receives the request, so it is safe to count it from the time of
         # sending.
         self._state.lease_confirmed_at = sent_at
--- a/badgerroute/coordination/membership/worker_prober.py
+++ b/badgerroute/coordination/membership/worker_prober.py
@@ -50,7 +50,7 @@
                 await self._probe_sample()
 
     async def _probe_sample(self) -> None:
-        machine_keys = self._replica.under(MACHINES)
+        machine_keys = self._replica.keys_under(MACHINES)
         for key in self._sample(machine_keys, min(MACHINES_PER_PROBE, len(machine_keys))):
             value = self._replica.value(key)
             if value is not None and await self._answers_status_request(records.read(value, MachineRecord).address):
--- a/badgerroute/coordination/quotas/quota_store.py
+++ b/badgerroute/coordination/quotas/quota_store.py
@@ -73,7 +73,7 @@
             return False
         finally:
             self.writing.discard(team)
-        self._replica.learn(key, bytes(value), new_revision)
+        self._replica.apply_early(key, bytes(value), new_revision)
         self._publisher.publish(key, bytes(value), new_revision)
         return True
 
@@ -92,10 +92,10 @@
     async def _read_back(self, key: str) -> KeyValueEntry | None:
         entry = await self._store.get(key, Urgency.COMPLETE)
         if entry is not None:
-            self._replica.learn(key, bytes(entry.value), entry.revision)
+            self._replica.apply_early(key, bytes(entry.value), entry.revision)
         return entry
 
     async def _rewrite(self, key: str, revision: int, value: msgspec.Raw) -> None:
         """Rewrite a key with its current value, so that the unanswered transaction can't be applied later."""
         new_revision = await self._store.transact([compare(key, revision)], [put(key, value)], Urgency.COMPLETE)
-        self._replica.learn(key, bytes(value), new_revision)
+        self._replica.apply_early(key, bytes(value), new_revision)
--- a/badgerroute/coordination/requests/job_request_handler.py
+++ b/badgerroute/coordination/requests/job_request_handler.py
@@ -56,7 +56,7 @@
         permission = self._policy.permission(action)
         if permission is Permission.ALLOWED:
             response = await self._answer(request, ref, action)
-            if response.status == HTTP_SERVICE_UNAVAILABLE and self._store.troubled() and relay is None:
+            if response.status == HTTP_SERVICE_UNAVAILABLE and self._store.failed_recently() and relay is None:
                 return await self._forward(request) or response
             return response
         if permission is Permission.FROM_MEMORY:
--- a/badgerroute/coordination/requests/mesh_dispatcher.py
+++ b/badgerroute/coordination/requests/mesh_dispatcher.py
@@ -74,7 +74,7 @@
 
     def _on_push(self, message: wire.Push) -> None:
         if self._replica.ready.done:
-            self._replica.learn(message.key, message.value, message.revision)
+            self._replica.apply_early(message.key, message.value, message.revision)
 
     def _on_cancellation(self, message: wire.CancellationNotice) -> None:
         """Apply cancellations synchronously, even if the key-value store is unreachable, and then acknowledge them."""
--- a/badgerroute/coordination/shards/failover.py
+++ b/badgerroute/coordination/shards/failover.py
@@ -58,7 +58,7 @@
         self._shard.led_since = min(self._shard.led_since, loaded_at)
 
     def _load(self) -> None:
-        for key in self._replica.under(MACHINES):
+        for key in self._replica.keys_under(MACHINES):
             self._machine_sync.machine_changed(key.removeprefix(MACHINES), self._replica.value(key))
         for ref in list(self._job_store.active):
             self._job_sync.job_changed(ref)
--- a/badgerroute/coordination/shards/job_transfers.py
+++ b/badgerroute/coordination/shards/job_transfers.py
@@ -112,7 +112,7 @@
             # transferred once paging has made its record smaller.
             self._group.spawn(self._pager.page_out(ref), "page-out")
             return None
-        tasks = job.owned & ~record.owned(self._shard.number)
+        tasks = job.owned & ~record.tasks_owned_by(self._shard.number)
         if tasks & (job.placed_bits | job.in_transfer):
             # One of the tasks was placed or became part of another transfer after the tasks had been chosen, while an
             # earlier write of the same round was awaited. If it were transferred, it could run in both shards.
--- a/badgerroute/coordination/shards/machine_transfers.py
+++ b/badgerroute/coordination/shards/machine_transfers.py
@@ -108,7 +108,7 @@
                     compare(key, entry.revision),
                 ]
                 revision = await self._store.transact(conditions, [put(key, entry.value)], Urgency.COMPLETE)
-                self._replica.learn(key, bytes(entry.value), revision)
+                self._replica.apply_early(key, bytes(entry.value), revision)
                 machine.quarantined = False
                 return
             except WRITE_ERRORS:
--- a/badgerroute/coordination/shards/member_registry.py
+++ b/badgerroute/coordination/shards/member_registry.py
@@ -99,4 +99,4 @@
         for key in keys:
             item = await self._store.get(key, Urgency.SUBMIT)
             if item is not None:
-                self._replica.learn(key, bytes(item.value), item.revision)
+                self._replica.apply_early(key, bytes(item.value), item.revision)
--- a/badgerroute/coordination/shards/shard_storage.py
+++ b/badgerroute/coordination/shards/shard_storage.py
@@ -69,5 +69,5 @@
         """For each applied change, update the replica and publish the change to the peers."""
         for change in changes:
             value = bytes(change.value) if isinstance(change, Put) else None
-            self.replica.learn(change.key, value, revision)
+            self.replica.apply_early(change.key, value, revision)
             self.publisher.publish(change.key, value, revision)
--- a/badgerroute/coordination/shards/small_task_capacity.py
+++ b/badgerroute/coordination/shards/small_task_capacity.py
@@ -33,10 +33,12 @@
 
     def _processors_by_type(self) -> dict[str, float]:
         total: dict[str, float] = {}
-        for key in self._replica.under(MACHINES):
+        for key in self._replica.keys_under(MACHINES):
             type_name = self._types.get(key)
             if type_name is None:
-                type_name = self._types[key] = records.read(self._replica.stored(key), records.MachineRecord).type
+                type_name = self._types[key] = records.read(
+                    self._replica.existing_value(key), records.MachineRecord
+                ).type
             if type_name in self._catalog:
                 total[type_name] = total.get(type_name, 0.0) + self._catalog[type_name].cpus
         return total
--- a/badgerroute/coordination/shards/tombstone_writer.py
+++ b/badgerroute/coordination/shards/tombstone_writer.py
@@ -78,10 +78,10 @@
         shard has ever had machines at the same time; when all are full, the oldest page is overwritten.
         """
         prefix = f"{TOMBSTONES}{self._shard.number}/"
-        pages = sorted(self._replica.under(prefix), key=self._replica.revision_of)
+        pages = sorted(self._replica.keys_under(prefix), key=self._replica.revision_of)
         self._max_members = max(self._max_members, len(self._shard.machines))
         if pages:
-            names = records.read(self._replica.stored(pages[-1]), TombstoneRecord).names
+            names = records.read(self._replica.existing_value(pages[-1]), TombstoneRecord).names
             if len(names) < self._names_per_page:
                 return _Page(pages[-1], names)
         if len(pages) < max(MIN_PAGES, -(-2 * self._max_members // self._names_per_page)):
--- a/badgerroute/coordination/shards/work_stealing.py
+++ b/badgerroute/coordination/shards/work_stealing.py
@@ -96,7 +96,7 @@
                 continue
             tasks = selection.choose(job)
             if tasks:
-                ranges = given_ranges(record.assigned, tasks, message.thief)
+                ranges = given_ranges(record.assigned_ranges, tasks, message.thief)
                 reassignments.append(Reassignment(job.ref, record.with_ranges(ranges)))
         if reassignments:
             await self._job_transfers.write(reassignments, message.thief)
@@ -110,4 +110,4 @@
 
     @staticmethod
     def _may_be_stolen(job: Job, record: JobRecord) -> bool:
-        return len(record.assigned) <= MAX_RANGES and bool(job.waiting_bits) and not job.failing
+        return len(record.assigned_ranges) <= MAX_RANGES and bool(job.waiting_bits) and not job.failing
--- a/badgerroute/rebalancing/drains.py
+++ b/badgerroute/rebalancing/drains.py
@@ -38,7 +38,7 @@
 
     def machine_names(self) -> list[str]:
         """Return the names of the machines that are to be drained."""
-        return [key.removeprefix(DRAINS) for key in self._replica.under(DRAINS)]
+        return [key.removeprefix(DRAINS) for key in self._replica.keys_under(DRAINS)]
 
     def get(self, machine: str) -> Drain | None:
         """Return the drain of a machine, or None if it is not to be drained."""
@@ -69,7 +69,7 @@
         except (StoreUnavailableError, OutcomeUnknownError, CompareFailedError) as error:
             log.info("event=drain_removal_failed machine=%s error=%s", name, error)
             return
-        self._replica.learn(key, None, revision)
+        self._replica.apply_early(key, None, revision)
         log.info("event=drain_removed machine=%s", name)
 
 
--- a/badgerroute/scheduling/shard.py
+++ b/badgerroute/scheduling/shard.py
@@ -117,8 +117,8 @@
         `dependency_wait` is how long it waited for them. `done` is the bit set of its done tasks; None means that the
         record has all of them.
         """
-        done = record.done() if done is None else done
-        owned = record.owned(self.number)
+        done = record.stored_done_tasks() if done is None else done
+        owned = record.tasks_owned_by(self.number)
         job = self.jobs.get(record.job.ref)
         if job is not None:
             return self._update_job(job, owned, done, now)
--- a/badgerroute/scheduling/stealing.py
+++ b/badgerroute/scheduling/stealing.py
@@ -41,7 +41,7 @@
         same_shard = job.gang or job.spec.together or job.spec.spread
         if same_shard and job.placements:
             return 0  # its tasks must all be in one shard, since its constraints apply to them together
-        # `count_free_slots` counts only machines that the job may use: a shard must not keep tasks that it can never run.
+        # `count_free_slots` counts only machines that the job may use: no shard must keep tasks that it can never run.
         waiting = job.waiting_bits
         fitting_here = self._shard.count_free_slots(job)
         wanted = waiting.bit_count() - (0 if same_shard else min(fitting_here, waiting.bit_count()))
--- a/badgerroute/settings/derived.py
+++ b/badgerroute/settings/derived.py
@@ -45,8 +45,8 @@
         a cancelled job's task running for too long.
         """
         workers = self.params.workers
-        margin = timedelta(seconds=3) + 0.05 * workers.cancel + self.max_clock_drift
-        return max(timedelta(seconds=1), workers.cancel - workers.lease - margin)
+        margin = timedelta(seconds=3) + 0.05 * workers.max_cancellation_time + self.max_clock_drift
+        return max(timedelta(seconds=1), workers.max_cancellation_time - workers.lease - margin)
 
     @property
     def machine_lease(self) -> timedelta:
--- a/badgerroute/settings/operator.py
+++ b/badgerroute/settings/operator.py
@@ -112,12 +112,12 @@
         return timedelta(seconds=self.relay_s)
 
     @property
-    def settle(self) -> timedelta:
+    def settle_time(self) -> timedelta:
         """How long connections must be stable before shards return to their home controller."""
         return timedelta(seconds=self.settle_s)
 
     @property
-    def longest_settle(self) -> timedelta:
+    def max_settle_time(self) -> timedelta:
         """The longest such time, for connections that fail repeatedly."""
         return timedelta(seconds=self.longest_settle_s)
 
--- a/badgerroute/settings/platform.py
+++ b/badgerroute/settings/platform.py
@@ -76,12 +76,12 @@
         return timedelta(seconds=self.lease_s)
 
     @property
-    def cancel(self) -> timedelta:
+    def max_cancellation_time(self) -> timedelta:
         """How long a cancelled task may still run on a machine."""
         return timedelta(seconds=self.cancel_s)
 
     @property
-    def gang_peer(self) -> timedelta:
+    def gang_stop_time(self) -> timedelta:
         """The time in which a gang's tasks notice that one of them has ended, and in which they stop together."""
         return timedelta(seconds=self.gang_peer_s)
 
--- a/badgerroute/storage/entries.py
+++ b/badgerroute/storage/entries.py
@@ -86,7 +86,7 @@
     def forget_removals(self, revision: int) -> None:
         """Forget the removals up to this revision, once the watch has delivered all changes up to it.
 
-        From then on `Replica.learn` rejects older copies of a removed key, so they cannot bring it back.
+        From then on `Replica.apply_early` rejects older copies of a removed key, so they cannot bring it back.
         """
         if self._removed:
             self._removed = {key: removed for key, removed in self._removed.items() if removed > revision}
--- a/badgerroute/storage/key_value_client.py
+++ b/badgerroute/storage/key_value_client.py
@@ -79,7 +79,7 @@
         """Divide the rate limits among this number of controllers."""
         self.rates.divide(size)
 
-    def troubled(self) -> bool:
+    def failed_recently(self) -> bool:
         """Return whether a request got no response, or status 503, within the last few seconds."""
         return self._caller.failed_recently()
 
@@ -166,14 +166,14 @@
         _require_ok(response)
         return self._caller.decode(response, wire.applied_decoder, WRITE_ERRORS).revision
 
-    async def grant(self, ttl: timedelta) -> int:
+    async def grant_lease(self, ttl: timedelta) -> int:
         """Create a lease that ends `ttl` after its last renewal, and return its id."""
         body = encode({"ttl_ms": _milliseconds(ttl)})
         response = await self._write_lease("/grants", RESPONSE_TIMEOUT, body)
         _require_ok(response, accepted=(200, 201))
         return self._caller.decode(response, wire.lease_decoder, WRITE_ERRORS).lease
 
-    async def touch(self, lease: int, timeout: timedelta) -> None:
+    async def renew_lease(self, lease: int, timeout: timedelta) -> None:
         """Renew a lease; raise LeaseExpiredError if it has ended."""
         response = await self._write_lease(f"/grants/{lease}/touch", timeout)
         if response.status == 404:
--- a/badgerroute/storage/records.py
+++ b/badgerroute/storage/records.py
@@ -107,7 +107,7 @@
     planned: list[TaskRange] | UnsetType = UNSET
 
     @property
-    def assigned(self) -> list[TaskRange]:
+    def assigned_ranges(self) -> list[TaskRange]:
         """Which shard owns which tasks once the job is released."""
         return self.ranges if self.planned is UNSET else self.planned
 
@@ -115,7 +115,7 @@
         """Return the record with a new assignment of tasks to shards; the job is released."""
         return msgspec.structs.replace(self, ranges=ranges, planned=UNSET)
 
-    def done(self) -> int:
+    def stored_done_tasks(self) -> int:
         """Return the done tasks that this record holds, as a bit set."""
         below_base = (1 << self.base) - 1
         return below_base | (unpack(self.bits) << self.base) if self.bits else below_base
@@ -124,16 +124,16 @@
         """Return the record with these tasks done, as a released job: only released jobs make progress."""
         base = trailing_ones(done)
         bits = pack(done >> base)
-        return msgspec.structs.replace(self, ranges=self.assigned, planned=UNSET, base=base, bits=bits)
+        return msgspec.structs.replace(self, ranges=self.assigned_ranges, planned=UNSET, base=base, bits=bits)
 
     def without_bits(self, done: int) -> "JobRecord":
         """Return the record with only `base` for the done tasks: the remaining bits are stored on pages."""
         return msgspec.structs.replace(self, base=trailing_ones(done), bits="")
 
-    def owned(self, shard: int) -> int:
+    def tasks_owned_by(self, shard: int) -> int:
         """Return the tasks that a shard owns, as a bit set."""
         owned = 0
-        for owner, first, end in self.assigned:
+        for owner, first, end in self.assigned_ranges:
             if owner == shard:
                 owned |= span(first, end)
         return owned
--- a/badgerroute/storage/replica.py
+++ b/badgerroute/storage/replica.py
@@ -84,18 +84,18 @@
         entry = self._entries.by_key.get(key)
         return entry.value if entry else None
 
-    def stored(self, key: str) -> bytes:
+    def existing_value(self, key: str) -> bytes:
         """Return the value of an existing key; raise KeyError if it does not exist."""
         return self._entries.by_key[key].value
 
-    def under(self, prefix: str) -> list[str]:
+    def keys_under(self, prefix: str) -> list[str]:
         """Return the keys that begin with a prefix, which ends in a slash, and have no further slash.
 
         Looks them up in an index, since this is called several times a second.
         """
         return self._entries.keys_under(prefix)
 
-    def learn(self, key: str, value: bytes | None, revision: int) -> None:
+    def apply_early(self, key: str, value: bytes | None, revision: int) -> None:
         """Apply a change that was received from another source than the watch (a removal if `value` is None).
 
         Changes up to the revision of the watch are ignored: a copy of an old message that arrives minutes late must not
@@ -115,7 +115,7 @@
         """
         await self._barrier.wait_until_current()
 
-    async def answer_readers(self) -> None:
+    async def serve_readers(self) -> None:
         """Run the background work of `wait_until_current`; runs until cancelled."""
         await self._barrier.answer_readers()
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -662,7 +662,7 @@
 def test_done_tasks_survive_their_record(tasks: set[int]) -> None:
     done = sum(1 << one for one in tasks)
     record = JobRecord(submission(tasks=1000), 0.0, [(0, 0, 1000)]).with_done(done)
-    assert record.done() == done
+    assert record.stored_done_tasks() == done
 
 
 @pytest.mark.parametrize(
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -347,7 +347,7 @@
     file.write_text(PLATFORM)
     made = settings.load(str(file))
     workers = made.params.workers
-    assert made.grace + workers.lease + made.max_clock_drift + 2 * SECOND < workers.cancel
+    assert made.grace + workers.lease + made.max_clock_drift + 2 * SECOND < workers.max_cancellation_time
     assert made.grace > 15 * SECOND
 
 
