--- a/badgerroute/coordination/jobs/progress_writer.py
+++ b/badgerroute/coordination/jobs/progress_writer.py
@@ -24,7 +24,7 @@
 
 # Takes a shard, and returns the condition that makes a transaction fail unless this controller still leads the shard,
 # or None if it does not lead the shard now.
-LeadershipCheck = Callable[[int], Compare | None]
+LeadershipCondition = Callable[[int], Compare | None]
 
 
 @dataclass(slots=True)
@@ -63,14 +63,14 @@
     def _unix_time(self) -> float:
         return self._loop.clock.today().timestamp()
 
-    async def write_progress(self, batch: list[Progress], leadership_check: LeadershipCheck) -> None:
+    async def write_progress(self, batch: list[Progress], leadership_condition: LeadershipCondition) -> None:
         """Write done tasks and completed jobs in one transaction. Progress that does not fit is not written.
 
         Raises StoreUnavailableError if nothing was written. Each shard leader keeps its progress until it is stored,
         and passes unwritten progress again in the next call.
         """
         for _ in range(MAX_PROGRESS_ATTEMPTS):
-            pending = self._transaction(batch, leadership_check)
+            pending = self._transaction(batch, leadership_condition)
             if not len(pending.transaction):
                 return
             try:
@@ -85,7 +85,7 @@
                 self._log_completed(pending.completed)
                 return
 
-    def _transaction(self, batch: list[Progress], leadership_check: LeadershipCheck) -> ProgressTransaction:
+    def _transaction(self, batch: list[Progress], leadership_condition: LeadershipCondition) -> ProgressTransaction:
         transaction = JobTransaction(self._store, self._replica, self._job_store)
         pending = ProgressTransaction(transaction)
         for progress in batch:
@@ -93,7 +93,7 @@
             if transaction.value_bytes > MAX_TRANSACTION_BYTES or remaining_changes < CHANGES_PER_COMPLETED_JOB:
                 break
             record = self._job_store.active.get(progress.ref)
-            conditions = [leadership_check(shard) for shard in progress.shards]
+            conditions = [leadership_condition(shard) for shard in progress.shards]
             leadership_conditions = [condition for condition in conditions if condition is not None]
             if record is None or len(leadership_conditions) < len(progress.shards):
                 continue  # the job was cancelled meanwhile, or another controller leads the shard now
--- a/badgerroute/coordination/requests/job_service.py
+++ b/badgerroute/coordination/requests/job_service.py
@@ -25,7 +25,7 @@
 from badgerroute.protocol.cloud import MachineType
 from badgerroute.protocol.common import MalformedError
 from badgerroute.protocol.mesh import ShardSummary
-from badgerroute.protocol.users import REF, Submission, parse_submission
+from badgerroute.protocol.users import JOB_ID_PATTERN, Submission, parse_submission
 from badgerroute.storage.rate_limiter import Urgency
 from badgerroute.storage.replica import Replica
 from badgerroute.transport.http import Request, Response
@@ -139,7 +139,7 @@
 
     async def poll(self, ref: str) -> Response:
         """Answer a poll of a job's state."""
-        if not REF.match(ref):
+        if not JOB_ID_PATTERN.match(ref):
             return no_such_job()
         if not self._replica.ready.done:
             return retry_later("starting")
@@ -152,14 +152,14 @@
 
     def poll_from_memory(self, ref: str) -> Response | None:
         """Answer a poll if the job's final state is in memory; return None if the key-value store must be read."""
-        if not REF.match(ref):
+        if not JOB_ID_PATTERN.match(ref):
             return no_such_job()
         final = self._job_store.final_state(ref)
         return None if final is None else self._state_response(200, ref, FinishedJob(final))
 
     async def cancel(self, ref: str) -> Response:
         """Cancel a job, and answer with its final state."""
-        if not REF.match(ref):
+        if not JOB_ID_PATTERN.match(ref):
             return no_such_job()
         try:
             state = await self._job_writer.cancel(ref)
--- a/badgerroute/coordination/shards/deadline_tiers.py
+++ b/badgerroute/coordination/shards/deadline_tiers.py
@@ -9,7 +9,7 @@
 from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.coordination.shards.small_task_capacity import SmallTaskCapacity
 from badgerroute.protocol.mesh import ShardSummary
-from badgerroute.scheduling.deadline_feasibility import Load, tiers
+from badgerroute.scheduling.deadline_feasibility import RemainingWork, lateness_tiers
 from badgerroute.settings import Team
 from badgerroute.storage.records import JobRecord
 
@@ -50,7 +50,8 @@
         running = self._running_tasks()
         current_time = self._estimates.seconds_since_epoch()
         failing = {job.ref for leader in self._leaders.values() for job in leader.shard.jobs.values() if job.failing}
-        groups: dict[tuple[int, bool], list[Load]] = {}  # by negated priority level, and whether outside the guarantee
+        # By negated priority level, and whether outside the guarantee.
+        groups: dict[tuple[int, bool], list[RemainingWork]] = {}
         starving: set[str] = set()
         for ref, tasks_left in work.tasks_left.items():
             record = self._job_store.active[ref]
@@ -67,7 +68,7 @@
                 due.append(timedelta(seconds=inherited_due[ref] - current_time))
             group = (-self._job_store.effective_level(ref), not work.within_guarantee[ref])
             groups.setdefault(group, []).append(self._load(record, tasks_left, max_parallel, due))
-        tier_of_job = tiers([groups[group] for group in sorted(groups)], processors)
+        tier_of_job = lateness_tiers([groups[group] for group in sorted(groups)], processors)
         tier_of_job.update(dict.fromkeys(starving, STARVING_TIER))
         return tier_of_job
 
@@ -84,7 +85,7 @@
         limit = min(processors, self._teams[record.job.team].limits[0])
         return max(1, int(limit / record.job.cpus))
 
-    def _load(self, record: JobRecord, tasks_left: int, max_parallel: int, due: list[timedelta]) -> Load:
+    def _load(self, record: JobRecord, tasks_left: int, max_parallel: int, due: list[timedelta]) -> RemainingWork:
         run_time = self._estimates.run_time(record)
         waves = -(-tasks_left // max_parallel)
-        return Load(record.job.ref, tasks_left * record.job.cpus * run_time, waves * run_time, sorted(due))
+        return RemainingWork(record.job.ref, tasks_left * record.job.cpus * run_time, waves * run_time, sorted(due))
--- a/badgerroute/coordination/shards/progress_flusher.py
+++ b/badgerroute/coordination/shards/progress_flusher.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 
 from badgerroute.coordination.jobs.job_store import JobStore
-from badgerroute.coordination.jobs.progress_writer import LeadershipCheck, Progress, ProgressWriter
+from badgerroute.coordination.jobs.progress_writer import LeadershipCondition, Progress, ProgressWriter
 from badgerroute.coordination.shards.forecast import JobForecast
 from badgerroute.coordination.shards.shard_leader import ShardLeader
 from badgerroute.storage.errors import LeaseExpiredError, OutcomeUnknownError, StoreUnavailableError
@@ -18,7 +18,7 @@
 class ProgressFlusher:
     """Merges the progress of each job over the shards of this controller, and writes it.
 
-    `leadership_check` returns, for a shard, the condition of a write that this controller still leads the shard.
+    `leadership_condition` returns, for a shard, the condition of a write that this controller still leads the shard.
     """
 
     def __init__(
@@ -29,9 +29,9 @@
         job_store: JobStore,
         progress_writer: ProgressWriter,
         forecast: JobForecast,
-        leadership_check: LeadershipCheck,
+        leadership_condition: LeadershipCondition,
     ) -> None:
-        self._loop, self._leaders, self._leadership_check = loop, leaders, leadership_check
+        self._loop, self._leaders, self._leadership_condition = loop, leaders, leadership_condition
         self._job_store, self._progress_writer, self._forecast = job_store, progress_writer, forecast
         self._requested = Future()
 
@@ -57,7 +57,7 @@
         merged = self._merge_progress()
         if merged:
             batch = sorted(merged.values(), key=self._write_order)
-            await self._progress_writer.write_progress(batch, self._leadership_check)
+            await self._progress_writer.write_progress(batch, self._leadership_condition)
 
     def _merge_progress(self) -> dict[str, Progress]:
         """Return the progress to write now, by job; a job may have tasks in several shards of this controller."""
--- a/badgerroute/coordination/shards/subsystem.py
+++ b/badgerroute/coordination/shards/subsystem.py
@@ -68,7 +68,7 @@
         job_store=jobs.store,
         progress_writer=jobs.progress_writer,
         forecast=forecast,
-        leadership_check=leadership.state.leadership_condition_if_led,
+        leadership_condition=leadership.state.leadership_condition_if_led,
     )
     context = LeaderContext(
         settings=settings,
--- a/badgerroute/coordination/shards/work_stealing.py
+++ b/badgerroute/coordination/shards/work_stealing.py
@@ -11,7 +11,7 @@
 from badgerroute.scheduling.capacities import holds_whole_job, slots_by_zone
 from badgerroute.scheduling.model import Job
 from badgerroute.scheduling.shard import Shard
-from badgerroute.scheduling.stealing import StealSelection, given_ranges
+from badgerroute.scheduling.stealing import StealSelection, ranges_after_transfer
 from badgerroute.storage.key_value_client import KeyValueClient
 from badgerroute.storage.records import JobRecord
 from badgerroute.transport.loop import Loop
@@ -96,7 +96,7 @@
                 continue
             tasks = selection.choose(job)
             if tasks:
-                ranges = given_ranges(record.assigned_ranges, tasks, message.thief)
+                ranges = ranges_after_transfer(record.assigned_ranges, tasks, message.thief)
                 reassignments.append(Reassignment(job.ref, record.with_ranges(ranges)))
         if reassignments:
             await self._job_transfers.write(reassignments, message.thief)
--- a/badgerroute/protocol/cloud.py
+++ b/badgerroute/protocol/cloud.py
@@ -49,13 +49,13 @@
     count: int = field(name="number")
 
 
-class Rented(Struct):
+class RentalResponse(Struct):
     """The names of the rented machines: response to POST /rentals."""
 
     machines: list[str] = field(name="mounts")
 
 
-class Deletion(Struct):
+class DeletionRequest(Struct):
     """A request to delete machines: POST /rentals/delete."""
 
     machines: list[str] = field(name="mounts")
@@ -84,5 +84,5 @@
 
 
 catalog_decoder = msgspec.json.Decoder(Catalog)
-rented_decoder = msgspec.json.Decoder(Rented)
+rented_decoder = msgspec.json.Decoder(RentalResponse)
 list_decoder = msgspec.json.Decoder(MachineList)
--- a/badgerroute/protocol/users.py
+++ b/badgerroute/protocol/users.py
@@ -9,7 +9,7 @@
 
 from badgerroute.protocol.common import MalformedError, decode
 
-REF = re.compile(r"run-[0-9A-Za-z_.-]{1,60}\Z")
+JOB_ID_PATTERN = re.compile(r"run-[0-9A-Za-z_.-]{1,60}\Z")
 Text = Annotated[str, Meta(min_length=1, max_length=120)]
 Amount = Annotated[float, Meta(ge=0, le=1e9)]
 
@@ -74,14 +74,14 @@
 def parse_submission(body: bytes) -> Submission:
     """Parse a job submission from a request's body. Raise MalformedError, with the invalid field, if it is invalid."""
     job = decode(body, _submission_decoder)
-    if not REF.match(job.ref):
+    if not JOB_ID_PATTERN.match(job.ref):
         raise MalformedError.for_field("ref", "not a job id")
     if job.estimate_s == 0 and job.kind != "daemon":  # a daemon job runs until it is cancelled; see docs/questions.md
         raise MalformedError.for_field("trek_s", "must be above 0")
     if job.cpus == 0 and job.accelerators == 0 and job.memory_gb == 0:
         raise MalformedError.for_field("cpus", "a task must take something of its machine")
     for ref in job.predecessors or ():
-        if not REF.match(ref):
+        if not JOB_ID_PATTERN.match(ref):
             raise MalformedError.for_field("follows", f"not a job id: {ref}")
     return job
 
--- a/badgerroute/scheduling/array_placement.py
+++ b/badgerroute/scheduling/array_placement.py
@@ -22,7 +22,7 @@
 from badgerroute.scheduling.service_order import ServiceOrder
 from badgerroute.scheduling.shard import Shard
 from badgerroute.scheduling.task_phase import Phase
-from badgerroute.storage.bitset import lowest
+from badgerroute.storage.bitset import lowest_bit
 
 log = logging.getLogger(__name__)
 SHARED_MACHINE_WAIT = timedelta(seconds=6)  # a task waits this long for a machine in use before it takes an empty one
@@ -92,7 +92,7 @@
         It should if all its waiting tasks fit on those that cache its image, until it has waited SHARED_MACHINE_WAIT.
         """
         waiting = job.waiting_bits
-        if not waiting or now - job.requeued.get(lowest(waiting), job.waiting_since) > SHARED_MACHINE_WAIT:
+        if not waiting or now - job.requeued.get(lowest_bit(waiting), job.waiting_since) > SHARED_MACHINE_WAIT:
             return False
         remaining = waiting.bit_count()
         for machine in machines:
@@ -163,7 +163,7 @@
         waiting = job.waiting_bits
         if not waiting:
             return False
-        return self._rules.allowed_locality(job, machine, job.waited(lowest(waiting), now)) >= locality
+        return self._rules.allowed_locality(job, machine, job.waited(lowest_bit(waiting), now)) >= locality
 
     def _below_desire(self, job: Job) -> bool:
         return len(job.placements) < job.desire or self._shard.guidance.may_exceed_desire(job)
@@ -182,7 +182,7 @@
         if not self._shard.tasks_within_quota(job):
             self._rules.record_shortfall(job, waiting.bit_count())
             return False
-        index = lowest(waiting)
+        index = lowest_bit(waiting)
         log.debug(
             "event=task_placed task=%s/%d machine=%s waited=%.1f",
             job.ref,
--- a/badgerroute/scheduling/deadline_feasibility.py
+++ b/badgerroute/scheduling/deadline_feasibility.py
@@ -17,24 +17,26 @@
 
 
 @dataclass(slots=True)
-class Load:
+class RemainingWork:
     """The remaining work of a job.
 
-    `work` is the total processor time, `least` the shortest time in which the job can complete. A job may have several
-    due times; `due` holds the time that remains until each.
+    `work` is the total processor time, `min_duration` the shortest time in which the job can complete. A job may have
+    several due times; `due` holds the time that remains until each.
     """
 
     ref: str
     work: timedelta
-    least: timedelta
+    min_duration: timedelta
     due: Sequence[timedelta]
 
 
-def _on_time_loads(loads: Iterable[Load], due_index: int, earlier_work: timedelta, processors: float) -> list[Load]:
+def _on_time_loads(
+    loads: Iterable[RemainingWork], due_index: int, earlier_work: timedelta, processors: float
+) -> list[RemainingWork]:
     """The jobs that can meet their due time number `due_index` if they start after work that takes `earlier_work`."""
-    kept: list[tuple[timedelta, str, Load]] = []  # a heap; the job with the most work is popped first
+    kept: list[tuple[timedelta, str, RemainingWork]] = []  # a heap; the job with the most work is popped first
     total = earlier_work
-    candidates = [load for load in loads if due_index < len(load.due) and load.least <= load.due[due_index]]
+    candidates = [load for load in loads if due_index < len(load.due) and load.min_duration <= load.due[due_index]]
     for load in sorted(candidates, key=lambda candidate: (candidate.due[due_index], candidate.ref)):
         heapq.heappush(kept, (-load.work, load.ref, load))
         total += load.work / processors
@@ -43,12 +45,12 @@
     return [load for _, _, load in kept]
 
 
-def _can_wait(load: Load, due_index: int) -> bool:
+def _can_wait(load: RemainingWork, due_index: int) -> bool:
     """Whether a job has so much time to spare before this due time that other jobs may go first."""
-    return load.due[due_index] - load.least > 2 * load.least + MIN_SPARE_TIME
+    return load.due[due_index] - load.min_duration > 2 * load.min_duration + MIN_SPARE_TIME
 
 
-def tiers(groups: Iterable[Sequence[Load]], processors: float) -> dict[str, float]:
+def lateness_tiers(groups: Iterable[Sequence[RemainingWork]], processors: float) -> dict[str, float]:
     """Return the lateness tier of each job: how many of its due times it will miss, plus 0.5 if it can wait.
 
     A job can wait if it has so much spare time that other jobs may go first (`_can_wait`). `groups` are in the order of
--- a/badgerroute/scheduling/gang_placement.py
+++ b/badgerroute/scheduling/gang_placement.py
@@ -18,7 +18,7 @@
 from badgerroute.scheduling.service_order import ServiceOrder
 from badgerroute.scheduling.shard import Shard
 from badgerroute.scheduling.task_phase import Phase
-from badgerroute.storage.bitset import lowest
+from badgerroute.storage.bitset import lowest_bit
 
 log = logging.getLogger(__name__)
 FETCHING_PENALTY = 1000.0  # exceeds the number of images on any machine, so machines that already fetch sort last
@@ -147,7 +147,7 @@
         job.gang_attempt = attempt
         waiting = job.waiting_bits
         for machine in machines:
-            index = lowest(waiting)
+            index = lowest_bit(waiting)
             waiting &= waiting - 1
             self._shard.place(job, index, attempt, machine, now, Phase.RESERVED)
         for machine in self._shard.machines.values():
--- a/badgerroute/scheduling/model.py
+++ b/badgerroute/scheduling/model.py
@@ -19,7 +19,7 @@
 from badgerroute.scheduling.resources import Resources
 from badgerroute.scheduling.task_attempt import TaskAttempt
 from badgerroute.scheduling.task_phase import PHASES_WITHOUT_IMAGE, Phase
-from badgerroute.storage.bitset import lowest
+from badgerroute.storage.bitset import lowest_bit
 
 ZERO = timedelta(0)
 
@@ -236,7 +236,7 @@
         waiting = self.owned & ~(self.done | self.done_here | self.placed_bits | self.in_transfer)
         if waiting and not self.gang:
             finished = self.done | self.done_here
-            base = lowest(~finished & (finished + 1))
+            base = lowest_bit(~finished & (finished + 1))
             waiting &= (1 << (base + self.start_window)) - 1
         return waiting
 
--- a/badgerroute/scheduling/preemption.py
+++ b/badgerroute/scheduling/preemption.py
@@ -14,7 +14,7 @@
 from badgerroute.scheduling.objectives import Objectives
 from badgerroute.scheduling.service_order import ServiceOrder
 from badgerroute.scheduling.shard import Shard
-from badgerroute.storage.bitset import lowest
+from badgerroute.storage.bitset import lowest_bit
 
 log = logging.getLogger(__name__)
 ARRAY_RESERVATION = timedelta(seconds=6)  # how long capacity freed for an array stays reserved
@@ -127,7 +127,7 @@
         if job.gang or job.failing or now - job.waiting_since < min_wait or self._order.yields_to_gang(job):
             return 0
         waiting = job.waiting_bits
-        if not waiting or now - min(job.requeued.get(lowest(waiting), job.waiting_since), now) < min_wait:
+        if not waiting or now - min(job.requeued.get(lowest_bit(waiting), job.waiting_since), now) < min_wait:
             return 0
         wanted = min(waiting.bit_count(), self._shard.tasks_within_quota(job, limit), limit)
         for machine in self._evictions.candidates(job, now, with_free_cpus=True):
--- a/badgerroute/scheduling/stealing.py
+++ b/badgerroute/scheduling/stealing.py
@@ -15,7 +15,7 @@
 from badgerroute.scheduling.model import Job
 from badgerroute.scheduling.placement_constraints import allows
 from badgerroute.scheduling.shard import Shard
-from badgerroute.storage.bitset import lowest, span, trailing_ones
+from badgerroute.storage.bitset import lowest_bit, task_span, trailing_ones
 from badgerroute.storage.task_ranges import TaskRange, assign_tasks
 
 UNCACHED_WAIT = timedelta(seconds=1)  # a job's tasks wait this long before a shard without their image may take them
@@ -58,7 +58,7 @@
             return 0
         for offer, machines in used:
             offer.machines_left -= machines
-        return span(0, job.spec.tasks) & job.owned if same_shard else _highest_bits(waiting, count)
+        return task_span(0, job.spec.tasks) & job.owned if same_shard else _highest_bits(waiting, count)
 
     def _fitting_offers(self, job: Job, wanted: int) -> tuple[int, list[tuple[_Offer, int]]]:
         """How many tasks the offered machines can hold, and the number of machines of each offer to use.
@@ -92,11 +92,11 @@
     return highest
 
 
-def given_ranges(ranges: list[TaskRange], tasks: int, shard: int) -> list[TaskRange]:
+def ranges_after_transfer(ranges: list[TaskRange], tasks: int, shard: int) -> list[TaskRange]:
     """Return a job's task ranges, which map its tasks to shards, after a bit set of tasks is given to a shard."""
     while tasks:
-        first = lowest(tasks)
+        first = lowest_bit(tasks)
         length = trailing_ones(tasks >> first)
-        tasks &= ~span(first, first + length)
+        tasks &= ~task_span(first, first + length)
         ranges = assign_tasks(ranges, first, first + length, shard)
     return ranges
--- a/badgerroute/storage/bitset.py
+++ b/badgerroute/storage/bitset.py
@@ -30,11 +30,11 @@
     return (~bits & (bits + 1)).bit_length() - 1
 
 
-def span(first: int, end: int) -> int:
+def task_span(first: int, end: int) -> int:
     """Return the bit set of all tasks from `first` up to, but not including, `end`."""
     return ((1 << (end - first)) - 1) << first
 
 
-def lowest(bits: int) -> int:
+def lowest_bit(bits: int) -> int:
     """Return the number of the lowest bit that is set, or -1 if none is."""
     return (bits & -bits).bit_length() - 1
--- a/badgerroute/storage/cloud_client.py
+++ b/badgerroute/storage/cloud_client.py
@@ -63,7 +63,7 @@
 
         When this returns, these machines and all tasks on them have ended.
         """
-        body = encode(wire.Deletion(names[:MAX_MACHINES_PER_DELETION]))
+        body = encode(wire.DeletionRequest(names[:MAX_MACHINES_PER_DELETION]))
         await self._call("POST", "/rentals/delete", Urgency.LEADERSHIP, body)
 
     def listing_time(self, machine_count: int) -> timedelta:
--- a/badgerroute/storage/records.py
+++ b/badgerroute/storage/records.py
@@ -11,7 +11,7 @@
 from msgspec import UNSET, Struct, UnsetType, field
 
 from badgerroute.protocol.users import Submission
-from badgerroute.storage.bitset import pack, span, trailing_ones, unpack
+from badgerroute.storage.bitset import pack, task_span, trailing_ones, unpack
 from badgerroute.storage.task_ranges import TaskRange
 
 BITS_PER_CHARACTER = 6  # of base64
@@ -135,7 +135,7 @@
         owned = 0
         for owner, first, end in self.assigned_ranges:
             if owner == shard:
-                owned |= span(first, end)
+                owned |= task_span(first, end)
         return owned
 
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -13,7 +13,7 @@
 from badgerroute.protocol.users import Priority, Submission
 from badgerroute.protocol.workers import Heartbeat, TaskStatus
 from badgerroute.scheduling import delay_scheduling, utilization_feedback
-from badgerroute.scheduling.deadline_feasibility import Load, tiers
+from badgerroute.scheduling.deadline_feasibility import RemainingWork, lateness_tiers
 from badgerroute.scheduling.model import Job
 from badgerroute.scheduling.objectives import Objectives
 from badgerroute.scheduling.planner import Planner
@@ -21,7 +21,7 @@
 from badgerroute.scheduling.shard import Shard
 from badgerroute.scheduling.task_phase import Phase
 from badgerroute.settings import Scheduling
-from badgerroute.storage.bitset import lowest, span, trailing_ones
+from badgerroute.storage.bitset import lowest_bit, task_span, trailing_ones
 from badgerroute.storage.records import JobRecord, MachineRecord
 from badgerroute.storage.task_ranges import TaskRange, assign_tasks
 
@@ -309,14 +309,16 @@
     ],
 )
 def test_as_many_jobs_as_can_be_are_in_time(jobs: dict, expected: dict) -> None:
-    loads = [Load(ref, work * S, least * S, [one * S for one in due]) for ref, (work, least, due) in jobs.items()]
-    assert tiers([loads], 10.0) == expected
+    loads = [
+        RemainingWork(ref, work * S, least * S, [one * S for one in due]) for ref, (work, least, due) in jobs.items()
+    ]
+    assert lateness_tiers([loads], 10.0) == expected
 
 
 def test_what_is_served_first_leaves_less_time_to_the_rest() -> None:
-    first, second = Load("a", 100 * S, S, [5 * S]), Load("b", 100 * S, S, [15 * S])
-    assert tiers([[first], [second]], 10.0) == {"a": 1, "b": 1}
-    assert tiers([[second]], 10.0) == {"b": 0}
+    first, second = RemainingWork("a", 100 * S, S, [5 * S]), RemainingWork("b", 100 * S, S, [15 * S])
+    assert lateness_tiers([[first], [second]], 10.0) == {"a": 1, "b": 1}
+    assert lateness_tiers([[second]], 10.0) == {"b": 0}
 
 
 @pytest.mark.parametrize(("tier", "first"), [(1, "run-near"), (-1, "run-far")])
@@ -680,7 +682,7 @@
 
 def test_bits() -> None:
     assert [trailing_ones(0b0111), trailing_ones(0), trailing_ones(0b1011)] == [3, 0, 2]
-    assert span(2, 4) == 0b1100 and lowest(0b1100) == 2
+    assert task_span(2, 4) == 0b1100 and lowest_bit(0b1100) == 2
     assert Resources(8, 0, 32).count_fitting(Resources(3, 0, 1)) == 2
 
 
--- a/tests/test_written_names.py
+++ b/tests/test_written_names.py
@@ -26,8 +26,8 @@
     ),
     ("protocol.cloud.Catalog", cloud.Catalog, None, False, "breeds"),
     ("protocol.cloud.RentalRequest", cloud.RentalRequest, None, False, "hire breed pasture strays number"),
-    ("protocol.cloud.Rented", cloud.Rented, None, False, "mounts"),
-    ("protocol.cloud.Deletion", cloud.Deletion, None, False, "mounts"),
+    ("protocol.cloud.Rented", cloud.RentalResponse, None, False, "mounts"),
+    ("protocol.cloud.Deletion", cloud.DeletionRequest, None, False, "mounts"),
     (
         "protocol.cloud.ListedMachine",
         cloud.ListedMachine,
