--- a/badgerroute/coordination/autoscaling/machine_ownership.py
+++ b/badgerroute/coordination/autoscaling/machine_ownership.py
@@ -15,7 +15,7 @@
 
     def members(self) -> set[str]:
         """Return the names of all machines that are members of any shard."""
-        return {key.removeprefix(MACHINES) for key in self._replica.under(MACHINES)}
+        return {key.removeprefix(MACHINES) for key in self._replica.keys_under(MACHINES)}
 
     def has_other_leader(self, name: str) -> bool:
         """Return whether a machine is a member of a shard that this controller does not lead, and so may be in use."""
--- a/badgerroute/coordination/autoscaling/scale_in.py
+++ b/badgerroute/coordination/autoscaling/scale_in.py
@@ -57,7 +57,7 @@
                     self._return_idle(leader, max_idle)
 
     def _max_idle(self) -> timedelta:
-        max_idle = self._settings.operator.fleet.idle
+        max_idle = self._settings.operator.fleet.max_idle_time
         return max_idle if self._job_store.active else max_idle / IDLE_DIVISOR_WITHOUT_JOBS
 
     def _may_return_machines(self, leader: ShardLeader) -> bool:
@@ -66,7 +66,7 @@
     def _return_idle(self, leader: ShardLeader, max_idle: timedelta) -> None:
         machines = [machine for machine in leader.shard.machines.values() if self._is_unneeded(machine, max_idle)]
         for machine in machines:
-            machine.draining = True  # so that no more tasks are started on it
+            machine.quarantined = True  # so that no more tasks are started on it
         if machines:
             names = [machine.name for machine in machines]
             log.info("event=machines_scaled_in shard=%d machines=%s", leader.number, ",".join(names))
--- a/badgerroute/coordination/membership/worker_prober.py
+++ b/badgerroute/coordination/membership/worker_prober.py
@@ -50,12 +50,12 @@
                 await self._probe_sample()
 
     async def _probe_sample(self) -> None:
-        machine_keys = self._replica.under(MACHINES)
+        machine_keys = self._replica.keys_under(MACHINES)
         for key in self._sample(machine_keys, min(MACHINES_PER_PROBE, len(machine_keys))):
             value = self._replica.value(key)
             if value is not None and await self._answers_status_request(records.read(value, MachineRecord).address):
                 log.info("event=workers_probed again=%s", key.removeprefix(MACHINES))
-                self._worker_link.machine_reached(self._loop.now())
+                self._worker_link.record_machine_reached(self._loop.now())
                 return
 
     async def _answers_status_request(self, address: str) -> bool:
--- a/badgerroute/coordination/shards/gang_migration.py
+++ b/badgerroute/coordination/shards/gang_migration.py
@@ -52,7 +52,7 @@
         self._last_migrated: dict[str, timedelta] = {}  # when each gang was last migrated
         self._last_request: _GangMachineRequest | None = None
 
-    def gang_to_hold_for(self, now: timedelta) -> str | None:
+    def gang_to_reserve_for(self, now: timedelta) -> str | None:
         """Return the gang that machines were requested for recently, or None if there is none.
 
         A machine that joins the shard now is reserved for this gang.
@@ -120,7 +120,7 @@
         # A gang that must lie in one zone can't use capacity in two, so request machines only in the best zone.
         zone = max(sorted(slots), key=lambda name: (min(job.spec.tasks, slots[name]), slots_here[name]))
         missing_slots = job.spec.tasks - slots_here[zone]
-        if missing_slots > 0 and self._shard.fits_quota(job, job.spec.tasks) >= job.spec.tasks:
+        if missing_slots > 0 and self._shard.tasks_within_quota(job, job.spec.tasks) >= job.spec.tasks:
             self._last_request = _GangMachineRequest(job.ref, now)
             self._last_migrated[job.ref] = now
             spec = msgspec.structs.replace(job.spec, zone=zone) if zone else job.spec
@@ -130,8 +130,8 @@
         """Return how many of the gang's tasks fit in this shard, by zone if the gang must lie in one."""
         slots: Counter[str] = Counter()
         for machine, resources in self._planner.reclaimable_by_machine(job.level):
-            if allows(job.spec, machine.kind.name, machine.zone, machine.spot):
-                slots[machine.zone if job.spec.together else ANY_ZONE] += resources.times(job.need)
+            if allows(job.spec, machine.machine_type.name, machine.zone, machine.spot):
+                slots[machine.zone if job.spec.together else ANY_ZONE] += resources.count_fitting(job.task_resources)
         for machine in self._shard.machines.values():
             if machine.reserved_for == job.ref:
                 slots[machine.zone if job.spec.together else ANY_ZONE] += 1
@@ -141,4 +141,4 @@
 def tasks_with_image(job: Job, summary: ShardSummary) -> int:
     """Return how many of a gang's tasks could run on machines of a shard that cache their image."""
     free_cpus = summary.cached_image_cpus.get(job.spec.image, ())
-    return min(job.spec.tasks, sum(cpus >= job.need.cpus for cpus in free_cpus))
+    return min(job.spec.tasks, sum(cpus >= job.task_resources.cpus for cpus in free_cpus))
--- a/badgerroute/coordination/shards/machine_transfers.py
+++ b/badgerroute/coordination/shards/machine_transfers.py
@@ -53,7 +53,7 @@
         if not machines:
             return
         changes = [self._prepare_transfer(machine, message.shard) for machine in machines]
-        conditions = [self._leadership_state.condition(self._shard.number)]
+        conditions = [self._leadership_state.leadership_condition(self._shard.number)]
         conditions += [compare(change.key, self._replica.revision_of(change.key)) for change in changes]
         result = await self._storage.try_write(conditions, changes, Urgency.PROGRESS)
         match result.outcome:
@@ -63,7 +63,7 @@
             case WriteOutcome.NOT_APPLIED:
                 log.debug("event=machine_transfer_failed shard=%d error=%s", self._shard.number, result.error)
                 for machine in machines:
-                    machine.draining = False
+                    machine.quarantined = False
             case WriteOutcome.UNKNOWN:
                 # The write may still be applied. Start nothing on these machines until another write has ruled that
                 # out.
@@ -79,16 +79,16 @@
             if slots >= message.count or len(selected) >= self._store.max_changes:
                 break
             fits = machine.usable and machine.empty and machine.reserved_for is None and machine.free.holds(need)
-            if fits and allows(message.job, machine.kind.name, machine.zone, machine.spot):
-                slots += machine.free.times(need)
+            if fits and allows(message.job, machine.machine_type.name, machine.zone, machine.spot):
+                slots += machine.free.count_fitting(need)
                 selected.append(machine)
         return selected
 
     @staticmethod
     def _prepare_transfer(machine: Machine, shard: int) -> Put:
         """Stop placement on a machine, and return the write that makes it a member of another shard."""
-        machine.draining = True
-        record = MachineRecord(shard, machine.address, machine.kind.name, machine.zone, machine.spot)
+        machine.quarantined = True
+        record = MachineRecord(shard, machine.address, machine.machine_type.name, machine.zone, machine.spot)
         return put(MACHINES + machine.name, records.write(record))
 
     def _log_transferred(self, machines: list[Machine], shard: int) -> None:
@@ -103,10 +103,13 @@
                 entry = await self._store.get(key, Urgency.COMPLETE)
                 if entry is None or records.read(bytes(entry.value), MachineRecord).shard != self._shard.number:
                     return  # this shard has lost the machine: the watch reports the change
-                conditions = [self._leadership_state.condition(self._shard.number), compare(key, entry.revision)]
+                conditions = [
+                    self._leadership_state.leadership_condition(self._shard.number),
+                    compare(key, entry.revision),
+                ]
                 revision = await self._store.transact(conditions, [put(key, entry.value)], Urgency.COMPLETE)
-                self._replica.learn(key, bytes(entry.value), revision)
-                machine.draining = False
+                self._replica.apply_early(key, bytes(entry.value), revision)
+                machine.quarantined = False
                 return
             except WRITE_ERRORS:
                 await self._loop.sleep(RECONCILE_RETRY_INTERVAL)
--- a/badgerroute/coordination/shards/progress_batch.py
+++ b/badgerroute/coordination/shards/progress_batch.py
@@ -12,16 +12,16 @@
 
 
 class ProgressBatch:
-    """Collects jobs with newly done tasks and calls `progressed` each time jobs are added."""
+    """Collects jobs with newly done tasks and calls `request_flush` each time jobs are added."""
 
-    def __init__(self, *, shard: Shard, loop: Loop, progressed: Callable[[], None]) -> None:
-        self._shard, self._loop, self._progressed = shard, loop, progressed
+    def __init__(self, *, shard: Shard, loop: Loop, request_flush: Callable[[], None]) -> None:
+        self._shard, self._loop, self._request_flush = shard, loop, request_flush
         self._jobs: set[str] = set()
 
     def add(self, jobs: set[str]) -> None:
         """Add jobs that have newly done tasks."""
         self._jobs |= jobs
-        self._progressed()
+        self._request_flush()
 
     def pending(self) -> bool:
         """Return whether any progress has not been written yet."""
@@ -40,7 +40,7 @@
                 self._jobs.discard(ref)
                 continue
             may_complete = not job.owned & ~(job.done | job.done_here)
-            if may_complete or now - job.written >= PARTIAL_WRITE_INTERVAL:
-                job.written = now
+            if may_complete or now - job.progress_written_at >= PARTIAL_WRITE_INTERVAL:
+                job.progress_written_at = now
                 batch.append(Progress(ref, job.done_here, {self._shard.number}))
         return batch
--- a/badgerroute/coordination/shards/subsystem.py
+++ b/badgerroute/coordination/shards/subsystem.py
@@ -68,7 +68,7 @@
         job_store=jobs.store,
         progress_writer=jobs.progress_writer,
         forecast=forecast,
-        leadership_check=leadership.state.condition_if_led,
+        leadership_condition=leadership.state.leadership_condition_if_led,
     )
     context = LeaderContext(
         settings=settings,
@@ -81,7 +81,7 @@
             job_reader=jobs.reader,
             pager=jobs.pager,
             quota_allocator=quota_allocator,
-            progressed=progress_flusher.request_flush,
+            request_flush=progress_flusher.request_flush,
         ),
         machines=machines,
         peer_requests=peer_requests,
--- a/badgerroute/coordination/shards/summary.py
+++ b/badgerroute/coordination/shards/summary.py
@@ -65,7 +65,7 @@
 ) -> Counter[CapacityKey]:
     return Counter(
         (
-            machine.kind.name,
+            machine.machine_type.name,
             machine.zone,
             machine.spot,
             rounding(resources.cpus),
@@ -129,7 +129,7 @@
     running = {
         job.ref: count
         for job in shard.jobs.values()
-        if (count := sum(placement.running_since is not None for placement in job.placed.values()))
+        if (count := sum(placement.running_since is not None for placement in job.placements.values()))
     }
     return ShardSummary(
         shard=shard.number,
@@ -143,7 +143,7 @@
         ),
         preemptible_capacities={level: _group_capacities(planner.reclaimable_by_machine(level)) for level in levels},
         demands=_demands(planner, now),
-        soon_free_cpus=0.0 if scales_out_ahead else planner.freeing(now),  # used only when renting on demand
+        soon_free_cpus=0.0 if scales_out_ahead else planner.soon_free_cpus(now),  # used only when renting on demand
         running=running,
         used={team: (usage.cpus, usage.accelerators) for team, usage in shard.usage.items() if usage.tasks},
         workers_silent=workers_silent,
--- a/badgerroute/coordination/shards/tombstone_writer.py
+++ b/badgerroute/coordination/shards/tombstone_writer.py
@@ -68,7 +68,7 @@
         changes: list[Put | Remove] = [put(key, tombstones), *(remove(member) for member in members)]
         # The page must be as in the replica: otherwise a delayed older write would remove newer names.
         unchanged = compare(key, self._replica.revision_of(key))
-        conditions = [self._leadership_state.condition(self._shard.number), unchanged]
+        conditions = [self._leadership_state.leadership_condition(self._shard.number), unchanged]
         await self._storage.write(conditions, changes, Urgency.PROGRESS)
 
     def _choose_page(self) -> _Page:
@@ -78,10 +78,10 @@
         shard has ever had machines at the same time; when all are full, the oldest page is overwritten.
         """
         prefix = f"{TOMBSTONES}{self._shard.number}/"
-        pages = sorted(self._replica.under(prefix), key=self._replica.revision_of)
+        pages = sorted(self._replica.keys_under(prefix), key=self._replica.revision_of)
         self._max_members = max(self._max_members, len(self._shard.machines))
         if pages:
-            names = records.read(self._replica.stored(pages[-1]), TombstoneRecord).names
+            names = records.read(self._replica.existing_value(pages[-1]), TombstoneRecord).names
             if len(names) < self._names_per_page:
                 return _Page(pages[-1], names)
         if len(pages) < max(MIN_PAGES, -(-2 * self._max_members // self._names_per_page)):
--- a/badgerroute/coordination/shards/work_stealing.py
+++ b/badgerroute/coordination/shards/work_stealing.py
@@ -11,7 +11,7 @@
 from badgerroute.scheduling.capacities import holds_whole_job, slots_by_zone
 from badgerroute.scheduling.model import Job
 from badgerroute.scheduling.shard import Shard
-from badgerroute.scheduling.stealing import StealSelection, given_ranges
+from badgerroute.scheduling.stealing import StealSelection, ranges_after_transfer
 from badgerroute.storage.key_value_client import KeyValueClient
 from badgerroute.storage.records import JobRecord
 from badgerroute.transport.loop import Loop
@@ -58,7 +58,7 @@
 
     def teams_lacking_quota(self) -> set[str]:
         """Return the teams whose jobs wait here for quota. Stolen tasks of these teams would have to wait too."""
-        return {job.spec.team for job in self._shard.jobs.values() if self._shard.short_of_quota(job)}
+        return {job.spec.team for job in self._shard.jobs.values() if self._shard.waits_for_quota(job)}
 
     def has_work_for(self, capacities: list[FreeCapacity], teams_lacking_quota: set[str]) -> bool:
         """Return whether a task that waits in this shard could soon use the given free capacity.
@@ -73,7 +73,7 @@
                 continue
             if not job.startable or job.blocked_until > now:
                 continue
-            if job.gang and now - job.since > GANG_WAIT_LIMIT and not holds_whole_job(job, capacities):
+            if job.gang and now - job.waiting_since > GANG_WAIT_LIMIT and not holds_whole_job(job, capacities):
                 continue
             shape = _JobShape.of(job)
             if shape not in checked_shapes:
@@ -96,7 +96,7 @@
                 continue
             tasks = selection.choose(job)
             if tasks:
-                ranges = given_ranges(record.assigned, tasks, message.thief)
+                ranges = ranges_after_transfer(record.assigned_ranges, tasks, message.thief)
                 reassignments.append(Reassignment(job.ref, record.with_ranges(ranges)))
         if reassignments:
             await self._job_transfers.write(reassignments, message.thief)
@@ -110,4 +110,4 @@
 
     @staticmethod
     def _may_be_stolen(job: Job, record: JobRecord) -> bool:
-        return len(record.assigned) <= MAX_RANGES and bool(job.waiting_bits) and not job.failing
+        return len(record.assigned_ranges) <= MAX_RANGES and bool(job.waiting_bits) and not job.failing
--- a/badgerroute/rebalancing/waits.py
+++ b/badgerroute/rebalancing/waits.py
@@ -107,7 +107,7 @@
         pending_by_class: dict[ClassKey, _PendingWaits] = {}
         for job in shard.jobs.values():
             count = job.startable
-            if not count or job.failing or job.blocked_until > now or shard.short_of_quota(job):
+            if not count or job.failing or job.blocked_until > now or shard.waits_for_quota(job):
                 continue
             pending = pending_by_class.setdefault(self._key(job), _PendingWaits(new_histogram()))
             pending.tasks += count
@@ -124,6 +124,6 @@
     """Return ten numbers of machines: those with CPU utilization below 10%, from 10% to below 20%, and so on."""
     counts = [0] * 10
     for machine in shard.machines.values():
-        used = 1.0 - machine.free.cpus / machine.kind.cpus if machine.kind.cpus else 0.0
+        used = 1.0 - machine.free.cpus / machine.machine_type.cpus if machine.machine_type.cpus else 0.0
         counts[min(9, max(0, int(used * 10)))] += 1
     return counts
--- a/badgerroute/scheduling/planner.py
+++ b/badgerroute/scheduling/planner.py
@@ -83,15 +83,15 @@
         """Machines that may run the job; see `EvictionPlanner.candidates`."""
         return self._evictions.candidates(job, now, free)
 
-    def fill(self, machine: Machine, now: timedelta, out_of_time: Callable[[], bool]) -> int:
+    def fill_machine(self, machine: Machine, now: timedelta, out_of_time: Callable[[], bool]) -> int:
         """Start array tasks on a machine; see `ArrayPlacement.fill`."""
         return self._arrays.fill(machine, now, out_of_time)
 
-    def gangs(self, now: timedelta, out_of_time: Callable[[], bool]) -> int:
+    def place_gangs(self, now: timedelta, out_of_time: Callable[[], bool]) -> int:
         """Place waiting gangs, with preemption; see `GangPlacement.place`."""
         return self._gangs.place(now, out_of_time)
 
-    def gangs_on(self, machine: Machine, now: timedelta, out_of_time: Callable[[], bool]) -> int:
+    def place_gangs_on(self, machine: Machine, now: timedelta, out_of_time: Callable[[], bool]) -> int:
         """Place gangs on a machine's heartbeat, without preemption; see `GangPlacement.place_on`."""
         return self._gangs.place_on(machine, now, out_of_time)
 
@@ -125,7 +125,7 @@
         shortfalls, self._rules.quota_shortfalls = self._rules.quota_shortfalls, {}
         return shortfalls
 
-    def feedback(self, now: timedelta) -> None:
+    def update_desires(self, now: timedelta) -> None:
         """Record how many tasks each job runs and how many wait, for the utilization feedback.
 
         When a job's feedback period has ended, compute its number of desired slots for the next one.
@@ -147,33 +147,33 @@
                     WaitingDemand(
                         job.ref,
                         job.spec.team,
-                        job.need,
+                        job.task_resources,
                         count,
                         job.spec.gang,
                         job.level,
                         job.guaranteed,
-                        now - job.since,
+                        now - job.waiting_since,
                         job,
                     )
                 )
         return demands
 
-    def freeing(self, now: timedelta) -> float:
+    def soon_free_cpus(self, now: timedelta) -> float:
         """The number of processors of array tasks that should end before a newly rented machine could start a task.
 
         Such a machine must first boot and fetch the job's image.
         """
         total = 0.0
         for job in self.shard.jobs.values():
-            if job.gang or not job.placed:
+            if job.gang or not job.placements:
                 continue
             run = delay_scheduling.run_time(job, self.shard.estimates.correction(job.spec.job_class))
             latest_starts: dict[str, timedelta] = {}  # machine type -> tasks that began to run earlier will end in time
-            for placement in job.placed.values():
+            for placement in job.placements.values():
                 running_since = placement.running_since
                 if running_since is None:
                     continue
-                machine_type = placement.machine.kind
+                machine_type = placement.machine.machine_type
                 latest_start = latest_starts.get(machine_type.name)
                 if latest_start is None:
                     startup = timedelta(seconds=machine_type.boot_s) + delay_scheduling.fetch_time(
@@ -181,5 +181,5 @@
                     )
                     latest_start = latest_starts[machine_type.name] = now + startup - run
                 if running_since < latest_start:
-                    total += job.need.cpus
+                    total += job.task_resources.cpus
         return total
--- a/badgerroute/scheduling/stealing.py
+++ b/badgerroute/scheduling/stealing.py
@@ -15,7 +15,7 @@
 from badgerroute.scheduling.model import Job
 from badgerroute.scheduling.placement_constraints import allows
 from badgerroute.scheduling.shard import Shard
-from badgerroute.storage.bitset import lowest, span, trailing_ones
+from badgerroute.storage.bitset import lowest_bit, task_span, trailing_ones
 from badgerroute.storage.task_ranges import TaskRange, assign_tasks
 
 UNCACHED_WAIT = timedelta(seconds=1)  # a job's tasks wait this long before a shard without their image may take them
@@ -39,15 +39,15 @@
     def choose(self, job: Job) -> int:
         """Choose waiting tasks of a job to give to the other shard, as a bit set."""
         same_shard = job.gang or job.spec.together or job.spec.spread
-        if same_shard and job.placed:
+        if same_shard and job.placements:
             return 0  # its tasks must all be in one shard, since its constraints apply to them together
-        # `room_for` counts only machines that the job may use, so tasks don't stay in a shard that can never run them.
+        # `count_free_slots` counts only machines that the job may use: no shard must keep tasks that it can never run.
         waiting = job.waiting_bits
-        fitting_here = self._shard.room_for(job)
+        fitting_here = self._shard.count_free_slots(job)
         wanted = waiting.bit_count() - (0 if same_shard else min(fitting_here, waiting.bit_count()))
         if same_shard and fitting_here >= wanted:
             return 0
-        if job.spec.image not in self._images and self._now - job.since < UNCACHED_WAIT:
+        if job.spec.image not in self._images and self._now - job.waiting_since < UNCACHED_WAIT:
             return 0
         fitting, used = self._fitting_offers(job, wanted)
         # An array whose tasks must all be in one shard can run a few of them at a time. If none fits in this shard, the
@@ -58,7 +58,7 @@
             return 0
         for offer, machines in used:
             offer.machines_left -= machines
-        return span(0, job.spec.tasks) & job.owned if same_shard else _highest_bits(waiting, count)
+        return task_span(0, job.spec.tasks) & job.owned if same_shard else _highest_bits(waiting, count)
 
     def _fitting_offers(self, job: Job, wanted: int) -> tuple[int, list[tuple[_Offer, int]]]:
         """How many tasks the offered machines can hold, and the number of machines of each offer to use.
@@ -73,7 +73,7 @@
                 continue
             if not allows(job.spec, capacity.type, capacity.zone, capacity.spot):
                 continue
-            tasks_per_machine = free_resources_of(capacity).times(job.need)
+            tasks_per_machine = free_resources_of(capacity).count_fitting(job.task_resources)
             if not tasks_per_machine:
                 continue
             machines = min(offer.machines_left, -(-(wanted - fitting) // tasks_per_machine))
@@ -92,11 +92,11 @@
     return highest
 
 
-def given_ranges(ranges: list[TaskRange], tasks: int, shard: int) -> list[TaskRange]:
+def ranges_after_transfer(ranges: list[TaskRange], tasks: int, shard: int) -> list[TaskRange]:
     """Return a job's task ranges, which map its tasks to shards, after a bit set of tasks is given to a shard."""
     while tasks:
-        first = lowest(tasks)
+        first = lowest_bit(tasks)
         length = trailing_ones(tasks >> first)
-        tasks &= ~span(first, first + length)
+        tasks &= ~task_span(first, first + length)
         ranges = assign_tasks(ranges, first, first + length, shard)
     return ranges
--- a/badgerroute/settings/derived.py
+++ b/badgerroute/settings/derived.py
@@ -25,7 +25,7 @@
         return sorted([self.platform.host_name, *(peer.host_name for peer in self.platform.peers)])
 
     @property
-    def home(self) -> int:
+    def home_shard(self) -> int:
         """The number of this controller's home shard."""
         return self.hosts.index(self.platform.host_name)
 
@@ -45,8 +45,8 @@
         Otherwise a controller that is cut off from the store could keep a cancelled job's task running for too long.
         """
         workers = self.params.workers
-        margin = timedelta(seconds=3) + 0.05 * workers.cancel + self.max_clock_drift
-        return max(timedelta(seconds=1), workers.cancel - workers.lease - margin)
+        margin = timedelta(seconds=3) + 0.05 * workers.max_cancellation_time + self.max_clock_drift
+        return max(timedelta(seconds=1), workers.max_cancellation_time - workers.lease - margin)
 
     @property
     def machine_lease(self) -> timedelta:
--- a/badgerroute/settings/operator.py
+++ b/badgerroute/settings/operator.py
@@ -48,7 +48,7 @@
     most_machines: Annotated[int, Meta(ge=1)] = 5000
 
     @property
-    def idle(self) -> timedelta:
+    def max_idle_time(self) -> timedelta:
         """How long a machine may be idle before it is returned to the cloud."""
         return timedelta(seconds=self.idle_s)
 
@@ -111,17 +111,17 @@
     penalty_half_life_s: Annotated[float, Meta(ge=1, le=3600)] = 30.0
 
     @property
-    def relay_for(self) -> timedelta:
+    def relay_duration(self) -> timedelta:
         """How long heartbeats are relayed to a leader that its workers can't reach before leadership is transferred."""
         return timedelta(seconds=self.relay_s)
 
     @property
-    def settle(self) -> timedelta:
+    def settle_time(self) -> timedelta:
         """The minimum time for which connections must be stable before a shard returns to its home controller."""
         return timedelta(seconds=self.settle_s)
 
     @property
-    def longest_settle(self) -> timedelta:
+    def max_settle_time(self) -> timedelta:
         """The maximum of the settle time, which grows from `settle` for connections that fail repeatedly."""
         return timedelta(seconds=self.longest_settle_s)
 
--- a/badgerroute/storage/records.py
+++ b/badgerroute/storage/records.py
@@ -11,7 +11,7 @@
 from msgspec import UNSET, Struct, UnsetType, field
 
 from badgerroute.protocol.users import Submission
-from badgerroute.storage.bitset import pack, span, trailing_ones, unpack
+from badgerroute.storage.bitset import pack, task_span, trailing_ones, unpack
 from badgerroute.storage.task_ranges import TaskRange
 
 BITS_PER_CHARACTER = 6  # of base64
@@ -113,7 +113,7 @@
     planned: list[TaskRange] | UnsetType = UNSET
 
     @property
-    def assigned(self) -> list[TaskRange]:
+    def assigned_ranges(self) -> list[TaskRange]:
         """Which shard owns which tasks; if the job is not released yet, which shard will own them."""
         return self.ranges if self.planned is UNSET else self.planned
 
@@ -121,7 +121,7 @@
         """Return the record of the job as released, with a new assignment of tasks to shards."""
         return msgspec.structs.replace(self, ranges=ranges, planned=UNSET)
 
-    def done(self) -> int:
+    def stored_done_tasks(self) -> int:
         """Return the done tasks that this record holds, as a bit set."""
         below_base = (1 << self.base) - 1
         return below_base | (unpack(self.bits) << self.base) if self.bits else below_base
@@ -130,18 +130,18 @@
         """Return the record of the job as released, with exactly these tasks done. Only released jobs make progress."""
         base = trailing_ones(done)
         bits = pack(done >> base)
-        return msgspec.structs.replace(self, ranges=self.assigned, planned=UNSET, base=base, bits=bits)
+        return msgspec.structs.replace(self, ranges=self.assigned_ranges, planned=UNSET, base=base, bits=bits)
 
     def without_bits(self, done: int) -> "JobRecord":
         """Return the record with the `base` for these done tasks but no `bits`, as their bits are stored in pages."""
         return msgspec.structs.replace(self, base=trailing_ones(done), bits="")
 
-    def owned(self, shard: int) -> int:
+    def tasks_owned_by(self, shard: int) -> int:
         """Return the tasks that a shard owns, as a bit set."""
         owned = 0
-        for owner, first, end in self.assigned:
+        for owner, first, end in self.assigned_ranges:
             if owner == shard:
-                owned |= span(first, end)
+                owned |= task_span(first, end)
         return owned
 
 
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -466,7 +466,7 @@
 
 def quota_given_while_used(day: Day, monkeypatch: pytest.MonkeyPatch) -> None:
     """Leaders that ignore what they use when they count what fits their share."""
-    monkeypatch.setattr("badgerroute.scheduling.shard.Shard.fits_quota", lambda self, job, tasks=1: tasks)
+    monkeypatch.setattr("badgerroute.scheduling.shard.Shard.tasks_within_quota", lambda self, job, tasks=1: tasks)
 
 
 def start_in_do(day: Day, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -618,7 +618,7 @@
                 moved = msgspec.structs.replace(record, ranges=[TaskRange(thief, 0, one.spec.tasks)])
                 day.loop.run(day.loop.spawn(leader.job_transfers.write([Reassignment(one.ref, moved)], thief), "give"))
                 assert controller.jobs.store.active[one.ref].ranges == record.ranges
-                tried += bool(one.placed)
+                tried += bool(one.placements)
     assert tried
     assert day.finish() == []
     assert day.rules.broken == []
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -252,7 +252,7 @@
     for number in range(machines):
         machine = shard.add_machine(f"host-{number}", records.MachineRecord(0, "m:1", "k8", "a", False), kind, SECOND)
         machine.alive = machine.fenced = True
-        machine.incarnation, machine.answered = 1, SECOND
+        machine.incarnation, machine.last_response_at = 1, SECOND
     shard.reconciled = True
     for ref, count in (("run-on", 8 * machines), ("run-waits", 50)):
         spec = parse_submission(json.dumps(job(ref, heads=count)).encode())
@@ -273,8 +273,8 @@
         def heartbeat(sequence: int, shard=shard, planner=planner, machine=machine, tasks=tasks) -> None:
             one = Heartbeat(machine.name, "m:1", "k8", "a", False, 1, sequence, 7, None, list(tasks))
             assert shard.on_heartbeat(machine, one, True, 2 * SECOND) is not None
-            planner.gangs_on(machine, 2 * SECOND, lambda: False)
-            planner.fill(machine, 2 * SECOND, lambda: False)
+            planner.place_gangs_on(machine, 2 * SECOND, lambda: False)
+            planner.fill_machine(machine, 2 * SECOND, lambda: False)
             assert shard.commands(machine, 2 * SECOND, starts=True) == []
 
         heartbeat(1)  # the order of jobs, and where images lie, are found anew a few times a second
