--- a/tests/standins/cuts.py
+++ b/tests/standins/cuts.py
@@ -26,51 +26,53 @@
 class CutWatch:
     """Counts from outside: what the key-value store, the workers and the users saw, and the modes."""
 
-    EVERY = SECOND / 4
+    SAMPLE_PERIOD = SECOND / 4
 
     def __init__(self, day: Day) -> None:
         self.day, self.counts = day, CutCounts()
-        self._seen = len(day.store.log)
-        self._began = day.loop.now()
-        self._relayed_of: dict[int, int] = {}
+        self._log_start = len(day.store.log)
+        self._started_at = day.loop.now()
+        self._relayed_by_controller: dict[int, int] = {}
         self._ended = False
-        day.group.spawn(self._look(), "cut-watch")
-        day.group.spawn(self._ask(), "cut-polls")
+        day.group.spawn(self._sample_leaders(), "cut-watch")
+        day.group.spawn(self._poll_unknown_job(), "cut-polls")
 
     def end(self) -> CutCounts:
         self._ended = True
-        claims = [one for one in self.day.store.log[self._seen :] if str(one.get("write", "")).startswith("b/parts/")]
+        claims = [
+            one for one in self.day.store.log[self._log_start :] if str(one.get("write", "")).startswith("b/parts/")
+        ]
         self.counts.hand_overs = sum(bool(one["value"].get("handed")) for one in claims)
         self.counts.claims = len(claims) - self.counts.hand_overs
-        killed = [at for at in self.day.site.killed_by_lease if at > self._began]
-        self.counts.killed_by_lease = [(at - self._began) / SECOND for at in killed]
-        self.counts.relayed = sum(self._relayed_of.values())
+        killed = [at for at in self.day.site.killed_by_lease if at > self._started_at]
+        self.counts.killed_by_lease = [(at - self._started_at) / SECOND for at in killed]
+        self.counts.relayed = sum(self._relayed_by_controller.values())
         return self.counts
 
-    async def _look(self) -> None:
+    async def _sample_leaders(self) -> None:
         while not self._ended:
-            await self.day.loop.sleep(self.EVERY)
+            await self.day.loop.sleep(self.SAMPLE_PERIOD)
             controllers = {host: one for host, (one, _) in self.day.controllers.items()}
             for shard in range(len(HOSTS)):
-                if not any(self._acts(one, shard) for one in controllers.values()):
-                    self.counts.shard_seconds_without_leader += self.EVERY / SECOND
+                if not any(self._may_lead(one, shard) for one in controllers.values()):
+                    self.counts.shard_seconds_without_leader += self.SAMPLE_PERIOD / SECOND
             for host, one in controllers.items():
-                self._note(host, one)
+                self._record_mode(host, one)
 
     @staticmethod
-    def _acts(controller: Controller, shard: int) -> bool:
+    def _may_lead(controller: Controller, shard: int) -> bool:
         leader = controller.leaders.get(shard)
         return leader is not None and leader.ready and controller.leadership_state.may_lead(shard)
 
-    def _note(self, host: str, controller: Controller) -> None:
+    def _record_mode(self, host: str, controller: Controller) -> None:
         if not hasattr(controller, "membership"):
             return  # an older version
         modes = self.counts.modes.setdefault(host, [])
         if not modes or modes[-1] != controller.membership.monitor.mode.value:
             modes.append(controller.membership.monitor.mode.value)
-        self._relayed_of[id(controller)] = controller.requests.heartbeat_handler.relayed_heartbeats
+        self._relayed_by_controller[id(controller)] = controller.requests.heartbeat_handler.relayed_heartbeats
 
-    async def _ask(self) -> None:
+    async def _poll_unknown_job(self) -> None:
         """A user that asks another node every half second about a job that waits: a job nobody knows needs a read."""
         turn = 0
         while not self._ended:
@@ -127,7 +129,7 @@
     """`refuse`: the key-value store answers 503 to these alone."""
     hosts = list(hosts)
     if mode == "refuse":
-        return lambda: day.store.refused.update(hosts), lambda: day.store.refused.difference_update(hosts)
+        return lambda: day.store.refused_hosts.update(hosts), lambda: day.store.refused_hosts.difference_update(hosts)
     links = [between(day, [host], [f"state-{host}"], mode) for host in hosts]
 
     def cut() -> None:
--- a/tests/standins/day.py
+++ b/tests/standins/day.py
@@ -31,7 +31,7 @@
 from tests.standins.net import World
 from tests.standins.users import PollingUsers
 from tests.standins.waiting import StarvationWatch
-from tests.standins.workers import Kind, Site
+from tests.standins.workers import MachineType, Site
 
 SECOND = timedelta(seconds=1)
 DEFAULT_OPERATOR = OperatorSettings()
@@ -92,14 +92,14 @@
     return Settings(platform, operator)
 
 
-class FreezableTask(CoroutineTask):
+class PausableTask(CoroutineTask):
     """Does not step while its host is paused; what woke it meanwhile is seen afterwards, all at once."""
 
     __slots__ = ()
 
     def step(self) -> None:
-        if self.loop.frozen and self.name.partition("/")[0] in self.loop.frozen:
-            self.loop.parked.append(self)
+        if self.loop.paused_hosts and self.name.partition("/")[0] in self.loop.paused_hosts:
+            self.loop.deferred_tasks.append(self)
         else:
             super().step()
 
@@ -109,22 +109,22 @@
 
     def __init__(self, clock: VirtualClock) -> None:
         super().__init__(clock, VirtualPoller(clock))
-        self.frozen: set[str] = set()
-        self.parked: list[CoroutineTask] = []
+        self.paused_hosts: set[str] = set()
+        self.deferred_tasks: list[CoroutineTask] = []
 
     def spawn(self, coro: Coroutine, name: str) -> CoroutineTask:
-        routine = FreezableTask(self, coro, name)
+        routine = PausableTask(self, coro, name)
         routine.schedule()
         return routine
 
-    def freeze(self, host: str, seconds: float) -> None:
-        self.frozen.add(host)
-        self.later(timedelta(seconds=seconds), lambda: self._thaw(host))
+    def pause_host(self, host: str, seconds: float) -> None:
+        self.paused_hosts.add(host)
+        self.later(timedelta(seconds=seconds), lambda: self._resume_host(host))
 
-    def _thaw(self, host: str) -> None:
-        self.frozen.discard(host)
-        parked, self.parked = self.parked, []
-        self.ready.extend(parked)
+    def _resume_host(self, host: str) -> None:
+        self.paused_hosts.discard(host)
+        deferred, self.deferred_tasks = self.deferred_tasks, []
+        self.ready.extend(deferred)
 
 
 class Day:
@@ -133,12 +133,12 @@
         seed: int = 1,
         machines: int = 6,
         capacity: int = 3,
-        kind_cpus: float = 8.0,
+        cpus_per_machine: float = 8.0,
         objectives: list[Objective] | None = None,
         value_kb: float = 16.0,
         txn_ops: int = 16,
         later: LaterStoreLimits | None = None,
-        old: Iterable[str] = (),
+        production_hosts: Iterable[str] = (),
         rps: float = 100,
         write_rps: float = 40,
         sockets: int = 600,
@@ -156,7 +156,7 @@
             host: settings_of(host, self.store.serve(host), objectives or [], limits, sockets, operator, teams)
             for host in HOSTS
         }
-        kinds = [Kind("k8", kind_cpus, 32.0)]
+        kinds = [MachineType("k8", cpus_per_machine, 32.0)]
         team_limits = {team.name: team.cpus_max for team in teams}
         self.site = Site(self.world, HOSTS, kinds, ["a", "b"], team_limits, capacity, timedelta(seconds=36))
         self.rules = self.site.rules
@@ -164,16 +164,16 @@
         for number in range(machines):
             self.site.add_worker("k8", "ab"[number % 2])
         self.controllers: dict[str, tuple[Controller, TaskGroup]] = {}
-        self.old: set[str] = set(old)  # hosts that run the version in production
+        self.production_hosts: set[str] = set(production_hosts)  # hosts that run the version in production
         self.user = self.world.network("user")
-        self.told: dict[str, str] = {}
+        self.last_conditions: dict[str, str] = {}
         self.accepted: set[str] = set()
-        self.change: Callable[[Controller], None] = lambda controller: None
+        self.on_controller_created: Callable[[Controller], None] = lambda controller: None
         self.polling_users = PollingUsers(self)
-        self.waiting = StarvationWatch(self)
+        self.starvation_watch = StarvationWatch(self)
         for host in HOSTS:
             self.start(host)
-        self.group.spawn(self._sweep(), "sweep")
+        self.group.spawn(self._check_periodically(), "sweep")
 
     def _make_world(self, seed: int) -> None:
         self.clock = VirtualClock()
@@ -185,12 +185,12 @@
     def start(self, host: str) -> None:
         group = TaskGroup(self.loop, host)
         settings, kind = self.settings[host], build_controller
-        if host in self.old:
+        if host in self.production_hosts:
             module = production.module("settings")
             platform = msgspec.convert(msgspec.to_builtins(settings.platform), module.PlatformSettings)
             settings, kind = module.Settings(platform), production.module("coordination.controller").Controller
         controller = kind(settings, self.loop, self.world.network(host), group)
-        self.change(controller)
+        self.on_controller_created(controller)
         self.controllers[host] = (controller, group)
         group.spawn(controller.run(), "main")
 
@@ -210,7 +210,7 @@
 
     def upgrade(self, host: str, after: timedelta = SECOND) -> None:
         """Its process is killed, and comes back with the new version."""
-        self.old.discard(host)
+        self.production_hosts.discard(host)
         self.restart(host, after)
 
     def sockets(self, host: str) -> int:
@@ -225,17 +225,17 @@
     def run(self, seconds: float) -> None:
         self.loop.run(self.loop.spawn(self.loop.sleep(timedelta(seconds=seconds)), "run"))
 
-    def until(self, reached: Callable[[], bool], limit: float) -> bool:
+    def run_until(self, reached: Callable[[], bool], limit: float) -> bool:
         end = self.loop.now() + timedelta(seconds=limit)
         while not reached() and self.loop.now() < end:
             self.run(0.25)
         return reached()
 
-    async def _sweep(self) -> None:
+    async def _check_periodically(self) -> None:
         while True:
             await self.loop.sleep(SECOND / 2)
-            self.rules.sweep()
-            self.waiting.look()
+            self.rules.check_cancellations()
+            self.starvation_watch.check()
 
     # -- users
 
@@ -272,9 +272,9 @@
             if response is not None and response.status in (200, 201, 400, 422):
                 if response.status in (200, 201):
                     self.accepted.add(described["ref"])
-                    self._check(described["ref"], json.loads(response.body)["condition"])
+                    self._check_condition(described["ref"], json.loads(response.body)["condition"])
                 elif described["ref"] in self.accepted:
-                    self.rules.breach("forgotten", described["ref"])
+                    self.rules.report_violation("forgotten", described["ref"])
                 return response.status
             self.run(1)
         return 0
@@ -310,31 +310,31 @@
             return None
         if response.status == 404:
             if ref in self.accepted:
-                self.rules.breach("forgotten", ref)
+                self.rules.report_violation("forgotten", ref)
             return "unknown"
         if ref not in self.site.jobs:
-            self.rules.breach("invented", ref)
+            self.rules.report_violation("invented", ref)
             return None
         condition = json.loads(response.body)["condition"]
-        self._check(ref, condition)
+        self._check_condition(ref, condition)
         return condition
 
-    def _check(self, ref: str, condition: str) -> None:
-        last = self.told.get(ref)
+    def _check_condition(self, ref: str, condition: str) -> None:
+        last = self.last_conditions.get(ref)
         if last in ("done", "withdrawn") and condition != last:
-            self.rules.breach("went_back", f"{ref} from {last} to {condition}")
-        told = self.site.called_off(ref)
+            self.rules.report_violation("went_back", f"{ref} from {last} to {condition}")
+        told = self.site.cancelled_at(ref)
         if condition == "withdrawn" and told is None:
-            self.rules.breach("went_back", f"{ref} withdrawn by nobody")
-        if condition in ("queued", "running") and told is not None and self.loop.now() - told > self.site.cancel:
-            self.rules.breach("orphaned", f"{ref} is {condition}")
+            self.rules.report_violation("went_back", f"{ref} withdrawn by nobody")
+        if condition in ("queued", "running") and told is not None and self.loop.now() - told > self.site.cancel_limit:
+            self.rules.report_violation("orphaned", f"{ref} is {condition}")
         if condition == "done":
             missing = [
                 index for index in range(self.site.jobs[ref]["heads"]) if f"{ref}/{index}" not in self.site.finished
             ]
             if missing:
-                self.rules.breach("not_done", f"{ref} lacks {missing[:5]}")
-        self.told[ref] = condition
+                self.rules.report_violation("not_done", f"{ref} lacks {missing[:5]}")
+        self.last_conditions[ref] = condition
         self.rules.history.answered(ref, condition, self.loop.now())
 
     def cancel(self, ref: str, tries: int = 40, host: str | None = None) -> str | None:
@@ -345,25 +345,25 @@
                 condition = json.loads(response.body)["condition"]
                 if condition == "withdrawn":
                     self.site.cancelled.setdefault(ref, before)
-                self._check(ref, condition)
+                self._check_condition(ref, condition)
                 return condition
             self.run(1)
         return None
 
-    def send_copies(self, count: int, machines: set[str] | None = None) -> None:
+    def replay_heartbeats(self, count: int, machines: set[str] | None = None) -> None:
         """Deliver old heartbeats once more, to anybody; their answers reach nobody."""
-        old = [one for one in self.site.copies if machines is None or one[0] in machines]
+        old = [one for one in self.site.sent_heartbeats if machines is None or one[0] in machines]
         for _, body in self.random.sample(old, min(count, len(old))):
             self.ask("POST", "/checkin", body)
 
-    def ghosts(self) -> list[str]:
+    def members_without_machine(self) -> list[str]:
         """Members that no longer exist."""
         members = [key.removeprefix("b/machines/") for key in self.store.items if key.startswith("b/machines/")]
         return [name for name in members if name not in self.site.workers]
 
     def history_problems(self) -> list[str]:
         """What the history of all runs shows to be wrong; for days after which every job has come to its end."""
-        wanted = [ref for ref in self.accepted if self.site.called_off(ref) is None]
+        wanted = [ref for ref in self.accepted if self.site.cancelled_at(ref) is None]
         gangs = {ref for ref in wanted if self.site.jobs[ref]["gait"] == "group"}
         return self.rules.history.problems({ref: self.site.jobs[ref]["heads"] for ref in wanted}, gangs)
 
@@ -373,18 +373,18 @@
         By now all troubles are over, so a job about which nobody answers for 75 s is forgotten, and none may wait for
         90 s while a machine that fits has room and its team is under its limit.
         """
-        self.waiting.begin()
+        self.starvation_watch.begin()
         answered = dict.fromkeys(self.accepted, self.loop.now())
 
-        def left() -> list[str]:
-            return [ref for ref in sorted(self.accepted) if self.told.get(ref) not in ("done", "withdrawn")]
+        def unfinished() -> list[str]:
+            return [ref for ref in sorted(self.accepted) if self.last_conditions.get(ref) not in ("done", "withdrawn")]
 
         end = self.loop.now() + timedelta(seconds=limit)
-        while left() and self.loop.now() < end:
+        while unfinished() and self.loop.now() < end:
             self.run(2)
-            for ref in left():
+            for ref in unfinished():
                 if self.poll(ref) is not None:
                     answered[ref] = self.loop.now()
                 elif self.loop.now() - answered[ref] > 75 * SECOND:
-                    self.rules.breach("forgotten", f"{ref}: no answer for 75 s")
-        return left()
+                    self.rules.report_violation("forgotten", f"{ref}: no answer for 75 s")
+        return unfinished()
--- a/tests/standins/history.py
+++ b/tests/standins/history.py
@@ -20,7 +20,9 @@
     cause: str | None = None
     kept: bool = False
     cleared: bool = False
-    wiped: bool = False  # its end was forgotten with its machine's lease, maybe before anybody had heard of it
+    lost_with_lease: bool = (
+        False  # its end was forgotten with its machine's lease, maybe before anybody had heard of it
+    )
 
 
 @dataclass
@@ -41,11 +43,11 @@
                 run.ended, run.cause, run.kept = now, cause, kept
                 return
 
-    def wiped(self, machine: str) -> None:
+    def machine_reset(self, machine: str) -> None:
         """A machine forgets all its tasks: what had ended there and was not cleared may have been heard by nobody."""
         for runs in self.runs.values():
             for run in runs:
-                run.wiped = run.wiped or (run.machine == machine and not run.cleared)
+                run.lost_with_lease = run.lost_with_lease or (run.machine == machine and not run.cleared)
 
     def cleared(self, task: str, machine: str) -> None:
         """A controller had a machine forget an end, since that was durable."""
@@ -70,7 +72,7 @@
                 if before.ended is None or before.ended > after.began:
                     found.append(f"doubled: {task} on {before.machine} and {after.machine}")
             done = [run for run in runs if run.cause == "done"]
-            if sum(not run.wiped for run in done) > 1:
+            if sum(not run.lost_with_lease for run in done) > 1:
                 found.append(f"counted twice: {task} on {[run.machine for run in done]}")
         for ref, tasks in expected.items():
             missing = [index for index in range(tasks) if not self._done(f"{ref}/{index}")]
@@ -79,9 +81,9 @@
             finals = set(self.answers.get(ref, []))
             if finals != {"done"}:
                 found.append(f"answers: {ref} got {sorted(finals)}")
-        return found + self._late_starts()
+        return found + self._starts_after_completion()
 
-    def _late_starts(self) -> list[str]:
+    def _starts_after_completion(self) -> list[str]:
         """Starts of tasks whose user had been told that the job is done."""
         return [
             f"started after its end: {run.task} on {run.machine}"
--- a/tests/standins/key_value_store.py
+++ b/tests/standins/key_value_store.py
@@ -27,18 +27,18 @@
         self.leases: dict[int, tuple[timedelta, timedelta]] = {}  # ttl, end
         self.next_lease = 1
         self.down = False
-        self.slow = 1.0
-        self.refused: set[str] = set()
-        self.unwatched: set[str] = set()  # their watches wait, while all else is answered
+        self.delay_factor = 1.0
+        self.refused_hosts: set[str] = set()
+        self.hosts_without_watches: set[str] = set()  # their watches wait, while all else is answered
         self.changed = Future()
-        self.late_writes = 0.0  # this share of transactions gets no answer, and is carried out seconds later
-        self.late_by = (2.0, 12.0)
-        self.drop_answers = 0  # so many transactions are carried out, but their answers are lost
+        self.late_write_probability = 0.0  # this share of transactions gets no answer, and is carried out seconds later
+        self.late_write_delay_s = (2.0, 12.0)
+        self.answers_to_drop = 0  # so many transactions are carried out, but their answers are lost
         self.limits: StoreLimits | None = None
         self.write_rps: float | None = None  # changes beyond this rate get 429
-        self.over = 0  # answers of 429
-        self._tokens, self._filled = 0.0, timedelta(0)
-        self.refusing = False  # every transaction is called malformed
+        self.rate_limited_count = 0  # answers of 429
+        self._tokens, self._refilled_at = 0.0, timedelta(0)
+        self.rejects_transactions = False  # every transaction is called malformed
         self.too_large: list[str] = []  # what was refused for its size
         self.group = group
         self._down_since = timedelta(0)
@@ -87,8 +87,8 @@
         changed.set()
 
     async def _handle(self, who: str, request: Request) -> Response:
-        await self.loop.sleep(timedelta(milliseconds=self.slow * self.world.random.uniform(1, 8)))
-        if self.down or who in self.refused:
+        await self.loop.sleep(timedelta(milliseconds=self.delay_factor * self.world.random.uniform(1, 8)))
+        if self.down or who in self.refused_hosts:
             return reply(503, {"error": "down"})
         if request.path == "/txn":
             return await self._txn(request)
@@ -130,15 +130,15 @@
         later = limits.next
         self.limits = StoreLimits(later.rps or limits.rps, later.write_rps, later.value_kb, later.txn_ops)
         self.write_rps = self._tokens = later.write_rps
-        self._filled = self.loop.now()
+        self._refilled_at = self.loop.now()
 
     def _within_rate(self, changes: int) -> bool:
         if self.write_rps is None:
             return True
-        passed = (self.loop.now() - self._filled) / timedelta(seconds=1)
-        self._tokens, self._filled = min(self.write_rps, self._tokens + passed * self.write_rps), self.loop.now()
+        passed = (self.loop.now() - self._refilled_at) / timedelta(seconds=1)
+        self._tokens, self._refilled_at = min(self.write_rps, self._tokens + passed * self.write_rps), self.loop.now()
         if self._tokens < min(changes, self.write_rps):
-            self.over += 1
+            self.rate_limited_count += 1
             return False
         self._tokens -= changes
         return True
@@ -147,20 +147,20 @@
         body = json.loads(request.body)
         if not self._within_rate(len(body["apply"])):
             return reply(429, {"error": "too many changes"})
-        if self.late_writes and self.world.random.random() < self.late_writes:
-            await self.loop.sleep(timedelta(seconds=self.world.random.uniform(*self.late_by)))
+        if self.late_write_probability and self.world.random.random() < self.late_write_probability:
+            await self.loop.sleep(timedelta(seconds=self.world.random.uniform(*self.late_write_delay_s)))
             while self.down:
                 await self.loop.sleep(timedelta(milliseconds=100))
-            self._carry_out(body)
+            self._apply(body)
             await self.loop.sleep(timedelta(seconds=30))
-        done = self._carry_out(body)
-        if self.drop_answers > 0 and done.status == 200:
-            self.drop_answers -= 1
+        done = self._apply(body)
+        if self.answers_to_drop > 0 and done.status == 200:
+            self.answers_to_drop -= 1
             await self.loop.sleep(timedelta(seconds=30))
         return done
 
-    def _carry_out(self, body: dict) -> Response:
-        if self.refusing:
+    def _apply(self, body: dict) -> Response:
+        if self.rejects_transactions:
             return reply(400, {"error": "malformed"})
         failed = [
             one["key"]
@@ -194,7 +194,7 @@
     async def _follow(self, who: str, query: dict[str, str]) -> Response:
         since, end = int(query["since"]), self.loop.now() + timedelta(milliseconds=int(query["block_ms"]))
         while True:
-            if not self.down and who not in self.refused | self.unwatched:
+            if not self.down and who not in self.refused_hosts | self.hosts_without_watches:
                 found = [
                     one
                     for one in self.log
--- a/tests/standins/net.py
+++ b/tests/standins/net.py
@@ -18,18 +18,18 @@
         self.ended = False
         self.broken = False
         self.wake = Future()
-        self.arrives = timedelta(0)  # packets of one connection stay in order
+        self.last_arrival = timedelta(0)  # packets of one connection stay in order
         self.held: list[bytes | None] = []
 
     def send(self, data: bytes | None) -> None:
         """Send bytes, or None for the end of the stream."""
         if self.held or self.world.is_held(self.source, self.target):
             self.held.append(data)
-            self.world.holding[self] = None
+            self.world.pipes_holding_data[self] = None
             return
         loop = self.world.loop
-        self.arrives = max(self.arrives, loop.now() + self.world.delay())
-        loop.later(self.arrives - loop.now(), lambda: self._deliver(data))
+        self.last_arrival = max(self.last_arrival, loop.now() + self.world.delay())
+        loop.later(self.last_arrival - loop.now(), lambda: self._deliver(data))
 
     def _deliver(self, data: bytes | None) -> None:
         if data is None:
@@ -114,12 +114,12 @@
         self.streams: list[tuple[str, str, VirtualStream, VirtualStream]] = []
         self.cuts: dict[frozenset[str], str] = {}
         self.one_way_cuts: set[tuple[str, str]] = set()  # what the first sends to the second is held
-        self.holding: dict[Pipe, None] = {}
-        self.slower = 1.0  # times the usual delay
+        self.pipes_holding_data: dict[Pipe, None] = {}
+        self.delay_factor = 1.0  # times the usual delay
         self.resets = True  # False: what is written into a connection that the other side closed vanishes
 
     def delay(self) -> timedelta:
-        return MS * self.slower * self.random.uniform(0.3, 2.5)
+        return MS * self.delay_factor * self.random.uniform(0.3, 2.5)
 
     def cut(self, one: str, other: str, mode: str) -> None:
         """`reset` breaks connections, `hold` delays what is sent until the cut is over."""
@@ -133,10 +133,10 @@
 
     def heal(self, one: str, other: str) -> None:
         self.cuts.pop(frozenset((one, other)), None)
-        holding, self.holding = self.holding, {}
+        holding, self.pipes_holding_data = self.pipes_holding_data, {}
         for pipe in holding:
             if self.is_held(pipe.source, pipe.target):
-                self.holding[pipe] = None
+                self.pipes_holding_data[pipe] = None
             else:
                 pipe.release()
 
--- a/tests/standins/proxies.py
+++ b/tests/standins/proxies.py
@@ -37,14 +37,14 @@
 
     def __init__(self, loop: Loop, network: TcpNetwork, target: int) -> None:
         self._loop, self._network, self._target = loop, network, target
-        self.there, self.back = Direction(), Direction()
+        self.outbound, self.inbound = Direction(), Direction()
         self.listener: TcpListener = network.listen("127.0.0.1:0")
         self.port: int = self.listener._sock.getsockname()[1]
         self._streams: list[TcpStream] = []
         self._task = loop.spawn(self._accept(), "proxy")
 
     def refusing(self) -> bool:
-        return Fault.REFUSE in (self.there.fault, self.back.fault)
+        return Fault.REFUSE in (self.outbound.fault, self.inbound.fault)
 
     def close(self) -> None:
         self._task.cancel()
@@ -64,28 +64,28 @@
             self._loop.spawn(self._connect(near), "proxy-connect")
 
     async def _connect(self, near: TcpStream) -> None:
-        await self._passable(self.there)
-        await self._passable(self.back)
+        await self._wait_until_passable(self.outbound)
+        await self._wait_until_passable(self.inbound)
         try:
             far = await self._network.connect(f"127.0.0.1:{self._target}", timedelta(seconds=1))
         except OSError:
             near.close()
             return
         self._streams.append(far)
-        self._loop.spawn(self._carry(near, far, self.there), "proxy-there")
-        self._loop.spawn(self._carry(far, near, self.back), "proxy-back")
+        self._loop.spawn(self._forward(near, far, self.outbound), "proxy-there")
+        self._loop.spawn(self._forward(far, near, self.inbound), "proxy-back")
 
     @staticmethod
-    async def _passable(direction: Direction) -> None:
+    async def _wait_until_passable(direction: Direction) -> None:
         while direction.fault is Fault.DROP:
             await direction.changed
 
-    async def _carry(self, source: Stream, target: Stream, direction: Direction) -> None:
+    async def _forward(self, source: Stream, target: Stream, direction: Direction) -> None:
         try:
             while data := await source.read():
                 if direction.fault is Fault.DELAY:
                     await self._loop.sleep(direction.delay)
-                await self._passable(direction)
+                await self._wait_until_passable(direction)
                 await target.write(data)
         except (OSError, ValueError):
             pass
@@ -108,19 +108,19 @@
         key = (source, address.partition(":")[0])
         proxy = self.proxies.get(key)
         if proxy is None or proxy._target != self.ports[address]:
-            faults = (proxy.there, proxy.back) if proxy is not None else None
+            faults = (proxy.outbound, proxy.inbound) if proxy is not None else None
             if proxy is not None:
                 proxy.close()  # its host has been started again
             proxy = self.proxies[key] = LinkProxy(self.loop, TcpNetwork(self.loop, self.poller), self.ports[address])
             if faults is not None:
-                proxy.there, proxy.back = faults
+                proxy.outbound, proxy.inbound = faults
         return proxy
 
     def set(self, source: str, target: str, fault: Fault, delay: timedelta = timedelta(0)) -> None:
         """What `source` sends to `target` meets a fault, whichever of the two opened the connection."""
         for (opener, accepter), proxy in self.proxies.items():
             if (opener, accepter) in ((source, target), (target, source)):
-                (proxy.there if opener == source else proxy.back).set(fault, delay)
+                (proxy.outbound if opener == source else proxy.inbound).set(fault, delay)
                 if fault is Fault.REFUSE:
                     proxy.reset()
 
--- a/tests/standins/waiting.py
+++ b/tests/standins/waiting.py
@@ -10,34 +10,34 @@
     from tests.standins.workers import Worker
 
 SECOND = timedelta(seconds=1)
-LONGEST = 90 * SECOND
+MAX_WAIT = 90 * SECOND
 
 
 class StarvationWatch:
     def __init__(self, day: Day) -> None:
         self.day = day
-        self._since: dict[str, timedelta] = {}  # job -> since when it waits although it could run
-        self._on = False
+        self._waiting_since: dict[str, timedelta] = {}  # job -> since when it waits although it could run
+        self._enabled = False
 
     def begin(self) -> None:
         """From now on all troubles are over."""
-        self._since.clear()
-        self._on = True
+        self._waiting_since.clear()
+        self._enabled = True
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Called now and then."""
-        if not self._on:
+        if not self._enabled:
             return
         day, now = self.day, self.day.loop.now()
-        running = {name.rpartition("/")[0] for name in day.rules.on}
+        running = {name.rpartition("/")[0] for name in day.rules.worker_by_task}
         for ref in day.accepted:
-            over = day.told.get(ref) in ("done", "withdrawn") or day.site.called_off(ref)
+            over = day.last_conditions.get(ref) in ("done", "withdrawn") or day.site.cancelled_at(ref)
             finished = f"{ref}/{day.site.jobs[ref]['heads'] - 1}" in day.site.finished
             if over or finished or ref in running or ref in day.site.failing or not self._could_run(ref):
-                self._since.pop(ref, None)
-            elif now - self._since.setdefault(ref, now) > LONGEST:
-                day.rules.breach("left_waiting", ref)
-                self._since[ref] = now
+                self._waiting_since.pop(ref, None)
+            elif now - self._waiting_since.setdefault(ref, now) > MAX_WAIT:
+                day.rules.report_violation("left_waiting", ref)
+                self._waiting_since[ref] = now
 
     def _could_run(self, ref: str) -> bool:
         """Whether machines with room fit the job (a gang: all of it at once) and its team is under its limit."""
@@ -49,32 +49,40 @@
         limit = self.day.site.limits[job["crew"]]
         if limit and self._used(job["crew"]) + needed * job["cpus"] > limit + 1e-6:
             return False
-        rooms: dict[str, int] = {}
+        fitting_by_zone: dict[str, int] = {}
         for worker in self.day.site.workers.values():
-            rooms[worker.zone] = rooms.get(worker.zone, 0) + self._room(worker, job)
+            fitting_by_zone[worker.zone] = fitting_by_zone.get(worker.zone, 0) + self._count_fitting_tasks(worker, job)
         if not gang:
-            return any(rooms.values())
+            return any(fitting_by_zone.values())
         if job["spread"]:
-            rooms = {zone: min(room, (needed + 1) // 2) for zone, room in rooms.items()}
-        return (max(rooms.values(), default=0) if job["together"] else sum(rooms.values())) >= needed
+            fitting_by_zone = {zone: min(fitting, (needed + 1) // 2) for zone, fitting in fitting_by_zone.items()}
+        return (
+            max(fitting_by_zone.values(), default=0) if job["together"] else sum(fitting_by_zone.values())
+        ) >= needed
 
     def _used(self, team: str) -> float:
         jobs = self.day.site.jobs
         return sum(
             jobs[name.rpartition("/")[0]]["cpus"]
-            for name in self.day.rules.on
+            for name in self.day.rules.worker_by_task
             if jobs[name.rpartition("/")[0]]["crew"] == team
         )
 
-    def _room(self, worker: Worker, job: dict) -> int:
+    def _count_fitting_tasks(self, worker: Worker, job: dict) -> int:
         """How many of a job's tasks a machine that is well has room for."""
-        if worker.hung or worker.unreachable or worker.mute or worker.sick or worker.notice_at is not None:
+        if (
+            worker.unresponsive
+            or worker.unreachable
+            or worker.heartbeats_blocked
+            or worker.fails_tasks
+            or worker.notice_at is not None
+        ):
             return 0
-        if job["breeds"] is not None and worker.kind.name not in job["breeds"]:
+        if job["breeds"] is not None and worker.machine_type.name not in job["breeds"]:
             return 0
         if job["pasture"] not in (None, worker.zone) or (worker.spot and not job["strays"]):
             return 0
-        cpus, memory = worker.kind.cpus, worker.kind.memory_gb
+        cpus, memory = worker.machine_type.cpus, worker.machine_type.memory_gb
         for task in worker.tasks.values():
             if task.state != "exited":
                 other = self.day.site.jobs[task.ref]
--- a/tests/standins/workers.py
+++ b/tests/standins/workers.py
@@ -21,10 +21,10 @@
     index: int
     attempt: int
     state: str
-    since: timedelta
+    state_since: timedelta
     cause: str | None = None
     kept: bool = False
-    until: timedelta | None = None
+    state_ends_at: timedelta | None = None
 
     @property
     def name(self) -> str:
@@ -32,7 +32,7 @@
 
 
 @dataclass
-class Kind:
+class MachineType:
     name: str
     cpus: float
     memory_gb: float
@@ -44,7 +44,7 @@
 class Worker:
     site: "Site"
     name: str
-    kind: Kind
+    machine_type: MachineType
     zone: str
     spot: bool
     group: TaskGroup
@@ -53,16 +53,16 @@
     fencing_token: int = 0
     tasks: dict[str, Task] = field(default_factory=dict)
     images: set[str] = field(default_factory=set)
-    sick: bool = False
-    hung: bool = False
+    fails_tasks: bool = False
+    unresponsive: bool = False
     unreachable: bool = False  # its heartbeats go out, but neither answers nor commands reach it
-    mute: bool = False  # it reaches no controller, but commands reach it
+    heartbeats_blocked: bool = False  # it reaches no controller, but commands reach it
     notice_at: timedelta | None = None
 
     def __post_init__(self) -> None:
         self.loop = self.site.loop
         self.address = f"{self.name}:9000"
-        self.leased = self.loop.now()  # when the last answered report had been sent
+        self.lease_renewed_at = self.loop.now()  # when the last answered report had been sent
         self.changed = Future()
         network = self.site.world.network(self.name)
         self.clients = {host: Client(self.loop, network, f"{host}:8080", connect=SECOND) for host in self.site.hosts}
@@ -84,7 +84,7 @@
         return {
             "mount": self.name,
             "address": self.address,
-            "breed": self.kind.name,
+            "breed": self.machine_type.name,
             "pasture": self.zone,
             "strays": self.spot,
             "ride": self.incarnation,
@@ -95,7 +95,7 @@
         }
 
     async def _awake(self) -> None:
-        while self.hung:
+        while self.unresponsive:
             await self.loop.sleep(timedelta(milliseconds=200))
 
     async def _heartbeat_duty(self) -> None:
@@ -107,7 +107,7 @@
             sent, incarnation = self.loop.now(), self.incarnation
             body = json.dumps(self.heartbeat()).encode()
             self.changed = Future()
-            if self.mute:
+            if self.heartbeats_blocked:
                 at = (at + 1) % len(hosts)
                 await self.loop.sleep(SECOND)
                 continue
@@ -115,7 +115,7 @@
                 response = await self.clients[hosts[at]].request("POST", "/checkin", body, 4 * SECOND)
             except NoAnswerError:
                 response = None
-            self.site.copies.append((self.name, body))
+            self.site.sent_heartbeats.append((self.name, body))
             if self.unreachable:
                 response = None
             await self._awake()
@@ -125,7 +125,7 @@
                 if message["crook"] >= self.fencing_token and incarnation == self.incarnation:
                     fresh = message["crook"] > self.fencing_token
                     self.fencing_token = message["crook"]
-                    self.leased = sent
+                    self.lease_renewed_at = sent
                     self.execute(message["calls"])
                     if fresh:
                         self.changed.set()
@@ -158,7 +158,7 @@
         self.fencing_token = body["crook"]
         for one in body["calls"]:
             if one["call"] == "start":
-                self.site.rules.breach("start_in_do", f"{one['head']} on {self.name}")
+                self.site.rules.report_violation("start_in_do", f"{one['head']} on {self.name}")
         self.execute(body["calls"])
         return reply(200, self.heartbeat())
 
@@ -193,25 +193,25 @@
             task.state, task.cause = "exited", "no_room"
         else:
             self.site.rules.started(self, task)
-            fetch = 0.0 if job["brand"] in self.images else job["image_gb"] / self.kind.fetch
-            task.until = now + fetch * SECOND
+            fetch = 0.0 if job["brand"] in self.images else job["image_gb"] / self.machine_type.fetch
+            task.state_ends_at = now + fetch * SECOND
         self.changed.set()
 
     def _fits(self, job: dict) -> bool:
         cpus, memory = job["cpus"], job["ram_gb"]
         for task in self.tasks.values():
             other = self.site.jobs.get(task.ref)
-            if task.state != "exited" and other is not None and task.until is not None:
+            if task.state != "exited" and other is not None and task.state_ends_at is not None:
                 cpus += other["cpus"]
                 memory += other["ram_gb"]
-        return cpus <= self.kind.cpus + 1e-6 and memory <= self.kind.memory_gb + 1e-6
+        return cpus <= self.machine_type.cpus + 1e-6 and memory <= self.machine_type.memory_gb + 1e-6
 
     def _halt(self, task: Task, grace: float) -> None:
         if task.state == "exited":
             return
         job = self.site.jobs[task.ref]
         if task.state == "running" and job["waypoint_s"] and grace >= job["pen_s"]:
-            task.state, task.until = "flushing", self.loop.now() + job["pen_s"] * SECOND
+            task.state, task.state_ends_at = "flushing", self.loop.now() + job["pen_s"] * SECOND
         elif task.state != "flushing" or grace == 0:
             self._exit(task, "stopped")
         self.changed.set()
@@ -225,16 +225,16 @@
         while True:
             await self.loop.sleep(self.site.tick)
             now = self.loop.now()
-            if now - self.leased > LEASE:
+            if now - self.lease_renewed_at > LEASE:
                 for task in self.tasks.values():
                     if task.state != "exited":
                         self.site.killed_by_lease.append(now)
                         self.site.rules.ended(self, task)
-                self.site.rules.history.wiped(self.name)
+                self.site.rules.history.machine_reset(self.name)
                 self.tasks.clear()
                 self.incarnation += 1
-                self.leased = now
-            if self.hung:
+                self.lease_renewed_at = now
+            if self.unresponsive:
                 continue
             for task in list(self.tasks.values()):
                 self._advance(task, now)
@@ -243,34 +243,34 @@
         if task.state == "exited":
             return
         job = self.site.jobs[task.ref]
-        if task.state == "fetching" and task.until is not None and now >= task.until:
+        if task.state == "fetching" and task.state_ends_at is not None and now >= task.state_ends_at:
             self.images.add(job["brand"])
-            if self.sick or task.ref in self.site.failing:
+            if self.fails_tasks or task.ref in self.site.failing:
                 self._exit(task, "error")
             elif task.name in self.site.finished:
                 self._exit(task, "done")
             else:
-                task.state, task.since, task.until = "waiting", now, None
+                task.state, task.state_since, task.state_ends_at = "waiting", now, None
         if task.state == "waiting":
-            mates = self.site.mates(task)
+            mates = self.site.gang_members(task)
             if job["gait"] == "array" or (
                 len(mates) == job["heads"] and all(one.state in ("waiting", "running") for one in mates)
             ):
                 for one in mates if job["gait"] == "group" else [task]:
-                    one.state, one.since = "running", now
-                    one.until = now + self.site.run_time(task.ref) * SECOND
+                    one.state, one.state_since = "running", now
+                    one.state_ends_at = now + self.site.run_time(task.ref) * SECOND
                 self.changed.set()
-            elif now - task.since > GANG_WAIT:
+            elif now - task.state_since > GANG_WAIT:
                 self._exit(task, "alone")
         elif task.state == "running":
             self._run_on(task, job, now)
-        elif task.state == "flushing" and task.until is not None and now >= task.until:
+        elif task.state == "flushing" and task.state_ends_at is not None and now >= task.state_ends_at:
             self._exit(task, "stopped", kept=True)
 
     def _run_on(self, task: Task, job: dict, now: timedelta) -> None:
-        if job["gait"] == "group" and len(self.site.mates(task)) < job["heads"] and not self.site.all_done(task):
+        if job["gait"] == "group" and len(self.site.gang_members(task)) < job["heads"] and not self.site.all_done(task):
             self._exit(task, "mates_gone")
-        elif task.until is not None and now >= task.until:
+        elif task.state_ends_at is not None and now >= task.state_ends_at:
             # A gang completes together: when one task is done, all are.
             whole = range(job["heads"]) if job["gait"] == "group" else (task.index,)
             self.site.finished.update(f"{task.ref}/{index}" for index in whole)
@@ -283,63 +283,65 @@
     def __init__(self, site: "Site") -> None:
         self.site = site
         self.broken: list[str] = []
-        self.on: dict[str, Worker] = {}  # task -> the machine it is on
-        self.starts = 0
-        self.late_starts: list[str] = []  # tasks of jobs whose cancellation had been asked for, and was then confirmed
+        self.worker_by_task: dict[str, Worker] = {}  # task -> the machine it is on
+        self.start_count = 0
+        self.starts_after_cancellation: list[
+            str
+        ] = []  # tasks of jobs whose cancellation had been asked for, and was then confirmed
         self.events: list[tuple[str, float, str]] = []  # machine, time, what
         self.history = History()
 
-    def breach(self, rule: str, text: str) -> None:
+    def report_violation(self, rule: str, text: str) -> None:
         self.broken.append(f"{self.site.loop.now() / SECOND:.2f} {rule}: {text}")
 
     def started(self, worker: Worker, task: Task) -> None:
-        self.starts += 1
+        self.start_count += 1
         self.history.started(task.name, worker.name, task.attempt, self.site.loop.now())
         self.events.append((worker.name, self.site.loop.now() / SECOND, "start"))
         job = self.site.jobs[task.ref]
-        other = self.on.get(task.name)
+        other = self.worker_by_task.get(task.name)
         if other is not None:
-            self.breach("ran_twice", f"{task.name} on {worker.name} and {other.name}")
-        self.on[task.name] = worker
-        if job["breeds"] is not None and worker.kind.name not in job["breeds"]:
-            self.breach("wrong_place", f"{task.name} on type {worker.kind.name}")
+            self.report_violation("ran_twice", f"{task.name} on {worker.name} and {other.name}")
+        self.worker_by_task[task.name] = worker
+        if job["breeds"] is not None and worker.machine_type.name not in job["breeds"]:
+            self.report_violation("wrong_place", f"{task.name} on type {worker.machine_type.name}")
         if job["pasture"] not in (None, worker.zone) or (worker.spot and not job["strays"]):
-            self.breach("wrong_place", f"{task.name} in {worker.zone}")
-        zones = [one.zone for name, one in self.on.items() if name.rpartition("/")[0] == task.ref]
+            self.report_violation("wrong_place", f"{task.name} in {worker.zone}")
+        zones = [one.zone for name, one in self.worker_by_task.items() if name.rpartition("/")[0] == task.ref]
         if job["together"] and len(set(zones)) > 1:
-            self.breach("wrong_place", f"{task.ref} in {set(zones)}")
+            self.report_violation("wrong_place", f"{task.ref} in {set(zones)}")
         if job["spread"] and zones.count(worker.zone) > (job["heads"] + 1) // 2:
-            self.breach("wrong_place", f"{task.ref} not spread")
+            self.report_violation("wrong_place", f"{task.ref} not spread")
         if not all(self.site.is_done(one) for one in job.get("follows") or ()):
-            self.breach("too_early", task.name)
+            self.report_violation("too_early", task.name)
         team = job["crew"]
         used = sum(
             self.site.jobs[name.rpartition("/")[0]]["cpus"]
-            for name in self.on
+            for name in self.worker_by_task
             if self.site.jobs[name.rpartition("/")[0]]["crew"] == team
         )
         if self.site.limits[team] and used > self.site.limits[team] + 1e-6:
-            self.breach("quota", f"{team} uses {used}")
+            self.report_violation("quota", f"{team} uses {used}")
         if self.site.cancelled.get(task.ref, self.site.loop.now()) < self.site.loop.now():
-            self.late_starts.append(task.name)
-        self.cancelled(task)
+            self.starts_after_cancellation.append(task.name)
+        self.check_cancellation(task)
 
-    def cancelled(self, task: Task) -> None:
+    def check_cancellation(self, task: Task) -> None:
         told = self.site.cancelled.get(task.ref)
-        if told is not None and self.site.loop.now() - told > self.site.cancel:
-            self.breach("ran_cancelled", task.name)
+        if told is not None and self.site.loop.now() - told > self.site.cancel_limit:
+            self.report_violation("ran_cancelled", task.name)
 
     def ended(self, worker: Worker, task: Task) -> None:
         self.history.ended(task.name, worker.name, self.site.loop.now(), task.cause, task.kept)
-        if self.on.get(task.name) is worker:
+        if self.worker_by_task.get(task.name) is worker:
             self.events.append((worker.name, self.site.loop.now() / SECOND, "end"))
-            del self.on[task.name]
+            del self.worker_by_task[task.name]
 
-    def sweep(self) -> None:
+    def check_cancellations(self) -> None:
         """Called now and then: tasks that outlive their job's cancellation."""
-        for name in self.on:
+        for name in self.worker_by_task:
             ref, _, index = name.rpartition("/")
-            self.cancelled(Task(ref, int(index), 0, "", timedelta(0)))
+            self.check_cancellation(Task(ref, int(index), 0, "", timedelta(0)))
 
 
 class Site:
@@ -349,30 +351,30 @@
         self,
         world: World,
         hosts: list[str],
-        kinds: list[Kind],
+        machine_types: list[MachineType],
         zones: list[str],
         limits: dict[str, float],
         capacity: int,
         cancel: timedelta,
     ) -> None:
         self.world, self.loop = world, world.loop
-        self.hosts, self.zones, self.limits, self.cancel = hosts, zones, limits, cancel
+        self.hosts, self.zones, self.limits, self.cancel_limit = hosts, zones, limits, cancel
         self.failing: set[str] = set()  # jobs that fail on every machine
-        self.kinds = {kind.name: kind for kind in kinds}
+        self.machine_types = {machine_type.name: machine_type for machine_type in machine_types}
         self.capacity = capacity  # ordinary machines of a type in a zone; of spot machines there is one
         self.jobs: dict[str, dict] = {}
         self.finished: set[str] = set()
         self.cancelled: dict[str, timedelta] = {}
         self.workers: dict[str, Worker] = {}
-        self.booting: dict[str, tuple[Kind, str, bool]] = {}
-        self.asked_at: dict[str, timedelta] = {}
-        self.rented: dict[str, list[str]] = {}
+        self.booting: dict[str, tuple[MachineType, str, bool]] = {}
+        self.rental_requested_at: dict[str, timedelta] = {}
+        self.machines_by_rental: dict[str, list[str]] = {}
         self.rules = RuleChecker(self)
         self.group = TaskGroup(self.loop, "site")
         self.cloud_down = False
-        self.copies: deque[tuple[str, bytes]] = deque(maxlen=4000)  # heartbeats as they were sent
+        self.sent_heartbeats: deque[tuple[str, bytes]] = deque(maxlen=4000)  # heartbeats as they were sent
         self.lose_rental_answers = 0
-        self.never_boots = 0
+        self.machines_that_never_boot = 0
         self.boot_factor = 1.0
         self.list_calls = 0
         self.killed_by_lease: list[timedelta] = []  # when a task was killed as its machine got no answer for too long
@@ -384,7 +386,7 @@
     def is_done(self, ref: str) -> bool:
         return all(f"{ref}/{index}" in self.finished for index in range(self.jobs[ref]["heads"]))
 
-    def called_off(self, ref: str) -> timedelta | None:
+    def cancelled_at(self, ref: str) -> timedelta | None:
         """When the user was told first that the job, or one that it needs, is cancelled."""
         found, seen, times = [ref], {ref}, []
         while found:
@@ -400,11 +402,11 @@
     def run_time(self, ref: str) -> float:
         return self.jobs[ref]["trek_s"]
 
-    def mates(self, task: Task) -> list[Task]:
+    def gang_members(self, task: Task) -> list[Task]:
         return [
             one
             for worker in self.workers.values()
-            if not worker.hung
+            if not worker.unresponsive
             for one in worker.tasks.values()
             if one.ref == task.ref and one.attempt == task.attempt and one.state != "exited"
         ]
@@ -413,11 +415,11 @@
         job = self.jobs[task.ref]
         return any(f"{task.ref}/{index}" in self.finished for index in range(job["heads"]))
 
-    def add_worker(self, kind: str, zone: str, spot: bool = False, name: str | None = None) -> Worker:
+    def add_worker(self, machine_type: str, zone: str, spot: bool = False, name: str | None = None) -> Worker:
         if name is None:
             self._counter += 1
             name = f"host-{self._counter:06d}"
-        worker = Worker(self, name, self.kinds[kind], zone, spot, TaskGroup(self.loop, name))
+        worker = Worker(self, name, self.machine_types[machine_type], zone, spot, TaskGroup(self.loop, name))
         self.workers[name] = worker
         return worker
 
@@ -427,15 +429,15 @@
         if worker is not None:
             for task in worker.tasks.values():
                 self.rules.ended(worker, task)
-            self.rules.history.wiped(name)
+            self.rules.history.machine_reset(name)
             worker.group.cancel()
             self.world.crash(name)
 
     async def _boot(self, name: str) -> None:
         await self.loop.sleep(self.booting[name][0].boot * self.boot_factor)
         if name in self.booting:
-            kind, zone, spot = self.booting.pop(name)
-            self.add_worker(kind.name, zone, spot, name)
+            machine_type, zone, spot = self.booting.pop(name)
+            self.add_worker(machine_type.name, zone, spot, name)
 
     async def _cloud(self, request: Request) -> Response:
         await self.loop.sleep(timedelta(milliseconds=50))
@@ -444,18 +446,18 @@
         if request.path == "/catalog":
             breeds = [
                 {
-                    "label": kind.name,
-                    "cpus": kind.cpus,
+                    "label": machine_type.name,
+                    "cpus": machine_type.cpus,
                     "accelerators": 0,
-                    "ram_gb": kind.memory_gb,
+                    "ram_gb": machine_type.memory_gb,
                     "local_gb": 40,
-                    "fetch_gb_per_s": kind.fetch,
+                    "fetch_gb_per_s": machine_type.fetch,
                     "price": 1.0,
                     "low_price": 0.3,
-                    "startup_s": kind.boot / SECOND,
+                    "startup_s": machine_type.boot / SECOND,
                     "pastures": self.zones,
                 }
-                for kind in self.kinds.values()
+                for machine_type in self.machine_types.values()
             ]
             return reply(200, {"breeds": breeds})
         if request.path == "/rentals/delete":
@@ -469,27 +471,29 @@
             {
                 "ref": name,
                 "address": f"{name}:9000",
-                "breed": kind.name,
+                "breed": machine_type.name,
                 "pasture": zone,
                 "strays": spot,
                 "condition": condition,
-                "held_s": (self.loop.now() - self.asked_at.get(name, timedelta(0))) / SECOND,
+                "held_s": (self.loop.now() - self.rental_requested_at.get(name, timedelta(0))) / SECOND,
             }
-            for name, (kind, zone, spot, condition) in sorted(self._all().items())
+            for name, (machine_type, zone, spot, condition) in sorted(self._all().items())
             if name > query.get("since", "")
         ]
         self.list_calls += 1
         page = rows[: int(query.get("limit", "500"))]
         return reply(200, {"mounts": page, "more": len(page) < len(rows)})
 
-    def _all(self) -> dict[str, tuple[Kind, str, bool, str]]:
-        up = {name: (one.kind, one.zone, one.spot, "running") for name, one in self.workers.items()}
+    def _all(self) -> dict[str, tuple[MachineType, str, bool, str]]:
+        up = {name: (one.machine_type, one.zone, one.spot, "running") for name, one in self.workers.items()}
         return up | {name: (*one, "booting") for name, one in self.booting.items()}
 
     async def _scale_out(self, body: dict) -> Response:
-        if body["hire"] not in self.rented:
+        if body["hire"] not in self.machines_by_rental:
             wanted = (body["breed"], body["pasture"], body["strays"])
-            taken = sum((kind.name, zone, spot) == wanted for kind, zone, spot, _ in self._all().values())
+            taken = sum(
+                (machine_type.name, zone, spot) == wanted for machine_type, zone, spot, _ in self._all().values()
+            )
             room = max(0, (1 if body["strays"] else self.capacity) - taken)
             if room == 0:
                 return reply(503, {"error": "no capacity"})
@@ -497,15 +501,15 @@
             for _ in range(min(room, body["number"])):
                 self._counter += 1
                 name = f"host-{self._counter:06d}"
-                self.booting[name] = (self.kinds[body["breed"]], body["pasture"], body["strays"])
-                self.asked_at[name] = self.loop.now()
-                if self.never_boots > 0:
-                    self.never_boots -= 1
+                self.booting[name] = (self.machine_types[body["breed"]], body["pasture"], body["strays"])
+                self.rental_requested_at[name] = self.loop.now()
+                if self.machines_that_never_boot > 0:
+                    self.machines_that_never_boot -= 1
                 else:
                     self.group.spawn(self._boot(name), "boot")
                 names.append(name)
-            self.rented[body["hire"]] = names
+            self.machines_by_rental[body["hire"]] = names
         if self.lose_rental_answers > 0:
             self.lose_rental_answers -= 1
             await self.loop.sleep(timedelta(seconds=60))
-        return reply(200, {"mounts": self.rented[body["hire"]]})
+        return reply(200, {"mounts": self.machines_by_rental[body["hire"]]})
--- a/tests/test_connectivity_days.py
+++ b/tests/test_connectivity_days.py
@@ -86,10 +86,10 @@
     away = []
     for _ in range(4):
         cut()
-        assert day.until(lambda: not day.controllers[host][0].leadership_state.leaderships, 30)
+        assert day.run_until(lambda: not day.controllers[host][0].leadership_state.leaderships, 30)
         heal()
         began = day.loop.now()
-        assert day.until(lambda: bool(day.controllers[host][0].leadership_state.leaderships), 120)
+        assert day.run_until(lambda: bool(day.controllers[host][0].leadership_state.leaderships), 120)
         away.append((day.loop.now() - began) / SECOND)
     assert away[0] < 16 and away[-1] > 1.2 * away[0] and away[-1] < 90, away
     assert day.finish(300) == [] and day.rules.broken == []
@@ -247,7 +247,7 @@
     cut, heal = from_workers(day, [host], "hold")
     cut()
     day.run(8)
-    day.loop.freeze(host, 14)
+    day.loop.pause_host(host, 14)
     day.run(18)
     heal()
 
@@ -258,16 +258,16 @@
     cut()
     day.run(8)
     for relay in others(host):
-        day.loop.freeze(relay, 3)
+        day.loop.pause_host(relay, 3)
         day.run(5)
     heal()
 
 
 def late_hand_over(day: Day) -> None:
     """Transactions get no answer and are carried out late, while shards are handed over."""
-    day.store.late_writes = 0.5
+    day.store.late_write_probability = 0.5
     hold(day, from_workers(day, [pick(day)], "reset"), 20)
-    day.store.late_writes = 0.0
+    day.store.late_write_probability = 0.0
 
 
 def lost_hand_over(day: Day) -> None:
@@ -275,9 +275,9 @@
     cut, heal = from_workers(day, [pick(day)], "reset")
     cut()
     for _ in range(6):
-        day.store.drop_answers = 1
+        day.store.answers_to_drop = 1
         day.run(3)
-    day.store.drop_answers = 0
+    day.store.answers_to_drop = 0
     heal()
 
 
@@ -291,7 +291,7 @@
         value = day.store.items[f"b/parts/{HOSTS.index(host)}"][0]
         return value["owner"] if value.get("handed") else None
 
-    day.until(lambda: handed() is not None, 30)
+    day.run_until(lambda: handed() is not None, 30)
     receiver = handed()
     if receiver is not None and receiver != host:
         day.restart(receiver, 4 * SECOND)
@@ -353,7 +353,7 @@
 @pytest.mark.parametrize("older", [HOSTS[:1], HOSTS[1:], HOSTS[2:]], ids=["owner", "relays", "one_relay"])
 def test_beside_the_version_in_production(older: list[str], seed: int) -> None:
     """An older peer neither relays nor takes what is relayed: the shard goes where its workers report."""
-    day = cluster(seed, old=older)
+    day = cluster(seed, production_hosts=older)
 
     def fault(day: Day) -> None:
         hold(day, from_workers(day, HOSTS[:1], "reset"), 25)
@@ -371,7 +371,7 @@
     day = cluster(5, operator)
     counts = play(day, lambda day: hold(day, from_workers(day, HOSTS[:1], "hold"), 60))
     assert counts.hand_overs == 1 and counts.relayed > 30 and counts.killed_by_lease == []
-    assert day.until(lambda: day.controllers[HOSTS[0]][0].leadership_state.leaderships != {}, 60), (
+    assert day.run_until(lambda: day.controllers[HOSTS[0]][0].leadership_state.leaderships != {}, 60), (
         "and home again afterwards"
     )
 
@@ -380,7 +380,9 @@
     """By load: a controller with two shards does not give both to the same peer."""
     day = cluster(6, NO_RELAY_SERVES)
     day.restart(HOSTS[1], 30 * SECOND)
-    assert day.until(lambda: sum(len(one.leadership_state.leaderships) for one, _ in day.controllers.values()) == 3, 20)
+    assert day.run_until(
+        lambda: sum(len(one.leadership_state.leaderships) for one, _ in day.controllers.values()) == 3, 20
+    )
     busy = max(day.controllers, key=lambda host: len(day.controllers[host][0].leadership_state.leaderships))
     idle = next(host for host in day.controllers if host != busy)
     day.run(12)
@@ -403,7 +405,7 @@
         elif fault == "crashed":
             day.restart(host, 14 * SECOND)
         else:
-            day.loop.freeze(host, 14)
+            day.loop.pause_host(host, 14)
         day.run(22)
 
     counts = play(day, lose)
@@ -470,9 +472,9 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_late_copies_of_relayed_heartbeats_change_nothing(seed: int) -> None:
     day = Day(seed, machines=12, capacity=2, operator=RELAYING)
-    day.change = tampering(late_copies)(day)
+    day.on_controller_created = tampering(late_copies)(day)
     for host in HOSTS:
-        day.change(day.controllers[host][0])
+        day.on_controller_created(day.controllers[host][0])
     workload(day)
 
     def fault(day: Day) -> None:
@@ -521,7 +523,7 @@
 
 def test_users_of_a_controller_without_the_store_are_answered_by_a_peer() -> None:
     day = cluster(4)
-    day.store.refused.add(HOSTS[0])
+    day.store.refused_hosts.add(HOSTS[0])
     for step in range(8):
         day.run(1)
         described = job(f"run-u{step}", heads=2)
@@ -532,7 +534,7 @@
         assert day.poll(described["ref"], HOSTS[0]) in ("queued", "running", "done")
     day.run(3)
     assert day.cancel("run-a0", tries=1, host=HOSTS[0]) == "withdrawn"
-    day.store.refused.clear()
+    day.store.refused_hosts.clear()
     assert day.finish(300) == [] and day.rules.broken == [] and day.history_problems() == []
 
 
@@ -606,7 +608,7 @@
     day = cluster(9)
     hold(day, from_workers(day, HOSTS[:1], "reset"), 8)
     hold(day, from_store(day, HOSTS[:1], "refuse"), 8)
-    day.loop.freeze(HOSTS[2], 3)
+    day.loop.pause_host(HOSTS[2], 3)
     day.run(30)
     lines = [record.getMessage() for record in caplog.records if record.name == connectivity_monitor.__name__]
     told = [line for line in lines if "mode_changed" in line and f"host={HOSTS[0]} " in line]
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -81,9 +81,9 @@
 
 def refused_alone(day: Day) -> None:
     host = day.random.choice(HOSTS)
-    day.store.refused.add(host)
+    day.store.refused_hosts.add(host)
     day.run(40)
-    day.store.refused.discard(host)
+    day.store.refused_hosts.discard(host)
 
 
 def cut(day: Day, host: str, others: list[str], mode: str, seconds: float) -> None:
@@ -146,19 +146,19 @@
 def takeover_with_hung_machine(day: Day) -> None:
     """A machine hangs, its leader dies, and the machine goes on within its lease."""
     worker = day.random.choice(list(day.site.workers.values()))
-    worker.hung = True
+    worker.unresponsive = True
     crash_one(day)
     day.run(7)
-    worker.hung = False
+    worker.unresponsive = False
 
 
 def hung_machines(day: Day) -> None:
     workers = day.random.sample(list(day.site.workers.values()), 2)
     for worker in workers:
-        worker.hung = True
+        worker.unresponsive = True
     day.run(20)
     for worker in workers:
-        worker.hung = False
+        worker.unresponsive = False
 
 
 def machine_cut(mode: str) -> Callable[[Day], None]:
@@ -177,9 +177,9 @@
 
 def sick_machine(day: Day) -> None:
     worker = day.random.choice(list(day.site.workers.values()))
-    worker.sick = True
+    worker.fails_tasks = True
     day.run(20)
-    worker.sick = False
+    worker.fails_tasks = False
 
 
 def spot_notice(day: Day) -> None:
@@ -196,10 +196,10 @@
     for worker in workers:
         worker.unreachable = True
     day.run(3)
-    starts = day.rules.starts
+    starts = day.rules.start_count
     day.run(40)
     assert all(worker.name not in day.site.workers for worker in workers), "deaf machines are replaced"
-    assert day.rules.starts > starts
+    assert day.rules.start_count > starts
 
 
 def deaf_in_takeover(day: Day) -> None:
@@ -218,7 +218,7 @@
             if leader.number == shard
         )
 
-    assert day.until(reconciled, 60), "one machine must not block its shard"
+    assert day.run_until(reconciled, 60), "one machine must not block its shard"
     unreachable.unreachable = day.site.cloud_down = False
 
 
@@ -226,7 +226,7 @@
     """Copies of heartbeats of every age, before and after a restart that forgot what was newest, and of the deleted."""
     doomed = set(day.random.sample(list(day.site.workers), 2))
     for round_ in range(4):
-        day.send_copies(30)
+        day.replay_heartbeats(30)
         if round_ == 1:
             crash_all(day)
         if round_ == 2:
@@ -235,9 +235,9 @@
             for controller, _ in list(day.controllers.values()):  # each strikes off what is not its own
                 controller.autoscaling.deletion_queue.delete(sorted(doomed))
         day.run(5)
-    day.send_copies(30, doomed)
+    day.replay_heartbeats(30, doomed)
     day.run(2)
-    assert not doomed & set(day.ghosts()), "a copy brings no machine back"
+    assert not doomed & set(day.members_without_machine()), "a copy brings no machine back"
 
 
 def alone_with_its_workers(mode: str, workers_first: bool) -> Callable[[Day], None]:
@@ -273,9 +273,9 @@
 
 
 def slow_state(day: Day) -> None:
-    day.store.slow = 20.0
+    day.store.delay_factor = 20.0
     day.run(25)
-    day.store.slow = 1.0
+    day.store.delay_factor = 1.0
 
 
 def crash_in_election(day: Day) -> None:
@@ -292,7 +292,7 @@
 
     def fault(day: Day) -> None:
         for host in day.random.sample(HOSTS, hosts):
-            day.loop.freeze(host, seconds)
+            day.loop.pause_host(host, seconds)
         day.run(seconds + 3)
 
     return fault
@@ -304,14 +304,14 @@
     day.restart(dead, 30 * SECOND)
     for _ in range(3):
         day.run(day.random.uniform(3.9, 4.6))
-        day.loop.freeze(heir, 6)
+        day.loop.pause_host(heir, 6)
         day.run(6.5)
 
 
 def lost_answers(day: Day) -> None:
     """Transactions are carried out, but nobody hears of it."""
     for _ in range(5):
-        day.store.drop_answers = 2
+        day.store.answers_to_drop = 2
         day.run(2)
 
 
@@ -419,7 +419,7 @@
     left = play(day, FAULTS[name])
     assert day.rules.broken == []
     assert left == [], "accepted jobs must run"
-    assert day.rules.starts > 100
+    assert day.rules.start_count > 100
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -674,7 +674,7 @@
         one = job(f"run-s{number}", crew="guests", heads=30, rank="idle", trek_s=5.0, market_s=60.0)
         day.submit(one, tries=1)
         day.run(2)
-    tasks = [name for name in (*day.site.finished, *day.rules.on) if name.startswith("run-big/")]
+    tasks = [name for name in (*day.site.finished, *day.rules.worker_by_task) if name.startswith("run-big/")]
     assert (len(tasks) >= 48) is begins, "as many as there are processors"
     assert day.rules.broken == []
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -143,7 +143,7 @@
             day.world.heal(host, other)
     else:
         controller.autoscaling.deletion_queue.delete([name])
-        day.loop.freeze(host, 12)
+        day.loop.pause_host(host, 12)
         day.run(13)
     day.run(20)
     assert name in day.site.workers, "it was a new owner's to decide about"
--- a/tests/test_left_waiting.py
+++ b/tests/test_left_waiting.py
@@ -23,7 +23,7 @@
 
 
 def running(day: Day, ref: str) -> int:
-    return sum(name.rpartition("/")[0] == ref for name in day.rules.on)
+    return sum(name.rpartition("/")[0] == ref for name in day.rules.worker_by_task)
 
 
 def decoy(day: Day, shards: dict[str, int]) -> list[dict]:
@@ -74,7 +74,7 @@
     day.run(5)
     for one in described:
         day.submit(one)
-    assert day.until(lambda: running(day, "run-q") >= least, 25)
+    assert day.run_until(lambda: running(day, "run-q") >= least, 25)
     for ref in day.site.failing:
         day.cancel(ref)
     assert day.rules.broken == []
@@ -89,7 +89,7 @@
     day.run(5)
     day.submit(job("run-old", crew="red", gait="group", heads=2, cpus=7.0, trek_s=20.0))
     day.submit(job("run-young", crew="red", gait="group", heads=2, cpus=7.0, trek_s=20.0))
-    assert day.until(lambda: running(day, "run-old") == 2, 20)
+    assert day.run_until(lambda: running(day, "run-old") == 2, 20)
     assert day.finish(90) == []
     assert day.rules.broken == []
 
@@ -109,9 +109,9 @@
     day.run(4)
     day.cancel("run-fill")
     day.submit(job("run-first", heads=2000, crew="red", rank=ranks[0], trek_s=4.0))
-    assert day.until(lambda: running(day, "run-first") >= 23, 30)
+    assert day.run_until(lambda: running(day, "run-first") >= 23, 30)
     day.submit(job("run-q", heads=400, crew="red", rank=ranks[1], trek_s=4.0))
-    assert day.until(lambda: running(day, "run-q") >= number, 25) is reached
+    assert day.run_until(lambda: running(day, "run-q") >= number, 25) is reached
     assert number == 20 or running(day, "run-first") >= 10, "equals share, and what comes later waits"
     assert day.rules.broken == []
 
@@ -154,15 +154,15 @@
         day.site.remove_worker(name)
         day.group.spawn(leader.tombstone_writer.remove_machines([name]), "forget")
 
-    day.store.late_writes, day.store.late_by = 1.0, (8.0, 9.0)
-    day.loop.later(SECOND / 2, lambda: setattr(day.store, "late_writes", 0.0))
+    day.store.late_write_probability, day.store.late_write_delay_s = 1.0, (8.0, 9.0)
+    day.loop.later(SECOND / 2, lambda: setattr(day.store, "late_write_probability", 0.0))
     forget(first)
     day.run(4)
     forget(second)
     day.run(12)
     named = {name for key, one in day.store.items.items() if key.startswith("b/gone/0/") for name in one[0]["names"]}
     assert {first, second} <= named
-    assert not {first, second} & set(day.ghosts())
+    assert not {first, second} & set(day.members_without_machine())
 
 
 # -- What users send by mistake
@@ -229,8 +229,8 @@
     day = Day(seed=91, machines=12, capacity=0)
     day.run(5)
     day.submit(job("run-idle", crew="red", rank="idle", heads=400, trek_s=8.0))
-    assert day.until(lambda: running(day, "run-idle") == 24, 20)
+    assert day.run_until(lambda: running(day, "run-idle") == 24, 20)
     day.submit(job("run-gang", crew="red", rank=level, gait="group", heads=2, cpus=8.0, trek_s=5.0))
-    assert day.until(lambda: running(day, "run-gang") == 2, 24)
+    assert day.run_until(lambda: running(day, "run-gang") == 2, 24)
     assert day.finish() == []
     assert day.rules.broken == []
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -29,7 +29,7 @@
 
 
 def on_machines(day: Day, ref: str) -> list[str]:
-    return [name for name in day.rules.on if name.rpartition("/")[0] == ref]
+    return [name for name in day.rules.worker_by_task if name.rpartition("/")[0] == ref]
 
 
 def cut(day: Day, host: str, peers: list[str], mode: str = "hold") -> Callable[[], None]:
@@ -48,8 +48,8 @@
 
 def hung(day: Day, worker: Worker) -> None:
     """It hangs before its leader is refused, and goes on just within its lease."""
-    worker.hung = True
-    day.loop.later(10 * SECOND, lambda: setattr(worker, "hung", False))
+    worker.unresponsive = True
+    day.loop.later(10 * SECOND, lambda: setattr(worker, "unresponsive", False))
 
 
 def unreachable(day: Day, worker: Worker) -> None:
@@ -82,11 +82,11 @@
     for ref in refs:
         day.submit(job(ref, heads=18, trek_s=150.0))
     day.submit(job("run-kept", heads=6, trek_s=20.0))
-    assert day.until(lambda: len(on_machines(day, "run-a")) + len(on_machines(day, "run-b")) >= 30, 20)
+    assert day.run_until(lambda: len(on_machines(day, "run-a")) + len(on_machines(day, "run-b")) >= 30, 20)
     leader = HOSTS[0]
     busy = next(one for one in workers_of(day, leader) if any(task.ref in refs for task in one.tasks.values()))
     state(day, busy)
-    day.store.refused.add(leader)
+    day.store.refused_hosts.add(leader)
     began = day.loop.now()
     heal = cut(day, leader, others(leader), "reset") if mesh in ("cut", "returns") else lambda: None
     day.run(confirmed)
@@ -96,13 +96,13 @@
         day.restart(others(leader)[0], 20 * SECOND)  # whoever told the user has told no peer that lasts
     day.run(max(0.0, 2 - (day.loop.now() - began) / SECOND))
     day.store.outage(True)
-    day.loop.later(refused * SECOND, lambda: day.store.refused.discard(leader))
+    day.loop.later(refused * SECOND, lambda: day.store.refused_hosts.discard(leader))
     day.loop.later(out * SECOND, lambda: day.store.outage(False))
     day.run(4)
     if mesh == "returns":
         heal()
     day.run(6)
-    well_off = [one for one in workers_of(day, leader) if not one.hung and not one.unreachable]
+    well_off = [one for one in workers_of(day, leader) if not one.unresponsive and not one.unreachable]
     left = [task for one in well_off for task in one.tasks.values() if task.ref in refs and task.state != "exited"]
     if mesh != "cut":
         assert not left, "the leader was told, and acts at once though it can't reach the state service"
@@ -140,10 +140,10 @@
     day = Day(seed=21, machines=9, capacity=0)
     day.run(5)
     day.submit(job("run-a", heads=20, trek_s=150.0))
-    assert day.until(lambda: len(on_machines(day, "run-a")) == 20, 20)
+    assert day.run_until(lambda: len(on_machines(day, "run-a")) == 20, 20)
     leader = HOSTS[0]
     controller = day.controllers[leader][0]
-    day.store.unwatched.add(leader)
+    day.store.hosts_without_watches.add(leader)
     heal = cut(day, leader, others(leader), "reset")
     asked = controller.storage.replica.last_confirmed
     day.run(0.3)
@@ -154,7 +154,7 @@
     assert state.last_confirmed <= asked + SECOND, "the proof is as old as the last answered watch"
     day.run(CANCEL)
     assert not on_machines(day, "run-a")
-    day.store.unwatched.clear()
+    day.store.hosts_without_watches.clear()
     heal()
     assert day.finish() == []
     assert day.rules.broken == []
@@ -228,7 +228,7 @@
     yield 9
     for heal in held:
         heal()
-    day.send_copies(30)
+    day.replay_heartbeats(30)
     yield 10
 
 
@@ -236,12 +236,12 @@
     """Workers can't open connections to any controller, while direct commands still reach them."""
     workers = day.random.sample(list(day.site.workers.values()), 4)
     for worker in workers:
-        worker.mute = True
+        worker.heartbeats_blocked = True
     yield 4
     day.restart(HOSTS[day.random.randrange(3)], 2 * SECOND)
     yield 20
     for worker in workers:
-        worker.mute = False
+        worker.heartbeats_blocked = False
     yield 5
 
 
@@ -249,7 +249,7 @@
     """New machines are up at once and get work while writes lag, and the leader ends."""
     day.site.boot_factor = 0.1
     day.site.capacity += 3
-    day.store.late_writes, day.store.slow = 0.3, 15.0
+    day.store.late_write_probability, day.store.delay_factor = 0.3, 15.0
     for name in list(day.site.workers)[:4]:
         day.site.remove_worker(name)
     for number in range(3):
@@ -258,7 +258,7 @@
     for turn in range(3):
         day.restart(HOSTS[turn], SECOND / 3)
         yield 3
-    day.store.late_writes, day.store.slow = 0.0, 1.0
+    day.store.late_write_probability, day.store.delay_factor = 0.0, 1.0
     yield 5
 
 
@@ -269,14 +269,14 @@
     yield 6
     cut_off = day.random.sample(list(day.site.workers.values()), 4)
     heals = [cut(day, worker.name, HOSTS) for worker in cut_off[:2]]
-    cut_off[2].hung = cut_off[3].hung = True
+    cut_off[2].unresponsive = cut_off[3].unresponsive = True
     yield 0.5
     for number in range(2):
         day.group.spawn(day.polling_users.cancel(f"run-l{number}"), "user")
     yield 0.5
     day.restart(HOSTS[2], 6 * SECOND)
     yield 9
-    cut_off[2].hung = cut_off[3].hung = False
+    cut_off[2].unresponsive = cut_off[3].unresponsive = False
     yield 8
     for heal in heals:
         heal()
@@ -290,7 +290,7 @@
     day.site.run_time = lambda ref: real(ref) if ref not in times else day.random.choice((1.0, 14.0, 30.0))
     for ref, number in times.items():
         day.submit(job(ref, heads=2 + number % 2, trek_s=14.0))
-        day.group.spawn(day.polling_users.watch_end(ref, cancelled=number == 5), "user")
+        day.group.spawn(day.polling_users.poll_at_completion(ref, cancelled=number == 5), "user")
     yield 8
     for host in HOSTS:
         day.restart(host, 2 * SECOND)
@@ -333,7 +333,7 @@
     day.restart(HOSTS[1], 30 * SECOND)
     for _ in range(14):
         yield 0.45
-        day.send_copies(6)
+        day.replay_heartbeats(6)
     yield 5
 
 
@@ -363,14 +363,14 @@
         one = job(f"run-c{number}", heads=1 + number % 3, trek_s=2.0)
         day.group.spawn(day.polling_users.submit(one, cancelled=number % 3 == 0), "user")
         if number % 3:
-            day.group.spawn(day.polling_users.watch_end(one["ref"], cancelled=number % 3 == 1), "user")
+            day.group.spawn(day.polling_users.poll_at_completion(one["ref"], cancelled=number % 3 == 1), "user")
         yield 1
     yield 6
 
 
 def more_than_room(day: Day) -> Iterator[float]:
     """There is more work than room, urgent and not, over slow links."""
-    day.world.slower = 60.0
+    day.world.delay_factor = 60.0
     for number in range(6):
         day.submit(job(f"run-u{number}", heads=10, trek_s=8.0, rank="urgent"))
         day.submit(job(f"run-i{number}", heads=20, trek_s=8.0, rank="idle", crew="red"))
@@ -379,15 +379,15 @@
     day.group.spawn(day.polling_users.cancel("run-u1"), "user")
     day.restart(HOSTS[2], 3 * SECOND)
     yield 20
-    day.world.slower = 1.0
+    day.world.delay_factor = 1.0
     yield 3
 
 
 def slow_then_refused(day: Day) -> Iterator[float]:
     """The key-value store is slow, refuses one alone, then everybody for longer than a cancellation has."""
-    day.store.slow = 40.0
+    day.store.delay_factor = 40.0
     yield 3
-    day.store.refused.add(HOSTS[1])
+    day.store.refused_hosts.add(HOSTS[1])
     for ref in ("run-a0", "run-g0"):
         day.group.spawn(day.polling_users.cancel(ref), "user")
     day.group.spawn(day.polling_users.submit(job("run-new", heads=3)), "user")
@@ -395,20 +395,20 @@
     day.store.outage(True)
     yield CANCEL + 9
     day.store.outage(False)
-    day.store.slow = 1.0
-    day.store.refused.clear()
+    day.store.delay_factor = 1.0
+    day.store.refused_hosts.clear()
     yield 6
 
 
 def answers_lost(day: Day) -> Iterator[float]:
     """Transactions are carried out and only their answers are lost, while other nodes read what they wrote."""
     for number in range(8):
-        day.store.drop_answers = 3
+        day.store.answers_to_drop = 3
         one = job(f"run-d{number}", heads=2, trek_s=1.0)
         day.group.spawn(day.polling_users.submit(one, cancelled=number % 2 == 0), "user")
-        day.group.spawn(day.polling_users.watch_end(one["ref"], cancelled=number % 4 == 1), "user")
+        day.group.spawn(day.polling_users.poll_at_completion(one["ref"], cancelled=number % 4 == 1), "user")
         yield 2
-    day.store.drop_answers = 0
+    day.store.answers_to_drop = 0
     yield 10
 
 
@@ -416,13 +416,13 @@
     """A command or its answer is held up for seconds, and the machine then goes on."""
     for turn in range(3):
         worker = day.random.choice(list(day.site.workers.values()))
-        worker.hung = True
+        worker.unresponsive = True
         heal = cut(day, day.random.choice(list(day.site.workers)), HOSTS)
         if turn == 1:
             day.restart(HOSTS[turn], SECOND)
         day.group.spawn(day.polling_users.cancel(f"run-a{turn}"), "user")
         yield 6
-        worker.hung = False
+        worker.unresponsive = False
         heal()
         yield 3
 
@@ -436,8 +436,8 @@
         heal()
     for _ in range(4):
         yield 3
-        day.send_copies(20)
-        day.send_copies(10, {worker.name for worker in lost})
+        day.replay_heartbeats(20)
+        day.replay_heartbeats(10, {worker.name for worker in lost})
 
 
 def alone_with_workers(day: Day) -> Iterator[float]:
@@ -508,14 +508,14 @@
 
 def writes_late(day: Day) -> Iterator[float]:
     """Transactions without an answer are carried out late, after newer ones of the same controller."""
-    day.store.late_writes = 0.3
+    day.store.late_write_probability = 0.3
     for number in range(8):
         one = job(f"run-w{number}", heads=3, trek_s=3.0)
         day.group.spawn(day.polling_users.submit(one, cancelled=number % 3 == 0), "user")
         if number == 4:
             day.restart(HOSTS[1], SECOND / 2)
         yield 3
-    day.store.late_writes = 0.0
+    day.store.late_write_probability = 0.0
     yield 14
 
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -18,11 +18,11 @@
     day = Day(seed=11)
     day.world.resets = resets
     day.run(5)
-    day.loop.freeze(HOSTS[0], 26)
+    day.loop.pause_host(HOSTS[0], 26)
     day.run(26)
     leaders = day.controllers[HOSTS[0]][0].leaders
-    assert day.until(lambda: 0 not in leaders, 2), "it learns that its claim went"
-    assert day.until(lambda: 0 in leaders, 15), "its shard comes home"
+    assert day.run_until(lambda: 0 not in leaders, 2), "it learns that its claim went"
+    assert day.run_until(lambda: 0 in leaders, 15), "its shard comes home"
     day.submit(job("run-a", heads=12))
     assert day.finish() == []
     assert day.rules.broken == []
@@ -35,8 +35,8 @@
     assert day.submit(job("run-guest", crew="guests", heads=60, rank="idle", trek_s=20.0)) == 201
     assert day.submit(job("run-gang", crew="guests", gait="group", heads=3, cpus=8.0, trek_s=20.0)) == 201
     assert day.submit(job("run-own", heads=8)) == 201
-    guests = lambda: sum(name.startswith("run-g") for name in day.rules.on)  # noqa: E731
-    assert day.until(lambda: guests() >= 40, 40), "nothing holds them back"
+    guests = lambda: sum(name.startswith("run-g") for name in day.rules.worker_by_task)  # noqa: E731
+    assert day.run_until(lambda: guests() >= 40, 40), "nothing holds them back"
     assert day.finish() == []
     assert day.rules.broken == []
 
@@ -132,7 +132,7 @@
     assert len(ended) <= 1, "hardly a lease ran out"
     heal()
     leaders = day.controllers[host][0].leaders
-    assert day.until(lambda: len(leaders) == 1, 20), "its shard comes home"
+    assert day.run_until(lambda: len(leaders) == 1, 20), "its shard comes home"
     assert day.finish() == []
     assert day.rules.broken == []
 
@@ -164,7 +164,7 @@
     day.site.boot_factor = 7.0
     day.run(4)
     day.submit(job("run-a", heads=8))
-    assert day.until(lambda: len(day.site.workers) >= 4, 60)
+    assert day.run_until(lambda: len(day.site.workers) >= 4, 60)
     assert day.finish() == []
     assert day.rules.broken == []
 
@@ -172,12 +172,14 @@
 def test_a_machine_that_never_boots_is_replaced() -> None:
     """One that others overtook is given up, so that it does not cost for ever."""
     day = Day(seed=21, machines=0, capacity=4)
-    day.site.never_boots = 2
+    day.site.machines_that_never_boot = 2
     day.run(4)
     stuck = set(day.site.booting)
     day.submit(job("run-a", heads=30, trek_s=60.0))
-    assert day.until(lambda: len(stuck & set(day.site.booting)) <= len(stuck) - 2 and len(day.site.workers) >= 4, 70)
-    assert day.until(lambda: not {name for name in stuck if name in day.site.booting}, 70)
+    assert day.run_until(
+        lambda: len(stuck & set(day.site.booting)) <= len(stuck) - 2 and len(day.site.workers) >= 4, 70
+    )
+    assert day.run_until(lambda: not {name for name in stuck if name in day.site.booting}, 70)
     assert day.finish() == []
     assert day.rules.broken == []
 
@@ -190,9 +192,9 @@
     day.crash(HOSTS[2])
     day.run(3)
     assert states[HOSTS[0]].rates.change_limiter.rate == full, "it may come back at once"
-    assert day.until(lambda: states[HOSTS[0]].rates.change_limiter.rate == 1.5 * full, 15)
+    assert day.run_until(lambda: states[HOSTS[0]].rates.change_limiter.rate == 1.5 * full, 15)
     day.start(HOSTS[2])
-    assert day.until(lambda: states[HOSTS[0]].rates.change_limiter.rate == full, 3), "and shares again"
+    assert day.run_until(lambda: states[HOSTS[0]].rates.change_limiter.rate == full, 3), "and shares again"
     for number, host in enumerate(HOSTS):  # only unheard: each holds its leadership
         for other in HOSTS[:number]:
             day.world.cut(host, other, "reset")
@@ -238,8 +240,8 @@
 
 
 def late_writes(day: Day) -> None:
-    day.store.late_writes = 0.3
-    day.loop.later(25 * SECOND, lambda: setattr(day.store, "late_writes", 0.0))
+    day.store.late_write_probability = 0.3
+    day.loop.later(25 * SECOND, lambda: setattr(day.store, "late_write_probability", 0.0))
 
 
 def cut_from_state_and_siblings(day: Day) -> None:
@@ -253,9 +255,9 @@
 
 def refused_alone_then_an_outage(day: Day) -> None:
     """Longer than a cancellation has, while users cancel and ask."""
-    day.store.refused.add(f"{day.random.choice(HOSTS)}")
+    day.store.refused_hosts.add(f"{day.random.choice(HOSTS)}")
     day.loop.later(8 * SECOND, lambda: day.store.outage(True))
-    day.loop.later(50 * SECOND, lambda: (day.store.outage(False), day.store.refused.clear()))
+    day.loop.later(50 * SECOND, lambda: (day.store.outage(False), day.store.refused_hosts.clear()))
 
 
 def hand_overs(day: Day) -> None:
@@ -267,16 +269,16 @@
 
 
 def standstill(day: Day) -> None:
-    day.loop.later(2 * SECOND, lambda: day.loop.freeze(day.random.choice(HOSTS), 9))
+    day.loop.later(2 * SECOND, lambda: day.loop.pause_host(day.random.choice(HOSTS), 9))
 
 
 def deaf_and_hung(day: Day) -> None:
     """Machines that don't hear, and machines that don't move, when their leader ends."""
     workers = day.random.sample(list(day.site.workers.values()), 3)
-    workers[0].unreachable = workers[1].hung = workers[2].hung = True
+    workers[0].unreachable = workers[1].unresponsive = workers[2].unresponsive = True
 
     def heal() -> None:
-        workers[0].unreachable = workers[1].hung = workers[2].hung = False
+        workers[0].unreachable = workers[1].unresponsive = workers[2].unresponsive = False
 
     day.loop.later(SECOND, lambda: day.restart(day.random.choice(HOSTS), 5 * SECOND))
     day.loop.later(8 * SECOND, heal)
@@ -288,7 +290,7 @@
 
 
 async def _copies(day: Day) -> None:
-    old = list(day.site.copies)
+    old = list(day.site.sent_heartbeats)
     for _, body in day.random.sample(old, min(15, len(old))):
         client = Client(day.loop, day.user, f"{day.random.choice(HOSTS)}:8080")
         try:
--- a/tests/test_pipeline_edges.py
+++ b/tests/test_pipeline_edges.py
@@ -78,7 +78,7 @@
     day.run(4)
     state = day.controllers[HOSTS[0]][0].storage.store
     before = state.max_changes, state.max_value_bytes
-    day.store.refusing = True
+    day.store.rejects_transactions = True
 
     async def write(changes: int) -> None:
         await state.transact([], [put(f"b/x/{one}", "y" * 900) for one in range(changes)], Urgency.COMPLETE)
@@ -86,7 +86,7 @@
     with pytest.raises(RequestRefusedError):
         wait_for(day, write(8))
     assert (state.max_changes, state.max_value_bytes) < before
-    day.store.refusing = False
+    day.store.rejects_transactions = False
     day.run(60)
     assert (state.max_changes, state.max_value_bytes) == before
     assert day.rules.broken == []
@@ -140,9 +140,9 @@
     day.accepted.add("run-new")
     for host in HOSTS:
         day.restart(host, SECOND)
-    assert day.until(lambda: day.poll("run-new", host=HOSTS[1]) in ("done", "withdrawn", "running"), 12)
+    assert day.run_until(lambda: day.poll("run-new", host=HOSTS[1]) in ("done", "withdrawn", "running"), 12)
     assert day.finish() == []
-    assert day.told["run-new"] == ("done" if state == "done" else "withdrawn")
+    assert day.last_conditions["run-new"] == ("done" if state == "done" else "withdrawn")
     assert day.rules.broken == []
 
 
@@ -229,7 +229,7 @@
         day.run(8)
         controller = day.controllers[HOSTS[0]][0]
     assert sum(key.startswith("b/before/") for key in day.store.items) == 3
-    assert day.until(lambda: not any(key.startswith("b/before/") for key in day.store.items), 120)
+    assert day.run_until(lambda: not any(key.startswith("b/before/") for key in day.store.items), 120)
 
 
 # -- Takeovers and cancellations
@@ -244,8 +244,8 @@
         day.submit(job(ref, heads=1, trek_s=0.5))
     day.submit(job("run-b", heads=12, trek_s=40.0, follows=refs))
     day.submit(job("run-c", heads=6, trek_s=18.0, follows=refs[:2]))
-    assert day.until(lambda: len(day.rules.on) == 18, 30)
-    starts = day.rules.starts
+    assert day.run_until(lambda: len(day.rules.worker_by_task) == 18, 30)
+    starts = day.rules.start_count
     real, until = JobReader.find_unknown, day.loop.now() + 15 * SECOND
 
     async def hindered(self: JobReader, names: list[str], urgency: Urgency) -> list[str]:
@@ -258,7 +258,7 @@
         day.restart(host, SECOND)
     day.submit(job("run-other", heads=4, trek_s=1.0))
     assert day.finish() == []
-    assert day.rules.starts == starts + 4, "nothing was started again"
+    assert day.rules.start_count == starts + 4, "nothing was started again"
     assert day.rules.broken == []
 
 
@@ -307,7 +307,7 @@
         day.run(3)
     assert any(key.startswith("b/jobs/") for key in day.store.items), "their records take longer than that"
     assert {day.poll(ref, host=host) for ref in refs[::7] for host in HOSTS[:2]} == {"withdrawn"}
-    assert day.until(lambda: not any(key.startswith("b/jobs/") for key in day.store.items), 120)
+    assert day.run_until(lambda: not any(key.startswith("b/jobs/") for key in day.store.items), 120)
     assert day.store.next_lease == ended, "no claim was lost"
     assert day.store.too_large == []
     assert day.rules.broken == []
@@ -326,7 +326,7 @@
     day.submit(job("run-c", gait="group", heads=2, trek_s=2.0, follows=["run-b"]))
     day.submit(job("run-d", heads=6, trek_s=90.0))
     day.run(3)
-    day.old = set(HOSTS)
+    day.production_hosts = set(HOSTS)
     for host in HOSTS:
         day.restart(host, SECOND)
         day.run(5)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -169,7 +169,7 @@
         for ref in refs[1:]
     )
     assert day.finish(90) == []
-    assert [day.told[ref] for ref in refs] == ["done"] * 4
+    assert [day.last_conditions[ref] for ref in refs] == ["done"] * 4
     ended = {key[7:]: item[0]["at"] for key, item in day.store.items.items() if key.startswith("b/past/")}
     assert [ended[ref] for ref in refs] == sorted(ended[ref] for ref in refs)
     assert day.rules.broken == []
@@ -184,7 +184,7 @@
         day.submit(job(f"run-w{number}", heads=100, rank="urgent", follows=["run-first"]))
     day.submit(job("run-other", heads=10, rank="idle", trek_s=2.0))
     before = len(day.site.workers) + len(day.site.booting)
-    assert day.until(lambda: day.poll("run-other") == "done", 25)
+    assert day.run_until(lambda: day.poll("run-other") == "done", 25)
     assert len(day.site.workers) + len(day.site.booting) <= before + 2, "two spot machines at the most"
     day.cancel("run-first")
     assert day.finish() == []
@@ -228,7 +228,7 @@
             day.accepted.add(ref)
     assert day.finish() == []
     expected = {"withdrawn"} if follows == ["run-off"] else {"done"}
-    assert {day.told[ref] for ref in day.accepted if ref.startswith("run-new")} <= expected
+    assert {day.last_conditions[ref] for ref in day.accepted if ref.startswith("run-new")} <= expected
     assert day.rules.broken == []
 
 
@@ -285,8 +285,8 @@
 
 
 def writes_late(day: Day) -> None:
-    day.store.late_writes = 0.3
-    day.loop.later(20 * SECOND, lambda: setattr(day.store, "late_writes", 0.0))
+    day.store.late_write_probability = 0.3
+    day.loop.later(20 * SECOND, lambda: setattr(day.store, "late_write_probability", 0.0))
 
 
 @pytest.mark.parametrize("trouble", [well, outage, confirmer_ends, all_end, writes_late], ids=lambda one: one.__name__)
@@ -309,9 +309,11 @@
     assert answers <= {"withdrawn", None}
     assert trouble in (outage, writes_late) or answers == {"withdrawn"}
     assert day.finish(200) == []
-    assert {day.told[ref] for ref in refs} == {"withdrawn"}
-    assert day.until(lambda: not any(key.startswith("b/jobs/") for key in day.store.items), 60), "the records follow"
-    assert day.rules.starts <= 1
+    assert {day.last_conditions[ref] for ref in refs} == {"withdrawn"}
+    assert day.run_until(lambda: not any(key.startswith("b/jobs/") for key in day.store.items), 60), (
+        "the records follow"
+    )
+    assert day.rules.start_count <= 1
     assert day.rules.broken == []
 
 
@@ -332,7 +334,7 @@
     assert day.poll("run-c", host=HOSTS[1]) == "withdrawn"
     day.run(CANCEL + 4)  # until nobody repeats it any more
     day.restart(HOSTS[0], SECOND)
-    assert day.until(lambda: day.ask("GET", "/up", host=HOSTS[0]) is not None, 8)
+    assert day.run_until(lambda: day.ask("GET", "/up", host=HOSTS[0]) is not None, 8)
     day.run(3)
     assert day.poll("run-c", host=HOSTS[0]) == "withdrawn"
     assert day.rules.broken == []
@@ -346,14 +348,14 @@
         day.run(5)
         day.submit(job("run-a", heads=1, trek_s=3.0))
         day.submit(job("run-b", heads=1, trek_s=1.0, follows=["run-a"]))
-        assert day.until(lambda day=day: "run-a/0" in day.rules.on, 20)
+        assert day.run_until(lambda day=day: "run-a/0" in day.rules.worker_by_task, 20)
         day.run(0.5)
-        ends_at = day.rules.on["run-a/0"].tasks["run-a/0"].until
-        day.store.slow = 10.0
+        ends_at = day.rules.worker_by_task["run-a/0"].tasks["run-a/0"].state_ends_at
+        day.store.delay_factor = 10.0
         day.run((ends_at - day.loop.now()) / SECOND - 0.2 + 0.05 * seed)
         won = day.cancel("run-a")
         assert day.finish() == []
-        assert day.told["run-b"] == ("done" if won == "done" else "withdrawn")
+        assert day.last_conditions["run-b"] == ("done" if won == "done" else "withdrawn")
         assert day.rules.broken == []
         ends.add(won)
     assert ends == {"done", "withdrawn"}
@@ -369,7 +371,7 @@
     day.run(6)
 
     def placed() -> int:
-        return sum(name.startswith("run-stage/") for name in day.rules.on)
+        return sum(name.startswith("run-stage/") for name in day.rules.worker_by_task)
 
     def levels() -> set[int]:
         leaders = [leader for one, _ in day.controllers.values() for leader in one.leaders.values()]
@@ -377,7 +379,7 @@
 
     assert not placed()
     day.submit(job("run-end", heads=1, rank="urgent", market_s=60.0, follows=["run-stage"]))
-    assert day.until(lambda: placed() >= 8, 15)
+    assert day.run_until(lambda: placed() >= 8, 15)
     assert levels() == {2}
     day.cancel("run-end")
     day.run(1.5)
@@ -397,7 +399,7 @@
     day.submit(job("run-fill", heads=300, crew="guests", rank="urgent", trek_s=300.0))
     day.submit(job("run-a", heads=1, rank="prod", trek_s=20.0))
     day.submit(job("run-b", heads=40, trek_s=1.0, follows=["run-a"]))
-    assert day.until(lambda: day.poll("run-a") == "done", 50)
+    assert day.run_until(lambda: day.poll("run-a") == "done", 50)
     done_at = day.loop.now()
     day.run(15)
     for host in HOSTS:
@@ -420,13 +422,13 @@
     for ref in refs:
         day.submit(job(ref, heads=1, trek_s=0.5))
     day.submit(job("run-b", heads=12, trek_s=40.0, follows=refs))
-    assert day.until(lambda: len(day.rules.on) == 12, 30)
-    starts = day.rules.starts
-    day.store.slow = 10.0  # looking them up takes longer than the first heartbeats
+    assert day.run_until(lambda: len(day.rules.worker_by_task) == 12, 30)
+    starts = day.rules.start_count
+    day.store.delay_factor = 10.0  # looking them up takes longer than the first heartbeats
     for host in HOSTS:
         day.restart(host, SECOND / 2)
     assert day.finish() == []
-    assert day.rules.starts == starts, "nothing was started again"
+    assert day.rules.start_count == starts, "nothing was started again"
     assert day.rules.broken == []
 
 
@@ -444,8 +446,8 @@
     day.restart(HOSTS[0], SECOND)
     day.cancel("run-off")
     assert day.finish(300) == []
-    assert day.told["run-all"] == "done" and day.told["run-off"] == "withdrawn"
-    assert day.until(lambda: not any(key.startswith("b/before/") for key in day.store.items), 120)
+    assert day.last_conditions["run-all"] == "done" and day.last_conditions["run-off"] == "withdrawn"
+    assert day.run_until(lambda: not any(key.startswith("b/before/") for key in day.store.items), 120)
     assert day.rules.broken == []
 
 
--- a/tests/test_rebalancing_days.py
+++ b/tests/test_rebalancing_days.py
@@ -27,13 +27,13 @@
 
 def hot_day(seed: int, operator: OperatorSettings, upgrade: bool = False) -> Day:
     """A fleet of 24 processors, and a team that triples its load."""
-    day = Day(seed, machines=6, capacity=0, kind_cpus=4.0, operator=operator, teams=EQUALS)
+    day = Day(seed, machines=6, capacity=0, cpus_per_machine=4.0, operator=operator, teams=EQUALS)
     if upgrade:
-        day.old = {HOSTS[2]}
+        day.production_hosts = {HOSTS[2]}
         day.crash(HOSTS[2])
         day.start(HOSTS[2])
     day.run(5)
-    hot_team(day, seconds=64, pace=0.5)
+    hot_team(day, seconds=64, time_scale=0.5)
     assert day.finish(400) == []
     return day
 
@@ -58,11 +58,11 @@
 def test_an_older_version_beside_it_knows_nothing_of_it() -> None:
     """It neither sends nor understands loads, and its shard is served as it always was."""
     day = hot_day(4, ON, upgrade=True)
-    assert day.old and day.rules.broken == [] and day.history_problems() == []
+    assert day.production_hosts and day.rules.broken == [] and day.history_problems() == []
 
 
 def test_when_every_team_is_hot_none_is_hastened() -> None:
-    day = Day(5, machines=4, capacity=0, kind_cpus=4.0, operator=ON, teams=EQUALS)
+    day = Day(5, machines=4, capacity=0, cpus_per_machine=4.0, operator=ON, teams=EQUALS)
     day.run(5)
     for number in range(24):
         team = EQUALS[number % 3].name
@@ -121,10 +121,10 @@
     day = Day(7, machines=6, capacity=0, operator=ON, teams=EQUALS)
     day.run(5)
     day.submit(job("run-first", heads=2, crew="red", brand="img-big", image_gb=8.0, trek_s=20.0))
-    assert day.until(lambda: len(on_machines(day, "run-first")) == 2, 30)
+    assert day.run_until(lambda: len(on_machines(day, "run-first")) == 2, 30)
     day.run(20)
     day.submit(job("run-many", heads=48, crew="red", brand="img-big", image_gb=8.0, trek_s=20.0))
-    assert day.until(lambda: len(on_machines(day, "run-many")) >= 40, 12), "spread over the fleet at once"
+    assert day.run_until(lambda: len(on_machines(day, "run-many")) >= 40, 12), "spread over the fleet at once"
     assert day.finish() == [] and day.rules.broken == [] and day.history_problems() == []
 
 
@@ -139,7 +139,7 @@
     for shard in range(3):
         saves = {"waypoint_s": 5.0, "pen_s": 1.0, "trek_s": 60.0}
         day.submit(job(f"run-v{shard}", heads=tasks // 3, crew="blue", pasture="a", **saves))
-    assert day.until(lambda: len(day.rules.on) == tasks, 30), "all of zone a is in use"
+    assert day.run_until(lambda: len(day.rules.worker_by_task) == tasks, 30), "all of zone a is in use"
     for shard in range(3):  # what may run anywhere is moved; this could not be
         day.site.jobs[f"run-v{shard}"]["pasture"] = None
     widen(day)
@@ -163,8 +163,8 @@
 def test_work_moves_aside_for_what_can_run_nowhere_else() -> None:
     day = moving_day(8)
     day.submit(job("run-u", heads=3, cpus=4.0, crew="red", rank="urgent", pasture="a", trek_s=10.0))
-    assert day.until(lambda: moves(day) >= 4, 20)
-    assert day.until(lambda: len(on_machines(day, "run-u")) >= 1, 20)
+    assert day.run_until(lambda: moves(day) >= 4, 20)
+    assert day.run_until(lambda: len(on_machines(day, "run-u")) >= 1, 20)
     day.run(30)
     again = [runs for runs in day.rules.history.runs.values() if len(runs) > 1]
     assert again and all(runs[0].kept for runs in again), "each saved before it went"
@@ -178,7 +178,7 @@
     for worker in day.site.workers.values():
         for task in worker.tasks.values():
             if task.ref.startswith("run-v") and task.state == "running":
-                task.until = day.loop.now() + SECOND * day.random.uniform(0.0, 2.5)
+                task.state_ends_at = day.loop.now() + SECOND * day.random.uniform(0.0, 2.5)
 
 
 def cancel(day: Day) -> None:
@@ -198,8 +198,8 @@
 
 def hang(day: Day) -> None:
     for worker in list(day.site.workers.values())[::2]:
-        worker.hung = True
-        day.loop.later(20 * SECOND, lambda worker=worker: setattr(worker, "hung", False))
+        worker.unresponsive = True
+        day.loop.later(20 * SECOND, lambda worker=worker: setattr(worker, "unresponsive", False))
 
 
 def deafen(day: Day) -> None:
@@ -209,7 +209,7 @@
 
 
 def late_copies(day: Day) -> None:
-    day.send_copies(60)
+    day.replay_heartbeats(60)
 
 
 @pytest.mark.parametrize("seed", [21, 22])
@@ -222,7 +222,7 @@
     day = moving_day(seed)
     day.site.capacity = 4
     day.submit(job("run-u", heads=3, cpus=4.0, crew="red", rank="urgent", pasture="a", trek_s=10.0))
-    assert day.until(lambda: moves(day) >= 2, 20)
+    assert day.run_until(lambda: moves(day) >= 2, 20)
     trouble(day)
     day.run(25)
     assert day.finish(500) == []
@@ -267,7 +267,7 @@
     running = lambda: [  # noqa: E731
         task for worker in day.site.workers.values() for task in worker.tasks.values() if task.state == "running"
     ]
-    assert day.until(lambda: len(running()) == 36, 30)
+    assert day.run_until(lambda: len(running()) == 36, 30)
     return day
 
 
@@ -287,14 +287,14 @@
     assert ask_drain(day, worker.name, within=20).answer is DrainAnswer.DRAINING
     day.submit(job("run-b", heads=30, crew="red", trek_s=5.0))
     day.run(20)
-    assert [name for name, machine in day.rules.on.items() if machine is worker] == []
+    assert [name for name, machine in day.rules.worker_by_task.items() if machine is worker] == []
     assert starts_on(day, worker.name, asked + SECOND) == 0, "nothing new starts there"
     gone = [run for runs in day.rules.history.runs.values() for run in runs if run.machine == worker.name]
     assert all(run.kept for run in gone if run.cause == "stopped") == saves
     assert ask_undrain(day, worker.name).answer is DrainAnswer.NO_LONGER_DRAINING
     back = day.loop.now()
     day.submit(job("run-c", heads=60, crew="red", trek_s=5.0))
-    assert day.until(lambda: starts_on(day, worker.name, back) > 0, 30), "and then it serves again"
+    assert day.run_until(lambda: starts_on(day, worker.name, back) > 0, 30), "and then it serves again"
     assert day.finish(300) == [] and day.rules.broken == [] and day.history_problems() == []
 
 
@@ -320,7 +320,7 @@
         one for one, _ in day.controllers.values() if second in next(iter(one.leaders.values())).shard.machines
     )
     controller.autoscaling.deletion_queue.delete([second])
-    assert day.until(lambda: "b/machines/" + second not in day.store.items, 20)
+    assert day.run_until(lambda: "b/machines/" + second not in day.store.items, 20)
     assert ask_drain(day, second).answer is DrainAnswer.GONE
     day.store.outage(True)
     with pytest.raises(StoreUnavailableError):
@@ -337,11 +337,11 @@
     leader = leader_of(day, next(iter(shard_of(day, worker.name))))
     asked = day.loop.now()
     ask_drain(day, worker.name, within=30)
-    assert day.until(lambda: any(task.state == "flushing" for task in worker.tasks.values()), 10)
+    assert day.run_until(lambda: any(task.state == "flushing" for task in worker.tasks.values()), 10)
     day.crash(leader)
     day.submit(job("run-b", heads=30, crew="red", trek_s=5.0))
     day.run(30)
-    assert [name for name, machine in day.rules.on.items() if machine is worker] == []
+    assert [name for name, machine in day.rules.worker_by_task.items() if machine is worker] == []
     assert starts_on(day, worker.name, asked + SECOND) == 0
     day.start(leader)
     day.run(15)
@@ -363,8 +363,8 @@
     day = busy_day(37)
     worker = hottest(day)
     ask_drain(day, worker.name, within=10, delete=True)
-    assert day.until(lambda: worker.name not in day.site.workers, 30)
-    assert day.until(lambda: f"b/drains/{worker.name}" not in day.store.items, 120)
+    assert day.run_until(lambda: worker.name not in day.site.workers, 30)
+    assert day.run_until(lambda: f"b/drains/{worker.name}" not in day.store.items, 120)
     assert day.finish(300) == [] and day.rules.broken == [] and day.history_problems() == []
 
 
@@ -375,11 +375,11 @@
     running = lambda: [  # noqa: E731
         task for worker in day.site.workers.values() for task in worker.tasks.values() if task.state == "running"
     ]
-    assert day.until(lambda: len(running()) == 3, 40)
-    machine = day.rules.on["run-g/0"].name
+    assert day.run_until(lambda: len(running()) == 3, 40)
+    machine = day.rules.worker_by_task["run-g/0"].name
     ask_drain(day, machine, within=25)
     day.run(25)
-    assert machine not in [worker.name for worker in day.rules.on.values()]
+    assert machine not in [worker.name for worker in day.rules.worker_by_task.values()]
     assert {len(runs) for runs in day.rules.history.runs.values()} == {2}, "all of it was started once more"
     assert day.finish(300) == [] and day.rules.broken == [] and day.history_problems() == []
 
@@ -393,7 +393,7 @@
         day.world.cut(host, other, "hold")
     ask_drain_elsewhere(day, host, worker.name)
     day.run(60)
-    assert [name for name, machine in day.rules.on.items() if machine is worker] == []
+    assert [name for name, machine in day.rules.worker_by_task.items() if machine is worker] == []
     for other in [f"state-{host}", *(one for one in HOSTS if one != host)]:
         day.world.heal(host, other)
     ask_drain_elsewhere(day, host, worker.name)
--- a/tests/test_rebalancing_loopback.py
+++ b/tests/test_rebalancing_loopback.py
@@ -21,10 +21,10 @@
 def test_no_team_waits_twice_as_long_as_the_fleet(on: bool) -> None:
     """With rebalancing; the same load without it fails, so the test shows something."""
     operator = OperatorSettings(rebalancing=Rebalancing() if on else None)
-    day = LoopbackDay(1, machines=6, capacity=0, kind_cpus=4.0, operator=operator, teams=EQUALS)
+    day = LoopbackDay(1, machines=6, capacity=0, cpus_per_machine=4.0, operator=operator, teams=EQUALS)
     try:
         day.run(6)
-        hot_team(day, seconds=64, pace=0.5)
+        hot_team(day, seconds=64, time_scale=0.5)
         assert day.finish(120) == []
         assert day.rules.broken == [] and day.history_problems() == []
         waits = day.rules.history.waits({ref: one["crew"] for ref, one in day.site.jobs.items()})
@@ -42,7 +42,7 @@
     def command(*arguments: str) -> tuple[int, str, str]:
         words = [sys.executable, "-m", "badgerroute", arguments[0], "--config", str(config), *arguments[1:]]
         process = subprocess.Popen(words, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True)
-        assert day.until(lambda: process.poll() is not None, 20)
+        assert day.run_until(lambda: process.poll() is not None, 20)
         out, err = process.communicate()
         return process.returncode, out, err
 
@@ -61,14 +61,14 @@
         name = next(iter(day.site.workers))
         code, out, err = command("drain", name, "--within", "30")
         assert (code, err) == (0, "") and out.startswith(f"{name}: draining, empty by ")
-        assert day.until(lambda: draining() == [name], 5)
+        assert day.run_until(lambda: draining() == [name], 5)
         code, again, err = command("drain", name)
         assert (code, err) == (0, "") and again == out.replace("draining", "already draining")
         code, out, err = command("drain", "host-none", name)
         assert code == 5 and err == "badgerroute: host-none: unknown machine\n" and name in out
         assert command("undrain", name) == (0, f"{name}: no longer draining\n", "")
         assert command("undrain", name) == (0, f"{name}: not draining\n", "")
-        assert day.until(lambda: draining() == [], 5)
+        assert day.run_until(lambda: draining() == [], 5)
         day.store.outage(True)
         code, out, err = command("undrain", name)
         assert code == 3 and out == "" and err.count("\n") == 1 and "try again" in err
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -243,11 +243,11 @@
         seed=3, machines=machines, capacity=0, rps=3000, write_rps=6000, sockets=3 * machines, tick=SECOND, txn_ops=48
     )
     members = lambda: sum(key.startswith("b/machines/") for key in day.store.items)  # noqa: E731
-    assert day.until(lambda: reconciled(day) and members() == machines, 20), "all are members"
+    assert day.run_until(lambda: reconciled(day) and members() == machines, 20), "all are members"
     for host in HOSTS[1:]:
         day.crash(host)
     heir = day.controllers[HOSTS[0]][0]
-    assert day.until(lambda: len(heir.leaders) == len(HOSTS) and reconciled(day), 15), "one holds everything"
+    assert day.run_until(lambda: len(heir.leaders) == len(HOSTS) and reconciled(day), 15), "one holds everything"
     requests = heir.storage.store.requests
     day.run(3)
     assert heir.storage.store.requests - requests < 150, "its requests do not follow its machines"
@@ -255,7 +255,7 @@
     day.crash(HOSTS[0])
     for host in HOSTS:
         day.start(host)
-    assert day.until(lambda: reconciled(day), 15)
+    assert day.run_until(lambda: reconciled(day), 15)
     pages = -(-machines // 500)
     for controller, _ in day.controllers.values():
         assert controller.storage.store.requests < 120 + 3 * pages
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -21,7 +21,7 @@
 from tests import test_meetings as meetings
 from tests.standins import production
 from tests.standins.day import HOSTS, SECOND, Day, job, settings_of
-from tests.standins.workers import Kind
+from tests.standins.workers import MachineType
 
 LATER = LaterStoreLimits(write_rps=28.0, value_kb=2.0, txn_ops=5)
 SAMPLES = json.loads((Path(__file__).parent / "data" / "production-samples.json").read_text())
@@ -172,7 +172,7 @@
 @pytest.mark.parametrize("trouble", TROUBLES, ids=lambda one: one.__name__)
 def test_an_upgrade_under_trouble(trouble: Callable[[Day], Iterator[float]]) -> None:
     """Both versions serve together, then pipelines come, then the limits are lowered, while work goes on."""
-    day = Day(seed=sum(trouble.__name__.encode()) + 3, machines=9, later=LATER, old=HOSTS)
+    day = Day(seed=sum(trouble.__name__.encode()) + 3, machines=9, later=LATER, production_hosts=HOSTS)
     day.run(5)
     for number in range(3):
         day.submit(job(f"run-a{number}", heads=20, trek_s=15.0))
@@ -188,7 +188,7 @@
         day.upgrade(host, SECOND)
         day.run(4)
     day.run(4)
-    assert not day.old
+    assert not day.production_hosts
     stages = ["run-p0", "run-p1", "run-p2"]
     for number, ref in enumerate(stages):
         day.submit(job(ref, heads=3, trek_s=4.0, follows=stages[number - 1 : number] + ["run-a0"][: number % 2]))
@@ -239,16 +239,18 @@
     day.run(3)
     day.store.lower(day.settings[HOSTS[0]].params.state)
     day.run(10)
-    started = day.rules.starts
+    started = day.rules.start_count
     assert started >= 40
     day.restart(HOSTS[0], SECOND)
     if ended == "withdrawn":
         assert day.cancel("run-big") == "withdrawn"
     assert day.finish(240) == []
-    assert day.told["run-big"] == ended
+    assert day.last_conditions["run-big"] == ended
     if ended == "done":
-        assert day.rules.starts <= len(missing) + 60, "what was done is not done again, but for what the restart cost"
-    assert day.until(lambda: not any(key.startswith("b/done/") for key in day.store.items), 150), "pages go"
+        assert day.rules.start_count <= len(missing) + 60, (
+            "what was done is not done again, but for what the restart cost"
+        )
+    assert day.run_until(lambda: not any(key.startswith("b/done/") for key in day.store.items), 150), "pages go"
     assert day.store.too_large == []
     assert day.rules.broken == []
 
@@ -263,7 +265,7 @@
     job_store = day.controllers[HOSTS[0]][0].jobs.store
     before = job_store.done("run-big", job_store.active["run-big"])
     day.store.lower(day.settings[HOSTS[0]].params.state)
-    day.store.late_writes = 0.4
+    day.store.late_write_probability = 0.4
     for turn in range(60):
         for controller, _ in day.controllers.values():
             day.group.spawn(controller.jobs.pager.page_out("run-big"), "page-out")
@@ -271,7 +273,7 @@
         if turn == 25:
             day.restart(HOSTS[1], SECOND)
         if turn == 40:
-            day.store.late_writes = 0.0
+            day.store.late_write_probability = 0.0
         for controller, _ in day.controllers.values():
             record = controller.jobs.store.active.get("run-big")
             assert record is None or controller.jobs.store.done("run-big", record) == before
@@ -323,12 +325,12 @@
     day = Day(seed=65, later=LATER)
     for number in range(kinds):
         name = f"kind-{number:03d}"
-        day.site.kinds[name] = Kind(name, 8.0, 32.0)
+        day.site.machine_types[name] = MachineType(name, 8.0, 32.0)
     day.run(8)
     stored = [key for key in day.store.items if key.startswith("b/catalog")]
     assert (len(stored) == 1) is (kinds == 2)
     day.site.cloud_down = True
-    day.old = {HOSTS[1]}
+    day.production_hosts = {HOSTS[1]}
     for host in HOSTS[:2]:
         day.restart(host, SECOND)
     day.run(8)
--- a/tools/rebalancing_measurement.py
+++ b/tools/rebalancing_measurement.py
@@ -42,7 +42,7 @@
             seed,
             machines=machines,
             capacity=0,
-            kind_cpus=CPUS_PER_MACHINE,
+            cpus_per_machine=CPUS_PER_MACHINE,
             operator=operator,
             teams=TEAMS,
             rps=STORE_REQUESTS_PER_S,
@@ -52,7 +52,7 @@
         Rebalancer.attach = original_attach  # type: ignore[method-assign]
     day.run(WARM_UP_S)
     started_at = day.loop.now()
-    hot_team(day, seconds=LOAD_DURATION_S, pace=TIME_SCALE, jobs=jobs_per_burst)
+    hot_team(day, seconds=LOAD_DURATION_S, time_scale=TIME_SCALE, jobs=jobs_per_burst)
     unfinished = day.finish(COMPLETION_LIMIT_S)
     history = day.rules.history
     teams = {ref: described["crew"] for ref, described in day.site.jobs.items()}
@@ -71,7 +71,7 @@
         moves=sum(ledger.total_moves for ledger in ledgers),
         move_cost_cpu_s=sum(ledger.total_cost for ledger in ledgers),
         runs_stopped=len(history.stops()),
-        starts=day.rules.starts,
+        starts=day.rules.start_count,
         problems=[*day.rules.broken, *day.history_problems(), *(f"unfinished: {ref}" for ref in unfinished)],
         waits=waits,
     )
