--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests: tables of cases, and whole days in virtual time."""
+"""Tests: tables of cases, and simulated runs of a whole cluster in virtual time."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What holds for every test."""
+"""Fixtures and hooks for all tests: the list of known failures, and the check that no error was logged."""
 
 import logging
 from collections.abc import Iterator
@@ -11,7 +11,7 @@
 
 
 def known_red(text: str) -> dict[str, str]:
-    """Tests that fail for a fault that is still open, from lines of `test, cause, issue`."""
+    """Return the tests that fail because of an open fault, with cause and issue, from lines of `test, cause, issue`."""
     lines = [line.strip() for line in text.splitlines() if line.strip() and not line.startswith("#")]
     if len(lines) > MOST_RED:
         raise pytest.UsageError(f"KNOWN-RED.txt: {len(lines)} lines, {MOST_RED} at most")
@@ -25,7 +25,10 @@
 
 
 def mark_red(names: dict[str, pytest.Item], red: dict[str, str], whole: bool) -> None:
-    """Only these may fail, and must: one that passes unexpectedly fails the run, as does a line that names no test."""
+    """Mark the tests in `red` as expected failures.
+
+    The run fails if one of them passes. If `whole` (all tests were collected), a line that names no test is an error.
+    """
     for test, why in red.items():
         if test in names:
             names[test].add_marker(pytest.mark.xfail(reason=why, strict=True))
@@ -34,7 +37,7 @@
 
 
 def node_id(item: pytest.Item) -> str:
-    """A test's name without the group that `--dist loadgroup` appends to it."""
+    """Return a test's name without the group that `--dist loadgroup` appends to it."""
     marker = item.get_closest_marker("xdist_group")
     return item.nodeid.removesuffix(f"@{marker.args[0]}") if marker is not None else item.nodeid
 
@@ -53,7 +56,12 @@
 
 @pytest.fixture(autouse=True)
 def no_errors_logged(caplog: pytest.LogCaptureFixture, request: pytest.FixtureRequest) -> Iterator[None]:
-    """A task that fails is begun again, and a handler that fails answers 503: neither may go unnoticed here."""
+    """Fail a test during which an error was logged.
+
+    The service restarts background tasks that fail and answers 503 when a request handler fails, so that a test could
+    pass in spite of such a fault. Tests marked `cheats` make controllers misbehave, and the text "once more" marks an
+    error that a test raises on purpose: errors are expected there.
+    """
     caplog.set_level(logging.ERROR)
     yield
     if request.node.get_closest_marker("cheats") is None:
--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the network, the key-value store, the cloud, the workers and the users, in virtual time."""
+"""Simulated network, key-value store, cloud, workers and users, against which tests run the real controllers."""
--- a/tests/standins/cuts.py
+++ b/tests/standins/cuts.py
@@ -1,4 +1,8 @@
-"""Half-open cuts: what is cut when, and what is counted of a day meanwhile."""
+"""Network cuts in simulated runs, including one-way cuts, and measurements of the service while links are cut.
+
+A cut is described by two functions without arguments: one that cuts the links and one that heals them. The names of
+`from_workers` and `from_store` are part of test ids, so these functions must not be renamed.
+"""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
@@ -6,25 +10,25 @@
 from badgerroute.coordination.controller import Controller
 from tests.standins.day import HOSTS, SECOND, Day, job
 
-Change = Callable[[], None]
+Action = Callable[[], None]
 
 
 @dataclass
 class CutCounts:
-    """What was seen while links were cut."""
+    """What a `CutWatch` measured while links were cut."""
 
     shard_seconds_without_leader: float = 0.0
-    hand_overs: int = 0
-    claims: int = 0
-    killed_by_lease: list[float] = field(default_factory=list)  # seconds after the watch began
-    users_503: int = 0
-    users_asked: int = 0
-    relayed: int = 0
-    modes: dict[str, list[str]] = field(default_factory=dict)  # host -> the modes it was in, one after the other
+    hand_overs: int = 0  # leadership transfers to a named successor
+    claims: int = 0  # elections won without such a transfer
+    killed_by_lease: list[float] = field(default_factory=list)  # times of task kills, in seconds after the watch began
+    users_503: int = 0  # requests of users that were answered 503
+    users_asked: int = 0  # requests of users in all
+    relayed: int = 0  # heartbeats that one controller relayed to another
+    modes: dict[str, list[str]] = field(default_factory=dict)  # host -> the controller's modes, in order
 
 
 class CutWatch:
-    """Counts from outside: what the key-value store, the workers and the users saw, and the modes."""
+    """Measures a simulated run from its start until `end`: writes to the store, killed tasks, 503 answers, modes."""
 
     SAMPLE_PERIOD = SECOND / 4
 
@@ -38,26 +42,29 @@
         day.group.spawn(self._poll_unknown_job(), "cut-polls")
 
     def end(self) -> CutCounts:
+        """Stop measuring and return the results."""
         self._ended = True
         claims = [
-            one for one in self.day.store.log[self._log_start :] if str(one.get("write", "")).startswith("b/parts/")
+            change
+            for change in self.day.store.log[self._log_start :]
+            if str(change.get("write", "")).startswith("b/parts/")
         ]
-        self.counts.hand_overs = sum(bool(one["value"].get("handed")) for one in claims)
+        self.counts.hand_overs = sum(bool(change["value"].get("handed")) for change in claims)
         self.counts.claims = len(claims) - self.counts.hand_overs
-        killed = [at for at in self.day.site.killed_by_lease if at > self._started_at]
-        self.counts.killed_by_lease = [(at - self._started_at) / SECOND for at in killed]
+        kill_times = [time for time in self.day.site.killed_by_lease if time > self._started_at]
+        self.counts.killed_by_lease = [(time - self._started_at) / SECOND for time in kill_times]
         self.counts.relayed = sum(self._relayed_by_controller.values())
         return self.counts
 
     async def _sample_leaders(self) -> None:
         while not self._ended:
             await self.day.loop.sleep(self.SAMPLE_PERIOD)
-            controllers = {host: one for host, (one, _) in self.day.controllers.items()}
+            controllers = {host: controller for host, (controller, _) in self.day.controllers.items()}
             for shard in range(len(HOSTS)):
-                if not any(self._may_lead(one, shard) for one in controllers.values()):
+                if not any(self._may_lead(controller, shard) for controller in controllers.values()):
                     self.counts.shard_seconds_without_leader += self.SAMPLE_PERIOD / SECOND
-            for host, one in controllers.items():
-                self._record_mode(host, one)
+            for host, controller in controllers.items():
+                self._record_mode(host, controller)
 
     @staticmethod
     def _may_lead(controller: Controller, shard: int) -> bool:
@@ -66,14 +73,14 @@
 
     def _record_mode(self, host: str, controller: Controller) -> None:
         if not hasattr(controller, "membership"):
-            return  # an older version
+            return  # the version in production has no modes
         modes = self.counts.modes.setdefault(host, [])
         if not modes or modes[-1] != controller.membership.monitor.mode.value:
             modes.append(controller.membership.monitor.mode.value)
         self._relayed_by_controller[id(controller)] = controller.requests.heartbeat_handler.relayed_heartbeats
 
     async def _poll_unknown_job(self) -> None:
-        """A user that asks another node every half second about a job that waits: a job nobody knows needs a read."""
+        """Ask the controllers in turn, twice a second, for an unknown job. The answer needs a read of the store."""
         turn = 0
         while not self._ended:
             await self.day.loop.sleep(SECOND / 2)
@@ -87,7 +94,7 @@
 
 
 def workload(day: Day, jobs: int = 4) -> None:
-    """Jobs of every sort that last as long as the cuts do."""
+    """Submit arrays and gangs of two teams and three priorities, which run for about as long as the cuts last."""
     day.run(4)
     for number in range(jobs):
         day.submit(job(f"run-a{number}", heads=16, trek_s=14.0, crew="blue"))
@@ -96,10 +103,10 @@
     day.run(3)
 
 
-def between(day: Day, hosts: Iterable[str], others: Iterable[str], mode: str) -> tuple[Change, Change]:
-    """How to cut and how to heal every link between the hosts and the others. `mode`: as `World.cut`, or `one_way`.
+def between(day: Day, hosts: Iterable[str], others: Iterable[str], mode: str) -> tuple[Action, Action]:
+    """Return the functions that cut and heal every link between the hosts and the others.
 
-    `one_way`: what the others send to the hosts is held.
+    `mode` is a mode of `World.cut`, or `one_way`: packets from the others to the hosts are held until the link heals.
     """
     pairs = [(host, other) for host in hosts for other in others if host != other]
     world = day.world
@@ -121,12 +128,16 @@
     return cut, heal
 
 
-def from_workers(day: Day, hosts: Iterable[str], mode: str) -> tuple[Change, Change]:
+def from_workers(day: Day, hosts: Iterable[str], mode: str) -> tuple[Action, Action]:
+    """Return the functions that cut and heal the links between the hosts and the workers that exist now."""
     return between(day, list(hosts), list(day.site.workers), mode)
 
 
-def from_store(day: Day, hosts: Iterable[str], mode: str) -> tuple[Change, Change]:
-    """`refuse`: the key-value store answers 503 to these alone."""
+def from_store(day: Day, hosts: Iterable[str], mode: str) -> tuple[Action, Action]:
+    """Return the functions that cut the hosts off the key-value store and heal that.
+
+    `mode` is a mode of `between`, or `refuse`: the store answers 503 to these hosts only.
+    """
     hosts = list(hosts)
     if mode == "refuse":
         return lambda: day.store.refused_hosts.update(hosts), lambda: day.store.refused_hosts.difference_update(hosts)
@@ -143,8 +154,8 @@
     return cut, heal
 
 
-def flap(day: Day, link: tuple[Change, Change], seconds: float, times: int) -> None:
-    """Cut for so long, whole for as long, again and again."""
+def flap(day: Day, link: tuple[Action, Action], seconds: float, times: int) -> None:
+    """Cut a link and heal it, `times` times, and run for `seconds` after each cut and each healing."""
     cut, heal = link
     for _ in range(times):
         cut()
@@ -153,7 +164,8 @@
         day.run(seconds)
 
 
-def hold(day: Day, link: tuple[Change, Change], seconds: float) -> None:
+def hold(day: Day, link: tuple[Action, Action], seconds: float) -> None:
+    """Run for `seconds` with the link cut, then heal it."""
     cut, heal = link
     cut()
     day.run(seconds)
--- a/tests/standins/day.py
+++ b/tests/standins/day.py
@@ -1,4 +1,7 @@
-"""A whole day in virtual time: controllers, stand-ins, users that check what they are told, and faults."""
+"""A simulated run of a whole cluster in virtual time, called a day: controllers, stand-ins, users and faults.
+
+The users check each answer of the controllers against what they know of their jobs.
+"""
 
 import json
 from collections.abc import Callable, Coroutine, Iterable
@@ -36,12 +39,13 @@
 SECOND = timedelta(seconds=1)
 DEFAULT_OPERATOR = OperatorSettings()
 HOSTS = ["drover-0", "drover-1", "drover-2"]
-LIMITS = {"blue": 40.0, "red": 24.0, "guests": 0.0}  # 0: no limit
+LIMITS = {"blue": 40.0, "red": 24.0, "guests": 0.0}  # CPUs; 0 means no limit
 TEAMS = [Team(name, limit / 2, limit) for name, limit in LIMITS.items()]
 
 
 def job(ref: str, **changes: object) -> dict:
-    described = {
+    """Return a job as users submit it: a small array, with `changes` of its fields."""
+    description = {
         "ref": ref,
         "herd": "batch",
         "crew": "blue",
@@ -63,7 +67,7 @@
         "pen_s": 0.0,
         "market_s": None,
     }
-    return described | changes
+    return description | changes
 
 
 def settings_of(
@@ -75,6 +79,7 @@
     operator: OperatorSettings = DEFAULT_OPERATOR,
     teams: list[Team] = TEAMS,
 ) -> Settings:
+    """Return a controller's settings. `state`: the key-value store's address; `sockets`: the limit of open files."""
     params = Params(
         size=len(HOSTS),
         zones=["a", "b"],
@@ -85,7 +90,7 @@
         teams=teams,
         objectives=[Objective("guarantee", 0.9, within_s=2.0), *objectives],
     )
-    peers = [PeerAddress(one, "a", f"{one}:8081") for one in HOSTS if one != host]
+    peers = [PeerAddress(peer, "a", f"{peer}:8081") for peer in HOSTS if peer != host]
     platform = PlatformSettings(
         host, "a", f"{host}:8080", f"{host}:8081", Endpoints("cloud:8443", state), params, peers
     )
@@ -93,7 +98,7 @@
 
 
 class PausableTask(CoroutineTask):
-    """Does not step while its host is paused; what woke it meanwhile is seen afterwards, all at once."""
+    """A coroutine that does not continue while its host is paused. All wake-ups of a pause take effect when it ends."""
 
     __slots__ = ()
 
@@ -105,7 +110,7 @@
 
 
 class DayLoop(Loop):
-    """A loop on which one host's tasks can stand still while the clocks run on."""
+    """An event loop in virtual time that can pause all coroutines of a host, as if its process were stopped."""
 
     def __init__(self, clock: VirtualClock) -> None:
         super().__init__(clock, VirtualPoller(clock))
@@ -113,9 +118,9 @@
         self.deferred_tasks: list[CoroutineTask] = []
 
     def spawn(self, coro: Coroutine, name: str) -> CoroutineTask:
-        routine = PausableTask(self, coro, name)
-        routine.schedule()
-        return routine
+        task = PausableTask(self, coro, name)
+        task.schedule()
+        return task
 
     def pause_host(self, host: str, seconds: float) -> None:
         self.paused_hosts.add(host)
@@ -128,6 +133,16 @@
 
 
 class Day:
+    """One simulated run of a whole cluster in virtual time.
+
+    It runs three controllers against the stand-ins. Tests submit jobs, inject faults, advance the virtual time with
+    `run` and read the violations that were found from `rules.broken`.
+
+    `capacity`: ordinary machines of a type that can be rented in a zone. `production_hosts`: hosts that run the version
+    in production instead of these sources. `later`: lower limits of the key-value store that are announced for later.
+    `sockets`: how many files a controller may have open. `tick`: how often a worker updates its tasks.
+    """
+
     def __init__(
         self,
         seed: int = 1,
@@ -156,18 +171,18 @@
             host: settings_of(host, self.store.serve(host), objectives or [], limits, sockets, operator, teams)
             for host in HOSTS
         }
-        kinds = [MachineType("k8", cpus_per_machine, 32.0)]
+        machine_types = [MachineType("k8", cpus_per_machine, 32.0)]
         team_limits = {team.name: team.cpus_max for team in teams}
-        self.site = Site(self.world, HOSTS, kinds, ["a", "b"], team_limits, capacity, timedelta(seconds=36))
+        self.site = Site(self.world, HOSTS, machine_types, ["a", "b"], team_limits, capacity, timedelta(seconds=36))
         self.rules = self.site.rules
         self.site.tick = tick
         for number in range(machines):
             self.site.add_worker("k8", "ab"[number % 2])
         self.controllers: dict[str, tuple[Controller, TaskGroup]] = {}
-        self.production_hosts: set[str] = set(production_hosts)  # hosts that run the version in production
+        self.production_hosts: set[str] = set(production_hosts)
         self.user = self.world.network("user")
-        self.last_conditions: dict[str, str] = {}
-        self.accepted: set[str] = set()
+        self.last_conditions: dict[str, str] = {}  # job -> the condition that its user was told last
+        self.accepted: set[str] = set()  # jobs whose acceptance a user was told
         self.on_controller_created: Callable[[Controller], None] = lambda controller: None
         self.polling_users = PollingUsers(self)
         self.starvation_watch = StarvationWatch(self)
@@ -184,19 +199,23 @@
 
     def start(self, host: str) -> None:
         group = TaskGroup(self.loop, host)
-        settings, kind = self.settings[host], build_controller
+        settings, make_controller = self.settings[host], build_controller
         if host in self.production_hosts:
             module = production.module("settings")
             platform = msgspec.convert(msgspec.to_builtins(settings.platform), module.PlatformSettings)
-            settings, kind = module.Settings(platform), production.module("coordination.controller").Controller
-        controller = kind(settings, self.loop, self.world.network(host), group)
+            settings, make_controller = (
+                module.Settings(platform),
+                production.module("coordination.controller").Controller,
+            )
+        controller = make_controller(settings, self.loop, self.world.network(host), group)
         self.on_controller_created(controller)
         self.controllers[host] = (controller, group)
         group.spawn(controller.run(), "main")
 
     def crash(self, host: str) -> None:
+        """Kill a controller's process. Its connections are reset."""
         if host not in self.controllers:
-            return  # it is down already
+            return  # it does not run
         controller, group = self.controllers.pop(host)
         for leader in controller.leaders.values():
             leader.group.cancel()
@@ -204,17 +223,18 @@
         self.world.crash(host)
 
     def restart(self, host: str, after: timedelta = 3 * SECOND) -> None:
+        """Kill a controller's process and start a new one after a while; do nothing if it does not run."""
         if host in self.controllers:
             self.crash(host)
             self.loop.later(after, lambda: self.start(host))
 
     def upgrade(self, host: str, after: timedelta = SECOND) -> None:
-        """Its process is killed, and comes back with the new version."""
+        """Kill the process of a controller of the version in production, and start the new version after a while."""
         self.production_hosts.discard(host)
         self.restart(host, after)
 
     def sockets(self, host: str) -> int:
-        """Connections that a host holds open now, either way."""
+        """Return the number of connections that a host holds open, whichever side opened them."""
         return sum(
             (source == host and not near.closed) or (target == host and not far.closed)
             for source, target, near, far in self.world.streams
@@ -223,9 +243,11 @@
     # -- time
 
     def run(self, seconds: float) -> None:
+        """Advance the virtual time and run everything that is due."""
         self.loop.run(self.loop.spawn(self.loop.sleep(timedelta(seconds=seconds)), "run"))
 
     def run_until(self, reached: Callable[[], bool], limit: float) -> bool:
+        """Run until `reached` returns true, for at most `limit` seconds; return whether it did."""
         end = self.loop.now() + timedelta(seconds=limit)
         while not reached() and self.loop.now() < end:
             self.run(0.25)
@@ -240,10 +262,11 @@
     # -- users
 
     def ask(self, method: str, path: str, body: object = None, host: str | None = None) -> Response | None:
+        """Send one request to a controller (by default a random one); return the response, or None without one."""
         data = body if isinstance(body, bytes) else b"" if body is None else json.dumps(body).encode()
         client = Client(self.loop, self.user, f"{host or self.random.choice(HOSTS)}:8080")
 
-        async def go() -> Response | None:
+        async def send() -> Response | None:
             try:
                 return await client.request(method, path, data, 5 * SECOND, fresh=True)
             except NoAnswerError:
@@ -251,10 +274,10 @@
             finally:
                 client.drop()
 
-        return self.loop.run(self.loop.spawn(go(), "user"))
+        return self.loop.run(self.loop.spawn(send(), "user"))
 
     async def status_of(self, method: str, path: str, host: str) -> int | None:
-        """The status of one node's answer, without stopping the day for it."""
+        """Return the status of one controller's response, or None without one. Other coroutines run on meanwhile."""
         client = Client(self.loop, self.user, f"{host}:8080")
         try:
             return (await client.request(method, path, b"", 2 * SECOND, fresh=True)).status
@@ -263,30 +286,30 @@
         finally:
             client.drop()
 
-    def submit(self, described: dict, tries: int = 40) -> int:
-        """Submit until it is decided, as users do; the status of the decision."""
-        self.site.jobs[described["ref"]] = described
-        self.rules.history.submitted.setdefault(described["ref"], self.loop.now())
+    def submit(self, description: dict, tries: int = 40) -> int:
+        """Submit a job until it is accepted or rejected, as users do. Return that status, or 0 if neither came."""
+        self.site.jobs[description["ref"]] = description
+        self.rules.history.submitted.setdefault(description["ref"], self.loop.now())
         for _ in range(tries):
-            response = self.ask("POST", "/v1/jobs", described)
+            response = self.ask("POST", "/v1/jobs", description)
             if response is not None and response.status in (200, 201, 400, 422):
                 if response.status in (200, 201):
-                    self.accepted.add(described["ref"])
-                    self._check_condition(described["ref"], json.loads(response.body)["condition"])
-                elif described["ref"] in self.accepted:
-                    self.rules.report_violation("forgotten", described["ref"])
+                    self.accepted.add(description["ref"])
+                    self._check_condition(description["ref"], json.loads(response.body)["condition"])
+                elif description["ref"] in self.accepted:
+                    self.rules.report_violation("forgotten", description["ref"])
                 return response.status
             self.run(1)
         return 0
 
     def submit_together(self, jobs: list[dict]) -> None:
-        """Submit many jobs at the same moment; those that are not taken at once are submitted again, one by one."""
+        """Submit many jobs at the same time. Those that are not accepted at once are submitted again, one by one."""
 
-        async def go(described: dict) -> bool:
+        async def send(description: dict) -> bool:
             client = Client(self.loop, self.user, f"{self.random.choice(HOSTS)}:8080")
             try:
                 response = await client.request(
-                    "POST", "/v1/jobs", json.dumps(described).encode(), 5 * SECOND, fresh=True
+                    "POST", "/v1/jobs", json.dumps(description).encode(), 5 * SECOND, fresh=True
                 )
             except NoAnswerError:
                 return False
@@ -294,17 +317,18 @@
                 client.drop()
             return response.status in (200, 201)
 
-        for described in jobs:
-            self.site.jobs[described["ref"]] = described
-            self.rules.history.submitted.setdefault(described["ref"], self.loop.now())
-        routines = [(self.loop.spawn(go(described), "user"), described) for described in jobs]
-        for routine, described in routines:
-            if self.loop.run(routine):
-                self.accepted.add(described["ref"])
+        for description in jobs:
+            self.site.jobs[description["ref"]] = description
+            self.rules.history.submitted.setdefault(description["ref"], self.loop.now())
+        tasks = [(self.loop.spawn(send(description), "user"), description) for description in jobs]
+        for task, description in tasks:
+            if self.loop.run(task):
+                self.accepted.add(description["ref"])
             else:
-                self.submit(described)
+                self.submit(description)
 
     def poll(self, ref: str, host: str | None = None) -> str | None:
+        """Return a job's condition as a controller reports it ("unknown" for 404), or None without a usable answer."""
         response = self.ask("GET", f"/v1/jobs/{ref}", host=host)
         if response is None or response.status not in (200, 404):
             return None
@@ -320,24 +344,30 @@
         return condition
 
     def _check_condition(self, ref: str, condition: str) -> None:
+        """Check a reported condition against earlier answers, against cancellations and against the finished tasks."""
         last = self.last_conditions.get(ref)
         if last in ("done", "withdrawn") and condition != last:
             self.rules.report_violation("went_back", f"{ref} from {last} to {condition}")
-        told = self.site.cancelled_at(ref)
-        if condition == "withdrawn" and told is None:
-            self.rules.report_violation("went_back", f"{ref} withdrawn by nobody")
-        if condition in ("queued", "running") and told is not None and self.loop.now() - told > self.site.cancel_limit:
+        cancelled_at = self.site.cancelled_at(ref)
+        if condition == "withdrawn" and cancelled_at is None:
+            self.rules.report_violation("went_back", f"{ref} is withdrawn, but no user cancelled it")
+        if (
+            condition in ("queued", "running")
+            and cancelled_at is not None
+            and self.loop.now() - cancelled_at > self.site.cancel_limit
+        ):
             self.rules.report_violation("orphaned", f"{ref} is {condition}")
         if condition == "done":
             missing = [
                 index for index in range(self.site.jobs[ref]["heads"]) if f"{ref}/{index}" not in self.site.finished
             ]
             if missing:
-                self.rules.report_violation("not_done", f"{ref} lacks {missing[:5]}")
+                self.rules.report_violation("not_done", f"{ref}: unfinished tasks {missing[:5]}")
         self.last_conditions[ref] = condition
         self.rules.history.answered(ref, condition, self.loop.now())
 
     def cancel(self, ref: str, tries: int = 40, host: str | None = None) -> str | None:
+        """Request a job's cancellation until it is answered; return the condition, or None if no request succeeds."""
         for _ in range(tries):
             before = self.loop.now()
             response = self.ask("POST", f"/v1/jobs/{ref}/cancel", host=host)
@@ -351,30 +381,30 @@
         return None
 
     def replay_heartbeats(self, count: int, machines: set[str] | None = None) -> None:
-        """Deliver old heartbeats once more, to anybody; their answers reach nobody."""
-        old = [one for one in self.site.sent_heartbeats if machines is None or one[0] in machines]
-        for _, body in self.random.sample(old, min(count, len(old))):
+        """Send copies of old heartbeats to random controllers, and discard the responses."""
+        heartbeats = [sent for sent in self.site.sent_heartbeats if machines is None or sent[0] in machines]
+        for _, body in self.random.sample(heartbeats, min(count, len(heartbeats))):
             self.ask("POST", "/checkin", body)
 
     def members_without_machine(self) -> list[str]:
-        """Members that no longer exist."""
+        """Return the machines that are registered in the key-value store but no longer exist."""
         members = [key.removeprefix("b/machines/") for key in self.store.items if key.startswith("b/machines/")]
         return [name for name in members if name not in self.site.workers]
 
     def history_problems(self) -> list[str]:
-        """What the history of all runs shows to be wrong; for days after which every job has come to its end."""
-        wanted = [ref for ref in self.accepted if self.site.cancelled_at(ref) is None]
-        gangs = {ref for ref in wanted if self.site.jobs[ref]["gait"] == "group"}
-        return self.rules.history.problems({ref: self.site.jobs[ref]["heads"] for ref in wanted}, gangs)
+        """Return the violations that the history of all task runs shows. Call it when every job has ended."""
+        not_cancelled = [ref for ref in self.accepted if self.site.cancelled_at(ref) is None]
+        gangs = {ref for ref in not_cancelled if self.site.jobs[ref]["gait"] == "group"}
+        return self.rules.history.problems({ref: self.site.jobs[ref]["heads"] for ref in not_cancelled}, gangs)
 
     def finish(self, limit: float = 240) -> list[str]:
-        """Let everything come to an end; the accepted jobs that did not.
+        """Run until all accepted jobs have ended, for at most `limit` seconds; return those that have not.
 
-        By now all troubles are over, so a job about which nobody answers for 75 s is forgotten, and none may wait for
-        90 s while a machine that fits has room and its team is under its limit.
+        Call it when all faults have been healed. A job for which no controller answers for 75 s then counts as
+        forgotten. No job may wait for 90 s while its team is below its limit and a machine that fits has room for it.
         """
         self.starvation_watch.begin()
-        answered = dict.fromkeys(self.accepted, self.loop.now())
+        last_answer_at = dict.fromkeys(self.accepted, self.loop.now())
 
         def unfinished() -> list[str]:
             return [ref for ref in sorted(self.accepted) if self.last_conditions.get(ref) not in ("done", "withdrawn")]
@@ -384,7 +414,7 @@
             self.run(2)
             for ref in unfinished():
                 if self.poll(ref) is not None:
-                    answered[ref] = self.loop.now()
-                elif self.loop.now() - answered[ref] > 75 * SECOND:
+                    last_answer_at[ref] = self.loop.now()
+                elif self.loop.now() - last_answer_at[ref] > 75 * SECOND:
                     self.rules.report_violation("forgotten", f"{ref}: no answer for 75 s")
         return unfinished()
--- a/tests/standins/history.py
+++ b/tests/standins/history.py
@@ -1,4 +1,4 @@
-"""What machines really did with each task, and a checker that reads it afterwards."""
+"""The history of all task runs as the machines recorded it, and the checks of it at the end of a simulated run."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass
 class Run:
-    """One start of a task, until it was off the machine."""
+    """One run of a task on a machine, from its start until the machine no longer runs it."""
 
     task: str
     machine: str
@@ -18,20 +18,18 @@
     began: timedelta
     ended: timedelta | None = None
     cause: str | None = None
-    kept: bool = False
-    cleared: bool = False
-    lost_with_lease: bool = (
-        False  # its end was forgotten with its machine's lease, maybe before anybody had heard of it
-    )
+    kept: bool = False  # it saved a checkpoint before it was stopped
+    cleared: bool = False  # a controller had the machine discard the result, since it was stored
+    lost_with_lease: bool = False  # the machine discarded an uncleared result, perhaps before it reached any controller
 
 
 @dataclass
 class History:
-    """Runs by task, in the order of their starts."""
+    """The runs of each task in the order of their starts, and the answers that users got about their jobs."""
 
     runs: dict[str, list[Run]] = field(default_factory=dict)
-    submitted: dict[str, timedelta] = field(default_factory=dict)  # job -> first attempt to submit
-    answers: dict[str, list[str]] = field(default_factory=dict)  # job -> final answers that its user got
+    submitted: dict[str, timedelta] = field(default_factory=dict)  # job -> time of the first submission
+    answers: dict[str, list[str]] = field(default_factory=dict)  # job -> the final conditions that its user was told
     done_at: dict[str, timedelta] = field(default_factory=dict)  # job -> when its user was first told that it is done
 
     def started(self, task: str, machine: str, attempt: int, now: timedelta) -> None:
@@ -44,72 +42,77 @@
                 return
 
     def machine_reset(self, machine: str) -> None:
-        """A machine forgets all its tasks: what had ended there and was not cleared may have been heard by nobody."""
+        """Record that a machine has discarded all its tasks: uncleared results may not have reached any controller."""
         for runs in self.runs.values():
             for run in runs:
                 run.lost_with_lease = run.lost_with_lease or (run.machine == machine and not run.cleared)
 
     def cleared(self, task: str, machine: str) -> None:
-        """A controller had a machine forget an end, since that was durable."""
+        """Record that a controller had a machine discard a task's result, since the result was stored durably."""
         for run in self.runs.get(task, []):
             run.cleared = run.cleared or (run.machine == machine and run.ended is not None)
 
     def answered(self, ref: str, condition: str, now: timedelta) -> None:
+        """Record an answer to a user. Only final conditions are kept."""
         if condition in ("done", "withdrawn"):
             self.answers.setdefault(ref, []).append(condition)
-        if condition == "done":  # starts on their way when a job is cancelled are halted instead
+        if condition == "done":  # after a cancellation, starts that are in flight are allowed and then stopped
             self.done_at.setdefault(ref, now)
 
     def problems(self, expected: dict[str, int], gangs: Container[str] = ()) -> list[str]:
-        """What is wrong; `expected` are the accepted jobs that nobody cancelled, with their tasks.
+        """Return the violations. `expected`: the number of tasks of each accepted job that was not cancelled.
 
-        A task may be started again after it was done if its machine forgot that: the workers keep its result, and the
-        second start only tells it. Of a gang one done task is enough: they complete together.
+        A task may be started again after it completed if its machine lost the result: workers keep the outputs, and
+        the second run ends at once. One completed task of a gang is enough, because the tasks of a gang complete
+        together.
         """
-        found = []
+        violations = []
         for task, runs in self.runs.items():
             for before, after in zip(runs, runs[1:], strict=False):
                 if before.ended is None or before.ended > after.began:
-                    found.append(f"doubled: {task} on {before.machine} and {after.machine}")
+                    violations.append(f"doubled: {task} on {before.machine} and {after.machine}")
             done = [run for run in runs if run.cause == "done"]
             if sum(not run.lost_with_lease for run in done) > 1:
-                found.append(f"counted twice: {task} on {[run.machine for run in done]}")
+                violations.append(f"counted twice: {task} on {[run.machine for run in done]}")
         for ref, tasks in expected.items():
             missing = [index for index in range(tasks) if not self._done(f"{ref}/{index}")]
             if missing and (ref not in gangs or len(missing) == tasks):
-                found.append(f"lost: {ref} lacks {missing[:3]}")
+                violations.append(f"lost: {ref} lacks {missing[:3]}")
             finals = set(self.answers.get(ref, []))
             if finals != {"done"}:
-                found.append(f"answers: {ref} got {sorted(finals)}")
-        return found + self._starts_after_completion()
+                violations.append(f"answers: {ref} got {sorted(finals)}")
+        return violations + self._starts_after_completion()
 
     def _starts_after_completion(self) -> list[str]:
-        """Starts of tasks whose user had been told that the job is done."""
+        """Return the starts of tasks after the user had been told that the job is done."""
         return [
             f"started after its end: {run.task} on {run.machine}"
             for task, runs in self.runs.items()
             for run in runs
-            if (told := self.done_at.get(task.rpartition("/")[0])) is not None and run.began > told
+            if (done_at := self.done_at.get(task.rpartition("/")[0])) is not None and run.began > done_at
         ]
 
     def _done(self, task: str) -> bool:
         return any(run.cause == "done" for run in self.runs.get(task, []))
 
     def stops(self) -> list[Run]:
-        """Runs that ended by command."""
+        """Return the runs that a controller stopped."""
         return [run for runs in self.runs.values() for run in runs if run.cause == "stopped"]
 
     def waits(self, teams: dict[str, str]) -> dict[str, list[float]]:
-        """Seconds from the submission of each task's job to its first start, by team (job -> team)."""
-        found: dict[str, list[float]] = {}
+        """Return, for each team, the seconds from the submission of a job to each of its tasks' first start.
+
+        `teams` maps jobs to teams; other jobs are left out.
+        """
+        waits: dict[str, list[float]] = {}
         for task, runs in self.runs.items():
             ref = task.rpartition("/")[0]
             if ref in self.submitted and ref in teams:
-                found.setdefault(teams[ref], []).append((runs[0].began - self.submitted[ref]).total_seconds())
-        return found
+                waits.setdefault(teams[ref], []).append((runs[0].began - self.submitted[ref]).total_seconds())
+        return waits
 
 
 def wait_ratios(waits: dict[str, list[float]]) -> dict[str, float]:
-    """Each team's median wait, in medians of the whole fleet."""
+    """Return each team's median wait divided by that of the whole fleet, which counts as at least 0.5 s."""
     fleet = max(0.5, median(wait for team in waits.values() for wait in team))
-    return {team: median(own) / fleet for team, own in waits.items()}
+    return {team: median(team_waits) / fleet for team, team_waits in waits.items()}
--- a/tests/standins/key_value_store.py
+++ b/tests/standins/key_value_store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the key-value store, after its published protocol."""
+"""A simulated key-value store, which follows the real one's published protocol."""
 
 import json
 from datetime import timedelta
@@ -17,47 +17,52 @@
 
 
 class KeyValueStore:
-    """Each controller has an address of its own here, so that one alone can be refused."""
+    """The store with its leases, transactions and watches, and the faults that tests inject.
+
+    Each controller reaches it at an address of its own, so that the store can fail for one controller only.
+    """
 
     def __init__(self, loop: Loop, world: World, group: TaskGroup) -> None:
         self.loop, self.world = loop, world
-        self.items: dict[str, tuple[object, int, int | None]] = {}
+        self.items: dict[str, tuple[object, int, int | None]] = {}  # key -> value, revision of the last write, lease
         self.revision = 0
-        self.log: list[dict] = []
-        self.leases: dict[int, tuple[timedelta, timedelta]] = {}  # ttl, end
+        self.log: list[dict] = []  # all changes, in the order of their revisions
+        self.leases: dict[int, tuple[timedelta, timedelta]] = {}  # lease -> time to live, expiry
         self.next_lease = 1
         self.down = False
-        self.delay_factor = 1.0
-        self.refused_hosts: set[str] = set()
-        self.hosts_without_watches: set[str] = set()  # their watches wait, while all else is answered
-        self.changed = Future()
-        self.late_write_probability = 0.0  # this share of transactions gets no answer, and is carried out seconds later
-        self.late_write_delay_s = (2.0, 12.0)
-        self.answers_to_drop = 0  # so many transactions are carried out, but their answers are lost
+        self.delay_factor = 1.0  # multiplies the delay of each response
+        self.refused_hosts: set[str] = set()  # their requests are answered 503
+        self.hosts_without_watches: set[str] = set()  # their watches get no response, while other requests do
+        self.changed = Future()  # is set at the next change
+        self.late_write_probability = 0.0  # of a transaction to be applied after its client timed out
+        self.late_write_delay_s = (2.0, 12.0)  # minimum and maximum
+        self.answers_to_drop = 0  # this many transactions are applied, but their responses are lost
         self.limits: StoreLimits | None = None
-        self.write_rps: float | None = None  # changes beyond this rate get 429
-        self.rate_limited_count = 0  # answers of 429
+        self.write_rps: float | None = None  # transactions with changes beyond this rate are answered 429
+        self.rate_limited_count = 0  # responses with status 429
         self._tokens, self._refilled_at = 0.0, timedelta(0)
-        self.rejects_transactions = False  # every transaction is called malformed
-        self.too_large: list[str] = []  # what was refused for its size
+        self.rejects_transactions = False  # all transactions are answered 400, "malformed"
+        self.too_large: list[str] = []  # the keys of transactions that exceeded a size limit
         self.group = group
         self._down_since = timedelta(0)
         group.spawn(self._expire(), "leases")
 
-    def serve(self, who: str) -> str:
-        address = f"state-{who}:2379"
+    def serve(self, host: str) -> str:
+        """Start a server for one controller; return its address."""
+        address = f"state-{host}:2379"
 
         async def handle(request: Request) -> Response:
-            return await self._handle(who, request)
+            return await self._handle(host, request)
 
         server = Server(self.loop, self.group, handle, 1000)
-        self.group.spawn(server.serve(self.world.network(f"state-{who}").listen(address)), "state")
+        self.group.spawn(server.serve(self.world.network(f"state-{host}").listen(address)), "state")
         return address
 
     def outage(self, down: bool) -> None:
+        """Start an outage (all requests are answered 503, watches get no response), or end it."""
         if down and not self.down:
             self._down_since = self.loop.now()
-        if self.down and not down:  # every lease has its full time again
+        if self.down and not down:  # every lease gets its full time to live again
             self.leases = {lease: (ttl, self.loop.now() + ttl) for lease, (ttl, _) in self.leases.items()}
         self.down = down
 
@@ -66,7 +71,7 @@
             await self.loop.sleep(timedelta(milliseconds=50))
             if self.down:
                 continue
-            for lease in [one for one, (_, end) in self.leases.items() if end < self.loop.now()]:
+            for lease in [lease for lease, (_, end) in self.leases.items() if end < self.loop.now()]:
                 self._end(lease)
 
     def _end(self, lease: int) -> None:
@@ -86,9 +91,9 @@
         changed, self.changed = self.changed, Future()
         changed.set()
 
-    async def _handle(self, who: str, request: Request) -> Response:
+    async def _handle(self, host: str, request: Request) -> Response:
         await self.loop.sleep(timedelta(milliseconds=self.delay_factor * self.world.random.uniform(1, 8)))
-        if self.down or who in self.refused_hosts:
+        if self.down or host in self.refused_hosts:
             return reply(503, {"error": "down"})
         if request.path == "/txn":
             return await self._txn(request)
@@ -98,7 +103,7 @@
         if request.path == "/kv":
             return self._list(query)
         if request.path == "/follow":
-            return await self._follow(who, query)
+            return await self._follow(host, query)
         if request.path == "/grants":
             lease, self.next_lease = self.next_lease, self.next_lease + 1
             ttl = timedelta(milliseconds=json.loads(request.body)["ttl_ms"])
@@ -126,17 +131,21 @@
         return reply(200, {"rows": rows, "more": len(keys) > limit, "ledger": self.revision})
 
     def lower(self, limits: StoreLimits) -> None:
-        """The lower limits hold from now on. What is stored stays readable."""
+        """Apply the announced lower limits (`limits.next`) from now on. Larger stored values stay readable."""
         later = limits.next
         self.limits = StoreLimits(later.rps or limits.rps, later.write_rps, later.value_kb, later.txn_ops)
         self.write_rps = self._tokens = later.write_rps
         self._refilled_at = self.loop.now()
 
     def _within_rate(self, changes: int) -> bool:
+        """Take tokens for a transaction; a transaction larger than one second's changes needs only a full bucket."""
         if self.write_rps is None:
             return True
-        passed = (self.loop.now() - self._refilled_at) / timedelta(seconds=1)
-        self._tokens, self._refilled_at = min(self.write_rps, self._tokens + passed * self.write_rps), self.loop.now()
+        elapsed_s = (self.loop.now() - self._refilled_at) / timedelta(seconds=1)
+        self._tokens, self._refilled_at = (
+            min(self.write_rps, self._tokens + elapsed_s * self.write_rps),
+            self.loop.now(),
+        )
         if self._tokens < min(changes, self.write_rps):
             self.rate_limited_count += 1
             return False
@@ -153,26 +162,26 @@
                 await self.loop.sleep(timedelta(milliseconds=100))
             self._apply(body)
             await self.loop.sleep(timedelta(seconds=30))
-        done = self._apply(body)
-        if self.answers_to_drop > 0 and done.status == 200:
+        response = self._apply(body)
+        if self.answers_to_drop > 0 and response.status == 200:
             self.answers_to_drop -= 1
             await self.loop.sleep(timedelta(seconds=30))
-        return done
+        return response
 
     def _apply(self, body: dict) -> Response:
         if self.rejects_transactions:
             return reply(400, {"error": "malformed"})
         failed = [
-            one["key"]
-            for one in body["if"]
-            if (self.items[one["key"]][1] if one["key"] in self.items else 0) != one["mark"]
+            compare["key"]
+            for compare in body["if"]
+            if (self.items[compare["key"]][1] if compare["key"] in self.items else 0) != compare["mark"]
         ]
         if failed:
             return reply(409, {"failed": failed, "ledger": self.revision})
         if self.limits is not None:
-            sizes = [len(json.dumps(one.get("value"), separators=(",", ":"))) for one in body["apply"]]
+            sizes = [len(json.dumps(change.get("value"), separators=(",", ":"))) for change in body["apply"]]
             if max(sizes, default=0) > self.limits.value_kb * 1024 or len(sizes) > self.limits.txn_ops:
-                self.too_large.append(str([one.get("write") or one["remove"] for one in body["apply"]]))
+                self.too_large.append(str([change.get("write") or change["remove"] for change in body["apply"]]))
                 return reply(400, {"error": "too large"})
             if len(body["if"]) > 4 * self.limits.txn_ops:
                 self.too_large.append("conditions")
@@ -191,17 +200,17 @@
         self._notify()
         return reply(200, {"ledger": self.revision})
 
-    async def _follow(self, who: str, query: dict[str, str]) -> Response:
+    async def _follow(self, host: str, query: dict[str, str]) -> Response:
         since, end = int(query["since"]), self.loop.now() + timedelta(milliseconds=int(query["block_ms"]))
         while True:
-            if not self.down and who not in self.refused_hosts | self.hosts_without_watches:
-                found = [
-                    one
-                    for one in self.log
-                    if one["mark"] > since and (one.get("write") or one["remove"]).startswith(query["under"])
+            if not self.down and host not in self.refused_hosts | self.hosts_without_watches:
+                changes = [
+                    change
+                    for change in self.log
+                    if change["mark"] > since and (change.get("write") or change["remove"]).startswith(query["under"])
                 ]
-                if found or self.loop.now() >= end:
-                    return reply(200, {"ledger": self.revision, "log": found})
+                if changes or self.loop.now() >= end:
+                    return reply(200, {"ledger": self.revision, "log": changes})
                 await self.loop.first(self.changed, end - self.loop.now())
             else:
                 await self.loop.sleep(timedelta(milliseconds=100))
--- a/tests/standins/loads.py
+++ b/tests/standins/loads.py
@@ -1,16 +1,16 @@
-"""Loads that several tests and the measurement tool put on a day."""
+"""Workloads of simulated runs that several tests and the measurement tool share."""
 
 from tests.standins.day import Day, job
 
-ARRAY_PERIOD_S = 30  # seconds between two arrays, of the other teams in turn
-TRIPLED_AFTER_S = 20  # seconds after which the hot team sends three times as many jobs
+ARRAY_PERIOD_S = 30  # between two large arrays, which the two other teams submit in turn
+TRIPLED_AFTER_S = 20  # from then on the team with the high load submits three times as many jobs
 
 
 def hot_team(day: Day, seconds: int = 110, time_scale: float = 1.0, jobs: int = 4) -> None:
-    """One team sends small jobs, three times as many after a while; two others send an array now and then.
+    """One team submits jobs of one task at a rate that triples; two others submit an array of tasks now and then.
 
-    `time_scale` shortens every time of the load, for days in real time; `jobs` are those that it sends in two seconds at
-    first, for fleets of other sizes.
+    `seconds`: the length of the load. `time_scale`: multiplies all times, so that runs in real time can be shorter.
+    `jobs`: how many jobs the first team submits in two seconds before its rate triples.
     """
     sent = 0
     for second in range(0, seconds, 2):
--- a/tests/standins/loopback.py
+++ b/tests/standins/loopback.py
@@ -1,4 +1,4 @@
-"""The stand-ins of a day on real sockets: addresses become ports of the loopback interface, and time is real."""
+"""Runs of a whole cluster in real time on real sockets: addresses are mapped to ports of the loopback interface."""
 
 import random
 from datetime import timedelta
@@ -10,13 +10,13 @@
 
 
 class LoopbackWorld:
-    """What a `World` is to a day; there are no faults here."""
+    """A network of real sockets that takes the place of the simulated `World`. It injects no faults."""
 
     def __init__(self, seed: int) -> None:
         self.poller = SelectorPoller()
         self.loop = Loop(SystemClock(), self.poller)
         self.random = random.Random(seed)
-        self.ports: dict[str, int] = {}
+        self.ports: dict[str, int] = {}  # address -> port on the loopback interface
         self.listeners: list[TcpListener] = []
 
     def network(self, host: str) -> "LoopbackNetwork":
@@ -28,7 +28,7 @@
 
 
 class LoopbackNetwork(TcpNetwork):
-    """Real TCP, to whatever port an address was given."""
+    """Connects over TCP to the port that stands for an address."""
 
     def __init__(self, world: LoopbackWorld) -> None:
         super().__init__(world.loop, world.poller)
@@ -37,7 +37,7 @@
     async def connect(self, address: str, limit: timedelta) -> TcpStream:
         port = self._world.ports.get(address)
         if port is None:
-            raise ConnectionRefusedError("nobody listens there")
+            raise ConnectionRefusedError("no listener at this address")
         return await super().connect(f"127.0.0.1:{port}", limit)
 
     def listen(self, address: str) -> TcpListener:
@@ -48,7 +48,7 @@
 
 
 class LoopbackDay(Day):
-    """A day on real sockets in real time, in one process."""
+    """A run of a whole cluster on real sockets in real time, within one process."""
 
     def _make_world(self, seed: int) -> None:
         self.world = LoopbackWorld(seed)
@@ -56,7 +56,7 @@
         self.clock = self.loop.clock
 
     def close(self) -> None:
-        """Let go of every socket."""
+        """Stop everything and close all sockets."""
         for controller, group in self.controllers.values():
             for leader in controller.leaders.values():
                 leader.group.cancel()
--- a/tests/standins/net.py
+++ b/tests/standins/net.py
@@ -1,4 +1,4 @@
-"""A network in memory: hosts, delays, cuts that reset or hold packets, hosts that crash."""
+"""A simulated network: hosts, delays, cuts that reset connections or hold packets, and hosts that crash."""
 
 import random
 from collections import deque
@@ -10,16 +10,16 @@
 
 
 class Pipe:
-    """One direction of a connection."""
+    """One direction of a connection, from host `source` to host `target`."""
 
     def __init__(self, world: "World", source: str, target: str) -> None:
         self.world, self.source, self.target = world, source, target
-        self.chunks: deque[bytes] = deque()
-        self.ended = False
-        self.broken = False
-        self.wake = Future()
-        self.last_arrival = timedelta(0)  # packets of one connection stay in order
-        self.held: list[bytes | None] = []
+        self.chunks: deque[bytes] = deque()  # have arrived and wait to be read
+        self.ended = False  # the end of the stream has arrived
+        self.broken = False  # the connection was reset
+        self.wake = Future()  # is set when something arrives
+        self.last_arrival = timedelta(0)  # no later packet arrives earlier, so that packets stay in order
+        self.held: list[bytes | None] = []  # sent while a cut holds packets; None is the end of the stream
 
     def send(self, data: bytes | None) -> None:
         """Send bytes, or None for the end of the stream."""
@@ -39,11 +39,13 @@
         self._notify()
 
     def release(self) -> None:
+        """Send what was held during a cut."""
         held, self.held = self.held, []
         for data in held:
             self.send(data)
 
     def break_off(self) -> None:
+        """Reset the connection: its reader gets an error once it has read what had arrived."""
         self.broken = True
         self._notify()
 
@@ -63,13 +65,15 @@
 
 
 class VirtualStream:
+    """One side of a simulated connection."""
+
     def __init__(self, incoming: Pipe, outgoing: Pipe) -> None:
         self.incoming, self.outgoing = incoming, outgoing
         self.closed = False
 
     async def read(self) -> bytes:
         if self.closed:
-            raise ConnectionError("closed here")
+            raise ConnectionError("this side has closed the connection")
         return await self.incoming.receive()
 
     async def write(self, data: bytes) -> None:
@@ -86,6 +90,8 @@
 
 
 class VirtualListener:
+    """Accepts simulated connections at one address."""
+
     def __init__(self, world: "World", address: str) -> None:
         self.world, self.address = world, address
         self.queue: deque[VirtualStream] = deque()
@@ -107,22 +113,27 @@
 
 
 class World:
+    """The whole simulated network, with the faults that tests inject."""
+
     def __init__(self, loop: Loop, seed: int) -> None:
         self.loop = loop
         self.random = random.Random(seed)
         self.listeners: dict[str, VirtualListener] = {}
-        self.streams: list[tuple[str, str, VirtualStream, VirtualStream]] = []
-        self.cuts: dict[frozenset[str], str] = {}
-        self.one_way_cuts: set[tuple[str, str]] = set()  # what the first sends to the second is held
-        self.pipes_holding_data: dict[Pipe, None] = {}
-        self.delay_factor = 1.0  # times the usual delay
-        self.resets = True  # False: what is written into a connection that the other side closed vanishes
+        self.streams: list[tuple[str, str, VirtualStream, VirtualStream]] = []  # connecting host, accepting host, sides
+        self.cuts: dict[frozenset[str], str] = {}  # the two hosts -> mode of the cut
+        self.one_way_cuts: set[tuple[str, str]] = set()  # packets from the first host to the second are held
+        self.pipes_holding_data: dict[Pipe, None] = {}  # a set in the order of insertion
+        self.delay_factor = 1.0  # multiplies the delay of each packet
+        self.resets = True  # False: data sent to a side that has closed its connection is lost without a reset
 
     def delay(self) -> timedelta:
         return MS * self.delay_factor * self.random.uniform(0.3, 2.5)
 
     def cut(self, one: str, other: str, mode: str) -> None:
-        """`reset` breaks connections, `hold` delays what is sent until the cut is over."""
+        """Cut the link between two hosts; new connections fail.
+
+        Mode `reset` breaks the existing connections. Mode `hold` holds their packets until the link is healed.
+        """
         self.cuts[frozenset((one, other))] = mode
         if mode == "reset":
             for source, target, near, far in self.streams:
@@ -132,6 +143,7 @@
                     near.outgoing.broken = far.outgoing.broken = True
 
     def heal(self, one: str, other: str) -> None:
+        """End a cut, and send the packets that no remaining cut holds."""
         self.cuts.pop(frozenset((one, other)), None)
         holding, self.pipes_holding_data = self.pipes_holding_data, {}
         for pipe in holding:
@@ -141,7 +153,7 @@
                 pipe.release()
 
     def cut_one_way(self, source: str, target: str) -> None:
-        """What `source` sends is held until the cut is over; the other direction is whole."""
+        """Hold packets from `source` to `target` until the link heals. The other direction works; connecting fails."""
         self.one_way_cuts.add((source, target))
 
     def heal_one_way(self, source: str, target: str) -> None:
@@ -149,15 +161,16 @@
         self.heal(source, target)
 
     def is_cut(self, one: str, other: str) -> bool:
-        """Whether a new connection between the two fails: it needs both directions."""
+        """Return whether a new connection between the two hosts fails. Connecting needs both directions."""
         return frozenset((one, other)) in self.cuts or bool({(one, other), (other, one)} & self.one_way_cuts)
 
     def is_held(self, source: str, target: str) -> bool:
+        """Return whether packets from `source` to `target` are held."""
         return (source, target) in self.one_way_cuts or self.cuts.get(frozenset((source, target))) == "hold"
 
     def crash(self, host: str) -> None:
-        """The host's process is gone: its listeners too, and its connections are reset."""
-        for address in [one for one in self.listeners if one.partition(":")[0] == host]:
+        """Kill a host's process: its listeners disappear, and its connections are reset on the other side."""
+        for address in [address for address in self.listeners if address.partition(":")[0] == host]:
             del self.listeners[address]
         kept = []
         for source, target, near, far in self.streams:
@@ -176,7 +189,7 @@
 
 
 class HostNetwork:
-    """The network as one host sees it."""
+    """The network interface of one host: opens connections and listens."""
 
     def __init__(self, world: World, host: str) -> None:
         self.world, self.host = world, host
@@ -188,13 +201,13 @@
         if world.is_cut(self.host, target):
             if world.is_held(self.host, target) or world.is_held(target, self.host):
                 await world.loop.sleep(limit)
-            raise ConnectionRefusedError("unreachable")
+            raise ConnectionRefusedError("the link is cut")
         listener = world.listeners.get(address)
         if listener is None:
-            raise ConnectionRefusedError("refused")
-        there, back = Pipe(world, self.host, target), Pipe(world, target, self.host)
-        near, far = VirtualStream(back, there), VirtualStream(there, back)
-        world.streams = [one for one in world.streams if not (one[2].closed and one[3].closed)]
+            raise ConnectionRefusedError("no listener at this address")
+        outgoing, incoming = Pipe(world, self.host, target), Pipe(world, target, self.host)
+        near, far = VirtualStream(incoming, outgoing), VirtualStream(outgoing, incoming)
+        world.streams = [stream for stream in world.streams if not (stream[2].closed and stream[3].closed)]
         world.streams.append((self.host, target, near, far))
         listener.offer(far)
         return near
--- a/tests/standins/production.py
+++ b/tests/standins/production.py
@@ -1,7 +1,8 @@
-"""The version in production, frozen: the package as of the commit that deploy/service.toml names, under another name.
+"""Gives tests access to the version in production, so that old and new controllers can run in one cluster.
 
-`tests/data/production.zip` holds it. It shares the transport layer with the sources as they stand (so that both kinds
-of controller run on one virtual loop) and nothing else. Made, once, by `python -m tests.standins.production COMMIT`.
+`tests/data/production.zip` holds the package as of the commit that deploy/service.toml names, as the package
+`badgerroute_production`. Both versions run on one event loop in virtual time, so the archive has no transport layer of
+its own and uses the one of these sources. `python -m tests.standins.production COMMIT` writes the archive.
 """
 
 import importlib
@@ -17,10 +18,10 @@
 from badgerroute.transport import http, loop
 
 ARCHIVE = Path(__file__).parent.parent / "data" / "production.zip"
-NAME = "badgerroute_production"
-OURS = re.compile(r"^(\s*(?:from|import) )badgerroute(?!\.transport)\b", re.MULTILINE)
+PACKAGE = "badgerroute_production"
+OWN_IMPORT = re.compile(r"^(\s*(?:from|import) )badgerroute(?!\.transport)\b", re.MULTILINE)
 
-# Attributes that tests read of controllers of both versions: name here -> name in the version in production.
+# Attributes that tests read from controllers of both versions: name in these sources -> name in production.
 ATTRIBUTES = {
     "shard": "part",
     "shards": "parts",
@@ -43,34 +44,35 @@
 
 
 def _attribute(instance: object, name: str) -> object:
-    """Called for attributes that an instance lacks."""
+    """Look up an attribute under its name in production; installed as `__getattr__` of the production classes."""
     if name not in ATTRIBUTES:
         raise AttributeError(f"{type(instance).__name__} has no attribute {name}")
     return getattr(instance, ATTRIBUTES[name])
 
 
 def module(name: str) -> ModuleType:
-    """A module of the version in production."""
+    """Import a module of the version in production; `name` is relative to the package."""
     if str(ARCHIVE) not in sys.path:
         sys.path.append(str(ARCHIVE))
-        # What it calls these parts of the transport layer, which have other names by now.
+        # The version in production uses these names of the transport layer, which has been renamed since.
         http.Unanswered = http.NoAnswerError
         loop.TimeLimit = loop.TimeLimitError
         loop.Group, loop.Gate, loop.Routine = loop.TaskGroup, loop.Semaphore, loop.CoroutineTask
         loop.TaskGroup.duty, loop.Semaphore.place = loop.TaskGroup.run_forever, loop.Semaphore.acquire
-        for path, kind in CLASSES:
-            getattr(importlib.import_module(f"{NAME}.{path}"), kind).__getattr__ = _attribute
-    return importlib.import_module(f"{NAME}.{name}")
+        for path, class_name in CLASSES:
+            getattr(importlib.import_module(f"{PACKAGE}.{path}"), class_name).__getattr__ = _attribute
+    return importlib.import_module(f"{PACKAGE}.{name}")
 
 
 def freeze(commit: str) -> None:
-    found = subprocess.run(["git", "archive", commit, "badgerroute"], check=True, capture_output=True).stdout
-    with tarfile.open(fileobj=io.BytesIO(found)) as tree, zipfile.ZipFile(ARCHIVE, "w") as archive:
-        for one in sorted(tree.getmembers(), key=lambda one: one.name):
-            if one.isfile() and one.name.endswith(".py") and not one.name.startswith("badgerroute/transport/"):
-                text = tree.extractfile(one).read().decode()
-                entry = zipfile.ZipInfo(one.name.replace("badgerroute", NAME, 1), (2026, 1, 1, 0, 0, 0))
-                archive.writestr(entry, OURS.sub(rf"\1{NAME}", text), zipfile.ZIP_DEFLATED)
+    """Write the package as of a commit, without its transport layer, to the archive under its other name."""
+    content = subprocess.run(["git", "archive", commit, "badgerroute"], check=True, capture_output=True).stdout
+    with tarfile.open(fileobj=io.BytesIO(content)) as tree, zipfile.ZipFile(ARCHIVE, "w") as archive:
+        for member in sorted(tree.getmembers(), key=lambda member: member.name):
+            if member.isfile() and member.name.endswith(".py") and not member.name.startswith("badgerroute/transport/"):
+                text = tree.extractfile(member).read().decode()
+                entry = zipfile.ZipInfo(member.name.replace("badgerroute", PACKAGE, 1), (2026, 1, 1, 0, 0, 0))
+                archive.writestr(entry, OWN_IMPORT.sub(rf"\1{PACKAGE}", text), zipfile.ZIP_DEFLATED)
 
 
 if __name__ == "__main__":
--- a/tests/standins/proxies.py
+++ b/tests/standins/proxies.py
@@ -1,4 +1,4 @@
-"""Proxies on loopback: one for each link, of which each direction can be dropped, delayed or refused by itself."""
+"""TCP proxies on the loopback interface, one for each link, which drop, delay or refuse packets of each direction."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -13,17 +13,17 @@
     """What happens to the packets of one direction of a link."""
 
     PASS = "pass"
-    DROP = "drop"  # held until the fault is over: nobody is told, as behind a packet filter
+    DROP = "drop"  # packets are held until the fault ends, without an error, as with a packet filter and retransmission
     DELAY = "delay"
     REFUSE = "refuse"  # connections are reset, and new ones refused
 
 
 @dataclass
 class Direction:
-    """One direction of a link."""
+    """The current fault of one direction of a link."""
 
     fault: Fault = Fault.PASS
-    delay: timedelta = timedelta(0)
+    delay: timedelta = timedelta(0)  # for Fault.DELAY
     changed: Future = field(default_factory=Future)
 
     def set(self, fault: Fault, delay: timedelta = timedelta(0)) -> None:
@@ -33,7 +33,10 @@
 
 
 class LinkProxy:
-    """The link from one host to one address. Packets pass through it in both directions."""
+    """Forwards connections from one host to a port, with a fault for each direction.
+
+    `outbound` are packets from the host that connects, `inbound` are packets to it.
+    """
 
     def __init__(self, loop: Loop, network: TcpNetwork, target: int) -> None:
         self._loop, self._network, self._target = loop, network, target
@@ -44,6 +47,7 @@
         self._task = loop.spawn(self._accept(), "proxy")
 
     def refusing(self) -> bool:
+        """Return whether new connections are refused."""
         return Fault.REFUSE in (self.outbound.fault, self.inbound.fault)
 
     def close(self) -> None:
@@ -99,25 +103,26 @@
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed)
-        self.proxies: dict[tuple[str, str], LinkProxy] = {}  # by the host that connects and the host it connects to
+        self.proxies: dict[tuple[str, str], LinkProxy] = {}  # by connecting and accepting host
 
     def network(self, host: str) -> "ProxiedNetwork":
         return ProxiedNetwork(self, host)
 
     def proxy(self, source: str, address: str) -> LinkProxy:
+        """Return the proxy from a host to an address, and create it if needed."""
         key = (source, address.partition(":")[0])
         proxy = self.proxies.get(key)
         if proxy is None or proxy._target != self.ports[address]:
             faults = (proxy.outbound, proxy.inbound) if proxy is not None else None
             if proxy is not None:
-                proxy.close()  # its host has been started again
+                proxy.close()  # the accepting host was restarted and listens on another port
             proxy = self.proxies[key] = LinkProxy(self.loop, TcpNetwork(self.loop, self.poller), self.ports[address])
             if faults is not None:
                 proxy.outbound, proxy.inbound = faults
         return proxy
 
     def set(self, source: str, target: str, fault: Fault, delay: timedelta = timedelta(0)) -> None:
-        """What `source` sends to `target` meets a fault, whichever of the two opened the connection."""
+        """Set the fault for packets from `source` to `target`, whichever of the two opened the connection."""
         for (opener, accepter), proxy in self.proxies.items():
             if (opener, accepter) in ((source, target), (target, source)):
                 (proxy.outbound if opener == source else proxy.inbound).set(fault, delay)
@@ -131,7 +136,7 @@
 
 
 class ProxiedNetwork(LoopbackNetwork):
-    """The network as one host sees it: all its connections go through proxies."""
+    """The network interface of one host. All its connections go through proxies."""
 
     def __init__(self, world: ProxiedWorld, host: str) -> None:
         super().__init__(world)
@@ -139,7 +144,7 @@
 
     async def connect(self, address: str, limit: timedelta) -> TcpStream:
         if address not in self._proxied.ports:
-            raise ConnectionRefusedError("nobody listens there")
+            raise ConnectionRefusedError("no listener at this address")
         proxy = self._proxied.proxy(self._host, address)
         if proxy.refusing():
             raise ConnectionRefusedError("refused by the proxy")
@@ -147,7 +152,7 @@
 
 
 class ProxiedDay(LoopbackDay):
-    """A day on real sockets in real time, with a proxy on every link."""
+    """A run of a whole cluster on real sockets in real time, with a proxy on every link."""
 
     def _make_world(self, seed: int) -> None:
         self.world = ProxiedWorld(seed)
--- a/tests/standins/users.py
+++ b/tests/standins/users.py
@@ -1,4 +1,4 @@
-"""Users that act while the day goes on, and ask all nodes closely whether any answers something older."""
+"""Users that submit, cancel and poll jobs concurrently, and check that no controller returns an outdated answer."""
 
 from __future__ import annotations
 
@@ -13,19 +13,24 @@
 
 SECOND = timedelta(seconds=1)
 STAGES = {"queued": 1, "running": 1, "done": 2, "withdrawn": 2}
-NOT_CONFIRMED = timedelta(days=1)
-POLL_ROUNDS = 12  # at each node, a few milliseconds apart
+NOT_CONFIRMED = timedelta(days=1)  # time of a cancellation that no answer has confirmed: later than any run ends
+POLL_ROUNDS = 12  # requests to each controller, a few milliseconds apart
 
 
 class PollingUsers:
-    """Once any node has said that a job is accepted, done or cancelled, no question asked later may get less."""
+    """Users that expect linearizable answers.
+
+    Once any controller has reported that a job is accepted, done or cancelled, no request sent later may get an answer
+    of an earlier stage (see STAGES).
+    """
 
     def __init__(self, day: Day) -> None:
         self.day = day
-        self.known_stage: dict[str, int] = {}  # job -> the most that was said of it
+        self.known_stage: dict[str, int] = {}  # job -> the highest stage that any controller has reported
         self.poll_count = 0
 
     async def ask(self, method: str, path: str, body: object = None, host: str | None = None) -> Response | None:
+        """Send one request to a controller (by default a random one); return the response, or None without one."""
         day = self.day
         client = Client(day.loop, day.user, f"{host or day.random.choice(list(day.settings))}:8080")
         data = b"" if body is None else json.dumps(body).encode()
@@ -37,30 +42,32 @@
             client.drop()
 
     def minimum_stage(self, ref: str) -> int:
-        """The least that an answer may say which is asked for now."""
+        """Return the lowest stage that the answer to a request sent now may report (0: the job may be unknown)."""
         return max(self.known_stage.get(ref, 0), STAGES.get(self.day.last_conditions.get(ref, ""), 0))
 
     def _check_response(self, ref: str, response: Response, minimum: int) -> str | None:
-        """Check an answer against what was known when it was asked for."""
+        """Check a response against the lowest stage allowed when its request was sent; return the job's condition."""
         if response.status == 404:
             if minimum:
-                self.day.rules.report_violation("forgotten", f"{ref} after it was known")
+                self.day.rules.report_violation("forgotten", f"{ref}: 404 after it was accepted")
             return None
         condition = json.loads(response.body)["condition"]
         if STAGES[condition] < minimum:
-            self.day.rules.report_violation("went_back", f"{ref} is {condition} again")
-        if STAGES[condition] >= self.minimum_stage(ref):  # else it was asked for before what is known by now was said
+            self.day.rules.report_violation("went_back", f"{ref} is {condition} after a later stage was reported")
+        if STAGES[condition] >= self.minimum_stage(
+            ref
+        ):  # otherwise the request was sent before a later stage was reported
             self.day._check_condition(ref, condition)
         self.known_stage[ref] = max(self.known_stage.get(ref, 0), STAGES[condition])
         return condition
 
-    async def submit(self, described: dict, cancelled: bool = False) -> None:
-        """Until it is accepted; then look, and call it off at once if so wanted."""
-        ref = described["ref"]
-        self.day.site.jobs[ref] = described
+    async def submit(self, description: dict, cancelled: bool = False) -> None:
+        """Submit a job until it is accepted, then poll it at all controllers; with `cancelled`, cancel it at once."""
+        ref = description["ref"]
+        self.day.site.jobs[ref] = description
         while True:
             minimum = self.minimum_stage(ref)
-            response = await self.ask("POST", "/v1/jobs", described)
+            response = await self.ask("POST", "/v1/jobs", description)
             if response is not None and response.status in (200, 201):
                 self.day.accepted.add(ref)
                 self._check_response(ref, response, minimum)
@@ -75,8 +82,10 @@
         await polling
 
     async def cancel(self, ref: str, host: str | None = None) -> str | None:
+        """Request a cancellation until it is answered; then poll all controllers. Return the job's condition."""
         day = self.day
-        # Not told yet, but other nodes may say so before this user is: a cancellation may be carried out unanswered.
+        # A cancellation may take effect although its request gets no answer, so that other controllers may report it
+        # before this user gets an answer.
         day.site.cancelled.setdefault(ref, NOT_CONFIRMED)
         while True:
             minimum, before = self.minimum_stage(ref), day.loop.now()
@@ -92,7 +101,7 @@
             await day.loop.sleep(SECOND)
 
     async def poll_all_hosts(self, ref: str) -> None:
-        """Ask at all nodes, and repeat the submission, within milliseconds."""
+        """Poll a job at all controllers at short intervals, and repeat its submission in between."""
         for turn in range(POLL_ROUNDS):
             for host in self.day.settings:
                 self.day.group.spawn(self._poll_host(ref, host, turn), "look")
@@ -104,14 +113,14 @@
         if turn % 4 == 3:
             response = await self.ask("POST", "/v1/jobs", self.day.site.jobs[ref], host)
             if response is not None and response.status in (400, 422):
-                self.day.rules.report_violation("forgotten", f"{ref}: {response.status} to a repeat")
+                self.day.rules.report_violation("forgotten", f"{ref}: {response.status} for a repeated submission")
         else:
             response = await self.ask("GET", f"/v1/jobs/{ref}", host=host)
         if response is not None and response.status in (200, 404):
             self._check_response(ref, response, minimum)
 
     async def poll_at_completion(self, ref: str, cancelled: bool = False) -> None:
-        """Look as soon as the last task has completed; call the job off at that very moment if so wanted."""
+        """Poll a job at all controllers as soon as its last task completes; with `cancelled`, cancel it instead."""
         day = self.day
         names = [f"{ref}/{index}" for index in range(day.site.jobs[ref]["heads"])]
         while not all(name in day.site.finished for name in names):
--- a/tests/standins/waiting.py
+++ b/tests/standins/waiting.py
@@ -1,4 +1,4 @@
-"""Watches, from outside, for jobs that are left waiting although they could run."""
+"""Detects jobs that keep waiting although the cluster has room for them."""
 
 from __future__ import annotations
 
@@ -14,35 +14,37 @@
 
 
 class StarvationWatch:
+    """Reports jobs of which no task runs for MAX_WAIT although one could, judged by the state of the machines."""
+
     def __init__(self, day: Day) -> None:
         self.day = day
-        self._waiting_since: dict[str, timedelta] = {}  # job -> since when it waits although it could run
+        self._waiting_since: dict[str, timedelta] = {}  # job -> the time since which it waits although it could run
         self._enabled = False
 
     def begin(self) -> None:
-        """From now on all troubles are over."""
+        """Start the checks. Call it when all faults have been healed."""
         self._waiting_since.clear()
         self._enabled = True
 
     def check(self) -> None:
-        """Called now and then."""
+        """Check all accepted jobs. It is called twice a second."""
         if not self._enabled:
             return
         day, now = self.day, self.day.loop.now()
         running = {name.rpartition("/")[0] for name in day.rules.worker_by_task}
         for ref in day.accepted:
-            over = day.last_conditions.get(ref) in ("done", "withdrawn") or day.site.cancelled_at(ref)
+            ended = day.last_conditions.get(ref) in ("done", "withdrawn") or day.site.cancelled_at(ref)
             finished = f"{ref}/{day.site.jobs[ref]['heads'] - 1}" in day.site.finished
-            if over or finished or ref in running or ref in day.site.failing or not self._could_run(ref):
+            if ended or finished or ref in running or ref in day.site.failing or not self._could_run(ref):
                 self._waiting_since.pop(ref, None)
             elif now - self._waiting_since.setdefault(ref, now) > MAX_WAIT:
                 day.rules.report_violation("left_waiting", ref)
                 self._waiting_since[ref] = now
 
     def _could_run(self, ref: str) -> bool:
-        """Whether machines with room fit the job (a gang: all of it at once) and its team is under its limit."""
+        """Return whether a task of the job (all tasks of a gang) fits on machines now, within its team's limit."""
         job = self.day.site.jobs[ref]
-        if not all(self.day.site.is_done(one) for one in job.get("follows") or ()):
+        if not all(self.day.site.is_done(upstream) for upstream in job.get("follows") or ()):
             return False
         gang = job["gait"] == "group"
         needed = job["heads"] if gang else 1
@@ -61,6 +63,7 @@
         ) >= needed
 
     def _used(self, team: str) -> float:
+        """Return the CPUs that a team's tasks occupy."""
         jobs = self.day.site.jobs
         return sum(
             jobs[name.rpartition("/")[0]]["cpus"]
@@ -69,7 +72,7 @@
         )
 
     def _count_fitting_tasks(self, worker: Worker, job: dict) -> int:
-        """How many of a job's tasks a machine that is well has room for."""
+        """Return how many tasks of a job fit on a machine; 0 if the machine has a fault or is about to be preempted."""
         if (
             worker.unresponsive
             or worker.unreachable
--- a/tests/standins/workers.py
+++ b/tests/standins/workers.py
@@ -1,4 +1,7 @@
-"""Stand-ins for workers: leases, incarnations, tokens, images, tasks, gangs; and the cloud that rents them."""
+"""Simulated workers (leases, incarnations, fencing tokens, images, tasks, gangs) and the cloud that rents machines.
+
+The names of the messages' fields are those of the workers' and the cloud's protocols.
+"""
 
 import json
 from collections import deque
@@ -12,19 +15,22 @@
 from tests.standins.net import World
 
 SECOND = timedelta(seconds=1)
+# Heartbeat period, lease of a machine, how long a gang task waits for the others, and `gang_peer_s` of the settings.
 HEARTBEAT, LEASE, GANG_WAIT, GANG_PEER = SECOND, 11 * SECOND, 45 * SECOND, 4 * SECOND
 
 
 @dataclass
 class Task:
-    ref: str
+    """One attempt of a task on a machine."""
+
+    ref: str  # the job
     index: int
     attempt: int
-    state: str
+    state: str  # as in heartbeats
     state_since: timedelta
-    cause: str | None = None
-    kept: bool = False
-    state_ends_at: timedelta | None = None
+    cause: str | None = None  # of its exit
+    kept: bool = False  # it saved a checkpoint before it was stopped
+    state_ends_at: timedelta | None = None  # end of the image fetch, of the run or of the saving of a checkpoint
 
     @property
     def name(self) -> str:
@@ -33,15 +39,19 @@
 
 @dataclass
 class MachineType:
+    """A machine type that the cloud offers."""
+
     name: str
     cpus: float
     memory_gb: float
-    fetch: float = 1.0
-    boot: timedelta = 5 * SECOND
+    fetch_gb_per_s: float = 1.0
+    startup_time: timedelta = 5 * SECOND
 
 
 @dataclass
 class Worker:
+    """One machine: sends heartbeats, carries out commands and runs tasks. Tests set its faults."""
+
     site: "Site"
     name: str
     machine_type: MachineType
@@ -49,38 +59,39 @@
     spot: bool
     group: TaskGroup
     incarnation: int = 1
-    tally: int = 0
+    tally: int = 0  # sequence number of its heartbeats
     fencing_token: int = 0
     tasks: dict[str, Task] = field(default_factory=dict)
     images: set[str] = field(default_factory=set)
-    fails_tasks: bool = False
-    unresponsive: bool = False
-    unreachable: bool = False  # its heartbeats go out, but neither answers nor commands reach it
-    heartbeats_blocked: bool = False  # it reaches no controller, but commands reach it
-    notice_at: timedelta | None = None
+    fails_tasks: bool = False  # tasks end with an error
+    unresponsive: bool = False  # it sends and answers nothing and runs no task; its lease still expires
+    unreachable: bool = False  # its heartbeats arrive, but neither responses nor commands reach it
+    heartbeats_blocked: bool = False  # it can't send heartbeats, but commands reach it
+    notice_at: timedelta | None = None  # after a preemption notice: when the cloud will take the machine
 
     def __post_init__(self) -> None:
         self.loop = self.site.loop
         self.address = f"{self.name}:9000"
-        self.lease_renewed_at = self.loop.now()  # when the last answered report had been sent
-        self.changed = Future()
+        self.lease_renewed_at = self.loop.now()  # when the last heartbeat that was answered was sent
+        self.changed = Future()  # is set when the next heartbeat should be sent early
         network = self.site.world.network(self.name)
         self.clients = {host: Client(self.loop, network, f"{host}:8080", connect=SECOND) for host in self.site.hosts}
         self.group.spawn(Server(self.loop, self.group, self._serve, 50).serve(network.listen(self.address)), "direct")
-        self.group.spawn(self._heartbeat_duty(), "report")
+        self.group.spawn(self._send_heartbeats(), "report")
         self.group.spawn(self._tick(), "tick")
 
     # -- heartbeats
 
     def heartbeat(self) -> dict:
+        """Return the next heartbeat's body; it raises the sequence number."""
         self.tally += 1
         notice = None if self.notice_at is None else (self.notice_at - self.loop.now()) / SECOND
         heads = []
         for task in self.tasks.values():
-            one = {"head": task.name, "try": task.attempt, "condition": task.state}
+            status = {"head": task.name, "try": task.attempt, "condition": task.state}
             if task.cause:
-                one |= {"cause": task.cause, "kept": task.kept}
-            heads.append(one)
+                status |= {"cause": task.cause, "kept": task.kept}
+            heads.append(status)
         return {
             "mount": self.name,
             "address": self.address,
@@ -94,58 +105,58 @@
             "heads": heads,
         }
 
-    async def _awake(self) -> None:
+    async def _wait_while_unresponsive(self) -> None:
         while self.unresponsive:
             await self.loop.sleep(timedelta(milliseconds=200))
 
-    async def _heartbeat_duty(self) -> None:
+    async def _send_heartbeats(self) -> None:
         hosts = self.site.hosts
-        at = self.site.world.random.randrange(len(hosts))
+        target = self.site.world.random.randrange(len(hosts))  # index of the controller that gets the heartbeats
         while True:
-            await self._awake()
+            await self._wait_while_unresponsive()
             pause = HEARTBEAT * self.site.world.random.uniform(0.75, 1.25)
             sent, incarnation = self.loop.now(), self.incarnation
             body = json.dumps(self.heartbeat()).encode()
             self.changed = Future()
             if self.heartbeats_blocked:
-                at = (at + 1) % len(hosts)
+                target = (target + 1) % len(hosts)
                 await self.loop.sleep(SECOND)
                 continue
             try:
-                response = await self.clients[hosts[at]].request("POST", "/checkin", body, 4 * SECOND)
+                response = await self.clients[hosts[target]].request("POST", "/checkin", body, 4 * SECOND)
             except NoAnswerError:
                 response = None
             self.site.sent_heartbeats.append((self.name, body))
             if self.unreachable:
                 response = None
-            await self._awake()
+            await self._wait_while_unresponsive()
             late = self.loop.now() - sent > 4 * SECOND
             if response is not None and not late and response.status == 200:
                 message = json.loads(response.body)
                 if message["crook"] >= self.fencing_token and incarnation == self.incarnation:
-                    fresh = message["crook"] > self.fencing_token
+                    token_raised = message["crook"] > self.fencing_token
                     self.fencing_token = message["crook"]
                     self.lease_renewed_at = sent
                     self.execute(message["calls"])
-                    if fresh:
+                    if token_raised:
                         self.changed.set()
             elif response is not None and not late and response.status == 421:
-                boss = json.loads(response.body).get("trail_boss")
-                if boss in hosts and boss != hosts[at]:
-                    at = hosts.index(boss)
+                leader = json.loads(response.body).get("trail_boss")
+                if leader in hosts and leader != hosts[target]:
+                    target = hosts.index(leader)
                     continue
-                at = (at + 1) % len(hosts)
+                target = (target + 1) % len(hosts)
                 await self.loop.sleep(SECOND)
                 continue
             else:
-                at = (at + 1) % len(hosts)
+                target = (target + 1) % len(hosts)
                 await self.loop.sleep(SECOND)
                 continue
             await self.loop.sleep(SECOND / 2)
             await self.loop.first(self.changed, pause - SECOND / 2)
 
     async def _serve(self, request: Request) -> Response:
-        await self._awake()
+        await self._wait_while_unresponsive()
         if self.unreachable:
             await self.loop.sleep(3600 * SECOND)
         if request.path == "/status":
@@ -156,15 +167,16 @@
         if body["crook"] < self.fencing_token or body["ride"] != self.incarnation:
             return reply(409, self.heartbeat())
         self.fencing_token = body["crook"]
-        for one in body["calls"]:
-            if one["call"] == "start":
-                self.site.rules.report_violation("start_in_do", f"{one['head']} on {self.name}")
+        for call in body["calls"]:
+            if call["call"] == "start":
+                self.site.rules.report_violation("start_in_do", f"{call['head']} on {self.name}")
         self.execute(body["calls"])
         return reply(200, self.heartbeat())
 
     # -- tasks
 
     def execute(self, calls: list[dict]) -> None:
+        """Carry out commands; those for other attempts of a task are ignored."""
         for call in calls:
             ref, _, index = call["head"].rpartition("/")
             task = self.tasks.get(call["head"])
@@ -177,15 +189,15 @@
                 elif call["call"] == "halt":
                     self._halt(task, call.get("settle_s", 0.0))
 
-    def _start(self, ref: str, index: int, attempt: int, known: Task | None) -> None:
+    def _start(self, ref: str, index: int, attempt: int, previous: Task | None) -> None:
         name = f"{ref}/{index}"
-        if known is not None and known.attempt == attempt:
+        if previous is not None and previous.attempt == attempt:
             return
         job = self.site.jobs.get(ref)
         now = self.loop.now()
         task = Task(ref, index, attempt, "fetching", now)
-        if known is not None and known.state != "exited":
-            return  # in use; a second entry under one name can't be shown, and never occurs here
+        if previous is not None and previous.state != "exited":
+            return  # a heartbeat can't hold two attempts of one task; controllers don't start a second one
         self.tasks[name] = task
         if job is None:
             task.state, task.cause = "exited", "no_such"
@@ -193,11 +205,12 @@
             task.state, task.cause = "exited", "no_room"
         else:
             self.site.rules.started(self, task)
-            fetch = 0.0 if job["brand"] in self.images else job["image_gb"] / self.machine_type.fetch
+            fetch = 0.0 if job["brand"] in self.images else job["image_gb"] / self.machine_type.fetch_gb_per_s
             task.state_ends_at = now + fetch * SECOND
         self.changed.set()
 
     def _fits(self, job: dict) -> bool:
+        """Return whether a task of the job fits beside the tasks that occupy the machine."""
         cpus, memory = job["cpus"], job["ram_gb"]
         for task in self.tasks.values():
             other = self.site.jobs.get(task.ref)
@@ -207,6 +220,7 @@
         return cpus <= self.machine_type.cpus + 1e-6 and memory <= self.machine_type.memory_gb + 1e-6
 
     def _halt(self, task: Task, grace: float) -> None:
+        """Stop a task. It saves a checkpoint first if it can do so within `grace` seconds."""
         if task.state == "exited":
             return
         job = self.site.jobs[task.ref]
@@ -222,6 +236,7 @@
         self.changed.set()
 
     async def _tick(self) -> None:
+        """Update the tasks periodically. When the lease expires, discard all tasks and begin a new incarnation."""
         while True:
             await self.loop.sleep(self.site.tick)
             now = self.loop.now()
@@ -240,6 +255,7 @@
                 self._advance(task, now)
 
     def _advance(self, task: Task, now: timedelta) -> None:
+        """Move a task to its next state if it is time."""
         if task.state == "exited":
             return
         job = self.site.jobs[task.ref]
@@ -252,49 +268,52 @@
             else:
                 task.state, task.state_since, task.state_ends_at = "waiting", now, None
         if task.state == "waiting":
-            mates = self.site.gang_members(task)
+            members = self.site.gang_members(task)
             if job["gait"] == "array" or (
-                len(mates) == job["heads"] and all(one.state in ("waiting", "running") for one in mates)
+                len(members) == job["heads"] and all(member.state in ("waiting", "running") for member in members)
             ):
-                for one in mates if job["gait"] == "group" else [task]:
-                    one.state, one.state_since = "running", now
-                    one.state_ends_at = now + self.site.run_time(task.ref) * SECOND
+                for starting in members if job["gait"] == "group" else [task]:
+                    starting.state, starting.state_since = "running", now
+                    starting.state_ends_at = now + self.site.run_time(task.ref) * SECOND
                 self.changed.set()
             elif now - task.state_since > GANG_WAIT:
                 self._exit(task, "alone")
         elif task.state == "running":
-            self._run_on(task, job, now)
+            self._advance_running(task, job, now)
         elif task.state == "flushing" and task.state_ends_at is not None and now >= task.state_ends_at:
             self._exit(task, "stopped", kept=True)
 
-    def _run_on(self, task: Task, job: dict, now: timedelta) -> None:
+    def _advance_running(self, task: Task, job: dict, now: timedelta) -> None:
         if job["gait"] == "group" and len(self.site.gang_members(task)) < job["heads"] and not self.site.all_done(task):
             self._exit(task, "mates_gone")
         elif task.state_ends_at is not None and now >= task.state_ends_at:
-            # A gang completes together: when one task is done, all are.
-            whole = range(job["heads"]) if job["gait"] == "group" else (task.index,)
-            self.site.finished.update(f"{task.ref}/{index}" for index in whole)
+            # The tasks of a gang complete together: when one is done, all are.
+            completed = range(job["heads"]) if job["gait"] == "group" else (task.index,)
+            self.site.finished.update(f"{task.ref}/{index}" for index in completed)
             self._exit(task, "done")
 
 
 class RuleChecker:
-    """Watches for broken rules, from outside the controllers."""
+    """Checks safety rules against what the machines and users really do, and records violations.
+
+    It uses no state of the controllers.
+    """
 
     def __init__(self, site: "Site") -> None:
         self.site = site
-        self.broken: list[str] = []
-        self.worker_by_task: dict[str, Worker] = {}  # task -> the machine it is on
+        self.broken: list[str] = []  # the violations: time, rule, text
+        self.worker_by_task: dict[str, Worker] = {}  # running tasks
         self.start_count = 0
-        self.starts_after_cancellation: list[
-            str
-        ] = []  # tasks of jobs whose cancellation had been asked for, and was then confirmed
-        self.events: list[tuple[str, float, str]] = []  # machine, time, what
+        # Tasks that started after a user had been told that their job is cancelled.
+        self.starts_after_cancellation: list[str] = []
+        self.events: list[tuple[str, float, str]] = []  # machine, time in seconds, "start" or "end"
         self.history = History()
 
     def report_violation(self, rule: str, text: str) -> None:
         self.broken.append(f"{self.site.loop.now() / SECOND:.2f} {rule}: {text}")
 
     def started(self, worker: Worker, task: Task) -> None:
+        """Record the start of a task and check it against all rules."""
         self.start_count += 1
         self.history.started(task.name, worker.name, task.attempt, self.site.loop.now())
         self.events.append((worker.name, self.site.loop.now() / SECOND, "start"))
@@ -307,12 +326,12 @@
             self.report_violation("wrong_place", f"{task.name} on type {worker.machine_type.name}")
         if job["pasture"] not in (None, worker.zone) or (worker.spot and not job["strays"]):
             self.report_violation("wrong_place", f"{task.name} in {worker.zone}")
-        zones = [one.zone for name, one in self.worker_by_task.items() if name.rpartition("/")[0] == task.ref]
+        zones = [other.zone for name, other in self.worker_by_task.items() if name.rpartition("/")[0] == task.ref]
         if job["together"] and len(set(zones)) > 1:
             self.report_violation("wrong_place", f"{task.ref} in {set(zones)}")
         if job["spread"] and zones.count(worker.zone) > (job["heads"] + 1) // 2:
             self.report_violation("wrong_place", f"{task.ref} not spread")
-        if not all(self.site.is_done(one) for one in job.get("follows") or ()):
+        if not all(self.site.is_done(upstream) for upstream in job.get("follows") or ()):
             self.report_violation("too_early", task.name)
         team = job["crew"]
         used = sum(
@@ -327,25 +346,27 @@
         self.check_cancellation(task)
 
     def check_cancellation(self, task: Task) -> None:
-        told = self.site.cancelled.get(task.ref)
-        if told is not None and self.site.loop.now() - told > self.site.cancel_limit:
+        """Report a task that runs although its job was cancelled longer ago than the cancellation limit."""
+        cancelled_at = self.site.cancelled.get(task.ref)
+        if cancelled_at is not None and self.site.loop.now() - cancelled_at > self.site.cancel_limit:
             self.report_violation("ran_cancelled", task.name)
 
     def ended(self, worker: Worker, task: Task) -> None:
+        """Record that a machine no longer runs a task."""
         self.history.ended(task.name, worker.name, self.site.loop.now(), task.cause, task.kept)
         if self.worker_by_task.get(task.name) is worker:
             self.events.append((worker.name, self.site.loop.now() / SECOND, "end"))
             del self.worker_by_task[task.name]
 
     def check_cancellations(self) -> None:
-        """Called now and then: tasks that outlive their job's cancellation."""
+        """Check the running tasks' cancellations. It is called twice a second."""
         for name in self.worker_by_task:
             ref, _, index = name.rpartition("/")
             self.check_cancellation(Task(ref, int(index), 0, "", timedelta(0)))
 
 
 class Site:
-    """Workers, cloud and jobs as they really are."""
+    """The true state of the workers, the cloud and the jobs, as opposed to what controllers know."""
 
     def __init__(
         self,
@@ -355,63 +376,68 @@
         zones: list[str],
         limits: dict[str, float],
         capacity: int,
-        cancel: timedelta,
+        cancel_limit: timedelta,
     ) -> None:
         self.world, self.loop = world, world.loop
-        self.hosts, self.zones, self.limits, self.cancel_limit = hosts, zones, limits, cancel
+        self.hosts, self.zones, self.limits, self.cancel_limit = hosts, zones, limits, cancel_limit
         self.failing: set[str] = set()  # jobs that fail on every machine
         self.machine_types = {machine_type.name: machine_type for machine_type in machine_types}
-        self.capacity = capacity  # ordinary machines of a type in a zone; of spot machines there is one
-        self.jobs: dict[str, dict] = {}
-        self.finished: set[str] = set()
-        self.cancelled: dict[str, timedelta] = {}
+        self.capacity = capacity  # machines of a type that a zone offers; of spot machines it offers one
+        self.jobs: dict[str, dict] = {}  # as submitted
+        self.finished: set[str] = set()  # tasks that completed
+        self.cancelled: dict[str, timedelta] = {}  # job -> when the request that cancelled it was sent
         self.workers: dict[str, Worker] = {}
-        self.booting: dict[str, tuple[MachineType, str, bool]] = {}
+        self.booting: dict[
+            str, tuple[MachineType, str, bool]
+        ] = {}  # machine -> type, zone, whether it is a spot machine
         self.rental_requested_at: dict[str, timedelta] = {}
-        self.machines_by_rental: dict[str, list[str]] = {}
+        self.machines_by_rental: dict[str, list[str]] = {}  # by the id of the request
         self.rules = RuleChecker(self)
         self.group = TaskGroup(self.loop, "site")
         self.cloud_down = False
-        self.sent_heartbeats: deque[tuple[str, bytes]] = deque(maxlen=4000)  # heartbeats as they were sent
-        self.lose_rental_answers = 0
-        self.machines_that_never_boot = 0
-        self.boot_factor = 1.0
+        self.sent_heartbeats: deque[tuple[str, bytes]] = deque(maxlen=4000)  # machine and body
+        self.lose_rental_answers = 0  # this many rentals are carried out, but their responses are lost
+        self.machines_that_never_boot = 0  # this many of the next rented machines never boot
+        self.boot_factor = 1.0  # multiplies the time that machines take to boot
         self.list_calls = 0
-        self.killed_by_lease: list[timedelta] = []  # when a task was killed as its machine got no answer for too long
-        self.tick = timedelta(milliseconds=100)  # how often a worker looks at its tasks and its lease
+        self.killed_by_lease: list[timedelta] = []  # times of task kills because a machine's lease expired
+        self.tick = timedelta(milliseconds=100)  # how often a worker updates its tasks and checks its lease
         self._counter = 0
         server = Server(self.loop, self.group, self._cloud, 100)
         self.group.spawn(server.serve(world.network("cloud").listen("cloud:8443")), "cloud")
 
     def is_done(self, ref: str) -> bool:
+        """Return whether all tasks of a job have completed."""
         return all(f"{ref}/{index}" in self.finished for index in range(self.jobs[ref]["heads"]))
 
     def cancelled_at(self, ref: str) -> timedelta | None:
-        """When the user was told first that the job, or one that it needs, is cancelled."""
-        found, seen, times = [ref], {ref}, []
-        while found:
-            one = found.pop()
-            if one in self.cancelled:
-                times.append(self.cancelled[one])
-            for before in self.jobs.get(one, {}).get("follows") or ():
-                if before not in seen:
-                    seen.add(before)
-                    found.append(before)
+        """Return when the job, or one that it depends on, was first cancelled, or None."""
+        stack, seen, times = [ref], {ref}, []
+        while stack:
+            current = stack.pop()
+            if current in self.cancelled:
+                times.append(self.cancelled[current])
+            for upstream in self.jobs.get(current, {}).get("follows") or ():
+                if upstream not in seen:
+                    seen.add(upstream)
+                    stack.append(upstream)
         return min(times, default=None)
 
     def run_time(self, ref: str) -> float:
         return self.jobs[ref]["trek_s"]
 
     def gang_members(self, task: Task) -> list[Task]:
+        """Return the tasks of the same gang and attempt that have not exited, on machines that respond."""
         return [
-            one
+            member
             for worker in self.workers.values()
             if not worker.unresponsive
-            for one in worker.tasks.values()
-            if one.ref == task.ref and one.attempt == task.attempt and one.state != "exited"
+            for member in worker.tasks.values()
+            if member.ref == task.ref and member.attempt == task.attempt and member.state != "exited"
         ]
 
     def all_done(self, task: Task) -> bool:
+        """Return whether the task's gang has completed, which it does as a whole."""
         job = self.jobs[task.ref]
         return any(f"{task.ref}/{index}" in self.finished for index in range(job["heads"]))
 
@@ -424,6 +450,7 @@
         return worker
 
     def remove_worker(self, name: str) -> None:
+        """Delete a machine, whether it boots or runs, with all its tasks."""
         self.booting.pop(name, None)
         worker = self.workers.pop(name, None)
         if worker is not None:
@@ -434,7 +461,7 @@
             self.world.crash(name)
 
     async def _boot(self, name: str) -> None:
-        await self.loop.sleep(self.booting[name][0].boot * self.boot_factor)
+        await self.loop.sleep(self.booting[name][0].startup_time * self.boot_factor)
         if name in self.booting:
             machine_type, zone, spot = self.booting.pop(name)
             self.add_worker(machine_type.name, zone, spot, name)
@@ -451,10 +478,10 @@
                     "accelerators": 0,
                     "ram_gb": machine_type.memory_gb,
                     "local_gb": 40,
-                    "fetch_gb_per_s": machine_type.fetch,
+                    "fetch_gb_per_s": machine_type.fetch_gb_per_s,
                     "price": 1.0,
                     "low_price": 0.3,
-                    "startup_s": machine_type.boot / SECOND,
+                    "startup_s": machine_type.startup_time / SECOND,
                     "pastures": self.zones,
                 }
                 for machine_type in self.machine_types.values()
@@ -485,20 +512,24 @@
         return reply(200, {"mounts": page, "more": len(page) < len(rows)})
 
     def _all(self) -> dict[str, tuple[MachineType, str, bool, str]]:
-        up = {name: (one.machine_type, one.zone, one.spot, "running") for name, one in self.workers.items()}
-        return up | {name: (*one, "booting") for name, one in self.booting.items()}
+        """Return type, zone, spot and condition of all machines."""
+        running = {
+            name: (worker.machine_type, worker.zone, worker.spot, "running") for name, worker in self.workers.items()
+        }
+        return running | {name: (*machine, "booting") for name, machine in self.booting.items()}
 
     async def _scale_out(self, body: dict) -> Response:
+        """Rent machines; a repeated request returns the machines of the first one."""
         if body["hire"] not in self.machines_by_rental:
-            wanted = (body["breed"], body["pasture"], body["strays"])
+            requested = (body["breed"], body["pasture"], body["strays"])
             taken = sum(
-                (machine_type.name, zone, spot) == wanted for machine_type, zone, spot, _ in self._all().values()
+                (machine_type.name, zone, spot) == requested for machine_type, zone, spot, _ in self._all().values()
             )
-            room = max(0, (1 if body["strays"] else self.capacity) - taken)
-            if room == 0:
+            available = max(0, (1 if body["strays"] else self.capacity) - taken)
+            if available == 0:
                 return reply(503, {"error": "no capacity"})
             names = []
-            for _ in range(min(room, body["number"])):
+            for _ in range(min(available, body["number"])):
                 self._counter += 1
                 name = f"host-{self._counter:06d}"
                 self.booting[name] = (self.machine_types[body["breed"]], body["pasture"], body["strays"])
