--- a/tests/standins/cuts.py
+++ b/tests/standins/cuts.py
@@ -18,17 +18,17 @@
     """What a `CutWatch` measured while links were cut."""
 
     shard_seconds_without_leader: float = 0.0
-    hand_overs: int = 0  # leadership transfers to a named successor
-    claims: int = 0  # elections won without such a transfer
+    hand_overs: int = 0  # leadership transfers: the previous leader wrote its successor into the store
+    claims: int = 0  # elections: a controller wrote itself into the store as the leader of a shard
     killed_by_lease: list[float] = field(default_factory=list)  # times of task kills, in seconds after the watch began
-    users_503: int = 0  # requests of users that were answered 503
-    users_asked: int = 0  # requests of users in all
+    users_503: int = 0  # requests of the watch's user that were answered 503
+    users_asked: int = 0  # all requests of the watch's user
     relayed: int = 0  # heartbeats that one controller relayed to another
     modes: dict[str, list[str]] = field(default_factory=dict)  # host -> the controller's modes, in order
 
 
 class CutWatch:
-    """Measures a simulated run from its start until `end`: writes to the store, killed tasks, 503 answers, modes."""
+    """Takes the measurements of `CutCounts` in a simulated run, from the creation of the watch until `end`."""
 
     SAMPLE_PERIOD = SECOND / 4
 
--- a/tests/standins/day.py
+++ b/tests/standins/day.py
@@ -229,7 +229,7 @@
             self.loop.later(after, lambda: self.start(host))
 
     def upgrade(self, host: str, after: timedelta = SECOND) -> None:
-        """Kill the process of a controller of the version in production, and start the new version after a while."""
+        """Kill a controller's process and start one of these sources after a while, in place of the version in production."""
         self.production_hosts.discard(host)
         self.restart(host, after)
 
