--- a/tests/standins/proxies.py
+++ b/tests/standins/proxies.py
@@ -1,4 +1,4 @@
-"""Proxies on loopback: one for each link, of which each direction can be dropped, delayed or refused by itself."""
+"""TCP proxies on the loopback interface, one for each link, which drop, delay or refuse packets of each direction."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -13,17 +13,17 @@
     """What happens to the packets of one direction of a link."""
 
     PASS = "pass"
-    DROP = "drop"  # held until the fault is over: nobody is told, as behind a packet filter
+    DROP = "drop"  # packets are held until the fault ends, without an error, as with a packet filter and retransmission
     DELAY = "delay"
     REFUSE = "refuse"  # connections are reset, and new ones refused
 
 
 @dataclass
 class Direction:
-    """One direction of a link."""
+    """The current fault of one direction of a link."""
 
     fault: Fault = Fault.PASS
-    delay: timedelta = timedelta(0)
+    delay: timedelta = timedelta(0)  # for Fault.DELAY
     changed: Future = field(default_factory=Future)
 
     def set(self, fault: Fault, delay: timedelta = timedelta(0)) -> None:
@@ -33,18 +33,22 @@
 
 
 class LinkProxy:
-    """The link from one host to one address. Packets pass through it in both directions."""
+    """Forwards connections from one host to a port, with a fault for each direction.
+
+    `outbound` are packets from the host that connects, `inbound` are packets to it.
+    """
 
     def __init__(self, loop: Loop, network: TcpNetwork, target: int) -> None:
         self._loop, self._network, self._target = loop, network, target
-        self.there, self.back = Direction(), Direction()
+        self.outbound, self.inbound = Direction(), Direction()
         self.listener: TcpListener = network.listen("127.0.0.1:0")
         self.port: int = self.listener._sock.getsockname()[1]
         self._streams: list[TcpStream] = []
         self._task = loop.spawn(self._accept(), "proxy")
 
     def refusing(self) -> bool:
-        return Fault.REFUSE in (self.there.fault, self.back.fault)
+        """Return whether new connections are refused."""
+        return Fault.REFUSE in (self.outbound.fault, self.inbound.fault)
 
     def close(self) -> None:
         self._task.cancel()
@@ -64,28 +68,28 @@
             self._loop.spawn(self._connect(near), "proxy-connect")
 
     async def _connect(self, near: TcpStream) -> None:
-        await self._passable(self.there)
-        await self._passable(self.back)
+        await self._wait_until_passable(self.outbound)
+        await self._wait_until_passable(self.inbound)
         try:
             far = await self._network.connect(f"127.0.0.1:{self._target}", timedelta(seconds=1))
         except OSError:
             near.close()
             return
         self._streams.append(far)
-        self._loop.spawn(self._carry(near, far, self.there), "proxy-there")
-        self._loop.spawn(self._carry(far, near, self.back), "proxy-back")
+        self._loop.spawn(self._forward(near, far, self.outbound), "proxy-there")
+        self._loop.spawn(self._forward(far, near, self.inbound), "proxy-back")
 
     @staticmethod
-    async def _passable(direction: Direction) -> None:
+    async def _wait_until_passable(direction: Direction) -> None:
         while direction.fault is Fault.DROP:
             await direction.changed
 
-    async def _carry(self, source: Stream, target: Stream, direction: Direction) -> None:
+    async def _forward(self, source: Stream, target: Stream, direction: Direction) -> None:
         try:
             while data := await source.read():
                 if direction.fault is Fault.DELAY:
                     await self._loop.sleep(direction.delay)
-                await self._passable(direction)
+                await self._wait_until_passable(direction)
                 await target.write(data)
         except (OSError, ValueError):
             pass
@@ -99,28 +103,29 @@
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed)
-        self.proxies: dict[tuple[str, str], LinkProxy] = {}  # by the host that connects and the host it connects to
+        self.proxies: dict[tuple[str, str], LinkProxy] = {}  # by connecting and accepting host
 
     def network(self, host: str) -> "ProxiedNetwork":
         return ProxiedNetwork(self, host)
 
     def proxy(self, source: str, address: str) -> LinkProxy:
+        """Return the proxy from a host to an address, and create it if needed."""
         key = (source, address.partition(":")[0])
         proxy = self.proxies.get(key)
         if proxy is None or proxy._target != self.ports[address]:
-            faults = (proxy.there, proxy.back) if proxy is not None else None
+            faults = (proxy.outbound, proxy.inbound) if proxy is not None else None
             if proxy is not None:
-                proxy.close()  # its host has been started again
+                proxy.close()  # the accepting host was restarted and listens on another port
             proxy = self.proxies[key] = LinkProxy(self.loop, TcpNetwork(self.loop, self.poller), self.ports[address])
             if faults is not None:
-                proxy.there, proxy.back = faults
+                proxy.outbound, proxy.inbound = faults
         return proxy
 
     def set(self, source: str, target: str, fault: Fault, delay: timedelta = timedelta(0)) -> None:
-        """What `source` sends to `target` meets a fault, whichever of the two opened the connection."""
+        """Set the fault for packets from `source` to `target`, whichever of the two opened the connection."""
         for (opener, accepter), proxy in self.proxies.items():
             if (opener, accepter) in ((source, target), (target, source)):
-                (proxy.there if opener == source else proxy.back).set(fault, delay)
+                (proxy.outbound if opener == source else proxy.inbound).set(fault, delay)
                 if fault is Fault.REFUSE:
                     proxy.reset()
 
@@ -131,7 +136,7 @@
 
 
 class ProxiedNetwork(LoopbackNetwork):
-    """The network as one host sees it: all its connections go through proxies."""
+    """The network interface of one host. All its connections go through proxies."""
 
     def __init__(self, world: ProxiedWorld, host: str) -> None:
         super().__init__(world)
@@ -139,7 +144,7 @@
 
     async def connect(self, address: str, limit: timedelta) -> TcpStream:
         if address not in self._proxied.ports:
-            raise ConnectionRefusedError("nobody listens there")
+            raise ConnectionRefusedError("no listener at this address")
         proxy = self._proxied.proxy(self._host, address)
         if proxy.refusing():
             raise ConnectionRefusedError("refused by the proxy")
@@ -147,7 +152,7 @@
 
 
 class ProxiedDay(LoopbackDay):
-    """A day on real sockets in real time, with a proxy on every link."""
+    """A run of a whole cluster on real sockets in real time, with a proxy on every link."""
 
     def _make_world(self, seed: int) -> None:
         self.world = ProxiedWorld(seed)
--- a/tests/standins/waiting.py
+++ b/tests/standins/waiting.py
@@ -1,4 +1,4 @@
-"""Watches, from outside, for jobs that are left waiting although they could run."""
+"""Detects jobs that keep waiting although the cluster has room for them."""
 
 from __future__ import annotations
 
@@ -10,71 +10,82 @@
     from tests.standins.workers import Worker
 
 SECOND = timedelta(seconds=1)
-LONGEST = 90 * SECOND
+MAX_WAIT = 90 * SECOND
 
 
 class StarvationWatch:
+    """Reports jobs of which no task runs for MAX_WAIT although one could, judged by the state of the machines."""
+
     def __init__(self, day: Day) -> None:
         self.day = day
-        self._since: dict[str, timedelta] = {}  # job -> since when it waits although it could run
-        self._on = False
+        self._waiting_since: dict[str, timedelta] = {}  # job -> the time since which it waits although it could run
+        self._enabled = False
 
     def begin(self) -> None:
-        """From now on all troubles are over."""
-        self._since.clear()
-        self._on = True
+        """Start the checks. Call it when all faults have been healed."""
+        self._waiting_since.clear()
+        self._enabled = True
 
-    def look(self) -> None:
-        """Called now and then."""
-        if not self._on:
+    def check(self) -> None:
+        """Check all accepted jobs. It is called twice a second."""
+        if not self._enabled:
             return
         day, now = self.day, self.day.loop.now()
-        running = {name.rpartition("/")[0] for name in day.rules.on}
+        running = {name.rpartition("/")[0] for name in day.rules.worker_by_task}
         for ref in day.accepted:
-            over = day.told.get(ref) in ("done", "withdrawn") or day.site.called_off(ref)
+            ended = day.last_conditions.get(ref) in ("done", "withdrawn") or day.site.cancelled_at(ref)
             finished = f"{ref}/{day.site.jobs[ref]['heads'] - 1}" in day.site.finished
-            if over or finished or ref in running or ref in day.site.failing or not self._could_run(ref):
-                self._since.pop(ref, None)
-            elif now - self._since.setdefault(ref, now) > LONGEST:
-                day.rules.breach("left_waiting", ref)
-                self._since[ref] = now
+            if ended or finished or ref in running or ref in day.site.failing or not self._could_run(ref):
+                self._waiting_since.pop(ref, None)
+            elif now - self._waiting_since.setdefault(ref, now) > MAX_WAIT:
+                day.rules.report_violation("left_waiting", ref)
+                self._waiting_since[ref] = now
 
     def _could_run(self, ref: str) -> bool:
-        """Whether machines with room fit the job (a gang: all of it at once) and its team is under its limit."""
+        """Return whether a task of the job (all tasks of a gang) fits on machines now, within its team's limit."""
         job = self.day.site.jobs[ref]
-        if not all(self.day.site.is_done(one) for one in job.get("follows") or ()):
+        if not all(self.day.site.is_done(upstream) for upstream in job.get("follows") or ()):
             return False
         gang = job["gait"] == "group"
         needed = job["heads"] if gang else 1
         limit = self.day.site.limits[job["crew"]]
         if limit and self._used(job["crew"]) + needed * job["cpus"] > limit + 1e-6:
             return False
-        rooms: dict[str, int] = {}
+        fitting_by_zone: dict[str, int] = {}
         for worker in self.day.site.workers.values():
-            rooms[worker.zone] = rooms.get(worker.zone, 0) + self._room(worker, job)
+            fitting_by_zone[worker.zone] = fitting_by_zone.get(worker.zone, 0) + self._count_fitting_tasks(worker, job)
         if not gang:
-            return any(rooms.values())
+            return any(fitting_by_zone.values())
         if job["spread"]:
-            rooms = {zone: min(room, (needed + 1) // 2) for zone, room in rooms.items()}
-        return (max(rooms.values(), default=0) if job["together"] else sum(rooms.values())) >= needed
+            fitting_by_zone = {zone: min(fitting, (needed + 1) // 2) for zone, fitting in fitting_by_zone.items()}
+        return (
+            max(fitting_by_zone.values(), default=0) if job["together"] else sum(fitting_by_zone.values())
+        ) >= needed
 
     def _used(self, team: str) -> float:
+        """Return the CPUs that a team's tasks occupy."""
         jobs = self.day.site.jobs
         return sum(
             jobs[name.rpartition("/")[0]]["cpus"]
-            for name in self.day.rules.on
+            for name in self.day.rules.worker_by_task
             if jobs[name.rpartition("/")[0]]["crew"] == team
         )
 
-    def _room(self, worker: Worker, job: dict) -> int:
-        """How many of a job's tasks a machine that is well has room for."""
-        if worker.hung or worker.unreachable or worker.mute or worker.sick or worker.notice_at is not None:
+    def _count_fitting_tasks(self, worker: Worker, job: dict) -> int:
+        """Return how many tasks of a job fit on a machine; 0 if the machine has a fault or is about to be preempted."""
+        if (
+            worker.unresponsive
+            or worker.unreachable
+            or worker.heartbeats_blocked
+            or worker.fails_tasks
+            or worker.notice_at is not None
+        ):
             return 0
-        if job["breeds"] is not None and worker.kind.name not in job["breeds"]:
+        if job["breeds"] is not None and worker.machine_type.name not in job["breeds"]:
             return 0
         if job["pasture"] not in (None, worker.zone) or (worker.spot and not job["strays"]):
             return 0
-        cpus, memory = worker.kind.cpus, worker.kind.memory_gb
+        cpus, memory = worker.machine_type.cpus, worker.machine_type.memory_gb
         for task in worker.tasks.values():
             if task.state != "exited":
                 other = self.day.site.jobs[task.ref]
--- a/tests/standins/workers.py
+++ b/tests/standins/workers.py
@@ -1,4 +1,7 @@
-"""Stand-ins for workers: leases, incarnations, tokens, images, tasks, gangs; and the cloud that rents them."""
+"""Simulated workers (leases, incarnations, fencing tokens, images, tasks, gangs) and the cloud that rents machines.
+
+The names of the messages' fields are those of the workers' and the cloud's protocols.
+"""
 
 import json
 from collections import deque
@@ -12,19 +15,22 @@
 from tests.standins.net import World
 
 SECOND = timedelta(seconds=1)
+# Heartbeat period, lease of a machine, how long a gang task waits for the others, and `gang_peer_s` of the settings.
 HEARTBEAT, LEASE, GANG_WAIT, GANG_PEER = SECOND, 11 * SECOND, 45 * SECOND, 4 * SECOND
 
 
 @dataclass
 class Task:
-    ref: str
+    """One attempt of a task on a machine."""
+
+    ref: str  # the job
     index: int
     attempt: int
-    state: str
-    since: timedelta
-    cause: str | None = None
-    kept: bool = False
-    until: timedelta | None = None
+    state: str  # as in heartbeats
+    state_since: timedelta
+    cause: str | None = None  # of its exit
+    kept: bool = False  # it saved a checkpoint before it was stopped
+    state_ends_at: timedelta | None = None  # end of the image fetch, of the run or of the saving of a checkpoint
 
     @property
     def name(self) -> str:
@@ -32,59 +38,64 @@
 
 
 @dataclass
-class Kind:
+class MachineType:
+    """A machine type that the cloud offers."""
+
     name: str
     cpus: float
     memory_gb: float
-    fetch: float = 1.0
-    boot: timedelta = 5 * SECOND
+    fetch_gb_per_s: float = 1.0
+    startup_time: timedelta = 5 * SECOND
 
 
 @dataclass
 class Worker:
+    """One machine: sends heartbeats, carries out commands and runs tasks. Tests set its faults."""
+
     site: "Site"
     name: str
-    kind: Kind
+    machine_type: MachineType
     zone: str
     spot: bool
     group: TaskGroup
     incarnation: int = 1
-    tally: int = 0
+    tally: int = 0  # sequence number of its heartbeats
     fencing_token: int = 0
     tasks: dict[str, Task] = field(default_factory=dict)
     images: set[str] = field(default_factory=set)
-    sick: bool = False
-    hung: bool = False
-    unreachable: bool = False  # its heartbeats go out, but neither answers nor commands reach it
-    mute: bool = False  # it reaches no controller, but commands reach it
-    notice_at: timedelta | None = None
+    fails_tasks: bool = False  # tasks end with an error
+    unresponsive: bool = False  # it sends and answers nothing and runs no task; its lease still expires
+    unreachable: bool = False  # its heartbeats arrive, but neither responses nor commands reach it
+    heartbeats_blocked: bool = False  # it can't send heartbeats, but commands reach it
+    notice_at: timedelta | None = None  # after a preemption notice: when the cloud will take the machine
 
     def __post_init__(self) -> None:
         self.loop = self.site.loop
         self.address = f"{self.name}:9000"
-        self.leased = self.loop.now()  # when the last answered report had been sent
-        self.changed = Future()
+        self.lease_renewed_at = self.loop.now()  # when the last heartbeat that was answered was sent
+        self.changed = Future()  # is set when the next heartbeat should be sent early
         network = self.site.world.network(self.name)
         self.clients = {host: Client(self.loop, network, f"{host}:8080", connect=SECOND) for host in self.site.hosts}
         self.group.spawn(Server(self.loop, self.group, self._serve, 50).serve(network.listen(self.address)), "direct")
-        self.group.spawn(self._heartbeat_duty(), "report")
+        self.group.spawn(self._send_heartbeats(), "report")
         self.group.spawn(self._tick(), "tick")
 
     # -- heartbeats
 
     def heartbeat(self) -> dict:
+        """Return the next heartbeat's body; it raises the sequence number."""
         self.tally += 1
         notice = None if self.notice_at is None else (self.notice_at - self.loop.now()) / SECOND
         heads = []
         for task in self.tasks.values():
-            one = {"head": task.name, "try": task.attempt, "condition": task.state}
+            status = {"head": task.name, "try": task.attempt, "condition": task.state}
             if task.cause:
-                one |= {"cause": task.cause, "kept": task.kept}
-            heads.append(one)
+                status |= {"cause": task.cause, "kept": task.kept}
+            heads.append(status)
         return {
             "mount": self.name,
             "address": self.address,
-            "breed": self.kind.name,
+            "breed": self.machine_type.name,
             "pasture": self.zone,
             "strays": self.spot,
             "ride": self.incarnation,
@@ -94,58 +105,58 @@
             "heads": heads,
         }
 
-    async def _awake(self) -> None:
-        while self.hung:
+    async def _wait_while_unresponsive(self) -> None:
+        while self.unresponsive:
             await self.loop.sleep(timedelta(milliseconds=200))
 
-    async def _heartbeat_duty(self) -> None:
+    async def _send_heartbeats(self) -> None:
         hosts = self.site.hosts
-        at = self.site.world.random.randrange(len(hosts))
+        target = self.site.world.random.randrange(len(hosts))  # index of the controller that gets the heartbeats
         while True:
-            await self._awake()
+            await self._wait_while_unresponsive()
             pause = HEARTBEAT * self.site.world.random.uniform(0.75, 1.25)
             sent, incarnation = self.loop.now(), self.incarnation
             body = json.dumps(self.heartbeat()).encode()
             self.changed = Future()
-            if self.mute:
-                at = (at + 1) % len(hosts)
+            if self.heartbeats_blocked:
+                target = (target + 1) % len(hosts)
                 await self.loop.sleep(SECOND)
                 continue
             try:
-                response = await self.clients[hosts[at]].request("POST", "/checkin", body, 4 * SECOND)
+                response = await self.clients[hosts[target]].request("POST", "/checkin", body, 4 * SECOND)
             except NoAnswerError:
                 response = None
-            self.site.copies.append((self.name, body))
+            self.site.sent_heartbeats.append((self.name, body))
             if self.unreachable:
                 response = None
-            await self._awake()
+            await self._wait_while_unresponsive()
             late = self.loop.now() - sent > 4 * SECOND
             if response is not None and not late and response.status == 200:
                 message = json.loads(response.body)
                 if message["crook"] >= self.fencing_token and incarnation == self.incarnation:
-                    fresh = message["crook"] > self.fencing_token
+                    token_raised = message["crook"] > self.fencing_token
                     self.fencing_token = message["crook"]
-                    self.leased = sent
+                    self.lease_renewed_at = sent
                     self.execute(message["calls"])
-                    if fresh:
+                    if token_raised:
                         self.changed.set()
             elif response is not None and not late and response.status == 421:
-                boss = json.loads(response.body).get("trail_boss")
-                if boss in hosts and boss != hosts[at]:
-                    at = hosts.index(boss)
+                leader = json.loads(response.body).get("trail_boss")
+                if leader in hosts and leader != hosts[target]:
+                    target = hosts.index(leader)
                     continue
-                at = (at + 1) % len(hosts)
+                target = (target + 1) % len(hosts)
                 await self.loop.sleep(SECOND)
                 continue
             else:
-                at = (at + 1) % len(hosts)
+                target = (target + 1) % len(hosts)
                 await self.loop.sleep(SECOND)
                 continue
             await self.loop.sleep(SECOND / 2)
             await self.loop.first(self.changed, pause - SECOND / 2)
 
     async def _serve(self, request: Request) -> Response:
-        await self._awake()
+        await self._wait_while_unresponsive()
         if self.unreachable:
             await self.loop.sleep(3600 * SECOND)
         if request.path == "/status":
@@ -156,15 +167,16 @@
         if body["crook"] < self.fencing_token or body["ride"] != self.incarnation:
             return reply(409, self.heartbeat())
         self.fencing_token = body["crook"]
-        for one in body["calls"]:
-            if one["call"] == "start":
-                self.site.rules.breach("start_in_do", f"{one['head']} on {self.name}")
+        for call in body["calls"]:
+            if call["call"] == "start":
+                self.site.rules.report_violation("start_in_do", f"{call['head']} on {self.name}")
         self.execute(body["calls"])
         return reply(200, self.heartbeat())
 
     # -- tasks
 
     def execute(self, calls: list[dict]) -> None:
+        """Carry out commands; those for other attempts of a task are ignored."""
         for call in calls:
             ref, _, index = call["head"].rpartition("/")
             task = self.tasks.get(call["head"])
@@ -177,15 +189,15 @@
                 elif call["call"] == "halt":
                     self._halt(task, call.get("settle_s", 0.0))
 
-    def _start(self, ref: str, index: int, attempt: int, known: Task | None) -> None:
+    def _start(self, ref: str, index: int, attempt: int, previous: Task | None) -> None:
         name = f"{ref}/{index}"
-        if known is not None and known.attempt == attempt:
+        if previous is not None and previous.attempt == attempt:
             return
         job = self.site.jobs.get(ref)
         now = self.loop.now()
         task = Task(ref, index, attempt, "fetching", now)
-        if known is not None and known.state != "exited":
-            return  # in use; a second entry under one name can't be shown, and never occurs here
+        if previous is not None and previous.state != "exited":
+            return  # a heartbeat can't hold two attempts of one task; controllers don't start a second one
         self.tasks[name] = task
         if job is None:
             task.state, task.cause = "exited", "no_such"
@@ -193,25 +205,27 @@
             task.state, task.cause = "exited", "no_room"
         else:
             self.site.rules.started(self, task)
-            fetch = 0.0 if job["brand"] in self.images else job["image_gb"] / self.kind.fetch
-            task.until = now + fetch * SECOND
+            fetch = 0.0 if job["brand"] in self.images else job["image_gb"] / self.machine_type.fetch_gb_per_s
+            task.state_ends_at = now + fetch * SECOND
         self.changed.set()
 
     def _fits(self, job: dict) -> bool:
+        """Return whether a task of the job fits beside the tasks that occupy the machine."""
         cpus, memory = job["cpus"], job["ram_gb"]
         for task in self.tasks.values():
             other = self.site.jobs.get(task.ref)
-            if task.state != "exited" and other is not None and task.until is not None:
+            if task.state != "exited" and other is not None and task.state_ends_at is not None:
                 cpus += other["cpus"]
                 memory += other["ram_gb"]
-        return cpus <= self.kind.cpus + 1e-6 and memory <= self.kind.memory_gb + 1e-6
+        return cpus <= self.machine_type.cpus + 1e-6 and memory <= self.machine_type.memory_gb + 1e-6
 
     def _halt(self, task: Task, grace: float) -> None:
+        """Stop a task. It saves a checkpoint first if it can do so within `grace` seconds."""
         if task.state == "exited":
             return
         job = self.site.jobs[task.ref]
         if task.state == "running" and job["waypoint_s"] and grace >= job["pen_s"]:
-            task.state, task.until = "flushing", self.loop.now() + job["pen_s"] * SECOND
+            task.state, task.state_ends_at = "flushing", self.loop.now() + job["pen_s"] * SECOND
         elif task.state != "flushing" or grace == 0:
             self._exit(task, "stopped")
         self.changed.set()
@@ -222,220 +236,235 @@
         self.changed.set()
 
     async def _tick(self) -> None:
+        """Update the tasks periodically. When the lease expires, discard all tasks and begin a new incarnation."""
         while True:
             await self.loop.sleep(self.site.tick)
             now = self.loop.now()
-            if now - self.leased > LEASE:
+            if now - self.lease_renewed_at > LEASE:
                 for task in self.tasks.values():
                     if task.state != "exited":
                         self.site.killed_by_lease.append(now)
                         self.site.rules.ended(self, task)
-                self.site.rules.history.wiped(self.name)
+                self.site.rules.history.machine_reset(self.name)
                 self.tasks.clear()
                 self.incarnation += 1
-                self.leased = now
-            if self.hung:
+                self.lease_renewed_at = now
+            if self.unresponsive:
                 continue
             for task in list(self.tasks.values()):
                 self._advance(task, now)
 
     def _advance(self, task: Task, now: timedelta) -> None:
+        """Move a task to its next state if it is time."""
         if task.state == "exited":
             return
         job = self.site.jobs[task.ref]
-        if task.state == "fetching" and task.until is not None and now >= task.until:
+        if task.state == "fetching" and task.state_ends_at is not None and now >= task.state_ends_at:
             self.images.add(job["brand"])
-            if self.sick or task.ref in self.site.failing:
+            if self.fails_tasks or task.ref in self.site.failing:
                 self._exit(task, "error")
             elif task.name in self.site.finished:
                 self._exit(task, "done")
             else:
-                task.state, task.since, task.until = "waiting", now, None
+                task.state, task.state_since, task.state_ends_at = "waiting", now, None
         if task.state == "waiting":
-            mates = self.site.mates(task)
+            members = self.site.gang_members(task)
             if job["gait"] == "array" or (
-                len(mates) == job["heads"] and all(one.state in ("waiting", "running") for one in mates)
+                len(members) == job["heads"] and all(member.state in ("waiting", "running") for member in members)
             ):
-                for one in mates if job["gait"] == "group" else [task]:
-                    one.state, one.since = "running", now
-                    one.until = now + self.site.run_time(task.ref) * SECOND
+                for starting in members if job["gait"] == "group" else [task]:
+                    starting.state, starting.state_since = "running", now
+                    starting.state_ends_at = now + self.site.run_time(task.ref) * SECOND
                 self.changed.set()
-            elif now - task.since > GANG_WAIT:
+            elif now - task.state_since > GANG_WAIT:
                 self._exit(task, "alone")
         elif task.state == "running":
-            self._run_on(task, job, now)
-        elif task.state == "flushing" and task.until is not None and now >= task.until:
+            self._advance_running(task, job, now)
+        elif task.state == "flushing" and task.state_ends_at is not None and now >= task.state_ends_at:
             self._exit(task, "stopped", kept=True)
 
-    def _run_on(self, task: Task, job: dict, now: timedelta) -> None:
-        if job["gait"] == "group" and len(self.site.mates(task)) < job["heads"] and not self.site.all_done(task):
+    def _advance_running(self, task: Task, job: dict, now: timedelta) -> None:
+        if job["gait"] == "group" and len(self.site.gang_members(task)) < job["heads"] and not self.site.all_done(task):
             self._exit(task, "mates_gone")
-        elif task.until is not None and now >= task.until:
-            # A gang completes together: when one task is done, all are.
-            whole = range(job["heads"]) if job["gait"] == "group" else (task.index,)
-            self.site.finished.update(f"{task.ref}/{index}" for index in whole)
+        elif task.state_ends_at is not None and now >= task.state_ends_at:
+            # The tasks of a gang complete together: when one is done, all are.
+            completed = range(job["heads"]) if job["gait"] == "group" else (task.index,)
+            self.site.finished.update(f"{task.ref}/{index}" for index in completed)
             self._exit(task, "done")
 
 
 class RuleChecker:
-    """Watches for broken rules, from outside the controllers."""
+    """Checks safety rules against what the machines and users really do, and records violations.
+
+    It uses no state of the controllers.
+    """
 
     def __init__(self, site: "Site") -> None:
         self.site = site
-        self.broken: list[str] = []
-        self.on: dict[str, Worker] = {}  # task -> the machine it is on
-        self.starts = 0
-        self.late_starts: list[str] = []  # tasks of jobs whose cancellation had been asked for, and was then confirmed
-        self.events: list[tuple[str, float, str]] = []  # machine, time, what
+        self.broken: list[str] = []  # the violations: time, rule, text
+        self.worker_by_task: dict[str, Worker] = {}  # running tasks
+        self.start_count = 0
+        # Tasks that started after a user had been told that their job is cancelled.
+        self.starts_after_cancellation: list[str] = []
+        self.events: list[tuple[str, float, str]] = []  # machine, time in seconds, "start" or "end"
         self.history = History()
 
-    def breach(self, rule: str, text: str) -> None:
+    def report_violation(self, rule: str, text: str) -> None:
         self.broken.append(f"{self.site.loop.now() / SECOND:.2f} {rule}: {text}")
 
     def started(self, worker: Worker, task: Task) -> None:
-        self.starts += 1
+        """Record the start of a task and check it against all rules."""
+        self.start_count += 1
         self.history.started(task.name, worker.name, task.attempt, self.site.loop.now())
         self.events.append((worker.name, self.site.loop.now() / SECOND, "start"))
         job = self.site.jobs[task.ref]
-        other = self.on.get(task.name)
+        other = self.worker_by_task.get(task.name)
         if other is not None:
-            self.breach("ran_twice", f"{task.name} on {worker.name} and {other.name}")
-        self.on[task.name] = worker
-        if job["breeds"] is not None and worker.kind.name not in job["breeds"]:
-            self.breach("wrong_place", f"{task.name} on type {worker.kind.name}")
+            self.report_violation("ran_twice", f"{task.name} on {worker.name} and {other.name}")
+        self.worker_by_task[task.name] = worker
+        if job["breeds"] is not None and worker.machine_type.name not in job["breeds"]:
+            self.report_violation("wrong_place", f"{task.name} on type {worker.machine_type.name}")
         if job["pasture"] not in (None, worker.zone) or (worker.spot and not job["strays"]):
-            self.breach("wrong_place", f"{task.name} in {worker.zone}")
-        zones = [one.zone for name, one in self.on.items() if name.rpartition("/")[0] == task.ref]
+            self.report_violation("wrong_place", f"{task.name} in {worker.zone}")
+        zones = [other.zone for name, other in self.worker_by_task.items() if name.rpartition("/")[0] == task.ref]
         if job["together"] and len(set(zones)) > 1:
-            self.breach("wrong_place", f"{task.ref} in {set(zones)}")
+            self.report_violation("wrong_place", f"{task.ref} in {set(zones)}")
         if job["spread"] and zones.count(worker.zone) > (job["heads"] + 1) // 2:
-            self.breach("wrong_place", f"{task.ref} not spread")
-        if not all(self.site.is_done(one) for one in job.get("follows") or ()):
-            self.breach("too_early", task.name)
+            self.report_violation("wrong_place", f"{task.ref} not spread")
+        if not all(self.site.is_done(upstream) for upstream in job.get("follows") or ()):
+            self.report_violation("too_early", task.name)
         team = job["crew"]
         used = sum(
             self.site.jobs[name.rpartition("/")[0]]["cpus"]
-            for name in self.on
+            for name in self.worker_by_task
             if self.site.jobs[name.rpartition("/")[0]]["crew"] == team
         )
         if self.site.limits[team] and used > self.site.limits[team] + 1e-6:
-            self.breach("quota", f"{team} uses {used}")
+            self.report_violation("quota", f"{team} uses {used}")
         if self.site.cancelled.get(task.ref, self.site.loop.now()) < self.site.loop.now():
-            self.late_starts.append(task.name)
-        self.cancelled(task)
+            self.starts_after_cancellation.append(task.name)
+        self.check_cancellation(task)
 
-    def cancelled(self, task: Task) -> None:
-        told = self.site.cancelled.get(task.ref)
-        if told is not None and self.site.loop.now() - told > self.site.cancel:
-            self.breach("ran_cancelled", task.name)
+    def check_cancellation(self, task: Task) -> None:
+        """Report a task that runs although its job was cancelled longer ago than the cancellation limit."""
+        cancelled_at = self.site.cancelled.get(task.ref)
+        if cancelled_at is not None and self.site.loop.now() - cancelled_at > self.site.cancel_limit:
+            self.report_violation("ran_cancelled", task.name)
 
     def ended(self, worker: Worker, task: Task) -> None:
+        """Record that a machine no longer runs a task."""
         self.history.ended(task.name, worker.name, self.site.loop.now(), task.cause, task.kept)
-        if self.on.get(task.name) is worker:
+        if self.worker_by_task.get(task.name) is worker:
             self.events.append((worker.name, self.site.loop.now() / SECOND, "end"))
-            del self.on[task.name]
+            del self.worker_by_task[task.name]
 
-    def sweep(self) -> None:
-        """Called now and then: tasks that outlive their job's cancellation."""
-        for name in self.on:
+    def check_cancellations(self) -> None:
+        """Check the running tasks' cancellations. It is called twice a second."""
+        for name in self.worker_by_task:
             ref, _, index = name.rpartition("/")
-            self.cancelled(Task(ref, int(index), 0, "", timedelta(0)))
+            self.check_cancellation(Task(ref, int(index), 0, "", timedelta(0)))
 
 
 class Site:
-    """Workers, cloud and jobs as they really are."""
+    """The true state of the workers, the cloud and the jobs, as opposed to what controllers know."""
 
     def __init__(
         self,
         world: World,
         hosts: list[str],
-        kinds: list[Kind],
+        machine_types: list[MachineType],
         zones: list[str],
         limits: dict[str, float],
         capacity: int,
-        cancel: timedelta,
+        cancel_limit: timedelta,
     ) -> None:
         self.world, self.loop = world, world.loop
-        self.hosts, self.zones, self.limits, self.cancel = hosts, zones, limits, cancel
+        self.hosts, self.zones, self.limits, self.cancel_limit = hosts, zones, limits, cancel_limit
         self.failing: set[str] = set()  # jobs that fail on every machine
-        self.kinds = {kind.name: kind for kind in kinds}
-        self.capacity = capacity  # ordinary machines of a type in a zone; of spot machines there is one
-        self.jobs: dict[str, dict] = {}
-        self.finished: set[str] = set()
-        self.cancelled: dict[str, timedelta] = {}
+        self.machine_types = {machine_type.name: machine_type for machine_type in machine_types}
+        self.capacity = capacity  # machines of a type that a zone offers; of spot machines it offers one
+        self.jobs: dict[str, dict] = {}  # as submitted
+        self.finished: set[str] = set()  # tasks that completed
+        self.cancelled: dict[str, timedelta] = {}  # job -> when the request that cancelled it was sent
         self.workers: dict[str, Worker] = {}
-        self.booting: dict[str, tuple[Kind, str, bool]] = {}
-        self.asked_at: dict[str, timedelta] = {}
-        self.rented: dict[str, list[str]] = {}
+        self.booting: dict[
+            str, tuple[MachineType, str, bool]
+        ] = {}  # machine -> type, zone, whether it is a spot machine
+        self.rental_requested_at: dict[str, timedelta] = {}
+        self.machines_by_rental: dict[str, list[str]] = {}  # by the id of the request
         self.rules = RuleChecker(self)
         self.group = TaskGroup(self.loop, "site")
         self.cloud_down = False
-        self.copies: deque[tuple[str, bytes]] = deque(maxlen=4000)  # heartbeats as they were sent
-        self.lose_rental_answers = 0
-        self.never_boots = 0
-        self.boot_factor = 1.0
+        self.sent_heartbeats: deque[tuple[str, bytes]] = deque(maxlen=4000)  # machine and body
+        self.lose_rental_answers = 0  # this many rentals are carried out, but their responses are lost
+        self.machines_that_never_boot = 0  # this many of the next rented machines never boot
+        self.boot_factor = 1.0  # multiplies the time that machines take to boot
         self.list_calls = 0
-        self.killed_by_lease: list[timedelta] = []  # when a task was killed as its machine got no answer for too long
-        self.tick = timedelta(milliseconds=100)  # how often a worker looks at its tasks and its lease
+        self.killed_by_lease: list[timedelta] = []  # times of task kills because a machine's lease expired
+        self.tick = timedelta(milliseconds=100)  # how often a worker updates its tasks and checks its lease
         self._counter = 0
         server = Server(self.loop, self.group, self._cloud, 100)
         self.group.spawn(server.serve(world.network("cloud").listen("cloud:8443")), "cloud")
 
     def is_done(self, ref: str) -> bool:
+        """Return whether all tasks of a job have completed."""
         return all(f"{ref}/{index}" in self.finished for index in range(self.jobs[ref]["heads"]))
 
-    def called_off(self, ref: str) -> timedelta | None:
-        """When the user was told first that the job, or one that it needs, is cancelled."""
-        found, seen, times = [ref], {ref}, []
-        while found:
-            one = found.pop()
-            if one in self.cancelled:
-                times.append(self.cancelled[one])
-            for before in self.jobs.get(one, {}).get("follows") or ():
-                if before not in seen:
-                    seen.add(before)
-                    found.append(before)
+    def cancelled_at(self, ref: str) -> timedelta | None:
+        """Return when the job, or one that it depends on, was first cancelled, or None."""
+        stack, seen, times = [ref], {ref}, []
+        while stack:
+            current = stack.pop()
+            if current in self.cancelled:
+                times.append(self.cancelled[current])
+            for upstream in self.jobs.get(current, {}).get("follows") or ():
+                if upstream not in seen:
+                    seen.add(upstream)
+                    stack.append(upstream)
         return min(times, default=None)
 
     def run_time(self, ref: str) -> float:
         return self.jobs[ref]["trek_s"]
 
-    def mates(self, task: Task) -> list[Task]:
+    def gang_members(self, task: Task) -> list[Task]:
+        """Return the tasks of the same gang and attempt that have not exited, on machines that respond."""
         return [
-            one
+            member
             for worker in self.workers.values()
-            if not worker.hung
-            for one in worker.tasks.values()
-            if one.ref == task.ref and one.attempt == task.attempt and one.state != "exited"
+            if not worker.unresponsive
+            for member in worker.tasks.values()
+            if member.ref == task.ref and member.attempt == task.attempt and member.state != "exited"
         ]
 
     def all_done(self, task: Task) -> bool:
+        """Return whether the task's gang has completed, which it does as a whole."""
         job = self.jobs[task.ref]
         return any(f"{task.ref}/{index}" in self.finished for index in range(job["heads"]))
 
-    def add_worker(self, kind: str, zone: str, spot: bool = False, name: str | None = None) -> Worker:
+    def add_worker(self, machine_type: str, zone: str, spot: bool = False, name: str | None = None) -> Worker:
         if name is None:
             self._counter += 1
             name = f"host-{self._counter:06d}"
-        worker = Worker(self, name, self.kinds[kind], zone, spot, TaskGroup(self.loop, name))
+        worker = Worker(self, name, self.machine_types[machine_type], zone, spot, TaskGroup(self.loop, name))
         self.workers[name] = worker
         return worker
 
     def remove_worker(self, name: str) -> None:
+        """Delete a machine, whether it boots or runs, with all its tasks."""
         self.booting.pop(name, None)
         worker = self.workers.pop(name, None)
         if worker is not None:
             for task in worker.tasks.values():
                 self.rules.ended(worker, task)
-            self.rules.history.wiped(name)
+            self.rules.history.machine_reset(name)
             worker.group.cancel()
             self.world.crash(name)
 
     async def _boot(self, name: str) -> None:
-        await self.loop.sleep(self.booting[name][0].boot * self.boot_factor)
+        await self.loop.sleep(self.booting[name][0].startup_time * self.boot_factor)
         if name in self.booting:
-            kind, zone, spot = self.booting.pop(name)
-            self.add_worker(kind.name, zone, spot, name)
+            machine_type, zone, spot = self.booting.pop(name)
+            self.add_worker(machine_type.name, zone, spot, name)
 
     async def _cloud(self, request: Request) -> Response:
         await self.loop.sleep(timedelta(milliseconds=50))
@@ -444,18 +473,18 @@
         if request.path == "/catalog":
             breeds = [
                 {
-                    "label": kind.name,
-                    "cpus": kind.cpus,
+                    "label": machine_type.name,
+                    "cpus": machine_type.cpus,
                     "accelerators": 0,
-                    "ram_gb": kind.memory_gb,
+                    "ram_gb": machine_type.memory_gb,
                     "local_gb": 40,
-                    "fetch_gb_per_s": kind.fetch,
+                    "fetch_gb_per_s": machine_type.fetch_gb_per_s,
                     "price": 1.0,
                     "low_price": 0.3,
-                    "startup_s": kind.boot / SECOND,
+                    "startup_s": machine_type.startup_time / SECOND,
                     "pastures": self.zones,
                 }
-                for kind in self.kinds.values()
+                for machine_type in self.machine_types.values()
             ]
             return reply(200, {"breeds": breeds})
         if request.path == "/rentals/delete":
@@ -469,43 +498,49 @@
             {
                 "ref": name,
                 "address": f"{name}:9000",
-                "breed": kind.name,
+                "breed": machine_type.name,
                 "pasture": zone,
                 "strays": spot,
                 "condition": condition,
-                "held_s": (self.loop.now() - self.asked_at.get(name, timedelta(0))) / SECOND,
+                "held_s": (self.loop.now() - self.rental_requested_at.get(name, timedelta(0))) / SECOND,
             }
-            for name, (kind, zone, spot, condition) in sorted(self._all().items())
+            for name, (machine_type, zone, spot, condition) in sorted(self._all().items())
             if name > query.get("since", "")
         ]
         self.list_calls += 1
         page = rows[: int(query.get("limit", "500"))]
         return reply(200, {"mounts": page, "more": len(page) < len(rows)})
 
-    def _all(self) -> dict[str, tuple[Kind, str, bool, str]]:
-        up = {name: (one.kind, one.zone, one.spot, "running") for name, one in self.workers.items()}
-        return up | {name: (*one, "booting") for name, one in self.booting.items()}
+    def _all(self) -> dict[str, tuple[MachineType, str, bool, str]]:
+        """Return type, zone, spot and condition of all machines."""
+        running = {
+            name: (worker.machine_type, worker.zone, worker.spot, "running") for name, worker in self.workers.items()
+        }
+        return running | {name: (*machine, "booting") for name, machine in self.booting.items()}
 
     async def _scale_out(self, body: dict) -> Response:
-        if body["hire"] not in self.rented:
-            wanted = (body["breed"], body["pasture"], body["strays"])
-            taken = sum((kind.name, zone, spot) == wanted for kind, zone, spot, _ in self._all().values())
-            room = max(0, (1 if body["strays"] else self.capacity) - taken)
-            if room == 0:
+        """Rent machines; a repeated request returns the machines of the first one."""
+        if body["hire"] not in self.machines_by_rental:
+            requested = (body["breed"], body["pasture"], body["strays"])
+            taken = sum(
+                (machine_type.name, zone, spot) == requested for machine_type, zone, spot, _ in self._all().values()
+            )
+            available = max(0, (1 if body["strays"] else self.capacity) - taken)
+            if available == 0:
                 return reply(503, {"error": "no capacity"})
             names = []
-            for _ in range(min(room, body["number"])):
+            for _ in range(min(available, body["number"])):
                 self._counter += 1
                 name = f"host-{self._counter:06d}"
-                self.booting[name] = (self.kinds[body["breed"]], body["pasture"], body["strays"])
-                self.asked_at[name] = self.loop.now()
-                if self.never_boots > 0:
-                    self.never_boots -= 1
+                self.booting[name] = (self.machine_types[body["breed"]], body["pasture"], body["strays"])
+                self.rental_requested_at[name] = self.loop.now()
+                if self.machines_that_never_boot > 0:
+                    self.machines_that_never_boot -= 1
                 else:
                     self.group.spawn(self._boot(name), "boot")
                 names.append(name)
-            self.rented[body["hire"]] = names
+            self.machines_by_rental[body["hire"]] = names
         if self.lose_rental_answers > 0:
             self.lose_rental_answers -= 1
             await self.loop.sleep(timedelta(seconds=60))
-        return reply(200, {"mounts": self.rented[body["hire"]]})
+        return reply(200, {"mounts": self.machines_by_rental[body["hire"]]})
