--- a/badgerroute/storage/entries.py
+++ b/badgerroute/storage/entries.py
@@ -92,8 +92,8 @@
     def forget_removals(self, revision: int) -> None:
         """Forget the removals up to this revision. Called when the watch has delivered all changes up to it.
 
-        From then on `Replica.apply_early` rejects changes up to this revision, so a late copy of an old change cannot bring a
-        removed key back.
+        From then on `Replica.apply_early` rejects changes up to this revision, so a late copy of an old change cannot
+        bring a removed key back.
         """
         if self._removed:
             self._removed = {key: removed for key, removed in self._removed.items() if removed > revision}
