--- a/badgerroute/coordination/quotas/quota_allocation.py
+++ b/badgerroute/coordination/quotas/quota_allocation.py
@@ -48,7 +48,7 @@
 
 
 def available_part(needed: Resources, available: Resources) -> QuotaAllocation:
-    """Return the lower of the needed and the available amount, separately for each resource; never negative."""
+    """Return, for each resource, the lower of the needed and the available amount, but at least 0."""
     return QuotaAllocation(
         max(0.0, min(needed.cpus, available.cpus)), max(0.0, min(needed.accelerators, available.accelerators))
     )
--- a/badgerroute/coordination/quotas/quota_allocator.py
+++ b/badgerroute/coordination/quotas/quota_allocator.py
@@ -19,7 +19,7 @@
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
-REQUEST_INTERVAL = timedelta(seconds=1)  # between two requests of a shard to its peers for a team's quota
+REQUEST_INTERVAL = timedelta(seconds=1)  # minimum time between two requests of a shard for quota of the same team
 
 
 class ShardLeaderships(Protocol):
@@ -30,7 +30,7 @@
         """Return the numbers of these shards."""
 
     def leadership_condition(self, shard: int) -> Compare:
-        """Return the compare for writes that holds only while this controller still leads the shard."""
+        """Return a condition for writes that holds only while this controller still leads the shard."""
 
 
 class QuotaAllocator:
@@ -52,7 +52,7 @@
     # -- queries
 
     def usable_quota(self, shard: int, team: str) -> QuotaAllocation:
-        """Return how much a shard may use for a team; infinite for a resource that the team has no limit for."""
+        """Return how much quota of a team a shard may use. For a resource without a limit, it is infinite."""
         allocation = self._allocation(shard, team)
         limit = self._limits.get(team)
         if limit is None or inf not in limit:
@@ -103,7 +103,7 @@
         return True
 
     async def transfer(self, giver: int, taker: int, team: str, shortfall: Resources, surplus: Resources) -> None:
-        """Move quota from a shard of this controller to another shard: the shortfall, but at most the surplus."""
+        """Move quota from a shard of this controller to another shard: the lower of the shortfall and the surplus."""
         if not self._may_write(team) or giver == taker:
             return
         amount = available_part(self._limited_only(team, shortfall), surplus)
@@ -122,7 +122,7 @@
         return team in self._teams and team not in self._quota_store.writing
 
     async def _write(self, team: str, writer: int, changed: dict[int, QuotaAllocation]) -> bool:
-        """Write some shards' allocations as the leader of the shard `writer`; return whether they were written."""
+        """Write some shards' allocations as the leader of the shard `writer`. Return whether they were written."""
         if writer not in self._leadership_state.leaderships:
             return False
         leadership = self._leadership_state.leadership_condition(writer)
--- a/badgerroute/coordination/shards/cpu_usage.py
+++ b/badgerroute/coordination/shards/cpu_usage.py
@@ -21,10 +21,10 @@
 
     running: float = 0.0
     starting: float = 0.0  # allocated to a task whose start command has been sent or is about to be sent
-    fetching: float = 0.0  # allocated to a task whose machine fetches its image
+    fetching: float = 0.0  # allocated to a task whose image is being fetched
     waiting: float = 0.0  # allocated to a gang's task that waits for the gang's other tasks
     saving: float = 0.0  # allocated to a task that is being stopped and saves its work
-    held: float = 0.0  # free, but on a machine that is reserved for a job, for example after preemption for it
+    held: float = 0.0  # free on a machine that is reserved for a job, for example after preemption for that job
     beside: float = 0.0  # free on a machine that has tasks
     empty: float = 0.0  # free on a machine without tasks
     unusable: float = 0.0  # free on a machine on which no task may be started
--- a/badgerroute/coordination/shards/deadline_tiers.py
+++ b/badgerroute/coordination/shards/deadline_tiers.py
@@ -13,8 +13,8 @@
 from badgerroute.settings import Team
 from badgerroute.storage.records import JobRecord
 
-STARVING_AFTER = timedelta(seconds=160)  # an older job with unstarted tasks comes first, however late it is
-STARVING_TIER = -1  # the tier of such a job
+STARVING_AFTER = timedelta(seconds=160)  # a job above this age with unstarted tasks comes first, however late it is
+STARVING_TIER = -1  # the tier of jobs above the age STARVING_AFTER that have unstarted tasks
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,7 +22,7 @@
     """Unfinished jobs of all shards, in the order of their arrival."""
 
     tasks_left: dict[str, int] = field(default_factory=dict)  # by job reference
-    within_guarantee: dict[str, bool] = field(default_factory=dict)  # by job reference: whether in the team's guarantee
+    within_guarantee: dict[str, bool] = field(default_factory=dict)  # by job reference: true if in the team's guarantee
 
 
 class DeadlineTiers:
@@ -42,15 +42,16 @@
         self._capacity, self._leaders, self._summaries = capacity, leaders, summaries
 
     def compute(self, work: OpenWork, inherited_due: Mapping[str, float]) -> dict[str, float]:
-        """Return the tiers by job.
+        """Return tiers by job reference. Gangs, failing jobs and jobs that need no processors get none.
 
-        `inherited_due`: by job, the Unix time by which it must be complete for its downstream jobs to be on time.
+        `inherited_due`: by job reference, the Unix time by which the job must be complete for its downstream jobs to
+        be on time.
         """
         processors = self._capacity.processors()
         running = self._running_tasks()
         current_time = self._estimates.seconds_since_epoch()
         failing = {job.ref for leader in self._leaders.values() for job in leader.shard.jobs.values() if job.failing}
-        # By negated priority level, and whether outside the guarantee.
+        # Jobs grouped by negated priority level and by whether they are outside their team's guarantee.
         groups: dict[tuple[int, bool], list[RemainingWork]] = {}
         starving: set[str] = set()
         for ref, tasks_left in work.tasks_left.items():
--- a/badgerroute/coordination/shards/fencing.py
+++ b/badgerroute/coordination/shards/fencing.py
@@ -34,7 +34,7 @@
         self._shard, self._loop, self._group, self._commands = shard, loop, group, commands
         self._policy, self._delete_machines = policy, delete_machines
         self._being_fenced: set[str] = set()
-        self._silent_since: dict[str, timedelta] = {}  # machine -> when the first command to it was sent
+        self._silent_since: dict[str, timedelta] = {}  # machine -> time from which its silence counts
         self._unresponsive: set[str] = set()  # machines whose deletion was requested
 
     def fence(self, machine: Machine) -> None:
@@ -44,7 +44,7 @@
             self._group.spawn(self._fence(machine), f"fence-{machine.name}")
 
     async def _fence(self, machine: Machine) -> None:
-        """Repeat the command until the machine is reachable and has sent its task list, or has left the shard."""
+        """Send empty commands until the machine is reachable and has sent its task list, or has left the shard."""
         try:
             while self._shard.machines.get(machine.name) is machine and (not machine.fenced or machine.unreachable):
                 # If thousands of commands are queued, a command may wait for the semaphore for seconds. The machine's
--- a/badgerroute/coordination/shards/forecast.py
+++ b/badgerroute/coordination/shards/forecast.py
@@ -81,7 +81,8 @@
     def _open_work(self) -> OpenWork:
         """Return the unfinished jobs that can be scheduled, in the order of arrival.
 
-        A job is within its team's guarantee if its demand and that of the team's earlier jobs fit into it together.
+        A job is within its team's guarantee if the guarantee covers the demand of this job and of all earlier jobs of
+        the team.
         """
         work = OpenWork()
         demand: dict[str, Resources] = {}  # by team
--- a/badgerroute/coordination/shards/forecast_task.py
+++ b/badgerroute/coordination/shards/forecast_task.py
@@ -32,7 +32,7 @@
             self._forecast.update()
 
     async def _compute_inheritance(self) -> int:
-        """Compute which priorities and due times jobs inherit; return the number of slices that it took."""
+        """Compute which priorities and due times jobs inherit. Return the number of slices that this took."""
         slices = 1
         while not self._forecast.advance_inheritance(self._start_slice()):
             slices += 1
--- a/badgerroute/coordination/shards/gang_migration.py
+++ b/badgerroute/coordination/shards/gang_migration.py
@@ -32,7 +32,7 @@
 
 
 class GangMigration:
-    """Finds capacity for the gangs that don't fit in one shard.
+    """Finds capacity for the gangs of one shard that don't fit there.
 
     `request_machines` asks the other shards for machines.
     """
@@ -49,7 +49,7 @@
     ) -> None:
         self._shard, self._planner, self._loop, self._job_store = shard, planner, loop, job_store
         self._job_transfers, self._request_machines = job_transfers, request_machines
-        self._last_migrated: dict[str, timedelta] = {}  # when each gang was last migrated
+        self._last_migrated: dict[str, timedelta] = {}  # gang -> last migration or request for machines
         self._last_request: _GangMachineRequest | None = None
 
     def gang_to_reserve_for(self, now: timedelta) -> str | None:
@@ -62,7 +62,10 @@
         return None
 
     async def migrate_unplaceable(self, summaries: list[ShardSummary]) -> None:
-        """Move each gang that doesn't fit here to a shard where it fits now or would fit after preemption."""
+        """Move each gang that doesn't fit here to a shard where it fits now or would fit after preemption.
+
+        If there is no such shard, request machines for the gang from the other shards.
+        """
         now = self._loop.now()
         number = self._shard.number
         for job in self._planner.unplaceable_gangs(now):
@@ -84,7 +87,7 @@
 
     @staticmethod
     def _candidate_shards(job: Job, other_shards: list[ShardSummary]) -> list[ShardSummary]:
-        """Return the shards where the whole gang fits; if there are none, those where it would after preemption."""
+        """Return the shards where the whole gang fits or, if there are none, those where it would after preemption."""
         fitting = [summary for summary in other_shards if holds_whole_job(job, summary.capacities)]
         return fitting or [
             summary
@@ -94,9 +97,9 @@
 
     @staticmethod
     def _best_shard(job: Job, candidates: list[ShardSummary]) -> int:
-        """Return the shard where most of the gang's tasks would find their image cached.
+        """Return the shard where the largest number of the gang's tasks would find their image cached.
 
-        If several shards are equal in this, it is the one of them where the fewest gangs wait.
+        If this number is the same for several shards, return the one of them where the fewest gangs wait.
         """
 
         def sort_key(summary: ShardSummary) -> tuple[int, int, int]:
@@ -112,12 +115,12 @@
         self._last_migrated[job.ref] = now
 
     def _request_machines_for(self, job: Job, now: timedelta, other_shards: list[ShardSummary]) -> None:
-        """Request the empty machines that a gang lacks here from other shards, as it fits in none of those either."""
+        """Request from other shards the empty machines that a gang lacks here. Called if the gang fits in no shard."""
         slots_here = self._slots_here(job)
         slots = slots_here + sum((slots_by_zone(job, summary.capacities) for summary in other_shards), Counter())
         if not slots:
             return
-        # A gang that must lie in one zone can't use capacity in two, so request machines only in the best zone.
+        # A gang that must run in one zone can't use capacity in two, so request machines only in the best zone.
         zone = max(sorted(slots), key=lambda name: (min(job.spec.tasks, slots[name]), slots_here[name]))
         missing_slots = job.spec.tasks - slots_here[zone]
         if missing_slots > 0 and self._shard.tasks_within_quota(job, job.spec.tasks) >= job.spec.tasks:
@@ -127,7 +130,11 @@
             self._request_machines(MachineRequest(self._shard.number, spec, missing_slots))
 
     def _slots_here(self, job: Job) -> Counter[str]:
-        """Return how many of the gang's tasks fit in this shard, by zone if the gang must lie in one."""
+        """Return how many of the gang's tasks would fit in this shard after preemption.
+
+        If all tasks of the gang must run in the same zone, they are counted for each zone separately. Otherwise the
+        result has one count, under ANY_ZONE.
+        """
         slots: Counter[str] = Counter()
         for machine, resources in self._planner.reclaimable_by_machine(job.level):
             if allows(job.spec, machine.machine_type.name, machine.zone, machine.spot):
--- a/badgerroute/coordination/shards/heartbeat_responder.py
+++ b/badgerroute/coordination/shards/heartbeat_responder.py
@@ -31,7 +31,7 @@
 
 
 class HeartbeatResponder:
-    """Answers the heartbeats of one shard's machines. `planning_time_limit`: the planner's time limit for each."""
+    """Answers the heartbeats of one shard's machines. The planner may take `planning_time_limit` for each heartbeat."""
 
     def __init__(
         self,
@@ -52,10 +52,10 @@
         self._fencing, self._member_registry, self._planning_time_limit = fencing, member_registry, planning_time_limit
 
     async def answer(self, heartbeat: Heartbeat, relayed: bool) -> HeartbeatResponse | HeartbeatRefusal:
-        """Apply a heartbeat, choose the commands for its machine, and return them as the answer.
+        """Apply a heartbeat and return the commands for its machine, or why the heartbeat can't be processed now.
 
-        `relayed`: the heartbeat came through a peer, which passes the answer on to the worker. After the last await,
-        the permissions are checked and the commands built without another await, so that the permissions still hold.
+        `relayed`: the heartbeat came through a peer, which passes the answer on to the worker. Permissions are checked
+        after the last await, so that they still hold when the commands are chosen.
         """
         machine = self._shard.machines.get(heartbeat.machine)
         if machine is None:
@@ -99,7 +99,11 @@
         return commands
 
     async def _register(self, heartbeat: Heartbeat) -> Machine | None:
-        """Register a machine as a member; None if its type is unknown, or its record was not written in time."""
+        """Register a machine as a member of the shard.
+
+        Returns None if the machine's type is unknown, if this controller may not add members now, or if the record was
+        not written in time.
+        """
         if heartbeat.type not in self._catalog or not self._policy.allows_for(self._shard.number, Action.ADD_MEMBER):
             return None
         record = MachineRecord(self._shard.number, heartbeat.address, heartbeat.type, heartbeat.zone, heartbeat.spot)
--- a/badgerroute/coordination/shards/job_estimates.py
+++ b/badgerroute/coordination/shards/job_estimates.py
@@ -45,7 +45,7 @@
         return [due - age for due in self._objectives.due(record.job, held_back)]
 
     def time_until_due(self, record: JobRecord) -> timedelta:
-        """Return the time until the job's next due time; `timedelta.max` if there is none."""
+        """Return the time until the job's next due time, or `timedelta.max` if it has none."""
         arrival = self._job_store.effective_arrival(record.job.ref, record)
         age = timedelta(seconds=self.seconds_since_epoch() - arrival)
         return min((time for time in self.times_until_due(record, age) if time > ZERO), default=timedelta.max)
--- a/badgerroute/coordination/shards/job_inheritance.py
+++ b/badgerroute/coordination/shards/job_inheritance.py
@@ -13,7 +13,7 @@
 from badgerroute.scheduling.objectives import Objectives
 
 HEARTBEATS_BETWEEN_STAGES = 2  # heartbeats that pass between the end of a pipeline stage and the start of the next
-TIME_BETWEEN_STAGES = timedelta(seconds=5)  # added for recording the end of the stage and fetching an image
+TIME_BETWEEN_STAGES = timedelta(seconds=5)  # in addition: to record the end of a stage and to fetch an image
 FINISHED = Inherited(0, inf)  # what a finished job passes on: no level and no due time
 
 
@@ -34,7 +34,10 @@
         self._own_cache: dict[str, Inherited] = {}
 
     def advance(self, time_is_up: Callable[[], bool]) -> bool:
-        """Continue the pass until the time is up; return whether it is complete, so that its result now applies."""
+        """Continue the pass until it is complete or the time is up. Return whether it is complete.
+
+        The result of a complete pass takes effect at once.
+        """
         if self._pass is None:
             active = self._job_store.active
             self._own_cache = {ref: own for ref, own in self._own_cache.items() if ref in active}
@@ -58,6 +61,6 @@
         return own
 
     def _stage_duration(self, ref: str) -> float:
-        """Return the estimated duration of a job as a pipeline stage, in seconds, with the delay before it starts."""
+        """Return how many seconds a job will take, including the delay before its start, or 0 if it is finished."""
         record = self._job_store.active.get(ref)
         return (self._estimates.run_time(record) + self._between_stages).total_seconds() if record else 0.0
--- a/badgerroute/coordination/shards/job_sync.py
+++ b/badgerroute/coordination/shards/job_sync.py
@@ -11,7 +11,7 @@
 class JobSync:
     """Keeps the jobs of one shard up to date.
 
-    `window`: how many tasks after its first unfinished one a job may start.
+    `window`: a job may start tasks only up to this many task numbers beyond its first unfinished task.
     """
 
     def __init__(self, *, shard: Shard, loop: Loop, job_store: JobStore, window: int) -> None:
--- a/badgerroute/coordination/shards/job_transfers.py
+++ b/badgerroute/coordination/shards/job_transfers.py
@@ -71,7 +71,7 @@
     async def write(self, reassignments: list[Reassignment], receiver: int) -> None:
         """Reassign tasks of one or more jobs to another shard in a single transaction.
 
-        If the write fails, the tasks stay in this shard. If its outcome is unknown, they are placed in neither shard
+        If the write fails, the tasks stay in this shard. If its outcome is unknown, this shard does not place the tasks
         until the outcome is certain.
         """
         if not self._status.allows(Action.GIVE_WORK):
@@ -103,7 +103,7 @@
             self._end_transfer(write.job, write.tasks)
 
     def _withhold(self, ref: str, record: records.JobRecord) -> _TransferWrite | None:
-        """Withhold a job's tasks from placement for their reassignment, or return None if it isn't possible now."""
+        """Withhold a job's tasks from placement during their reassignment. Return None if this is not possible now."""
         job = self._shard.jobs.get(ref)
         if job is None:
             return None
--- a/badgerroute/coordination/shards/leader_parts.py
+++ b/badgerroute/coordination/shards/leader_parts.py
@@ -66,7 +66,7 @@
 
 
 def build_core(number: int, leadership: Leadership, context: LeaderContext) -> LeaderCore:
-    """Build the shard's state, which is still empty, its planner, and the task group of its leader."""
+    """Build the planner of a shard, the task group of its leader, and its state, which is empty at first."""
     settings = context.settings
     workers = settings.params.workers
     group = TaskGroup(context.loop, f"{context.group.name}/shard-{number}")
@@ -183,7 +183,7 @@
 
 
 def build_heartbeat_responder(core: LeaderCore, link: MachineLink) -> HeartbeatResponder:
-    """Build the component that answers heartbeats, and registers machines at their first one."""
+    """Build the component that answers heartbeats and registers each machine at its first heartbeat."""
     context, leadership = core.context, core.context.leadership
     member_registry = MemberRegistry(
         loop=context.loop, group=core.group, leadership_state=leadership.state, storage=context.storage
--- a/badgerroute/coordination/shards/machine_commands.py
+++ b/badgerroute/coordination/shards/machine_commands.py
@@ -17,7 +17,7 @@
 log = logging.getLogger(__name__)
 REQUEST_TIMEOUT = timedelta(seconds=2)
 CONNECT_TIMEOUT = timedelta(seconds=1)
-MAX_SEND_ATTEMPTS = 2  # the second, in a higher term, follows if the machine had seen a higher fencing token
+MAX_SEND_ATTEMPTS = 2  # the second is made in a higher term, if the machine has seen a higher fencing token
 ACCEPTED = 200
 TERM_OUTDATED = 409  # the machine has seen a higher fencing token; the response also has its task list
 
@@ -48,7 +48,7 @@
         urgent: bool = False,
         on_admitted: Callable[[], None] | None = None,
     ) -> bool:
-        """Send commands to a machine's own address; return whether it accepted them in the shard's term.
+        """Send commands to a machine's own address. Return whether the machine accepted them in the shard's term.
 
         Starts are left out, since a direct command may arrive minutes late. `on_admitted` is called once the semaphore
         admits the request, which may take seconds. The connection is closed afterwards, because a controller that leads
@@ -82,7 +82,7 @@
         return False
 
     def _parse_task_list(self, machine: Machine, response: Response) -> Heartbeat | None:
-        """Return the task list in a machine's response; None if there is none or if it is from another machine."""
+        """Return the task list in a machine's response, or None if the response has no valid list of this machine."""
         if response.status not in (ACCEPTED, TERM_OUTDATED):
             return None
         try:
--- a/badgerroute/coordination/shards/machine_expiry.py
+++ b/badgerroute/coordination/shards/machine_expiry.py
@@ -13,8 +13,9 @@
 from badgerroute.settings import Settings
 
 log = logging.getLogger(__name__)
-SILENCE_TIMEOUT = timedelta(seconds=4)  # a lost machine that stays silent for longer is deleted
-LONG_SILENCE_TIMEOUT = 5 * SILENCE_TIMEOUT  # if so many are lost that this controller's link may be at fault
+SILENCE_TIMEOUT = timedelta(seconds=4)  # a machine that stays silent for longer after its lease has expired is deleted
+# The timeout if so many machines are lost that this controller's own link may be at fault.
+LONG_SILENCE_TIMEOUT = 5 * SILENCE_TIMEOUT
 
 
 class MachineExpiry:
@@ -37,7 +38,7 @@
         self._evacuation_margin = 2 * settings.params.workers.heartbeat_interval
 
     def expire(self, now: timedelta) -> None:
-        """Reclaim the tasks of machines whose lease has certainly expired, and have machines deleted that stay lost."""
+        """Reclaim the tasks of machines whose lease has certainly expired, and delete those that then stay silent."""
         lost = self._shard.expire_leases(now, self._leadership_state.last_confirmed, self._machine_lease, self._grace)
         for machine in lost:
             machine.lost_at = now
@@ -49,8 +50,8 @@
     def _delete_lost(self, now: timedelta) -> None:
         """Have machines deleted that stay silent after their lease has expired.
 
-        The timeout gives machines time to return, since after an interruption during which this controller could not
-        answer heartbeats, all machines return by themselves.
+        The timeout gives machines time to return. After an interruption during which this controller could not answer
+        heartbeats, all machines return by themselves.
         """
         lost_since = {
             machine.name: machine.lost_at
@@ -64,7 +65,7 @@
             self._delete_machines(names)
 
     def evacuate_preempted(self, now: timedelta) -> None:
-        """Move the tasks off spot machines that have a preemption notice, within the time until the preemption."""
+        """Move the tasks off spot machines that have a preemption notice, before these machines are preempted."""
         for machine in self._shard.machines.values():
             if machine.preemption_notice is not None:
                 plan = draining.Evacuation(machine.preemption_notice, self._evacuation_margin, patient=False)
--- a/badgerroute/coordination/shards/machine_transfers.py
+++ b/badgerroute/coordination/shards/machine_transfers.py
@@ -44,8 +44,8 @@
     async def transfer(self, message: MachineRequest) -> None:
         """Give empty machines to a shard that is too small for a gang, in one conditional write.
 
-        Only machines without tasks and without start commands in flight are given. Already before the write, this shard
-        stops starting tasks on them.
+        Only machines without tasks and without start commands in flight are given. This shard stops starting tasks on
+        them before it sends the write.
         """
         if not self._shard.reconciled or not self._status.allows(Action.TRANSFER_MACHINES):
             return
@@ -71,7 +71,7 @@
                     self._group.spawn(self._reconcile(machine), "settle-lend")
 
     def _select_machines(self, message: MachineRequest) -> list[Machine]:
-        """Return empty machines for the number of tasks that the message asks for, or for as many as possible."""
+        """Return empty machines that can run the requested number of tasks, or as many of these as possible."""
         need = need_of(message.job)
         selected: list[Machine] = []
         slots = 0
@@ -96,7 +96,7 @@
         log.info("event=machines_transferred shard=%d to=%d machines=%s", self._shard.number, shard, names)
 
     async def _reconcile(self, machine: Machine) -> None:
-        """Rewrite a machine's record unchanged, with retries, so that the lost transaction can't be applied later."""
+        """Rewrite a machine's record unchanged, with retries, so that the transaction can't be applied later."""
         key = MACHINES + machine.name
         while self._shard.machines.get(machine.name) is machine:
             try:
--- a/badgerroute/coordination/shards/member_registry.py
+++ b/badgerroute/coordination/shards/member_registry.py
@@ -15,12 +15,12 @@
 from badgerroute.transport.loop import Future, Loop, TaskGroup
 
 log = logging.getLogger(__name__)
-BATCH_DELAY = timedelta(milliseconds=20)  # so that machines that start together are written together
+BATCH_DELAY = timedelta(milliseconds=20)  # so that machines that start together are registered in one transaction
 
 
 @dataclass(frozen=True, slots=True)
 class _Registration:
-    """A new member's record. The result of the future is whether it was written."""
+    """A new member's record, and a future whose result is whether the record was written."""
 
     record: MachineRecord
     written: Future = field(default_factory=Future)
@@ -71,9 +71,9 @@
                 registration.written.set(name in written)
 
     async def _write(self, batch: dict[str, MachineRecord]) -> set[str]:
-        """Write the records of those machines that have none yet and belong to a shard led here; return their names.
+        """Write the records of the machines that have none yet and belong to a shard that this controller leads.
 
-        Either all of these records are written or none.
+        Either all of these records are written or none. Returns the names of the machines whose records were written.
         """
         batch = {
             name: record
@@ -95,7 +95,7 @@
         return set(batch)
 
     async def _refresh_replica(self, keys: list[str]) -> None:
-        """Read the current values of keys whose compares failed into the replica."""
+        """Update the replica with the current values of the keys whose compares failed."""
         for key in keys:
             item = await self._store.get(key, Urgency.SUBMIT)
             if item is not None:
--- a/badgerroute/coordination/shards/progress_batch.py
+++ b/badgerroute/coordination/shards/progress_batch.py
@@ -30,7 +30,8 @@
     def take(self) -> list[Progress]:
         """Return the progress to write now.
 
-        Progress that may complete a job is returned at once, other progress at most once per interval and job.
+        Progress that may complete a job is returned at once. A job's other progress is returned at most once per
+        PARTIAL_WRITE_INTERVAL.
         """
         batch = []
         now = self._loop.now()
--- a/badgerroute/coordination/shards/progress_flusher.py
+++ b/badgerroute/coordination/shards/progress_flusher.py
@@ -18,7 +18,7 @@
 class ProgressFlusher:
     """Merges the progress of each job over the shards of this controller, and writes it.
 
-    `leadership_condition` returns, for a shard, the condition of a write that this controller still leads the shard.
+    `leadership_condition` returns, for a shard, a write condition that holds only while this controller leads it.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         self._requested = Future()
 
     def request_flush(self) -> None:
-        """Request a write: a shard has new progress."""
+        """Request a write. Called when a shard has new progress."""
         self._requested.set()
 
     async def run(self) -> None:
@@ -60,7 +60,7 @@
             await self._progress_writer.write_progress(batch, self._leadership_condition)
 
     def _merge_progress(self) -> dict[str, Progress]:
-        """Return the progress to write now, by job; a job may have tasks in several shards of this controller."""
+        """Return the progress to write now, by job. Progress of the same job in several shards is combined."""
         merged: dict[str, Progress] = {}
         for leader in self._leaders.values():
             for progress in leader.take_progress():
@@ -73,10 +73,11 @@
         return merged
 
     def _write_order(self, progress: Progress) -> tuple[int, timedelta]:
-        """Return the sort key of a write: fewest unfinished tasks first, then least time left.
+        """Return the sort key of a write: fewest unfinished tasks first, then the least time until the job is due.
 
-        Complete jobs thus come first, and of these the one closest to its deadline. Writing a thousand small jobs that
-        end together may take minutes, and a larger job that was done in time must not be recorded as late.
+        Complete jobs thus come first, and of these the one that is due next. Writing a thousand small jobs that end
+        together may take minutes. A larger job that was done in time must not be recorded as late because it waits for
+        these writes.
         """
         record = self._job_store.active.get(progress.ref)
         if record is None:
--- a/badgerroute/coordination/shards/quota_exchange.py
+++ b/badgerroute/coordination/shards/quota_exchange.py
@@ -15,8 +15,8 @@
 from badgerroute.transport.loop import Loop
 
 RESERVATION_TTL = timedelta(seconds=2.5)  # longer than the 1 s after which a shard that lacks quota asks again
-# A shard yields quota to another shard's jobs of equal rank only if the amount to yield exceeds this fraction of its
-# own quota.
+# A shard yields quota to another shard's jobs of equal rank only if the amount exceeds this fraction of the yielding
+# shard's quota.
 MIN_YIELDED_FRACTION = 0.15
 
 
@@ -70,7 +70,10 @@
         )
 
     def _top_ranked_shortage(self, team: str) -> QuotaShortage | None:
-        """Return what the jobs that are served first among those lacking quota need, or None if no job lacks quota."""
+        """Return the quota that a team's top-ranked waiting jobs need, or None if no job of the team waits for quota.
+
+        Top-ranked are those jobs that come first in the order of service among the team's jobs that wait for quota.
+        """
         waiting = [
             job for job in self._shard.jobs.values() if job.spec.team == team and self._shard.waits_for_quota(job)
         ]
@@ -89,8 +92,8 @@
     async def grant(self, message: QuotaRequest) -> None:
         """Give quota to another shard that lacks it.
 
-        It gets the quota that this shard neither uses nor could use soon. If its jobs come first in the order of
-        service, it also gets quota that jobs of this shard could use.
+        The other shard gets the quota that this shard neither uses nor could use soon. Depending on the order of
+        service, it also gets quota that waiting jobs of this shard could use (see `_quota_to_yield`).
         """
         team = message.team
         if not self._shard.reconciled or not self._policy.allows_for(self._shard.number, Action.MOVE_QUOTA):
@@ -107,14 +110,14 @@
         await self._quota_allocator.transfer(self._shard.number, message.shard, team, shortfall, unused)
 
     def _usable_by_waiting_jobs(self, message: QuotaRequest) -> Resources:
-        """Return how much of this shard's quota the team's jobs that wait here could use."""
+        """Return how much of this shard's quota the waiting jobs of the requested team could use here."""
         usable = Resources()
         for job in self._shard.jobs.values():
             if job.spec.team != message.team:
                 continue
             if self._shard.waits_for_quota(job) and self._requester_is_older(message, job):
-                # This shard's quota is too small for this job, so leave it to the requester's older job. Otherwise two
-                # gangs could wait forever, each with a part of the limit that is too small for it.
+                # This shard's quota is too small for this job, so leave the quota to the requester's older job.
+                # Otherwise two gangs could wait forever, each with a part of the limit that is too small for it.
                 continue
             count = job.startable
             if count:
@@ -129,12 +132,14 @@
         return (message.age_s, -message.shard) > (age_s, -self._shard.number)
 
     def _quota_to_yield(self, message: QuotaRequest, shortfall: Resources, unused: Resources) -> Resources | None:
-        """Return how much quota another shard gets although jobs wait for it here, or None if it gets none.
+        """Return how much quota this shard yields to another although jobs here wait for it, or None if it yields none.
+
+        If the other shard's jobs come first in the order of service, this shard yields all the quota that they lack. If
+        the jobs of both shards rank equally, it yields enough for both shards to use the same amount. Yielded quota
+        that tasks here still use is reserved now, and the other shard receives it after these tasks have ended.
 
-        If the other shard's jobs come first in the order of service, it gets all that it lacks. If they rank equally,
-        it gets enough for both shards to use the same amount. Quota that is still in use is reserved for it as tasks
-        end here. Without this rule, a shard would keep its quota for as long as it has work while urgent jobs wait in
-        another shard.
+        Without this rule, a shard would keep its quota for as long as it has work, while urgent jobs wait in another
+        shard.
         """
         ranks = [
             self._planner.rank(job)
@@ -157,13 +162,13 @@
 
     def _surplus(self, message: QuotaRequest) -> float:
         """Return how many processors this shard would have to give so that both shards could use the same number."""
-        # Quota that is reserved for another shard is counted as used: tasks that used it have ended since it was
+        # Count quota that is reserved for another shard as used. The tasks that used it may have ended since it was
         # reserved, but the jobs of this shard can't use it.
         reserved, _ = self._shard.quota.reserved_for_peers.get(message.team, (Resources(), ZERO))
         return (self._shard.usage[message.team].cpus + reserved.cpus - message.used) / 2
 
     def _reserve_missing(self, team: str, wanted: Resources, unused: Resources) -> None:
-        """Reserve the part of `wanted` that exceeds the unused quota. The other shard gets it as tasks end here."""
+        """Reserve the part of `wanted` that tasks here still use. The other shard gets it after these have ended."""
         used = self._shard.usage[team]
         missing = Resources(
             min(max(0.0, wanted.cpus - unused.cpus), used.cpus),
--- a/badgerroute/coordination/shards/scheduling_rounds.py
+++ b/badgerroute/coordination/shards/scheduling_rounds.py
@@ -16,7 +16,7 @@
 
 
 class SchedulingRounds:
-    """Runs the scheduling rounds of one shard; `planning_time_limit` is the time that the planner may take in each."""
+    """Runs the scheduling rounds of one shard. The planner may take `planning_time_limit` in each round."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self._quota_exchange, self._planning_time_limit = quota_exchange, planning_time_limit
 
     async def run(self) -> None:
-        """Run a round every `ROUND_INTERVAL` for as long as this controller may stop tasks of the shard."""
+        """Run a round every `ROUND_INTERVAL`, except while this controller may not stop tasks of the shard."""
         while True:
             await self._loop.sleep(ROUND_INTERVAL)
             if not self._policy.allows_for(self._shard.number, Action.STOP):
@@ -45,7 +45,7 @@
                 await self._quota_exchange.acquire_missing_quota()
 
     def _run_round(self, now: timedelta) -> None:
-        """Run one round without awaiting: expire lost machines, place jobs or preempt others, then send stops."""
+        """Run one round without awaiting: expire leases, place gangs, preempt for arrays, then send urgent stops."""
         out_of_time = deadline_check(self._loop, now + self._planning_time_limit)
         self._machine_expiry.expire(now)
         self._machine_expiry.evacuate_preempted(now)
--- a/badgerroute/coordination/shards/shard_leader.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -106,5 +106,5 @@
         return self._summaries.heartbeat_overdue(name)
 
     def count_silent_machines(self) -> int:
-        """Return how many machines' heartbeats are overdue, or 0 if less than half are. Cached like the summary."""
+        """Return how many machines' heartbeats are overdue, or 0 if fewer than half are. Cached like the summary."""
         return self._summaries.count_silent_machines()
--- a/badgerroute/coordination/shards/shard_leaders.py
+++ b/badgerroute/coordination/shards/shard_leaders.py
@@ -37,23 +37,23 @@
         self.job_changed(ref)
 
     def job_record_changed(self, key: str, value: bytes | None, revision: int) -> None:
-        """Handle a change that the replica reports of a key under `JOBS`."""
+        """Handle a change of a key under `JOBS` that the replica reports."""
         self.job_changed(key.removeprefix(JOBS))
 
     def done_page_changed(self, key: str, value: bytes | None, revision: int) -> None:
-        """Handle a change that the replica reports of a key under `DONE`."""
+        """Handle a change of a key under `DONE` that the replica reports."""
         self.job_changed(key.removeprefix(DONE).rpartition("/")[0])
 
     def machine_record_changed(self, key: str, value: bytes | None, revision: int) -> None:
-        """Handle a change that the replica reports of a key under `MACHINES`."""
+        """Handle a change of a key under `MACHINES` that the replica reports."""
         for leader in self.ready():
             leader.machine_changed(key.removeprefix(MACHINES), value)
 
     def machines_deleted(self, names: list[str]) -> None:
-        """Have the leaders of their shards remove machines that the cloud has deleted, and write their tombstones."""
+        """Have the shards' leaders remove machines that the cloud has deleted, and write these machines' tombstones."""
         members = {name for leader in self.values() for name in leader.shard.machines}
         for index, leader in enumerate(list(self.values())):
-            # Any leader may write the tombstone of a machine that never was a member: the first leader does.
+            # If a machine is a member of none of these shards, any leader may write its tombstone: the first one does.
             deleted = [name for name in names if name in leader.shard.machines or (index == 0 and name not in members)]
             if deleted:
                 self._group.spawn(leader.tombstone_writer.remove_machines(deleted), "forget")
--- a/badgerroute/coordination/shards/shard_storage.py
+++ b/badgerroute/coordination/shards/shard_storage.py
@@ -16,11 +16,11 @@
 
 
 class WriteOutcome(Enum):
-    """What is known about a conditional write that failed or was answered."""
+    """Whether a conditional write was applied, as far as is known after its response or failure."""
 
     APPLIED = "applied"
-    NOT_APPLIED = "not applied"  # and it can't be applied later either
-    UNKNOWN = "unknown"  # it may have been applied, or may still be until another write changes its keys
+    NOT_APPLIED = "not applied"  # and can't be applied later either
+    UNKNOWN = "unknown"  # may have been applied, or may still be applied until another write changes its keys
 
 
 @dataclass(frozen=True, slots=True)
--- a/badgerroute/coordination/shards/small_task_capacity.py
+++ b/badgerroute/coordination/shards/small_task_capacity.py
@@ -12,7 +12,7 @@
 
 
 class SmallTaskCapacity:
-    """Counts the processors of all shards' machines, by machine type."""
+    """Computes how many processors of the fleet are available to small tasks, the tasks of jobs that are not gangs."""
 
     def __init__(self, *, job_store: JobStore, replica: Replica, catalog: dict[str, MachineType]) -> None:
         self._job_store, self._replica, self._catalog = job_store, replica, catalog
--- a/badgerroute/coordination/shards/summary.py
+++ b/badgerroute/coordination/shards/summary.py
@@ -14,14 +14,16 @@
 
 MIN_DEMANDS = 200  # a summary may list at least this many waiting jobs, however small the shard is
 MACHINES_PER_DEMAND = 2  # the summary of a large shard may list one waiting job per two machines
-MAX_CAPACITY_GROUPS = 500  # groups of machines with equal free capacity in a summary
-ROUNDING_STEPS = (0.25, 1.0, 4.0, 16.0)  # of processors and GB; the next is tried while there are too many groups
+MAX_CAPACITY_GROUPS = 500  # if a summary has more groups of machines with equal free capacity, amounts are rounded
+# Amounts are rounded down to multiples of the first step that leaves at most MAX_CAPACITY_GROUPS groups, or else of the
+# last step. The unit is one processor, accelerator or GB.
+ROUNDING_STEPS = (0.25, 1.0, 4.0, 16.0)
 MAX_IMAGE_MACHINES = 16  # a summary lists at most this many machines for each image
 MIN_FREE_CPUS = 1e-6  # a smaller amount is a rounding error
 
-# Plain tuples for speed: one of each is created for every machine several times a second.
+# Both are plain tuples for speed, since one of each is created for every machine several times a second.
 MachineResources = tuple[Machine, Resources]  # a machine, and its free or reclaimable resources
-CapacityKey = tuple[str, str, bool, float, float, float]  # the fields of `FreeCapacity` before its count
+CapacityKey = tuple[str, str, bool, float, float, float]  # type, zone, spot, cpus, accelerators, memory_gb
 
 
 class IdleCapacity(NamedTuple):
@@ -119,9 +121,10 @@
     now: timedelta,
     workers_silent: bool = False,
 ) -> ShardSummary:
-    """Return the summary of a shard as it is now; this visits every machine and every waiting job.
+    """Compute the summary of a shard as it is now. This visits every machine and every waiting job.
 
-    `levels`: the priority levels of all gangs, since other shards may want to preempt tasks here for a gang.
+    `levels`: the priority levels of all gangs. The summary tells how much capacity a gang of each level could get here
+    after preemption, since gangs may move here from other shards.
     `scales_out_ahead`: whether machines are rented before work arrives, rather than on demand.
     `workers_silent`: whether the heartbeats of at least half of the machines are overdue.
     """
--- a/badgerroute/coordination/shards/summary_cache.py
+++ b/badgerroute/coordination/shards/summary_cache.py
@@ -75,7 +75,7 @@
         return self._summary.summary
 
     def count_silent_machines(self) -> int:
-        """Return how many machines' heartbeats are overdue, or 0 if less than half are."""
+        """Return how many machines' heartbeats are overdue, or 0 if fewer than half are."""
         now = self._loop.now()
         if self._silence is None or now - self._silence.taken_at >= self._renewal_age():
             machines = count_overdue(self._shard, self._heartbeat_interval, self._resumed_at(), now)
--- a/badgerroute/coordination/shards/term_raiser.py
+++ b/badgerroute/coordination/shards/term_raiser.py
@@ -17,10 +17,10 @@
 
     def __init__(self, *, shard: Shard, loop: Loop, election: LeaderElection) -> None:
         self._shard, self._loop, self._election = shard, loop, election
-        self._pending_raise: Future | None = None  # None if no write is in flight; the result is whether it succeeded
+        self._pending_raise: Future | None = None  # the write in flight; its result is whether the term was raised
 
     async def raise_term(self) -> bool:
-        """Obtain a higher term, since a machine has seen a higher fencing token; return whether that succeeded."""
+        """Obtain a higher term, since a machine has seen a higher fencing token. Return whether that succeeded."""
         if self._pending_raise is not None:
             # Wait for the result: if the term was not raised, the caller must not answer the machine, which would
             # ignore an answer in the old term but keep sending its heartbeats here until its lease expires.
--- a/badgerroute/coordination/shards/tombstone_writer.py
+++ b/badgerroute/coordination/shards/tombstone_writer.py
@@ -66,7 +66,7 @@
         tombstones = records.write(TombstoneRecord([*page.names, *(name for name in batch if name not in page.names)]))
         members = [MACHINES + name for name in batch if self._replica.revision_of(MACHINES + name)]
         changes: list[Put | Remove] = [put(key, tombstones), *(remove(member) for member in members)]
-        # The page must be as in the replica: otherwise a delayed older write would remove newer names.
+        # Write only if the page is still as in the replica. Otherwise a delayed older write could remove newer names.
         unchanged = compare(key, self._replica.revision_of(key))
         conditions = [self._leadership_state.leadership_condition(self._shard.number), unchanged]
         await self._storage.write(conditions, changes, Urgency.PROGRESS)
--- a/badgerroute/coordination/shards/urgent_stops.py
+++ b/badgerroute/coordination/shards/urgent_stops.py
@@ -6,7 +6,7 @@
 from badgerroute.scheduling.task_phase import Phase
 from badgerroute.transport.loop import Loop, TaskGroup
 
-MAX_DIRECT_CANCELLATIONS = 16  # machines per round; the others get their stops in heartbeat answers
+MAX_DIRECT_CANCELLATIONS = 16  # maximum number of machines per round; the others get stops in heartbeat answers
 
 
 class UrgentStops:
--- a/badgerroute/coordination/shards/work_stealing.py
+++ b/badgerroute/coordination/shards/work_stealing.py
@@ -18,8 +18,8 @@
 
 MAX_RANGES = 48  # a job whose tasks are split into more ranges is not stolen from
 MAX_JOBS_PER_STEAL = 6
-# While a gang waits, its shard does not steal work for its free capacity, unless the gang does not fit and has waited
-# longer than this.
+# While a gang waits in a shard, the shard keeps its free capacity for the gang and steals no work. If the gang does not
+# fit in this capacity, this ends when the gang has waited for this long.
 GANG_WAIT_LIMIT = timedelta(seconds=30)
 
 
@@ -41,7 +41,7 @@
 
 
 class WorkStealing:
-    """Work stealing by and from one shard, both as the idle shard (thief) and as the busy one (victim)."""
+    """Work stealing of one shard, which may be the idle shard (thief) or the busy one (victim)."""
 
     def __init__(
         self,
@@ -63,8 +63,8 @@
     def has_work_for(self, capacities: list[FreeCapacity], teams_lacking_quota: set[str]) -> bool:
         """Return whether a task that waits in this shard could soon use the given free capacity.
 
-        A job is ignored if no machine here may run it, if its team's limit prevents its start or if its tasks have
-        failed. The capacity would otherwise stay idle for it while tasks of other shards could use it.
+        Jobs that can't start soon are ignored, for example if their team lacks quota or their tasks have failed.
+        Otherwise the capacity would stay idle for these jobs, although tasks of other shards could use it.
         """
         now = self._loop.now()
         checked_shapes: set[_JobShape] = set()  # many jobs have the same shape, and each shape is checked once
