--- a/badgerroute/coordination/autoscaling/machine_inventory.py
+++ b/badgerroute/coordination/autoscaling/machine_inventory.py
@@ -14,7 +14,8 @@
 
 log = logging.getLogger(__name__)
 MIN_LIST_INTERVAL = timedelta(seconds=3)
-# Listing uses at most this portion of this controller's request rate at the cloud: 4,000 machines take eight requests.
+# Listing uses at most this portion of this controller's request rate at the cloud, and the rest is left for other
+# requests. A single list of 4,000 machines takes eight requests.
 MAX_LIST_SHARE = 0.5
 LIST_AGE_MARGIN = timedelta(seconds=5)
 
@@ -44,9 +45,9 @@
         self._pending, self._deletion_queue = pending, deletion_queue
         self._min_interval = max(MIN_LIST_INTERVAL, settings.params.cloud.list_lag / 2)
         self._unclaimed_timeout = 2 * max_list_age(settings) + settings.params.workers.lease
-        self._listed_at: timedelta | None = None  # last read of the list; None if not since the last `reset`
+        self._listed_at: timedelta | None = None  # last read of the list; None if not read since the last `reset`
         self._listing_time = timedelta(0)  # time to list all machines at this controller's request rate
-        self._unclaimed_since: dict[str, timedelta] = {}  # running machine without a shard -> when first found so
+        self._unclaimed_since: dict[str, timedelta] = {}  # running machine in no shard -> when this was first seen
 
     def reset(self) -> None:
         """Have the next `refresh` read the list without delay. Called while this controller may not rent machines."""
@@ -86,7 +87,7 @@
         if machine.state == "failed":
             return not self._ownership.has_other_leader(
                 machine.name
-            )  # another controller that leads its shard detects the failure sooner
+            )  # if another controller leads its shard, that one detects the failure sooner
         if machine.name in members:
             self._pending.remove_started([machine.name])
             return False
@@ -97,7 +98,7 @@
     def _is_stuck(self, machine: ListedMachine, now: timedelta) -> bool:
         """Return whether a booting machine has timed out. If not, add it to the pending machines.
 
-        It may be missing there because an earlier autoscaler leader rented it.
+        The machine is missing from them if an earlier autoscaler leader rented it.
         """
         rented_at = now - timedelta(seconds=machine.age_s)
         if self._pending.has_timed_out(machine.type, rented_at, now):
--- a/badgerroute/coordination/autoscaling/machine_tombstones.py
+++ b/badgerroute/coordination/autoscaling/machine_tombstones.py
@@ -5,8 +5,8 @@
 from badgerroute.storage import records
 from badgerroute.storage.records import TombstoneRecord
 
-# The number of names kept per machine of the largest permitted fleet. It need not be larger, since copies of messages
-# arrive minutes late, not weeks.
+# The names of the latest deletions are kept: this many for each machine of the largest permitted fleet. That is enough,
+# since copies of messages arrive at most minutes late, not weeks.
 TOMBSTONES_PER_MACHINE = 2
 
 
--- a/badgerroute/coordination/autoscaling/pending_machines.py
+++ b/badgerroute/coordination/autoscaling/pending_machines.py
@@ -1,4 +1,4 @@
-"""Rented machines that are not up yet, that is, are not members of a shard, and their provisioning timeouts."""
+"""Pending machines (rented, but not up yet, that is, members of no shard) and their provisioning timeouts."""
 
 from collections.abc import Container, Iterable, Mapping
 from dataclasses import dataclass
@@ -27,7 +27,7 @@
 class PendingMachines:
     """The pending rentals, by machine name, or by request name if the response to the request was lost.
 
-    `max_list_age` is the greatest age of the cloud's list of machines, and so how long it may lack a new machine.
+    `max_list_age` is the greatest age of the cloud's list of machines, and so how long the list may lack a new machine.
     """
 
     def __init__(self, loop: Loop, catalog: Mapping[str, MachineType], max_list_age: timedelta) -> None:
@@ -68,7 +68,7 @@
         return name in self._rentals and self._is_expected(self._rentals[name])
 
     def remove_timed_out(self, members: Container[str], now: timedelta) -> list[str]:
-        """Remove the rentals of members of shards and those that have timed out; return the names of the latter."""
+        """Remove the rentals of members of shards and the timed-out rentals. Return the names of the timed-out ones."""
         timed_out = []
         for name, rental in list(self._rentals.items()):
             if name in members:
@@ -82,8 +82,8 @@
         """Return whether a machine that was rented at this time and is not up will most likely never be up.
 
         The timeout is short only if a machine that was rented later is already up, which shows that this one is stuck.
-        If every machine had the short timeout, all of them would be deleted just before they are up when booting is
-        slow.
+        If every machine had the short timeout and booting was slow, all machines would be deleted just before they are
+        up.
         """
         overtaken = self._latest_rented_at is not None and self._latest_rented_at > rented_at
         return now - rented_at > (OVERTAKEN_TIMEOUT if overtaken else PROVISIONING_TIMEOUT) * self._boot_time(type_name)
--- a/badgerroute/coordination/autoscaling/rental_backoff.py
+++ b/badgerroute/coordination/autoscaling/rental_backoff.py
@@ -24,8 +24,8 @@
 class RentalBackoff:
     """Decides from which pools machines may be requested.
 
-    After a request that yields too few machines, the pool is not used for a pause. The pause is MIN_PAUSE if some were
-    rented. If none were, it is twice the previous pause, from MIN_PAUSE up to MAX_PAUSE.
+    After a request that yields too few machines, the pool is not used for a pause. The pause is MIN_PAUSE if some
+    machines were rented. If none were, it is twice the previous pause, from MIN_PAUSE up to MAX_PAUSE.
     """
 
     def __init__(self, loop: Loop) -> None:
--- a/badgerroute/coordination/autoscaling/scale_in.py
+++ b/badgerroute/coordination/autoscaling/scale_in.py
@@ -1,6 +1,6 @@
 """The scale-in loop: each shard's leader returns idle machines to the cloud.
 
-It returns none while the settings have machines rented ahead of demand.
+No machines are returned if, according to the settings, machines are rented ahead of demand.
 """
 
 import logging
@@ -46,7 +46,7 @@
         self._catalog, self._leaders, self._deletion_queue = catalog, leaders, deletion_queue
 
     async def run(self) -> None:
-        """Return machines to the cloud that exceed the maximum idle time; runs until cancelled."""
+        """Return to the cloud machines that were idle for longer than the maximum idle time; runs until cancelled."""
         while True:
             await self._loop.sleep(INTERVAL)
             if not self._catalog or scales_out_ahead(self._settings, self._catalog):
--- a/badgerroute/coordination/autoscaling/scale_out.py
+++ b/badgerroute/coordination/autoscaling/scale_out.py
@@ -33,7 +33,7 @@
     """Provides the latest summary that each shard's leader has sent."""
 
     def summaries(self) -> list[ShardSummary]:
-        """Return the latest summary of each shard from which there is one."""
+        """Return the latest summary of each shard whose leader has sent one."""
 
 
 class ScaleOut:
@@ -93,7 +93,8 @@
     def _machines_to_request(self) -> dict[MachinePool, int]:
         """Return how many machines to request from each pool.
 
-        That is the most per request if machines are rented ahead of demand, else what the waiting tasks need.
+        If machines are rented ahead of demand, that is MAX_MACHINES_PER_RENTAL for each pool. Otherwise it is what the
+        waiting tasks need.
         """
         if scales_out_ahead(self._settings, self._catalog):
             pools = machine_pools(self._catalog)
@@ -103,7 +104,7 @@
         return plan.machines_wanted(self._summary_source.summaries(), self._pending.expected())
 
     async def _rent(self, pool: MachinePool, count: int) -> int:
-        """Rent up to `count` machines, and return how many were rented or, if that is unknown, may have been.
+        """Rent up to `count` machines. Return how many were rented or, if this is unknown, the most that may have been.
 
         If a response is lost, the request is sent again under the same name, so that it is executed only once.
         """
--- a/badgerroute/storage/cloud_client.py
+++ b/badgerroute/storage/cloud_client.py
@@ -27,7 +27,8 @@
 class CloudClient:
     """Client of the cloud API, whose rate limit is divided equally among `size` controllers.
 
-    All requests raise CloudUnavailableError if no response arrives, if its status is not 200 or if it is malformed.
+    Every request raises NoCapacityError if the cloud responds that it has no capacity. It raises CloudUnavailableError
+    if no response arrives, if the response has any other status than 200, or if it is malformed.
     """
 
     def __init__(self, loop: Loop, network: Network, address: str, limits: CloudLimits, size: int) -> None:
--- a/badgerroute/storage/entries.py
+++ b/badgerroute/storage/entries.py
@@ -41,7 +41,7 @@
     def __init__(self) -> None:
         self.by_key: dict[str, Entry] = {}
         self._keys_under: dict[str, dict[str, None]] = {}  # ordered set of keys per prefix
-        self._removed: dict[str, int] = {}  # revisions of removals later than the last `forget_removals`
+        self._removed: dict[str, int] = {}  # removed key -> revision of the removal, until `forget_removals`
         self._subscriptions: list[_Subscription] = []
 
     def listen(self, prefix: str, listener: Listener) -> None:
--- a/badgerroute/storage/errors.py
+++ b/badgerroute/storage/errors.py
@@ -2,15 +2,15 @@
 
 
 class StoreUnavailableError(Exception):
-    """The key-value store did not and will not execute the write, or a read failed: the caller may send it again."""
+    """A write was not executed and will not be, or a read failed. The caller may repeat the request."""
 
 
 class OutcomeUnknownError(Exception):
-    """The transaction may have been applied, or may yet be applied: the caller must read the keys before it goes on."""
+    """The transaction may have been applied, or may yet be. The caller must read the keys before it continues."""
 
 
 class CompareFailedError(Exception):
-    """A condition of the transaction did not hold, so it was not applied: the caller reads the keys and decides again.
+    """The transaction was not applied, since a condition did not hold. The caller reads the keys and decides again.
 
     `failed`: the keys whose conditions did not hold.
     """
@@ -21,7 +21,7 @@
 
 
 class RequestRefusedError(StoreUnavailableError):
-    """The store rejected the transaction as malformed or too large: it must not be sent again unchanged.
+    """The store rejected the transaction as malformed or too large. It must not be sent again unchanged.
 
     `by_size`: the transaction's size may have been the reason. The client has then lowered its size limits, and the
     caller may retry with a smaller transaction.
@@ -33,11 +33,11 @@
 
 
 class LeaseExpiredError(Exception):
-    """The lease has expired and its keys were removed: the caller no longer leads any shard and needs a new lease."""
+    """The lease has expired and its keys were removed. The caller no longer leads any shard and needs a new lease."""
 
 
 class WatchExpiredError(Exception):
-    """The store no longer holds the changes since the watch's start revision: the caller must list the keys again."""
+    """The store no longer holds the changes since the watch's start revision. The caller must list the keys again."""
 
 
 class CloudUnavailableError(Exception):
--- a/badgerroute/storage/key_value_client.py
+++ b/badgerroute/storage/key_value_client.py
@@ -1,4 +1,4 @@
-"""Client of the key-value store. Its errors distinguish transactions that were not applied from unknown outcomes."""
+"""Client of the key-value store. Its errors tell whether a transaction was not applied or its outcome is unknown."""
 
 import logging
 from collections.abc import Iterable, Sequence
@@ -103,7 +103,7 @@
 
     @property
     def announced_value_bytes(self) -> int:
-        """The maximum size of a value in bytes that follows from the settings, whatever transactions were refused."""
+        """The maximum size of a value in bytes according to the settings. Refused transactions do not lower it."""
         return self._sizes.value_bytes.maximum
 
     @property
@@ -112,7 +112,7 @@
         return MAX_CONDITIONS_PER_CHANGE * self._limits.max_changes
 
     async def get(self, key: str, urgency: Urgency = Urgency.READ) -> wire.KeyValueEntry | None:
-        """Read a key; return None if it does not exist."""
+        """Return a key's value and revision, or None if the key does not exist."""
         response = await self._read("/kv/" + quote(key, safe="/"), urgency)
         if response.status == 404:
             return None
@@ -120,7 +120,7 @@
         return self._caller.decode(response, wire.entry_decoder, READ_ERRORS)
 
     async def revision(self, nonexistent_key: str, urgency: Urgency = Urgency.READ) -> int:
-        """Return the latest revision that the store has applied, which its response for a nonexistent key contains."""
+        """Return the latest revision that the store has applied. It is part of the response for a nonexistent key."""
         response = await self._read("/kv/" + quote(nonexistent_key, safe="/"), urgency)
         _require_ok(response, accepted=(404,))
         return self._caller.decode(response, wire.missing_decoder, READ_ERRORS).revision
@@ -154,7 +154,7 @@
         urgency: Urgency,
         timeout: timedelta = RESPONSE_TIMEOUT,
     ) -> int:
-        """Apply the changes atomically if all conditions hold; return the revision at which they were applied.
+        """Apply the changes atomically if all conditions hold. Return the revision at which they were applied.
 
         Raises CompareFailedError, LeaseExpiredError, RequestRefusedError, OutcomeUnknownError, StoreUnavailableError.
         """
@@ -184,7 +184,7 @@
         return self._caller.decode(response, wire.lease_decoder, WRITE_ERRORS).lease
 
     async def renew_lease(self, lease: int, timeout: timedelta) -> None:
-        """Renew a lease; raise LeaseExpiredError if it has ended."""
+        """Renew a lease. Raise LeaseExpiredError if it has ended."""
         response = await self._write_lease(f"/grants/{lease}/touch", timeout)
         if response.status == 404:
             raise LeaseExpiredError(f"lease {lease} has ended")
@@ -219,7 +219,7 @@
         return response
 
     def _lower_sizes(self, transaction: wire.Transaction, body: bytes) -> bool:
-        """Lower the size limits after a refused transaction; return whether its size may have been the reason."""
+        """Lower the size limits after a refused transaction. Return whether its size may have been the reason."""
         changes = transaction.changes
         values = (len(encode(change.value)) for change in changes if isinstance(change, wire.Put))
         size = TransactionSize(len(changes), max(values, default=0))
--- a/badgerroute/storage/rate_limiter.py
+++ b/badgerroute/storage/rate_limiter.py
@@ -63,7 +63,7 @@
             self._burst = max(MIN_BURST, burst)
 
     async def take(self, cost: float, urgency: Urgency, timeout: timedelta) -> None:
-        """Take `cost` tokens, waiting at most `timeout`; raise RateLimitExceededError if they don't become available.
+        """Take `cost` tokens. Raise RateLimitExceededError if they don't become available within `timeout`.
 
         If `cost` exceeds the burst, the caller waits for a full bucket, and the number of tokens becomes negative.
         """
--- a/badgerroute/storage/read_barrier.py
+++ b/badgerroute/storage/read_barrier.py
@@ -1,4 +1,4 @@
-"""Lets readers wait until the replica has applied all changes up to a given, or the store's current, revision."""
+"""Lets readers wait until the replica has applied all changes up to a given revision or the store's current one."""
 
 from datetime import timedelta
 from typing import NamedTuple
@@ -26,13 +26,13 @@
     def __init__(self, loop: Loop, store: KeyValueClient) -> None:
         self._loop = loop
         self._store = store
-        self._revision = 0  # up to which the watch has delivered all changes
+        self._revision = 0  # the watch has delivered all changes up to this revision
         self._waiters: list[_Waiter] = []  # waiting for a revision that the watch has not reached
         self._readers: list[Future] = []  # waiting for the next request for the store's revision
         self._reader_arrived = Future()
 
     def advance(self, revision: int) -> None:
-        """Record that the watch has delivered all changes up to this revision, and wake the waiters for it."""
+        """Record that the watch has delivered all changes up to this revision, and wake the callers waiting for it."""
         self._revision = revision
         if not self._waiters:
             return
--- a/badgerroute/storage/records.py
+++ b/badgerroute/storage/records.py
@@ -114,7 +114,7 @@
 
     @property
     def assigned_ranges(self) -> list[TaskRange]:
-        """Which shard owns which tasks; if the job is not released yet, which shard will own them."""
+        """Which tasks each shard owns or, if the job is not released yet, will own after the release."""
         return self.ranges if self.planned is UNSET else self.planned
 
     def with_ranges(self, ranges: list[TaskRange]) -> "JobRecord":
@@ -133,7 +133,7 @@
         return msgspec.structs.replace(self, ranges=self.assigned_ranges, planned=UNSET, base=base, bits=bits)
 
     def without_bits(self, done: int) -> "JobRecord":
-        """Return the record with the `base` for these done tasks but no `bits`, as their bits are stored in pages."""
+        """Return the record with the `base` for these done tasks and empty `bits`, as pages hold the bits instead."""
         return msgspec.structs.replace(self, base=trailing_ones(done), bits="")
 
     def tasks_owned_by(self, shard: int) -> int:
@@ -146,7 +146,7 @@
 
 
 def max_tasks_ahead(max_value_bytes: int) -> int:
-    """Return how many task numbers beyond its first unfinished task a job may start tasks.
+    """Return how far beyond its first unfinished task a job may start tasks, in task numbers.
 
     The limit lets the bits of the done tasks fit into half of the largest permitted value. The other half is reserved
     for the rest of the job's record.
@@ -158,7 +158,7 @@
 
 
 def read(value: bytes, record_type: type) -> Any:
-    """Decode a stored value as a record of the given class; raise msgspec.DecodeError if it is not one."""
+    """Decode a stored value as a record of the given class. Raise msgspec.DecodeError if it is not one."""
     decoder = _decoders.get(record_type)
     if decoder is None:
         decoder = _decoders[record_type] = msgspec.json.Decoder(record_type)
--- a/badgerroute/storage/replica.py
+++ b/badgerroute/storage/replica.py
@@ -1,4 +1,4 @@
-"""An in-memory copy of the key-value store, updated by a watch: repeated requests for the changes since a revision.
+"""An in-memory copy of the key-value store, updated by a watch (repeated requests for the changes since a revision).
 
 All keys share one prefix, so a single watch delivers all changes in order. This controller's own writes, and changes
 that peers send, are applied even before the watch delivers them. `Replica.revision` is the revision up to which the
@@ -30,8 +30,8 @@
 from badgerroute.transport.loop import Future, Loop
 
 log = logging.getLogger(__name__)
-# In this order: a job's pages are loaded before its record, whose listeners read them. Final states are not loaded:
-# they are kept permanently, so there are too many of them to hold in memory.
+# In the order of loading: a job's pages come before its record, because the record's listeners read the pages. Final
+# states are not loaded. They are kept permanently, so there are too many of them to hold in memory.
 LOADED_PREFIXES = (
     DONE,
     PREDECESSORS,
@@ -86,7 +86,7 @@
         return entry.value if entry else None
 
     def existing_value(self, key: str) -> bytes:
-        """Return the value of an existing key; raise KeyError if it does not exist."""
+        """Return the value of an existing key. Raise KeyError if it does not exist."""
         return self._entries.by_key[key].value
 
     def keys_under(self, prefix: str) -> list[str]:
@@ -99,7 +99,7 @@
     def apply_early(self, key: str, value: bytes | None, revision: int) -> None:
         """Apply a change that was received from another source than the watch (a removal if `value` is None).
 
-        A change whose revision the watch has already reached is ignored. Otherwise the copy of an old message that
+        A change whose revision the watch has already reached is ignored. Otherwise a copy of an old message that
         arrives minutes late could bring a removed key back.
         """
         if revision > self.revision:
--- a/badgerroute/storage/size_limits.py
+++ b/badgerroute/storage/size_limits.py
@@ -1,10 +1,10 @@
 """Limits on a transaction's number of changes and on the size of a value.
 
 They are taken from the settings and lowered for some time after the store has refused a transaction. If the settings
-announce a future limit, the client observes the lower of both from the first write on, so exceeding it cannot be the
-reason for a refusal. Any other limit that may be the reason is lowered at once, so that the same transaction is not
-sent again. It is then raised step by step, since the reason may have been a different one (docs/incidents.md, "A
-controller squeezed for good").
+announce a future limit, the client observes the lower of the current and the future limit from the first write on.
+Exceeding it thus can't be the reason for a refusal. Any other limit that may be the reason is lowered at once, so that
+the same transaction is not sent again. It is then raised step by step, since the reason may have been a different one
+(docs/incidents.md, "A controller squeezed for good").
 """
 
 from dataclasses import dataclass
@@ -32,8 +32,8 @@
 class SizeLimit:
     """One limit, whose value `current` lies between `minimum` and `maximum`.
 
-    `announced` is whether the settings announce a future limit of the store. `maximum` already respects that limit, so
-    refusals then do not lower `current`.
+    `announced` is whether the settings announce a future limit of the store. If so, `maximum`
+    already respects that limit, and refusals do not lower `current`.
     """
 
     def __init__(self, maximum: int, minimum: int, announced: bool) -> None:
@@ -80,9 +80,10 @@
 
     @classmethod
     def of_store(cls, limits: StoreLimits) -> "SizeLimits":
-        """Create the limits from the settings: each is the lower of the store's current and its announced limit.
+        """Create the limits from the settings.
 
-        The announced limits are observed from the first write on, since the settings don't say when they take effect.
+        `limits.max_changes` and `limits.max_value_bytes` already take the announced limits into account. These are
+        observed from the first write on, since the settings don't say when they take effect.
         """
         later = limits.next or LaterStoreLimits()
         return cls(
@@ -93,12 +94,12 @@
         )
 
     def lower_after_refusal(self, size: TransactionSize, now: timedelta) -> bool:
-        """Lower the limits that may be why a transaction of this size was refused; return whether there are any."""
+        """Lower the limits that may be why a transaction of this size was refused. Return whether there are any."""
         by_changes = self.changes.lower_after_refusal(size.changes, now)
         by_value = self.value_bytes.lower_after_refusal(size.value_bytes, now)
         return by_changes or by_value
 
     def recover(self, now: timedelta) -> None:
-        """Raise lowered limits by the time that has passed. Must be called before a limit is read."""
+        """Raise the lowered limits that are due to be raised by now. Must be called before a limit is read."""
         self.changes.recover(now)
         self.value_bytes.recover(now)
--- a/badgerroute/storage/store_rates.py
+++ b/badgerroute/storage/store_rates.py
@@ -42,7 +42,10 @@
         self.change_limiter = RateLimiter(loop, rate=share, burst=share)
 
     def divide(self, clients: int) -> None:
-        """Divide the limits among this number of clients, so that others can use the portion of a failed controller."""
+        """Divide the limits among this number of clients from now on.
+
+        The number excludes controllers that have failed, so that the others can use their portions.
+        """
         self._clients = clients
         share = self._share(self._rates.requests)
         self.request_limiter.set_rate(share, burst=share)
@@ -52,8 +55,8 @@
     def record_refusal(self) -> None:
         """Record a 429 response. The REFUSALS_BEFORE_LOWERING-th within REFUSAL_WINDOW lowers the rates.
 
-        A single 429 response occurs when the bursts of two controllers coincide. Several show that the store's limits
-        are lower now.
+        A single 429 response may occur when the bursts of two controllers coincide. Several show that the store has
+        lowered its limits.
         """
         now = self._loop.now()
         self._refusals = [refused_at for refused_at in self._refusals if now - refused_at < REFUSAL_WINDOW]
@@ -62,7 +65,7 @@
             self._use_lower_rates()
 
     def _share(self, rate: float) -> float:
-        """Return one client's portion of a rate. It is also used as the burst, as a client may save up one second's."""
+        """Return one client's portion of a rate. It is also the burst: a client may save up one second's tokens."""
         return rate * SAFETY_FACTOR / self._clients
 
     def _use_lower_rates(self) -> None:
