--- a/badgerroute/connectivity/overdue_heartbeats.py
+++ b/badgerroute/connectivity/overdue_heartbeats.py
@@ -6,7 +6,8 @@
 from badgerroute.scheduling.shard_state import ShardView
 
 MIN_EXPECTED_MACHINES = 3  # with fewer, overdue heartbeats say little about this controller's link
-HEARTBEAT_INTERVAL_FACTOR = 1.5  # intervals between heartbeats vary by up to a quarter
+# Intervals between heartbeats vary by up to a quarter, so the longest is 1.25 times the nominal one. The rest is slack.
+HEARTBEAT_INTERVAL_FACTOR = 1.5
 HEARTBEAT_TRANSIT_TIME = timedelta(seconds=1)  # allowance for the network
 FAILOVER_TIME = timedelta(seconds=5)  # a worker tries another controller after a timeout of 4 s and a pause of 1 s
 
--- a/badgerroute/connectivity/transfer_target.py
+++ b/badgerroute/connectivity/transfer_target.py
@@ -15,8 +15,8 @@
 def choose_transfer_target(candidates: list[TransferCandidate], shard_machines: int) -> TransferCandidate | None:
     """Return the candidate that leads the fewest machines, or None if no machine of the shard reports to a candidate.
 
-    Only candidates are considered to which at least half as many machines of the shard report as to the candidate with
-    the most. `shard_machines` is the number of machines in the shard, by which the load of its new leader grows.
+    A candidate to which fewer than half as many machines of the shard report as to some other candidate is left out.
+    `shard_machines` is the number of machines in the shard. The new leader leads them in addition to its own.
     """
     reporting_candidates = [candidate for candidate in candidates if candidate.machines_reporting > 0]
     if not reporting_candidates:
--- a/badgerroute/protocol/mesh.py
+++ b/badgerroute/protocol/mesh.py
@@ -159,9 +159,11 @@
 class QuotaRequest(Struct, tag="lack"):
     """A shard needs more quota of a team's limit; a shard that does not use all of its quota may grant some.
 
-    `cpus`, `accelerators`: the missing quota. `age_s`: age of the oldest job that waits for quota. `rank`: position in
-    the order of service of the first such job; lower ranks are served first. `used`: processors of the team's limit
-    that are in use in the requesting shard.
+    Among the team's jobs that wait for quota, the request covers those that come first in the order of service. `cpus`,
+    `accelerators`: the quota that these jobs lack. `age_s`: the age of the oldest of them. `rank`: their sort key in
+    the order of service, lowest first. It consists of the negated priority level, 0 if the jobs are within the team's
+    guarantee or else 1, and the lateness tier. `used`: the number of processors that the team's tasks use in the
+    requesting shard.
     """
 
     shard: int = field(name="part")
--- a/badgerroute/rebalancing/drains.py
+++ b/badgerroute/rebalancing/drains.py
@@ -16,8 +16,8 @@
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
-# A drain is removed once its machine has had no record in the key-value store for this long. During a transfer of the
-# machine to another shard the record may be missing for less time.
+# A drain is removed once its machine has had no record in the key-value store for this long. The time is longer than a
+# transfer of the machine to another shard, during which the record may be missing too.
 ORPHANED_AFTER = timedelta(seconds=60)
 
 
--- a/badgerroute/rebalancing/service.py
+++ b/badgerroute/rebalancing/service.py
@@ -176,8 +176,8 @@
         reports = [ShardWaitReport(summary, ZERO) for summary in own.values()]
         reports += [ShardWaitReport(summary, age) for summary, age in peers.shard_reports() if summary.shard not in own]
         self.view = FleetView(reports, self._rebalancing.stale_after)
-        # The urgencies are computed once per view: each comparison of two jobs uses them, and computing a percentile
-        # iterates over a whole histogram.
+        # Compute the urgencies only once per view. Every comparison of two jobs uses them, and computing one iterates
+        # over whole histograms to find percentiles.
         self._urgencies = {team: self._compute_urgency(team) for team in self.view.teams}
 
     def _request_missing_work(self, now: timedelta) -> None:
--- a/badgerroute/settings/operator.py
+++ b/badgerroute/settings/operator.py
@@ -96,7 +96,10 @@
 
     @property
     def move_rest(self) -> timedelta:
-        """How long a moved task may not be moved again, and its job may not use the machine that the task left."""
+        """The time after a move during which the task may not be moved again.
+
+        During this time, its job may not start tasks on the machine that the task left either.
+        """
         return timedelta(seconds=self.move_rest_s)
 
 
