--- a/badgerroute/coordination/shards/heartbeat_intake.py
+++ b/badgerroute/coordination/shards/heartbeat_intake.py
@@ -29,7 +29,7 @@
         self._progress, self._delete_machines = progress, delete_machines
 
     def apply(self, machine: Machine, heartbeat: Heartbeat, periodic: bool) -> bool:
-        """Apply a machine's task list; return False if the list is outdated.
+        """Apply a machine's task list. Return False if the list is outdated.
 
         `periodic` is true for a heartbeat, and false for an answer to a command.
         """
--- a/badgerroute/storage/size_limits.py
+++ b/badgerroute/storage/size_limits.py
@@ -2,9 +2,9 @@
 
 They are taken from the settings and lowered for some time after the store has refused a transaction. If the settings
 announce a future limit, the client observes the lower of the current and the future limit from the first write on.
-Exceeding it thus can't be the reason for a refusal. Any other limit that may be the reason is lowered at once, so that
-the same transaction is not sent again. It is then raised step by step, since the reason may have been a different one
-(docs/incidents.md, "A controller squeezed for good").
+Exceeding that limit thus can't be the reason for a refusal. Any other limit that may be the reason is lowered at once,
+so that the same transaction is not sent again. It is then raised step by step, since the reason may have been a
+different one (docs/incidents.md, "A controller squeezed for good").
 """
 
 from dataclasses import dataclass
@@ -32,8 +32,8 @@
 class SizeLimit:
     """One limit, whose value `current` lies between `minimum` and `maximum`.
 
-    `announced` is whether the settings announce a future limit of the store. If so, `maximum`
-    already respects that limit, and refusals do not lower `current`.
+    `announced` is whether the settings announce a future limit of the store. If so, `maximum` already
+    respects that limit, and refusals do not lower `current`.
     """
 
     def __init__(self, maximum: int, minimum: int, announced: bool) -> None:
@@ -100,6 +100,6 @@
         return by_changes or by_value
 
     def recover(self, now: timedelta) -> None:
-        """Raise the lowered limits that are due to be raised by now. Must be called before a limit is read."""
+        """Raise lowered limits for which enough time has passed. Must be called before a limit is read."""
         self.changes.recover(now)
         self.value_bytes.recover(now)
--- a/badgerroute/storage/store_rates.py
+++ b/badgerroute/storage/store_rates.py
@@ -44,7 +44,7 @@
     def divide(self, clients: int) -> None:
         """Divide the limits among this number of clients from now on.
 
-        The number excludes controllers that have failed, so that the others can use their portions.
+        Controllers that have failed are not counted, so that the others can use their portions.
         """
         self._clients = clients
         share = self._share(self._rates.requests)
