--- a/tests/standins/day.py
+++ b/tests/standins/day.py
@@ -229,7 +229,7 @@
             self.loop.later(after, lambda: self.start(host))
 
     def upgrade(self, host: str, after: timedelta = SECOND) -> None:
-        """Kill a controller's process and start one of these sources after a while, in place of the version in production."""
+        """Kill a controller that runs the version in production, and later start one that runs the present sources."""
         self.production_hosts.discard(host)
         self.restart(host, after)
 
--- a/tests/standins/key_value_store.py
+++ b/tests/standins/key_value_store.py
@@ -34,7 +34,7 @@
         self.refused_hosts: set[str] = set()  # their requests are answered 503
         self.hosts_without_watches: set[str] = set()  # their watches get no response, while other requests do
         self.changed = Future()  # is set at the next change
-        self.late_write_probability = 0.0  # of a transaction to be applied after its client timed out
+        self.late_write_probability = 0.0  # that a transaction is applied late and its response comes too late
         self.late_write_delay_s = (2.0, 12.0)  # minimum and maximum
         self.answers_to_drop = 0  # this many transactions are applied, but their responses are lost
         self.limits: StoreLimits | None = None
