--- a/badgerroute/scheduling/array_placement.py
+++ b/badgerroute/scheduling/array_placement.py
@@ -25,7 +25,8 @@
 from badgerroute.storage.bitset import lowest_bit
 
 log = logging.getLogger(__name__)
-SHARED_MACHINE_WAIT = timedelta(seconds=6)  # a task waits this long for a machine in use before it takes an empty one
+# A task waits at most this long for a machine in use before it takes an empty one.
+SHARED_MACHINE_WAIT = timedelta(seconds=6)
 
 
 class ArrayPlacement:
@@ -37,7 +38,7 @@
         self.overrun_rounds = 0  # rounds that ran out of time
 
     def fill(self, machine: Machine, now: timedelta, out_of_time: Callable[[], bool]) -> int:
-        """Start array tasks on a machine and return their number. `out_of_time` tells when the round must end."""
+        """Start array tasks on a machine. Return their number. `out_of_time` returns true when the round must end."""
         shard = self._shard
         if not shard.reconciled or not machine.usable or machine.avoid_until > now:
             return 0
@@ -68,9 +69,9 @@
     def _admitted_jobs(
         self, jobs: list[Job], machine: Machine, in_use: list[Machine] | None, now: timedelta
     ) -> list[Job]:
-        """Return the jobs that may use a machine, which may be reserved for one job or, if empty, be kept for gangs.
+        """Return those of `jobs` that may use a machine: it may be reserved for a job or, if empty, be kept for gangs.
 
-        `in_use` lists the machines to prefer to this one; it is None if this machine is in use itself or reserved.
+        `in_use` lists the machines to fill before this one; it is None if this machine is in use itself or reserved.
         """
         if machine.reserved_for is not None:
             jobs = self._jobs_for_reserved_machine(machine, jobs)
@@ -79,7 +80,10 @@
         return jobs
 
     def _machines_in_use(self, machine: Machine) -> list[Machine]:
-        """Machines of the same zone that run tasks. Arrays use these first, to leave empty ones for gangs."""
+        """The usable machines in a machine's zone that run tasks.
+
+        Array tasks fill these machines first, to leave empty machines for gangs.
+        """
         return [
             other
             for other in self._shard.machines.values()
@@ -89,7 +93,8 @@
     def _should_wait_for_machines(self, job: Job, machines: list[Machine], now: timedelta) -> bool:
         """Whether a job should leave an empty machine alone and wait for `machines`, which already run tasks.
 
-        It should if all its waiting tasks fit on those that cache its image, until it has waited SHARED_MACHINE_WAIT.
+        It should if all its waiting tasks fit on those of `machines` that cache its image, but only until it has waited
+        for SHARED_MACHINE_WAIT.
         """
         waiting = job.waiting_bits
         if not waiting or now - job.requeued.get(lowest_bit(waiting), job.waiting_since) > SHARED_MACHINE_WAIT:
@@ -104,9 +109,9 @@
         return False
 
     def _jobs_for_reserved_machine(self, machine: Machine, jobs: list[Job]) -> list[Job]:
-        """The jobs that may use a reserved machine: the job it is reserved for, and those that job may not preempt.
+        """The jobs that may use a reserved machine: the job that reserved it, and those that this job may not preempt.
 
-        If other jobs could use it, the capacity would go back to the tasks that were just stopped to free it.
+        If other jobs could use it too, the tasks that were just stopped to free its capacity could start on it again.
         """
         reserver = self._shard.jobs.get(machine.reserved_for or "")
         if reserver is None or not reserver.waiting_bits:
@@ -114,7 +119,10 @@
         return [job for job in jobs if job is reserver or not self._evictions.may_stop(job, reserver)]
 
     def _fill_group(self, machine: Machine, jobs: list[Job], now: timedelta, beyond_desire: bool) -> int:
-        """Start tasks of jobs with equal rank: nearest image first, then the job that uses the least of the shard."""
+        """Start tasks of jobs with equal rank.
+
+        Jobs whose image is nearest come first; among these, the job that uses the smallest share of the shard.
+        """
         started = 0
         for locality in LocalityLevel:
             queue: list[tuple[tuple[float, float], int, Job]] = []
@@ -135,7 +143,7 @@
     ) -> bool:
         """Whether a task of the job may start on the machine, and `locality` is the machine's locality for the job.
 
-        With `beyond_desire`, the job may already have its desired slots.
+        With `beyond_desire`, a task may start even if the job already has its desired slots.
         """
         spec = job.spec
         if not machine.free.holds(job.task_resources) or not allows(
@@ -157,7 +165,8 @@
     def _may_fetch(self, job: Job, machine: Machine, locality: LocalityLevel, now: timedelta) -> bool:
         """Whether a task may start on a machine that must fetch its image."""
         if machine.awaits_image(gangs_only=True):
-            return False  # fetches share the machine's bandwidth, so a second one would delay the whole gang
+            # The machine fetches an image for a gang. Another fetch would share the bandwidth and delay the whole gang.
+            return False
         if machine.reserved_for == job.ref:
             return True
         waiting = job.waiting_bits
--- a/badgerroute/scheduling/command_building.py
+++ b/badgerroute/scheduling/command_building.py
@@ -17,7 +17,8 @@
 
     Invariant: starts are sent once, and only in a heartbeat response (`include_starts`). Clears too are sent only in
     heartbeat responses: a clear in a direct command may be executed late, and would then clear the exit of a task that
-    was started again. `clearable` returns, for a job's ID and a task's number, whether its exit may be cleared.
+    was started again. `clearable` takes a job's ID and a task's number, and returns whether the exit of this task may
+    be cleared.
     """
     commands = [Command("halt", orphan.task, orphan.attempt, 0.0) for orphan in machine.orphans]
     if include_starts:
--- a/badgerroute/scheduling/deadline_feasibility.py
+++ b/badgerroute/scheduling/deadline_feasibility.py
@@ -1,8 +1,8 @@
 """Estimates which jobs can still complete in time, given the work of all jobs and the capacity of the machines.
 
-When there is more work than the machines can do in time, equal shares make every job late. Users count how many jobs
-complete in time, and the Moore-Hodgson algorithm maximizes that number: take the jobs in the order of their due times,
-and whenever one would be late, drop the job with the most work among those taken so far.
+When there is more work than the machines can do in time, equal shares would make every job late. Users count how many
+jobs complete in time, and the Moore-Hodgson algorithm maximizes that number: take the jobs in the order of their due
+times, and whenever one would be late, drop the job with the most work among those taken so far.
 """
 
 import heapq
@@ -12,7 +12,8 @@
 
 from badgerroute.scheduling.model import ZERO
 
-# Other jobs go first only if the job's spare time exceeds twice its shortest duration by more than this.
+# A job lets others go first only if its spare time (the time until it is due, less its shortest duration) exceeds
+# twice its shortest duration by more than this.
 MIN_SPARE_TIME = timedelta(seconds=60)
 
 
@@ -46,7 +47,7 @@
 
 
 def _can_wait(load: RemainingWork, due_index: int) -> bool:
-    """Whether a job has so much time to spare before this due time that other jobs may go first."""
+    """Whether a job has so much time to spare before its due time number `due_index` that other jobs may go first."""
     return load.due[due_index] - load.min_duration > 2 * load.min_duration + MIN_SPARE_TIME
 
 
--- a/badgerroute/scheduling/delay_scheduling.py
+++ b/badgerroute/scheduling/delay_scheduling.py
@@ -7,9 +7,9 @@
 - after `tau * p` on a machine in a zone where some machine caches it (the paper: rack-local);
 - after `2 * tau * p` on any machine that fits (the paper: if also n.free >= 1 - delta).
 
-Changed here: each wait is limited to the image's fetch time, to `scheduling.wait_cap_s`, and to the longest wait after
-which the task could still fetch its image and start as soon as its user expects. Tasks do not wait at all if no machine
-of the shard caches their image.
+Changed here: each wait is limited to the shortest of three durations: the image's fetch time, `scheduling.wait_cap_s`,
+and the longest wait after which the task could still fetch its image and start as soon as its user expects. Tasks do
+not wait at all if no machine of the shard caches their image.
 """
 
 from collections.abc import Iterable
@@ -26,8 +26,8 @@
     """How far a machine is from a task's image; a higher level is a greater distance."""
 
     CACHED = 0  # the machine caches the image
-    ZONE = 1  # another machine of its zone does
-    ANY = 2  # no machine of its zone does
+    ZONE = 1  # another machine in the same zone caches the image
+    ANY = 2  # no machine in the same zone caches the image
 
 
 class ImageLocations:
@@ -45,7 +45,7 @@
         return image in self.zones
 
     def in_zone(self, image: str, zone: str) -> bool:
-        """Whether any machine of the shard in a zone caches an image."""
+        """Whether any of the shard's machines in a zone caches an image."""
         return zone in self.zones.get(image, ())
 
 
@@ -70,11 +70,11 @@
     settings: Scheduling,
     start_within: timedelta | None = None,
 ) -> LocalityLevel:
-    """The highest locality level that a task may use after a wait.
+    """The highest locality level at which a task that has waited for `wait` may start.
 
     `fetch` is how long fetching the image would take, `correction` the mean ratio of actual to estimated run times in
-    the job's class. `start_within` is how soon the task is expected to start: it must not wait so long for a machine
-    that caches the image that a fetch begun afterwards would end too late.
+    the job's class. `start_within` is how soon the task is expected to start. The task must not wait for a machine that
+    caches the image for so long that a fetch begun afterwards would end later than that.
     """
     if not images.cached(job.spec.image):
         return LocalityLevel.ANY
--- a/badgerroute/scheduling/dependencies.py
+++ b/badgerroute/scheduling/dependencies.py
@@ -2,7 +2,7 @@
 
 A job is released, that is, may be scheduled, once all its predecessors are done. All results are derived from final
 states, which are durable and never change. So every controller reaches the same result at any time, also after a
-failover. There are no counters that could become wrong.
+failover. Nothing is counted, so no counter can become wrong.
 """
 
 from collections.abc import Callable, Container, Iterable, Iterator
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FinalState:
-    """How a job ended, the wall-clock time at which it ended, and the revision of the record that says so."""
+    """How a job ended, the wall-clock time at which it ended, and the revision at which its final state was stored."""
 
     state: JobState
     reached: float
@@ -26,8 +26,9 @@
 class Dependencies:
     """Tracks unfinished jobs and their predecessors.
 
-    `final` returns the known final state of a job. `released` and `cancelled` are called at most once for each job,
-    when all its predecessors are done and when a predecessor is cancelled.
+    `final` returns the known final state of a job. For each job, at most one of the callbacks `released` and
+    `cancelled` is called, and only once: `released` when all its predecessors are done, `cancelled` when one of them is
+    cancelled.
     """
 
     def __init__(self, final: FinalStateOf, released: Callable[[str], None], cancelled: Callable[[str], None]) -> None:
@@ -104,7 +105,7 @@
             self._cancelled(current)
 
     def waits(self, ref: str) -> bool:
-        """Whether some predecessor is not known to be done. The job is not scheduled until all are."""
+        """Whether some predecessor of a job is not known to be done. Until all are done, the job is not scheduled."""
         return ref in self._unfinished_predecessors
 
     def waits_for(self, ref: str) -> Iterable[str]:
@@ -112,7 +113,7 @@
         return self._unfinished_predecessors.get(ref, ())
 
     def released_at(self, ref: str) -> float:
-        """The wall-clock time at which the last of a job's predecessors was done, or 0.0 if none is known."""
+        """The wall-clock time at which a job's latest predecessor was done, or 0.0 if none is known to be done."""
         return self._released_at.get(ref, 0.0)
 
     def predecessors(self) -> list[str]:
@@ -128,7 +129,7 @@
         return [ref for ref in self._dependents if ref not in unfinished]
 
     def unknown_ancestors(self, ref: str, unfinished: Container[str]) -> Iterator[str]:
-        """Yield those jobs that a job waits for, directly or indirectly, whose state is not known (see `unknown`)."""
+        """Yield the jobs of unknown state (see `unknown`) that a job waits for, directly or indirectly."""
         seen, queue = {ref}, [ref]
         while queue:
             for predecessor in self._unfinished_predecessors.get(queue.pop(), ()):
--- a/badgerroute/scheduling/draining.py
+++ b/badgerroute/scheduling/draining.py
@@ -16,10 +16,10 @@
 class Evacuation:
     """How a machine is emptied by a deadline.
 
-    `margin` is how long before the deadline the last stop command must be sent, since commands wait for heartbeats. A
-    `patient` evacuation lets running tasks without checkpoints run until `margin` before the deadline, in case they
-    finish earlier than their estimated run time says. An evacuation that is not patient stops tasks at once if they
-    will probably not finish by the deadline or do not run yet.
+    Stop commands must be sent at least `margin` before the deadline, since commands wait for heartbeats. A `patient`
+    evacuation lets running tasks without checkpoints run until `margin` before the deadline, in case they finish
+    earlier than estimated. An evacuation that is not patient stops two kinds of tasks at once: those that will probably
+    not finish by the deadline, and those that do not run yet.
     """
 
     deadline: timedelta
@@ -33,7 +33,10 @@
 
 
 def remaining_time(placement: Placement, now: timedelta, run_time: RunTime, fetch_time: FetchTime) -> timedelta:
-    """How much longer a task is expected to stay on its machine, with a whole image fetch if that has not ended."""
+    """How much longer a task is expected to stay on its machine.
+
+    If its image is not fetched yet, the time for the whole fetch is included.
+    """
     run = run_time(placement.job)
     if placement.running_since is not None:
         return max(ZERO, run - (now - placement.running_since))
@@ -44,14 +47,14 @@
 def evacuate(
     shard: Shard, machine: Machine, plan: Evacuation, now: timedelta, run_time: RunTime, fetch_time: FetchTime
 ) -> int:
-    """Stop the tasks that must leave a machine now, with their whole gangs. Return the number of stops.
+    """Stop the tasks that must leave a machine now; if a task belongs to a gang, stop the whole gang.
 
-    Stopping a gang counts once.
+    Return the number of stops. Stopping a gang counts as one.
     """
     stopped = 0
     for placement in list(machine.placements.values()):
         if machine.placements.get(placement.key) is not placement:
-            continue  # removed when its gang was stopped because of another task of it
+            continue  # it was removed when its gang was stopped because of another task of the gang
         grace = _grace_if_due(placement, plan, now, remaining_time(placement, now, run_time, fetch_time))
         if grace is None or (placement.grace is not None and placement.grace <= grace):
             continue
--- a/badgerroute/scheduling/evictions.py
+++ b/badgerroute/scheduling/evictions.py
@@ -46,9 +46,9 @@
     def may_stop(self, victim: Job, job: Job) -> bool:
         """Whether a victim's tasks may be stopped for a job.
 
-        The job must be of a higher priority class, and of another team if both have the same level. The class also
-        decides which job starts first: if two jobs could stop each other, they would do so in turn and neither would
-        ever complete.
+        The job must be of a higher priority class, and of another team if both have the same level. The priority class
+        also decides which of two jobs starts first. If the rules for starting and stopping differed, two jobs could
+        stop each other in turn and neither would ever complete.
         """
         if self._order.priority_class(job) >= self._order.priority_class(victim):
             return False
@@ -56,10 +56,11 @@
 
     @staticmethod
     def _loss(placement: Placement, now: timedelta) -> float:
-        """The cost of stopping a task, in processor-seconds: the work it would lose, or the time spent on its fetch.
+        """The cost of stopping a task, in processor-seconds.
 
-        The cost grows with each earlier preemption of the task's gang. Without that, a gang that is stopped during each
-        image fetch, when it is the cheapest to stop, might never run.
+        It is the work that the task would lose or, if the task does not run yet, the time since its start was
+        requested. The cost grows with each earlier preemption of the task's gang. A gang costs least to stop while it
+        fetches its image. Without the growing cost, it might be stopped during each fetch and never run.
         """
         spec = placement.job.spec
         if placement.running_since is None:
@@ -76,8 +77,8 @@
         The eviction has no victims if the tasks that are already stopping free enough capacity. Return None if the task
         would not fit even after every task that may be stopped was stopped.
         """
-        # On most machines, the tasks below the job's level use too little to make room for it. The sums per level show
-        # this without iterating over the tasks.
+        # On most machines, the tasks below the job's level use so little that stopping them would not make room for the
+        # job. The sums per level show this without iterating over the tasks.
         if not machine.stopping_count and not self.reclaimable_on(machine, job.level + job.guaranteed).holds(
             job.task_resources
         ):
@@ -103,7 +104,7 @@
 
     @staticmethod
     def reclaimable_on(machine: Machine, level: int) -> Resources:
-        """The capacity that a machine could offer to a job of a level: what is free or used by tasks below it."""
+        """The capacity that a machine could offer to a job of a level: what is free or used at lower levels."""
         total = machine.free.copy()
         for allocated_level, allocated in machine.allocated_by_level.items():
             if allocated_level < level:
--- a/badgerroute/scheduling/failures.py
+++ b/badgerroute/scheduling/failures.py
@@ -9,13 +9,15 @@
 
 log = logging.getLogger(__name__)
 QUARANTINE_JOBS = 2  # a machine on which at least this many jobs fail is quarantined
-QUARANTINE_FAILURES = 3  # so is one on which a job that succeeds elsewhere fails at least this often
+# A machine is also quarantined if a job that succeeds elsewhere fails on it at least this often.
+QUARANTINE_FAILURES = 3
 AVOID_AFTER_FAILURE = timedelta(seconds=5)  # how long no task is placed on a machine after a failure
 # When a job has had no failure for this long, it may again use the machines on which it failed.
 FAILURES_CLEARED_AFTER = timedelta(seconds=30)
-FAILING_AFTER_MACHINES = 3  # a job that fails on at least this many, and succeeds on none, is faulty itself
+FAILING_AFTER_MACHINES = 3  # a job that fails on at least this many machines, and succeeds on none, seems faulty
 AVOID_AFTER_REFUSAL = timedelta(seconds=2)  # how long no task is placed on a machine that refused a start
-# The wait after the exit cause `no_such`; for a failing job, it is doubled with each failed try.
+# How long a job waits after an exit with the cause `no_such`. A failing job waits for this time, doubled with each
+# failed try, but at most for MAX_BACKOFF.
 BACKOFF_BASE = timedelta(seconds=2)
 MAX_BACKOFF = timedelta(seconds=60)  # longest wait between two tries of a failing job
 
@@ -38,7 +40,7 @@
                 machine.avoid_until = now + AVOID_AFTER_FAILURE
                 failed_again_later = now - machine.failed_jobs.setdefault(job.ref, now) >= FAILURES_CLEARED_AFTER
                 job_succeeds_elsewhere = job.done | job.done_here and job.failed_on[machine.name] >= QUARANTINE_FAILURES
-                # Wait for the same jobs to fail elsewhere: two faulty jobs may happen to fail on this machine first.
+                # Give these jobs time to fail elsewhere too: two faulty jobs may happen to fail on this machine first.
                 had_time_to_fail_elsewhere = now - min(machine.failed_jobs.values()) >= AVOID_AFTER_FAILURE
                 if (
                     failed_again_later
@@ -53,10 +55,10 @@
 
     @staticmethod
     def _seems_failing(job: Job) -> bool:
-        """Whether the job itself seems faulty: no task of it was ever done, and it fails on every machine.
+        """Whether the job itself seems faulty: no task of it was ever done, and it failed on several machines.
 
-        Many machines may be faulty at once. So it must also have failed on more machines than those on which it runs
-        and has not failed.
+        These machines may all be faulty instead. So the job must also have failed on more machines than it now runs on
+        without having failed there.
         """
         if job.failing or job.done | job.done_here:
             return job.failing
@@ -95,7 +97,7 @@
         job.failed_on = {machine.name: 1}  # the next try may use any machine but this one
 
     def attribute_to_machines(self, job: Job, machine: Machine, events: Events) -> None:
-        """Attribute a job's earlier failures to the machines: a task was done on `machine`, so the job is healthy."""
+        """Count a job's earlier failures against the machines: a task was done on `machine`, so the job is healthy."""
         failed_on, job.failed_on = job.failed_on, {}
         job.failing, job.probe_count, job.blocked_until = False, 0, ZERO
         for name, tasks in failed_on.items():
--- a/badgerroute/scheduling/gang_placement.py
+++ b/badgerroute/scheduling/gang_placement.py
@@ -30,7 +30,8 @@
     locality: LocalityLevel
     fetch_penalty: float
     free_cpus: float
-    # Machines with older last messages come first: they send heartbeats, and receive start commands, sooner.
+    # Machines with older last messages come first: their next heartbeat comes sooner, and its response carries the
+    # start command.
     last_message_s: float
     machine: Machine
 
@@ -60,7 +61,7 @@
 
         Preempts tasks only for a gang whose image fetch would take too long.
 
-        `out_of_time` tells when the round must end.
+        `out_of_time` returns true when the round must end.
         """
         if not self._shard.reconciled or not machine.usable:
             return 0
@@ -129,7 +130,7 @@
 
     @staticmethod
     def _fetch_penalty(machine: Machine, locality: LocalityLevel) -> float:
-        """How unsuitable a machine is for a fetch, which may evict images and shares bandwidth with other fetches."""
+        """How unsuitable a machine is for a fetch: it may evict cached images, and other fetches may slow it down."""
         if locality is LocalityLevel.CACHED:
             return 0.0
         return len(machine.images) + (FETCHING_PENALTY if machine.awaits_image() else 0.0)
@@ -155,7 +156,7 @@
                 machine.reserved_for = None
 
     def _choose_machines(self, job: Job, tasks: int, options: list[_Option]) -> list[Machine] | None:
-        """Choose machines for all tasks: nearest image first, then least free processors; None if there are too few."""
+        """Choose machines for all tasks, in the order that `_Option` describes. Return None if there are too few."""
         options = sorted(options, key=lambda option: (*option[:4], option.machine.name))
         if not job.spec.together:
             return self._first_fitting(job, tasks, [option.machine for option in options])
@@ -169,7 +170,10 @@
 
     @staticmethod
     def _first_fitting(job: Job, tasks: int, machines: list[Machine]) -> list[Machine] | None:
-        """The first machines that hold all tasks, each listed once per task; a spread gang uses at least two zones."""
+        """The first machines that hold all tasks, each listed once per task on it, or None if there are too few.
+
+        At most half of a spread gang's tasks, rounded up, are placed in one zone.
+        """
         chosen: list[Machine] = []
         per_zone: dict[str, int] = {}
         max_per_zone = (job.spec.tasks + 1) // 2 if job.spec.spread else tasks
@@ -189,8 +193,8 @@
         """Preempt tasks on machines that cache the image if fetching it on the chosen machines would take too long.
 
         A machine is used only if the work lost by preemption on it is at most the processor time that a task of the
-        gang would spend waiting for the fetch. Return whether tasks were stopped for the gang; it then waits until the
-        machines on which they ran have room.
+        gang would spend waiting for the fetch. Return whether enough machines were found; the gang then
+        waits until they have room.
         """
         fetch = max(
             (fetch_time(job, machine) for machine in chosen if job.spec.image not in machine.images), default=ZERO
@@ -219,7 +223,7 @@
             and job.ref not in holders
             and job.waiting_bits
             and now - job.waiting_since >= self._preemption.wait_before_preemption(job)
-            and not self._lacks_quota(job, job.spec.tasks)  # other shards could not place it either
+            and not self._lacks_quota(job, job.spec.tasks)  # without quota, no other shard could place it
         ]
 
     def _lacks_quota(self, job: Job, tasks: int) -> bool:
--- a/badgerroute/scheduling/heartbeat_reconciliation.py
+++ b/badgerroute/scheduling/heartbeat_reconciliation.py
@@ -24,7 +24,9 @@
     "running": Phase.RUNNING,
     "flushing": Phase.SAVING,
 }
-MAX_MISSED_STARTS = 2  # then the machine counts as unreachable; a single response may be lost in the network
+# After this many consecutive heartbeats without a task whose start was sent, a machine counts as unreachable. The
+# number is above 1 since a single response may be lost in the network.
+MAX_MISSED_STARTS = 2
 
 
 class HeartbeatReconciler:
@@ -45,7 +47,7 @@
         message = TaskListMessage(machine, heartbeat, periodic, timing_known, now)
         self._update_machine(message)
         if heartbeat.fencing_token < self._shard.required_fencing_token and not machine.never_commanded:
-            # A former leader may still send it commands and so change its tasks after this list was sent.
+            # A former leader may still send the machine commands, and so change its tasks after this list was sent.
             machine.fenced = False
             return message.events
         if self._is_unchanged(machine, heartbeat):
@@ -62,7 +64,7 @@
 
     @staticmethod
     def _is_unchanged(machine: Machine, heartbeat: Heartbeat) -> bool:
-        """Whether the same list was read before and nothing is left to reconcile, as with most heartbeats."""
+        """Whether the list equals the last one read and nothing is left to reconcile, as with most heartbeats."""
         return (
             machine.fenced
             and not machine.orphans
@@ -102,7 +104,7 @@
     def _mark_unreachable(self, machine: Machine) -> None:
         """Stop placing tasks on a machine that commands do not reach.
 
-        Its tasks would be started, found missing and started again without end.
+        Otherwise its tasks would be started, found missing and started again without end.
         """
         if not machine.unreachable:
             log.info("event=machine_marked_unreachable machine=%s shard=%d", machine.name, self._shard.number)
@@ -128,8 +130,9 @@
     def _read_tasks(self, message: TaskListMessage) -> set[tuple[str, int]]:
         """Process the listed tasks. Return the keys of those that are on the machine.
 
-        Exits are processed first. If a worker refuses a start since an older attempt of the task runs, it lists both
-        attempts: the refusal releases the new attempt's placement, then the running attempt gets one.
+        Exits are processed first. A worker refuses to start a task of which an older attempt still runs, and then lists
+        both attempts: the new one as exited, the older one as running. The exit releases the new attempt's placement;
+        afterwards a placement is created for the older attempt.
         """
         present: dict[tuple[str, int], TaskStatus] = {}
         for task in message.heartbeat.tasks:
@@ -199,7 +202,10 @@
         )
 
     def _record_fetch(self, placement: Placement, now: timedelta) -> None:
-        """Report how long an image fetch took, from the first start command that needed it, if both times are known."""
+        """Report how long an image fetch took, counted from the first start command that needed the image.
+
+        Nothing is reported if the start or the end of the fetch is not known.
+        """
         machine, image = placement.machine, placement.job.spec.image
         if image in machine.fetched_images or not placement.timing_known:
             return
@@ -208,7 +214,7 @@
 
     @staticmethod
     def _record_image(machine: Machine, job: Job, fetched: bool) -> None:
-        """Mark the job's image as used on the machine, and as fetched if it is."""
+        """Mark the job's image as used on the machine and, if `fetched` is set, as fetched."""
         machine.touch_image(job.spec.image, job.spec.image_gb)
         if fetched:
             machine.fetched_images.add(job.spec.image)
@@ -237,9 +243,10 @@
         return placement
 
     def _keep_undecided(self, machine: Machine, task: TaskAttempt) -> None:
-        """Keep a task until it is known whether its job may run (was released); if not, the task is an orphan.
+        """Leave a task alone until it is known whether its job was released; if not, the task is orphaned.
 
-        No tasks are placed in the shard until that is known, since a running task counts towards its team's quota.
+        No tasks are placed in the shard until that is known, since a running task counts towards its team's quota, and
+        the team is not known before.
         """
         machine.undecided.add(task)
         self._shard.reconciled = False
--- a/badgerroute/scheduling/inheritance.py
+++ b/badgerroute/scheduling/inheritance.py
@@ -1,9 +1,9 @@
 """Priority and deadline inheritance: upstream jobs inherit levels and due times from their downstream jobs.
 
 A job is scheduled at the highest of its own level and the levels of its dependents. It is due at the earliest of its
-own due time and, for each dependent, the dependent's due time less its expected duration. With thousands of waiting
-jobs, computing this takes longer than one scheduling round may. So it is done in slices, each of which resumes where
-the previous one stopped.
+own due time and, for each dependent, the dependent's due time less the dependent's expected duration. With thousands
+of waiting jobs, computing this takes longer than one scheduling round may. So the computation is done in slices, each
+of which resumes where the previous one stopped.
 """
 
 from collections.abc import Callable
--- a/badgerroute/scheduling/lease_expiry.py
+++ b/badgerroute/scheduling/lease_expiry.py
@@ -14,7 +14,8 @@
     `last_confirmed` is when this controller's leadership was last confirmed. Leases are compared with this time, not
     with `now`, because another leader may have been elected since then and may renew them. So a leader that is cut off,
     but still within its grace period, does not declare its successor's machines dead. `lease` is the duration of the
-    workers' leases including clock drift, `grace` how long a former leader may have continued to respond.
+    workers' leases including clock drift. `grace` is how long a former leader may have continued to respond to
+    heartbeats after this controller became the leader.
     """
     lost_machines = []
     for machine in shard.machines.values():
--- a/badgerroute/scheduling/model.py
+++ b/badgerroute/scheduling/model.py
@@ -48,7 +48,7 @@
     sent: HeartbeatNumber | None = None  # the heartbeat whose response carried the start command
     grace: timedelta | None = None  # if the task is to stop: the time that it has to save its work
     stopped_at: timedelta | None = None  # when the command to stop it was first sent
-    timing_known: bool = True  # False if the machine or the controller was silent when it began to fetch or to run
+    timing_known: bool = True  # False if the machine or the controller was silent when the task began to fetch or run
     gang_wait_restarts: int = 0  # how often it was restarted, as the same attempt, to wait for its gang longer
 
     @property
@@ -81,7 +81,7 @@
     sequence: int = -1
     alive: bool = False  # it sends heartbeats, and its lease has not expired
     last_message_at: timedelta | None = None  # when its last heartbeat or response to a direct command arrived
-    last_heartbeat_at: timedelta | None = None  # when its last heartbeat arrived that was not forwarded by a peer
+    last_heartbeat_at: timedelta | None = None  # when the last heartbeat arrived directly, not through a peer
     last_response_at: timedelta | None = None  # when this controller last responded to one of its heartbeats
     preemption_notice: timedelta | None = None  # when the cloud provider will reclaim it, if that was announced
     last_task_list: list[TaskStatus] | None = None  # None: read the next list even if it is unchanged
@@ -90,8 +90,9 @@
     fenced: bool = False  # it saw this leader's fencing token, and its task list was read afterwards
     never_commanded: bool = False  # no leader ever sent it a command, so there is no former leader to fence off
     highest_token_seen: int = 0  # the highest fencing token that it has reported
-    expired_incarnation: int = 0  # its lease expired in this incarnation; messages of it or earlier ones are stale
-    missed_starts: int = 0  # consecutive heartbeats without a task whose start command had been sent
+    # The last incarnation in which its lease expired. Messages of this or an earlier incarnation are stale.
+    expired_incarnation: int = 0
+    missed_starts: int = 0  # consecutive heartbeats that lacked a task although its start command had been sent
     unreachable: bool = False  # its heartbeats arrive, but the responses apparently do not reach it
     lost_at: timedelta | None = None  # when its lease was found to have expired
 
@@ -102,7 +103,8 @@
     orphans: set[TaskAttempt] = field(default_factory=set)
     # Tasks whose job may or may not have been released; they are left running until this is known
     undecided: set[TaskAttempt] = field(default_factory=set)
-    failed_jobs: dict[str, timedelta] = field(default_factory=dict)  # job -> first failure since any task was done here
+    # Job -> its first failure on this machine since any task was last done here
+    failed_jobs: dict[str, timedelta] = field(default_factory=dict)
 
     # Images
     images: dict[str, float] = field(default_factory=dict)  # image -> GB, least recently used first
@@ -147,7 +149,10 @@
             self.fetched_images.discard(oldest)
 
     def awaits_image(self, gangs_only: bool = False) -> bool:
-        """Whether a task on this machine, or only a gang's task, waits for an image that is not yet fetched."""
+        """Whether a task on this machine waits for an image that is not yet fetched.
+
+        With `gangs_only`, only the tasks of gangs count.
+        """
         return any(
             placement.running_since is None
             and placement.phase in PHASES_WITHOUT_IMAGE
@@ -175,7 +180,7 @@
     accepted: timedelta  # when it was accepted, or released if it waited for upstream jobs
     owned: int  # bit set: the tasks that belong to this shard
     done: int  # bit set: the tasks, of any shard, that are recorded as done
-    # An array's task may start only if its number is less than the number of the first task not done plus this.
+    # An array's task may start only if its number is less than this plus the number of the first task that is not done.
     start_window: int
     task_resources: Resources  # resources that each task uses
     waiting_since: timedelta  # when its tasks began to wait in this shard
@@ -195,16 +200,16 @@
     # `deadline_feasibility`). Negative if it has waited too long and so goes before the other jobs.
     lateness_tier: float = 0
     dependency_wait: timedelta = ZERO  # from its acceptance to its release; its deadline counts from the acceptance
-    start_by: timedelta | None = None  # a downstream job will be late if this one starts later than this
+    start_by: timedelta | None = None  # a downstream job will be late if this job starts after this time
     blocked_until: timedelta = ZERO  # none of its tasks is started before this time
-    # Machine -> the time before which its tasks that were moved away from the machine are not started there again
+    # Machine -> time. Tasks of this job that were moved away from the machine are not started there before that time.
     no_return_until: dict[str, timedelta] = field(default_factory=dict)
     preemption_count: int = 0  # times that this gang was preempted
 
     # Utilization feedback (see utilization_feedback): the desired slots, and the samples of the current feedback period
     desire: float = 0.0  # number of slots that its utilization feedback computed for this shard
     used_slots_sum: float = 0.0  # number of slots in use, summed over the samples
-    granted_slots_sum: float = 0.0  # number of slots that were available to it, up to the desired ones, summed likewise
+    granted_slots_sum: float = 0.0  # slots available to it, at most the desired ones, summed over the samples
     samples: int = 0
     starved: bool = False  # tasks were waiting in at least one sample
     period_began: timedelta | None = None  # None until its first number of desired slots is computed
@@ -242,7 +247,7 @@
 
     @property
     def startable(self) -> int:
-        """The number of tasks that may start now: all that wait, but one at a time of an array marked as failing."""
+        """The number of tasks that may start now: all waiting ones, but one at a time of an array marked as failing."""
         count = self.waiting_bits.bit_count()
         if self.failing and not self.gang:
             return min(count, 0 if self.placements else 1)
@@ -252,8 +257,8 @@
     def can_be_dropped(self) -> bool:
         """Whether the shard may forget this job.
 
-        It may not while tasks are done but not yet recorded as done, since they would run again. Nor may it while tasks
-        are in transfer to another shard, when `owned` may be empty for a moment.
+        It must keep the job while some tasks are done but not yet recorded as done, since they would run again. It must
+        also keep the job while tasks are in transfer to another shard, when `owned` may be empty for a moment.
         """
         return not self.owned and not self.placements and not self.done_here and not self.in_transfer
 
--- a/badgerroute/scheduling/objectives.py
+++ b/badgerroute/scheduling/objectives.py
@@ -33,9 +33,9 @@
                 self._guaranteed_start_within = min(self._guaranteed_start_within, within)
 
     def start_within(self, job: Job) -> timedelta:
-        """How long after they begin to wait the job's tasks are expected to start, at the latest."""
+        """The longest time that the job's tasks are expected to wait before they start."""
         within = self._start_within.get(job.spec.job_class, DEFAULT_START_WITHIN)
-        if job.start_by is not None:  # half of the time until `start_by`, as downstream jobs need some of it
+        if job.start_by is not None:  # at most half of the time until `start_by`, since downstream jobs need some of it
             within = min(within, max(ZERO, (job.start_by - job.accepted) / 2))
         return min(within, self._guaranteed_start_within) if job.guaranteed else within
 
--- a/badgerroute/scheduling/placement_rules.py
+++ b/badgerroute/scheduling/placement_rules.py
@@ -10,11 +10,12 @@
 from badgerroute.scheduling.shard import Shard
 from badgerroute.settings import Scheduling
 
-SLOW_FETCH_FACTOR = 1.3  # fetches may take up to this many times as long as at the machine type's rate
+# Decisions allow for fetches that take this many times as long as the fetch rate of the machine type implies.
+SLOW_FETCH_FACTOR = 1.3
 
 
 class PlacementRules:
-    """Rules for placing single tasks. `quota_shortfalls`: by team, the quota for which its jobs wait in this shard."""
+    """Rules for placing single tasks. `quota_shortfalls` maps a team to the quota that its jobs in this shard lack."""
 
     def __init__(
         self, shard: Shard, order: ServiceOrder, settings: Scheduling, objectives: Objectives, heartbeat: timedelta
--- a/badgerroute/scheduling/planner.py
+++ b/badgerroute/scheduling/planner.py
@@ -121,7 +121,7 @@
         return self._gangs.overrun_rounds + self._arrays.overrun_rounds + self._preemption.overrun_rounds
 
     def collect_quota_shortfalls(self) -> dict[str, Resources]:
-        """By team, the quota for which its jobs had to wait in the rounds since the last call."""
+        """For each team, the quota that its jobs lacked in the rounds since the last call."""
         shortfalls, self._rules.quota_shortfalls = self._rules.quota_shortfalls, {}
         return shortfalls
 
@@ -168,7 +168,8 @@
             if job.gang or not job.placements:
                 continue
             run = delay_scheduling.run_time(job, self.shard.estimates.correction(job.spec.job_class))
-            latest_starts: dict[str, timedelta] = {}  # machine type -> tasks that began to run earlier will end in time
+            # Machine type -> time. Tasks that began to run before that time should end before a new machine is ready.
+            latest_starts: dict[str, timedelta] = {}
             for placement in job.placements.values():
                 running_since = placement.running_since
                 if running_since is None:
--- a/badgerroute/scheduling/preemption.py
+++ b/badgerroute/scheduling/preemption.py
@@ -18,9 +18,11 @@
 
 log = logging.getLogger(__name__)
 ARRAY_RESERVATION = timedelta(seconds=6)  # how long capacity freed for an array stays reserved
-GANG_RESERVATION = timedelta(seconds=30)  # the same for a gang; longer, since the stopped tasks save their work first
+# How long capacity freed for a gang stays reserved. This is longer than for an array, since the gang can't start before
+# all the stopped tasks have saved their work.
+GANG_RESERVATION = timedelta(seconds=30)
 HEARTBEATS_UNTIL_START = 3  # heartbeat periods from the decision to stop tasks until others start in their place
-SLACK_DIVISOR = 3  # a job may preempt after its slack (see `wait_before_preemption`) divided by this
+SLACK_DIVISOR = 3  # a job may preempt once it has waited for its slack divided by this; see `wait_before_preemption`
 MAX_STOPS_PER_ROUND = 64  # at most this many tasks are stopped for arrays in one round
 
 
@@ -54,7 +56,7 @@
     # -- gangs
 
     def preempt_for_gang(self, job: Job, tasks: int, now: timedelta) -> None:
-        """Make room for a gang with the evictions of least loss, if it has waited for `wait_before_preemption`."""
+        """Make room for a gang with the evictions of least loss, if it has waited at least `wait_before_preemption`."""
         if now - job.waiting_since < self.wait_before_preemption(job):
             return
         options: list[Eviction] = []
@@ -69,8 +71,8 @@
     def evict_for_gang(self, job: Job, tasks: int, options: list[Eviction], now: timedelta) -> bool:
         """Carry out the cheapest evictions, on as many machines as the gang has tasks. Return False if too few exist.
 
-        Machines already reserved for the gang come first. Otherwise each round could reserve further machines, in total
-        more than the gang can use.
+        Machines already reserved for the gang come first. Otherwise each round could reserve further machines, until
+        more were reserved than the gang can use.
         """
         options.sort(key=lambda option: (option.machine.reserved_for != job.ref, option.loss, option.machine.name))
         if job.spec.together and options:
@@ -157,7 +159,7 @@
     # -- gangs and arrays
 
     def _evict(self, eviction: Eviction, job: Job, reserved_until: timedelta) -> None:
-        """Stop the victims, and reserve their machine for the job so that they are not started on it again."""
+        """Stop the victims, and reserve their machine for the job so that the victims are not started on it again."""
         eviction.machine.reserved_for = job.ref
         eviction.machine.reserved_until = reserved_until
         for victim in eviction.victims:
--- a/badgerroute/scheduling/quota_ledger.py
+++ b/badgerroute/scheduling/quota_ledger.py
@@ -23,7 +23,10 @@
 
 
 class Reservation(NamedTuple):
-    """Quota of a team that is kept for another shard until a time: tasks that end in this shard free it."""
+    """Quota of a team that is kept for another shard until a given time.
+
+    It may still be in use when it is reserved. Tasks that end in this shard then free it.
+    """
 
     resources: Resources
     until: timedelta
@@ -71,7 +74,7 @@
         )
 
     def reserve_for_peer(self, team: str, resources: Resources, until: timedelta) -> None:
-        """Reserve a team's quota for another shard: quota that tasks free when they end is not used in this one."""
+        """Reserve a team's quota for another shard: quota that ending tasks free is not used again in this shard."""
         if resources.cpus > EPSILON or resources.accelerators > EPSILON:
             self.reserved_for_peers[team] = Reservation(resources, until)
         else:
--- a/badgerroute/scheduling/resources.py
+++ b/badgerroute/scheduling/resources.py
@@ -13,7 +13,8 @@
 class Resources:
     """An amount of each resource. `add` and `subtract` change it in place, to keep sums over many tasks cheaply.
 
-    Amounts may be fractional. They may be negative, such as unused quota when a limit was lowered below the usage.
+    Amounts may be fractional. They may be negative, for example unused quota after a limit was lowered below the
+    usage.
     """
 
     cpus: float = 0.0
--- a/badgerroute/scheduling/scale_out_planning.py
+++ b/badgerroute/scheduling/scale_out_planning.py
@@ -68,7 +68,8 @@
     def fill(self, need: Resources, tasks: int) -> tuple[int, list["_CapacityGroup"]]:
         """Assign up to `tasks` tasks to these machines. Return how many fit, and the groups that replace this one.
 
-        These are the full machines, the last one used, and the machines without a new task.
+        The groups are: the machines that were filled, the last machine if it got fewer tasks, and the machines that
+        got none.
         """
         tasks_per_machine = self.free.count_fitting(need)
         full_machines = min(self.count, tasks // tasks_per_machine)
@@ -90,7 +91,7 @@
 class ScaleOutPlan:
     """Computes which machines to request in one scale-out round.
 
-    `may_request` returns whether machines may be requested from a pool, which must not have refused a request recently.
+    `may_request` returns whether machines may be requested from a pool: not if the pool refused a request recently.
     `max_per_pool` is the largest number of machines to request from one pool.
     """
 
--- a/badgerroute/scheduling/service_order.py
+++ b/badgerroute/scheduling/service_order.py
@@ -24,14 +24,14 @@
     def __init__(self, shard: Shard, objectives: Objectives) -> None:
         self._shard, self._objectives = shard, objectives
         self.jobs: list[Job] = []
-        self.least_need = Resources()  # at most the resources of any waiting array task
+        self.least_need = Resources()  # no waiting array task needs less of any resource than this
         self.images = delay_scheduling.ImageLocations([])
         self._lateness_tiers: dict[str, float] = {}
         self._gangs_lacking_quota: dict[str, list[Job]] = {}  # team -> gangs that wait for quota
         self._ordered_at = -timedelta(days=1)
 
     def refresh(self, now: timedelta) -> None:
-        """Compute the order again unless it is more recent than ORDER_MAX_AGE."""
+        """Compute the order again unless it was computed less than ORDER_MAX_AGE ago."""
         if now - self._ordered_at < ORDER_MAX_AGE:
             return
         self._ordered_at = now
--- a/badgerroute/scheduling/shard.py
+++ b/badgerroute/scheduling/shard.py
@@ -33,7 +33,8 @@
     """The machines, jobs and placements of one shard, as known to its leader.
 
     Invariant: a placement exists from the decision to start a task on a machine until it is proven that the machine no
-    longer runs it. No task is placed until `reconciled` is true, since it is not known before what every machine runs.
+    longer runs it. No task is placed until `reconciled` is true, since until then it is not known what every machine
+    runs.
     """
 
     def __init__(
@@ -49,7 +50,8 @@
         self.number, self.term = number, term
         self.lease = lease  # duration of the workers' leases
         self.guidance = guidance
-        self.undecided = undecided  # by ID: whether a job that is not in `jobs` may have been released (may run)
+        # Takes a job's ID and returns whether the job, which is not in `jobs`, may have been released and so may run.
+        self.undecided = undecided
         self.required_fencing_token = term  # a machine is fenced once it has seen at least this token
         self.led_since = now
         self.machines: dict[str, Machine] = {}
@@ -69,7 +71,7 @@
 
     @property
     def image_fetched(self) -> Callable[[Placement, timedelta], None]:
-        """The callback for each fetched image, with the duration of the fetch."""
+        """The callback for a fetched image. It takes a placement that needed the image, and the fetch's duration."""
         return self.guidance.image_fetched
 
     # -- machines
@@ -114,8 +116,8 @@
         """Add a job or apply its changed record. Return None if none of its tasks belongs to this shard.
 
         `accepted` is when its waiting time begins. For a job that waited for upstream jobs, this is its release, and
-        `dependency_wait` is how long it waited for them. `done` is the bit set of its done tasks; None means that the
-        record has all of them.
+        `dependency_wait` is how long it waited for them. `done` is the bit set of its done tasks; None means that
+        the record lists all of them.
         """
         done = record.stored_done_tasks() if done is None else done
         owned = record.tasks_owned_by(self.number)
@@ -182,7 +184,7 @@
         return self.quota.fitting_tasks(job, tasks)
 
     def reserve_for_peer(self, team: str, resources: Resources, until: timedelta) -> None:
-        """Reserve a team's quota for another shard: quota that tasks free when they end is not used in this one."""
+        """Reserve a team's quota for another shard: quota that ending tasks free is not used again in this shard."""
         self.quota.reserve_for_peer(team, resources, until)
 
     def expire_reservations(self, now: timedelta) -> None:
@@ -237,7 +239,10 @@
                 self.jobs.pop(job.ref, None)
 
     def release(self, placement: Placement, now: timedelta) -> None:
-        """Remove the placement of a task that is proven not to run any more; unless the task is done, it waits."""
+        """Remove the placement of a task that is proven not to run any more. Unless it is done, it waits again.
+
+        If the task belongs to a gang, the other tasks of the gang are stopped.
+        """
         self.remove_placement(placement)
         job = placement.job
         if not (job.done | job.done_here) >> placement.index & 1:
@@ -271,13 +276,16 @@
     # -- commands
 
     def commands(self, machine: Machine, now: timedelta, starts: bool) -> list[Command]:
-        """Return the commands for a machine; see `build_commands`. `starts`: they go into a heartbeat response."""
+        """Return the commands for a machine; see `build_commands`.
+
+        `starts` is set for a heartbeat response. It is not set for a direct command, which must contain no starts.
+        """
         return build_commands(machine, now, starts, self._clearable)
 
     def _clearable(self, ref: str, index: int) -> bool:
         """Whether an exited task may be cleared from a machine's task list.
 
-        Until the task is recorded as done, the list may be the only evidence that it is.
+        Until a done task is recorded as done in the key-value store, the list may be the only evidence that it is done.
         """
         job = self.jobs.get(ref)
         if job is None:
@@ -289,7 +297,7 @@
     def expire_leases(
         self, now: timedelta, last_confirmed: timedelta, lease: timedelta, grace: timedelta
     ) -> list[Machine]:
-        """Release the tasks of machines whose lease has certainly expired, and return these; see `expire_leases`."""
+        """Release the tasks of machines whose lease has certainly expired. Return the machines; see `lease_expiry`."""
         return expire_leases(self, now, last_confirmed, lease, grace)
 
     def reconcile(self) -> bool:
--- a/badgerroute/scheduling/shard_state.py
+++ b/badgerroute/scheduling/shard_state.py
@@ -32,7 +32,7 @@
 
     @property
     def image_fetched(self) -> Callable[[Placement, timedelta], None]:
-        """The callback for each fetched image, with the duration of the fetch."""
+        """The callback for a fetched image. It takes a placement that needed the image, and the fetch's duration."""
 
     def lose_tasks(self, machine: Machine, now: timedelta) -> None:
         """Release all tasks of a machine, which are proven not to run any more."""
@@ -44,7 +44,7 @@
         """Remove a placement from its machine and its job."""
 
     def release(self, placement: Placement, now: timedelta) -> None:
-        """Remove the placement of a task that is proven not to run any more; unless the task is done, it waits."""
+        """Remove the placement of a task that is proven not to run any more. Unless it is done, it waits again."""
 
     def stop(self, placement: Placement, grace: timedelta) -> None:
         """Stop a task with a grace period to save its work."""
--- a/badgerroute/scheduling/stealing.py
+++ b/badgerroute/scheduling/stealing.py
@@ -63,7 +63,8 @@
     def _fitting_offers(self, job: Job, wanted: int) -> tuple[int, list[tuple[_Offer, int]]]:
         """How many tasks the offered machines can hold, and the number of machines of each offer to use.
 
-        Whole machines are counted, so the number may exceed `wanted` by less than the tasks that fit on one machine.
+        All tasks that fit on the last machine are counted too. So the result may exceed `wanted`, but by less than the
+        number of tasks that fit on one machine.
         """
         fitting = 0
         used: list[tuple[_Offer, int]] = []
@@ -83,7 +84,7 @@
 
 
 def _highest_bits(bits: int, count: int) -> int:
-    """The `count` highest bits of a bit set. Taking these leaves a contiguous set contiguous."""
+    """The `count` highest bits of a bit set. If the set is contiguous, so are its remaining bits."""
     highest = 0
     for _ in range(count):
         top = 1 << (bits.bit_length() - 1)
--- a/badgerroute/scheduling/task_exits.py
+++ b/badgerroute/scheduling/task_exits.py
@@ -10,7 +10,8 @@
 from badgerroute.scheduling.task_phase import Phase
 
 CAUSES_IMPLYING_IMAGE = frozenset({"done", "alone"})  # a task exits with these causes only after its image was fetched
-MAX_GANG_WAIT_RESTARTS = 12  # a gang that still lacks an image on some machine after this many restarts is placed again
+# A gang whose image is still not on all its machines after this many restarts of a waiting task is placed again.
+MAX_GANG_WAIT_RESTARTS = 12
 
 
 class TaskExits:
@@ -43,7 +44,7 @@
 
     @staticmethod
     def _may_precede_restart(message: TaskListMessage, placement: Placement) -> bool:
-        """Whether the exit may precede the restart of the attempt, since a restart keeps the attempt number."""
+        """Whether the exit may be from before a restart of the attempt: a restart keeps the attempt number."""
         return (
             placement.phase is Phase.SENT
             and placement.gang_wait_restarts > 0
@@ -54,7 +55,7 @@
         """Process an exit before completion: restart a task whose wait for its gang timed out, release others."""
         if cause == "alone" and self._may_continue_waiting(placement):
             # Other machines of the gang may still be fetching the image, which can take longer than a task waits for
-            # its gang. Stopping the gang would cancel these fetches (docs/incidents.md, gangs begun anew).
+            # its gang. Stopping the gang would cancel these fetches, so that they start over (docs/incidents.md).
             placement.phase, placement.sent = Phase.RESERVED, None
             placement.gang_wait_restarts += 1
             return
--- a/badgerroute/scheduling/task_list_message.py
+++ b/badgerroute/scheduling/task_list_message.py
@@ -27,7 +27,7 @@
     def confirms_absence(self, placement: Placement) -> bool:
         """Whether a task missing from this list proves that its start command was not and will not be executed.
 
-        A worker has one heartbeat in flight and ignores late responses. So the proof is a heartbeat that was sent after
-        the one whose response carried the command; the response to a direct command proves nothing.
+        A worker has at most one heartbeat in flight and ignores late responses. So a heartbeat proves it if it was sent
+        after the one whose response carried the command. The response to a direct command proves nothing.
         """
         return self.periodic and placement.sent is not None and self.heartbeat.newer_than(*placement.sent)
--- a/badgerroute/scheduling/utilization_feedback.py
+++ b/badgerroute/scheduling/utilization_feedback.py
@@ -4,7 +4,7 @@
 
 After the paper's algorithm 1 (section IV.C). Its symbols: `q` counts periods of length `L` (`scheduling.period_s`);
 `d(q)` is the desire, `a(q)` the allocation, `u(q)` the utilization of period `q`; `delta` is the utilization below
-which a period is inefficient, `rho` the factor by which desires change. After a period that was
+which a period is inefficient, `rho` the factor by which desires change. The next desire is, after a period that was
 
 - inefficient (`u < delta` and no task waited): `d / rho`;
 - efficient and deprived (`d > a`): `d`;
