--- a/badgerroute/coordination/jobs/__init__.py
+++ b/badgerroute/coordination/jobs/__init__.py
@@ -6,6 +6,6 @@
 This package owns the keys `b/jobs/JOB` (records of unfinished jobs), `b/past/JOB` (final states), `b/done/JOB/PAGE` and
 `b/before/JOB/PAGE` (pages with done tasks and with predecessors that do not fit into a job's record), the in-memory
 index of these keys, and the cancellation notices between controllers. It may import `transport`, `protocol`,
-`settings`, `storage` and `scheduling`, but no other package of `coordination`. Objects of those packages that it needs
-are passed in, typed by the protocols that its modules declare.
+`settings`, `storage` and `scheduling`, but no other package of `coordination`. If it needs an object
+of another `coordination` package, the object is passed in, typed by a protocol that the module declares.
 """
--- a/badgerroute/coordination/jobs/cancellation_broadcast.py
+++ b/badgerroute/coordination/jobs/cancellation_broadcast.py
@@ -27,7 +27,7 @@
 
     revision: int  # of the job's final state in the key-value store
     learned_at: timedelta
-    sent_at: timedelta | None  # or None if not sent yet
+    sent_at: timedelta | None  # when it was last sent to the peer, or None if not sent yet
 
     def send_due(self, now: timedelta) -> bool:
         """Return whether the notice is due: it has not been sent yet, or its resend interval is over."""
--- a/badgerroute/coordination/jobs/downstream_cancellation.py
+++ b/badgerroute/coordination/jobs/downstream_cancellation.py
@@ -22,7 +22,9 @@
 log = logging.getLogger(__name__)
 INTERVAL = timedelta(milliseconds=200)
 RETRY_PAUSE = 2 * INTERVAL
-NON_LEADER_DELAY = timedelta(seconds=3)  # after which controllers that do not lead the job's first shard write too
+# A controller that does not lead the shard of a job's first tasks waits at least this long before it writes the job's
+# final state.
+NON_LEADER_DELAY = timedelta(seconds=3)
 CHANGES_PER_JOB = 2  # the record is removed and the final state is put
 
 
@@ -37,8 +39,8 @@
 class DownstreamCancellation:
     """Cancels the jobs downstream of cancelled jobs.
 
-    The leader of the shard that owns a job's first tasks writes the final state at once. Each other controller does
-    so after a delay that depends on its home shard, so that the writes do not conflict.
+    The leader of the shard that owns a job's first tasks writes the final state at once. Every other controller
+    does so after a delay that depends on its home shard, so that the writes do not conflict.
     """
 
     def __init__(
--- a/badgerroute/coordination/jobs/job_reader.py
+++ b/badgerroute/coordination/jobs/job_reader.py
@@ -37,7 +37,10 @@
 
 
 def _key_before(key: str) -> str:
-    """Return a string that sorts just before `key`. No key lies between them, since no job ref contains a tilde."""
+    """Return a string that sorts before `key`, with no other key in between.
+
+    It ends in a tilde, which sorts after every character that a job ref may contain.
+    """
     return key[:-1] + chr(ord(key[-1]) - 1) + "~"
 
 
@@ -67,7 +70,10 @@
         return lookup
 
     async def look_up_replicated(self, ref: str) -> JobLookup:
-        """Look up a job in the replica once it has caught up. Concurrent look-ups share one request to the store."""
+        """Look up a job in the replica, once the replica has caught up with the key-value store.
+
+        Concurrent look-ups share one request to the store.
+        """
         final = self._job_store.final_state(ref)
         if final is None:
             await self._replica.wait_until_current()
@@ -132,7 +138,7 @@
         return JobCondition.CANCELLED if cancelled else JobCondition.QUEUED
 
     async def refresh(self, keys: Iterable[str]) -> None:
-        """Read keys whose current values are uncertain from the store again."""
+        """Read keys again from the store, because their current values are uncertain."""
         for key in keys:
             entry = await self._store.get(key, Urgency.COMPLETE)
             if entry is not None:
@@ -142,7 +148,7 @@
                 await self._loop.sleep(REMOVAL_PAUSE)
 
     def view(self, ref: str, lookup: ActiveJob | FinishedJob, running: int) -> JobView:
-        """Return a job as it is shown to users; `running` is the last reported number of running tasks."""
+        """Return a job as it is shown to users; `running` is the last reported number of its running tasks."""
         if isinstance(lookup, FinishedJob):
             done = lookup.state is JobState.DONE
             return JobView(ref, JobCondition.DONE.value if done else JobCondition.CANCELLED.value)
--- a/badgerroute/coordination/jobs/job_store.py
+++ b/badgerroute/coordination/jobs/job_store.py
@@ -109,7 +109,10 @@
         self._publisher.publish(key, value, revision)
 
     def forget_record(self, ref: str) -> None:
-        """Forget a removed record, so that nothing more is written for its job. The final state may be unknown yet."""
+        """Forget a removed record, so that nothing more is written for its job.
+
+        The job's final state may not be known yet.
+        """
         self.active.pop(ref, None)
         self._schedulable.pop(ref, None)
 
@@ -183,7 +186,10 @@
         return ref in self.active or ref in self._final_states
 
     def final_state(self, ref: str) -> JobState | None:
-        """Return a job's final state if it is known. A job cancelled upstream has one while its record still exists."""
+        """Return a job's final state, or None if it is not known.
+
+        A job whose predecessor is cancelled counts as cancelled even while its own record still exists.
+        """
         final = self._final_states.get(ref)
         if final is not None:
             return final.state
--- a/badgerroute/coordination/jobs/job_writer.py
+++ b/badgerroute/coordination/jobs/job_writer.py
@@ -57,8 +57,8 @@
         """Store a new job with the shards that own its tasks, and return whether this call stored it.
 
         Returns False if the job was stored already, by this or another controller. Raises RecordTooLargeError if the
-        job can never be stored, StoreUnavailableError if it was not stored, and OutcomeUnknownError if it may have
-        been. After the last two errors the user may submit the job again.
+        job can never be stored, StoreUnavailableError if it was not stored, and OutcomeUnknownError if it may have been
+        stored. After the last two errors the user may submit the job again.
         """
         compact = self._pager.compact(self._new_record(job, ranges))
         absent_conditions = [compare(JOBS + job.ref, 0), compare(FINAL_STATES + job.ref, 0)]
@@ -89,9 +89,10 @@
         """Write a new job's pages, and return the conditions under which the job's record must be written.
 
         The pages are written before the record, so that every controller that sees the record has its pages. They are
-        written only if no such job exists, because a delayed write of a page would change the predecessors of an
-        accepted job. The returned conditions require that the pages have not changed when the record is written: until
-        then another controller may remove them, or overwrite them for a repeated submission with other predecessors.
+        written only on condition that no such job exists yet. Otherwise a delayed write of a page could change the
+        predecessors of an accepted job. The returned conditions require that the pages have not changed when the record
+        is written: until then another controller may remove them, or overwrite them for a repeated submission with
+        other predecessors.
         """
         conditions: list[Compare] = []
         for first in range(0, len(pages), self._store.max_changes):
@@ -111,7 +112,8 @@
         """Cancel a job unless it has a final state already, and return its final state.
 
         Raises UnknownJobError if no such job was accepted, StoreUnavailableError if the job was not cancelled, and
-        OutcomeUnknownError if it may have been. The user then repeats the request, which looks the job up again.
+        OutcomeUnknownError if it may have been cancelled. After the last two errors the user repeats the request,
+        which looks the job up again.
         """
         with self._job_store.confirming_cancellation(ref):
             return await self._cancel(ref)
--- a/badgerroute/coordination/jobs/progress_writer.py
+++ b/badgerroute/coordination/jobs/progress_writer.py
@@ -18,12 +18,13 @@
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
-MAX_TRANSACTION_BYTES = 40_000  # no job is added once this is exceeded; a transaction may have up to 64 KiB
+# No further job is added to a transaction once its values exceed this size. A transaction may have up to 64 KiB.
+MAX_TRANSACTION_BYTES = 40_000
 MAX_PROGRESS_ATTEMPTS = 5
 CHANGES_PER_COMPLETED_JOB = 2  # the record is removed and the final state is put
 
-# Takes a shard, and returns the condition that makes a transaction fail unless this controller still leads the shard,
-# or None if it does not lead the shard now.
+# Takes a shard. Returns a condition that makes a transaction fail unless this controller still leads the shard, or None
+# if this controller does not lead the shard now.
 LeadershipCondition = Callable[[int], Compare | None]
 
 
--- a/badgerroute/coordination/jobs/record_paging.py
+++ b/badgerroute/coordination/jobs/record_paging.py
@@ -22,7 +22,7 @@
 
 log = logging.getLogger(__name__)
 MAX_PREDECESSORS = 1000
-CONDITIONS_PER_NEW_JOB = 2  # that it has no record yet, and no final state
+CONDITIONS_PER_NEW_JOB = 2  # the job must have no record yet, and no final state
 # Must be the same in all controllers, since any of them may write a page of a repeated submission.
 PREDECESSORS_PER_PAGE = 24
 
@@ -135,8 +135,8 @@
         """Shrink a record that an older version of this program wrote and that is too large to be written again.
 
         The bits of done tasks are moved to pages, in as many transactions as needed, and the record is rewritten last.
-        The record holds the bits until the pages do, so none is lost if this is interrupted. Any controller may call
-        this.
+        The record keeps the bits until the pages hold them, so none is lost if this method is interrupted. Any
+        controller may call it.
         """
         record, revision = self._job_store.active.get(ref), self._replica.revision_of(JOBS + ref)
         if record is None:
--- a/badgerroute/coordination/requests/admission.py
+++ b/badgerroute/coordination/requests/admission.py
@@ -22,6 +22,7 @@
     def check(self, job: Submission) -> None:
         """Raise JobRefusedError if the job can never run. Makes no request to the key-value store."""
         if len(set(job.predecessors or ())) > self._pager.max_predecessors:
+            # To users, a job "follows" its predecessors: the field that lists them is called `follows`.
             raise JobRefusedError(f"it follows more than {self._pager.max_predecessors} jobs")
         team = self._teams.get(job.team)
         if team is None:
--- a/badgerroute/coordination/requests/heartbeat_handler.py
+++ b/badgerroute/coordination/requests/heartbeat_handler.py
@@ -29,7 +29,9 @@
 from badgerroute.transport.loop import Loop
 
 HTTP_OK = 200
-RELAY_TIMEOUT = timedelta(milliseconds=1500)  # a worker waits 4 s for a response and ignores later ones
+# A worker waits 4 s for a response and ignores later ones. If the leader has not responded to a relayed heartbeat after
+# this shorter time, this controller can still answer the worker itself.
+RELAY_TIMEOUT = timedelta(milliseconds=1500)
 
 
 class HeartbeatHandler:
@@ -109,12 +111,11 @@
     async def _relay(
         self, request: Request, heartbeat: Heartbeat, peer: Peer | None, leader_lacks_workers: bool
     ) -> Response | None:
-        """Relay a heartbeat to its leader and return the leader's response.
+        """Relay a heartbeat to the leader of the machine's shard and return the leader's response.
 
         Returns None if the heartbeat is not to be relayed, or the leader did not answer it. Relaying is safe, because
-        the leader itself chooses the commands in its response, and the response carries its term as the fencing token.
-        The worker receives it as the response to this heartbeat, while it waits for one, or not at all; see
-        docs/safety.md.
+        the leader itself chooses the commands in its response, which carries the leader's term as the fencing token.
+        The worker accepts the response only while it waits for the response to this heartbeat; see docs/safety.md.
         """
         if not self._relaying_enabled or peer is None or not peer.accepts_forwarded_from(self._host):
             return None
@@ -129,7 +130,7 @@
         return response
 
     def _leader_lacks_workers(self, peer: Peer | None, shard: int) -> bool:
-        """Return whether a shard's workers cannot reach its leader, by the leader's mode or the shard's summary.
+        """Return whether a leader's mode, or else its shard's summary, says that the shard's workers cannot reach it.
 
         The modes WORKERS_UNREACHABLE and RECOVERING take precedence over the summary, which may still report silent
         workers for a while after the leader has recovered.
--- a/badgerroute/coordination/requests/job_request_handler.py
+++ b/badgerroute/coordination/requests/job_request_handler.py
@@ -15,7 +15,9 @@
 
 JOBS_PATH = "/v1/jobs"
 HTTP_SERVICE_UNAVAILABLE = 503
-FORWARD_TIMEOUT = timedelta(milliseconds=1200)  # a user's poll times out after 2 s
+# A user's poll times out after 2 s. If the peer has not responded to a forwarded request after this shorter time, this
+# controller can still answer the user itself.
+FORWARD_TIMEOUT = timedelta(milliseconds=1200)
 
 
 @dataclass(frozen=True, slots=True)
--- a/badgerroute/coordination/requests/job_splitting.py
+++ b/badgerroute/coordination/requests/job_splitting.py
@@ -13,8 +13,9 @@
 from badgerroute.scheduling.resources import Resources, need_of
 from badgerroute.storage.task_ranges import TaskRange
 
-# The shard that the hash of a job's image selects is preferred while its queue per machine is at most this many times
-# the shortest queue per machine of any shard.
+# A shard's queue per machine is the number of processors that its waiting tasks need, divided by its machines. The
+# shard that the hash of a job's image selects is preferred only if its queue per machine is at most this many times
+# the shortest of any shard, plus one processor.
 MAX_QUEUE_IMBALANCE = 1.5
 MIN_TASK_CPUS = 0.01  # lower bound for a task's processors, which may be close to 0
 
@@ -36,8 +37,8 @@
 def shard_weights(job: Submission, summaries: Sequence[ShardSummary], shard_count: int) -> list[float]:
     """Return a weight for each shard; the shards get parts of a new job in proportion to their weights.
 
-    The weights are the free slots on machines that cache the image if these are enough for the job, else all free
-    slots, or the inverse of the queue per machine if no slot is free.
+    The weights are the free slots on machines that cache the image, if these are enough for the whole job. Otherwise
+    they are all free slots. If no shard has a free slot, they are the inverse of the queue per machine.
     """
     summary_by_shard = {summary.shard: summary for summary in summaries}
     shard_summaries = [summary_by_shard.get(shard) for shard in range(shard_count)]
@@ -80,7 +81,7 @@
 
 
 def _queue_per_machine(summary: ShardSummary | None) -> float:
-    """Return the queued processors per machine of a shard, or infinity if the shard has no summary."""
+    """Return how many processors a shard's waiting tasks need per machine, or infinity if it has no summary."""
     return inf if summary is None else _queued_cpus(summary) / (summary.machines + 1)
 
 
@@ -101,9 +102,10 @@
 def _shard_for_whole_job(job: Submission, summaries: Sequence[ShardSummary], weights: list[float]) -> int:
     """Choose the shard that gets all tasks of a job.
 
-    Among the shards that can hold the job, this is the one with the most slots on machines that cache the image, even
-    if work of lower priority must be preempted there, because fetching an image may take as long as running the job. If
-    too few machines cache the image, the others fetch it, and the next job with the image can use all of them.
+    Among the shards that can hold the job, this is the one with the most slots on machines that cache the image.
+    These slots count even if work of lower priority must be preempted there, because fetching an image may take as long
+    as running the job. If too few machines cache the image, the job's other machines fetch it. The next job with the
+    image can then use all of these machines.
     """
     summary_by_shard = {summary.shard: summary for summary in summaries}
     shards = range(len(weights))
--- a/badgerroute/coordination/requests/shard_requests.py
+++ b/badgerroute/coordination/requests/shard_requests.py
@@ -1,4 +1,4 @@
-"""Requests between shards for waiting tasks, for quota of a team's limit, and for machines.
+"""Requests between shards for waiting tasks, for a part of a team's quota, and for machines.
 
 A request goes to the leaders of the shards that may grant it, on this controller or on peers. The leader that grants a
 request also writes the resulting change to the key-value store, so a lost request only causes a delay.
@@ -36,9 +36,10 @@
         self._peers, self._mesh, self._leaders = peers, mesh, leaders
 
     async def run_stealing(self) -> None:
-        """Request waiting tasks for idle shards from busy ones in an endless loop, one request per shard and period.
+        """Request waiting tasks for idle shards from busy ones in an endless loop.
 
-        The loop also migrates gangs that cannot be placed in their shard.
+        In each round, an idle shard sends at most one request. The loop also migrates gangs that cannot be placed in
+        their shard.
         """
         while True:
             await self._loop.sleep(STEAL_INTERVAL)
@@ -82,17 +83,17 @@
         self.transfer_machines(message)
 
     def transfer_machines(self, message: MachineRequest) -> None:
-        """Have the other shards that this controller leads transfer the machines that they can spare."""
+        """Have the shards that this controller leads, except the requesting one, transfer machines they can spare."""
         for leader in self._other_leaders(message.shard):
             self._group.spawn(leader.machine_transfers.transfer(message), "lend")
 
     def request_quota(self, message: QuotaRequest) -> None:
-        """Request quota of a team's limit from all other shards."""
+        """Request a part of a team's quota from all other shards."""
         self._mesh.broadcast(message)
         self.grant_quota(message)
 
     def grant_quota(self, message: QuotaRequest) -> None:
-        """Have the other shards that this controller leads grant the quota that they can spare."""
+        """Have the shards that this controller leads, except the requesting one, grant quota they can spare."""
         for leader in self._other_leaders(message.shard):
             self._group.spawn(leader.quota_exchange.grant(message), "grant-quota")
 
