--- a/badgerroute/protocol/mesh.py
+++ b/badgerroute/protocol/mesh.py
@@ -174,7 +174,10 @@
 
 
 class MachineRequest(Struct, tag="borrow"):
-    """A shard that is too small for a gang (`job`) asks the other shards for `count` empty machines."""
+    """A shard that is too small for a gang (`job`) asks the other shards for empty machines.
+
+    `count` is the number of the gang's tasks for which the shard lacks room, not the number of machines.
+    """
 
     shard: int = field(name="part")
     job: Submission
