--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -1,4 +1,7 @@
-"""Troubles of the later deployments: controllers that stand still, guests, users' mistakes, many askers."""
+"""Simulated runs of a whole cluster with faults and loads that occurred in operation.
+
+Among them are paused controllers, a team without a limit, jobs that fail on every machine, and many simultaneous polls.
+"""
 
 import itertools
 import json
@@ -14,74 +17,94 @@
 
 @pytest.mark.parametrize("resets", [True, False])
 def test_a_controller_that_was_paused_gets_its_shard_back(resets: bool) -> None:
-    """Its peers gave up its connections meanwhile. Whether a write tells it so depends on the network between."""
+    """A controller that is paused for 26 s loses its shard and must get it back after the pause.
+
+    Its peers have closed their connections to it by the end of the pause. If `resets` is true, data that it sends on
+    such a connection causes a reset. Otherwise the data is lost without an error, and it must detect this itself.
+    """
     day = Day(seed=11)
     day.world.resets = resets
     day.run(5)
     day.loop.pause_host(HOSTS[0], 26)
     day.run(26)
     leaders = day.controllers[HOSTS[0]][0].leaders
-    assert day.run_until(lambda: 0 not in leaders, 2), "it learns that its claim went"
-    assert day.run_until(lambda: 0 in leaders, 15), "its shard comes home"
+    assert day.run_until(lambda: 0 not in leaders, 2), "the controller learns that it lost its leadership"
+    assert day.run_until(lambda: 0 in leaders, 15), "the shard returns to its home controller"
     day.submit(job("run-a", heads=12))
     assert day.finish() == []
     assert day.rules.broken == []
 
 
 def test_a_team_without_a_limit_is_served() -> None:
-    """A guest team has no guarantee, and its limit is given as 0: the platform's word for none."""
+    """A team without a guarantee has the limit 0 in the settings, which means no limit.
+
+    Its jobs must be accepted and started. Reading the value as a limit of 0 CPUs would refuse all of them.
+    """
     day = Day(seed=12, machines=8)
     day.run(5)
     assert day.submit(job("run-guest", crew="guests", heads=60, rank="idle", trek_s=20.0)) == 201
     assert day.submit(job("run-gang", crew="guests", gait="group", heads=3, cpus=8.0, trek_s=20.0)) == 201
     assert day.submit(job("run-own", heads=8)) == 201
-    guests = lambda: sum(name.startswith("run-g") for name in day.rules.worker_by_task)  # noqa: E731
-    assert day.run_until(lambda: guests() >= 40, 40), "nothing holds them back"
+    running_guest_tasks = lambda: sum(name.startswith("run-g") for name in day.rules.worker_by_task)  # noqa: E731
+    assert day.run_until(lambda: running_guest_tasks() >= 40, 40), "no limit holds the team's tasks back"
     assert day.finish() == []
     assert day.rules.broken == []
 
 
 def test_mistaken_jobs_cost_no_machines() -> None:
-    """Jobs that fail on every machine until they are cancelled. The machines are not to blame, nor the other jobs."""
+    """Jobs that fail on every machine until they are cancelled must not cause the deletion of machines.
+
+    The machines are healthy, so other jobs must complete on them. Failing jobs must be retried so rarely that
+    there are fewer than 400 starts of tasks in all.
+    """
     day = Day(seed=13, machines=12, capacity=0)
     day.run(5)
-    before = set(day.site.workers)
+    initial_machines = set(day.site.workers)
     day.site.failing |= {"run-bad", "run-bad-gang", "run-bad-one"}
     day.submit(job("run-bad", heads=80, brand="img-2"))
     day.submit(job("run-bad-gang", gait="group", heads=3, cpus=4.0, rank="urgent"))
     day.submit(job("run-bad-one", heads=1, rank="urgent"))
     day.run(10)
-    tries = len(day.rules.events)
+    early_events = len(day.rules.events)
     for number in range(6):
         day.submit(job(f"run-{number}", heads=10))
         day.run(8)
     for ref in day.site.failing:
         assert day.cancel(ref) == "withdrawn"
     assert day.finish() == []
-    assert before <= set(day.site.workers), "no machine was given up"
-    failed = [name for name, at, what in day.rules.events if what == "start"]
-    assert tries and len(failed) < 400
+    assert initial_machines <= set(day.site.workers), "no machine was deleted"
+    starts = [machine for machine, seconds, event in day.rules.events if event == "start"]
+    assert early_events and len(starts) < 400
     assert day.rules.broken == []
 
 
 def test_many_polls_are_one_question_to_the_state_service() -> None:
+    """Polls that arrive together share one request for the key-value store's revision.
+
+    A request for each of the 200 polls would use up the controller's rate limit.
+    """
     day = Day(seed=14)
     day.run(5)
     day.submit(job("run-a", heads=40, trek_s=30.0))
-    state = day.controllers[HOSTS[0]][0].storage.store
-    before = state.requests
+    store = day.controllers[HOSTS[0]][0].storage.store
+    requests_before = store.requests
     polls = [day.loop.spawn(_poll(day, HOSTS[0], "run-a"), "poll") for _ in range(200)]
     day.run(1)
-    assert {one.result for one in polls} <= {"queued", "running"}
-    assert state.requests - before < 30
+    assert {poll.result for poll in polls} <= {"queued", "running"}
+    assert store.requests - requests_before < 30
 
 
-@pytest.mark.parametrize("cut", [False, True])
-def test_a_poll_is_never_older_than_what_another_controller_told(cut: bool) -> None:
-    """The peers' pushes may be lost, so a controller must ask how far the key-value store is."""
+@pytest.mark.parametrize("peers_cut_off", [False, True])
+def test_a_poll_is_never_older_than_what_another_controller_told(peers_cut_off: bool) -> None:
+    """Once one controller has reported a job as cancelled, every controller must do so in its next answer.
+
+    Controllers send changes to each other, but these messages may be lost, and with `peers_cut_off` all of them are.
+    Before it answers a poll, a controller must therefore request the key-value store's current revision and wait until
+    its replica has reached it.
+    """
     day = Day(seed=15)
     day.run(5)
-    if cut:
+    if peers_cut_off:
         for number, host in enumerate(HOSTS):
             for other in HOSTS[:number]:
                 day.world.cut(host, other, "reset")
@@ -89,7 +112,7 @@
     for ref in refs:
         day.submit(job(ref, heads=20, trek_s=30.0))
     day.run(1)
-    for ref in refs:  # in a row, so that the watch has just been answered and pauses
+    for ref in refs:  # without a pause, so that cancellations occur while the watch waits between two of its requests
         assert day.cancel(ref) == "withdrawn"
         for host in HOSTS:
             assert day.poll(ref, host) == "withdrawn"
@@ -97,6 +120,7 @@
 
 
 async def _poll(day: Day, host: str, ref: str) -> str:
+    """Return a job's condition as one controller reports it."""
     client = Client(day.loop, day.user, f"{host}:8080")
     response = await client.request("GET", f"/v1/jobs/{ref}", b"", SECOND * 5, fresh=True)
     client.drop()
@@ -104,13 +128,14 @@
 
 
 def cut_from_workers(day: Day, host: str, mode: str) -> Callable[[], None]:
-    names = list(day.site.workers)
-    for name in names:
-        day.world.cut(host, name, mode)
+    """Cut the links between a controller and all machines; return a function that heals these links."""
+    machines = list(day.site.workers)
+    for machine in machines:
+        day.world.cut(host, machine, mode)
 
     def heal() -> None:
-        for name in names:
-            day.world.heal(host, name)
+        for machine in machines:
+            day.world.heal(host, machine)
 
     return heal
 
@@ -118,7 +143,11 @@
 @pytest.mark.parametrize("mode", ["reset", "hold"])
 @pytest.mark.parametrize("seed", [16, 17, 18])
 def test_a_controller_cut_from_its_workers_gives_its_shard_away(seed: int, mode: str) -> None:
-    """Else it keeps its leadership, since the store answers it, and all its machines let go of their tasks."""
+    """A controller that reaches the key-value store but none of its workers must transfer its shard to a peer.
+
+    Otherwise it would keep its leadership, since the store still answers it. The leases of the shard's machines would
+    expire, and the machines would discard their tasks.
+    """
     day = Day(seed=seed, machines=24, capacity=0)
     day.run(5)
     day.submit(job("run-long", heads=30, trek_s=50.0))
@@ -127,30 +156,33 @@
     host = HOSTS[seed % 3]
     heal = cut_from_workers(day, host, mode)
     day.run(20)
-    assert day.controllers[host][0].leaders == {}, "nor is it given back before it reaches a worker"
-    ended = [name for name, worker in day.site.workers.items() if worker.incarnation != incarnations.get(name)]
-    assert len(ended) <= 1, "hardly a lease ran out"
+    assert day.controllers[host][0].leaders == {}, "it gets no shard back while it reaches no worker"
+    reset_machines = [name for name, worker in day.site.workers.items() if worker.incarnation != incarnations.get(name)]
+    assert len(reset_machines) <= 1, "at most one machine's lease expired"
     heal()
     leaders = day.controllers[host][0].leaders
-    assert day.run_until(lambda: len(leaders) == 1, 20), "its shard comes home"
+    assert day.run_until(lambda: len(leaders) == 1, 20), "the shard returns to its home controller"
     assert day.finish() == []
     assert day.rules.broken == []
 
 
 def test_silent_machines_alone_move_no_shard() -> None:
-    """Half of a shard's machines lose the network: that is their trouble, not their leader's."""
+    """A shard must not be transferred if two thirds of its machines are cut off from all controllers.
+
+    The leader's own links are not the cause, and no other controller reaches these machines either.
+    """
     day = Day(seed=19, machines=24, capacity=0)
     day.run(5)
     shard = day.controllers[HOSTS[0]][0].leaders[0].shard
-    terms = {shard.number: shard.term}
-    names = list(shard.machines)[: len(shard.machines) * 2 // 3]
-    for name in names:
+    initial_terms = {shard.number: shard.term}
+    silent_machines = list(shard.machines)[: len(shard.machines) * 2 // 3]
+    for name in silent_machines:
         for host in HOSTS:
             day.world.cut(host, name, "hold")
     day.run(9)
     leaders = day.controllers[HOSTS[0]][0].leaders
-    assert {number: leader.shard.term for number, leader in leaders.items()} == terms
-    for name in names:
+    assert {number: leader.shard.term for number, leader in leaders.items()} == initial_terms
+    for name in silent_machines:
         for host in HOSTS:
             day.world.heal(host, name)
     day.submit(job("run-a", heads=30))
@@ -159,7 +191,11 @@
 
 
 def test_machines_that_boot_slowly_are_waited_for() -> None:
-    """All take seven times as long as the catalog says: given up by their age alone, none would ever come."""
+    """Machines that take seven times as long to boot as the catalog says must not be deleted while they boot.
+
+    The short provisioning timeout applies only to a machine that was rented before one that is already up. If it
+    applied to all, each machine would be deleted before it is up.
+    """
     day = Day(seed=20, machines=0, capacity=4)
     day.site.boot_factor = 7.0
     day.run(4)
@@ -170,98 +206,124 @@
 
 
 def test_a_machine_that_never_boots_is_replaced() -> None:
-    """One that others overtook is given up, so that it does not cost for ever."""
+    """Two of the rented machines never boot. They must be deleted once machines rented later are up.
+
+    Otherwise they would cost money forever.
+    """
     day = Day(seed=21, machines=0, capacity=4)
     day.site.machines_that_never_boot = 2
     day.run(4)
-    stuck = set(day.site.booting)
+    first_rented = set(day.site.booting)
     day.submit(job("run-a", heads=30, trek_s=60.0))
     assert day.run_until(
-        lambda: len(stuck & set(day.site.booting)) <= len(stuck) - 2 and len(day.site.workers) >= 4, 70
+        lambda: len(first_rented & set(day.site.booting)) <= len(first_rented) - 2 and len(day.site.workers) >= 4, 70
     )
-    assert day.run_until(lambda: not {name for name in stuck if name in day.site.booting}, 70)
+    assert day.run_until(lambda: not {name for name in first_rented if name in day.site.booting}, 70)
     assert day.finish() == []
     assert day.rules.broken == []
 
 
 def test_what_a_dead_controller_can_not_use_serves_the_others() -> None:
+    """The controllers divide the key-value store's rate limits. The portion of a dead one must go to the other two.
+
+    A controller that its peers merely can't reach keeps its portion.
+    """
     day = Day(seed=22)
     day.run(10)
-    states = {host: controller.storage.store for host, (controller, _) in day.controllers.items()}
-    full = states[HOSTS[0]].rates.change_limiter.rate
+    stores = {host: controller.storage.store for host, (controller, _) in day.controllers.items()}
+    normal_rate = stores[HOSTS[0]].rates.change_limiter.rate
     day.crash(HOSTS[2])
     day.run(3)
-    assert states[HOSTS[0]].rates.change_limiter.rate == full, "it may come back at once"
-    assert day.run_until(lambda: states[HOSTS[0]].rates.change_limiter.rate == 1.5 * full, 15)
+    assert stores[HOSTS[0]].rates.change_limiter.rate == normal_rate, "the crashed controller may still restart soon"
+    assert day.run_until(lambda: stores[HOSTS[0]].rates.change_limiter.rate == 1.5 * normal_rate, 15)
     day.start(HOSTS[2])
-    assert day.run_until(lambda: states[HOSTS[0]].rates.change_limiter.rate == full, 3), "and shares again"
-    for number, host in enumerate(HOSTS):  # only unheard: each holds its leadership
+    assert day.run_until(lambda: stores[HOSTS[0]].rates.change_limiter.rate == normal_rate, 3), (
+        "the restarted controller has its portion again"
+    )
+    for number, host in enumerate(HOSTS):  # the controllers can't reach each other, but each keeps its leadership
         for other in HOSTS[:number]:
             day.world.cut(host, other, "reset")
     day.run(20)
-    assert states[HOSTS[0]].rates.change_limiter.rate == full
+    assert stores[HOSTS[0]].rates.change_limiter.rate == normal_rate
 
 
 def test_a_machine_that_joined_somebody_else_is_not_deleted() -> None:
-    """A controller that had given it up was paused meanwhile, and came back with a lease of its own."""
+    """A controller must not delete a machine that another controller's shard has as a member.
+
+    Its deletion queue may hold such a machine: after the controller queued it, its process was paused, another
+    controller registered the machine, and the first one resumed with a new lease.
+    """
     day = Day(seed=23)
     day.run(5)
-    mine, other = (day.controllers[host][0] for host in HOSTS[:2])
-    theirs = next(iter(other.leaders[1].shard.machines))
-    own = next(iter(mine.leaders[0].shard.machines))
-    mine.autoscaling.deletion_queue.delete([theirs, own])
+    controller, peer = (day.controllers[host][0] for host in HOSTS[:2])
+    peer_machine = next(iter(peer.leaders[1].shard.machines))
+    own_machine = next(iter(controller.leaders[0].shard.machines))
+    controller.autoscaling.deletion_queue.delete([peer_machine, own_machine])
     day.run(3)
-    assert theirs in day.site.workers and own not in day.site.workers
+    assert peer_machine in day.site.workers and own_machine not in day.site.workers
 
 
 def test_what_is_late_first_is_written_first(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Of many jobs that end together."""
+    """Of many jobs that complete at the same time, those closest to their deadline are recorded first.
+
+    Jobs of class `soon` should finish within 60 s; jobs of class `batch` have no deadline. Each job has one task.
+    """
     day = Day(seed=24, machines=9, objectives=[Objective("finished", 0.9, "soon", within_s=60.0)])
     day.run(5)
     batches: list[list[str]] = []
-    real = ProgressWriter.write_progress
+    original = ProgressWriter.write_progress
 
-    async def write(self: ProgressWriter, batch: list[Progress], election: object) -> None:
-        complete = [one.ref for one in batch if one.done.bit_count() == 1]
-        batches.append(complete)
-        await real(self, batch, election)
+    async def write(self: ProgressWriter, batch: list[Progress], leadership_condition: object) -> None:
+        completed = [progress.ref for progress in batch if progress.done.bit_count() == 1]
+        batches.append(completed)
+        await original(self, batch, leadership_condition)
 
     monkeypatch.setattr(ProgressWriter, "write_progress", write)
     for number in range(24):
         day.submit(job(f"run-{number}", heads=1, herd="soon" if number % 4 == 3 else "batch", trek_s=8.0))
     assert day.finish() == []
-    mixed = 0
+    batches_with_both_classes = 0
     for batch in batches:
         classes = [day.site.jobs[ref]["herd"] for ref in batch]
-        assert classes == sorted(classes, reverse=True), "soon comes before batch"
-        mixed += len(set(classes)) == 2
-    assert mixed
+        assert classes == sorted(classes, reverse=True), "jobs of class soon are written before jobs of class batch"
+        batches_with_both_classes += len(set(classes)) == 2
+    assert batches_with_both_classes
     assert day.rules.broken == []
 
 
 def late_writes(day: Day) -> None:
+    """For 25 s, apply 30 % of the key-value store's transactions only after the client's request has timed out."""
     day.store.late_write_probability = 0.3
     day.loop.later(25 * SECOND, lambda: setattr(day.store, "late_write_probability", 0.0))
 
 
 def cut_from_state_and_siblings(day: Day) -> None:
-    """It goes on with its workers and users for a while; jobs are cancelled through the others."""
+    """Cut a controller off from the key-value store and from its peers for 30 s.
+
+    For a while it continues to serve its workers and users. Meanwhile jobs are cancelled through the peers.
+    """
     host = day.random.choice(HOSTS)
-    others = [f"state-{host}", *(one for one in HOSTS if one != host)]
-    for other in others:
-        day.world.cut(host, other, "hold")
-        day.loop.later(30 * SECOND, lambda other=other: day.world.heal(host, other))
+    cut_hosts = [f"state-{host}", *(peer for peer in HOSTS if peer != host)]
+    for cut_host in cut_hosts:
+        day.world.cut(host, cut_host, "hold")
+        day.loop.later(30 * SECOND, lambda cut_host=cut_host: day.world.heal(host, cut_host))
 
 
 def refused_alone_then_an_outage(day: Day) -> None:
-    """Longer than a cancellation has, while users cancel and ask."""
+    """Have the key-value store refuse one controller's requests, and after 8 s the requests of all controllers.
+
+    The outage of 42 s exceeds the 36 s within which a cancellation must take effect. Users cancel and poll meanwhile.
+    """
     day.store.refused_hosts.add(f"{day.random.choice(HOSTS)}")
     day.loop.later(8 * SECOND, lambda: day.store.outage(True))
     day.loop.later(50 * SECOND, lambda: (day.store.outage(False), day.store.refused_hosts.clear()))
 
 
 def hand_overs(day: Day) -> None:
-    """Cut from its workers, its shards go; then it ends, and is back within a fraction of a second."""
+    """Cut a controller off from its workers for 16 s, so that it transfers its shards.
+
+    After 9 s, kill its process and start it again 0.2 s later.
+    """
     host = day.random.choice(HOSTS)
     heal = cut_from_workers(day, host, "hold")
     day.loop.later(9 * SECOND, lambda: day.restart(host, SECOND / 5))
@@ -269,11 +331,15 @@
 
 
 def standstill(day: Day) -> None:
+    """After 2 s, pause the process of a controller for 9 s."""
     day.loop.later(2 * SECOND, lambda: day.loop.pause_host(day.random.choice(HOSTS), 9))
 
 
 def deaf_and_hung(day: Day) -> None:
-    """Machines that don't hear, and machines that don't move, when their leader ends."""
+    """For 8 s, make one machine unreachable and two unresponsive, and restart a controller meanwhile.
+
+    An unreachable machine sends heartbeats, but receives nothing. An unresponsive one neither sends nor runs anything.
+    """
     workers = day.random.sample(list(day.site.workers.values()), 3)
     workers[0].unreachable = workers[1].unresponsive = workers[2].unresponsive = True
 
@@ -285,13 +351,15 @@
 
 
 def old_reports(day: Day) -> None:
-    for after in range(2, 26, 3):
-        day.loop.later(after * SECOND, lambda: day.group.spawn(_copies(day), "copies"))
+    """Send copies of old heartbeats to the controllers every 3 s, from 2 s to 23 s after the call."""
+    for seconds in range(2, 26, 3):
+        day.loop.later(seconds * SECOND, lambda: day.group.spawn(_replay_heartbeats(day), "copies"))
 
 
-async def _copies(day: Day) -> None:
-    old = list(day.site.sent_heartbeats)
-    for _, body in day.random.sample(old, min(15, len(old))):
+async def _replay_heartbeats(day: Day) -> None:
+    """Send copies of at most 15 old heartbeats to random controllers, and discard the responses."""
+    heartbeats = list(day.site.sent_heartbeats)
+    for _, body in day.random.sample(heartbeats, min(15, len(heartbeats))):
         client = Client(day.loop, day.user, f"{day.random.choice(HOSTS)}:8080")
         try:
             await client.request("POST", "/checkin", body, SECOND * 2, fresh=True)
@@ -301,7 +369,7 @@
             client.drop()
 
 
-TROUBLES = [
+FAULTS = [
     late_writes,
     cut_from_state_and_siblings,
     refused_alone_then_an_outage,
@@ -312,18 +380,23 @@
 ]
 
 
-@pytest.mark.parametrize(("one", "other"), list(itertools.combinations(TROUBLES, 2)), ids=lambda fault: fault.__name__)
-def test_two_troubles_at_once(one: Callable[[Day], None], other: Callable[[Day], None]) -> None:
-    """Most rules that were ever broken broke when two troubles met."""
-    day = Day(seed=sum((one.__name__ + other.__name__).encode()), machines=8)
+@pytest.mark.parametrize(
+    ("first_fault", "second_fault"), list(itertools.combinations(FAULTS, 2)), ids=lambda fault: fault.__name__
+)
+def test_two_troubles_at_once(first_fault: Callable[[Day], None], second_fault: Callable[[Day], None]) -> None:
+    """Each pair of faults, with 3 s between the two, must not break a safety rule.
+
+    Most violations that were ever found occurred when two faults coincided.
+    """
+    day = Day(seed=sum((first_fault.__name__ + second_fault.__name__).encode()), machines=8)
     day.run(5)
     for number in range(4):
         day.submit(job(f"run-a{number}", heads=12, trek_s=15.0, spread=number == 3))
         day.submit(job(f"run-g{number}", gait="group", heads=2 + number % 2, cpus=4.0, trek_s=20.0, rank="urgent"))
     day.run(4)
-    one(day)
+    first_fault(day)
     day.run(3)
-    other(day)
+    second_fault(day)
     day.submit(job("run-late", heads=6), tries=3)
     day.run(4)
     day.cancel("run-a1", tries=60)
