--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""The documents name only what exists: modules, classes, key prefixes, log events and tests."""
+"""Tests that the pages in docs/ name only modules, classes, key prefixes, log events and tests that exist."""
 
 import ast
 import importlib
@@ -16,12 +16,12 @@
 DOCS = PROJECT / "docs"
 PAGES = sorted(path.name for path in DOCS.glob("*.md") if path.name != "questions.md")
 EVENT_PAGES = ("operations.md", "rebalancing-operations.md", "connectivity-operations.md")
-PREFIX = "b/"  # of all keys: tests/test_written_names.py pins them
-RENAMES = "## Old event, new event"
-THIS_FILE = "tests/test_documents.py"  # its own examples prove nothing
+PREFIX = "b/"  # begins all keys in the key-value store; tests/test_written_names.py checks these
+RENAMES_HEADING = "## Old event, new event"  # heading of the section that lists renamed log events
+THIS_FILE = "tests/test_documents.py"  # not searched for identifiers, since it holds names that don't exist as examples
 
 CODE = r"`([^`\n]+)`"
-# A module, and the classes or `Class.method`s that stand right after it: all of them are in it.
+# The path of a module, and the classes or `Class.method`s named right after it, which must be in that module.
 MODULE = re.compile(r"`(badgerroute/[\w/]+\.py)`((?:(?:,| and)? `[A-Z]\w*(?:\.\w+)?`)*)")
 PACKAGE_PATH = re.compile(r"`((?:badgerroute|tools)(?:/\w+)*/)`")
 MEMBER = re.compile(r"[A-Z]\w*\.\w+")
@@ -29,22 +29,26 @@
 IDENTIFIER = re.compile(r"_?[a-z]+(?:_[a-z0-9]+)+")
 
 
-def expect_none(found: Collection[str], complaint: str = "does not exist") -> None:
-    """Fails with the whole list: a page may name many that a change has moved."""
-    assert not found, "\n".join([f"{complaint}:", *sorted(found)])
+def expect_none(problems: Collection[str], complaint: str = "does not exist") -> None:
+    """Fail with the list of all problems, since one change of the code may make many names on a page wrong."""
+    assert not problems, "\n".join([f"{complaint}:", *sorted(problems)])
 
 
 def text_of(page: str) -> str:
-    """A page on lines of its own paragraphs, so that what is wrapped is found too; indented examples left out."""
+    """Return a page's text with each paragraph on one line, and without indented examples.
+
+    Names and phrases that are wrapped over two lines are thus matched as well.
+    """
     lines = (line for line in (DOCS / page).read_text().splitlines() if not line.startswith("    "))
     return re.sub(r"(?<=[^|\n])\n(?=[^|\n#])", " ", "\n".join(lines))
 
 
-# -- what the sources have
+# -- the names in the sources
 
 
 @cache
 def sources(folder: str) -> dict[str, ast.Module]:
+    """Return the syntax trees of all modules in a folder, by path relative to the project."""
     paths = sorted((PROJECT / folder).rglob("*.py"))
     return {path.relative_to(PROJECT).as_posix(): ast.parse(path.read_text()) for path in paths}
 
@@ -54,54 +58,55 @@
 
 
 def classes_in(module: ast.Module) -> dict[str, set[str]]:
-    """The classes of a module, each with its methods and attributes."""
+    """Return the classes of a module, each with its methods and attributes."""
     return {node.name: members_of(node) for node in ast.walk(module) if isinstance(node, ast.ClassDef)}
 
 
 def members_of(node: ast.ClassDef) -> set[str]:
+    """Return the names that a class defines or assigns: its methods and attributes, and local names of its methods."""
     names: set[str] = set()
-    for inner in ast.walk(node):
-        match inner:
+    for descendant in ast.walk(node):
+        match descendant:
             case ast.FunctionDef(name=name) | ast.AsyncFunctionDef(name=name):
                 names.add(name)
             case ast.AnnAssign(target=ast.Name(id=name)) | ast.AnnAssign(target=ast.Attribute(attr=name)):
                 names.add(name)
             case ast.Assign(targets=targets):
-                flat = [leaf for target in targets for leaf in ast.walk(target)]
-                names |= {leaf.id for leaf in flat if isinstance(leaf, ast.Name)}
-                names |= {leaf.attr for leaf in flat if isinstance(leaf, ast.Attribute)}
+                target_nodes = [target_node for target in targets for target_node in ast.walk(target)]
+                names |= {target_node.id for target_node in target_nodes if isinstance(target_node, ast.Name)}
+                names |= {target_node.attr for target_node in target_nodes if isinstance(target_node, ast.Attribute)}
     return names
 
 
 @cache
 def classes() -> dict[str, set[str]]:
-    """All classes by name; those of one name together."""
-    found: dict[str, set[str]] = {}
+    """Return the members of each class, by class name. Classes with the same name are merged."""
+    members_by_class: dict[str, set[str]] = {}
     for module in all_sources().values():
         for name, members in classes_in(module).items():
-            found.setdefault(name, set()).update(members)
-    return found
+            members_by_class.setdefault(name, set()).update(members)
+    return members_by_class
 
 
 @cache
 def identifiers() -> set[str]:
-    """Whatever is a name in the sources, and whole strings: days and faults are named by strings too."""
-    found: set[str] = set()
+    """Return all identifiers and string constants in the sources. Strings name some simulated days and faults."""
+    names: set[str] = set()
     for path, module in all_sources().items():
         for node in ast.walk(module) if path != THIS_FILE else ():
             match node:
                 case ast.Name(id=name) | ast.Attribute(attr=name) | ast.arg(arg=name) | ast.keyword(arg=str(name)):
-                    found.add(name)
+                    names.add(name)
                 case ast.FunctionDef(name=name) | ast.AsyncFunctionDef(name=name) | ast.ClassDef(name=name):
-                    found.add(name)
+                    names.add(name)
                 case ast.Constant(value=str(name)):
-                    found.add(name)
-    return found
+                    names.add(name)
+    return names
 
 
 @cache
 def names_of_tests() -> set[str]:
-    """Functions and files of tests."""
+    """Return the names of all functions and modules in tests/."""
     names = {Path(path).stem for path in sources("tests")}
     for module in sources("tests").values():
         names |= {node.name for node in ast.walk(module) if isinstance(node, ast.FunctionDef)}
@@ -118,34 +123,34 @@
 
 
 def key_prefixes() -> set[str]:
-    """All constants of the storage package that are keys or prefixes of keys."""
-    found: set[str] = set()
+    """Return the values of all constants of the storage package that are keys or prefixes of keys."""
+    prefixes: set[str] = set()
     for path in sorted((PACKAGE / "storage").glob("[!_]*.py")):
         module = importlib.import_module(f"badgerroute.storage.{path.stem}")
-        found |= {value for value in vars(module).values() if isinstance(value, str) and value.startswith(PREFIX)}
-    return found
+        prefixes |= {value for value in vars(module).values() if isinstance(value, str) and value.startswith(PREFIX)}
+    return prefixes
 
 
 # -- modules and classes
 
 
 def unknown_modules(text: str) -> list[str]:
-    """What a page says of modules that isn't so."""
-    missing: list[str] = []
-    for path, after in MODULE.findall(text):
+    """Return an error text for each module, class, member and package that is named in a text but does not exist."""
+    problems: list[str] = []
+    for path, names_after in MODULE.findall(text):
         module = sources("badgerroute").get(path)
         if module is None:
-            missing.append(f"no module {path}")
+            problems.append(f"no module {path}")
             continue
-        known = classes_in(module)
-        for name in re.findall(CODE, after):
+        module_classes = classes_in(module)
+        for name in re.findall(CODE, names_after):
             owner, _, member = name.partition(".")
-            if owner not in known:
-                missing.append(f"no class {owner} in {path}")
-            elif member and member not in known[owner]:
-                missing.append(f"no {name} in {path}")
-    missing += [f"no package {path}" for path in PACKAGE_PATH.findall(text) if not (PROJECT / path).is_dir()]
-    return missing
+            if owner not in module_classes:
+                problems.append(f"no class {owner} in {path}")
+            elif member and member not in module_classes[owner]:
+                problems.append(f"no {name} in {path}")
+    problems += [f"no package {path}" for path in PACKAGE_PATH.findall(text) if not (PROJECT / path).is_dir()]
+    return problems
 
 
 @pytest.mark.parametrize("page", PAGES)
@@ -155,12 +160,13 @@
 
 @pytest.mark.parametrize("page", PAGES)
 def test_modules_are_written_in_full(page: str) -> None:
-    """Else the test above would not see them."""
-    short = [name for name in re.findall(CODE, text_of(page)) if name.endswith(".py") and " " not in name]
+    """Module names without their full path would escape `test_modules_and_their_classes_exist`."""
+    module_paths = [name for name in re.findall(CODE, text_of(page)) if name.endswith(".py") and " " not in name]
     expect_none(
-        [name for name in short if not name.startswith(("badgerroute/", "tests/", "tools/"))], "not written in full"
+        [name for name in module_paths if not name.startswith(("badgerroute/", "tests/", "tools/"))],
+        "not written in full",
     )
-    expect_none([name for name in short if not (PROJECT / name).is_file()])
+    expect_none([name for name in module_paths if not (PROJECT / name).is_file()])
 
 
 def test_every_package_is_on_the_architecture_page() -> None:
@@ -170,21 +176,21 @@
 
 
 def unknown_names(text: str) -> list[str]:
-    """Classes, `Class.member`s and identifiers that a page names and the sources don't have."""
-    missing: list[str] = []
+    """Return the classes, `Class.member`s and identifiers that are named in a text but not found in the sources."""
+    unknown: list[str] = []
     for name in re.findall(CODE, text):
         if MEMBER.fullmatch(name):
             owner, _, member = name.partition(".")
             if member not in classes().get(owner, set()):
-                missing.append(name)
+                unknown.append(name)
         elif CLASS.fullmatch(name) or IDENTIFIER.fullmatch(name):
             if name not in identifiers() | names_of_tests() | events():
-                missing.append(name)
-    return missing
+                unknown.append(name)
+    return unknown
 
 
-# Words of other programs, and of code that an incident's story is about, which has gone since.
-NOT_OURS = {
+# Page -> names that are allowed on it: those of other programs, and those of removed code that an incident concerned.
+ALLOWED_UNKNOWN_NAMES = {
     "incidents.md": {"ShardLeader._quota_to_yield"},
     "performance.md": {"no_node"},
 }
@@ -192,11 +198,11 @@
 
 @pytest.mark.parametrize("page", [page for page in PAGES if page != "operations.md"])
 def test_names_in_code_type_exist(page: str) -> None:
-    expect_none([name for name in unknown_names(text_of(page)) if name not in NOT_OURS.get(page, set())])
+    expect_none([name for name in unknown_names(text_of(page)) if name not in ALLOWED_UNKNOWN_NAMES.get(page, set())])
 
 
 def test_names_in_code_type_exist_on_the_operators_page() -> None:
-    expect_none(unknown_names(text_of("operations.md").partition(RENAMES)[0]))
+    expect_none(unknown_names(text_of("operations.md").partition(RENAMES_HEADING)[0]))
 
 
 @pytest.mark.parametrize("page", PAGES)
@@ -220,19 +226,24 @@
 
 
 def test_keys_on_the_architecture_page_are_the_constants() -> None:
-    named = {name for name in re.findall(CODE, text_of("architecture.md")) if name.startswith(PREFIX)}
-    known = key_prefixes() - {PREFIX}
-    assert len(known) >= 12, "all constants are found"
-    expect_none([key for key in sorted(named - {PREFIX}) if not key.startswith(tuple(known))], "no such key")
-    expect_none([prefix for prefix in sorted(known) if not any(key.startswith(prefix) for key in named)], "not named")
+    named_keys = {name for name in re.findall(CODE, text_of("architecture.md")) if name.startswith(PREFIX)}
+    prefixes = key_prefixes() - {PREFIX}
+    assert len(prefixes) >= 12, "key_prefixes() finds the constants"
+    expect_none([key for key in sorted(named_keys - {PREFIX}) if not key.startswith(tuple(prefixes))], "no such key")
+    expect_none(
+        [prefix for prefix in sorted(prefixes) if not any(key.startswith(prefix) for key in named_keys)], "not named"
+    )
 
 
 # -- log events
 
 
 def events_of_tables(text: str) -> list[str]:
-    """Events in the first column of the tables whose first column is headed `event`; keys of a line stand after it."""
-    named: list[str] = []
+    """Return the log events in the tables of a text: the names in each first column that is headed `event`.
+
+    The keys of a log line stand in the other columns.
+    """
+    names: list[str] = []
     in_table = False
     for line in text.splitlines():
         cells = [cell.strip() for cell in line.split("|")]
@@ -241,12 +252,12 @@
         elif cells[1] == "event":
             in_table = True
         elif in_table and not cells[1].startswith("---"):
-            named += re.findall(r"`([a-z_]+)`", cells[1])
-    return named
+            names += re.findall(r"`([a-z_]+)`", cells[1])
+    return names
 
 
 def described_events() -> list[str]:
-    return [name for page in EVENT_PAGES for name in events_of_tables(text_of(page).partition(RENAMES)[0])]
+    return [name for page in EVENT_PAGES for name in events_of_tables(text_of(page).partition(RENAMES_HEADING)[0])]
 
 
 def test_every_event_is_described_for_operators() -> None:
@@ -260,18 +271,18 @@
 
 
 def test_every_line_of_the_log_names_its_event_in_full() -> None:
-    """Else the tests above would not see it."""
+    """An event whose name is not written out after `event=` would escape the tests above."""
     expect_none([line for text in source_texts() for line in re.findall(r".*\bevent=(?![a-z]).*", text)], "no name")
 
 
 @pytest.mark.parametrize("page", PAGES)
 def test_events_that_are_named_exist(page: str) -> None:
-    named = re.findall(r"\bevent=([a-z_]+)", text_of(page).partition(RENAMES)[0])
+    named = re.findall(r"\bevent=([a-z_]+)", text_of(page).partition(RENAMES_HEADING)[0])
     expect_none([name for name in named if name not in events()])
 
 
 def test_new_events_of_the_renames_exist() -> None:
-    text = (DOCS / "operations.md").read_text().partition(RENAMES)[2]
+    text = (DOCS / "operations.md").read_text().partition(RENAMES_HEADING)[2]
     rows = [row for row in re.findall(r"^\| ([a-z_]+) \| ([a-z_]+) \|$", text, re.MULTILINE) if row[0] != "old"]
     assert len(rows) > 70
     expect_none([new for _, new in rows if new not in events()])
