--- a/tests/test_written_names.py
+++ b/tests/test_written_names.py
@@ -1,7 +1,7 @@
-"""Every name that is written: messages on the wire, stored values, settings. Recorded before names in the code changed.
+"""Tests that the names in messages, stored records and settings files have not changed.
 
-The labels on the left are those of that day and stay as they are; the class beside each may get another name, its
-row may not.
+The tables were recorded before classes and attributes in the code were renamed. The label that begins a row is the name
+at that time, and stays. The class or constant beside it may be renamed, but the rest of its row must not change.
 """
 
 from enum import Enum
@@ -15,7 +15,7 @@
 from badgerroute.settings import operator, platform
 from badgerroute.storage import keys, records
 
-# label, class, tag, whether it is an array, names in their order
+# Label, class, tag (the type name in the message), whether it is encoded as an array, field names in their order.
 STRUCTS: list[tuple[str, type[Struct], str | None, bool, str]] = [
     (
         "protocol.cloud.MachineType",
@@ -163,12 +163,14 @@
     ("catalog.CatalogRecord", catalog.CatalogRecord, None, False, "types"),
 ]
 
+# Label, enum, values in their order.
 VALUES: list[tuple[str, type[Enum], str]] = [
     ("connectivity.modes.Mode", Mode, "serving recovering outage unrecorded unheard isolated"),
     ("storage.records.JobState", records.JobState, "active done withdrawn"),
     ("protocol.users.Priority", users.Priority, "prod urgent normal idle"),
 ]
 
+# Label, constant, its value: a key or a prefix of keys in the key-value store.
 KEYS = [
     ("PREFIX", keys.PREFIX, "b/"),
     ("PARTS", keys.SHARD_LEADERS, "b/parts/"),
@@ -185,31 +187,33 @@
 ]
 
 
-@pytest.mark.parametrize(("label", "struct", "tag", "array", "names"), STRUCTS, ids=[row[0] for row in STRUCTS])
+@pytest.mark.parametrize(
+    ("label", "struct", "tag", "is_array", "field_names"), STRUCTS, ids=[row[0] for row in STRUCTS]
+)
 def test_names_of_a_struct_are_written_as_before(
-    label: str, struct: type[Struct], tag: str | None, array: bool, names: str
+    label: str, struct: type[Struct], tag: str | None, is_array: bool, field_names: str
 ) -> None:
     assert struct.__struct_config__.tag == tag
-    assert struct.__struct_config__.array_like is array
-    assert list(struct.__struct_encode_fields__) == names.split()
+    assert struct.__struct_config__.array_like is is_array
+    assert list(struct.__struct_encode_fields__) == field_names.split()
 
 
-@pytest.mark.parametrize(("label", "values", "names"), VALUES, ids=[row[0] for row in VALUES])
-def test_values_of_an_enum_are_written_as_before(label: str, values: type[Enum], names: str) -> None:
-    assert [value.value for value in values] == names.split()
+@pytest.mark.parametrize(("label", "enum", "expected_values"), VALUES, ids=[row[0] for row in VALUES])
+def test_values_of_an_enum_are_written_as_before(label: str, enum: type[Enum], expected_values: str) -> None:
+    assert [value.value for value in enum] == expected_values.split()
 
 
-@pytest.mark.parametrize(("label", "key", "written"), KEYS, ids=[row[0] for row in KEYS])
-def test_keys_of_the_store_are_written_as_before(label: str, key: str, written: str) -> None:
-    assert key == written
+@pytest.mark.parametrize(("label", "constant", "expected_value"), KEYS, ids=[row[0] for row in KEYS])
+def test_keys_of_the_store_are_written_as_before(label: str, constant: str, expected_value: str) -> None:
+    assert constant == expected_value
 
 
 def test_every_struct_of_the_edges_is_in_the_table() -> None:
     modules = (cloud, mesh, key_value, users, workers, records, platform, operator, catalog)
-    found = {
+    structs = {
         value
         for module in modules
         for value in vars(module).values()
         if isinstance(value, type) and issubclass(value, Struct) and value.__module__ == module.__name__
     }
-    assert found == {struct for _, struct, *_ in STRUCTS}
+    assert structs == {struct for _, struct, *_ in STRUCTS}
