--- a/badgerroute/connectivity/overdue_heartbeats.py
+++ b/badgerroute/connectivity/overdue_heartbeats.py
@@ -5,7 +5,7 @@
 from badgerroute.scheduling.model import Machine
 from badgerroute.scheduling.shard_state import ShardView
 
-MIN_EXPECTED_MACHINES = 3  # with fewer, overdue heartbeats say little about this controller's link
+MIN_EXPECTED_MACHINES = 3  # if fewer should send heartbeats, overdue ones prove little about the link
 # Intervals between heartbeats vary by up to a quarter, so the longest is 1.25 times the nominal one. The rest is slack.
 HEARTBEAT_INTERVAL_FACTOR = 1.5
 HEARTBEAT_TRANSIT_TIME = timedelta(seconds=1)  # allowance for the network
--- a/badgerroute/coordination/autoscaling/pending_machines.py
+++ b/badgerroute/coordination/autoscaling/pending_machines.py
@@ -1,4 +1,7 @@
-"""Pending machines (rented, but not up yet, that is, members of no shard) and their provisioning timeouts."""
+"""Pending machines and their provisioning timeouts.
+
+A pending machine has been rented but is not up yet. It is up when it has become a member of a shard.
+"""
 
 from collections.abc import Container, Iterable, Mapping
 from dataclasses import dataclass
--- a/badgerroute/coordination/jobs/downstream_cancellation.py
+++ b/badgerroute/coordination/jobs/downstream_cancellation.py
@@ -56,7 +56,8 @@
         self._loop, self._store, self._replica, self._job_store = loop, store, replica, job_store
         self._leadership_state = leadership_state
         self._non_leader_delay = NON_LEADER_DELAY + home_shard * NON_LEADER_DELAY / 3
-        self._cancelled_since: dict[str, timedelta] = {}  # cancelled job whose record still exists -> when first seen
+        # Cancelled job whose record still exists -> when this controller first saw that the job is cancelled.
+        self._cancelled_since: dict[str, timedelta] = {}
 
     async def run(self) -> None:
         """Write due final states in an endless loop."""
--- a/badgerroute/coordination/jobs/job_reader.py
+++ b/badgerroute/coordination/jobs/job_reader.py
@@ -124,7 +124,7 @@
         last_ref = max(entries, default="")
         decided = [ref for ref in refs if ref <= last_ref] if page.more else refs
         if not decided:
-            raise StoreUnavailableError("an empty page that is not the last")
+            raise StoreUnavailableError("the store returned an empty page although more follow")
         return _FinalStatesPage(decided, entries)
 
     async def condition_after_acceptance(self, ref: str) -> JobCondition:
--- a/badgerroute/coordination/jobs/job_writer.py
+++ b/badgerroute/coordination/jobs/job_writer.py
@@ -136,4 +136,4 @@
                 continue  # the job's progress was written between the look-up and the commit
             log.info("event=job_cancelled job=%s", ref)
             return JobState.CANCELLED
-        raise StoreUnavailableError("too much changes at once")
+        raise StoreUnavailableError("the job's record changed during every attempt")
--- a/badgerroute/coordination/membership/send_queue.py
+++ b/badgerroute/coordination/membership/send_queue.py
@@ -4,7 +4,7 @@
 
 from badgerroute.transport.loop import Future
 
-MAX_QUEUED_BYTES = 4 << 20  # per peer; enough for frames about thousands of machines at the same time
+MAX_QUEUED_BYTES = 4 << 20  # per peer; enough for a burst of messages that concern thousands of machines
 
 
 class SendQueue:
--- a/badgerroute/coordination/requests/job_splitting.py
+++ b/badgerroute/coordination/requests/job_splitting.py
@@ -102,10 +102,10 @@
 def _shard_for_whole_job(job: Submission, summaries: Sequence[ShardSummary], weights: list[float]) -> int:
     """Choose the shard that gets all tasks of a job.
 
-    Among the shards that can hold the job, this is the one with the most slots on machines that cache the image.
-    These slots count even if work of lower priority must be preempted there, because fetching an image may take as long
-    as running the job. If too few machines cache the image, the job's other machines fetch it. The next job with the
-    image can then use all of these machines.
+    Among the shards that can hold the job, this is the one with the most slots on machines that cache the image. Slots
+    from which other tasks must first be preempted count too, because fetching an image may take as long as running the
+    job. If the image is cached on too few machines, the remaining tasks run on machines that must fetch it. The next
+    job with this image can then use all of these machines.
     """
     summary_by_shard = {summary.shard: summary for summary in summaries}
     shards = range(len(weights))
--- a/badgerroute/coordination/shards/fencing.py
+++ b/badgerroute/coordination/shards/fencing.py
@@ -34,7 +34,7 @@
         self._shard, self._loop, self._group, self._commands = shard, loop, group, commands
         self._policy, self._delete_machines = policy, delete_machines
         self._being_fenced: set[str] = set()
-        self._silent_since: dict[str, timedelta] = {}  # machine -> time from which its silence counts
+        self._silent_since: dict[str, timedelta] = {}  # machine -> when its silence timeout started
         self._unresponsive: set[str] = set()  # machines whose deletion was requested
 
     def fence(self, machine: Machine) -> None:
--- a/badgerroute/coordination/shards/gang_migration.py
+++ b/badgerroute/coordination/shards/gang_migration.py
@@ -20,7 +20,7 @@
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
-# After a gang was migrated or machines were requested for it, it is not migrated again for this time.
+# A gang is not migrated again until this time has passed since its last migration or request for machines.
 MIGRATION_PAUSE = timedelta(seconds=8)
 
 
--- a/badgerroute/coordination/shards/shard_leader.py
+++ b/badgerroute/coordination/shards/shard_leader.py
@@ -68,11 +68,11 @@
     # -- changes of stored records
 
     def machine_changed(self, name: str, value: bytes | None) -> None:
-        """Apply a machine's record that was created or changed, or removed if `value` is None."""
+        """Apply the creation, change or removal of a machine's record; `value` is None after a removal."""
         self._machine_sync.machine_changed(name, value)
 
     def job_changed(self, ref: str) -> None:
-        """Apply a job's record that was created, changed or removed."""
+        """Apply the creation, change or removal of a job's record."""
         self._job_sync.job_changed(ref)
 
     # -- requests
--- a/badgerroute/scheduling/capacities.py
+++ b/badgerroute/scheduling/capacities.py
@@ -8,7 +8,8 @@
 from badgerroute.scheduling.placement_constraints import allows
 from badgerroute.scheduling.resources import Resources
 
-ANY_ZONE = ""  # the key for jobs whose tasks may run in different zones, in the result of `slots_by_zone`
+# The only key in the result of `slots_by_zone` for a job whose tasks may run in different zones.
+ANY_ZONE = ""
 
 
 def free_resources_of(capacity: FreeCapacity) -> Resources:
--- a/badgerroute/scheduling/failures.py
+++ b/badgerroute/scheduling/failures.py
@@ -57,8 +57,8 @@
     def _seems_failing(job: Job) -> bool:
         """Whether the job itself seems faulty: no task of it was ever done, and it failed on several machines.
 
-        These machines may all be faulty instead. So the job must also have failed on more machines than it now runs on
-        without having failed there.
+        These machines may be faulty instead of the job. The job therefore seems faulty only if it failed on more
+        machines than now run it without a failure.
         """
         if job.failing or job.done | job.done_here:
             return job.failing
--- a/badgerroute/scheduling/planner.py
+++ b/badgerroute/scheduling/planner.py
@@ -138,7 +138,7 @@
                 utilization_feedback.end_period(job, now, self._settings)
 
     def waiting_demands(self, now: timedelta) -> list[WaitingDemand]:
-        """The tasks of each job that wait and may start now."""
+        """Return, for each job with waiting tasks that may start now, their number and the resources of each task."""
         demands = []
         for job in self.shard.jobs.values():
             count = job.startable
--- a/badgerroute/scheduling/scale_out_planning.py
+++ b/badgerroute/scheduling/scale_out_planning.py
@@ -18,7 +18,7 @@
 
 
 class MachinePool(NamedTuple):
-    """The machines that one rental request can ask for: of a type, in a zone, and either spot or on demand."""
+    """What one rental request can ask for: machines of one type, in one zone, all spot or all on demand."""
 
     type: str
     zone: str
--- a/badgerroute/storage/subsystem.py
+++ b/badgerroute/storage/subsystem.py
@@ -20,7 +20,10 @@
 
 
 def build_storage(settings: Settings, loop: Loop, network: Network) -> Storage:
-    """Build the clients, each limited to one controller's portion of its service's rate limits, and the replica."""
+    """Build the clients of the key-value store and the cloud, and the replica of the key-value store.
+
+    Each client is limited to one controller's portion of the rate limits of its service.
+    """
     params, endpoints = settings.params, settings.platform.endpoints
     store = KeyValueClient(loop, network, endpoints.state, params.state, params.size)
     cloud = CloudClient(loop, network, endpoints.cloud, params.cloud, params.size)
