--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,4 +1,7 @@
-"""The rules under failures, in virtual time: every case is a day with a fault, and no rule may break."""
+"""Simulated runs of a whole cluster in virtual time (days), each with an injected fault.
+
+The stand-ins for workers, users and stores check the scheduler's rules during each day. No rule may be broken.
+"""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -18,7 +21,7 @@
 
 
 def load(day: Day) -> None:
-    """Jobs of every sort, more than the machines can run at once."""
+    """Submit jobs of every kind, with more tasks than the machines can run at the same time."""
     day.run(4)
     for number in range(3):
         day.submit(job(f"run-a{number}", heads=30, trek_s=6.0, crew="blue"))
@@ -30,7 +33,8 @@
 
 
 def leader_host(day: Day, shard: int) -> str | None:
-    return next((host for host, (one, _) in day.controllers.items() if shard in one.leaders), None)
+    """Return the host whose controller leads a shard, or None while the shard has no leader."""
+    return next((host for host, (controller, _) in day.controllers.items() if shard in controller.leaders), None)
 
 
 def crash_one(day: Day) -> None:
@@ -47,7 +51,7 @@
 
 
 def restart_at_once(day: Day) -> None:
-    """Back within a fraction of a second, again and again: the lease of the earlier life still runs."""
+    """Restart a controller three times, each within a fraction of a second: its previous lease is still valid."""
     host = day.random.choice(HOSTS)
     for _ in range(3):
         day.restart(host, SECOND / 5)
@@ -87,6 +91,10 @@
 
 
 def cut(day: Day, host: str, others: list[str], mode: str, seconds: float) -> None:
+    """Cut the connections between a host and `others` for a number of seconds.
+
+    `mode`: "reset" closes connections and refuses new ones; "hold" delivers nothing until the cut is healed.
+    """
     for other in others:
         day.world.cut(host, other, mode)
     day.run(seconds)
@@ -112,7 +120,7 @@
 def cut_from_peers(mode: str) -> Callable[[Day], None]:
     def fault(day: Day) -> None:
         host = day.random.choice(HOSTS)
-        cut(day, host, [one for one in HOSTS if one != host], mode, 25)
+        cut(day, host, [peer for peer in HOSTS if peer != host], mode, 25)
 
     return fault
 
@@ -120,31 +128,36 @@
 def cut_from_all(mode: str) -> Callable[[Day], None]:
     def fault(day: Day) -> None:
         host = day.random.choice(HOSTS)
-        others = [one for one in HOSTS if one != host] + list(day.site.workers) + [f"state-{host}", "cloud"]
+        others = [peer for peer in HOSTS if peer != host] + list(day.site.workers) + [f"state-{host}", "cloud"]
         cut(day, host, others, mode, 30)
 
     return fault
 
 
-def zone_cut(mode: str, at_home: int) -> Callable[[Day], None]:
-    """A zone is cut off from everything, with so many controllers in it, which go on inside it for G."""
+def zone_cut(mode: str, controllers_inside: int) -> Callable[[Day], None]:
+    """Cut off a zone with its workers and some controllers, which keep acting inside it during the grace period.
+
+    The grace period (G in docs/safety.md) is how long a leader may act without confirmation by the key-value store.
+    """
 
     def fault(day: Day) -> None:
-        hosts = day.random.sample(HOSTS, at_home)
+        hosts = day.random.sample(HOSTS, controllers_inside)
         inside = hosts + [name for name, worker in day.site.workers.items() if worker.zone == "a"]
-        outside = [one for one in (*HOSTS, *day.site.workers, "cloud") if one not in inside]
-        pairs = [(one, other) for one in inside for other in outside] + [(host, f"state-{host}") for host in hosts]
-        for one, other in pairs:
-            day.world.cut(one, other, mode)
+        outside = [name for name in (*HOSTS, *day.site.workers, "cloud") if name not in inside]
+        pairs = [(source, target) for source in inside for target in outside] + [
+            (host, f"state-{host}") for host in hosts
+        ]
+        for source, target in pairs:
+            day.world.cut(source, target, mode)
         day.run(40)
-        for one, other in pairs:
-            day.world.heal(one, other)
+        for source, target in pairs:
+            day.world.heal(source, target)
 
     return fault
 
 
 def takeover_with_hung_machine(day: Day) -> None:
-    """A machine hangs, its leader dies, and the machine goes on within its lease."""
+    """A machine becomes unresponsive, a controller crashes, and the machine resumes before its lease expires."""
     worker = day.random.choice(list(day.site.workers.values()))
     worker.unresponsive = True
     crash_one(day)
@@ -191,70 +204,85 @@
 
 
 def deaf_machines(day: Day) -> None:
-    """Heartbeats arrive, answers and commands don't. The machine is replaced, and its tasks run elsewhere."""
+    """Two machines' heartbeats arrive, but responses and commands to these machines are lost.
+
+    The scheduler must replace the machines and run their tasks on others.
+    """
     workers = day.random.sample(list(day.site.workers.values()), 2)
     for worker in workers:
         worker.unreachable = True
     day.run(3)
-    starts = day.rules.start_count
+    starts_before = day.rules.start_count
     day.run(40)
-    assert all(worker.name not in day.site.workers for worker in workers), "deaf machines are replaced"
-    assert day.rules.start_count > starts
+    assert all(worker.name not in day.site.workers for worker in workers), "machines that receive nothing are replaced"
+    assert day.rules.start_count > starts_before
 
 
 def deaf_in_takeover(day: Day) -> None:
-    """A shard whose new leader can't fence one of its machines, while the cloud deletes nothing either."""
+    """A shard's leader crashes; its successor can neither fence one of the machines nor have the cloud delete it.
+
+    The new leader must nevertheless finish reconciling the shard within 60 s.
+    """
     shard = day.random.randrange(3)
     host = leader_host(day, shard)
-    unreachable = next(one for one in day.site.workers.values() if int(one.name[-6:]) % 3 == shard)
+    unreachable = next(worker for worker in day.site.workers.values() if int(worker.name[-6:]) % 3 == shard)
     unreachable.unreachable = day.site.cloud_down = True
     day.restart(host, 30 * SECOND)
 
     def reconciled() -> bool:
         return any(
             leader.shard.reconciled
-            for one, _ in day.controllers.values()
-            for leader in one.leaders.values()
+            for controller, _ in day.controllers.values()
+            for leader in controller.leaders.values()
             if leader.number == shard
         )
 
-    assert day.run_until(reconciled, 60), "one machine must not block its shard"
+    assert day.run_until(reconciled, 60), "one machine must not prevent its shard from being reconciled"
     unreachable.unreachable = day.site.cloud_down = False
 
 
 def late_copies(day: Day) -> None:
-    """Copies of heartbeats of every age, before and after a restart that forgot what was newest, and of the deleted."""
-    doomed = set(day.random.sample(list(day.site.workers), 2))
+    """Old heartbeats are delivered again: before and after all controllers restart, and from deleted machines.
+
+    After the restart, the controllers no longer know which sequence numbers they have already received.
+    """
+    deleted = set(day.random.sample(list(day.site.workers), 2))
     for round_ in range(4):
         day.replay_heartbeats(30)
         if round_ == 1:
             crash_all(day)
         if round_ == 2:
-            for name in doomed:
+            for name in deleted:
                 day.site.remove_worker(name)
-            for controller, _ in list(day.controllers.values()):  # each strikes off what is not its own
-                controller.autoscaling.deletion_queue.delete(sorted(doomed))
+            # Each controller drops the machines of shards that it does not lead from its queue.
+            for controller, _ in list(day.controllers.values()):
+                controller.autoscaling.deletion_queue.delete(sorted(deleted))
         day.run(5)
-    day.replay_heartbeats(30, doomed)
+    day.replay_heartbeats(30, deleted)
     day.run(2)
-    assert not doomed & set(day.members_without_machine()), "a copy brings no machine back"
+    assert not deleted & set(day.members_without_machine()), "an old heartbeat must not register a deleted machine"
 
 
-def alone_with_its_workers(mode: str, workers_first: bool) -> Callable[[Day], None]:
-    """A controller loses key-value store and peers, but not its workers; they heal one after the other."""
+def alone_with_its_workers(mode: str, peers_first: bool) -> Callable[[Day], None]:
+    """Cut a controller off from the key-value store and its peers, but not from its workers.
+
+    The two cuts are healed five seconds apart. `peers_first`: the connections to the peers are healed first.
+    """
 
     def fault(day: Day) -> None:
         host = day.random.choice(HOSTS)
-        peers, state = [one for one in HOSTS if one != host], [f"state-{host}"]
+        peers, state = [peer for peer in HOSTS if peer != host], [f"state-{host}"]
         for other in peers + state:
             day.world.cut(host, other, mode)
         day.run(6)
         up = day.ask("GET", "/up", host=host)
-        assert up is not None and up.status == 503, "the load balancer is told"
+        assert up is not None and up.status == 503, "the load balancer must see that the controller can't serve users"
         day.run(22)
         controller = day.controllers[host][0]
-        assert not any(controller.leadership_state.may_lead(shard) for shard in range(3)), "it stops in time"
-        for others in (peers, state) if workers_first else (state, peers):
+        assert not any(controller.leadership_state.may_lead(shard) for shard in range(3)), (
+            "it must stop acting as a leader when its grace period ends"
+        )
+        for others in (peers, state) if peers_first else (state, peers):
             for other in others:
                 day.world.heal(host, other)
             day.run(5)
@@ -264,12 +292,12 @@
 
 def peers_refuse(day: Day) -> None:
     """Connections between controllers are refused."""
-    pairs = [(one, other) for one in HOSTS for other in HOSTS if one < other]
-    for one, other in pairs:
-        day.world.cut(one, other, "reset")
+    pairs = [(source, target) for source in HOSTS for target in HOSTS if source < target]
+    for source, target in pairs:
+        day.world.cut(source, target, "reset")
     day.run(25)
-    for one, other in pairs:
-        day.world.heal(one, other)
+    for source, target in pairs:
+        day.world.heal(source, target)
 
 
 def slow_state(day: Day) -> None:
@@ -279,7 +307,10 @@
 
 
 def crash_in_election(day: Day) -> None:
-    """Back within a fraction of a second, while its shard is being claimed or handed back."""
+    """Restart a controller again and again while its shard is being claimed by a peer or handed back to it.
+
+    After the first crash, it always returns within a fraction of a second.
+    """
     host = day.random.choice(HOSTS)
     day.restart(host, timedelta(seconds=4.2))
     for pause in (4.1, 0.3, 0.2, 2.1, 0.4):
@@ -288,7 +319,7 @@
 
 
 def frozen(seconds: float, hosts: int = 1) -> Callable[[Day], None]:
-    """Controllers stand still while their clocks run on, then go on with what they had in hand."""
+    """Pause controllers' processes while their clocks run on. Afterwards they resume whatever they were doing."""
 
     def fault(day: Day) -> None:
         for host in day.random.sample(HOSTS, hosts):
@@ -299,17 +330,17 @@
 
 
 def frozen_in_takeover(day: Day) -> None:
-    """The new leader of a dead controller's shard is paused in the midst of it."""
-    dead, heir = day.random.sample(HOSTS, 2)
-    day.restart(dead, 30 * SECOND)
+    """A controller crashes, and the peer that may take over its shard is paused in the middle of the takeover."""
+    crashed, successor = day.random.sample(HOSTS, 2)
+    day.restart(crashed, 30 * SECOND)
     for _ in range(3):
         day.run(day.random.uniform(3.9, 4.6))
-        day.loop.pause_host(heir, 6)
+        day.loop.pause_host(successor, 6)
         day.run(6.5)
 
 
 def lost_answers(day: Day) -> None:
-    """Transactions are carried out, but nobody hears of it."""
+    """The key-value store applies transactions, but its responses to them are lost."""
     for _ in range(5):
         day.store.answers_to_drop = 2
         day.run(2)
@@ -331,7 +362,7 @@
 
 
 def nothing(day: Day) -> None:
-    """A quiet day."""
+    """Inject no fault."""
 
 
 FAULTS: dict[str, Callable[[Day], None]] = {
@@ -383,28 +414,31 @@
 
 
 def play(day: Day, fault: Callable[[Day], None]) -> list[str]:
-    """The load, the fault in its midst, cancellations during it; what is left unfinished at the end."""
+    """Submit the load, inject the fault while it runs, and cancel a job during the fault.
+
+    Return the accepted jobs that have not ended when the day is over.
+    """
     load(day)
     day.run(day.random.uniform(1, 6))
-    day.loop.later(2 * SECOND, lambda: day.group.spawn(_cancel_later(day, "run-b1"), "cancel"))
+    day.loop.later(2 * SECOND, lambda: day.group.spawn(_cancel_until_answered(day, "run-b1"), "cancel"))
     fault(day)
     day.submit(job("run-late", heads=5))
     day.poll("run-nobody")
     return day.finish()
 
 
-async def _cancel_later(day: Day, ref: str) -> None:
-    """A user who cancels while the fault goes on, and repeats it until told."""
+async def _cancel_until_answered(day: Day, ref: str) -> None:
+    """Cancel a job as a user does: repeat the request, each time at a random controller, until one succeeds."""
     from badgerroute.transport.http import Client, NoAnswerError
 
     while True:
         client = Client(day.loop, day.user, f"{day.random.choice(HOSTS)}:8080")
-        before = day.loop.now()
+        sent_at = day.loop.now()
         try:
             response = await client.request("POST", f"/v1/jobs/{ref}/cancel", b"", 5 * SECOND, fresh=True)
             if response.status == 200:
                 if b"withdrawn" in response.body:
-                    day.site.cancelled.setdefault(ref, before)
+                    day.site.cancelled.setdefault(ref, sent_at)
                 return
         except NoAnswerError:
             pass
@@ -416,9 +450,9 @@
 @pytest.mark.parametrize("name", FAULTS)
 def test_rules_hold(name: str) -> None:
     day = Day(seed=sum(name.encode()))
-    left = play(day, FAULTS[name])
+    unfinished = play(day, FAULTS[name])
     assert day.rules.broken == []
-    assert left == [], "accepted jobs must run"
+    assert unfinished == [], "every accepted job must end"
     assert day.rules.start_count > 100
 
 
@@ -426,8 +460,8 @@
 def test_rules_hold_under_several_faults(seed: int) -> None:
     day = Day(seed=1000 + seed)
     load(day)
-    harmless = [fault for name, fault in FAULTS.items() if name not in ("long_outage", "quiet")]
-    for fault in day.random.sample(harmless, 4):
+    candidates = [fault for name, fault in FAULTS.items() if name not in ("long_outage", "quiet")]
+    for fault in day.random.sample(candidates, 4):
         fault(day)
         day.run(day.random.uniform(0, 4))
     assert day.finish(400) == []
@@ -437,15 +471,17 @@
 @pytest.mark.parametrize("mode", ["reset", "hold"])
 @pytest.mark.parametrize("seed", range(3))
 def test_cut_off_leader_takes_no_machine_for_dead(seed: int, mode: str) -> None:
-    """Two controllers are cut off with a zone and act on for G; the third answers the other zone's machines.
+    """A leader that is cut off together with a zone must not treat the other zone's machines as failed.
 
-    Their silence towards the two says nothing: their tasks run on, and must not be started inside the zone.
+    Two controllers are cut off with a zone and keep acting during the grace period. The third controller answers the
+    heartbeats of the other zone's machines, which therefore keep running their tasks. Although the two controllers
+    receive no heartbeats from these machines, they must not start the same tasks inside the zone.
     """
     day = Day(seed=seed)
     day.run(4)
     day.submit(job("run-long", heads=20, trek_s=60.0))
     day.run(4)
-    day.site.cloud_down = True  # else the third leader soon has the cut-off machines deleted
+    day.site.cloud_down = True  # otherwise the third controller would soon delete the cut-off machines
     zone_cut(mode, 2)(day)
     day.site.cloud_down = False
     assert day.rules.broken == []
@@ -453,11 +489,16 @@
     assert day.rules.broken == []
 
 
-# The checker is worth something only if it catches leaders that cheat.
+# The following tests patch a defect into the controllers, called a cheat, and check that the stand-ins report the
+# violation. Otherwise, days without violations would prove nothing.
 
 
 def skip_fencing(day: Day, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A leader that places before its members are fenced."""
+    """Let a new leader place tasks on machines that may still follow the previous leader.
+
+    Normally the leader fences each machine first: it waits until the machine has seen the leader's fencing token and
+    has reported its tasks afterwards.
+    """
     monkeypatch.setattr(
         "badgerroute.scheduling.shard.Shard.reconcile", lambda self: setattr(self, "reconciled", True) or True
     )
@@ -465,12 +506,12 @@
 
 
 def quota_given_while_used(day: Day, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Leaders that ignore what they use when they count what fits their share."""
+    """Let leaders ignore the resources in use when they compute how many more tasks fit within their team quota."""
     monkeypatch.setattr("badgerroute.scheduling.shard.Shard.tasks_within_quota", lambda self, job, tasks=1: tasks)
 
 
 def start_in_do(day: Day, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A leader that sends starts to a machine's own address."""
+    """Let leaders send start commands directly to a machine's address, instead of in heartbeat responses only."""
     real = MachineCommands.send
 
     async def send(self: MachineCommands, machine: object, commands: list, urgent: bool = False) -> bool:
@@ -479,16 +520,18 @@
         return await real(self, machine, HiddenStarts(self._shard.commands(machine, self._loop.now(), starts=True)))
 
     class HiddenStarts(list):
-        def __iter__(self):  # hides from the filter that keeps starts out
-            for one in list.__iter__(self):
-                yield type("Command", (), {"kind": "hidden", "inner": one})
+        def __iter__(self):  # wraps each command, so that the filter against start commands does not recognize it
+            for command in list.__iter__(self):
+                yield type("Command", (), {"kind": "hidden", "inner": command})
 
     monkeypatch.setattr(MachineCommands, "send", send)
     monkeypatch.setattr(
         "badgerroute.coordination.shards.machine_commands.encode",
         lambda message: __import__("msgspec").json.encode(
             type(message)(
-                message.fencing_token, message.incarnation, [getattr(one, "inner", one) for one in message.commands]
+                message.fencing_token,
+                message.incarnation,
+                [getattr(command, "inner", command) for command in message.commands],
             )
             if hasattr(message, "incarnation")
             else message
@@ -503,7 +546,7 @@
     ids=["skip_fencing", "share_given_while_used", "start_in_do"],
 )
 def test_checker_catches(cheat: Callable, rule: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    caught: list[str] = []
+    reported_rules: list[str] = []
     for seed in range(6):
         day = Day(seed=seed)
         cheat(day, monkeypatch)
@@ -512,14 +555,14 @@
         crash_one(day)
         takeover_with_hung_machine(day)
         day.finish(60)
-        caught += [text.split()[1].rstrip(":") for text in day.rules.broken]
-        if rule in caught:
+        reported_rules += [text.split()[1].rstrip(":") for text in day.rules.broken]
+        if rule in reported_rules:
             break
-    assert rule in caught
+    assert rule in reported_rules
 
 
-def says(condition: str, status: int = 200) -> Callable[[pytest.MonkeyPatch], None]:
-    """Controllers that give every poll the same answer."""
+def constant_answer(condition: str, status: int = 200) -> Callable[[pytest.MonkeyPatch], None]:
+    """Return a cheat that lets controllers give the same answer to every poll of a job."""
 
     async def poll(self: JobService, ref: str) -> Response:
         return answer(status, {"ref": ref, "condition": condition})
@@ -528,11 +571,13 @@
 
 
 def places_anywhere(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Let leaders place tasks on machines that the job's constraints exclude."""
     for module in ("array_placement", "evictions"):
-        monkeypatch.setattr(f"badgerroute.scheduling.{module}.allows", lambda *place: True)
+        monkeypatch.setattr(f"badgerroute.scheduling.{module}.allows", lambda *arguments: True)
 
 
 def never_drops(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Let leaders keep running the tasks of cancelled jobs."""
     monkeypatch.setattr("badgerroute.scheduling.shard.Shard.drop_job", lambda self, ref: None)
 
 
@@ -542,10 +587,10 @@
     [
         (places_anywhere, "wrong_place"),
         (never_drops, "ran_cancelled"),
-        (says("done"), "not_done"),
-        (says("queued"), "went_back"),
-        (says("queued"), "invented"),
-        (says("", 404), "forgotten"),
+        (constant_answer("done"), "not_done"),
+        (constant_answer("queued"), "went_back"),
+        (constant_answer("queued"), "invented"),
+        (constant_answer("", 404), "forgotten"),
     ],
     ids=["wrong_place", "ran_cancelled", "not_done", "went_back", "invented", "forgotten"],
 )
@@ -566,7 +611,10 @@
 
 @pytest.mark.parametrize("fault", [nothing, lost_answers, crash_one], ids=["quiet", "lost_answers", "crash_one"])
 def test_gang_too_large_for_any_shard(fault: Callable[[Day], None]) -> None:
-    """Machines are transferred until one shard holds all of it; the workers' higher tokens raise that shard's term."""
+    """A gang that fits in no shard starts after machines have been transferred to one shard until the gang fits there.
+
+    The fencing tokens of the transferred machines may exceed that shard's term, which is then raised.
+    """
     day = Day(seed=3)
     day.run(4)
     day.submit(job("run-wide", gait="group", heads=5, cpus=7.0, trek_s=4.0))
@@ -576,15 +624,18 @@
 
 
 def test_a_gang_is_not_begun_anew_while_its_image_is_fetched() -> None:
-    """One machine caches the image, the other fetches it for longer than a gang task waits."""
+    """A gang is not restarted although one of its machines fetches the image for longer than a gang task may wait.
+
+    The other machine has the image cached. The fetch takes 100 s; a started gang task waits 45 s for the others.
+    """
     day = Day(seed=9, machines=4, capacity=0)
     day.run(5)
     day.submit(job("run-a", heads=1, cpus=8.0, trek_s=1.0, brand="img-x", image_gb=20.0, pasture="a"))
     assert day.finish() == []
     day.submit(job("run-g", gait="group", heads=2, cpus=8.0, trek_s=5.0, brand="img-x", image_gb=100.0, together=True))
-    began = day.loop.now()
+    submitted_at = day.loop.now()
     assert day.finish(400) == []
-    assert day.loop.now() - began < 120 * SECOND, "one fetch of 100 s, a run of 5 s"
+    assert day.loop.now() - submitted_at < 120 * SECOND, "one image fetch of 100 s and a run of 5 s"
     assert day.rules.broken == []
 
 
@@ -594,57 +645,67 @@
     for number in range(8):
         day.submit(job(f"run-f{number}", gait="group", heads=1, cpus=8.0, trek_s=3.0, brand=f"img-{number}"))
     assert day.finish(120) == []
-    free: dict[str, list[float]] = {}
-    for name, at, what in day.rules.events:
-        free.setdefault(name, []).append(at if what == "start" else -at)
-    gaps = [start + end for times in free.values() for end, start in zip(times[1::2], times[2::2], strict=False)]
-    assert gaps and min(gaps) < 0.3, "the next gang follows at once"
+    times_by_machine: dict[str, list[float]] = {}  # starts and ends in turn; the ends are stored as negative numbers
+    for name, time_s, event in day.rules.events:
+        times_by_machine.setdefault(name, []).append(time_s if event == "start" else -time_s)
+    gaps_s = [
+        start + end for times in times_by_machine.values() for end, start in zip(times[1::2], times[2::2], strict=False)
+    ]
+    assert gaps_s and min(gaps_s) < 0.3, "the next gang starts at once on the machine that became free"
     assert day.rules.broken == []
 
 
 def test_placed_tasks_are_never_given_away() -> None:
-    """The choice of what to give may be older than its write: a task may have been placed in between."""
+    """A write that would give a placed task to another shard is not made.
+
+    A leader chooses the tasks to give away before it writes the change, and may place one of them in between.
+    """
     day = Day(seed=6)
     day.run(4)
     for number in range(4):
         day.submit(job(f"run-g{number}", gait="group", heads=2, cpus=3.0, trek_s=20.0))
     day.run(6)
-    tried = 0
+    attempts_with_placements = 0
     for controller, _ in day.controllers.values():
         for leader in controller.leaders.values():
-            for one in list(leader.shard.jobs.values()):
-                record = controller.jobs.store.active[one.ref]
+            for shard_job in list(leader.shard.jobs.values()):
+                record = controller.jobs.store.active[shard_job.ref]
                 thief = (leader.number + 1) % 3
-                moved = msgspec.structs.replace(record, ranges=[TaskRange(thief, 0, one.spec.tasks)])
-                day.loop.run(day.loop.spawn(leader.job_transfers.write([Reassignment(one.ref, moved)], thief), "give"))
-                assert controller.jobs.store.active[one.ref].ranges == record.ranges
-                tried += bool(one.placements)
-    assert tried
+                moved = msgspec.structs.replace(record, ranges=[TaskRange(thief, 0, shard_job.spec.tasks)])
+                day.loop.run(
+                    day.loop.spawn(leader.job_transfers.write([Reassignment(shard_job.ref, moved)], thief), "give")
+                )
+                assert controller.jobs.store.active[shard_job.ref].ranges == record.ranges
+                attempts_with_placements += bool(shard_job.placements)
+    assert attempts_with_placements
     assert day.finish() == []
     assert day.rules.broken == []
 
 
 def test_tasks_on_their_way_are_out_of_reach(monkeypatch: pytest.MonkeyPatch) -> None:
-    """While a write that gives tasks away is on its way, the record as it was may be read again. They stay away."""
+    """Tasks that a write in flight gives to another shard don't wait in this shard any more.
+
+    The leader may read the job's old record again during the write. The tasks must not return to the shard then.
+    """
     day = Day(seed=7)
     day.run(4)
     day.submit(job("run-many", heads=150, trek_s=30.0))
     day.run(4)
-    looked = 0
+    writes_checked = 0
     for controller, _ in day.controllers.values():
         for leader in controller.leaders.values():
-            one = leader.shard.jobs["run-many"]
-            top = one.waiting_bits.bit_length()
+            shard_job = leader.shard.jobs["run-many"]
+            end = shard_job.waiting_bits.bit_length()
             record = controller.jobs.store.active["run-many"]
             thief = (leader.number + 1) % 3
-            moved = msgspec.structs.replace(record, ranges=assign_tasks(record.ranges, top - 3, top, thief))
+            moved = msgspec.structs.replace(record, ranges=assign_tasks(record.ranges, end - 3, end, thief))
             real = leader.job_transfers._store.transact
 
-            async def transact(*args: object, leader=leader, one=one, real=real, top=top) -> int:
-                nonlocal looked
+            async def transact(*args: object, leader=leader, shard_job=shard_job, real=real, end=end) -> int:
+                nonlocal writes_checked
                 leader.job_changed("run-many")
-                looked += 1
-                assert not one.waiting_bits >> (top - 3)
+                writes_checked += 1
+                assert not shard_job.waiting_bits >> (end - 3)
                 return await real(*args)
 
             with monkeypatch.context() as patch:
@@ -652,45 +713,48 @@
                 day.loop.run(
                     day.loop.spawn(leader.job_transfers.write([Reassignment("run-many", moved)], thief), "give")
                 )
-            assert one.in_transfer == 0
-    assert looked == 3
+            assert shard_job.in_transfer == 0
+    assert writes_checked == 3
     assert day.finish(400) == []
     assert day.rules.broken == []
 
 
-@pytest.mark.parametrize(("starving", "begins"), [(40, True), (3600, False)])
+@pytest.mark.parametrize(("starving_after_s", "starts"), [(40, True), (3600, False)])
 @pytest.mark.parametrize("seed", [8, 9])
-def test_the_largest_job_begins(seed: int, starving: int, begins: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A job of a thousand tasks that can't be in time, in a burst of small ones that can: age wins in the end.
+def test_the_largest_job_begins(
+    seed: int, starving_after_s: int, starts: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """A large job that can't meet its deadline starts once it is older than STARVING_AFTER, and not before.
 
-    Of a team without a limit, so that only the order of the jobs decides, and not how a limit happens to be divided.
+    Small jobs that can meet their deadlines keep arriving and come before it until then. The team has no limit, so that
+    only the order of the jobs decides, and not how a limit happens to be divided among the shards.
     """
-    assert 1.5 * deadline_tiers.STARVING_AFTER <= 240 * SECOND, "the largest too begin within four minutes"
-    monkeypatch.setattr(deadline_tiers, "STARVING_AFTER", starving * SECOND)
+    assert 1.5 * deadline_tiers.STARVING_AFTER <= 240 * SECOND, "even the largest jobs must start within four minutes"
+    monkeypatch.setattr(deadline_tiers, "STARVING_AFTER", starving_after_s * SECOND)
     day = Day(seed=seed, capacity=0, objectives=[Objective("deadline", 0.9, "batch")])
     day.run(4)
     day.submit(job("run-big", crew="guests", heads=1000, rank="idle", trek_s=5.0, market_s=30.0))
     for number in range(30):
-        one = job(f"run-s{number}", crew="guests", heads=30, rank="idle", trek_s=5.0, market_s=60.0)
-        day.submit(one, tries=1)
+        small_job = job(f"run-s{number}", crew="guests", heads=30, rank="idle", trek_s=5.0, market_s=60.0)
+        day.submit(small_job, tries=1)
         day.run(2)
-    tasks = [name for name in (*day.site.finished, *day.rules.worker_by_task) if name.startswith("run-big/")]
-    assert (len(tasks) >= 48) is begins, "as many as there are processors"
+    started_tasks = [name for name in (*day.site.finished, *day.rules.worker_by_task) if name.startswith("run-big/")]
+    assert (len(started_tasks) >= 48) is starts, "48 tasks: one for each CPU of the cluster"
     assert day.rules.broken == []
 
 
 def test_quota_moves_only_while_unused(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A share that is being given away counts as given before the write is known to be applied."""
-    seen: list[tuple[float, float]] = []
+    """A shard that gives part of its team quota to another stops using that part before it writes the change."""
+    quota_pairs: list[tuple[float, float]] = []  # CPUs: the giving shard's usable quota, and the one it writes
     real = QuotaAllocator._write
 
     async def write(self: QuotaAllocator, team: str, writer: int, changed: dict) -> bool:
         if len(changed) == 2:
-            seen.append((self.usable_quota(writer, team).cpus, changed[writer].cpus))
+            quota_pairs.append((self.usable_quota(writer, team).cpus, changed[writer].cpus))
         return await real(self, team, writer, changed)
 
     monkeypatch.setattr(QuotaAllocator, "_write", write)
     day = Day(seed=5)
     play(day, nothing)
-    assert seen, "shares had to move on this day"
-    assert all(abs(counted - given) < 1e-6 for counted, given in seen)
+    assert quota_pairs, "the day must make quota move between shards"
+    assert all(abs(usable - written) < 1e-6 for usable, written in quota_pairs)
