--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -1,4 +1,8 @@
-"""Two troubles that meet. For every meeting that is known, a day that brings it about; docs/safety.md lists them."""
+"""Days in which two faults coincide, here called meetings.
+
+A day is a simulated run of a whole cluster in virtual time. docs/safety.md lists the known meetings; each has a day
+here that brings it about.
+"""
 
 from collections.abc import Callable, Iterator
 from datetime import timedelta
@@ -11,55 +15,72 @@
 from tests.standins.day import HOSTS, SECOND, Day, job
 from tests.standins.workers import Worker
 
-CANCEL = 36  # seconds that a cancellation has
+CANCEL_S = 36  # within this time after its cancellation, no task of a job may run any more (`cancel_s` in the settings)
 
 
-def others(host: str) -> list[str]:
-    return [one for one in HOSTS if one != host]
+def peers_of(host: str) -> list[str]:
+    """Return the hosts of the other controllers."""
+    return [peer for peer in HOSTS if peer != host]
 
 
 def leader_of(day: Day, shard: int) -> str:
-    return next(host for host, (one, _) in day.controllers.items() if shard in one.leaders)
+    """Return the host of the controller that leads a shard."""
+    return next(host for host, (controller, _) in day.controllers.items() if shard in controller.leaders)
 
 
 def workers_of(day: Day, host: str) -> list[Worker]:
-    """The machines of the shards that a controller owns."""
+    """Return the machines of the shards that a host's controller leads."""
     leaders = day.controllers[host][0].leaders.values()
     return [day.site.workers[name] for leader in leaders for name in leader.shard.machines if name in day.site.workers]
 
 
 def on_machines(day: Day, ref: str) -> list[str]:
+    """Return the names of a job's tasks that are on a machine now."""
     return [name for name in day.rules.worker_by_task if name.rpartition("/")[0] == ref]
 
 
 def cut(day: Day, host: str, peers: list[str], mode: str = "hold") -> Callable[[], None]:
-    """Cut a host from others; what heals it."""
+    """Cut the connections between a host and others; return a function that restores them.
+
+    `mode`: "reset" closes connections and refuses new ones; "hold" delivers nothing until the cut is healed.
+    """
     for peer in peers:
         day.world.cut(host, peer, mode)
     return lambda: [day.world.heal(host, peer) for peer in peers]
 
 
-# -- The gap: refused alone, cancelled elsewhere, then an outage for all that is longer than a cancellation has
+# -- The gap
+#
+# The key-value store refuses the requests of one leader, a user cancels jobs of that leader at a peer, and then the
+# store is down for all controllers for longer than CANCEL_S. The leader can't learn of the cancellations from the
+# store. If no peer can notify it either, the tasks must stop because the leader's grace period ends (G in
+# docs/safety.md: how long a leader may act without confirmation of its leadership by the store).
 
 
 def well(day: Day, worker: Worker) -> None:
-    """A machine like any other."""
+    """Leave the machine without a fault."""
 
 
 def hung(day: Day, worker: Worker) -> None:
-    """It hangs before its leader is refused, and goes on just within its lease."""
+    """Make the machine unresponsive before the store refuses its leader, until just before its lease expires."""
     worker.unresponsive = True
     day.loop.later(10 * SECOND, lambda: setattr(worker, "unresponsive", False))
 
 
 def unreachable(day: Day, worker: Worker) -> None:
-    """Its heartbeats arrive; answers and commands don't."""
+    """Let the machine's heartbeats arrive, but lose all responses and commands to it."""
     worker.unreachable = True
     day.loop.later(70 * SECOND, lambda: setattr(worker, "unreachable", False))
 
 
 GAPS = [
-    # confirmed so long after the refusal, refused for, out for, the mesh, the machine under the job
+    # Each row has the parameters of `play_gap`:
+    # - seconds from the first refusal to the cancellations
+    # - seconds from the start of the outage until the store no longer refuses the leader
+    # - seconds of the outage
+    # - the leader's connections to its peers: "whole", "cut", cut and healed during the outage ("returns"), or whole
+    #   while the controller that accepted the cancellations crashes ("crash")
+    # - the fault of a machine that runs tasks of the jobs
     (0.0, 14, 58, "whole", well),
     (0.2, 14, 58, "whole", hung),
     (1.0, 14, 58, "whole", unreachable),
@@ -75,8 +96,11 @@
 ]
 
 
-def gap(confirmed: float, refused: float, out: float, mesh: str, state: Callable[[Day, Worker], None]) -> Day:
-    day = Day(seed=int(100 * confirmed + refused + out) + len(mesh), machines=9, capacity=0)
+def play_gap(
+    cancelled_after_s: float, refused_s: float, outage_s: float, mesh: str, machine_fault: Callable[[Day, Worker], None]
+) -> Day:
+    """Run a day with one row of GAPS until all faults are healed; return the day."""
+    day = Day(seed=int(100 * cancelled_after_s + refused_s + outage_s) + len(mesh), machines=9, capacity=0)
     day.run(5)
     refs = ["run-a", "run-b"]
     for ref in refs:
@@ -84,38 +108,50 @@
     day.submit(job("run-kept", heads=6, trek_s=20.0))
     assert day.run_until(lambda: len(on_machines(day, "run-a")) + len(on_machines(day, "run-b")) >= 30, 20)
     leader = HOSTS[0]
-    busy = next(one for one in workers_of(day, leader) if any(task.ref in refs for task in one.tasks.values()))
-    state(day, busy)
+    busy_worker = next(
+        worker for worker in workers_of(day, leader) if any(task.ref in refs for task in worker.tasks.values())
+    )
+    machine_fault(day, busy_worker)
     day.store.refused_hosts.add(leader)
-    began = day.loop.now()
-    heal = cut(day, leader, others(leader), "reset") if mesh in ("cut", "returns") else lambda: None
-    day.run(confirmed)
+    refused_at = day.loop.now()
+    heal = cut(day, leader, peers_of(leader), "reset") if mesh in ("cut", "returns") else lambda: None
+    day.run(cancelled_after_s)
     for ref in refs:
-        assert day.cancel(ref, host=others(leader)[0]) == "withdrawn"
+        assert day.cancel(ref, host=peers_of(leader)[0]) == "withdrawn"
     if mesh == "crash":
-        day.restart(others(leader)[0], 20 * SECOND)  # whoever told the user has told no peer that lasts
-    day.run(max(0.0, 2 - (day.loop.now() - began) / SECOND))
+        # The controller that answered the user loses the notices that it would have to resend.
+        day.restart(peers_of(leader)[0], 20 * SECOND)
+    day.run(max(0.0, 2 - (day.loop.now() - refused_at) / SECOND))
     day.store.outage(True)
-    day.loop.later(refused * SECOND, lambda: day.store.refused_hosts.discard(leader))
-    day.loop.later(out * SECOND, lambda: day.store.outage(False))
+    day.loop.later(refused_s * SECOND, lambda: day.store.refused_hosts.discard(leader))
+    day.loop.later(outage_s * SECOND, lambda: day.store.outage(False))
     day.run(4)
     if mesh == "returns":
         heal()
     day.run(6)
-    well_off = [one for one in workers_of(day, leader) if not one.unresponsive and not one.unreachable]
-    left = [task for one in well_off for task in one.tasks.values() if task.ref in refs and task.state != "exited"]
+    reachable_workers = [
+        worker for worker in workers_of(day, leader) if not worker.unresponsive and not worker.unreachable
+    ]
+    tasks = [
+        task
+        for worker in reachable_workers
+        for task in worker.tasks.values()
+        if task.ref in refs and task.state != "exited"
+    ]
     if mesh != "cut":
-        assert not left, "the leader was told, and acts at once though it can't reach the state service"
-    elif refused < 60:
-        assert left, "nobody could tell the leader: the case shows what the bound is for"
-    day.run(max(refused, out) + 5)
+        assert not tasks, "the leader was notified, and stops the tasks at once although it can't reach the store"
+    elif refused_s < 60:
+        assert tasks, "no peer could notify the leader: only the end of its grace period stops the tasks"
+    day.run(max(refused_s, outage_s) + 5)
     heal()
     return day
 
 
-@pytest.mark.parametrize(("confirmed", "refused", "out", "mesh", "state"), GAPS)
-def test_the_gap(confirmed: float, refused: float, out: float, mesh: str, state: Callable) -> None:
-    day = gap(confirmed, refused, out, mesh, state)
+@pytest.mark.parametrize(("cancelled_after_s", "refused_s", "outage_s", "mesh", "machine_fault"), GAPS)
+def test_the_gap(
+    cancelled_after_s: float, refused_s: float, outage_s: float, mesh: str, machine_fault: Callable
+) -> None:
+    day = play_gap(cancelled_after_s, refused_s, outage_s, mesh, machine_fault)
     assert day.finish(300) == []
     assert day.rules.broken == []
 
@@ -123,7 +159,10 @@
 @pytest.mark.cheats
 @pytest.mark.parametrize("guard", ["grace", "watch"])
 def test_the_gap_needs_its_bound(guard: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Without G, or with G counted from a lease alone, the same days break the rule."""
+    """The rules detect a cancelled job that runs on, if a controller's grace period is too long or never ends.
+
+    In the first case the grace period is 60 s; in the second, leadership always counts as confirmed just now.
+    """
     if guard == "grace":
         monkeypatch.setattr("badgerroute.settings.Settings.grace", property(lambda self: 60 * SECOND))
     else:
@@ -131,12 +170,15 @@
             "badgerroute.coordination.leadership.leadership_state.LeadershipState.last_confirmed",
             property(lambda self: self._loop.now()),
         )
-    day = gap(0.0, 14, 58, "cut", well)
+    day = play_gap(0.0, 14, 58, "cut", well)
     assert any("ran_cancelled" in text for text in day.rules.broken)
 
 
 def test_a_lease_renewal_proves_nothing_about_cancellations() -> None:
-    """A leader whose lease is renewed all the time, while its watch waits: it hears of no cancellation."""
+    """A leader whose watch gets no response counts as unconfirmed, even if its lease is renewed all the time.
+
+    It can't learn of cancellations, so its tasks must stop when the grace period ends.
+    """
     day = Day(seed=21, machines=9, capacity=0)
     day.run(5)
     day.submit(job("run-a", heads=20, trek_s=150.0))
@@ -144,15 +186,15 @@
     leader = HOSTS[0]
     controller = day.controllers[leader][0]
     day.store.hosts_without_watches.add(leader)
-    heal = cut(day, leader, others(leader), "reset")
-    asked = controller.storage.replica.last_confirmed
+    heal = cut(day, leader, peers_of(leader), "reset")
+    confirmed_before = controller.storage.replica.last_confirmed
     day.run(0.3)
-    assert day.cancel("run-a", host=others(leader)[0]) == "withdrawn"
+    assert day.cancel("run-a", host=peers_of(leader)[0]) == "withdrawn"
     day.run(12)
     state = controller.leadership_state
     assert state.lease is not None and day.loop.now() - state.lease_confirmed_at < 2 * SECOND
-    assert state.last_confirmed <= asked + SECOND, "the proof is as old as the last answered watch"
-    day.run(CANCEL)
+    assert state.last_confirmed <= confirmed_before + SECOND, "not later than the last answered watch request"
+    day.run(CANCEL_S)
     assert not on_machines(day, "run-a")
     day.store.hosts_without_watches.clear()
     heal()
@@ -161,21 +203,25 @@
 
 
 def test_a_watch_counts_from_when_it_was_asked() -> None:
+    """A response to a watch confirms leadership only as of the time at which the watch request was sent."""
     day = Day(seed=22)
     day.run(12)
     replica = day.controllers[HOSTS[0]][0].storage.replica
-    ages = []  # of the proof, at the moment at which the watch that gives it is answered
+    ages_s = []  # ages of the confirmation when the response that brings it arrives
     for _ in range(300):
-        known = replica.last_confirmed
+        previous = replica.last_confirmed
         day.run(0.01)
-        if replica.last_confirmed != known:
-            ages.append((day.loop.now() - replica.last_confirmed) / SECOND)
-    assert len(ages) >= 2
-    assert min(ages) >= 0.98, "it blocked for a second, since nothing changed: what it proves is as old as that"
+        if replica.last_confirmed != previous:
+            ages_s.append((day.loop.now() - replica.last_confirmed) / SECOND)
+    assert len(ages_s) >= 2
+    assert min(ages_s) >= 0.98, "each request waits one second, as nothing changes, and confirms its own start only"
 
 
 def test_a_long_outage_takes_no_node_from_the_load_balancer() -> None:
-    """None could serve users better, and being taken out would last longer than the outage."""
+    """All controllers stay available to users during an outage of the key-value store.
+
+    No other controller could serve users better, and the load balancer would exclude them for longer than the outage.
+    """
     day = Day(seed=24)
     day.run(5)
     day.store.outage(True)
@@ -189,6 +235,7 @@
 
 
 def test_cancellations_are_told_until_they_are_acknowledged() -> None:
+    """Notices are sent to each peer again until it acknowledges them, or until they are older than CANCEL_S."""
     day = Day(seed=23)
     sent: list[tuple[str, list]] = []
 
@@ -197,7 +244,7 @@
         def send(host: str, message: CancellationNotice) -> None:
             sent.append((host, message.jobs))
 
-    broadcast = CancellationBroadcast(day.loop, "me", ["one", "two"], Messenger(), CANCEL * SECOND)
+    broadcast = CancellationBroadcast(day.loop, "me", ["one", "two"], Messenger(), CANCEL_S * SECOND)
     broadcast.job_cancelled("run-1", 7, awaited_by_user=True)
     broadcast.job_cancelled("run-2", 9, awaited_by_user=False)
     assert sent == [("one", [("run-1", 7)]), ("two", [("run-1", 7)])]
@@ -213,27 +260,29 @@
     sent.clear()
     day.run(40)
     broadcast.resend()
-    assert sent == [], "of no use any more"
+    assert sent == [], "notices older than CANCEL_S are no longer of use"
 
 
-# -- The other meetings
+# -- The other meetings. Each is a generator that injects its faults, and yields how many seconds to run the day next.
 
 
 def held_report(day: Day) -> Iterator[float]:
-    """A report is held back until a new leader has acted, and then arrives there."""
-    dead = HOSTS[1]
-    held = [cut(day, worker.name, [host for host in HOSTS if host != dead]) for worker in workers_of(day, dead)[:2]]
+    """Heartbeats are held up in the network until their shard has a new leader, which receives them late."""
+    crashed = HOSTS[1]
+    heals = [
+        cut(day, worker.name, [host for host in HOSTS if host != crashed]) for worker in workers_of(day, crashed)[:2]
+    ]
     yield 1
-    day.restart(dead, 40 * SECOND)
+    day.restart(crashed, 40 * SECOND)
     yield 9
-    for heal in held:
+    for heal in heals:
         heal()
     day.replay_heartbeats(30)
     yield 10
 
 
 def mute_machines(day: Day) -> Iterator[float]:
-    """Workers can't open connections to any controller, while direct commands still reach them."""
+    """Four workers can't send heartbeats, but commands reach them. A controller restarts meanwhile."""
     workers = day.random.sample(list(day.site.workers.values()), 4)
     for worker in workers:
         worker.heartbeats_blocked = True
@@ -246,7 +295,7 @@
 
 
 def boots_at_once(day: Day) -> Iterator[float]:
-    """New machines are up at once and get work while writes lag, and the leader ends."""
+    """New machines boot quickly and get tasks while writes are applied late, and each controller restarts."""
     day.site.boot_factor = 0.1
     day.site.capacity += 3
     day.store.late_write_probability, day.store.delay_factor = 0.3, 15.0
@@ -263,20 +312,20 @@
 
 
 def limits_full(day: Day) -> Iterator[float]:
-    """Every team is at its limit while jobs are cancelled whose machines are cut off or hang; the leader changes."""
+    """Teams are at their limits, jobs are cancelled on cut-off and unresponsive machines, and a leader crashes."""
     for number in range(4):
         day.submit(job(f"run-l{number}", heads=40, crew=("blue", "red")[number % 2], trek_s=40.0))
     yield 6
-    cut_off = day.random.sample(list(day.site.workers.values()), 4)
-    heals = [cut(day, worker.name, HOSTS) for worker in cut_off[:2]]
-    cut_off[2].unresponsive = cut_off[3].unresponsive = True
+    faulty_workers = day.random.sample(list(day.site.workers.values()), 4)
+    heals = [cut(day, worker.name, HOSTS) for worker in faulty_workers[:2]]
+    faulty_workers[2].unresponsive = faulty_workers[3].unresponsive = True
     yield 0.5
     for number in range(2):
         day.group.spawn(day.polling_users.cancel(f"run-l{number}"), "user")
     yield 0.5
     day.restart(HOSTS[2], 6 * SECOND)
     yield 9
-    cut_off[2].unresponsive = cut_off[3].unresponsive = False
+    faulty_workers[2].unresponsive = faulty_workers[3].unresponsive = False
     yield 8
     for heal in heals:
         heal()
@@ -284,11 +333,13 @@
 
 
 def far_ends(day: Day) -> Iterator[float]:
-    """Jobs of two or three tasks end far apart across a change of leader."""
-    times = {f"run-f{number}": number for number in range(6)}
-    real = day.site.run_time
-    day.site.run_time = lambda ref: real(ref) if ref not in times else day.random.choice((1.0, 14.0, 30.0))
-    for ref, number in times.items():
+    """The tasks of the same small job end up to 29 s apart, while every leader restarts."""
+    number_of_job = {f"run-f{number}": number for number in range(6)}
+    original_run_time = day.site.run_time
+    day.site.run_time = lambda ref: (
+        original_run_time(ref) if ref not in number_of_job else day.random.choice((1.0, 14.0, 30.0))
+    )
+    for ref, number in number_of_job.items():
         day.submit(job(ref, heads=2 + number % 2, trek_s=14.0))
         day.group.spawn(day.polling_users.poll_at_completion(ref, cancelled=number == 5), "user")
     yield 8
@@ -298,28 +349,28 @@
 
 
 def one_task_jobs(day: Day) -> Iterator[float]:
-    """They come four a second, a quarter of them cancelled."""
+    """Users submit four jobs of one task each second and cancel a quarter of them; a controller restarts meanwhile."""
     for number in range(120):
-        one = job(f"run-o{number}", heads=1, trek_s=3.0, brand=f"img-{number % 3}")
-        day.group.spawn(day.polling_users.submit(one, cancelled=number % 4 == 0), "user")
+        description = job(f"run-o{number}", heads=1, trek_s=3.0, brand=f"img-{number % 3}")
+        day.group.spawn(day.polling_users.submit(description, cancelled=number % 4 == 0), "user")
         if number == 60:
             day.restart(HOSTS[0], 2 * SECOND)
         yield 0.25
 
 
 def unheard_leader(day: Day) -> Iterator[float]:
-    """A leader ends while machines with long tasks can't be reached, or don't hear the new leader's answer."""
-    yield 24  # until there is room for what is lost
+    """A leader crashes while one machine with long tasks is cut off and two others receive no responses or commands."""
+    yield 24  # the other machines must have room for the tasks that will be lost
     day.submit(job("run-long", crew="guests", heads=45, trek_s=60.0))
     yield 8
-    dead = HOSTS[0]
-    workers = workers_of(day, dead)
+    crashed = HOSTS[0]
+    workers = workers_of(day, crashed)
     heal = cut(day, workers[0].name, HOSTS)
-    day.site.cloud_down = True  # else they are deleted, and the lease need not be waited for
+    day.site.cloud_down = True  # otherwise the machines are deleted, and nobody has to wait until their leases expire
     for worker in workers[1:3]:
         worker.unreachable = True
     yield 0.3
-    day.restart(dead, 25 * SECOND)
+    day.restart(crashed, 25 * SECOND)
     yield 14
     heal()
     day.site.cloud_down = False
@@ -329,7 +380,7 @@
 
 
 def reports_at_takeover(day: Day) -> Iterator[float]:
-    """Old heartbeats reach every controller just as a new leader begins."""
+    """Copies of old heartbeats reach random controllers while a new leader takes over a shard."""
     day.restart(HOSTS[1], 30 * SECOND)
     for _ in range(14):
         yield 0.45
@@ -338,7 +389,7 @@
 
 
 def returns_at_once(day: Day) -> Iterator[float]:
-    """Controllers hand over and back, all end, and one returns, also within a second."""
+    """A peer takes over a shard and hands it back; then all controllers crash, and one returns within half a second."""
     day.restart(HOSTS[0], 5 * SECOND)
     yield 8.5
     for host in HOSTS:
@@ -351,25 +402,28 @@
 
 
 def all_away(day: Day) -> Iterator[float]:
-    """All controllers are away for longer than a machine's lease."""
+    """All controllers are down for 15 to 19 s, which is longer than a machine's lease of 11 s."""
     for host in HOSTS:
         day.restart(host, timedelta(seconds=day.random.uniform(15, 19)))
     yield 24
 
 
 def close_looks(day: Day) -> Iterator[float]:
-    """Users ask at all nodes within milliseconds after a job was accepted, ended or cancelled; some cancel at once."""
+    """Users poll all controllers within milliseconds after a job was accepted, completed or cancelled.
+
+    They cancel some jobs at once after the acceptance, and others after the completion.
+    """
     for number in range(12):
-        one = job(f"run-c{number}", heads=1 + number % 3, trek_s=2.0)
-        day.group.spawn(day.polling_users.submit(one, cancelled=number % 3 == 0), "user")
+        description = job(f"run-c{number}", heads=1 + number % 3, trek_s=2.0)
+        day.group.spawn(day.polling_users.submit(description, cancelled=number % 3 == 0), "user")
         if number % 3:
-            day.group.spawn(day.polling_users.poll_at_completion(one["ref"], cancelled=number % 3 == 1), "user")
+            day.group.spawn(day.polling_users.poll_at_completion(description["ref"], cancelled=number % 3 == 1), "user")
         yield 1
     yield 6
 
 
 def more_than_room(day: Day) -> Iterator[float]:
-    """There is more work than room, urgent and not, over slow links."""
+    """Urgent and other jobs need more than the machines can run, the network is slow, and a controller restarts."""
     day.world.delay_factor = 60.0
     for number in range(6):
         day.submit(job(f"run-u{number}", heads=10, trek_s=8.0, rank="urgent"))
@@ -384,7 +438,7 @@
 
 
 def slow_then_refused(day: Day) -> Iterator[float]:
-    """The key-value store is slow, refuses one alone, then everybody for longer than a cancellation has."""
+    """The key-value store is slow, then refuses one controller, and then is down for all for longer than CANCEL_S."""
     day.store.delay_factor = 40.0
     yield 3
     day.store.refused_hosts.add(HOSTS[1])
@@ -393,7 +447,7 @@
     day.group.spawn(day.polling_users.submit(job("run-new", heads=3)), "user")
     yield 6
     day.store.outage(True)
-    yield CANCEL + 9
+    yield CANCEL_S + 9
     day.store.outage(False)
     day.store.delay_factor = 1.0
     day.store.refused_hosts.clear()
@@ -401,19 +455,19 @@
 
 
 def answers_lost(day: Day) -> Iterator[float]:
-    """Transactions are carried out and only their answers are lost, while other nodes read what they wrote."""
+    """The store applies transactions but its responses are lost, while other controllers read what was written."""
     for number in range(8):
         day.store.answers_to_drop = 3
-        one = job(f"run-d{number}", heads=2, trek_s=1.0)
-        day.group.spawn(day.polling_users.submit(one, cancelled=number % 2 == 0), "user")
-        day.group.spawn(day.polling_users.poll_at_completion(one["ref"], cancelled=number % 4 == 1), "user")
+        description = job(f"run-d{number}", heads=2, trek_s=1.0)
+        day.group.spawn(day.polling_users.submit(description, cancelled=number % 2 == 0), "user")
+        day.group.spawn(day.polling_users.poll_at_completion(description["ref"], cancelled=number % 4 == 1), "user")
         yield 2
     day.store.answers_to_drop = 0
     yield 10
 
 
 def held_commands(day: Day) -> Iterator[float]:
-    """A command or its answer is held up for seconds, and the machine then goes on."""
+    """Commands and their responses are delayed by 6 s, since a machine is unresponsive and another is cut off."""
     for turn in range(3):
         worker = day.random.choice(list(day.site.workers.values()))
         worker.unresponsive = True
@@ -428,32 +482,35 @@
 
 
 def earlier_sessions(day: Day) -> Iterator[float]:
-    """Old heartbeats arrive after newer ones, also from an earlier incarnation or attempt."""
-    lost = day.random.sample(list(day.site.workers.values()), 2)
-    heals = [cut(day, worker.name, HOSTS, "reset") for worker in lost]
+    """Old heartbeats arrive after newer ones, also from earlier incarnations of machines and attempts of tasks."""
+    cut_off = day.random.sample(list(day.site.workers.values()), 2)
+    heals = [cut(day, worker.name, HOSTS, "reset") for worker in cut_off]
     yield 13
     for heal in heals:
         heal()
     for _ in range(4):
         yield 3
         day.replay_heartbeats(20)
-        day.replay_heartbeats(10, {worker.name for worker in lost})
+        day.replay_heartbeats(10, {worker.name for worker in cut_off})
 
 
 def alone_with_workers(day: Day) -> Iterator[float]:
-    """A leader is cut from key-value store and peers, not from workers and users; jobs go through the new one."""
+    """A leader is cut off from the key-value store and its peers, but not from its workers and users.
+
+    Users cancel jobs at this leader and at its peers.
+    """
     host = HOSTS[1]
-    heal = cut(day, host, [f"state-{host}", *others(host)])
+    heal = cut(day, host, [f"state-{host}", *peers_of(host)])
     yield 1
-    for ref, node in (("run-a1", HOSTS[0]), ("run-b1", HOSTS[2]), ("run-g1", host)):
-        day.group.spawn(day.polling_users.cancel(ref, host=node), "user")
-    yield CANCEL
+    for ref, contacted_host in (("run-a1", HOSTS[0]), ("run-b1", HOSTS[2]), ("run-g1", host)):
+        day.group.spawn(day.polling_users.cancel(ref, host=contacted_host), "user")
+    yield CANCEL_S
     heal()
     yield 6
 
 
 def cancelled_in_hand_over(day: Day) -> Iterator[float]:
-    """Jobs are cancelled in the seconds in which one controller's work changes hands."""
+    """Users cancel jobs during the seconds in which a controller's shard moves to a peer and back."""
     day.submit(job("run-x0", heads=8, trek_s=60.0))
     day.submit(job("run-x1", heads=8, trek_s=60.0, crew="red"))
     yield 3
@@ -465,12 +522,12 @@
 
 
 def zone_loses_machines(day: Day) -> Iterator[float]:
-    """Jobs bound to one zone, arrays too, lose machines."""
+    """Jobs that may run in one zone only, arrays and a gang, lose all but one of its machines."""
     for number in range(3):
         day.submit(job(f"run-y{number}", heads=8, pasture="b", strays=False, trek_s=8.0, together=number == 1))
     day.submit(job("run-yg", gait="group", heads=2, cpus=5.0, pasture="b", trek_s=8.0))
     yield 4
-    inside = [one.name for one in day.site.workers.values() if one.zone == "b"]
+    inside = [worker.name for worker in day.site.workers.values() if worker.zone == "b"]
     for name in inside[:-1]:
         day.site.remove_worker(name)
     yield 3
@@ -479,7 +536,7 @@
 
 
 def ten_leaders(day: Day) -> Iterator[float]:
-    """Leaders change ten times in two minutes, also inside an outage."""
+    """Controllers restart ten times within two minutes; two of these restarts happen during outages of the store."""
     for turn in range(10):
         if turn in (3, 7):
             day.store.outage(True)
@@ -493,25 +550,25 @@
 
 
 def zone_alone(day: Day) -> Iterator[float]:
-    """A zone with workers and a controller is cut off for longer than a machine's lease."""
+    """A zone with its workers and one controller is cut off for 41 s, longer than a machine's lease."""
     inside = [HOSTS[0], *(name for name, worker in day.site.workers.items() if worker.zone == "a")]
-    outside = [one for one in (*HOSTS, *day.site.workers, "cloud") if one not in inside]
-    heals = [cut(day, one, outside) for one in inside] + [cut(day, HOSTS[0], [f"state-{HOSTS[0]}"])]
+    outside = [name for name in (*HOSTS, *day.site.workers, "cloud") if name not in inside]
+    heals = [cut(day, name, outside) for name in inside] + [cut(day, HOSTS[0], [f"state-{HOSTS[0]}"])]
     yield 1
     for ref in ("run-a0", "run-b2"):
         day.group.spawn(day.polling_users.cancel(ref, host=HOSTS[1]), "user")
-    yield CANCEL + 4
+    yield CANCEL_S + 4
     for heal in heals:
         heal()
     yield 5
 
 
 def writes_late(day: Day) -> Iterator[float]:
-    """Transactions without an answer are carried out late, after newer ones of the same controller."""
+    """The store applies transactions that timed out later on, after newer ones of the same controller."""
     day.store.late_write_probability = 0.3
     for number in range(8):
-        one = job(f"run-w{number}", heads=3, trek_s=3.0)
-        day.group.spawn(day.polling_users.submit(one, cancelled=number % 3 == 0), "user")
+        description = job(f"run-w{number}", heads=3, trek_s=3.0)
+        day.group.spawn(day.polling_users.submit(description, cancelled=number % 3 == 0), "user")
         if number == 4:
             day.restart(HOSTS[1], SECOND / 2)
         yield 3
@@ -546,6 +603,7 @@
 
 
 def start(seed: int, capacity: int = 3) -> Day:
+    """Return a day on which arrays, low-priority arrays and urgent gangs run."""
     day = Day(seed=seed, machines=9, capacity=capacity, objectives=[Objective("wait", 0.9, "batch", within_s=20.0)])
     day.run(5)
     for number in range(3):
@@ -557,6 +615,7 @@
 
 
 def play(day: Day, meeting: Callable[[Day], Iterator[float]]) -> None:
+    """Run a meeting to its end: advance the day by each pause that it yields."""
     for pause in meeting(day):
         day.run(pause)
 
