--- a/tests/test_left_waiting.py
+++ b/tests/test_left_waiting.py
@@ -1,4 +1,7 @@
-"""With no trouble left, nothing waits beside room that it could use; and what was found beside, by reading."""
+"""Tests that no task keeps waiting while a machine has room for it, and of failures that code reviews have found.
+
+Most run a day: a simulated run of a whole cluster in virtual time.
+"""
 
 import json
 from collections.abc import Callable
@@ -13,21 +16,25 @@
 from tests.standins.day import HOSTS, SECOND, Day, job
 
 
-def split_to(monkeypatch: pytest.MonkeyPatch, shards: dict[str, int]) -> None:
-    """New jobs belong to the shards named here."""
+def assign_new_jobs(monkeypatch: pytest.MonkeyPatch, shards: dict[str, int]) -> None:
+    """Assign each new job as a whole to the shard that `shards` has for it, instead of splitting it among shards."""
 
-    def whole(one: Submission, summaries: list[ShardSummary], size: int) -> list[tuple[int, int, int]]:
-        return [(shards[one.ref], 0, one.tasks)]
+    def assign_whole(submission: Submission, summaries: list[ShardSummary], size: int) -> list[tuple[int, int, int]]:
+        return [(shards[submission.ref], 0, submission.tasks)]
 
-    monkeypatch.setattr(job_service_module, "split", whole)
+    monkeypatch.setattr(job_service_module, "split", assign_whole)
 
 
-def running(day: Day, ref: str) -> int:
+def count_running(day: Day, ref: str) -> int:
+    """Return how many of a job's tasks run on machines now."""
     return sum(name.rpartition("/")[0] == ref for name in day.rules.worker_by_task)
 
 
 def decoy(day: Day, shards: dict[str, int]) -> list[dict]:
-    """Most waits for a zone that is full. It drew all requests to its shard, past the third shard's work."""
+    """Return a large job that waits for a full zone, and a job in another shard that may run in the other zone.
+
+    Idle shards once requested work only from the shard of the large job, and so never got the other job.
+    """
     shards |= {"run-decoy": 0, "run-q": 1}
     return [
         job("run-decoy", heads=200, crew="guests", pasture="b", strays=False, trek_s=100.0),
@@ -36,7 +43,7 @@
 
 
 def limited(day: Day, shards: dict[str, int]) -> list[dict]:
-    """Work of a team that is at its limit waits everywhere; others' work must reach the room beside it."""
+    """Return a job that waits because its team is at its limit, and a job of another team, which must still start."""
     shards |= {"run-red": 0, "run-q": 1}
     return [
         job("run-red", heads=300, crew="red", rank="urgent", trek_s=100.0),
@@ -45,7 +52,7 @@
 
 
 def few_at_a_time(day: Day, shards: dict[str, int]) -> list[dict]:
-    """An array that must stay in one shard waits in one without a machine for it; no shard could hold all of it."""
+    """Return an array that must run in one shard. Its shard has no fitting machine, and no shard fits all its tasks."""
     for worker in list(day.site.workers.values()):
         if worker.zone == "b" and int(worker.name[-6:]) % 3 == 0:
             day.site.remove_worker(worker.name)
@@ -54,7 +61,7 @@
 
 
 def failing(day: Day, shards: dict[str, int]) -> list[dict]:
-    """Jobs that fail everywhere wait beside the room of the idle shards."""
+    """Return two jobs that fail on every machine and so wait beside free machines, and a job of the third shard."""
     shards |= {"run-bad0": 0, "run-bad2": 2, "run-q": 1}
     day.site.failing |= {"run-bad0", "run-bad2"}
     return [
@@ -64,60 +71,70 @@
     ]
 
 
-@pytest.mark.parametrize(("jobs", "least"), [(decoy, 4), (limited, 38), (few_at_a_time, 2), (failing, 36)])
-def test_waiting_work_reaches_the_room_there_is(jobs: Callable, least: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Two machines of eight processors in each shard, one in each zone, and two spot machines; no more to be had."""
+@pytest.mark.parametrize(("jobs", "min_running"), [(decoy, 4), (limited, 38), (few_at_a_time, 2), (failing, 36)])
+def test_waiting_work_reaches_the_room_there_is(
+    jobs: Callable, min_running: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """At least `min_running` tasks of run-q start within 25 s, although other work waits as well.
+
+    Each shard has two machines with eight CPUs, one in each zone. Two spot machines can be rented, and no others.
+    """
     day = Day(seed=31, machines=6, capacity=0)
     shards: dict[str, int] = {}
-    described = jobs(day, shards)
-    split_to(monkeypatch, shards)
+    descriptions = jobs(day, shards)
+    assign_new_jobs(monkeypatch, shards)
     day.run(5)
-    for one in described:
-        day.submit(one)
-    assert day.run_until(lambda: running(day, "run-q") >= least, 25)
+    for description in descriptions:
+        day.submit(description)
+    assert day.run_until(lambda: count_running(day, "run-q") >= min_running, 25)
     for ref in day.site.failing:
         day.cancel(ref)
     assert day.rules.broken == []
 
 
 def test_pieces_of_a_limit_go_to_the_older_gang(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each of two shards holds half of a team's limit, and a gang that needs more than that."""
+    """Two shards each hold half of a team's limit and a gang that needs more; the older gang must get both halves."""
     day = Day(seed=32, machines=9, capacity=0)
     day.store.revision = 1
     day.store.items["b/shares/red"] = ({"shares": {"0": [12.0, 0.0], "1": [12.0, 0.0]}}, 1, None)
-    split_to(monkeypatch, {"run-old": 1, "run-young": 0})
+    assign_new_jobs(monkeypatch, {"run-old": 1, "run-young": 0})
     day.run(5)
     day.submit(job("run-old", crew="red", gait="group", heads=2, cpus=7.0, trek_s=20.0))
     day.submit(job("run-young", crew="red", gait="group", heads=2, cpus=7.0, trek_s=20.0))
-    assert day.run_until(lambda: running(day, "run-old") == 2, 20)
+    assert day.run_until(lambda: count_running(day, "run-old") == 2, 20)
     assert day.finish(90) == []
     assert day.rules.broken == []
 
 
 @pytest.mark.parametrize(
-    ("ranks", "number", "reached"),
+    ("ranks", "min_running", "reached"),
     [(("idle", "urgent"), 20, True), (("urgent", "urgent"), 4, True), (("urgent", "idle"), 4, False)],
 )
 def test_a_limit_does_not_stay_with_the_shard_that_has_it(
-    ranks: tuple[str, str], number: int, reached: bool, monkeypatch: pytest.MonkeyPatch
+    ranks: tuple[str, str], min_running: int, reached: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """One shard has all of a team's limit, and work for it without end; then jobs of the team come to another shard."""
+    """One shard holds a team's whole limit and has work for all of it; then another shard gets a job of the team.
+
+    The other shard must get part of the limit if its job has a higher or the same priority, but not if it has a lower.
+    """
     day = Day(seed=37, machines=12, capacity=0)
-    split_to(monkeypatch, {"run-first": 0, "run-q": 1, "run-fill": 2})
+    assign_new_jobs(monkeypatch, {"run-first": 0, "run-q": 1, "run-fill": 2})
     day.run(5)
     day.submit(job("run-fill", heads=400, cpus=1.0, crew="guests", rank="prod", trek_s=200.0))
     day.run(4)
     day.cancel("run-fill")
     day.submit(job("run-first", heads=2000, crew="red", rank=ranks[0], trek_s=4.0))
-    assert day.run_until(lambda: running(day, "run-first") >= 23, 30)
+    assert day.run_until(lambda: count_running(day, "run-first") >= 23, 30)
     day.submit(job("run-q", heads=400, crew="red", rank=ranks[1], trek_s=4.0))
-    assert day.run_until(lambda: running(day, "run-q") >= number, 25) is reached
-    assert number == 20 or running(day, "run-first") >= 10, "equals share, and what comes later waits"
+    assert day.run_until(lambda: count_running(day, "run-q") >= min_running, 25) is reached
+    assert min_running == 20 or count_running(day, "run-first") >= 10, (
+        "jobs of equal priority share the limit, and a later job of lower priority waits"
+    )
     assert day.rules.broken == []
 
 
 def test_the_checker_sees_work_left_waiting(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The days' check is worth something only if it catches a shard that places nothing."""
+    """The check for waiting jobs that each day makes at its end detects shards that place no tasks."""
     monkeypatch.setattr("badgerroute.scheduling.planner.Planner.fill_machine", lambda self, *args: 0)
     day = Day(seed=33, machines=3)
     day.run(5)
@@ -127,15 +144,19 @@
 
 
 def test_an_election_of_ours_that_was_carried_out_late() -> None:
-    """Somebody else may have led the shard in between and been cut off: the time limit in our record is too early."""
+    """A controller's write that claims a shard is applied late: the new leader must wait for the full grace period.
+
+    Another controller may have led the shard meanwhile and been cut off. It may still act after the time limit
+    (`until`) in the late record, which was computed before that controller was elected.
+    """
     day = Day(seed=34)
     day.run(5)
     host = HOSTS[0]
     controller = day.controllers[host][0]
     day.store.revision += 1
-    early = {"owner": host, "until": day.clock.today().timestamp() - 50}
-    day.store.items["b/parts/0"] = (early, day.store.revision, controller.leadership_state.lease)
-    day.store.log.append({"write": "b/parts/0", "value": early, "mark": day.store.revision})
+    late_record = {"owner": host, "until": day.clock.today().timestamp() - 50}
+    day.store.items["b/parts/0"] = (late_record, day.store.revision, controller.leadership_state.lease)
+    day.store.log.append({"write": "b/parts/0", "value": late_record, "mark": day.store.revision})
     day.store._notify()
     day.run(3)
     leadership = controller.leadership_state.leaderships[0]
@@ -144,49 +165,55 @@
 
 
 def test_a_late_page_strikes_no_deleted_machine_off() -> None:
-    """A write of a page of deleted machines is carried out seconds late, after a newer one."""
+    """A write of a page of tombstones (names of deleted machines) is applied seconds late, after a newer write.
+
+    The pages must still name both machines afterwards, and neither machine may be registered again.
+    """
     day = Day(seed=35, machines=9)
     day.run(5)
     leader = day.controllers[HOSTS[0]][0].leaders[0]
     first, second = list(leader.shard.machines)[:2]
 
-    def forget(name: str) -> None:
+    def delete_machine(name: str) -> None:
         day.site.remove_worker(name)
         day.group.spawn(leader.tombstone_writer.remove_machines([name]), "forget")
 
     day.store.late_write_probability, day.store.late_write_delay_s = 1.0, (8.0, 9.0)
     day.loop.later(SECOND / 2, lambda: setattr(day.store, "late_write_probability", 0.0))
-    forget(first)
+    delete_machine(first)
     day.run(4)
-    forget(second)
+    delete_machine(second)
     day.run(12)
-    named = {name for key, one in day.store.items.items() if key.startswith("b/gone/0/") for name in one[0]["names"]}
-    assert {first, second} <= named
+    tombstones = {
+        name for key, item in day.store.items.items() if key.startswith("b/gone/0/") for name in item[0]["names"]
+    }
+    assert {first, second} <= tombstones
     assert not {first, second} & set(day.members_without_machine())
 
 
-# -- What users send by mistake
+# -- Invalid submissions
 
-GOOD = job("run-good", breeds=["k8"], pasture="a", market_s=60.0, follows=["run-before"])
-MAY_BE_NULL = {"breeds", "pasture", "market_s", "follows"}
-FIELDS = [one.encode_name for one in msgspec.structs.fields(Submission)]
+VALID_JOB = job("run-good", breeds=["k8"], pasture="a", market_s=60.0, follows=["run-before"])
+OPTIONAL_FIELDS = {"breeds", "pasture", "market_s", "follows"}
+FIELDS = [field.encode_name for field in msgspec.structs.fields(Submission)]
 
 
 def test_every_field_is_known_here() -> None:
-    assert set(FIELDS) == set(GOOD)
+    """The tests below cover each field of a submission."""
+    assert set(FIELDS) == set(VALID_JOB)
 
 
 @pytest.mark.parametrize("name", FIELDS)
 def test_each_field_missing_null_or_of_another_kind(name: str) -> None:
-    without = {key: value for key, value in GOOD.items() if key != name}
-    wrong = [[{}], {"a": 1}, True if isinstance(GOOD[name], (str, float, list)) else "yes"]
-    if name not in MAY_BE_NULL:
+    without = {key: value for key, value in VALID_JOB.items() if key != name}
+    wrong_values = [[{}], {"a": 1}, True if isinstance(VALID_JOB[name], (str, float, list)) else "yes"]
+    if name not in OPTIONAL_FIELDS:
         cases = [without, without | {name: None}]
     else:
         parse_submission(json.dumps(without).encode())
         parse_submission(json.dumps(without | {name: None}).encode())
         cases = []
-    for case in (*cases, *(without | {name: value} for value in wrong)):
+    for case in (*cases, *(without | {name: value} for value in wrong_values)):
         with pytest.raises(MalformedError):
             parse_submission(json.dumps(case).encode())
 
@@ -213,24 +240,28 @@
     day = Day(seed=36)
     day.run(5)
     for number, host in enumerate(HOSTS):
-        described = job(f"run-m{number}", **changes)
-        day.site.jobs[described["ref"]] = described
-        response = day.ask("POST", "/v1/jobs", described, host=host)
+        description = job(f"run-m{number}", **changes)
+        day.site.jobs[description["ref"]] = description
+        response = day.ask("POST", "/v1/jobs", description, host=host)
         assert response is not None and response.status == status
         if status == 201:
-            day.accepted.add(described["ref"])
+            day.accepted.add(description["ref"])
     assert day.finish() == []
     assert day.rules.broken == []
 
 
 @pytest.mark.parametrize("level", ["normal", "urgent"])
 def test_a_gang_comes_before_lesser_tasks_of_a_team_at_its_limit(level: str) -> None:
-    """The team's idle tasks hold its whole limit. What they give back is the gang's, though it needs all at once."""
+    """Low-priority tasks use a team's whole limit; the CPUs that they release are kept for a waiting gang.
+
+    The gang needs 16 of the 24 CPUs at the same time. If other tasks of the team took each CPU that becomes free, the
+    gang would never start.
+    """
     day = Day(seed=91, machines=12, capacity=0)
     day.run(5)
     day.submit(job("run-idle", crew="red", rank="idle", heads=400, trek_s=8.0))
-    assert day.run_until(lambda: running(day, "run-idle") == 24, 20)
+    assert day.run_until(lambda: count_running(day, "run-idle") == 24, 20)
     day.submit(job("run-gang", crew="red", rank=level, gait="group", heads=2, cpus=8.0, trek_s=5.0))
-    assert day.run_until(lambda: running(day, "run-gang") == 2, 24)
+    assert day.run_until(lambda: count_running(day, "run-gang") == 2, 24)
     assert day.finish() == []
     assert day.rules.broken == []
