--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,7 @@
-"""What shows only where there are many machines: sockets, memory of what is gone, whole shards changing hands."""
+"""Tests of shards whose leader changes, and of costs that grow with the fleet: sockets, tombstones, computing time.
+
+Most run a day: a simulated run of a whole cluster in virtual time.
+"""
 
 import gc
 import json
@@ -33,15 +36,20 @@
 
 
 def cut_from_store(day: Day, host: str) -> None:
+    """Cut a controller off from the key-value store: its requests get no response until the cut is healed."""
     day.world.cut(host, f"state-{host}", "hold")
 
 
-def leaders(day: Day, shard: int) -> list[str]:
-    return [host for host, (one, _) in day.controllers.items() if shard in one.leaders]
+def leader_hosts(day: Day, shard: int) -> list[str]:
+    """Return the hosts whose controllers lead a shard, or believe so."""
+    return [host for host, (controller, _) in day.controllers.items() if shard in controller.leaders]
 
 
 def test_a_shard_is_not_transferred_to_a_peer_without_the_store() -> None:
-    """It still speaks to its peers, and names the lease that it had."""
+    """A shard is not transferred back to its previous leader while that controller can't reach the key-value store.
+
+    The controller still sends messages to its peers, which contain the lease that it had.
+    """
     day = Day(seed=1)
     day.run(5)
     host = HOSTS[1]
@@ -49,17 +57,21 @@
     terms = set()
     for _ in range(50):
         day.run(0.5)
-        key = day.store.items.get("b/parts/1")
-        terms.add(key[1] if key else 0)
-    assert len(terms - {0}) == 2, "the shard changes hands once"
+        item = day.store.items.get("b/parts/1")
+        terms.add(item[1] if item else 0)
+    assert len(terms - {0}) == 2, "the shard gets a new leader only once"
     day.world.heal(host, f"state-{host}")
     day.run(15)
-    assert leaders(day, 1) == [host], "and goes home when its controller is back"
+    assert leader_hosts(day, 1) == [host], "its first leader leads it again when that controller reaches the store"
 
 
 def test_no_answer_that_a_machine_must_drop(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A leader that can't raise its term says so: a 200 would hold the machine there while its lease runs out."""
-    answered: list[bool] = []
+    """A leader whose term is lower than a machine's fencing token, and that can't raise it, refuses the heartbeat.
+
+    The machine ignores an answer in a lower term, but after status 200 it would keep sending its heartbeats there until
+    its lease expires.
+    """
+    token_accepted: list[bool] = []  # for each answer: whether its machine accepts the fencing token in it
     real = ShardLeader.answer_heartbeat
 
     async def answer_heartbeat(
@@ -67,7 +79,7 @@
     ) -> HeartbeatResponse | HeartbeatRefusal:
         answer = await real(self, heartbeat, relayed)
         if isinstance(answer, HeartbeatResponse):
-            answered.append(answer.fencing_token >= heartbeat.fencing_token)
+            token_accepted.append(answer.fencing_token >= heartbeat.fencing_token)
         return answer
 
     monkeypatch.setattr(ShardLeader, "answer_heartbeat", answer_heartbeat)
@@ -75,16 +87,17 @@
     day.run(5)
     for host in HOSTS[:2]:
         cut_from_store(day, host)
-    for one in HOSTS:
-        for other in HOSTS:
-            if one < other:
-                day.world.cut(one, other, "reset")  # nor can a peer tell them that they are outranked
+    for source in HOSTS:
+        for target in HOSTS:
+            if source < target:
+                day.world.cut(source, target, "reset")  # so that no peer can report a higher term to them
     day.run(30)
-    assert len(answered) > 300 and all(answered)
+    assert len(token_accepted) > 300 and all(token_accepted)
     assert day.rules.broken == []
 
 
 def test_an_outranked_leader_steps_down_while_it_asks_for_a_higher_term() -> None:
+    """A leader steps down when a peer reports a higher term of its shard, even while it is raising its own term."""
     day = Day(seed=3)
     day.run(5)
     controller = day.controllers[HOSTS[0]][0]
@@ -92,13 +105,16 @@
     term = leaderships[0].term
     controller.leadership.records.pending_writes.add(0)
     election.step_down_if_outranked(0, term)
-    assert 0 in leaderships, "its own term is no news"
+    assert 0 in leaderships, "a report of its own term changes nothing"
     election.step_down_if_outranked(0, term + 5)
     assert 0 not in leaderships
 
 
 def test_a_leader_that_lost_its_leadership_gives_nothing_away(caplog: pytest.LogCaptureFixture) -> None:
-    """The claim may go while an earlier write of the same round is on its way."""
+    """A write that gives tasks to another shard is not made once the controller no longer leads its own shard.
+
+    It may lose the leadership while an earlier write of the same planning round is in flight.
+    """
     day = Day(seed=4)
     day.run(5)
     day.submit(job("run-a", heads=150, trek_s=10.0))
@@ -107,35 +123,38 @@
     leader = controller.leaders[0]
     controller.leadership_state.step_down(0)
 
-    def give() -> None:
+    def give_tasks_away() -> None:
         record = controller.jobs.store.active["run-a"]
-        top = leader.shard.jobs["run-a"].waiting_bits.bit_length()
-        moved = msgspec.structs.replace(record, ranges=assign_tasks(record.ranges, top - 3, top, 1))
+        end = leader.shard.jobs["run-a"].waiting_bits.bit_length()
+        moved = msgspec.structs.replace(record, ranges=assign_tasks(record.ranges, end - 3, end, 1))
         assert moved.ranges != record.ranges
         day.loop.run(day.loop.spawn(leader.job_transfers.write([Reassignment("run-a", moved)], 1), "give"))
         assert controller.jobs.store.active["run-a"].ranges != moved.ranges
 
-    give()
+    give_tasks_away()
     day.run(3)
-    assert controller.leaders[0] is not leader, "the shard is ours again, with another owner"
-    give()
+    assert controller.leaders[0] is not leader, "the controller leads the shard again, with a new ShardLeader"
+    give_tasks_away()
     assert day.finish() == []
 
 
-@pytest.mark.parametrize("trouble", ["cut", "frozen"])
-def test_only_a_leader_whose_lease_is_surely_valid_deletes_machines(trouble: str) -> None:
-    """It decided before it was paused or was cut off; by now the machine may be a new leader's."""
+@pytest.mark.parametrize("fault", ["cut", "frozen"])
+def test_only_a_leader_whose_lease_is_surely_valid_deletes_machines(fault: str) -> None:
+    """A controller that was paused or cut off does not carry out a deletion that it queued before or meanwhile.
+
+    Another controller may have become the leader of the machine's shard since then.
+    """
     day = Day(seed=10)
     day.run(5)
     host = HOSTS[0]
     controller = day.controllers[host][0]
     name = next(iter(controller.leaders[0].shard.machines))
-    if trouble == "cut":
+    if fault == "cut":
         others = [f"state-{host}", *HOSTS[1:]]
         for other in others:
             day.world.cut(host, other, "hold")
         day.run(6)
-        assert 0 in controller.leaders, "it acts on for G"
+        assert 0 in controller.leaders, "it may still act during the grace period, which is longer than its lease"
         controller.autoscaling.deletion_queue.delete([name])
         day.run(5)
         assert name in day.site.workers
@@ -146,68 +165,76 @@
         day.loop.pause_host(host, 12)
         day.run(13)
     day.run(20)
-    assert name in day.site.workers, "it was a new owner's to decide about"
+    assert name in day.site.workers, "only the new leader of its shard may delete it"
     controller.autoscaling.deletion_queue.delete([name])
     day.run(3)
     assert name not in day.site.workers
 
 
 def test_commands_to_machines_share_few_sockets(monkeypatch: pytest.MonkeyPatch) -> None:
-    """One controller takes over all shards: a connection to each member at once would leave none for anybody else."""
+    """A controller that takes over all shards limits its connections to machines' own addresses.
+
+    Connections to all of them at the same time would leave no sockets for users and peers.
+    """
     monkeypatch.setattr(socket_budget, "MAX_DIRECT_COMMANDS", 8)
-    monkeypatch.setattr(socket_budget, "SOCKETS_PER_DIRECT_COMMAND", 1000)  # so that eight it is at 600 sockets
+    monkeypatch.setattr(socket_budget, "SOCKETS_PER_DIRECT_COMMAND", 1000)  # so that the limit is 8 at 600 sockets
     day = Day(seed=5, machines=60)
     day.run(6)
     for host in HOSTS[1:]:
         day.restart(host, 60 * SECOND)
-    seen: list[int] = []
+    open_streams: list[int] = []  # to machines, after each new connection
     real = HostNetwork.connect
 
     async def connect(self: HostNetwork, address: str, limit: timedelta) -> VirtualStream:
         stream = await real(self, address, limit)
-        streams = [one for one in day.world.streams if one[0] == HOSTS[0] and one[1].startswith("host-")]
-        seen.append(sum(not near.closed for _, _, near, _ in streams))
+        streams = [entry for entry in day.world.streams if entry[0] == HOSTS[0] and entry[1].startswith("host-")]
+        open_streams.append(sum(not near.closed for _, _, near, _ in streams))
         return stream
 
     monkeypatch.setattr(HostNetwork, "connect", connect)
     day.run(8)
-    heir = day.controllers[HOSTS[0]][0]
-    assert all(one.shard.reconciled for one in heir.leaders.values()) and len(heir.leaders) == 3
-    assert 4 < max(seen) <= 8
-    assert day.sockets(HOSTS[0]) <= 60 + 20, "and none is kept"
+    successor = day.controllers[HOSTS[0]][0]
+    assert all(leader.shard.reconciled for leader in successor.leaders.values()) and len(successor.leaders) == 3
+    assert 4 < max(open_streams) <= 8
+    assert day.sockets(HOSTS[0]) <= 60 + 20, "no connection for commands stays open"
 
 
 def test_semaphore() -> None:
+    """Waiting coroutines get permits in their order, urgent ones first and cancelled ones not at all."""
     clock = VirtualClock()
     loop: Loop = DayLoop(clock)
     semaphore = Semaphore(2)
-    came: list[str] = []
+    acquired: list[str] = []  # names of the coroutines, in the order in which they got a permit
 
-    async def visit(name: str, urgent: bool = False) -> None:
+    async def hold_permit(name: str, urgent: bool = False) -> None:
         async with semaphore.acquire(urgent):
-            came.append(name)
+            acquired.append(name)
             await loop.sleep(SECOND)
 
-    routines = [loop.spawn(visit(name), name) for name in "abcd"]
-    routines.append(loop.spawn(visit("u", urgent=True), "u"))
+    coroutines = [loop.spawn(hold_permit(name), name) for name in "abcd"]
+    coroutines.append(loop.spawn(hold_permit("u", urgent=True), "u"))
 
     def run(seconds: float) -> None:
         loop.run(loop.spawn(loop.sleep(timedelta(seconds=seconds)), "run"))
 
     run(0.5)
-    assert came == ["a", "b"]
-    routines[2].cancel()  # it waits, and no longer wants to
+    assert acquired == ["a", "b"]
+    coroutines[2].cancel()  # while it waits for a permit
     run(1)
-    assert came == ["a", "b", "u", "d"], "urgent ones first, then in order"
+    assert acquired == ["a", "b", "u", "d"], "urgent coroutines first, then in the order of their requests"
     run(3)
     assert semaphore.available_permits == 2
-    assert isinstance(routines[2].error, CancelledError)
+    assert isinstance(coroutines[2].error, CancelledError)
 
 
 @pytest.mark.parametrize(("members", "deleted"), [(4, 30), (40, 300)])
 def test_memory_of_deleted_machines_follows_the_fleet(
     members: int, deleted: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The number of tombstones kept is bounded by the number of machines, not by that of the deletions.
+
+    A tombstone is the stored name of a deleted machine. `members`: machines of the shard; `deleted`: deletions.
+    """
     monkeypatch.setattr(tombstone_writer_module, "NAMES_PER_PAGE", 10)
     day = Day(seed=6, machines=3 * members, capacity=0)
     day.run(8)
@@ -217,26 +244,26 @@
     day.run(2)
     pages = {key: value[0] for key, value in day.store.items.items() if key.startswith("b/gone/0/")}
     kept = {name for page in pages.values() for name in page["names"]}
-    assert len(kept) >= min(deleted, 2 * members), "twice as many as it ever had"
-    assert set(names[-2 * members :]) <= kept, "the latest"
-    assert len(kept) <= max(40, 2 * members + 10) + 16, "and not without bound"
+    assert len(kept) >= min(deleted, 2 * members), "at least twice as many names as the shard ever had machines"
+    assert set(names[-2 * members :]) <= kept, "the names of the machines that were deleted last"
+    assert len(kept) <= max(40, 2 * members + 10) + 16, "the number of stored names is bounded"
     assert records.TombstoneRecord(list(kept)).names
 
 
 def calls_in(action: Callable[[], object]) -> int:
-    """How many functions of ours an action calls: the same on every machine, unlike the time it takes.
+    """Return how many calls of Python functions an action makes. Unlike its duration, the number is reproducible.
 
-    What earlier tests left behind is collected before, and not during: its clean-up would be counted.
+    Garbage of earlier tests is collected before the action and not during it, since its finalizers would be counted.
     """
     count = 0
 
-    def seen(frame: FrameType, event: str, argument: object) -> None:
+    def profile(frame: FrameType, event: str, argument: object) -> None:
         nonlocal count
         count += event == "call"
 
     gc.collect()
     gc.disable()
-    sys.setprofile(seen)
+    sys.setprofile(profile)
     try:
         action()
     finally:
@@ -246,11 +273,13 @@
 
 
 def busy_shard(machines: int) -> tuple[Shard, Planner]:
-    """Every machine is full of running tasks, and other tasks wait."""
+    """Return a shard in which running tasks use all machines completely and 50 other tasks wait, and its planner."""
     shard = Shard(0, 7, lambda team: (1e9, 0.0), timedelta(0))
-    kind = MachineType("k8", 8.0, 0.0, 32.0, 10.0, 0.5, 1.0, 0.3, 20.0, ["a"])
+    machine_type = MachineType("k8", 8.0, 0.0, 32.0, 10.0, 0.5, 1.0, 0.3, 20.0, ["a"])
     for number in range(machines):
-        machine = shard.add_machine(f"host-{number}", records.MachineRecord(0, "m:1", "k8", "a", False), kind, SECOND)
+        machine = shard.add_machine(
+            f"host-{number}", records.MachineRecord(0, "m:1", "k8", "a", False), machine_type, SECOND
+        )
         machine.alive = machine.fenced = True
         machine.incarnation, machine.last_response_at = 1, SECOND
     shard.reconciled = True
@@ -264,31 +293,35 @@
 
 
 def test_what_a_heartbeat_costs_does_not_grow_with_the_fleet() -> None:
-    costs = []
+    """Processing a heartbeat makes the same number of function calls, however many machines the shard has."""
+    call_counts = []
     for machines in (30, 300, 900):
         shard, planner = busy_shard(machines)
         machine = shard.machines["host-7"]
         tasks = [TaskStatus(f"run-on/{index}", 99, "running") for index in range(56, 64)]
 
         def heartbeat(sequence: int, shard=shard, planner=planner, machine=machine, tasks=tasks) -> None:
-            one = Heartbeat(machine.name, "m:1", "k8", "a", False, 1, sequence, 7, None, list(tasks))
-            assert shard.on_heartbeat(machine, one, True, 2 * SECOND) is not None
+            message = Heartbeat(machine.name, "m:1", "k8", "a", False, 1, sequence, 7, None, list(tasks))
+            assert shard.on_heartbeat(machine, message, True, 2 * SECOND) is not None
             planner.place_gangs_on(machine, 2 * SECOND, lambda: False)
             planner.fill_machine(machine, 2 * SECOND, lambda: False)
             assert shard.commands(machine, 2 * SECOND, starts=True) == []
 
-        heartbeat(1)  # the order of jobs, and where images lie, are found anew a few times a second
-        costs.append(calls_in(lambda heartbeat=heartbeat: heartbeat(2)))
-    assert costs[0] == costs[1] == costs[2] < 60
+        heartbeat(1)  # also computes the order of the jobs and the images' locations, cached for a fraction of a second
+        call_counts.append(calls_in(lambda heartbeat=heartbeat: heartbeat(2)))
+    assert call_counts[0] == call_counts[1] == call_counts[2] < 60
 
 
 def test_what_a_summary_costs_grows_no_faster_than_the_fleet() -> None:
-    costs = []
+    """The number of function calls that computing a shard's summary makes grows linearly with its machines."""
+    call_counts = []
     for machines in (100, 200, 400):
         shard, planner = busy_shard(machines)
-        costs.append(calls_in(lambda shard=shard, planner=planner: summarize(shard, planner, {2}, False, 2 * SECOND)))
-    assert costs[2] - costs[1] < 2.2 * (costs[1] - costs[0])
-    assert costs[2] < 40 * 400, "a few steps a machine"
+        call_counts.append(
+            calls_in(lambda shard=shard, planner=planner: summarize(shard, planner, {2}, False, 2 * SECOND))
+        )
+    assert call_counts[2] - call_counts[1] < 2.2 * (call_counts[1] - call_counts[0])
+    assert call_counts[2] < 40 * 400, "fewer than 40 calls for each machine"
 
 
 BIG_HEARTBEAT = {
@@ -304,15 +337,20 @@
 }
 
 
-@pytest.mark.parametrize("degraded", [False, True], ids=["well", "outage"])
+@pytest.mark.parametrize("outage", [False, True], ids=["well", "outage"])
 @pytest.mark.parametrize(
-    ("path", "body", "well", "outage"),
+    ("path", "body", "normal_status", "outage_status"),
     [
         ("/v1/jobs", b"{", 400, 400),
         ("/v1/jobs", b" " * 70_000, 400, 400),
         ("/v1/jobs", job("run-n0", heads=0), 400, 400),
         ("/v1/jobs", job("run-n1", heads=100_001), 400, 400),
-        ("/v1/jobs", job("run-n2", gait="group", heads=41), 422, 503),  # over its team's limit; else unknown
+        (
+            "/v1/jobs",
+            job("run-n2", gait="group", heads=41),
+            422,
+            503,
+        ),  # over its team's limit; a controller can't tell during an outage
         ("/v1/jobs", job("run-n3", cpus=9.0), 422, 503),
         ("/v1/jobs", job("run-n4", crew="nobody"), 422, 503),
         ("/v1/jobs", job("run-n5"), 201, 503),
@@ -322,18 +360,21 @@
     ],
 )
 def test_bad_input_is_answered_at_once(
-    path: str, body: object, well: int | None, outage: int | None, degraded: bool, day_at_size: Day
+    path: str, body: object, normal_status: int | None, outage_status: int | None, outage: bool, day_at_size: Day
 ) -> None:
-    """Also with many machines and without the key-value store: nothing is held back, `Retry-After` says when."""
+    """Invalid requests are answered within 2 s, also with many machines and during an outage of the key-value store.
+
+    An answer with status 503 has a `Retry-After` header. None as a status means any of 200, 421 and 503.
+    """
     day = day_at_size
-    day.store.outage(degraded)
+    day.store.outage(outage)
     if isinstance(body, dict) and "ref" in body:
-        body = body | {"ref": f"{body['ref']}-{degraded}"}
+        body = body | {"ref": f"{body['ref']}-{outage}"}
         day.site.jobs[body["ref"]] = body
-    began = day.loop.now()
+    sent_at = day.loop.now()
     response = day.ask("POST", path, body, host=HOSTS[0])
-    assert response is not None and day.loop.now() - began < 2 * SECOND
-    expected = outage if degraded else well
+    assert response is not None and day.loop.now() - sent_at < 2 * SECOND
+    expected = outage_status if outage else normal_status
     assert response.status == expected or (expected is None and response.status in (200, 421, 503))
     if response.status == 503:
         assert "retry-after" in response.headers
@@ -343,7 +384,10 @@
 
 
 def test_a_flood_of_connections_shuts_nobody_out(day_at_size: Day) -> None:
-    """Idle and half-sent ones, more than there are sockets: workers and users are served all the same."""
+    """Users open more connections than a controller has sockets; workers and other users are still served.
+
+    Half of the connections are idle, and the others send an incomplete request.
+    """
     day = day_at_size
     controller = day.controllers[HOSTS[0]][0]
     limit = controller.settings.params.resources.fd_limit
@@ -360,12 +404,15 @@
     assert day.submit(job("run-flood"), tries=10) == 201
     day.run(20)
     assert day.sockets(HOSTS[0]) <= limit
-    assert {name: worker.incarnation for name, worker in day.site.workers.items()} == incarnations, "no lease ran out"
+    assert {name: worker.incarnation for name, worker in day.site.workers.items()} == incarnations, (
+        "no machine's lease expired"
+    )
     assert day.ask("GET", "/up", host=HOSTS[0]).status == 200
 
 
 @pytest.fixture(scope="module")
 def day_at_size() -> Day:
+    """Return a running day with 120 machines, which the tests of this module share."""
     day = Day(seed=11, machines=120)
     day.run(6)
     return day
