--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -1,4 +1,7 @@
-"""Links, modes, damping, routes and the gate: the pure rules, and that no action goes round them."""
+"""Unit tests of failure detection, connectivity modes, flap damping, relay routes, transfer targets and forwarding.
+
+They also check that controller code asks `ActionPolicy` before it acts, and never bypasses it.
+"""
 
 import ast
 import itertools
@@ -30,23 +33,24 @@
 PACKAGE = Path(badgerroute.__file__).parent
 
 
-# -- links
+# -- failure detector and process pauses
 
 
 @pytest.mark.parametrize(
     ("interval", "jitter", "timeout"),
     [
-        (0.5, 0.0, 3.0),  # what is regular is suspected after the least silence that the bounds allow
+        # All in seconds. With a timeout of None, the timeout must be longer than the minimum of 3 s.
+        (0.5, 0.0, 3.0),  # for regular heartbeats, the timeout is the minimum
         (0.5, 0.3, 3.0),
         (2.0, 0.0, 3.0),
-        (2.0, 1.0, None),  # what comes in fits and starts is given longer
+        (2.0, 1.0, None),  # for irregular heartbeats, it is longer than the minimum
         (2.9, 0.1, None),
     ],
 )
 def test_patience_follows_the_delays_that_were_seen(interval: float, jitter: float, timeout: float | None) -> None:
     link, now = FailureDetector(PEER_TIMEOUT, 0 * SECOND), 0 * SECOND
-    for turn in range(60):
-        now += (interval + (jitter if turn % 2 else -jitter)) * SECOND
+    for step in range(60):
+        now += (interval + (jitter if step % 2 else -jitter)) * SECOND
         link.record_heartbeat(now)
     if timeout is None:
         assert PEER_TIMEOUT.minimum < link.timeout <= PEER_TIMEOUT.maximum
@@ -54,8 +58,8 @@
         assert link.timeout == timeout * SECOND
     assert not link.suspected(now + link.timeout - SECOND / 100)
     assert link.suspected(now + link.timeout)
-    longest = now + PEER_TIMEOUT.maximum
-    assert not link.presumed_dead(longest - SECOND / 100) and link.presumed_dead(longest)
+    dead_at = now + PEER_TIMEOUT.maximum
+    assert not link.presumed_dead(dead_at - SECOND / 100) and link.presumed_dead(dead_at)
 
 
 def test_a_cut_does_not_make_the_next_go_unnoticed() -> None:
@@ -76,12 +80,12 @@
     detector, link = PauseDetector(SECOND / 4, 0 * SECOND), FailureDetector(PEER_TIMEOUT, 0 * SECOND)
     link.record_heartbeat(10 * SECOND)
     assert detector.tick(SECOND / 4) == 0 * SECOND
-    for turn in range(2, 41):
-        assert detector.tick(turn * SECOND / 4) == 0 * SECOND
-    standstill = detector.tick(18 * SECOND)
-    assert standstill == 7.75 * SECOND and detector.resumed_at == 18 * SECOND
+    for step in range(2, 41):
+        assert detector.tick(step * SECOND / 4) == 0 * SECOND
+    pause = detector.tick(18 * SECOND)
+    assert pause == 7.75 * SECOND and detector.resumed_at == 18 * SECOND
     assert link.suspected(18 * SECOND)
-    link.discount_pause(standstill, 18 * SECOND)
+    link.discount_pause(pause, 18 * SECOND)
     assert not link.suspected(18 * SECOND)
 
 
@@ -92,14 +96,14 @@
     damping = FlapDamping(4 * SECOND, 60 * SECOND, 30 * SECOND)
     assert damping.delay(0 * SECOND) == 4 * SECOND
     damping.record_loss(SECOND)
-    assert damping.delay(SECOND) == 4 * SECOND, "one loss costs no more than to settle"
+    assert damping.delay(SECOND) == 4 * SECOND, "after one loss, the delay is still the base delay"
     delays = []
-    for turn in range(12):
-        damping.record_loss((2 + turn) * SECOND)
-        delays.append(damping.delay((2 + turn) * SECOND))
+    for step in range(12):
+        damping.record_loss((2 + step) * SECOND)
+        delays.append(damping.delay((2 + step) * SECOND))
     assert delays == sorted(delays) and delays[-1] == 60 * SECOND
-    later = [damping.delay((13 + 30 * turn) * SECOND) for turn in range(8)]
-    assert later == sorted(later, reverse=True) and later[-1] == 4 * SECOND
+    decayed_delays = [damping.delay((13 + 30 * step) * SECOND) for step in range(8)]
+    assert decayed_delays == sorted(decayed_delays, reverse=True) and decayed_delays[-1] == 4 * SECOND
     assert damping.delay(10_000_000 * SECOND) == 4 * SECOND
 
 
@@ -145,10 +149,10 @@
         ([(0, GOOD), (9, GOOD)], [SERVING, SERVING]),
         ([(0, WORKERS_UNREACHABLE), (5, GOOD), (8, GOOD), (9, GOOD)], [NO_WORKERS, *[RECOVERING] * 2, SERVING]),
         ([(0, STORE_UNREACHABLE), (1, GOOD), (5, GOOD)], [NO_STORE, RECOVERING, SERVING]),
-        ([(0, OUTAGE), (5, GOOD)], [Mode.OUTAGE, SERVING]),  # nobody took anything over meanwhile
+        ([(0, OUTAGE), (5, GOOD)], [Mode.OUTAGE, SERVING]),  # no delay: in an outage no peer takes over a shard
         ([(0, STORE_UNREACHABLE), (1, WORKERS_UNREACHABLE), (2, GOOD), (6, GOOD)],
          [NO_STORE, NO_WORKERS, RECOVERING, SERVING]),
-        # The second loss within seconds doubles the time.
+        # The second loss within a few seconds doubles the time in RECOVERING.
         ([(0, WORKERS_UNREACHABLE), (1, GOOD), (2, WORKERS_UNREACHABLE), (3, GOOD), (8, GOOD), (12, GOOD)],
          [NO_WORKERS, RECOVERING, NO_WORKERS, RECOVERING, RECOVERING, SERVING]),
     ],
@@ -156,9 +160,9 @@
 def test_modes_over_time(steps: list[tuple[float, Reachability]], modes: list[Mode]) -> None:
     machine = ModeMachine(FlapDamping(4 * SECOND, 60 * SECOND, 30 * SECOND))
     seen = []
-    for at, reachable in steps:
+    for second, reachable in steps:
         before = machine.mode
-        change = machine.update(reachable, at * SECOND)
+        change = machine.update(reachable, second * SECOND)
         assert (change is None) == (machine.mode is before)
         assert change is None or (change.before, change.after, bool(change.cause.value)) == (before, machine.mode, True)
         seen.append(machine.mode)
@@ -183,7 +187,7 @@
 
 @pytest.mark.parametrize("mode", Mode)
 def test_nothing_that_safety_bounds_is_unbounded(mode: Mode) -> None:
-    """Of what acts for a shard or destroys machines, none is allowed without a time limit in any mode."""
+    """In every mode, the grace period or the lease limits all actions for a shard and the deletion of machines."""
     bounded = {
         Action.ANSWER_HEARTBEAT: {Permission.WITHIN_GRACE},
         Action.START: {Permission.WITHIN_GRACE, Permission.REFUSED},
@@ -223,11 +227,11 @@
             Permission.REFUSED: False,
         }[PERMISSIONS[mode][action]]
         assert policy.allows(action) == policy.allows_for(1, action) == expected
-        assert not policy.allows_for(0, action), "not our shard"
+        assert not policy.allows_for(0, action), "this controller does not lead shard 0"
 
 
 def attribute_uses(names: set[str]) -> dict[str, set[str]]:
-    """Which modules above the storage layer name these attributes."""
+    """Return the modules of coordination/ and rebalancing/ that use each of these attribute names."""
     uses: dict[str, set[str]] = {}
     for path in [*(PACKAGE / "coordination").rglob("*.py"), *(PACKAGE / "rebalancing").glob("*.py")]:
         for node in ast.walk(ast.parse(path.read_text())):
@@ -237,29 +241,29 @@
 
 
 def test_no_action_goes_round_the_policy() -> None:
-    """The proofs behind the permissions are asked for by the gate alone, and every action is asked for somewhere."""
+    """Only the action policy checks the grace period and the lease, and some code names each action of `Action`."""
     policy, state = "coordination/leadership/action_policy.py", "coordination/leadership/leadership_state.py"
-    proofs = attribute_uses({"within_grace", "lease_surely_valid", "may_lead"})
-    assert set().union(*proofs.values()) <= {policy, state}
+    checks = attribute_uses({"within_grace", "lease_surely_valid", "may_lead"})
+    assert set().union(*checks.values()) <= {policy, state}
     assert set(attribute_uses({action.name for action in Action})) == {action.name for action in Action}
 
 
-# -- workers
+# -- link to the workers
 
 
 def test_workers_are_lost_only_if_peers_hear_them() -> None:
     link = WorkerLink()
     link.update({0: 8}, 0 * SECOND)
-    assert not link.lost, "machines that are silent to everybody say nothing of us"
+    assert not link.lost, "overdue heartbeats alone do not show a lost link, since the machines may have failed"
     link.record_peer_heartbeat(0, "host-1", "b", SECOND, relayed=True)
     link.update({0: 8}, SECOND)
-    assert not link.lost, "one may be chance"
+    assert not link.lost, "one machine that reports to a peer is not enough"
     link.record_peer_heartbeat(0, "host-2", "c", SECOND, relayed=False)
     link.update({0: 8}, SECOND)
     assert link.lost and link.lost_for(3 * SECOND) == 2 * SECOND
     assert link.machines_by_peer(0, 2 * SECOND) == {"b": 1, "c": 1}
     assert not link.shard_suspected(0, 8, SECOND, unrelayed_only=True) and link.shard_suspected(0, 8, SECOND)
-    assert link.machines_by_peer(0, 9 * SECOND) == {}, "evidence grows old"
+    assert link.machines_by_peer(0, 9 * SECOND) == {}, "records of heartbeats at peers expire"
     link.update({0: 0}, 9 * SECOND)
     assert not link.lost
 
@@ -267,21 +271,21 @@
 def test_an_answer_gives_workers_time_to_come_back() -> None:
     link = WorkerLink()
 
-    def note(now: timedelta) -> None:
+    def report_to_peer(now: timedelta) -> None:
         for machine in ("host-1", "host-2"):
             link.record_peer_heartbeat(0, machine, "b", now, relayed=True)
         link.update({0: 2}, now)
 
-    note(SECOND)
+    report_to_peer(SECOND)
     assert link.lost
     link.record_machine_reached(2 * SECOND)
     assert not link.lost
-    note(3 * SECOND)
-    assert not link.lost, "they are on trial"
-    note(2 * SECOND + PROBATION)
-    assert link.lost, "and did not come"
+    report_to_peer(3 * SECOND)
+    assert not link.lost, "the link is on probation"
+    report_to_peer(2 * SECOND + PROBATION)
+    assert link.lost, "the probation is over, and the machines still report to a peer"
     link.update({}, 20 * SECOND)
-    assert link.lost, "without a shard nothing is heard either way"
+    assert link.lost, "without a shard no heartbeats are expected, so the link is not known to be up again"
 
 
 # -- routes
@@ -292,25 +296,28 @@
 @pytest.mark.parametrize(
     "steps",
     [
-        # (at, leader lacks its workers, the heartbeat names tasks, what follows)
+        # Each step: the second, whether the leader's workers can't reach it, whether the heartbeat lists tasks, and the
+        # expected route, or None for either route.
         [(0, False, False, REDIRECT)],
-        [(0, False, True, RELAY), (1, False, True, REDIRECT)],  # a busy machine is answered before it is sent away
+        [(0, False, True, RELAY), (1, False, True, REDIRECT)],  # with tasks, the first heartbeat is relayed
         [(0, True, True, RELAY), (1, True, True, RELAY), (500, True, True, RELAY)],
-        # It comes back, so it can't reach its leader: tried again after pauses that double.
+        # The machine returns 6 s after each redirect, so it can't reach its leader. It is redirected again after a
+        # delay, which doubles each time.
         [(0, False, False, REDIRECT), (6, False, True, RELAY), (15, False, True, RELAY), (16, False, True, REDIRECT),
          (22, False, True, RELAY), (41, False, True, RELAY), (42, False, True, REDIRECT)],
-        # After long it is no longer the same stay.
+        # A machine that returns only after this window may have reached its leader, so it is redirected at once.
         [(0, False, False, REDIRECT), (REDIRECT_FAILURE_WINDOW / SECOND, False, False, REDIRECT)],
-        # Once the leader hears workers again, every machine is sent there within the spread.
+        # Once workers can reach the leader again, redirects are spread over 4 s. In the middle of this period, either
+        # route is right. The machine returns 5 s after its redirect, so it can't reach the leader yet.
         [(0, True, True, RELAY), (5, False, True, None), (9, False, True, REDIRECT), (14, False, True, RELAY),
          (15, False, True, RELAY)],
     ],
 )  # fmt: skip
 def test_routes(steps: list[tuple[float, bool, bool, Route | None]]) -> None:
     routes = RelayRoutes()
-    for at, workers_unreachable, busy, expected in steps:
-        route = routes.decide("host-000001", "a", workers_unreachable, busy, (100 + at) * SECOND)
-        assert expected in (None, route), at
+    for second, workers_unreachable, busy, expected in steps:
+        route = routes.decide("host-000001", "a", workers_unreachable, busy, (100 + second) * SECOND)
+        assert expected in (None, route), second
 
 
 def test_machines_go_back_a_few_at_a_time() -> None:
@@ -318,13 +325,13 @@
     machines = [f"host-{number:06d}" for number in range(200)]
     for machine in machines:
         assert routes.decide(machine, "a", True, True, 10 * SECOND) is RELAY
-    waves = []
-    for turn in range(8):
-        now = (11 + turn) * SECOND
-        staying = [one for one in machines if routes.decide(one, "a", False, True, now) is RELAY]
-        waves.append(len(machines) - len(staying))
-        machines = staying
-    assert sum(waves) == 200 and max(waves) <= 110
+    redirects_per_second = []
+    for step in range(8):
+        now = (11 + step) * SECOND
+        relayed = [machine for machine in machines if routes.decide(machine, "a", False, True, now) is RELAY]
+        redirects_per_second.append(len(machines) - len(relayed))
+        machines = relayed
+    assert sum(redirects_per_second) == 200 and max(redirects_per_second) <= 110
 
 
 def test_routes_of_machines_that_went_away_are_forgotten() -> None:
@@ -344,10 +351,11 @@
     [
         ([], None),
         ([TransferCandidate("b", 0, 5)], None),
-        ([TransferCandidate("b", 4, 50), TransferCandidate("c", 3, 10)], "c"),  # by load
-        ([TransferCandidate("b", 9, 50), TransferCandidate("c", 3, 10)], "b"),  # which hears the machines
-        ([TransferCandidate("b", 4, 10), TransferCandidate("c", 5, 10)], "c"),
-        ([TransferCandidate("c", 4, 10), TransferCandidate("b", 4, 10)], "b"),
+        ([TransferCandidate("b", 4, 50), TransferCandidate("c", 3, 10)], "c"),  # c leads fewer machines
+        # Fewer than half as many machines report to c as to b.
+        ([TransferCandidate("b", 9, 50), TransferCandidate("c", 3, 10)], "b"),
+        ([TransferCandidate("b", 4, 10), TransferCandidate("c", 5, 10)], "c"),  # equal load, more machines report to c
+        ([TransferCandidate("c", 4, 10), TransferCandidate("b", 4, 10)], "b"),  # all equal, so by name
     ],
 )
 def test_receiver_of_a_shard(candidates: list[TransferCandidate], chosen: str | None) -> None:
@@ -367,27 +375,29 @@
 # -- forwarding
 
 
-class _Ends:
-    """Two forwarders, with a hand on every message between them."""
+class _ForwarderPair:
+    """Two forwarders, `near` on host b and `far` on host a. The test itself delivers the messages between them."""
 
-    def __init__(self, most: int = 8) -> None:
+    def __init__(self, max_concurrent: int = 8) -> None:
         clock = VirtualClock()
         self.loop = Loop(clock, VirtualPoller(clock))
         self.group = TaskGroup(self.loop, "ends")
         self.sent: list[tuple[str, object]] = []
         self.handled: list[bytes] = []
-        self.near = RequestForwarder(self.loop, self.group, "b", most, 7, self._note)
-        self.far = RequestForwarder(self.loop, self.group, "a", most, 7, self._note)
+        self.near = RequestForwarder(self.loop, self.group, "b", max_concurrent, 7, self._record_sent)
+        self.far = RequestForwarder(self.loop, self.group, "a", max_concurrent, 7, self._record_sent)
 
-    def _note(self, target: str, message: object) -> None:
+    def _record_sent(self, target: str, message: object) -> None:
         self.sent.append((target, message))
 
     async def _handle(self, request: Request, relay: str) -> Response:
         self.handled.append(request.body)
         return Response(200, relay.encode() + b":" + request.body)
 
-    def forward(self, deliver: Callable[[ForwardedRequest], None], limit: float = 1.0) -> Response | None:
-        routine = self.loop.spawn(self.near.forward("a", Request("POST", "/checkin", "", b"x"), limit * SECOND), "f")
+    def forward(self, deliver: Callable[[ForwardedRequest], None], timeout_s: float = 1.0) -> Response | None:
+        routine = self.loop.spawn(
+            self.near.forward("a", Request("POST", "/checkin", "", b"x"), timeout_s * SECOND), "f"
+        )
         self.loop.run(self.loop.spawn(self.loop.sleep(SECOND / 10), "wait"))
         _, request = self.sent.pop()
         assert isinstance(request, ForwardedRequest)
@@ -400,37 +410,37 @@
 
 
 def test_an_answer_counts_once_in_time_and_from_whom_was_asked() -> None:
-    ends = _Ends()
+    pair = _ForwarderPair()
 
     def deliver(request: ForwardedRequest) -> None:
-        ends.far.on_request(request, ends._handle)
-        (answer,) = ends.answers()
-        ends.near.on_response(ForwardedResponse("c", answer.number, 200, b"from another"))
-        ends.near.on_response(ForwardedResponse("a", answer.number + 1, 200, b"to another"))
-        ends.near.on_response(answer)
-        ends.near.on_response(ForwardedResponse("a", answer.number, 200, b"again"))
-
-    response = ends.forward(deliver)
+        pair.far.on_request(request, pair._handle)
+        (answer,) = pair.answers()
+        pair.near.on_response(ForwardedResponse("c", answer.number, 200, b"from another"))
+        pair.near.on_response(ForwardedResponse("a", answer.number + 1, 200, b"to another"))
+        pair.near.on_response(answer)
+        pair.near.on_response(ForwardedResponse("a", answer.number, 200, b"again"))
+
+    response = pair.forward(deliver)
     assert response is not None and (response.status, response.body) == (200, b"b:x")
 
 
 def test_an_answer_that_comes_late_is_nobodys() -> None:
-    ends, kept = _Ends(), []
-    assert ends.forward(kept.append, limit=0.5) is None
-    ends.far.on_request(kept[0], ends._handle)
-    (answer,) = ends.answers()
-    ends.near.on_response(answer)  # changes nothing, and fails nothing
-    again = ends.forward(lambda request: None, limit=0.2)
-    assert again is None, "an old answer is not taken for a new request"
+    pair, requests = _ForwarderPair(), []
+    assert pair.forward(requests.append, timeout_s=0.5) is None
+    pair.far.on_request(requests[0], pair._handle)
+    (answer,) = pair.answers()
+    pair.near.on_response(answer)  # a late response is ignored, without an error
+    second_response = pair.forward(lambda request: None, timeout_s=0.2)
+    assert second_response is None, "the late response is not matched to a new request"
 
 
 def test_requests_on_their_way_are_bounded() -> None:
-    ends = _Ends(most=2)
-    requests = [ends.near.forward("a", Request("GET", "/v1/jobs/run-1", "", b""), SECOND) for _ in range(3)]
-    routines = [ends.loop.spawn(request, "forward") for request in requests]
-    assert [ends.loop.run(routine) for routine in routines] == [None, None, None]
-    assert len(ends.sent) == 2 and ends.near.dropped_requests == 1
+    pair = _ForwarderPair(max_concurrent=2)
+    requests = [pair.near.forward("a", Request("GET", "/v1/jobs/run-1", "", b""), SECOND) for _ in range(3)]
+    routines = [pair.loop.spawn(request, "forward") for request in requests]
+    assert [pair.loop.run(routine) for routine in routines] == [None, None, None]
+    assert len(pair.sent) == 2 and pair.near.dropped_requests == 1
     for number in range(5):
-        ends.far.on_request(ForwardedRequest("b", number, "GET", "/up", b""), ends._handle)
-    ends.answers()
-    assert len(ends.handled) == 2 and ends.far.dropped_requests == 3
+        pair.far.on_request(ForwardedRequest("b", number, "GET", "/up", b""), pair._handle)
+    pair.answers()
+    assert len(pair.handled) == 2 and pair.far.dropped_requests == 3
