--- a/tests/test_connectivity_loopback.py
+++ b/tests/test_connectivity_loopback.py
@@ -1,6 +1,7 @@
-"""Half-open cuts on real sockets: a proxy on every link of three controllers, stand-in workers and key-value store.
+"""Half-open network cuts on real sockets. Some links fail, or only one direction of a link.
 
-A fixed script; `tools/connectivity_measurement.py` plays longer ones by seed, in virtual time.
+Three controllers, simulated workers and a simulated key-value store run on the loopback interface, with a proxy on
+every link. The cuts are fixed; `tools/connectivity_measurement.py` runs longer, seeded sequences in virtual time.
 """
 
 from collections.abc import Callable
@@ -12,40 +13,43 @@
 from tests.standins.day import HOSTS, SECOND, job
 from tests.standins.proxies import Fault, ProxiedDay
 
-pytestmark = pytest.mark.xdist_group("loopback-cuts")  # in real time, so one after the other
+# These tests run in real time, so they must not run in parallel.
+pytestmark = pytest.mark.xdist_group("loopback-cuts")
 RELAYING = OperatorSettings(connectivity=Connectivity(relay=True, settle_s=2))
 CUT_S = 7.0
 
 
-def between(day: ProxiedDay, host: str, others: list[str], there: Fault, back: Fault) -> None:
-    """What the host sends to the others meets one fault, and what they send to it another."""
+def between(day: ProxiedDay, host: str, others: list[str], outgoing: Fault, incoming: Fault) -> None:
+    """Set the fault for packets from the host to the others, and the fault for packets from the others to the host."""
     for other in others:
-        day.world.set(host, other, there, SECOND / 2)
-        day.world.set(other, host, back, SECOND / 2)
+        day.world.set(host, other, outgoing, SECOND / 2)
+        day.world.set(other, host, incoming, SECOND / 2)
 
 
 def heartbeats_dropped(day: ProxiedDay) -> None:
-    """Only what workers send is lost; direct commands go out, and their answers are lost."""
+    """Drop all packets from the workers to one controller: heartbeats, and responses to its direct commands."""
     between(day, HOSTS[0], list(day.site.workers), Fault.PASS, Fault.DROP)
 
 
 def workers_refused(day: ProxiedDay) -> None:
+    """Refuse all connections between one controller and the workers."""
     between(day, HOSTS[0], list(day.site.workers), Fault.REFUSE, Fault.REFUSE)
 
 
 def answers_dropped_and_state_delayed(day: ProxiedDay) -> None:
+    """Drop all packets from one controller to the workers, and delay those between another and the key-value store."""
     between(day, HOSTS[0], list(day.site.workers), Fault.DROP, Fault.PASS)
     between(day, HOSTS[1], [f"state-{HOSTS[1]}"], Fault.DELAY, Fault.DELAY)
 
 
 def opposite(day: ProxiedDay) -> None:
-    """One controller reaches the workers only, the others the key-value store only."""
+    """Cut one controller off from the key-value store, and the other two from the workers."""
     between(day, HOSTS[0], [f"state-{HOSTS[0]}"], Fault.DROP, Fault.DROP)
     for host in HOSTS[1:]:
         between(day, host, list(day.site.workers), Fault.REFUSE, Fault.REFUSE)
 
 
-def whole(day: ProxiedDay) -> None:
+def heal_all(day: ProxiedDay) -> None:
     for source, target in list(day.world.proxies):
         day.world.set(source, target, Fault.PASS)
         day.world.set(target, source, Fault.PASS)
@@ -62,7 +66,7 @@
         day.run(1)
         cut(day)
         day.run(CUT_S)
-        whole(day)
+        heal_all(day)
         assert day.finish(90) == []
         assert day.rules.broken == []
         assert day.history_problems() == []
@@ -71,7 +75,7 @@
 
 
 def test_the_opposite_cut_is_relayed_over_real_sockets() -> None:
-    """Otherwise a machine would let go of its tasks: the cut lasts for longer than a lease."""
+    """The cut lasts longer than a worker's lease. If no heartbeats were relayed, workers would kill their tasks."""
     day = ProxiedDay(2, machines=6, capacity=0, operator=RELAYING)
     try:
         day.run(4)
@@ -79,9 +83,11 @@
         day.run(2)
         opposite(day)
         day.run(16)
-        relayed = sum(one.requests.heartbeat_handler.relayed_heartbeats for one, _ in day.controllers.values())
+        relayed = sum(
+            controller.requests.heartbeat_handler.relayed_heartbeats for controller, _ in day.controllers.values()
+        )
         killed = len(day.site.killed_by_lease)
-        whole(day)
+        heal_all(day)
         assert relayed > 10 and killed == 0, (relayed, killed)
         assert day.finish(90) == []
         assert day.rules.broken == [] and day.history_problems() == []
@@ -95,11 +101,11 @@
         day.run(3)
         user, host = "user", HOSTS[0]
         assert day.ask("GET", "/up", host=host) is not None
-        for there, back in ((Fault.PASS, Fault.DELAY), (Fault.DELAY, Fault.PASS)):
-            between(day, user, [host], there, back)
-            began = day.loop.now()
+        for outgoing, incoming in ((Fault.PASS, Fault.DELAY), (Fault.DELAY, Fault.PASS)):
+            between(day, user, [host], outgoing, incoming)
+            asked_at = day.loop.now()
             assert day.ask("GET", "/up", host=host) is not None
-            assert timedelta(seconds=0.4) < day.loop.now() - began < timedelta(seconds=2)
+            assert timedelta(seconds=0.4) < day.loop.now() - asked_at < timedelta(seconds=2)
         for fault in (Fault.DROP, Fault.REFUSE):
             between(day, user, [host], fault, Fault.PASS)
             assert day.loop.run(day.loop.spawn(day.status_of("GET", "/up", host), "user")) is None
