--- a/tests/test_connectivity_days.py
+++ b/tests/test_connectivity_days.py
@@ -1,4 +1,7 @@
-"""Half-open cuts in virtual time: several controllers lose links, and every run ends with one final answer."""
+"""Half-open network cuts in simulated runs of a whole cluster: some links fail, or only one direction of a link.
+
+Every accepted job must end with exactly one final answer to its user, whatever links the controllers lose.
+"""
 
 import logging
 from collections.abc import Callable, Iterator
@@ -18,8 +21,13 @@
 
 RELAYING = OperatorSettings(connectivity=Connectivity(relay=True))
 SEEDS = [1, 2]
-FLAPS = [(1, 1), (3, 2), (7, 1), (7, 2)]  # seconds, seed; tools/connectivity_measurement.py plays more
-LEASE_S = 11  # of the stand-in workers
+FLAPS = [
+    (1, 1),
+    (3, 2),
+    (7, 1),
+    (7, 2),
+]  # (length of each phase in s, seed); tools/connectivity_measurement.py runs more
+LEASE_S = 11  # lease of the simulated workers
 Fault = Callable[[Day], None]
 
 
@@ -30,7 +38,7 @@
 
 
 def play(day: Day, fault: Fault) -> CutCounts:
-    """Play a fault beside a workload, then check everything from outside."""
+    """Inject a fault while a workload runs, let all jobs end, check that no rule was broken, and return the counts."""
     watch = CutWatch(day)
     fault(day)
     counts = watch.end()
@@ -45,7 +53,7 @@
 
 
 def others(host: str) -> list[str]:
-    return [one for one in HOSTS if one != host]
+    return [other for other in HOSTS if other != host]
 
 
 # -- Flapping
@@ -63,7 +71,7 @@
 @pytest.mark.parametrize("mode", ["reset", "hold", "one_way"])
 def test_flapping_worker_links_move_no_shard_about(seconds: float, mode: str, seed: int) -> None:
     counts = play(cluster(seed), flapping_workers(seconds, mode))
-    assert counts.hand_overs <= 2, "in all, not for each cut"
+    assert counts.hand_overs <= 2, "in total, however many cuts there are"
     assert counts.killed_by_lease == []
     assert counts.shard_seconds_without_leader <= 2
 
@@ -74,28 +82,30 @@
     counts = play(cluster(seed), flapping_store(seconds, mode))
     assert counts.hand_overs <= 2
     assert counts.killed_by_lease == []
-    assert 20 * counts.users_503 <= counts.users_asked, "a sibling answers in its place"
+    assert 20 * counts.users_503 <= counts.users_asked, "a peer answers instead of the controller that is cut off"
 
 
 def test_damping_delays_the_return_of_a_shard_more_from_cut_to_cut() -> None:
-    """Without relays each cut passes the shard away; it comes back later each time, and without a cut soon again."""
+    """Without relays each cut moves the shard to a peer. It returns later after each further cut, but within 90 s."""
     day = cluster(3, OperatorSettings())
     day.run(5)
     host = HOSTS[0]
     cut, heal = from_workers(day, [host], "reset")
-    away = []
+    return_delays = []
     for _ in range(4):
         cut()
         assert day.run_until(lambda: not day.controllers[host][0].leadership_state.leaderships, 30)
         heal()
-        began = day.loop.now()
+        healed_at = day.loop.now()
         assert day.run_until(lambda: bool(day.controllers[host][0].leadership_state.leaderships), 120)
-        away.append((day.loop.now() - began) / SECOND)
-    assert away[0] < 16 and away[-1] > 1.2 * away[0] and away[-1] < 90, away
+        return_delays.append((day.loop.now() - healed_at) / SECOND)
+    assert return_delays[0] < 16 and return_delays[-1] > 1.2 * return_delays[0] and return_delays[-1] < 90, (
+        return_delays
+    )
     assert day.finish(300) == [] and day.rules.broken == []
 
 
-# -- A cut that heals exactly as a peer takes over
+# -- A cut that heals at the moment when a peer takes over the shard
 
 
 def heals_at_election(seconds: float, mode: str) -> Fault:
@@ -107,7 +117,10 @@
 
 
 def heals_when(reached: Callable[[Day, str, int], bool], mode: str) -> Fault:
-    """The link heals in the very step in which a peer has come so far with the shard."""
+    """Cut a controller off from the key-value store, and heal the link as soon as `reached` is true.
+
+    `reached(day, host, shard)` tells whether a peer has taken over the shard of the controller up to a certain step.
+    """
 
     def fault(day: Day) -> None:
         host = pick(day)
@@ -124,22 +137,29 @@
     return fault
 
 
-def heirs(day: Day, host: str, shard: int) -> Iterator[Controller]:
+def new_leaders(day: Day, host: str, shard: int) -> Iterator[Controller]:
     return (
-        one for name, (one, _) in day.controllers.items() if name != host and shard in one.leadership_state.leaderships
+        controller
+        for name, (controller, _) in day.controllers.items()
+        if name != host and shard in controller.leadership_state.leaderships
     )
 
 
 def led(day: Day, host: str, shard: int) -> bool:
-    return any(True for _ in heirs(day, host, shard))
+    return any(True for _ in new_leaders(day, host, shard))
 
 
 def ready(day: Day, host: str, shard: int) -> bool:
-    return any(shard in one.leaders and one.leaders[shard].ready for one in heirs(day, host, shard))
+    return any(
+        shard in controller.leaders and controller.leaders[shard].ready for controller in new_leaders(day, host, shard)
+    )
 
 
 def reconciled(day: Day, host: str, shard: int) -> bool:
-    return any(shard in one.leaders and one.leaders[shard].shard.reconciled for one in heirs(day, host, shard))
+    return any(
+        shard in controller.leaders and controller.leaders[shard].shard.reconciled
+        for controller in new_leaders(day, host, shard)
+    )
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -163,7 +183,7 @@
 
 
 def opposite(seconds: float, mode: str) -> Fault:
-    """One lacks the key-value store, the others their workers: between them they reach everything."""
+    """Cut one controller off from the key-value store, and the others from the workers."""
 
     def fault(day: Day) -> None:
         host = pick(day)
@@ -180,15 +200,16 @@
 def test_two_controllers_half_open_in_opposite_ways(mode: str, seed: int) -> None:
     day = cluster(seed)
     counts = play(day, opposite(40, mode))
-    # Where connections hang, a worker gives two nodes up, 5 s each, before it comes to the one that it reaches: for
-    # some that is longer than their lease of 11 s. Of those that are answered once, none loses a task.
-    assert [at for at in counts.killed_by_lease if mode == "reset" or at > LEASE_S + 2] == []
+    # If connections hang, a worker's requests to two controllers time out, after 5 s each, before it tries the one that
+    # it can reach. For some workers this takes longer than their lease of 11 s, so tasks may be killed in the first
+    # 13 s. Once a worker has received a response, its tasks must not be killed.
+    assert [time for time in counts.killed_by_lease if mode == "reset" or time > LEASE_S + 2] == []
     assert counts.relayed > 100
     assert counts.users_503 <= 2
 
 
 def test_without_relays_the_opposite_cuts_kill_tasks() -> None:
-    """So that the test above shows something."""
+    """Show that without relays the workers' leases expire, so that the test above does test the relays."""
     day = cluster(1, OperatorSettings())
     watch = CutWatch(day)
     opposite(40, "hold")(day)
@@ -196,7 +217,7 @@
 
 
 def one_after_the_other(day: Day) -> None:
-    """Each controller in turn loses its workers, the next before the one before is whole again."""
+    """Cut the controllers off from the workers in turn. Each cut heals only after the next one has begun."""
     links = [from_workers(day, [host], "reset") for host in HOSTS]
     for turn in range(6):
         links[turn % 3][0]()
@@ -208,29 +229,32 @@
 
 
 def all_unheard(day: Day) -> None:
+    """Cut all controllers off from the workers for 9 s, less than a lease; connections hang."""
     hold(day, from_workers(day, HOSTS, "hold"), 9)
 
 
 def all_unheard_for_long(day: Day) -> None:
+    """Cut all controllers off from the workers for 25 s, longer than a lease; connections are reset."""
     hold(day, from_workers(day, HOSTS, "reset"), 25)
 
 
 def zone_cut_off(day: Day) -> None:
-    """A zone with a controller: it keeps its own workers, and loses everything else."""
+    """Cut a zone off from everything outside. The controller in it reaches only the workers of the zone."""
     host = pick(day)
     inside = [host, *(name for name, worker in day.site.workers.items() if worker.zone == "a")]
-    outside = [one for one in (*HOSTS, *day.site.workers, "cloud", f"state-{host}") if one not in inside]
+    outside = [name for name in (*HOSTS, *day.site.workers, "cloud", f"state-{host}") if name not in inside]
     hold(day, between(day, inside, outside, "hold"), 30)
 
 
 def isolated(day: Day) -> None:
+    """Cut one controller off from everything: its peers, the workers, the key-value store and the cloud."""
     host = pick(day)
     everything = [*others(host), *day.site.workers, f"state-{host}", "cloud"]
     hold(day, between(day, [host], everything, "hold"), 30)
 
 
 def relay_ends_in_mid_answer(day: Day) -> None:
-    """Whoever relays is killed again and again, the answers of the leader on their way through it."""
+    """Restart each controller that relays heartbeats, while responses of the leader pass through it."""
     host = pick(day)
     cut, heal = from_workers(day, [host], "hold")
     cut()
@@ -242,7 +266,7 @@
 
 
 def paused_leader(day: Day) -> None:
-    """The leader is paused while its heartbeats are relayed, and wakes when its shard is somebody else's."""
+    """Pause a leader whose heartbeats are relayed. When it resumes, another controller leads its shard."""
     host = pick(day)
     cut, heal = from_workers(day, [host], "hold")
     cut()
@@ -253,6 +277,7 @@
 
 
 def paused_relay(day: Day) -> None:
+    """Pause, one after the other, the controllers that relay heartbeats to a leader."""
     host = pick(day)
     cut, heal = from_workers(day, [host], "reset")
     cut()
@@ -264,14 +289,14 @@
 
 
 def late_hand_over(day: Day) -> None:
-    """Transactions get no answer and are carried out late, while shards are handed over."""
+    """Transfer shards while half of the transactions get no response and are carried out late."""
     day.store.late_write_probability = 0.5
     hold(day, from_workers(day, [pick(day)], "reset"), 20)
     day.store.late_write_probability = 0.0
 
 
 def lost_hand_over(day: Day) -> None:
-    """The answer to a leadership transfer is lost."""
+    """Lose the response to one transaction every 3 s, so that the response to a leadership transfer is lost."""
     cut, heal = from_workers(day, [pick(day)], "reset")
     cut()
     for _ in range(6):
@@ -282,17 +307,17 @@
 
 
 def receiver_ends(day: Day) -> None:
-    """Whoever was handed the shard ends in mid-leadership transfer."""
+    """Restart the controller that a shard is transferred to, before the transfer is complete."""
     host = pick(day)
     cut, heal = from_workers(day, [host], "reset")
     cut()
 
-    def handed() -> str | None:
+    def transferred_to() -> str | None:
         value = day.store.items[f"b/parts/{HOSTS.index(host)}"][0]
         return value["owner"] if value.get("handed") else None
 
-    day.run_until(lambda: handed() is not None, 30)
-    receiver = handed()
+    day.run_until(lambda: transferred_to() is not None, 30)
+    receiver = transferred_to()
     if receiver is not None and receiver != host:
         day.restart(receiver, 4 * SECOND)
     day.run(12)
@@ -300,13 +325,14 @@
 
 
 def teams_at_their_limits(day: Day) -> None:
+    """Submit more work than the limits of two teams allow to run, then inject `opposite`."""
     for number in range(4):
         day.submit(job(f"run-l{number}", heads=30, trek_s=9.0, crew=("blue", "red")[number % 2]))
     opposite(25, "hold")(day)
 
 
 def cancellations(day: Day) -> None:
-    """Jobs are called off at whole controllers while another lacks its workers, and at that one too."""
+    """Cancel jobs at every controller while one of them is cut off from the workers."""
     host = pick(day)
     cut, heal = from_workers(day, [host], "hold")
     cut()
@@ -318,12 +344,13 @@
 
 
 def cancellations_in_an_outage(day: Day) -> None:
-    """Nobody reaches the key-value store for longer than `cancel_s`, right after cancellations were confirmed."""
+    """Confirm cancellations, then cut all controllers off from the key-value store for longer than `cancel_s`."""
     for number in range(3):
         assert day.cancel(f"run-a{number}") == "withdrawn"
     hold(day, from_store(day, HOSTS, "refuse"), 42)
 
 
+# With `relay_s` of 0, a leader that its workers can't reach transfers its shard without being served by relays first.
 NO_RELAY_SERVES = OperatorSettings(connectivity=Connectivity(relay=True, relay_s=0))
 MEETINGS: list[tuple[Fault, OperatorSettings]] = [
     (one_after_the_other, RELAYING),
@@ -352,7 +379,10 @@
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("older", [HOSTS[:1], HOSTS[1:], HOSTS[2:]], ids=["owner", "relays", "one_relay"])
 def test_beside_the_version_in_production(older: list[str], seed: int) -> None:
-    """An older peer neither relays nor takes what is relayed: the shard goes where its workers report."""
+    """A peer of the production version neither relays heartbeats nor accepts relayed ones.
+
+    The leader must transfer the shard to a peer that its workers report to.
+    """
     day = cluster(seed, production_hosts=older)
 
     def fault(day: Day) -> None:
@@ -363,7 +393,7 @@
     play(day, fault)
 
 
-# -- Relaying long enough: the shard is handed to a peer that its workers reach
+# -- After the maximum relay time, the shard is transferred to a peer that its workers can reach
 
 
 def test_a_cut_that_lasts_transfers_the_shard_once() -> None:
@@ -372,16 +402,16 @@
     counts = play(day, lambda day: hold(day, from_workers(day, HOSTS[:1], "hold"), 60))
     assert counts.hand_overs == 1 and counts.relayed > 30 and counts.killed_by_lease == []
     assert day.run_until(lambda: day.controllers[HOSTS[0]][0].leadership_state.leaderships != {}, 60), (
-        "and home again afterwards"
+        "after the cut, its home controller leads the shard again"
     )
 
 
 def test_shards_of_a_controller_without_workers_go_to_different_peers() -> None:
-    """By load: a controller with two shards does not give both to the same peer."""
+    """A controller that leads two shards and loses its workers transfers them by load, so not both to one peer."""
     day = cluster(6, NO_RELAY_SERVES)
     day.restart(HOSTS[1], 30 * SECOND)
     assert day.run_until(
-        lambda: sum(len(one.leadership_state.leaderships) for one, _ in day.controllers.values()) == 3, 20
+        lambda: sum(len(controller.leadership_state.leaderships) for controller, _ in day.controllers.values()) == 3, 20
     )
     busy = max(day.controllers, key=lambda host: len(day.controllers[host][0].leadership_state.leaderships))
     idle = next(host for host in day.controllers if host != busy)
@@ -395,7 +425,10 @@
 @pytest.mark.parametrize("seed", [*SEEDS, 3])
 @pytest.mark.parametrize("fault", ["refused", "crashed", "frozen"])
 def test_a_new_leader_whose_machines_have_yet_to_come_reaches_its_workers(fault: str, seed: int) -> None:
-    """They report to the former leader, or are relayed by it, for some seconds after a takeover."""
+    """For some seconds after a takeover, workers report to the former leader, or it relays their heartbeats.
+
+    The new leader must not take this for a lost link to its workers.
+    """
     day = cluster(seed)
     host = pick(day)
 
@@ -409,43 +442,46 @@
         day.run(22)
 
     counts = play(day, lose)
-    assert [one for one in others(host) if "unheard" in counts.modes[one]] == []
+    assert [peer for peer in others(host) if "unheard" in counts.modes[peer]] == []
 
 
-# -- What docs/safety.md says of relays, sentence by sentence
+# -- The rules for relayed heartbeats in docs/safety.md, one by one
 
 
 def test_the_relay_hands_on_the_leaders_own_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    made: list[bytes] = []
-    handed: list[bytes] = []
-    answer, relay = HeartbeatHandler._answer, HeartbeatHandler._relay
+    leader_responses: list[bytes] = []
+    relayed_responses: list[bytes] = []
+    real_answer, real_relay = HeartbeatHandler._answer, HeartbeatHandler._relay
 
-    async def noting_answer(self: HeartbeatHandler, *arguments: object) -> Response:
-        response = await answer(self, *arguments)  # type: ignore[arg-type]
-        made.append(response.body)
+    async def recording_answer(self: HeartbeatHandler, *arguments: object) -> Response:
+        response = await real_answer(self, *arguments)  # type: ignore[arg-type]
+        leader_responses.append(response.body)
         return response
 
-    async def noting_relay(self: HeartbeatHandler, *arguments: object) -> Response | None:
-        response = await relay(self, *arguments)  # type: ignore[arg-type]
+    async def recording_relay(self: HeartbeatHandler, *arguments: object) -> Response | None:
+        response = await real_relay(self, *arguments)  # type: ignore[arg-type]
         if response is not None:
-            handed.append(response.body)
+            relayed_responses.append(response.body)
         return response
 
-    monkeypatch.setattr(HeartbeatHandler, "_answer", noting_answer)
-    monkeypatch.setattr(HeartbeatHandler, "_relay", noting_relay)
+    monkeypatch.setattr(HeartbeatHandler, "_answer", recording_answer)
+    monkeypatch.setattr(HeartbeatHandler, "_relay", recording_relay)
     play(cluster(1), lambda day: hold(day, from_workers(day, HOSTS[:1], "hold"), 20))
-    assert len(handed) > 20 and set(handed) <= set(made)
+    assert len(relayed_responses) > 20 and set(relayed_responses) <= set(leader_responses)
 
 
 def tampering(change: Callable[[Day, Controller, ForwardedRequest], None]) -> Callable[[Day], Callable]:
-    """Do something more with each request that is passed on."""
+    """Return a function that, for a `Day`, makes a hook for new controllers.
+
+    With the hook, a controller calls `change` after each forwarded request that it receives.
+    """
 
     def install(day: Day) -> Callable:
         def on_start(controller: Controller) -> None:
-            real = controller.membership.forwarder.on_request
+            real_on_request = controller.membership.forwarder.on_request
 
             def on_request(message: ForwardedRequest, handle: Handler) -> None:
-                real(message, handle)
+                real_on_request(message, handle)
                 change(day, controller, message)
 
             controller.membership.forwarder.on_request = on_request  # type: ignore[method-assign]
@@ -456,17 +492,20 @@
 
 
 def late_copies(day: Day, controller: Controller, message: ForwardedRequest) -> None:
-    """Each comes again, at once and late, out of order, and at others who may have become leaders."""
+    """Deliver a forwarded request three more times, each to a random controller: at once, within 3 s and within 30 s.
+
+    The copies are out of order, and their receivers may have become leaders of the shard since.
+    """
     for delay in (0.0, day.random.uniform(0.1, 3), day.random.uniform(3, 30)):
         host = day.random.choice(HOSTS)
 
-        def again(host: str = host) -> None:
+        def deliver_copy(host: str = host) -> None:
             if host in day.controllers:
                 receiver = day.controllers[host][0]
                 forwarder, handle = receiver.membership.forwarder, receiver.requests.api.handle_forwarded
                 forwarder._group.spawn(forwarder._answer(message, handle), "copy")
 
-        day.loop.later(timedelta(seconds=delay), again)
+        day.loop.later(timedelta(seconds=delay), deliver_copy)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -486,39 +525,46 @@
 
 
 def test_what_was_passed_on_once_is_not_passed_on_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Also if the leader changed meanwhile: then nobody answers, and the worker reports anew."""
+    """A controller that receives a forwarded heartbeat for a shard that it does not lead answers 503.
+
+    This happens if the leader changed since the heartbeat was forwarded. The worker then sends another heartbeat.
+    """
     day = cluster(2)
     day.run(5)
     heartbeat = day.site.workers["host-000001"].heartbeat()
     body = str(heartbeat).replace("'", '"').replace("None", "null").replace("True", "true").replace("False", "false")
-    desk_of = {host: one.requests.heartbeat_handler for host, (one, _) in day.controllers.items()}
-    leader = next(host for host, desk in desk_of.items() if desk._shard_of("host-000001") in desk._leaders)
+    handlers = {host: controller.requests.heartbeat_handler for host, (controller, _) in day.controllers.items()}
+    leader = next(host for host, handler in handlers.items() if handler._shard_of("host-000001") in handler._leaders)
     sent: list[str] = []
-    for one, _ in day.controllers.values():
-        monkeypatch.setattr(one.membership.forwarder, "_send", lambda target, message: sent.append(target))
+    for controller, _ in day.controllers.values():
+        monkeypatch.setattr(controller.membership.forwarder, "_send", lambda target, message: sent.append(target))
     for host in others(leader):
-        routine = day.loop.spawn(desk_of[host].handle(Request("POST", "/checkin", "", body.encode()), leader), "r")
+        routine = day.loop.spawn(handlers[host].handle(Request("POST", "/checkin", "", body.encode()), leader), "r")
         assert day.loop.run(routine).status == 503
     assert sent == []
 
 
 def test_a_start_lost_with_its_relay_counts_until_a_later_heartbeat(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The leader's answers vanish on their way through the relay for a while: no task runs twice, and all run."""
+    """Forwarded responses are lost with a probability of 0.4, some of them with start commands.
+
+    A task whose start command was lost counts as started until a later heartbeat of its worker lacks the task. No task
+    may run twice, and all must run.
+    """
     day = cluster(3)
-    lost = 0
-    for one, _ in day.controllers.values():
-        real = one.membership.forwarder.on_response
+    lost_responses = 0
+    for controller, _ in day.controllers.values():
+        real_on_response = controller.membership.forwarder.on_response
 
-        def on_response(message: ForwardedResponse, real: Callable = real) -> None:
-            nonlocal lost
+        def on_response(message: ForwardedResponse, real_on_response: Callable = real_on_response) -> None:
+            nonlocal lost_responses
             if day.random.random() < 0.4:
-                lost += 1
+                lost_responses += 1
             else:
-                real(message)
+                real_on_response(message)
 
-        monkeypatch.setattr(one.membership.forwarder, "on_response", on_response)
+        monkeypatch.setattr(controller.membership.forwarder, "on_response", on_response)
     play(day, lambda day: hold(day, from_workers(day, HOSTS[:1], "hold"), 30))
-    assert lost >= 5
+    assert lost_responses >= 5
 
 
 def test_users_of_a_controller_without_the_store_are_answered_by_a_peer() -> None:
@@ -526,12 +572,12 @@
     day.store.refused_hosts.add(HOSTS[0])
     for step in range(8):
         day.run(1)
-        described = job(f"run-u{step}", heads=2)
-        day.site.jobs[described["ref"]] = described
-        response = day.ask("POST", "/v1/jobs", described, HOSTS[0])
+        description = job(f"run-u{step}", heads=2)
+        day.site.jobs[description["ref"]] = description
+        response = day.ask("POST", "/v1/jobs", description, HOSTS[0])
         assert response is not None and response.status == 201, (step, response)
-        day.accepted.add(described["ref"])
-        assert day.poll(described["ref"], HOSTS[0]) in ("queued", "running", "done")
+        day.accepted.add(description["ref"])
+        assert day.poll(description["ref"], HOSTS[0]) in ("queued", "running", "done")
     day.run(3)
     assert day.cancel("run-a0", tries=1, host=HOSTS[0]) == "withdrawn"
     day.store.refused_hosts.clear()
@@ -548,13 +594,13 @@
 )
 def test_in_an_outage_users_are_told_at_once_when_to_come_back(method: str, path: str, body: dict | None) -> None:
     day = cluster(5)
-    cut, heal = from_store(day, HOSTS, "hold")  # so that an attempt would last until its time limit
+    cut, heal = from_store(day, HOSTS, "hold")  # a request to the store would hang until it times out
     cut()
     day.run(8)
-    began = day.loop.now()
+    asked_at = day.loop.now()
     response = day.ask(method, path, body, HOSTS[1])
     assert response is not None and response.status == 503 and response.headers.get("retry-after") == "1"
-    assert day.loop.now() - began < SECOND / 10
+    assert day.loop.now() - asked_at < SECOND / 10
     heal()
     assert day.finish(300) == [] and day.rules.broken == []
 
@@ -571,26 +617,33 @@
     assert day.finish(300) == [] and day.rules.broken == []
 
 
-# -- What a controller does not do in an impaired mode, seen from outside
+# -- What a controller must not do in an impaired mode
 
 
 def test_an_unrecorded_controller_starts_nothing_and_keeps_what_runs() -> None:
-    """It lacks the key-value store and its peers, so that nobody tells it that its shard is taken."""
+    """A controller that reaches neither the key-value store nor its peers can't learn that it lost its shard.
+
+    In this mode (`unrecorded`), it must not start tasks, and must not stop those that run.
+    """
     day = cluster(7)
     host = HOSTS[0]
     shard = HOSTS.index(host)
     day.run(6)
-    mine = {name for name in day.controllers[host][0].leaders[shard].shard.machines}
+    own_machines = {name for name in day.controllers[host][0].leaders[shard].shard.machines}
     cut, heal = between(day, [host], [*others(host), f"state-{host}"], "hold")
     cut()
     day.run(4)
     assert day.controllers[host][0].membership.monitor.mode.value == "unrecorded"
     controller = day.controllers[host][0]
-    sent = [placement for one in controller.leaders[shard].shard.machines.values() for placement in one.placements]
+    placements_before = [
+        placement for machine in controller.leaders[shard].shard.machines.values() for placement in machine.placements
+    ]
     day.run(4)
-    now = [placement for one in controller.leaders[shard].shard.machines.values() for placement in one.placements]
-    assert set(now) <= set(sent), "nothing new is placed"
-    assert day.site.killed_by_lease == [] and mine
+    placements_after = [
+        placement for machine in controller.leaders[shard].shard.machines.values() for placement in machine.placements
+    ]
+    assert set(placements_after) <= set(placements_before), "no task is placed while the controller is cut off"
+    assert day.site.killed_by_lease == [] and own_machines
     heal()
     assert day.finish(300) == [] and day.rules.broken == []
 
@@ -611,21 +664,21 @@
     day.loop.pause_host(HOSTS[2], 3)
     day.run(30)
     lines = [record.getMessage() for record in caplog.records if record.name == connectivity_monitor.__name__]
-    told = [line for line in lines if "mode_changed" in line and f"host={HOSTS[0]} " in line]
-    assert [line.split()[2:5] for line in told][:3] == [
+    mode_changes = [line for line in lines if "mode_changed" in line and f"host={HOSTS[0]} " in line]
+    assert [line.split()[2:5] for line in mode_changes][:3] == [
         ["from=serving", "to=unheard", "cause=workers_report_to_siblings"],
         ["from=unheard", "to=recovering", "cause=links_are_back"],
         ["from=recovering", "to=unrecorded", "cause=state_service_silent"],
     ]
-    assert told[-1].split()[3:5] == ["to=serving", "cause=links_are_good"]
+    assert mode_changes[-1].split()[3:5] == ["to=serving", "cause=links_are_good"]
     assert any("process_paused" in line and f"host={HOSTS[2]} " in line for line in lines)
 
 
-# -- The checker itself
+# -- The history checker
 
 
 @pytest.mark.parametrize(
-    ("breach", "named"),
+    ("breach", "violation"),
     [
         (lambda history: history.started("run-a0/0", "host-x", 99, timedelta(0)), "doubled"),
         (lambda history: history.runs.pop("run-a1/0"), "lost"),
@@ -633,8 +686,8 @@
         (lambda history: history.answered("run-a3", "withdrawn", timedelta(0)), "answers"),
     ],
 )
-def test_the_history_checker_catches(breach: Callable, named: str) -> None:
+def test_the_history_checker_catches(breach: Callable, violation: str) -> None:
     day = cluster(1)
     assert day.finish(200) == [] and day.history_problems() == []
     breach(day.rules.history)
-    assert any(problem.startswith(named) for problem in day.history_problems())
+    assert any(problem.startswith(violation) for problem in day.history_problems())
