--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -1,4 +1,4 @@
-"""Rebalancing piece by piece: tables of cases for its settings, its view, its advice and its choice of moves."""
+"""Unit tests of rebalancing: its settings, the fleet view, the scheduling guidance, moves of tasks, and drains."""
 
 import subprocess
 import sys
@@ -72,7 +72,7 @@
     ("text", "complaint"),
     [
         ('{"rebalancing": {"window_s": 1}}', "rebalancing.window_s"),
-        ('{"rebalancing": [{"stale_s": 2}]}', None),  # a block may also be a list of one
+        ('{"rebalancing": [{"stale_s": 2}]}', None),  # a block may also be a list with one element
         ('{"rebalancing": {', "not HCL"),
         ("[]", "top level"),
     ],
@@ -95,161 +95,169 @@
     subprocess.run([sys.executable, "-c", code], cwd=ROOT, check=True)
 
 
-# -- waits and the view
+# -- waiting times and the fleet view
 
 
 def waiting_shard(**changes: object) -> tuple[Shard, Job]:
-    one = shard(machines=1)
-    return one, add(one, submission(**changes))
+    target = shard(machines=1)
+    return target, add(target, submission(**changes))
 
 
 def test_waits_count_what_was_started_lately_and_what_waits() -> None:
-    one, job = waiting_shard(tasks=4)
+    target, job = waiting_shard(tasks=4)
     waits = RecentWaits(20 * S, 0 * S)
     for _ in range(9):
         waits.record(job, 3 * S, 1 * S)
-    told = waits.snapshot(one, 5 * S)
-    assert [(each.team, each.job_class, each.waiting, each.oldest_s) for each in told] == [("blue", "batch", 4, 5.0)]
-    view = FleetView([reading(one, told)], 5 * S)
+    class_waits = waits.snapshot(target, 5 * S)
+    assert [(entry.team, entry.job_class, entry.waiting, entry.oldest_s) for entry in class_waits] == [
+        ("blue", "batch", 4, 5.0)
+    ]
+    view = FleetView([wait_report(target, class_waits)], 5 * S)
     assert view.teams["blue"].task_count == 13
     assert view.teams["blue"].median / S == pytest.approx(3.0, rel=0.02)
     assert view.teams["blue"].tail / S == pytest.approx(5.0, rel=0.02)
-    one.jobs.clear()
-    assert waits.snapshot(one, 14 * S), "within the window"
-    assert waits.snapshot(one, 40 * S) == [], "and not for ever"
+    target.jobs.clear()
+    assert waits.snapshot(target, 14 * S), "the waits of placed tasks are kept within the window"
+    assert waits.snapshot(target, 40 * S) == [], "but not after it"
 
 
 def test_a_team_at_its_limit_waits_for_nobody_else() -> None:
-    one = shard(machines=1, share=0.0)
-    add(one, submission())
-    assert RecentWaits(20 * S, 0 * S).snapshot(one, 50 * S) == []
+    target = shard(machines=1, share=0.0)
+    add(target, submission())
+    assert RecentWaits(20 * S, 0 * S).snapshot(target, 50 * S) == []
 
 
 def test_classes_that_are_told_apart_are_bounded() -> None:
-    one = shard(machines=0)
+    target = shard(machines=0)
     waits = RecentWaits(20 * S, 0 * S)
     for number in range(3 * MAX_CLASSES):
-        job = add(one, submission(f"run-{number}", job_class=f"class-{number}"))
+        job = add(target, submission(f"run-{number}", job_class=f"class-{number}"))
         waits.record(job, S, S)
-    one.jobs.clear()
-    assert len(waits.snapshot(one, 2 * S)) == MAX_CLASSES + 1
+    target.jobs.clear()
+    assert len(waits.snapshot(target, 2 * S)) == MAX_CLASSES + 1
 
 
-def reading(one: Shard, waits: list, age: timedelta = 0 * S, number: int = 0) -> ShardWaitReport:
+def wait_report(target: Shard, waits: list, age: timedelta = 0 * S, number: int = 0) -> ShardWaitReport:
     summary = ShardSummary(number, 1, True, 1, [], {}, {}, {}, [], 0.0, {}, {}, load=ShardLoad(waits, [1] * 10))
     return ShardWaitReport(summary, age)
 
 
 def waits_of(seconds: float, team: str = "blue", tasks: int = 10) -> tuple[Shard, list]:
-    one = shard(machines=0)
+    """Return a shard and the waits that it reports after a number of tasks have each waited for `seconds`."""
+    target = shard(machines=0)
     waits = RecentWaits(600 * S, 0 * S)
-    job = add(one, submission(team=team))
+    job = add(target, submission(team=team))
     for _ in range(tasks):
         waits.record(job, seconds * S, 0 * S)
-    one.jobs.clear()
-    return one, waits.snapshot(one, 1 * S)
+    target.jobs.clear()
+    return target, waits.snapshot(target, 1 * S)
 
 
 def test_the_view_merges_shards_and_leaves_out_what_is_stale_or_silent() -> None:
-    one, short = waits_of(1.0)
-    _, long = waits_of(9.0, "red")
-    old_version = ShardWaitReport(ShardSummary(3, 1, True, 1, [], {}, {}, {}, [], 0.0, {}, {}), 0 * S)
-    _, late = waits_of(500.0)
-    readings = [reading(one, short), reading(one, long, number=1), reading(one, late, 6 * S, 2), old_version]
-    view = FleetView(readings, 5 * S)
+    target, short_waits = waits_of(1.0)
+    _, long_waits = waits_of(9.0, "red")
+    report_without_load = ShardWaitReport(ShardSummary(3, 1, True, 1, [], {}, {}, {}, [], 0.0, {}, {}), 0 * S)
+    _, stale_waits = waits_of(500.0)
+    reports = [
+        wait_report(target, short_waits),
+        wait_report(target, long_waits, number=1),
+        wait_report(target, stale_waits, 6 * S, 2),
+        report_without_load,
+    ]
+    view = FleetView(reports, 5 * S)
     assert view.stale_shards == [2] and view.shards_without_load == [3]
     assert view.fleet.task_count == 20 and view.machines_by_load == [2] * 10
     assert view.wait_ratio("red", S / 2) == pytest.approx(9.0, rel=0.05)
-    assert view.wait_ratio("red", 20 * S) == 1.0, "too short to matter"
+    assert view.wait_ratio("red", 20 * S) == 1.0, "both median waits are below the minimum"
     assert [view.shards[shard].median > 5 * S for shard in sorted(view.shards)] == [False, True]
     assert view.classes["red", "batch"].describe().startswith("waiting=0 median=9.")
     assert view.wait_ratio("nobody", S) == 1.0
 
 
 def test_of_two_readings_of_a_shard_the_younger_counts() -> None:
-    one, short = waits_of(1.0)
-    _, long = waits_of(9.0)
-    view = FleetView([reading(one, short, 1 * S), reading(one, long, 3 * S)], 5 * S)
+    target, short_waits = waits_of(1.0)
+    _, long_waits = waits_of(9.0)
+    view = FleetView([wait_report(target, short_waits, 1 * S), wait_report(target, long_waits, 3 * S)], 5 * S)
     assert view.fleet.median / S == pytest.approx(1.0, rel=0.05)
 
 
 @pytest.mark.parametrize("text", ["", "!!!!", "xxx", "HISTFAAAABh4nJNpmSzMgABMUJoRSqfYf4AwADAAAA", "A" * 100_000])
 def test_waits_that_cannot_be_read_count_for_nothing(text: str) -> None:
-    one, waits = waits_of(1.0)
+    target, waits = waits_of(1.0)
     waits[0].histogram = text
-    assert FleetView([reading(one, waits)], 5 * S).fleet.task_count == 0
+    assert FleetView([wait_report(target, waits)], 5 * S).fleet.task_count == 0
 
 
-# -- locality
+# -- image locality
 
 
 @pytest.mark.parametrize(
     ("fetches", "expected"),
     [
-        ([], 10.0),  # what the machine type says: 5 GB at 0.5 GB a second
-        ([20.0, 20.0], 10.0),  # too few to go by
+        ([], 10.0),  # no measurements: the nominal rate of the machine type, 0.5 GB/s for an image of 5 GB
+        ([20.0, 20.0], 10.0),  # fewer than three measurements are not used
         ([20.0] * 3, 20.0),
         ([20.0] * 3 + [10.0] * 40, 10.0),
-        ([1e9] * 9, 80.0),  # a heartbeat that came days late does not count for more than a bound
+        ([1e9] * 9, 80.0),  # measured rates are limited to a factor of 8, since a heartbeat may be days late
         ([0.001] * 9, 1.25),
     ],
 )
 def test_fetch_times_are_measured(fetches: list[float], expected: float) -> None:
-    one, job = waiting_shard(tasks=1)
-    machine = one.machines["host-0"]
+    target, job = waiting_shard(tasks=1)
+    machine = target.machines["host-0"]
     placement = Placement(job, 0, 1, machine, Phase.RUNNING, 0 * S)
     rates = FetchRates()
-    for took in fetches:
-        rates.record_fetch(placement, took * S)
+    for fetch_s in fetches:
+        rates.record_fetch(placement, fetch_s * S)
     assert rates.fetch_time(job, machine) / S == pytest.approx(expected, rel=0.05)
 
 
-def running(one: Shard, ref: str, machine: str, since: timedelta, tasks: int = 1, **changes: object) -> Job:
-    """A job whose tasks run on a machine since then, beside its image."""
-    job = add(one, submission(ref, **({"tasks": tasks, "cpus": 1.0} | changes)))
+def running(target: Shard, ref: str, machine: str, since: timedelta, tasks: int = 1, **changes: object) -> Job:
+    """Add a job whose tasks have been running since `since` on a machine that caches the job's image."""
+    job = add(target, submission(ref, **({"tasks": tasks, "cpus": 1.0} | changes)))
     for index in range(tasks):
-        placement = one.place(job, index, index + 1, one.machines[machine], since, Phase.RUNNING)
+        placement = target.place(job, index, index + 1, target.machines[machine], since, Phase.RUNNING)
         placement.running_since = since
-    one.machines[machine].touch_image(job.spec.image, 1.0)
-    one.machines[machine].fetched_images.add(job.spec.image)
+    target.machines[machine].touch_image(job.spec.image, 1.0)
+    target.machines[machine].fetched_images.add(job.spec.image)
     return job
 
 
-def planner_of(one: Shard) -> Planner:
-    return Planner(one, Scheduling(), Objectives([]))
+def planner_of(target: Shard) -> Planner:
+    return Planner(target, Scheduling(), Objectives([]))
 
 
 @pytest.mark.parametrize(
     ("waiting", "expected"),
     [
-        (1, 5.0),  # the task that has run longest ends then
-        (4, 9.0),
-        (5, None),  # more wait than run there: looking elsewhere is all that is left
+        (1, 5.0),  # at second 5, the first running task is expected to end in 5 s
+        (4, 9.0),  # the last of the four running tasks ends in 9 s
+        (5, None),  # more tasks wait than run there, so the estimate is FOREVER
     ],
 )
 def test_the_wait_beside_an_image_follows_what_runs_and_what_waits_there(waiting: int, expected: float | None) -> None:
-    one = shard(machines=2)
+    target = shard(machines=2)
     for number, since in enumerate((0, 1, 2, 4)):
-        running(one, f"run-{number}", "host-0", since * S, estimate_s=10.0)
-    job = add(one, submission("run-w", tasks=waiting, cpus=1.0))
-    local = LocalWaits(one, planner_of(one).run_time, 5 * S)
-    assert local.expected_wait(job, 5 * S) is None, "nothing is known yet"
-    assert local.advance(5 * S, never)
-    assert local.expected_wait(job, 5 * S) == (FOREVER if expected is None else expected * S)
-    assert local.expected_wait(job, 11 * S) is None, "too old to go by"
+        running(target, f"run-{number}", "host-0", since * S, estimate_s=10.0)
+    job = add(target, submission("run-w", tasks=waiting, cpus=1.0))
+    local_waits = LocalWaits(target, planner_of(target).run_time, 5 * S)
+    assert local_waits.expected_wait(job, 5 * S) is None, "no pass over the machines was completed yet"
+    assert local_waits.advance(5 * S, never)
+    assert local_waits.expected_wait(job, 5 * S) == (FOREVER if expected is None else expected * S)
+    assert local_waits.expected_wait(job, 11 * S) is None, "the estimates are too old"
 
 
 def test_a_pass_over_many_machines_goes_on_where_its_time_ran_out() -> None:
-    one = shard(machines=200)
-    local = LocalWaits(one, planner_of(one).run_time, 5 * S)
-    slices = 1
-    while not local.advance(1 * S, lambda: True):
-        slices += 1
-    assert slices > 4
+    target = shard(machines=200)
+    local_waits = LocalWaits(target, planner_of(target).run_time, 5 * S)
+    calls = 1
+    while not local_waits.advance(1 * S, lambda: True):
+        calls += 1
+    assert calls > 4
 
 
 def test_gangs_come_in_the_order_of_arrival() -> None:
-    guidance = advice(shard(machines=1))
+    guidance = shard_guidance(shard(machines=1))
     gang = submission("run-g", kind="group", tasks=2)
     assert guidance.precedence(add(shard(machines=1), gang)) == 0.0
 
@@ -257,31 +265,33 @@
 @pytest.mark.parametrize(
     ("held", "urgency", "first"),
     [
-        ((4, 2), (1.0, 1.0), "red"),  # who holds less
+        ((4, 2), (1.0, 1.0), "red"),  # the team that uses less comes first
         ((2, 4), (1.0, 1.0), "blue"),
-        ((4, 2), (4.0, 1.0), "blue"),  # unless the other waits much longer
+        ((4, 2), (4.0, 1.0), "blue"),  # unless the urgency of the other team, from its long waits, outweighs that
         ((2, 2), (1.0, 1.5), "red"),
     ],
 )
 def test_teams_take_turns(held: tuple[int, int], urgency: tuple[float, float], first: str) -> None:
-    one = shard(machines=2)
-    guidance = advice(one, dict(zip(("blue", "red"), urgency, strict=True)))
+    target = shard(machines=2)
+    guidance = shard_guidance(target, dict(zip(("blue", "red"), urgency, strict=True)))
     for team, tasks in zip(("blue", "red"), held, strict=True):
-        running(one, f"run-on-{team}", "host-0" if team == "blue" else "host-1", 0 * S, tasks=tasks, team=team)
-    jobs = {team: add(one, submission(f"run-{team}", team=team, cpus=1.0)) for team in ("blue", "red")}
+        running(target, f"run-on-{team}", "host-0" if team == "blue" else "host-1", 0 * S, tasks=tasks, team=team)
+    jobs = {team: add(target, submission(f"run-{team}", team=team, cpus=1.0)) for team in ("blue", "red")}
     assert min(jobs, key=lambda team: guidance.precedence(jobs[team])) == first
 
 
-def advice(one: Shard, urgency: dict[str, float] | None = None) -> ShardGuidance:
+def shard_guidance(target: Shard, urgency: dict[str, float] | None = None) -> ShardGuidance:
     loop = Loop(VirtualClock(), VirtualPoller(VirtualClock()))
-    asked = urgency or {}
-    guidance = ShardGuidance(loop, 60 * S, lambda team: 10.0, lambda team: asked.get(team, 1.0), lambda machine: None)
-    guidance.attach(one.usage, LocalWaits(one, planner_of(one).run_time, 5 * S))
+    urgency_by_team = urgency or {}
+    guidance = ShardGuidance(
+        loop, 60 * S, lambda team: 10.0, lambda team: urgency_by_team.get(team, 1.0), lambda machine: None
+    )
+    guidance.attach(target.usage, LocalWaits(target, planner_of(target).run_time, 5 * S))
     return guidance
 
 
-class LocalAdvice(Guidance):
-    """Says how long the wait beside an image is."""
+class FixedWaitGuidance(Guidance):
+    """Guidance with a fixed estimate of the wait for a machine that caches the image."""
 
     def __init__(self, wait: timedelta | None) -> None:
         self.wait = wait
@@ -294,17 +304,17 @@
 def test_work_stays_near_its_image_only_while_that_costs_less_than_the_fetch(
     wait: timedelta | None, starts: int
 ) -> None:
-    one = shard(machines=2)
-    one.guidance = LocalAdvice(wait)
-    running(one, "run-on", "host-0", 0 * S, tasks=8, estimate_s=60.0)
-    add(one, submission("run-w", tasks=1, estimate_s=60.0))
-    assert planner_of(one).fill_machine(one.machines["host-1"], 1 * S, never) == starts
+    target = shard(machines=2)
+    target.guidance = FixedWaitGuidance(wait)
+    running(target, "run-on", "host-0", 0 * S, tasks=8, estimate_s=60.0)
+    add(target, submission("run-w", tasks=1, estimate_s=60.0))
+    assert planner_of(target).fill_machine(target.machines["host-1"], 1 * S, never) == starts
 
 
-# -- spreading waiting work over the shards
+# -- spreading waiting tasks over the shards
 
 
-def told(number: int, machines: int, waiting: dict[str, int]) -> ShardSummary:
+def summary_of(number: int, machines: int, waiting: dict[str, int]) -> ShardSummary:
     waits = [ClassWaits(team, "batch", count, 1.0, "") for team, count in waiting.items()]
     demands = [
         PendingDemand(f"run-{team}", team, 2.0, 0.0, 1.0, count, False, 1, False, 1.0, None, None, True)
@@ -317,12 +327,13 @@
 @pytest.mark.parametrize(
     ("own", "others", "expected"),
     [
-        ((10, 0), [(10, 30), (10, 0)], (1, 10)),  # a third of it
-        ((10, 0), [(10, 30), (10, 12)], (1, 14)),  # from whom most waits
-        ((5, 0), [(10, 30), (15, 0)], (1, 5)),  # by the machines it has
-        ((10, 6), [(10, 30), (10, 0)], None),  # enough not to ask
+        # (machines, waiting tasks) of the own shard and of the others; the expected victim and number of tasks
+        ((10, 0), [(10, 30), (10, 0)], (1, 10)),  # the fair share of a third of the machines
+        ((10, 0), [(10, 30), (10, 12)], (1, 14)),  # from the shard with the most waiting tasks per machine
+        ((5, 0), [(10, 30), (15, 0)], (1, 5)),  # the fair share is proportional to the number of machines
+        ((10, 6), [(10, 30), (10, 0)], None),  # at least half of the fair share, so no request
         ((10, 5), [(10, 30), (10, 0)], (1, 6)),
-        ((10, 0), [(10, 3), (10, 0)], None),  # not worth a write
+        ((10, 0), [(10, 3), (10, 0)], None),  # fewer than two tasks, not worth a write
         ((0, 0), [(10, 30)], None),
         ((10, 30), [(10, 0)], None),
     ],
@@ -330,101 +341,120 @@
 def test_a_shard_asks_for_its_portion(
     own: tuple[int, int], others: list[tuple[int, int]], expected: tuple[int, int] | None
 ) -> None:
-    summaries = [told(number + 1, machines, {"red": count}) for number, (machines, count) in enumerate(others)]
-    found = missing_work(told(0, own[0], {"red": own[1]}), summaries, ["red"])
-    assert [(one.victim, one.tasks) for one in found] == ([] if expected is None else [expected])
+    summaries = [summary_of(number + 1, machines, {"red": count}) for number, (machines, count) in enumerate(others)]
+    requests = missing_work(summary_of(0, own[0], {"red": own[1]}), summaries, ["red"])
+    assert [(request.victim, request.tasks) for request in requests] == ([] if expected is None else [expected])
 
 
 def test_after_one_request_nobody_asks_back() -> None:
-    """Whatever was asked for, neither side then lacks half of its portion."""
-    for here in range(0, 40):
-        for there in range(0, 40):
-            own, other = told(0, 7, {"red": here}), told(1, 5, {"red": there})
+    """After a request was met, neither of the two shards requests tasks back from the other."""
+    for own_waiting in range(0, 40):
+        for other_waiting in range(0, 40):
+            own, other = summary_of(0, 7, {"red": own_waiting}), summary_of(1, 5, {"red": other_waiting})
             for request in missing_work(own, [other], ["red"]):
-                after = told(0, 7, {"red": here + request.tasks}), told(1, 5, {"red": there - request.tasks})
+                after = (
+                    summary_of(0, 7, {"red": own_waiting + request.tasks}),
+                    summary_of(1, 5, {"red": other_waiting - request.tasks}),
+                )
                 assert missing_work(after[0], [after[1]], ["red"]) == []
                 assert missing_work(after[1], [after[0]], ["red"]) == []
 
 
 def test_offered_capacity_is_what_was_asked_for() -> None:
-    one = shard(machines=4)
-    one.machines["host-0"].quarantined = True
-    offered = offered_capacity(one, WorkRequest("red", 1, 6, 2.0))
+    target = shard(machines=4)
+    target.machines["host-0"].quarantined = True
+    offered = offered_capacity(target, WorkRequest("red", 1, 6, 2.0))
     assert [(capacity.cpus, capacity.count) for capacity in offered] == [(8.0, 1), (4.0, 1)]
-    assert len(offered_capacity(one, WorkRequest("red", 1, 600, 2.0))) == 3
+    assert len(offered_capacity(target, WorkRequest("red", 1, 600, 2.0))) == 3
 
 
 # -- moves
 
 
 def crowded_shard() -> tuple[Shard, Job]:
-    """host-0 (zone a) is full of work that saves; host-1 (zone b) is empty; an urgent job must run in zone a."""
-    one = shard(machines=2)
-    victim = running(one, "run-v", "host-0", 0 * S, tasks=8, checkpoint_s=5.0, save_s=1.0, estimate_s=300.0)
-    one.machines["host-1"].fetched_images.add(victim.spec.image)
-    add(one, urgent())
-    return one, victim
+    """Return a shard in which only a move can start the urgent job soon, and the job whose tasks can be moved.
+
+    host-0 (zone a) is full of tasks with checkpoints, and host-1 (zone b) is empty. The urgent job must run in zone a.
+    """
+    target = shard(machines=2)
+    victim = running(target, "run-v", "host-0", 0 * S, tasks=8, checkpoint_s=5.0, save_s=1.0, estimate_s=300.0)
+    target.machines["host-1"].fetched_images.add(victim.spec.image)
+    add(target, urgent())
+    return target, victim
 
 
 def urgent(**changes: object) -> Submission:
-    wanted = {"ref": "run-u", "tasks": 1, "cpus": 2.0, "zone": "a", "priority": Priority.URGENT, "team": "red"}
-    return submission(**(wanted | changes))
+    defaults = {"ref": "run-u", "tasks": 1, "cpus": 2.0, "zone": "a", "priority": Priority.URGENT, "team": "red"}
+    return submission(**(defaults | changes))
 
 
-def mover(one: Shard, **changes: object) -> MovePlanner:
-    return MovePlanner(one, planner_of(one), Rebalancing(**changes), S, one.guidance)
+def move_planner(target: Shard, **changes: object) -> MovePlanner:
+    return MovePlanner(target, planner_of(target), Rebalancing(**changes), S, target.guidance)
 
 
-def stopping(one: Shard) -> list[Placement]:
-    return [each for machine in one.machines.values() for each in machine.placements.values() if each.stopping]
+def stopping(target: Shard) -> list[Placement]:
+    return [
+        placement
+        for machine in target.machines.values()
+        for placement in machine.placements.values()
+        if placement.stopping
+    ]
 
 
 def test_a_move_stops_with_time_to_save_and_keeps_the_room() -> None:
-    one, victim = crowded_shard()
-    assert mover(one).start_moves(10 * S, never) == 2
-    assert [placement.grace for placement in stopping(one)] == [S, S]
-    assert one.machines["host-0"].reserved_for == "run-u"
-    assert victim.no_return_until["host-0"] > 10 * S, "and it does not go back"
+    target, victim = crowded_shard()
+    assert move_planner(target).start_moves(10 * S, never) == 2
+    assert [placement.grace for placement in stopping(target)] == [S, S]
+    assert target.machines["host-0"].reserved_for == "run-u"
+    assert victim.no_return_until["host-0"] > 10 * S, "its tasks must not return to host-0 for a while"
 
 
-def no_landing(one: Shard) -> None:
-    one.machines["host-1"].quarantined = True
+def no_landing(target: Shard) -> None:
+    """Leave no usable machine to which the tasks could move."""
+    target.machines["host-1"].quarantined = True
 
 
-def nearly_done(one: Shard) -> None:
-    for placement in one.jobs["run-v"].placements.values():
+def nearly_done(target: Shard) -> None:
+    """Let the running tasks be about to end: 307 of 300 estimated seconds have passed at second 10."""
+    for placement in target.jobs["run-v"].placements.values():
         placement.running_since = -297 * S
 
 
-def never_saves(one: Shard) -> None:
-    replace(one, checkpoint_s=0.0)
+def never_saves(target: Shard) -> None:
+    """Let the running tasks have no checkpoints, so that a move would lose their work."""
+    replace(target, checkpoint_s=0.0)
 
 
-def equals(one: Shard) -> None:
-    del one.jobs["run-u"]
-    add(one, urgent(priority=Priority.NORMAL))
+def equals(target: Shard) -> None:
+    """Give the waiting job the same priority as the running one, so that it may not preempt."""
+    del target.jobs["run-u"]
+    add(target, urgent(priority=Priority.NORMAL))
 
 
-def just_came(one: Shard) -> None:
-    one.jobs["run-u"].waiting_since = 9 * S
+def just_came(target: Shard) -> None:
+    """Let the job have waited for one second only, less than two heartbeat intervals."""
+    target.jobs["run-u"].waiting_since = 9 * S
 
 
-def fits_already(one: Shard) -> None:
-    del one.jobs["run-u"]
-    add(one, urgent(zone=None))
+def fits_already(target: Shard) -> None:
+    """Let the waiting job run in any zone, so that it fits on host-1 without a move."""
+    del target.jobs["run-u"]
+    add(target, urgent(zone=None))
 
 
-def at_its_limit(one: Shard) -> None:
-    one.quota.allocation_of = lambda team: (0.0, 0.0) if team == "red" else (100.0, 0.0)
+def at_its_limit(target: Shard) -> None:
+    """Leave the waiting job's team no quota."""
+    target.quota.allocation_of = lambda team: (0.0, 0.0) if team == "red" else (100.0, 0.0)
 
 
-def dear_image(one: Shard) -> None:
-    one.machines["host-1"].fetched_images.clear()
-    replace(one, image_gb=100.0)
+def dear_image(target: Shard) -> None:
+    """Make a restart elsewhere expensive: an image of 100 GB would have to be fetched there."""
+    target.machines["host-1"].fetched_images.clear()
+    replace(target, image_gb=100.0)
 
 
-def replace(one: Shard, **changes: object) -> None:
-    one.jobs["run-v"].spec = msgspec.structs.replace(one.jobs["run-v"].spec, **changes)
+def replace(target: Shard, **changes: object) -> None:
+    target.jobs["run-v"].spec = msgspec.structs.replace(target.jobs["run-v"].spec, **changes)
 
 
 @pytest.mark.parametrize(
@@ -432,79 +462,83 @@
     [no_landing, nearly_done, never_saves, equals, just_came, fits_already, at_its_limit, dear_image],
 )
 def test_nothing_is_moved(change: Callable[[Shard], None]) -> None:
-    one, _ = crowded_shard()
-    change(one)
-    assert mover(one).start_moves(10 * S, never) == 0
-    assert stopping(one) == []
+    target, _ = crowded_shard()
+    change(target)
+    assert move_planner(target).start_moves(10 * S, never) == 0
+    assert stopping(target) == []
 
 
 def test_gangs_are_never_moved_for_others() -> None:
-    one = shard(machines=2)
-    running(one, "run-v", "host-0", 0 * S, tasks=4, cpus=2.0, kind="group", checkpoint_s=5.0, estimate_s=300.0)
-    add(one, urgent())
-    assert mover(one).start_moves(10 * S, never) == 0
+    target = shard(machines=2)
+    running(target, "run-v", "host-0", 0 * S, tasks=4, cpus=2.0, kind="group", checkpoint_s=5.0, estimate_s=300.0)
+    add(target, urgent())
+    assert move_planner(target).start_moves(10 * S, never) == 0
 
 
 def test_moves_are_few_and_what_was_moved_rests() -> None:
-    one, victim = crowded_shard()
-    moves = mover(one, moves_per_period=3, move_period_s=30.0, move_rest_s=90.0)
-    assert moves.start_moves(10 * S, never) == 2
-    for placement in stopping(one):
-        one.release(placement, 11 * S)
-    one.machines["host-0"].reserved_for = None
-    assert planner_of(one).fill_machine(one.machines["host-0"], 11 * S, never) == 1, (
-        "the urgent one only: nothing goes back"
+    target, victim = crowded_shard()
+    planner = move_planner(target, moves_per_period=3, move_period_s=30.0, move_rest_s=90.0)
+    assert planner.start_moves(10 * S, never) == 2
+    for placement in stopping(target):
+        target.release(placement, 11 * S)
+    target.machines["host-0"].reserved_for = None
+    assert planner_of(target).fill_machine(target.machines["host-0"], 11 * S, never) == 1, (
+        "only the urgent task starts there; no moved task returns"
     )
-    add(one, urgent(ref="run-u2"))
-    assert moves.start_moves(15 * S, never) == 0, "two more would be more than three in a period"
-    assert moves.start_moves(41 * S, never) == 2
-    assert moves.ledger.total_moves == 4 and victim.no_return_until
+    add(target, urgent(ref="run-u2"))
+    assert planner.start_moves(15 * S, never) == 0, "two more moves would exceed the limit of three per period"
+    assert planner.start_moves(41 * S, never) == 2
+    assert planner.ledger.total_moves == 4 and victim.no_return_until
 
 
 # -- draining a machine
 
 
 @pytest.mark.parametrize(
-    ("changes", "ran", "left", "patient", "grace"),
+    ("changes", "ran_s", "time_left_s", "patient", "grace"),
     [
-        ({"estimate_s": 10.0}, 5, 8, True, None),  # it ends soon
-        ({"estimate_s": 100.0, "checkpoint_s": 5.0, "save_s": 2.0}, 5, 60, True, 2.0),  # saved at once
-        ({"estimate_s": 100.0}, 5, 60, True, None),  # never saves: its estimate may be too long
-        ({"estimate_s": 100.0}, 5, 2, True, 0.0),  # until it must
-        ({"estimate_s": 100.0}, 5, 60, False, 0.0),  # a spot notice: at once
-        ({"estimate_s": 10.0}, 5, 0, True, 0.0),  # the deadline is past
+        # The changes to the job, how long it has run (None: its image is still being fetched), the time left until the
+        # deadline, whether the drain is patient, and the expected grace period (None: not stopped). Times in seconds.
+        ({"estimate_s": 10.0}, 5, 8, True, None),  # expected to end before the deadline
+        # Would not end in time, so it saves a checkpoint at once.
+        ({"estimate_s": 100.0, "checkpoint_s": 5.0, "save_s": 2.0}, 5, 60, True, 2.0),
+        # Without checkpoints it runs on, since it may end earlier than estimated, until 3 s before the deadline.
+        ({"estimate_s": 100.0}, 5, 60, True, None),
+        ({"estimate_s": 100.0}, 5, 2, True, 0.0),
+        ({"estimate_s": 100.0}, 5, 60, False, 0.0),  # not patient, as after a spot preemption notice: stopped at once
+        ({"estimate_s": 10.0}, 5, 0, True, 0.0),  # the deadline has passed
         ({"kind": "group", "estimate_s": 100.0, "checkpoint_s": 5.0, "save_s": 2.0}, 5, 60, True, 2.0),
-        ({"estimate_s": 10.0, "image_gb": 5.0}, None, 30, True, None),  # 10 s to fetch, and 10 to run
+        ({"estimate_s": 10.0, "image_gb": 5.0}, None, 30, True, None),  # 10 s for the fetch and 10 s for the run
         ({"estimate_s": 10.0, "image_gb": 5.0}, None, 15, True, 0.0),
         ({"estimate_s": 10.0, "image_gb": 5.0}, None, 30, False, 0.0),
     ],
 )
 def test_evacuate(
-    changes: dict[str, object], ran: float | None, left: float, patient: bool, grace: float | None
+    changes: dict[str, object], ran_s: float | None, time_left_s: float, patient: bool, grace: float | None
 ) -> None:
-    one = shard(machines=2)
-    job = running(one, "run-v", "host-0", 0 * S, tasks=2, **changes)
-    now = (ran or 0) * S
+    target = shard(machines=2)
+    job = running(target, "run-v", "host-0", 0 * S, tasks=2, **changes)
+    now = (ran_s or 0) * S
     for placement in job.placements.values():
-        if ran is None:
+        if ran_s is None:
             placement.phase, placement.running_since = Phase.FETCHING, None
-    plan = Evacuation(now + left * S, 3 * S, patient)
-    planner = planner_of(one)
-    for _ in range(2):  # asking again changes nothing
-        stopped = evacuate(one, one.machines["host-0"], plan, now, planner.run_time, Guidance().fetch_time)
+    plan = Evacuation(now + time_left_s * S, 3 * S, patient)
+    planner = planner_of(target)
+    for _ in range(2):  # the second call must not change anything
+        stopped = evacuate(target, target.machines["host-0"], plan, now, planner.run_time, Guidance().fetch_time)
     graces = {placement.grace for placement in job.placements.values()}
     assert graces == {None if grace is None else grace * S}
     assert stopped == 0
 
 
 def test_a_gang_leaves_whole_wherever_its_tasks_are() -> None:
-    one = shard(machines=2)
-    job = add(one, submission("run-g", kind="group", tasks=2, estimate_s=100.0, checkpoint_s=5.0, save_s=1.0))
+    target = shard(machines=2)
+    job = add(target, submission("run-g", kind="group", tasks=2, estimate_s=100.0, checkpoint_s=5.0, save_s=1.0))
     for index in range(2):
-        placement = one.place(job, index, 1, one.machines[f"host-{index}"], 0 * S, Phase.RUNNING)
+        placement = target.place(job, index, 1, target.machines[f"host-{index}"], 0 * S, Phase.RUNNING)
         placement.running_since = 0 * S
     plan = Evacuation(50 * S, 3 * S, patient=True)
-    evacuate(one, one.machines["host-0"], plan, 1 * S, planner_of(one).run_time, Guidance().fetch_time)
+    evacuate(target, target.machines["host-0"], plan, 1 * S, planner_of(target).run_time, Guidance().fetch_time)
     assert [placement.grace for placement in job.placements.values()] == [S, S]
 
 
