--- a/tests/test_autoscaling.py
+++ b/tests/test_autoscaling.py
@@ -19,9 +19,10 @@
     return Loop(clock, VirtualPoller(clock))
 
 
-def pending_machines(loop: Loop, **since: timedelta) -> PendingMachines:
+def pending_machines(loop: Loop, **rented_at_by_name: timedelta) -> PendingMachines:
+    """Return pending machines of one type, which boots in 10 s, with the given rental times."""
     pending = PendingMachines(loop, {"g8": TYPE}, max_list_age=5 * SECOND)
-    for name, rented_at in since.items():
+    for name, rented_at in rented_at_by_name.items():
         pending.add(name, PendingRental(POOL, 1, rented_at))
     return pending
 
@@ -29,7 +30,8 @@
 def test_a_machine_times_out_sooner_if_a_later_one_is_up() -> None:
     loop = new_loop()
     now = loop.now()
-    pending = pending_machines(loop, first=now, second=now + 6 * SECOND)  # by more than the list may be old
+    # The difference exceeds the maximum age of the cloud's list of machines, 5 s.
+    pending = pending_machines(loop, first=now, second=now + 6 * SECOND)
     late = now + 46 * SECOND
     assert pending.remove_timed_out(set(), late) == []
     pending.remove_started(["second"])
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -1,4 +1,4 @@
-"""Leadership of shards: what a caller learns when a term can't be raised, and who is notified of elections."""
+"""Leadership of shards: when a term can't be raised, the condition of writes, and the notifications of listeners."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 
 def elected_controller() -> tuple[Day, Controller]:
-    """A controller that leads its home shard, 0."""
+    """Return a simulated run and a controller in it that leads its home shard, 0."""
     day = Day(seed=3)
     day.run(5)
     controller = day.controllers[HOSTS[0]][0]
@@ -57,11 +57,8 @@
     day, controller = elected_controller()
     day.store.revision += 1
     record, _, lease = day.store.items["b/parts/0"]
-    day.store.items["b/parts/0"] = (
-        record,
-        day.store.revision,
-        lease,
-    )  # not in the log, so the watch does not deliver it
+    # The change is not added to the store's log, so the controller's watch does not deliver it.
+    day.store.items["b/parts/0"] = (record, day.store.revision, lease)
     with pytest.raises(LeadershipNotGainedError) as caught:
         raise_term(day, controller, 0)
     assert caught.value.reason is ClaimFailure.COMPARE_FAILED
@@ -95,4 +92,4 @@
     state.clear_lease()
     assert events == [("deposed", 0), ("elected", 0), ("deposed", 0)]
     assert state.lease is None and not state.leaderships and not state.within_grace()
-    day.run(0.1)  # lets the tasks of the shard that was led for a moment end
+    day.run(0.1)  # lets the background tasks of the briefly led shard end
--- a/tests/test_measurement.py
+++ b/tests/test_measurement.py
@@ -1,4 +1,4 @@
-"""The measurements of rebalancing and of half-open cuts, and their heartbeats."""
+"""The measurements of rebalancing and of half-open network cuts: their statistics, tables and reports."""
 
 import json
 import re
@@ -15,12 +15,20 @@
 from tools.rebalancing_results import DayResult, Wait, summarize
 
 
-def day(seed: int, on: bool, worst: float, problems: list[str] | None = None) -> DayResult:
+def day_result(seed: int, on: bool, max_wait_ratio: float, problems: list[str] | None = None) -> DayResult:
+    """Return a result with rebalancing on or off; `max_wait_ratio` is the highest wait ratio of a team."""
     waits = [Wait("blue", 1.0, 2.0), Wait("red", 3.0, 4.0)]
-    return DayResult(seed, on, 6, {"blue": 0.9, "red": worst}, 50.0, 3 * on, 12.0, 2, 400, problems or [], waits)
+    return DayResult(
+        seed, on, 6, {"blue": 0.9, "red": max_wait_ratio}, 50.0, 3 * on, 12.0, 2, 400, problems or [], waits
+    )
 
 
-RESULTS = [day(1, False, 3.0), day(1, True, 1.25), day(2, False, 5.0, ["ran_twice"]), day(2, True, 1.5)]
+RESULTS = [
+    day_result(1, False, 3.0),
+    day_result(1, True, 1.25),
+    day_result(2, False, 5.0, ["ran_twice"]),
+    day_result(2, True, 1.5),
+]
 
 
 def test_the_table_has_the_spread_over_the_seeds() -> None:
@@ -32,7 +40,7 @@
 def test_the_report_is_one_page_with_its_plots_inside() -> None:
     page = render(RESULTS)
     assert page.count("<svg") == 2 and "<script" not in page
-    assert not re.search(r'(src|href)="http', page), "nothing is loaded from elsewhere"
+    assert not re.search(r'(src|href)="http', page), "the page must not load anything from other servers"
     rows = re.findall(r"<tr><td>(.*?)</tr>", page, re.DOTALL)
     assert len(rows) == len(RESULTS)
     assert [re.findall(r"[\d.]+|on|off", row)[:5] for row in rows][2] == ["2", "off", "0.90", "5.00", "0.00"]
@@ -45,10 +53,10 @@
 
 
 def test_a_short_measurement_from_end_to_end(tmp_path: Path, capsys: pytest.CaptureFixture) -> None:
-    written = tmp_path / "results.json"
-    assert main(["--seeds", "1", "--machines", "6", "--jobs", "1", "--json", str(written)]) == 0
-    days = json.loads(written.read_text())
-    assert [one["on"] for one in days] == [False, True] and all(one["problems"] == [] for one in days)
+    results_file = tmp_path / "results.json"
+    assert main(["--seeds", "1", "--machines", "6", "--jobs", "1", "--json", str(results_file)]) == 0
+    results = json.loads(results_file.read_text())
+    assert [result["on"] for result in results] == [False, True] and all(result["problems"] == [] for result in results)
     assert len(capsys.readouterr().out.splitlines()) == 3
 
 
@@ -70,13 +78,16 @@
 def test_the_cut_report_is_one_page_with_its_plots_inside() -> None:
     page = cut_report.render(CUT_DAYS)
     assert page.count("<svg") == 4 and "<script" not in page and "9.0 (8 to 10)" in page
-    assert not re.search(r'(src|href)="http', page), "nothing is loaded from elsewhere"
+    assert not re.search(r'(src|href)="http', page), "the page must not load anything from other servers"
 
 
 def test_a_short_cut_measurement_from_end_to_end(tmp_path: Path, capsys: pytest.CaptureFixture) -> None:
-    written = tmp_path / "results.json"
+    results_file = tmp_path / "results.json"
     kind = "workers lost for 40 s"
-    assert cut_measurement.main(["--seeds", "1", "--kind", kind, "--json", str(written)]) == 0
-    days = json.loads(written.read_text())
-    assert [(one["kind"], one["relay"], one["problems"]) for one in days] == [(kind, False, []), (kind, True, [])]
+    assert cut_measurement.main(["--seeds", "1", "--kind", kind, "--json", str(results_file)]) == 0
+    results = json.loads(results_file.read_text())
+    assert [(result["kind"], result["relay"], result["problems"]) for result in results] == [
+        (kind, False, []),
+        (kind, True, []),
+    ]
     assert len(capsys.readouterr().out.splitlines()) == 3
