--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""Tables of cases for the pure core and the records."""
+"""Tables of cases for code that needs no event loop: scheduling, job splitting and stored records."""
 
 import zlib
 from collections.abc import Callable
@@ -26,11 +26,12 @@
 from badgerroute.storage.task_ranges import TaskRange, assign_tasks
 
 S = timedelta(seconds=1)
-KIND = MachineType("k8", 8.0, 0.0, 32.0, 10.0, 0.5, 1.0, 0.3, 20.0, ["a", "b"])
+MACHINE_TYPE = MachineType("k8", 8.0, 0.0, 32.0, 10.0, 0.5, 1.0, 0.3, 20.0, ["a", "b"])
 
 
 def submission(ref: str = "run-1", **changes: object) -> Submission:
-    described = dict(
+    """Return a submission of a small array, with `changes` of its fields."""
+    fields = dict(
         ref=ref,
         job_class="batch",
         team="blue",
@@ -49,21 +50,23 @@
         checkpoint_s=0.0,
         save_s=0.0,
     )
-    return Submission(**(described | changes))
+    return Submission(**(fields | changes))
 
 
 def shard(machines: int = 2, share: float = 100.0, term: int = 7) -> Shard:
-    made = Shard(0, term, lambda team: (share, 0.0), timedelta(0))
+    """Return a reconciled shard of machines alternately in zones a and b; each team may use `share` processors."""
+    new_shard = Shard(0, term, lambda team: (share, 0.0), timedelta(0))
     for number in range(machines):
         record = MachineRecord(0, "m:1", "k8", "ab"[number % 2], False)
-        machine = made.add_machine(f"host-{number}", record, KIND, timedelta(0))
+        machine = new_shard.add_machine(f"host-{number}", record, MACHINE_TYPE, timedelta(0))
         machine.alive = machine.fenced = True
         machine.incarnation, machine.sequence, machine.last_response_at = 1, 0, timedelta(0)
-    made.reconciled = True
-    return made
+    new_shard.reconciled = True
+    return new_shard
 
 
 def add(target: Shard, job: Submission) -> Job:
+    """Add a submitted job, all tasks of which belong to the shard."""
     return target.add_job(JobRecord(job, 0.0, [(0, 0, job.tasks)]), timedelta(0), 1000, timedelta(0))
 
 
@@ -74,46 +77,53 @@
 
 
 def never() -> bool:
+    """A time limit that is never reached, for functions that ask whether to stop."""
     return False
 
 
-# -- feedback
+# -- Utilization feedback
 
 
 @pytest.mark.parametrize(
-    ("desire", "granted", "use", "starved", "expected"),
+    ("desire", "allocation", "utilization", "tasks_waited", "expected"),
     [
-        (8, 8, 0.2, False, 4),  # inefficient: divided
-        (8, 8, 0.2, True, 16),  # something waited, so low use is not inefficiency
-        (8, 3, 0.9, True, 8),  # efficient and deprived: kept
-        (8, 8, 0.9, False, 16),  # efficient and satisfied: multiplied
-        (1, 1, 0.0, False, 1),  # never below one slot
+        (8, 8, 0.2, False, 4),  # inefficient: the desire is divided by rho
+        (8, 8, 0.2, True, 16),  # tasks waited, so the low utilization does not count as inefficiency
+        (8, 3, 0.9, True, 8),  # efficient and deprived: the desire stays
+        (8, 8, 0.9, False, 16),  # efficient and satisfied: the desire is multiplied by rho
+        (1, 1, 0.0, False, 1),  # the desire is at least one slot
     ],
 )
-def test_af(desire: float, granted: float, use: float, starved: bool, expected: float) -> None:
-    assert utilization_feedback.next_desire(desire, granted, use, starved, delta=0.6, rho=2.0) == expected
+def test_af(desire: float, allocation: float, utilization: float, tasks_waited: bool, expected: float) -> None:
+    """Af, the adaptive feedback, computes how many slots a job should have from its use of slots in the last period."""
+    assert (
+        utilization_feedback.next_desire(desire, allocation, utilization, tasks_waited, delta=0.6, rho=2.0) == expected
+    )
 
 
-# -- delay scheduling
+# -- Delay scheduling
 
 
 @pytest.mark.parametrize(
-    ("where", "wait", "image_gb", "expected"),
+    ("cached_in_zone", "wait", "image_gb", "expected"),
     [
-        ("nowhere", 0, 5.0, delay_scheduling.LocalityLevel.ANY),  # nothing to wait for
+        ("nowhere", 0, 5.0, delay_scheduling.LocalityLevel.ANY),  # no machine caches the image, so waiting is of no use
         ("a", 0, 50.0, delay_scheduling.LocalityLevel.CACHED),
         ("a", 9, 50.0, delay_scheduling.LocalityLevel.CACHED),
-        ("a", 10, 50.0, delay_scheduling.LocalityLevel.ZONE),  # tau * p
-        ("a", 20, 50.0, delay_scheduling.LocalityLevel.ANY),  # 2 * tau * p
-        ("a", 6, 2.5, delay_scheduling.LocalityLevel.ANY),  # no longer than the fetch takes: 5 s
-        ("a", 61, 500.0, delay_scheduling.LocalityLevel.ANY),  # nor longer than a minute
+        # from tau * p on, any machine in the zone of the cached image
+        ("a", 10, 50.0, delay_scheduling.LocalityLevel.ZONE),
+        ("a", 20, 50.0, delay_scheduling.LocalityLevel.ANY),  # from 2 * tau * p on, any machine
+        ("a", 6, 2.5, delay_scheduling.LocalityLevel.ANY),  # the wait is limited to the fetch time, 5 s
+        ("a", 61, 500.0, delay_scheduling.LocalityLevel.ANY),  # the wait is limited to one minute
     ],
 )
-def test_delay_scheduling(where: str, wait: float, image_gb: float, expected: delay_scheduling.LocalityLevel) -> None:
+def test_delay_scheduling(
+    cached_in_zone: str, wait: float, image_gb: float, expected: delay_scheduling.LocalityLevel
+) -> None:
     target = shard()
     estimate = 10.0 if image_gb < 100 else 1000.0
     job = add(target, submission(image_gb=image_gb, estimate_s=estimate))
-    if where != "nowhere":
+    if cached_in_zone != "nowhere":
         target.machines["host-0"].touch_image("img-1", image_gb)
     images = delay_scheduling.ImageLocations(target.machines.values())
     fetch = delay_scheduling.fetch_time(job, target.machines["host-1"])
@@ -121,6 +131,7 @@
 
 
 def test_cached_image_goes_first_and_least_held_next() -> None:
+    """A machine first gets tasks whose image it caches; otherwise, the job using the fewest processors goes first."""
     target = shard(1)
     near, far = add(target, submission("run-near")), add(target, submission("run-far", image="img-2"))
     target.machines["host-0"].touch_image("img-1", 5.0)
@@ -128,35 +139,37 @@
     assert planner.fill_machine(target.machines["host-0"], 1 * S, never) == 4
     assert (len(near.placements), len(far.placements)) == (4, 0)
     target = shard(1)
-    one, two = add(target, submission("run-one")), add(target, submission("run-two"))
+    first, second = add(target, submission("run-one")), add(target, submission("run-two"))
     Planner(target, Scheduling(), Objectives([])).fill_machine(target.machines["host-0"], 1 * S, never)
-    assert (len(one.placements), len(two.placements)) == (2, 2)
+    assert (len(first.placements), len(second.placements)) == (2, 2)
 
 
 def test_round_out_of_time_goes_on_where_it_stopped() -> None:
+    """A scheduling round that runs out of time is continued with the next job, not begun again."""
     target = shard(1)
     for number, priority in enumerate((Priority.URGENT, Priority.NORMAL, Priority.IDLE)):
         add(target, submission(f"run-{number}", priority=priority, tasks=1))
     planner = Planner(target, Scheduling(), Objectives([]))
-    calls = iter([False, True])
+    out_of_time = iter([False, True])
     machine = target.machines["host-0"]
-    assert planner.fill_machine(machine, 1 * S, lambda: next(calls)) == 1
-    calls = iter([False, True])
-    assert planner.fill_machine(machine, 1 * S, lambda: next(calls)) == 1
+    assert planner.fill_machine(machine, 1 * S, lambda: next(out_of_time)) == 1
+    out_of_time = iter([False, True])
+    assert planner.fill_machine(machine, 1 * S, lambda: next(out_of_time)) == 1
     assert sorted(key[0] for key in machine.placements) == ["run-0", "run-1"]
     assert planner.overrun_rounds == 2
 
 
-# -- gangs, places, shares
+# -- Gangs, preemption and quotas
 
 
 @pytest.mark.parametrize(
     ("changes", "share", "placed"),
     [
         ({"tasks": 2, "cpus": 8.0}, 100, 2),
-        ({"tasks": 3, "cpus": 8.0}, 100, 0),  # whole or not at all
-        ({"tasks": 2, "cpus": 8.0}, 15, 0),  # the share must hold all of it
-        ({"tasks": 2, "cpus": 8.0, "together": True}, 100, 0),  # the two machines are in two zones
+        ({"tasks": 3, "cpus": 8.0}, 100, 0),  # only two tasks fit, and a gang is placed as a whole or not at all
+        ({"tasks": 2, "cpus": 8.0}, 15, 0),  # the team's share must be enough for the whole gang
+        # each machine has room for one task, and they are in different zones
+        ({"tasks": 2, "cpus": 8.0, "together": True}, 100, 0),
         ({"tasks": 2, "cpus": 4.0, "together": True}, 100, 2),
         ({"tasks": 2, "cpus": 4.0, "spread": True}, 100, 2),
         ({"tasks": 2, "cpus": 4.0, "zone": "b"}, 100, 2),
@@ -169,7 +182,7 @@
     job = add(target, submission(kind="group", **changes))
     Planner(target, Scheduling(), Objectives([])).place_gangs(1 * S, never)
     assert len(job.placements) == placed
-    zones = [one.machine.zone for one in job.placements.values()]
+    zones = [placement.machine.zone for placement in job.placements.values()]
     if changes.get("spread"):
         assert sorted(zones) == ["a", "b"]
     if changes.get("together") or changes.get("zone"):
@@ -179,11 +192,13 @@
 @pytest.mark.parametrize(
     ("victim", "guaranteed", "stopped"),
     [
-        (Priority.IDLE, False, True),  # lower level
-        (Priority.URGENT, False, False),  # equal level
-        (Priority.PRODUCTION, False, False),  # higher level
-        (Priority.URGENT, True, True),  # equal level, beyond another team's guarantee
-        (Priority.PRODUCTION, True, False),  # the level comes before the guarantee, or two could stop each other
+        (Priority.IDLE, False, True),  # lower priority level
+        (Priority.URGENT, False, False),  # equal priority level
+        (Priority.PRODUCTION, False, False),  # higher priority level
+        # equal level; the gang is within the guarantee of its team, the running job is not
+        (Priority.URGENT, True, True),
+        # the level outweighs the guarantee; otherwise two jobs could preempt each other in turn
+        (Priority.PRODUCTION, True, False),
     ],
 )
 def test_preemption(victim: Priority, guaranteed: bool, stopped: bool) -> None:
@@ -198,11 +213,15 @@
 
 
 def test_room_for_a_gang_is_made_once() -> None:
-    """Work that would be cheaper to stop turns up later: the machines chosen before stay the ones."""
+    """Once tasks are being preempted for a gang, no other machines are chosen.
+
+    The planner preempts the tasks on host-2 and host-3 for the gang. Then host-0 and host-1 become usable, with tasks
+    that would be cheaper to preempt because they have not started running.
+    """
     target = shard(4)
-    lesser = add(target, submission("run-v", priority=Priority.IDLE, tasks=4, cpus=8.0))
+    idle_job = add(target, submission("run-v", priority=Priority.IDLE, tasks=4, cpus=8.0))
     for number in range(2):
-        placement = target.place(lesser, number, 1, target.machines[f"host-{number + 2}"], 0 * S, Phase.RUNNING)
+        placement = target.place(idle_job, number, 1, target.machines[f"host-{number + 2}"], 0 * S, Phase.RUNNING)
         placement.running_since = timedelta(0)
     gang = add(target, submission("run-g", kind="group", tasks=2, cpus=8.0, priority=Priority.URGENT))
     for name in ("host-0", "host-1"):
@@ -211,81 +230,98 @@
     planner.place_gangs(200 * S, never)
     for number, name in enumerate(("host-0", "host-1")):
         target.machines[name].alive = True
-        target.place(lesser, number + 2, 2, target.machines[name], 201 * S, Phase.FETCHING)
+        target.place(idle_job, number + 2, 2, target.machines[name], 201 * S, Phase.FETCHING)
     planner.place_gangs(201 * S, never)
     assert not gang.placements
-    assert {one.machine.name for one in lesser.placements.values() if one.stopping} == {"host-2", "host-3"}
+    assert {victim.machine.name for victim in idle_job.placements.values() if victim.stopping} == {"host-2", "host-3"}
 
 
 def test_gang_that_was_stopped_is_dearer_to_stop() -> None:
+    """Of two equal gangs, the one that has not been preempted before is preempted."""
     target = shard(2)
     gangs = [add(target, submission(f"run-{number}", kind="group", team="red", tasks=1, cpus=8.0)) for number in "ab"]
     for gang, machine in zip(gangs, target.machines.values(), strict=True):
         target.place(gang, 0, 1, machine, timedelta(0), Phase.FETCHING)
     gangs[0].preemption_count = 1
-    other = add(target, submission("run-g", kind="group", tasks=1, cpus=8.0))
-    other.guaranteed = True
+    guaranteed_gang = add(target, submission("run-g", kind="group", tasks=1, cpus=8.0))
+    guaranteed_gang.guaranteed = True
     Planner(target, Scheduling(), Objectives([])).place_gangs(200 * S, never)
     assert [gang.placements[0].stopping for gang in gangs] == [False, True]
 
 
-# -- which shard gets what
+# -- Which shard gets a new job
 
 
-def summary(number: int, free: int, beside: list[float], queued: float = 0.0) -> ShardSummary:
-    """A shard with so many empty machines, some that cache the image, and processors that tasks wait for."""
+def summary(number: int, free: int, cached_cpus: list[float], queued: float = 0.0) -> ShardSummary:
+    """Return the summary of a shard with `free` empty machines of eight processors each.
+
+    `cached_cpus` has an item for each machine that caches the image: its free or reclaimable processors. `queued` is
+    the number of processors that waiting tasks need.
+    """
     capacities = [FreeCapacity("k8", "a", False, 8.0, 0.0, 32.0, free)] if free else []
     demands = (
         [PendingDemand("run-w", "blue", queued, 0.0, 1.0, 1, False, 1, False, 0.0, None, None, True)] if queued else []
     )
-    return ShardSummary(number, 7, True, 9, capacities, {}, {"img-1": beside}, {}, demands, 0.0, {}, {})
+    return ShardSummary(number, 7, True, 9, capacities, {}, {"img-1": cached_cpus}, {}, demands, 0.0, {}, {})
 
 
 @pytest.mark.parametrize(
     ("shards", "expected"),
     [
-        ([(4, []), (2, [8.0, 8.0])], 1),  # beside its image, though another shard has more room
-        ([(4, []), (0, [8.0, 8.0])], 1),  # even if lesser work must make room there
-        ([(4, []), (0, [8.0])], 0),  # but not where it would not fit
-        ([(4, [8.0]), (9, [])], 0),  # what is fetched now is beside what is there
-        ([(4, [3.0, 3.0]), (9, [])], 1),  # that room is too small
+        # both tasks fit on machines that cache the image, although shard 0 has more free machines
+        ([(4, []), (2, [8.0, 8.0])], 1),
+        ([(4, []), (0, [8.0, 8.0])], 1),  # also if work of lower priority must be preempted there
+        ([(4, []), (0, [8.0])], 0),  # but not if only one of the two tasks fits there
+        # one machine caches the image and another fetches it: the next gang finds both in one shard
+        ([(4, [8.0]), (9, [])], 0),
+        ([(4, [3.0, 3.0]), (9, [])], 1),  # the machines that cache the image have too little capacity for a task
         ([(4, []), (9, [])], 1),
     ],
 )
 def test_gangs_go_where_their_image_is(shards: list[tuple[int, list[float]]], expected: int) -> None:
-    summaries = [summary(number, *one) for number, one in enumerate(shards)]
+    """A gang is assigned to a shard where machines cache its image, if it fits there.
+
+    An item of `shards` has the number of free machines, and the processors on machines that cache the image.
+    """
+    summaries = [summary(number, *arguments) for number, arguments in enumerate(shards)]
     assert split(submission(kind="group", tasks=2, cpus=8.0), summaries, len(shards)) == [(expected, 0, 2)]
 
 
 @pytest.mark.parametrize(
     ("shards", "expected"),
     [
-        ([(4, [], 0), (4, [], 0), (4, [], 0)], 2),  # nobody caches it: to the shard of the image
-        ([(9, [], 0), (4, [], 0), (4, [], 0)], 2),  # though another has more room
-        ([(0, [], 0), (0, [], 0), (0, [], 0)], 2),  # or nobody has any yet
-        ([(9, [], 0), (4, [], 0), (1, [], 0)], 0),  # but not where it does not fit
-        ([(4, [], 0), (9, [], 0), (4, [], 80)], 1),  # nor where much more waits
-        ([(4, [], 0), (4, [8.0], 0), (4, [], 0)], 1),  # nor if anybody caches it
+        ([(4, [], 0), (4, [], 0), (4, [], 0)], 2),  # no machine caches the image: its hash selects the shard
+        ([(9, [], 0), (4, [], 0), (4, [], 0)], 2),  # although another shard has more free machines
+        ([(0, [], 0), (0, [], 0), (0, [], 0)], 2),  # also if no shard has a free machine yet
+        ([(9, [], 0), (4, [], 0), (1, [], 0)], 0),  # but not if the gang does not fit there
+        ([(4, [], 0), (9, [], 0), (4, [], 80)], 1),  # nor if the queue there is much longer
+        ([(4, [], 0), (4, [8.0], 0), (4, [], 0)], 1),  # nor if a machine of another shard caches the image
     ],
 )
 def test_gangs_of_an_image_gather(shards: list[tuple[int, list[float], float]], expected: int) -> None:
+    """Gangs whose image no machine caches yet are assigned to the shard that the hash of the image selects.
+
+    An item of `shards` has the number of free machines, the processors on machines that cache the image, and the
+    processors that queued tasks need.
+    """
     assert zlib.crc32(b"img-1") % 3 == 2
-    summaries = [summary(number, *one) for number, one in enumerate(shards)]
+    summaries = [summary(number, *arguments) for number, arguments in enumerate(shards)]
     assert split(submission(kind="group", tasks=2, cpus=8.0), summaries, 3) == [(expected, 0, 2)]
 
 
 @pytest.mark.parametrize(
     ("shards", "expected"),
     [
-        ([(4, [8.0], 0), (4, [], 0), (4, [], 0)], [1 / 3] * 3),  # not all of them beside the image
+        ([(4, [8.0], 0), (4, [], 0), (4, [], 0)], [1 / 3] * 3),  # not all go to the shard that caches the image
         ([(8, [], 0), (4, [], 0), (0, [], 0)], [2 / 3, 1 / 3, 0]),
-        ([(0, [], 10.0), (0, [], 10.0), (0, [], 0)], [1 / 4, 1 / 4, 1 / 2]),  # nothing is free: by their queues
+        # no machine is free: by the queues per machine
+        ([(0, [], 10.0), (0, [], 10.0), (0, [], 0)], [1 / 4, 1 / 4, 1 / 2]),
     ],
 )
 def test_one_task_jobs_are_spread_like_a_large_array(
     shards: list[tuple[int, list[float], float]], expected: list[float]
 ) -> None:
-    summaries = [summary(number, *one) for number, one in enumerate(shards)]
+    summaries = [summary(number, *arguments) for number, arguments in enumerate(shards)]
     counts = [0] * len(shards)
     for number in range(1200):
         [(shard, first, end)] = split(submission(f"run-{number}", tasks=1, cpus=8.0), summaries, len(shards))
@@ -294,28 +330,34 @@
     assert [count / 1200 for count in counts] == pytest.approx(expected, abs=0.05)
 
 
-# -- what can be in time
+# -- Which jobs can complete in time
 
 
 @pytest.mark.parametrize(
     ("jobs", "expected"),
     [
         ({"a": (10, 10, [20])}, {"a": 0}),
-        ({"a": (80, 10, [15]), "b": (100, 10, [20]), "c": (60, 10, [18])}, {"a": 0, "b": 1, "c": 0}),  # most work goes
-        ({"a": (10, 30, [20])}, {"a": 1}),  # one run takes longer, however many processors there are
-        ({"a": (100, 10, [12, 21]), "b": (110, 10, [12, 22])}, {"a": 0, "b": 1}),  # late for the first, not the second
-        ({"a": (10, 10, [])}, {"a": 0}),  # nothing is expected of it
+        # the job with the most work is late
+        ({"a": (80, 10, [15]), "b": (100, 10, [20]), "c": (60, 10, [18])}, {"a": 0, "b": 1, "c": 0}),
+        # its shortest duration exceeds the time left, however many processors there are
+        ({"a": (10, 30, [20])}, {"a": 1}),
+        # b misses its first due time, but not the second
+        ({"a": (100, 10, [12, 21]), "b": (110, 10, [12, 22])}, {"a": 0, "b": 1}),
+        ({"a": (10, 10, [])}, {"a": 0}),  # it has no due time
         ({"a": (10, 10, [-5])}, {"a": 1}),
     ],
 )
 def test_as_many_jobs_as_can_be_are_in_time(jobs: dict, expected: dict) -> None:
+    """`jobs`: job -> its work, its shortest duration and its due times, in seconds, with ten processors in total."""
     loads = [
-        RemainingWork(ref, work * S, least * S, [one * S for one in due]) for ref, (work, least, due) in jobs.items()
+        RemainingWork(ref, work * S, min_duration * S, [seconds * S for seconds in due])
+        for ref, (work, min_duration, due) in jobs.items()
     ]
     assert lateness_tiers([loads], 10.0) == expected
 
 
 def test_what_is_served_first_leaves_less_time_to_the_rest() -> None:
+    """The work of an earlier group delays a later group, also if the earlier group is late."""
     first, second = RemainingWork("a", 100 * S, S, [5 * S]), RemainingWork("b", 100 * S, S, [15 * S])
     assert lateness_tiers([[first], [second]], 10.0) == {"a": 1, "b": 1}
     assert lateness_tiers([[second]], 10.0) == {"b": 0}
@@ -326,23 +368,25 @@
     target = shard(1)
     near, far = add(target, submission("run-near", image="img-1")), add(target, submission("run-far", image="img-2"))
     far.lateness_tier = tier
-    target.machines["host-0"].touch_image("img-2", 5.0)  # its image is here, and still it waits
+    # The machine caches the image of run-far, which would go first for that reason if its tier were 0.
+    target.machines["host-0"].touch_image("img-2", 5.0)
     planner = Planner(target, Scheduling(), Objectives([]))
     assert planner.fill_machine(target.machines["host-0"], 100 * S, never) == 4
     assert [len(job.placements) for job in (near, far)] == ([4, 0] if first == "run-near" else [0, 4])
 
 
-# -- what messages prove
+# -- What heartbeats and responses prove about tasks
 
 
 def started(target: Shard) -> Job:
+    """Return a job with one task, for which a start command has just been sent to host-0."""
     job = add(target, submission(tasks=1))
     machine = target.machines["host-0"]
     target.on_heartbeat(machine, heartbeat(1), True, 1 * S)
     target.place(job, 0, 99, machine, 1 * S, Phase.RESERVED)
-    assert [one.kind for one in target.commands(machine, 1 * S, starts=False)] == []
-    assert [one.kind for one in target.commands(machine, 1 * S, starts=True)] == ["start"]
-    assert target.commands(machine, 1 * S, starts=True) == [], "a start goes out once"
+    assert [command.kind for command in target.commands(machine, 1 * S, starts=False)] == []
+    assert [command.kind for command in target.commands(machine, 1 * S, starts=True)] == ["start"]
+    assert target.commands(machine, 1 * S, starts=True) == [], "a start command is sent only once"
     return job
 
 
@@ -352,20 +396,15 @@
 @pytest.mark.parametrize(
     ("sequence", "incarnation", "tasks", "periodic", "still_placed"),
     [
-        (2, 1, [], True, False),  # a later heartbeat without it: it did not arrive
-        (2, 1, [], False, True),  # the answer to /do proves nothing about a start on its way
-        (1, 1, [], True, True),  # the same report once more
-        (0, 1, [], True, True),  # an older one
+        (2, 1, [], True, False),  # a later heartbeat does not list the task: the command did not arrive
+        (2, 1, [], False, True),  # the response to a direct command does not prove that the start command was lost
+        (1, 1, [], True, True),  # a copy of the heartbeat sent before the start command
+        (0, 1, [], True, True),  # an older heartbeat
         (2, 1, [RUNNING], True, True),
-        (2, 2, [], False, False),  # another incarnation: all earlier tasks are dead
+        (2, 2, [], False, False),  # a new incarnation of the worker: all earlier tasks are dead
         (2, 1, [TaskStatus("run-1/0", 99, "exited", "no_room")], True, False),
-        (
-            2,
-            1,
-            [TaskStatus("run-1/0", 98, "exited", "done")],
-            True,
-            False,
-        ),  # only an older one ended
+        # only an earlier attempt of the task ended
+        (2, 1, [TaskStatus("run-1/0", 98, "exited", "done")], True, False),
     ],
 )
 def test_start_in_flight(sequence: int, incarnation: int, tasks: list, periodic: bool, still_placed: bool) -> None:
@@ -380,8 +419,8 @@
     ("phase", "image", "started"),
     [
         (Phase.RESERVED, "img-2", 0),
-        (Phase.FETCHING, "img-2", 0),  # a second fetch would halve the rate of the gang's
-        (Phase.FETCHING, "img-1", 2),  # the same image comes once for all
+        (Phase.FETCHING, "img-2", 0),  # a second fetch would halve the rate of the gang's fetch
+        (Phase.FETCHING, "img-1", 2),  # the jobs use the same image, which is fetched once
         (Phase.RUNNING, "img-2", 2),
     ],
 )
@@ -397,7 +436,7 @@
 
 
 def waiting_gang(target: Shard, placed: int = 2) -> Job:
-    """The first task waits beside its image, the second still fetches it."""
+    """Return a gang whose first task waits for the second one, which still fetches its image."""
     gang = add(target, submission("run-g", kind="group", tasks=2))
     gang.gang_attempt = 99
     for index, phase in list(enumerate((Phase.WAITING, Phase.FETCHING)))[:placed]:
@@ -409,26 +448,31 @@
 
 
 def set_running(gang: Job) -> None:
+    """The second task runs."""
     gang.placements[1].running_since = S
 
 
 def set_stopping(gang: Job) -> None:
+    """The second task is being stopped."""
     gang.placements[1].grace = timedelta(0)
 
 
 def set_tired(gang: Job) -> None:
+    """The first task has been restarted more often than a waiting task may be."""
     gang.placements[0].gang_wait_restarts = 1000
 
 
 def set_draining(gang: Job) -> None:
+    """The first task's machine is quarantined, so nothing may be started on it."""
     gang.placements[0].machine.quarantined = True
 
 
 @pytest.mark.parametrize(
     ("placed", "change", "commands"),
     [
-        (2, lambda gang: None, ["clear", "start"]),  # it goes on waiting, and the fetch goes on
-        (1, lambda gang: None, ["clear"]),  # there is no second task to wait for
+        # the first task is restarted to wait longer; the second continues its fetch
+        (2, lambda gang: None, ["clear", "start"]),
+        (1, lambda gang: None, ["clear"]),  # no second task is placed that it could wait for
         (2, set_running, ["clear"]),
         (2, set_stopping, ["clear"]),
         (2, set_tired, ["clear"]),
@@ -441,22 +485,24 @@
     change(gang)
     machine = target.machines["host-0"]
     target.on_heartbeat(machine, heartbeat(1, [ALONE]), True, 30 * S)
-    assert target.commands(machine, 30 * S, starts=False) == [], "clears and starts go out in answers to reports only"
+    assert target.commands(machine, 30 * S, starts=False) == [], (
+        "clear and start commands are sent in responses to heartbeats only"
+    )
     sent = target.commands(machine, 30 * S, starts=True)
-    assert [one.kind for one in sent] == commands
-    assert {one.attempt for one in sent} == {99}
+    assert [command.kind for command in sent] == commands
+    assert {command.attempt for command in sent} == {99}
     if "start" in commands:
         assert not gang.placements[1].stopping
-        assert target.usage["blue"].cpus == 4.0, "it counts as on its machine all the time"
+        assert target.usage["blue"].cpus == 4.0, "the restarted task keeps using its quota"
     else:
-        assert 0 not in gang.placements and all(one.stopping for one in gang.placements.values())
+        assert 0 not in gang.placements and all(placement.stopping for placement in gang.placements.values())
 
 
 @pytest.mark.parametrize(
     ("sequence", "periodic", "task", "commands"),
     [
-        (2, False, ALONE, []),  # may be older than the answer that carried the start
-        (2, True, ALONE, ["clear", "start"]),  # the answer was lost, or it has waited once more
+        (2, False, ALONE, []),  # may have been sent before the response with the start command arrived
+        (2, True, ALONE, ["clear", "start"]),  # the response was lost, or the restarted task has timed out again
         (2, True, TaskStatus("run-g/0", 99, "waiting"), []),
         (1, True, ALONE, []),
     ],
@@ -464,49 +510,57 @@
 def test_the_end_of_a_task_that_was_started_again(
     sequence: int, periodic: bool, task: TaskStatus, commands: list
 ) -> None:
-    """Both attempts have one number: what ended must not be taken for what was started since."""
+    """An exit that was reported before a restart must not be taken for an exit of the restarted task.
+
+    The two can't be told apart by the attempt number, because a gang's task keeps it when it is restarted to wait
+    longer.
+    """
     target = shard(2)
     gang = waiting_gang(target)
     machine = target.machines["host-0"]
     target.on_heartbeat(machine, heartbeat(1, [ALONE]), True, 30 * S)
     target.commands(machine, 30 * S, starts=True)
-    fresh = target.on_heartbeat(machine, heartbeat(sequence, [task]), periodic, 31 * S)
-    assert 0 in gang.placements, "it may be on its machine"
-    assert [one.kind for one in target.commands(machine, 31 * S, starts=True) if fresh and periodic] == commands
+    events = target.on_heartbeat(machine, heartbeat(sequence, [task]), periodic, 31 * S)
+    assert 0 in gang.placements, "the task may be on its machine"
+    assert [
+        command.kind for command in target.commands(machine, 31 * S, starts=True) if events and periodic
+    ] == commands
 
 
 @pytest.mark.parametrize(
-    ("seen", "mate", "cached"),
+    ("seen", "other_task_waits", "cached"),
     [
-        ([], False, False),  # stopped before it was ever seen
-        ([TaskStatus("run-1/0", 99, "fetching")], False, False),  # the fetch is given up
-        ([TaskStatus("run-1/0", 99, "fetching")], True, True),  # another task still waits for it
+        ([], False, False),  # the task was stopped before any heartbeat listed it
+        ([TaskStatus("run-1/0", 99, "fetching")], False, False),  # the fetch is cancelled
+        # another task still needs the image, so the fetch continues
+        ([TaskStatus("run-1/0", 99, "fetching")], True, True),
         ([TaskStatus("run-1/0", 99, "fetching"), RUNNING], False, True),
         ([TaskStatus("run-1/0", 99, "fetching"), TaskStatus("run-1/0", 99, "exited", "done")], False, True),
     ],
 )
-def test_an_image_is_cached_once_a_task_has_it(seen: list[TaskStatus], mate: bool, cached: bool) -> None:
+def test_an_image_is_cached_once_a_task_has_it(seen: list[TaskStatus], other_task_waits: bool, cached: bool) -> None:
     target = shard(1)
     started(target)
     machine = target.machines["host-0"]
-    if mate:
+    if other_task_waits:
         target.place(add(target, submission("run-2", tasks=1)), 0, 98, machine, 1 * S, Phase.SENT)
     for sequence, task in enumerate(seen, 2):
         target.on_heartbeat(machine, heartbeat(sequence, [task]), True, sequence * S)
-    assert "img-1" in machine.images, "on its way, or there"
+    assert "img-1" in machine.images, "the image is being fetched, or cached"
     target.on_heartbeat(machine, heartbeat(10, [TaskStatus("run-1/0", 99, "exited", "stopped")]), True, 10 * S)
     assert ("img-1" in machine.images) is cached
 
 
 def test_done_is_cleared_only_when_durable() -> None:
+    """The worker is told to forget a completed task only after the completion has been stored."""
     target = shard(1)
     job = started(target)
     machine = target.machines["host-0"]
     events = target.on_heartbeat(machine, heartbeat(2, [TaskStatus("run-1/0", 99, "exited", "done")]), True, 2 * S)
     assert events.progressed == {"run-1"}
     assert target.commands(machine, 2 * S, starts=True) == []
-    target.drop_job(job.ref)  # its final state is written
-    assert [one.kind for one in target.commands(machine, 2 * S, starts=True)] == ["clear"]
+    target.drop_job(job.ref)  # as after the job's final state has been written
+    assert [command.kind for command in target.commands(machine, 2 * S, starts=True)] == ["clear"]
 
 
 def test_refused_start_does_not_free_a_task_that_an_older_attempt_runs() -> None:
@@ -518,6 +572,7 @@
 
 
 def test_lower_token_is_no_last_word() -> None:
+    """A machine counts as fenced only once it reports this leader's fencing token, not a former leader's."""
     target = shard(1, term=9)
     machine = target.machines["host-0"]
     target.reconciled = False
@@ -528,44 +583,51 @@
 
 
 @pytest.mark.parametrize(
-    ("answered", "fenced", "grace", "now", "lost"),
+    ("last_response_s", "fenced", "grace_s", "now_s", "lost"),
     [
         (10, True, 20, 22, True),
         (10, True, 20, 20, False),
-        (None, False, 20, 30, False),  # a former leader may still have answered it
+        (None, False, 20, 30, False),  # a former leader may have renewed its lease until the grace period of 20 s ended
         (None, False, 20, 32, True),
-        (25, False, 20, 35, False),  # our own answer renewed its lease before it was fenced
+        # a response of this leader renewed its lease, although the machine was not fenced yet
+        (25, False, 20, 35, False),
     ],
 )
-def test_silent_machines(answered: float | None, fenced: bool, grace: float, now: float, lost: bool) -> None:
+def test_silent_machines(last_response_s: float | None, fenced: bool, grace_s: float, now_s: float, lost: bool) -> None:
+    """A silent machine is lost once its lease of 11 s, as last renewed by this or a former leader, has expired."""
     target = shard(1)
     machine = target.machines["host-0"]
-    machine.last_response_at = None if answered is None else answered * S
+    machine.last_response_at = None if last_response_s is None else last_response_s * S
     machine.fenced = fenced
-    assert bool(target.expire_leases(now * S + S, now * S, 11 * S, grace * S)) is lost
+    assert bool(target.expire_leases(now_s * S + S, now_s * S, 11 * S, grace_s * S)) is lost
 
 
 @pytest.mark.parametrize(
     ("events", "drained", "failing"),
     [
-        (["0 run-1 error", "0 run-2 error"], set(), False),  # both may be about to fail elsewhere
-        (["0 run-1 error", "0 run-2 error", "5", "0 run-3 error"], {"host-0"}, False),  # different jobs: the machine
+        (["0 run-1 error", "0 run-2 error"], set(), False),  # both jobs may be about to fail on other machines too
+        # these jobs have failed on host-0 only, so the machine is at fault
+        (["0 run-1 error", "0 run-2 error", "5", "0 run-3 error"], {"host-0"}, False),
         (["0 run-1 error", "0 run-2 error", "1 run-1 error", "1 run-2 error", "5", "0 run-3 error"], set(), False),
-        (["0 run-1 error", "0 run-1 error", "0 run-1 error"], set(), False),  # nowhere else yet
-        (["0 run-1 error", "0 run-1 error", "0 run-1 error", "1 run-1 done"], {"host-0"}, False),  # not the job's fault
+        # the job has not run on another machine yet
+        (["0 run-1 error", "0 run-1 error", "0 run-1 error"], set(), False),
+        # done on host-1, so host-0 is at fault
+        (["0 run-1 error", "0 run-1 error", "0 run-1 error", "1 run-1 done"], {"host-0"}, False),
         (["0 run-1 error", "1 run-1 error", "2 run-1 error"], set(), True),
-        (["0 run-1 error", "1 run-1 error", "2 run-1 error", "0 run-2 error"], set(), True),  # run-1 says nothing of it
+        # failures of run-1 do not count against host-0
+        (["0 run-1 error", "1 run-1 error", "2 run-1 error", "0 run-2 error"], set(), True),
         (["0 run-1 error", "0 run-3 done", "0 run-2 error"], set(), False),
-        (
-            ["0 run-1 error", "1 run-1 error", "2 run-1 error", "3 run-1 done"],
-            set(),
-            False,
-        ),  # so it is not the job that fails
-        (["0 run-1 error", "60", "0 run-1 error"], {"host-0"}, False),  # nobody else may run it
+        # done on host-3, so the job is not at fault
+        (["0 run-1 error", "1 run-1 error", "2 run-1 error", "3 run-1 done"], set(), False),
+        # it fails there again after 60 s; perhaps no other machine may run it
+        (["0 run-1 error", "60", "0 run-1 error"], {"host-0"}, False),
     ],
 )
 def test_sick_machines_and_failing_jobs(events: list[str], drained: set[str], failing: bool) -> None:
-    """A job that fails wherever it goes is at fault itself; a machine, if it fails what is done elsewhere."""
+    """A job that fails on several machines is marked as failing; a machine that causes failures is quarantined.
+
+    An event is a number of seconds that pass, or the number of a host, a job and the cause with which its task exits.
+    """
     target = shard(4)
     now = S
     for ref in ("run-1", "run-2", "run-3"):
@@ -581,7 +643,7 @@
         target.commands(machine, now, starts=True)
         ended = TaskStatus(f"{ref}/{number}", number, "exited", cause)
         target.on_heartbeat(machine, heartbeat(2 * number + 2, [ended]), True, now)
-    assert {one.name for one in target.machines.values() if one.quarantined} == drained
+    assert {machine.name for machine in target.machines.values() if machine.quarantined} == drained
     assert target.jobs["run-1"].failing is failing
     assert target.jobs["run-1"].startable == (1 if failing else target.jobs["run-1"].waiting_bits.bit_count())
 
@@ -592,12 +654,12 @@
 @pytest.mark.parametrize(
     ("sequence", "incarnation", "fencing_token", "tasks"),
     [
-        (2, 1, 7, []),  # the newest again
-        (1, 1, 7, []),  # of the current incarnation
-        (9, 0, 7, []),  # of an earlier incarnation, with a larger count
+        (2, 1, 7, []),  # a copy of the newest message
+        (1, 1, 7, []),  # an older message of the current incarnation
+        (9, 0, 7, []),  # a message of an earlier incarnation, with a higher sequence number
         (1, 1, 7, [RUNNING]),
         (1, 1, 7, [DONE]),
-        (9, 0, 6, [TaskStatus("run-1/1", 98, "running")]),  # a task that died with its incarnation
+        (9, 0, 6, [TaskStatus("run-1/1", 98, "running")]),  # lists a task that died with an earlier incarnation
     ],
 )
 def test_late_copies_change_nothing(
@@ -620,7 +682,11 @@
 
 
 def test_a_copy_does_not_bring_a_lost_machine_back() -> None:
-    """Its lease is over, so its incarnation is: a heartbeat of it, newer than any we saw, is late all the same."""
+    """A lost machine is usable again only once it reports a new incarnation.
+
+    Its incarnation ended with its lease, so a heartbeat of that incarnation is ignored even if its sequence number is
+    higher than that of every message processed before.
+    """
     target = shard(1)
     machine = target.machines["host-0"]
     job = started(target)
@@ -636,13 +702,14 @@
 @pytest.mark.parametrize(
     ("heartbeats", "unreachable"),
     [
-        ([(2, 1, [])], False),  # one answer may be lost
-        ([(2, 1, []), (3, 1, [])], True),  # two starts in a row were not taken
+        ([(2, 1, [])], False),  # a single response may be lost
+        ([(2, 1, []), (3, 1, [])], True),  # two start commands in a row did not arrive
         ([(2, 1, []), (3, 1, [RUNNING])], False),
-        ([(2, 2, [])], True),  # the lease ran out though we answered a moment ago
+        ([(2, 2, [])], True),  # the lease expired although the controller responded a moment ago
     ],
 )
 def test_machines_that_do_not_hear(heartbeats: list[tuple[int, int, list]], unreachable: bool) -> None:
+    """A machine whose heartbeats arrive but that does not receive the responses gets no tasks."""
     target = shard(1)
     machine = target.machines["host-0"]
     job = started(target)
@@ -654,15 +721,15 @@
             target.commands(machine, sequence * S, starts=True)
     assert machine.unreachable is unreachable and machine.usable is not unreachable
     target.on_heartbeat(machine, heartbeat(20, incarnation=machine.incarnation), False, 20 * S)
-    assert machine.usable, "it answered a command"
+    assert machine.usable, "it responded to a direct command"
 
 
-# -- records
+# -- Stored records
 
 
 @pytest.mark.parametrize("tasks", [{0, 1, 2}, {5}, set(), set(range(0, 1000, 3)), set(range(1000))])
 def test_done_tasks_survive_their_record(tasks: set[int]) -> None:
-    done = sum(1 << one for one in tasks)
+    done = sum(1 << index for index in tasks)
     record = JobRecord(submission(tasks=1000), 0.0, [(0, 0, 1000)]).with_done(done)
     assert record.stored_done_tasks() == done
 
@@ -677,7 +744,7 @@
     ],
 )
 def test_ranges(ranges: list, first: int, end: int, shard_number: int, expected: list) -> None:
-    assert assign_tasks([TaskRange(*one) for one in ranges], first, end, shard_number) == expected
+    assert assign_tasks([TaskRange(*fields) for fields in ranges], first, end, shard_number) == expected
 
 
 def test_bits() -> None:
@@ -689,32 +756,39 @@
 @pytest.mark.parametrize(
     ("times", "learned"),
     [
-        ((1, 2, 3, 4), 1),  # a heartbeat each second, the task is done after the third
-        ((1, 2, 30, 31), 1),  # both ends were seen
-        ((1, 2, 3, 30), 0),  # nobody knows when in between it was done
-        ((1, 20, 21, 22), 0),  # nor, here, when it began
+        ((1, 2, 3, 4), 1),  # a heartbeat each second, so the run time is known
+        ((1, 2, 30, 31), 1),  # the gap is in the middle of the run: its start and its end were seen in time
+        ((1, 2, 3, 30), 0),  # the task may have ended at any time in the gap
+        ((1, 20, 21, 22), 0),  # the task may have started at any time in the gap
     ],
 )
 def test_runs_across_a_silence(times: tuple[int, ...], learned: int) -> None:
-    """A controller that was paused must not take its own pause for run time."""
+    """A controller must not count a gap between heartbeats, such as its own pause, as run time.
+
+    `times` are when four heartbeats arrive: before the task starts, twice while it runs, and after its exit.
+    """
     target = shard(1)
     machine = target.machines["host-0"]
     machine.last_message_at = timedelta(0)
-    one = add(target, submission())
+    job = add(target, submission())
     states = ["running", "running", "exited"]
     target.on_heartbeat(machine, heartbeat(1), True, times[0] * S)
-    target.place(one, 0, 5, machine, times[0] * S, Phase.RESERVED)
+    target.place(job, 0, 5, machine, times[0] * S, Phase.RESERVED)
     target.commands(machine, times[0] * S, starts=True)
-    for number, (at, state) in enumerate(zip(times[1:], states, strict=True)):
-        told = TaskStatus("run-1/0", 5, state, "done" if state == "exited" else None)
-        target.on_heartbeat(machine, heartbeat(number + 2, [told]), True, at * S)
-    assert one.done_here == 1
-    assert one.finished_runs == learned
+    for number, (arrival, state) in enumerate(zip(times[1:], states, strict=True)):
+        status = TaskStatus("run-1/0", 5, state, "done" if state == "exited" else None)
+        target.on_heartbeat(machine, heartbeat(number + 2, [status]), True, arrival * S)
+    assert job.done_here == 1
+    assert job.finished_runs == learned
     assert (target.estimates.correction("batch") == 1.0) is (learned == 0)
 
 
 def test_nothing_is_placed_while_a_task_of_an_undecided_job_runs() -> None:
-    """It may be released at any moment, and then its tasks would be started elsewhere, beside those that run."""
+    """No task is placed while a machine runs a task of an undecided job.
+
+    A job is undecided while it is not known whether its predecessors are done. It may be released at any moment, and
+    then its tasks would be started on other machines although they run already.
+    """
     target = shard(2)
     undecided = {"run-1"}
     target.undecided = undecided.__contains__
@@ -732,7 +806,9 @@
     undecided.add("run-2")
     other_done = TaskStatus("run-2/0", 5, "exited", "done")
     target.on_heartbeat(machine, heartbeat(3, [done, other_done]), True, 3 * S)
-    assert [one.task for one in target.commands(machine, 3 * S, starts=True)] == [], "nothing is cleared unseen"
+    assert [command.task for command in target.commands(machine, 3 * S, starts=True)] == [], (
+        "only recorded exits are cleared"
+    )
 
 
 def test_processors_are_counted_once_by_what_they_do() -> None:
