--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -1,4 +1,7 @@
-"""Jobs that wait for others: released once all of them are done, cancelled with any of them, under every trouble."""
+"""Jobs with predecessors: released once all predecessors are done, cancelled if one is cancelled; also under faults.
+
+A predecessor is a job named in `follows`; a dependent is a job that waits for it.
+"""
 
 import json
 from collections.abc import Callable, Iterator
@@ -19,14 +22,17 @@
 from tests.standins.day import HOSTS, SECOND, Day, job
 from tests.test_meetings import MEETINGS
 
-CANCEL = 36
+CANCEL = 36  # seconds after a confirmed cancellation within which all tasks and dependents must be cancelled
 
 
-# -- The graph
+# -- The dependency graph
 
 
 class Graph:
-    """A graph with what was reported of it."""
+    """A dependency graph, and the jobs that it has reported as released and as cancelled.
+
+    `ends`: job -> its final state before the graph was made.
+    """
 
     def __init__(self, **ends: str) -> None:
         self.ends = {name: FinalState(JobState(state), 7.0) for name, state in ends.items()}
@@ -35,6 +41,7 @@
         self.graph = Dependencies(self.ends.get, self.released.append, self.cancelled.append)
 
     def end(self, ref: str, state: str, at: float = 7.0) -> None:
+        """Record a job's final state, reached at the wall-clock time `at`."""
         self.ends[ref] = FinalState(JobState(state), at)
         self.graph.remove(ref)
         self.graph.finished(ref, self.ends[ref])
@@ -54,20 +61,21 @@
         ({"b": "a", "c": "b", "d": "cx"}, [("b", "withdrawn")], "", "cd"),
         ({"b": "a", "c": "b"}, [("a", "done"), ("b", "done")], "bc", ""),
         ({"c": "b", "b": "a"}, [("a", "withdrawn")], "", "bc"),
-        ({"b": "o"}, [], "b", ""),  # `o` was done before
-        ({"b": "w", "c": "b"}, [], "", "bc"),  # `w` was cancelled before
+        ({"b": "o"}, [], "b", ""),  # `o` was done before `b` was added
+        ({"b": "w", "c": "b"}, [], "", "bc"),  # `w` was cancelled before `b` was added
         ({"c": "b", "b": "w"}, [], "", "bc"),
         ({"b": "aa"}, [("a", "done")], "b", ""),
     ],
 )
 def test_final_states_decide(needs: dict[str, str], ends: list, released: str, cancelled: str) -> None:
-    for again in (False, True):  # whatever is said twice changes nothing
+    """`needs`: job -> its predecessors, one letter each. `ends`: final states in the order of their reports."""
+    for repeated in (False, True):  # adding a job or reporting its end a second time changes nothing
         graph = Graph(o="done", w="withdrawn")
         for ref, predecessors in needs.items():
-            for _ in range(1 + again):
+            for _ in range(1 + repeated):
                 graph.graph.add(ref, predecessors)
         for ref, state in ends:
-            for _ in range(1 + again):
+            for _ in range(1 + repeated):
                 graph.end(ref, state)
         assert "".join(graph.released) == released
         assert "".join(sorted(graph.cancelled)) == cancelled
@@ -75,6 +83,7 @@
 
 
 def test_the_last_predecessor_starts_the_clock() -> None:
+    """A job counts as waiting from the time when its last predecessor was done, in whatever order they are reported."""
     graph = Graph()
     graph.graph.add("c", "ab")
     graph.end("b", "done", 50.0)
@@ -83,20 +92,20 @@
 
 
 def test_what_dependents_hand_back() -> None:
-    """Shared predecessors take the best of all; a cancelled dependent counts no more."""
+    """A predecessor inherits the highest level and earliest due time of its dependents, except of cancelled ones."""
     graph = Graph()
     for ref, predecessors in {"b": "a", "c": "a", "d": "bc", "e": "c"}.items():
         graph.graph.add(ref, predecessors)
     due = {"a": 1000.0, "b": 900.0, "c": 800.0, "d": 100.0, "e": 40.0}
-    length = {"a": 1.0, "b": 20.0, "c": 5.0, "d": 10.0, "e": 10.0}
+    duration = {"a": 1.0, "b": 20.0, "c": 5.0, "d": 10.0, "e": 10.0}
     level = {"a": 0, "b": 1, "c": 0, "d": 0, "e": 3}
 
-    def inherited(over: Callable[[], bool] = lambda: False) -> tuple[dict[str, Inherited], int]:
-        work = InheritancePass(graph.graph, lambda ref: Inherited(level[ref], due[ref]), length.__getitem__)
+    def inherited(out_of_time: Callable[[], bool] = lambda: False) -> tuple[dict[str, Inherited], int]:
+        inheritance = InheritancePass(graph.graph, lambda ref: Inherited(level[ref], due[ref]), duration.__getitem__)
         slices = 1
-        while not work.advance(over):
+        while not inheritance.advance(out_of_time):
             slices += 1
-        return work.result, slices
+        return inheritance.result, slices
 
     expected = {"a": (3, 25.0), "b": (1, 90.0), "c": (3, 30.0), "d": (0, 100.0), "e": (3, 40.0)}
     assert inherited()[0] == expected
@@ -106,7 +115,10 @@
 
 
 def test_inheritance_goes_on_where_the_last_slice_stopped() -> None:
-    """Chains of a hundred and fans of a hundred: a slice visits few jobs, and all slices together each job once."""
+    """A slice visits at most JOBS_PER_CLOCK_CHECK jobs, and all slices together visit each job once.
+
+    The graph has ten chains of a hundred jobs and ten jobs with a hundred dependents each.
+    """
     graph = Graph()
     for number in range(10):
         for link in range(100):
@@ -119,44 +131,46 @@
         visits += 1
         return Inherited(2 if ref.endswith("-100") else 0, 500.0)
 
-    work = InheritancePass(graph.graph, own, lambda ref: 1.0)
+    inheritance = InheritancePass(graph.graph, own, lambda ref: 1.0)
     while True:
         before, slices = visits, slices + 1
-        if work.advance(lambda: True):
+        if inheritance.advance(lambda: True):
             break
         assert visits - before <= JOBS_PER_CLOCK_CHECK
         if slices == 20:
-            graph.graph.add("late", ["c3-100"])  # what comes meanwhile does no harm
+            graph.graph.add("late", ["c3-100"])  # a job may be added between two slices
     assert slices > 100 and visits <= 2102
-    assert work.result["c7-0"] == (2, 400.0) and work.result["root4"] == (0, 499.0)
+    assert inheritance.result["c7-0"] == (2, 400.0) and inheritance.result["root4"] == (0, 499.0)
 
 
 def test_long_chains_and_wide_graphs() -> None:
+    """A chain of 3,000 jobs must not exceed the interpreter's recursion limit."""
     graph = Graph()
     for number in range(3000):
         graph.graph.add(f"c{number + 1}", [f"c{number}"])
         graph.graph.add(f"w{number}", ["c0"])
-    work = InheritancePass(graph.graph, lambda ref: Inherited(0, 0.0), lambda ref: 0.0)
-    assert work.advance(lambda: False) and len(work.result) == 6001
+    inheritance = InheritancePass(graph.graph, lambda ref: Inherited(0, 0.0), lambda ref: 0.0)
+    assert inheritance.advance(lambda: False) and len(inheritance.result) == 6001
     graph.end("c0", "withdrawn")
     assert len(graph.cancelled) == 6000
 
 
-# -- Days
+# -- Simulated runs of a whole cluster
 
 
 def chain(day: Day, name: str, length: int = 4, **last: object) -> list[str]:
-    """A pipeline, submitted one after another; the last has the priority that counts."""
+    """Submit a chain of jobs in order and return them. The last one gets the fields `last`, the others are idle."""
     refs = [f"run-{name}{number}" for number in range(length)]
     for number, ref in enumerate(refs):
-        before = {"follows": refs[number - 1 : number]} if number else {}
+        predecessor = {"follows": refs[number - 1 : number]} if number else {}
         changes = last if number == length - 1 else {"rank": "idle"}
         gang = {"gait": "group", "heads": 2} if number == 2 else {"heads": 3}
-        day.submit(job(ref, **({"trek_s": 3.0} | gang | changes | before)))
+        day.submit(job(ref, **({"trek_s": 3.0} | gang | changes | predecessor)))
     return refs
 
 
 def test_a_pipeline_runs_in_order() -> None:
+    """The jobs of a chain end in order, and no controller schedules a job before its predecessor is done."""
     day = Day(seed=41)
     day.run(5)
     refs = chain(day, "p", rank="urgent", market_s=90.0)
@@ -164,28 +178,31 @@
     assert [day.poll(ref) for ref in refs[1:]] == ["queued"] * 3
     assert all(
         ref not in leader.shard.jobs
-        for one, _ in day.controllers.values()
-        for leader in one.leaders.values()
+        for controller, _ in day.controllers.values()
+        for leader in controller.leaders.values()
         for ref in refs[1:]
     )
     assert day.finish(90) == []
     assert [day.last_conditions[ref] for ref in refs] == ["done"] * 4
-    ended = {key[7:]: item[0]["at"] for key, item in day.store.items.items() if key.startswith("b/past/")}
-    assert [ended[ref] for ref in refs] == sorted(ended[ref] for ref in refs)
+    ended_at = {key[7:]: item[0]["at"] for key, item in day.store.items.items() if key.startswith("b/past/")}
+    assert [ended_at[ref] for ref in refs] == sorted(ended_at[ref] for ref in refs)
     assert day.rules.broken == []
 
 
 def test_jobs_that_wait_take_nothing_from_others() -> None:
-    """No share, no guarantee, no machine rented: not even for a thousand processors' worth."""
+    """Jobs with unfinished predecessors use no quota, and no machines are rented for them.
+
+    Urgent jobs with 1,200 processors in total wait for a predecessor; an idle job must still start at once.
+    """
     day = Day(seed=42, machines=3)
     day.run(5)
     day.submit(job("run-first", heads=1, trek_s=40.0))
     for number in range(12):
         day.submit(job(f"run-w{number}", heads=100, rank="urgent", follows=["run-first"]))
     day.submit(job("run-other", heads=10, rank="idle", trek_s=2.0))
-    before = len(day.site.workers) + len(day.site.booting)
+    machines_before = len(day.site.workers) + len(day.site.booting)
     assert day.run_until(lambda: day.poll("run-other") == "done", 25)
-    assert len(day.site.workers) + len(day.site.booting) <= before + 2, "two spot machines at the most"
+    assert len(day.site.workers) + len(day.site.booting) <= machines_before + 2, "two spot machines at most"
     day.cancel("run-first")
     assert day.finish() == []
     assert day.rules.broken == []
@@ -211,6 +228,7 @@
     ],
 )
 def test_what_may_be_named(follows: object, status: int) -> None:
+    """`follows` may name running, done and cancelled jobs; an unknown job gets 422, a malformed list 400."""
     day = Day(seed=43)
     day.run(5)
     day.submit(job("run-over", heads=1, trek_s=0.5))
@@ -218,7 +236,7 @@
     day.submit(job("run-running", heads=2, trek_s=8.0))
     day.submit(job("run-off", heads=2, trek_s=30.0))
     day.cancel("run-off")
-    for host in HOSTS:  # also right after, at nodes that may not have heard of it
+    for host in HOSTS:  # at once, also at controllers that may not know the predecessors yet
         ref = f"run-new{host[-1]}" if follows != ["run-new"] else "run-new"
         described = job(ref, follows=follows)
         day.site.jobs[ref] = described
@@ -233,7 +251,10 @@
 
 
 def test_names_that_can_not_be_looked_up() -> None:
-    """503 while the key-value store is away, not 422; and the repeat of what was accepted gets its state."""
+    """While the key-value store is unreachable, a submission with unknown predecessors gets 503, not 422.
+
+    A repeated submission of an accepted job gets the job's state, even if it names an unknown predecessor.
+    """
     day = Day(seed=44)
     day.run(5)
     day.submit(job("run-a", heads=1, trek_s=60.0))
@@ -251,6 +272,7 @@
 
 
 def wide(day: Day) -> list[str]:
+    """Submit a hundred dependents of run-first."""
     refs = [f"run-w{number}" for number in range(100)]
     for ref in refs:
         day.submit(job(ref, heads=2, follows=["run-first"]))
@@ -258,6 +280,7 @@
 
 
 def deep(day: Day) -> list[str]:
+    """Submit a chain of a hundred jobs after run-first."""
     refs = [f"run-d{number}" for number in range(100)]
     for number, ref in enumerate(refs):
         day.submit(job(ref, heads=2, follows=[refs[number - 1] if number else "run-first"]))
@@ -265,65 +288,74 @@
 
 
 def well(day: Day) -> None:
-    """No trouble."""
+    """Inject no fault."""
 
 
 def outage(day: Day) -> None:
-    """It begins just after the confirmation."""
+    """Start an outage of the key-value store right after the cancellation is confirmed."""
     day.store.outage(True)
     day.loop.later((CANCEL + 12) * SECOND, lambda: day.store.outage(False))
 
 
 def confirmer_ends(day: Day) -> None:
+    """Restart two of the three controllers, so that the one that confirmed the cancellation may be among them."""
     for host in HOSTS[:2]:
         day.restart(host, 4 * SECOND)
 
 
 def all_end(day: Day) -> None:
+    """Restart all controllers."""
     for host in HOSTS:
         day.restart(host, 3 * SECOND)
 
 
 def writes_late(day: Day) -> None:
+    """For 20 s, apply some transactions only after their client timed out."""
     day.store.late_write_probability = 0.3
     day.loop.later(20 * SECOND, lambda: setattr(day.store, "late_write_probability", 0.0))
 
 
-@pytest.mark.parametrize("trouble", [well, outage, confirmer_ends, all_end, writes_late], ids=lambda one: one.__name__)
-@pytest.mark.parametrize("graph", [wide, deep], ids=lambda one: one.__name__)
+@pytest.mark.parametrize(
+    "trouble", [well, outage, confirmer_ends, all_end, writes_late], ids=lambda fault: fault.__name__
+)
+@pytest.mark.parametrize("graph", [wide, deep], ids=lambda submit: submit.__name__)
 def test_dependents_are_cancelled(graph: Callable[[Day], list[str]], trouble: Callable[[Day], None]) -> None:
+    """All direct and indirect dependents of a cancelled job are reported as cancelled within CANCEL seconds."""
     day = Day(seed=45, machines=3)
     day.run(5)
     day.submit(job("run-first", heads=1, trek_s=200.0))
     refs = graph(day)
     day.run(1)
     assert day.cancel("run-first") == "withdrawn"
-    told = day.loop.now()
+    confirmed_at = day.loop.now()
     trouble(day)
-    while day.loop.now() - told < CANCEL * SECOND:
+    while day.loop.now() - confirmed_at < CANCEL * SECOND:
         for ref in refs[::17]:
             day.poll(ref)
         day.run(2)
-    # From here on the rules call anything else an orphan; nothing at all is no older answer.
+    # After this time, a job reported as queued or running is a violation. None means that no controller answered.
     answers = {day.poll(ref, host=host) for ref in refs[::7] for host in HOSTS}
     assert answers <= {"withdrawn", None}
     assert trouble in (outage, writes_late) or answers == {"withdrawn"}
     assert day.finish(200) == []
     assert {day.last_conditions[ref] for ref in refs} == {"withdrawn"}
     assert day.run_until(lambda: not any(key.startswith("b/jobs/") for key in day.store.items), 60), (
-        "the records follow"
+        "the records of the cancelled jobs are deleted later"
     )
     assert day.rules.start_count <= 1
     assert day.rules.broken == []
 
 
 def test_what_a_controller_has_forgotten_is_looked_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Another node has said that a job is cancelled with its predecessor, whose end a restarted one does not know."""
+    """A restarted controller reports a job as cancelled if another controller has done so.
+
+    The job was cancelled because of its predecessor, whose final state the restarted controller has to look up.
+    """
 
     async def never(self: DownstreamCancellation | UpstreamResolver) -> None:
         await self._loop.sleep(timedelta(days=1))
 
-    monkeypatch.setattr(DownstreamCancellation, "run", never)  # so the dependents' own records stay
+    monkeypatch.setattr(DownstreamCancellation, "run", never)  # so that the dependents' own records stay active
     monkeypatch.setattr(UpstreamResolver, "run", never)
     day = Day(seed=51)
     day.run(5)
@@ -332,7 +364,7 @@
     day.submit(job("run-c", follows=["run-b"]))
     day.cancel("run-a", host=HOSTS[1])
     assert day.poll("run-c", host=HOSTS[1]) == "withdrawn"
-    day.run(CANCEL + 4)  # until nobody repeats it any more
+    day.run(CANCEL + 4)  # until no controller sends the cancellation to its peers any more
     day.restart(HOSTS[0], SECOND)
     assert day.run_until(lambda: day.ask("GET", "/up", host=HOSTS[0]) is not None, 8)
     day.run(3)
@@ -341,8 +373,8 @@
 
 
 def test_a_cancellation_that_meets_the_end_of_a_predecessor() -> None:
-    """Exactly one wins: either the dependents go on, or they are cancelled."""
-    ends = set()
+    """If a job is cancelled while it ends, either it is done and its dependent runs, or both are cancelled."""
+    outcomes = set()
     for seed in range(8):
         day = Day(seed=50 + seed)
         day.run(5)
@@ -353,16 +385,16 @@
         ends_at = day.rules.worker_by_task["run-a/0"].tasks["run-a/0"].state_ends_at
         day.store.delay_factor = 10.0
         day.run((ends_at - day.loop.now()) / SECOND - 0.2 + 0.05 * seed)
-        won = day.cancel("run-a")
+        outcome = day.cancel("run-a")
         assert day.finish() == []
-        assert day.last_conditions["run-b"] == ("done" if won == "done" else "withdrawn")
+        assert day.last_conditions["run-b"] == ("done" if outcome == "done" else "withdrawn")
         assert day.rules.broken == []
-        ends.add(won)
-    assert ends == {"done", "withdrawn"}
+        outcomes.add(outcome)
+    assert outcomes == {"done", "withdrawn"}
 
 
 def test_an_urgent_end_lifts_what_it_needs() -> None:
-    """Idle stages come before ordinary arrays while an urgent job needs them, and only as long as one does."""
+    """An idle job is scheduled at the level of an urgent dependent, until that dependent is cancelled."""
     day = Day(seed=46, machines=3, capacity=0)
     day.run(5)
     day.submit(job("run-fill", heads=200, crew="guests", trek_s=20.0))
@@ -374,7 +406,7 @@
         return sum(name.startswith("run-stage/") for name in day.rules.worker_by_task)
 
     def levels() -> set[int]:
-        leaders = [leader for one, _ in day.controllers.values() for leader in one.leaders.values()]
+        leaders = [leader for controller, _ in day.controllers.values() for leader in controller.leaders.values()]
         return {leader.shard.jobs["run-stage"].level for leader in leaders if "run-stage" in leader.shard.jobs}
 
     assert not placed()
@@ -384,16 +416,17 @@
     day.cancel("run-end")
     day.run(1.5)
     assert levels() == {0}
-    for one, _ in day.controllers.values():
-        for leader in one.leaders.values():
+    for controller, _ in day.controllers.values():
+        for leader in controller.leaders.values():
             for machine in leader.shard.machines.values():
-                assert all(abs(room.cpus) < 1e-6 for level, room in machine.allocated_by_level.items() if level == 2)
+                assert all(abs(used.cpus) < 1e-6 for level, used in machine.allocated_by_level.items() if level == 2)
     day.cancel("run-fill")
     assert day.finish() == []
     assert day.rules.broken == []
 
 
 def test_a_takeover_does_not_start_the_clock_anew() -> None:
+    """After a restart of all controllers, a job still counts as waiting since its last predecessor was done."""
     day = Day(seed=47, machines=3, capacity=0)
     day.run(5)
     day.submit(job("run-fill", heads=300, crew="guests", rank="urgent", trek_s=300.0))
@@ -405,17 +438,17 @@
     for host in HOSTS:
         day.restart(host, SECOND)
     day.run(10)
-    found = [
+    waiting_jobs = [
         leader.shard.jobs["run-b"]
-        for one, _ in day.controllers.values()
-        for leader in one.leaders.values()
+        for controller, _ in day.controllers.values()
+        for leader in controller.leaders.values()
         if "run-b" in leader.shard.jobs
     ]
-    assert found and all(abs((one.accepted - done_at) / SECOND) < 4 for one in found)
+    assert waiting_jobs and all(abs((waiting_job.accepted - done_at) / SECOND) < 4 for waiting_job in waiting_jobs)
 
 
 def test_tasks_of_a_released_job_survive_a_start_of_all() -> None:
-    """A controller that has just begun must not take them for strays because it has not looked its predecessors up."""
+    """After a restart, a controller does not treat running tasks as orphaned while it looks up their predecessors."""
     day = Day(seed=48, machines=6)
     day.run(5)
     refs = [f"run-a{number}" for number in range(14)]
@@ -424,22 +457,22 @@
     day.submit(job("run-b", heads=12, trek_s=40.0, follows=refs))
     assert day.run_until(lambda: len(day.rules.worker_by_task) == 12, 30)
     starts = day.rules.start_count
-    day.store.delay_factor = 10.0  # looking them up takes longer than the first heartbeats
+    day.store.delay_factor = 10.0  # looking up the predecessors takes longer than the first heartbeats do
     for host in HOSTS:
         day.restart(host, SECOND / 2)
     assert day.finish() == []
-    assert day.rules.start_count == starts, "nothing was started again"
+    assert day.rules.start_count == starts, "no task was started a second time"
     assert day.rules.broken == []
 
 
 def test_hundreds_of_predecessors() -> None:
-    """More than fit a record, where values are small: they go to keys of their own, which go when the job is over."""
+    """Predecessors that do not fit into a job's record are stored under keys of their own until the job has ended."""
     day = Day(seed=49, value_kb=2.0, txn_ops=5)
     day.run(5)
     refs = [f"run-m{number:04d}-{'x' * 40}" for number in range(120)]
     for ref in refs:
         day.submit(job(ref, heads=1, trek_s=0.2, cpus=0.5))
-    day.submit(job("run-all", heads=2, follows=refs, breeds=["k8", *(f"no-such-{one}" for one in range(200))]))
+    day.submit(job("run-all", heads=2, follows=refs, breeds=["k8", *(f"no-such-{number}" for number in range(200))]))
     day.submit(job("run-off", heads=2, follows=refs))
     assert all(len(json.dumps(item[0])) <= 2048 for item in day.store.items.values())
     assert any(key.startswith("b/before/run-all/") for key in day.store.items)
@@ -452,6 +485,7 @@
 
 
 def pipelines(day: Day) -> None:
+    """Submit three chains with a deadline, and one without."""
     for number in range(3):
         chain(day, f"p{number}-", rank="urgent", market_s=120.0)
     chain(day, "q", trek_s=8.0)
@@ -459,6 +493,7 @@
 
 @pytest.mark.parametrize("meeting", MEETINGS, ids=lambda meeting: meeting.__name__)
 def test_pipelines_in_every_meeting(meeting: Callable[[Day], Iterator[float]]) -> None:
+    """Jobs with predecessors run beside others under each combination of faults (meeting) from test_meetings."""
     day = Day(seed=sum(meeting.__name__.encode()) + 1, machines=9)
     day.run(5)
     for number in range(3):
@@ -476,18 +511,19 @@
 
 
 def test_records_of_the_past_tell_when() -> None:
+    """In a final state without a time, as old versions wrote it, the time is 0."""
     assert records.read(b'{"state":"done","tasks":3}', records.FinalStateRecord).at == 0.0
     assert timedelta(seconds=0) == 0 * SECOND
 
 
 async def looks_at_the_record_only(self: JobReader, ref: str) -> ActiveJob:
-    """A cheat: what a job's predecessors came to is not asked for."""
+    """Misbehave: return a job's record without asking whether a predecessor was cancelled."""
     return ActiveJob(self._job_store.active.get(ref) or records.JobRecord(submission_of(ref), 0.0, []), 0)
 
 
 def submission_of(ref: str) -> Submission:
-    described = {key: value for key, value in job(ref).items() if value is not None}
-    return msgspec.convert(described, Submission)
+    fields = {key: value for key, value in job(ref).items() if value is not None}
+    return msgspec.convert(fields, Submission)
 
 
 @pytest.mark.cheats
@@ -506,7 +542,7 @@
 def test_checker_catches_broken_dependencies(
     target: str, cheat: Callable[..., object], rule: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The checks from outside find a controller that starts jobs before their time, or forgets dependents."""
+    """The checks of the stand-ins notice a controller that starts jobs too early or does not cancel dependents."""
     monkeypatch.setattr(target, cheat)
     day = Day(seed=54)
     day.run(5)
@@ -517,4 +553,4 @@
         day.cancel("run-a")
         day.run(CANCEL + 2)
         day.poll("run-b")
-    assert any(rule in one for one in day.rules.broken)
+    assert any(rule in violation for violation in day.rules.broken)
