--- a/tests/test_pipeline_edges.py
+++ b/tests/test_pipeline_edges.py
@@ -1,4 +1,8 @@
-"""Pipelines, lower limits and going back where it is hard: each test fails without the guard that it is for."""
+"""Regression tests for jobs with predecessors, for lowered limits of the key-value store, and for a downgrade.
+
+A predecessor is a job named in `follows`; a dependent is a job that waits for it. Each test fails without the code that
+it guards.
+"""
 
 from datetime import timedelta
 
@@ -19,11 +23,13 @@
 from badgerroute.storage.task_ranges import TaskRange
 from tests.standins.day import HOSTS, SECOND, Day, job
 
-CANCEL = 36
+CANCEL = 36  # seconds after a confirmed cancellation within which all tasks and dependents must be cancelled
+# The lower limits that the settings announce for the key-value store.
 LOWER = LaterStoreLimits(write_rps=21.0, value_kb=2.0, txn_ops=5)
 
 
 def wait_for(day: Day, coro: object) -> object:
+    """Run a coroutine on the event loop until it ends, and return its result."""
     return day.loop.run(day.loop.spawn(coro, "test"))
 
 
@@ -33,22 +39,28 @@
 @pytest.mark.parametrize(
     ("announced", "refusals", "later", "changes", "value_bytes"),
     [
-        ((True, True), [(16, 9000)], 0, 16, 10000),  # kept from the first write on: never a matter of size
-        ((False, False), [(1, 300)], 0, 16, 10000),  # nobody refuses that for its size
+        # the announced limits are kept from the first write on, so size is not the reason
+        ((True, True), [(16, 9000)], 0, 16, 10000),
+        ((False, False), [(1, 300)], 0, 16, 10000),  # so small that its size can't be the reason
         ((False, False), [(2, 512)], 0, 16, 10000),
         ((False, False), [(8, 100)], 0, 4, 10000),
         ((False, False), [(1, 4000)], 0, 16, 2000),
         ((False, True), [(8, 4000)], 0, 4, 10000),
         ((True, False), [(8, 4000)], 0, 16, 2000),
         ((False, False), [(8, 100), (4, 100), (2, 100)], 0, 2, 10000),
-        ((False, False), [(8, 100)], 6, 8, 10000),  # comes back, step by step
+        ((False, False), [(8, 100)], 6, 8, 10000),  # the limit is raised again step by step
         ((False, False), [(8, 100)], 12, 16, 10000),
-        ((False, False), [(8, 100), (4, 100), (8, 100)], 6, 2, 10000),  # the more often, the later
+        ((False, False), [(8, 100), (4, 100), (8, 100)], 6, 2, 10000),  # the more refusals, the later it is raised
     ],
 )
 def test_only_what_may_be_a_matter_of_size_lowers_a_size(
     announced: tuple[bool, bool], refusals: list[tuple[int, int]], later: float, changes: int, value_bytes: int
 ) -> None:
+    """A refused transaction lowers a limit only if its size may be the reason.
+
+    `announced`: whether the settings announce a future limit on changes and on value sizes; `refusals`: the numbers of
+    changes and the value sizes of refused transactions; `later`: seconds until the limits are compared.
+    """
     limits = SizeLimits(16, 10000, *announced)
     for size in refusals:
         limits.lower_after_refusal(TransactionSize(*size), 0 * SECOND)
@@ -70,25 +82,27 @@
     ],
 )
 def test_an_ended_lease_is_told_by_the_error_alone(body: bytes, ended: bool) -> None:
+    """Only the error text of a response, not its other content, says that a lease has ended."""
     assert names_ended_lease(body) is ended
 
 
 def test_a_mistaken_refusal_does_not_squeeze_a_controller_for_good() -> None:
+    """Size limits that were lowered after refusals for another reason return to their old values within a minute."""
     day = Day(seed=71)
     day.run(4)
-    state = day.controllers[HOSTS[0]][0].storage.store
-    before = state.max_changes, state.max_value_bytes
+    store = day.controllers[HOSTS[0]][0].storage.store
+    limits_before = store.max_changes, store.max_value_bytes
     day.store.rejects_transactions = True
 
     async def write(changes: int) -> None:
-        await state.transact([], [put(f"b/x/{one}", "y" * 900) for one in range(changes)], Urgency.COMPLETE)
+        await store.transact([], [put(f"b/x/{number}", "y" * 900) for number in range(changes)], Urgency.COMPLETE)
 
     with pytest.raises(RequestRefusedError):
         wait_for(day, write(8))
-    assert (state.max_changes, state.max_value_bytes) < before
+    assert (store.max_changes, store.max_value_bytes) < limits_before
     day.store.rejects_transactions = False
     day.run(60)
-    assert (state.max_changes, state.max_value_bytes) == before
+    assert (store.max_changes, store.max_value_bytes) == limits_before
     assert day.rules.broken == []
 
 
@@ -97,6 +111,7 @@
 
 @pytest.mark.parametrize("follows", [None, ["run-first"]])
 def test_what_can_never_be_stored_gets_one_final_answer(follows: list[str] | None) -> None:
+    """A job whose record exceeds the announced size limit is refused with 422 by every controller."""
     day = Day(seed=72, later=LaterStoreLimits(value_kb=0.6))
     day.run(4)
     day.submit(job("run-first", heads=1, trek_s=20.0))
@@ -111,7 +126,10 @@
 
 
 def finished(day: Day, count: int, state: str = "done") -> list[str]:
-    """Jobs that were over long ago, of which no controller has anything in memory; others lie between them."""
+    """Store final states of `count` jobs that ended long ago and that no controller has in memory; return the jobs.
+
+    The final states of nine other jobs are stored after each, so reading whole ranges of keys would read too much.
+    """
     day.store.revision += 1
     for number in range(10 * count):
         final = state if number % 10 == 0 else "done"
@@ -127,15 +145,19 @@
 
 @pytest.mark.parametrize("state", ["done", "withdrawn"])
 def test_a_hundred_predecessors_are_looked_up_together(state: str) -> None:
-    """Also right after a start, in 200 ms, and in few requests."""
+    """A hundred predecessors that no controller has in memory are looked up in few requests, also after a restart.
+
+    The submission should take about 200 ms; the test allows 400 ms. After a restart of all controllers, the job is
+    released within 12 s, or cancelled with its predecessors.
+    """
     day = Day(seed=73, later=LOWER)
     day.run(6)
     refs = finished(day, 100, state)
     controller = day.controllers[HOSTS[0]][0]
-    before, began = controller.storage.store.requests, day.loop.now()
+    requests_before, submitted_at = controller.storage.store.requests, day.loop.now()
     response = day.ask("POST", "/v1/jobs", job("run-new", heads=1, follows=refs), host=HOSTS[0])
-    assert response.status == 201 and day.loop.now() - began < timedelta(milliseconds=400)
-    assert controller.storage.store.requests - before < 40
+    assert response.status == 201 and day.loop.now() - submitted_at < timedelta(milliseconds=400)
+    assert controller.storage.store.requests - requests_before < 40
     day.site.jobs["run-new"] = job("run-new", heads=1, follows=refs)
     day.accepted.add("run-new")
     for host in HOSTS:
@@ -147,6 +169,7 @@
 
 
 def test_one_bad_name_among_good_ones_is_named() -> None:
+    """A refused submission names the predecessor that is unknown or malformed, and no other one."""
     day = Day(seed=74)
     day.run(5)
     refs = finished(day, 30)
@@ -157,72 +180,78 @@
 
 
 def test_a_list_beyond_any_bound_is_refused_with_the_reason() -> None:
+    """A submission with too many predecessors is refused with the limit; one with exactly as many is accepted."""
     day = Day(seed=75, later=LOWER)
     day.run(5)
     refs = finished(day, 460)
-    most = day.controllers[HOSTS[0]][0].jobs.pager.max_predecessors
-    assert most == 24 * 18
+    limit = day.controllers[HOSTS[0]][0].jobs.pager.max_predecessors
+    assert limit == 24 * 18
     response = day.ask("POST", "/v1/jobs", job("run-a", follows=refs), host=HOSTS[0])
-    assert response.status == 422 and str(most).encode() in response.body
-    assert day.submit(job("run-b", heads=1, follows=refs[:most])) == 201
+    assert response.status == 422 and str(limit).encode() in response.body
+    assert day.submit(job("run-b", heads=1, follows=refs[:limit])) == 201
     assert day.store.too_large == []
     assert day.finish() == []
     assert day.rules.broken == []
 
 
-# -- Pages of predecessors
+# -- Pages of predecessors: keys of their own for predecessors that do not fit into a job's record
 
 
 def submission(ref: str, follows: list[str]) -> Submission:
-    described = {key: value for key, value in job(ref, follows=follows).items() if value is not None}
-    return msgspec.convert(described, Submission)
+    fields = {key: value for key, value in job(ref, follows=follows).items() if value is not None}
+    return msgspec.convert(fields, Submission)
 
 
 def many(name: str, count: int) -> list[str]:
+    """Return long job ids, so that a list of 60 of them does not fit into a record."""
     return [f"run-{name}{number:03d}-{'x' * 40}" for number in range(count)]
 
 
 def test_a_late_page_does_not_change_an_accepted_job() -> None:
-    """A repeat with another list, by another node, whose pages are carried out after the job was accepted."""
+    """A repeated submission to another controller, with other predecessors, does not replace an accepted job's pages."""
     day = Day(seed=76, later=LOWER)
     day.run(5)
-    one, two = (day.controllers[host][0] for host in HOSTS[:2])
+    first, second = (day.controllers[host][0] for host in HOSTS[:2])
     ranges = [TaskRange(0, 0, 6)]
-    assert wait_for(day, one.jobs.writer.accept(submission("run-a", many("m", 60)), ranges))
+    assert wait_for(day, first.jobs.writer.accept(submission("run-a", many("m", 60)), ranges))
     stored = {key: item for key, item in day.store.items.items() if key.startswith("b/before/run-a/")}
     assert len(stored) == 3
-    assert wait_for(day, two.jobs.writer.accept(submission("run-a", many("n", 90)), ranges)) is False
+    assert wait_for(day, second.jobs.writer.accept(submission("run-a", many("n", 90)), ranges)) is False
     assert {key: item for key, item in day.store.items.items() if key.startswith("b/before/run-a/")} == stored
 
 
 def test_a_record_is_written_with_its_own_pages_only() -> None:
-    """Between the pages of one node and its record another writes pages of another list."""
+    """A record is not written if another controller has overwritten the job's pages with another list meanwhile.
+
+    The first controller writes its pages and then the record; in between, the second one writes pages of another list.
+    """
     day = Day(seed=77, later=LOWER)
     day.run(5)
-    one, two = (day.controllers[host][0] for host in HOSTS[:2])
-    real = one.jobs.writer._write_pages
+    first, second = (day.controllers[host][0] for host in HOSTS[:2])
+    write_pages = first.jobs.writer._write_pages
 
     async def interrupted(*args: object) -> list:
-        conditions = await real(*args)
-        compact = two.jobs.pager.compact(records.JobRecord(submission("run-a", many("n", 60)), 0.0, []))
-        await two.jobs.writer._write_pages(compact.pages, args[1])
+        conditions = await write_pages(*args)
+        compact = second.jobs.pager.compact(records.JobRecord(submission("run-a", many("n", 60)), 0.0, []))
+        await second.jobs.writer._write_pages(compact.pages, args[1])
         return conditions
 
-    one.jobs.writer._write_pages = interrupted
+    first.jobs.writer._write_pages = interrupted
     ranges = [TaskRange(0, 0, 6)]
-    assert wait_for(day, one.jobs.writer.accept(submission("run-a", many("m", 60)), ranges)) is False
+    assert wait_for(day, first.jobs.writer.accept(submission("run-a", many("m", 60)), ranges)) is False
     assert "b/jobs/run-a" not in day.store.items
-    one.jobs.writer._write_pages = real
-    assert wait_for(day, one.jobs.writer.accept(submission("run-a", many("m", 60)), ranges))
+    first.jobs.writer._write_pages = write_pages
+    assert wait_for(day, first.jobs.writer.accept(submission("run-a", many("m", 60)), ranges))
     pages = [day.store.items[f"b/before/run-a/{number}"][0]["refs"] for number in range(3)]
     assert sum(pages, []) == many("m", 60)
 
 
 def test_pages_without_a_record_are_removed() -> None:
+    """Pages that a controller wrote before it ended, without writing the job's record, are deleted later."""
     day = Day(seed=78, later=LOWER)
     day.run(5)
     controller = day.controllers[HOSTS[0]][0]
-    for turn in range(4):  # cut short again and again, with another list each time
+    for turn in range(4):  # writes pages of another list each time; the controller ends before it writes a record
         compact = controller.jobs.pager.compact(records.JobRecord(submission("run-a", many("m", 60 + turn)), 0.0, []))
         wait_for(day, controller.jobs.writer._write_pages(compact.pages, []))
         day.restart(HOSTS[turn % 3], SECOND)
@@ -232,11 +261,14 @@
     assert day.run_until(lambda: not any(key.startswith("b/before/") for key in day.store.items), 120)
 
 
-# -- Takeovers and cancellations
+# -- Restarts and cancellations
 
 
 def test_tasks_of_undecided_jobs_are_no_strays(monkeypatch: pytest.MonkeyPatch) -> None:
-    """All start anew, and for 12 s nobody can find out how the predecessors ended. Tasks of released jobs go on."""
+    """Running tasks of released jobs are not stopped while it is unknown whether the jobs' predecessors are done.
+
+    All controllers are restarted, and for some 12 s none of them can look up how the predecessors ended.
+    """
     day = Day(seed=79, machines=6)
     day.run(5)
     refs = [f"run-a{number}" for number in range(5)]
@@ -246,24 +278,24 @@
     day.submit(job("run-c", heads=6, trek_s=18.0, follows=refs[:2]))
     assert day.run_until(lambda: len(day.rules.worker_by_task) == 18, 30)
     starts = day.rules.start_count
-    real, until = JobReader.find_unknown, day.loop.now() + 15 * SECOND
+    find_unknown, hindered_until = JobReader.find_unknown, day.loop.now() + 15 * SECOND
 
     async def hindered(self: JobReader, names: list[str], urgency: Urgency) -> list[str]:
-        if self._loop.now() < until:
+        if self._loop.now() < hindered_until:
             raise StoreUnavailableError("hindered")
-        return await real(self, names, urgency)
+        return await find_unknown(self, names, urgency)
 
     monkeypatch.setattr(JobReader, "find_unknown", hindered)
     for host in HOSTS:
         day.restart(host, SECOND)
     day.submit(job("run-other", heads=4, trek_s=1.0))
     assert day.finish() == []
-    assert day.rules.start_count == starts + 4, "nothing was started again"
+    assert day.rules.start_count == starts + 4, "no task was started a second time"
     assert day.rules.broken == []
 
 
 def test_tasks_of_jobs_that_certainly_wait_are_strays() -> None:
-    """What was never released can't run: whoever started it, it is stopped."""
+    """A task of a job that can't have been released is an orphaned task, which is stopped, whoever started it."""
     day = Day(seed=80)
     day.run(5)
     day.submit(job("run-a", heads=1, trek_s=30.0))
@@ -280,7 +312,10 @@
 
 
 def test_a_final_state_without_a_time_leaves_the_arrival() -> None:
-    """Written by a version that knew no pipelines: it was over before any job could name it."""
+    """A predecessor whose final state has no time does not change when a job counts as waiting.
+
+    Only versions without dependencies wrote such states, so that predecessor ended before any job could name it.
+    """
     ends = {"a": FinalState(JobState.DONE, 0.0), "b": FinalState(JobState.DONE, 70.0)}
     graph = Dependencies(ends.get, lambda ref: None, lambda ref: None)
     graph.add("c", ["a"])
@@ -289,6 +324,10 @@
 
 
 def test_a_fan_of_hundreds_is_cancelled_at_the_lower_rate_beside_a_dead_leader() -> None:
+    """500 dependents are cancelled in time although writes are limited to the lower rate and one controller is down.
+
+    Their records take longer; controllers must not lose their leases meanwhile.
+    """
     day = Day(seed=81, machines=3, later=LOWER)
     day.run(5)
     day.submit(job("run-first", heads=1, trek_s=300.0))
@@ -297,28 +336,31 @@
         day.submit(job(ref, heads=1, follows=["run-first"]))
     day.store.lower(day.settings[HOSTS[0]].params.state)
     day.run(2)
-    ended = day.store.next_lease
+    next_lease = day.store.next_lease
     assert day.cancel("run-first", host=HOSTS[1]) == "withdrawn"
-    day.crash(HOSTS[2])  # and stays away
-    told = day.loop.now()
-    while day.loop.now() - told < CANCEL * SECOND:
+    day.crash(HOSTS[2])  # and is not started again
+    confirmed_at = day.loop.now()
+    while day.loop.now() - confirmed_at < CANCEL * SECOND:
         for ref in refs[::29]:
             day.poll(ref, host=HOSTS[0])
         day.run(3)
-    assert any(key.startswith("b/jobs/") for key in day.store.items), "their records take longer than that"
+    assert any(key.startswith("b/jobs/") for key in day.store.items), "deleting all records takes longer than that"
     assert {day.poll(ref, host=host) for ref in refs[::7] for host in HOSTS[:2]} == {"withdrawn"}
     assert day.run_until(lambda: not any(key.startswith("b/jobs/") for key in day.store.items), 120)
-    assert day.store.next_lease == ended, "no claim was lost"
+    assert day.store.next_lease == next_lease, "no controller had to acquire a new lease"
     assert day.store.too_large == []
     assert day.rules.broken == []
 
 
-# -- Back to the version before
+# -- Downgrade to the version in production
 
 
 @pytest.mark.parametrize("forth", [False, True])
 def test_going_back_starts_nothing_too_early(forth: bool) -> None:
-    """The version before knows nothing of predecessors: jobs that wait stay queued in its hands, until it is gone."""
+    """After a downgrade to a version without dependencies, jobs with unfinished predecessors stay queued.
+
+    With `forth`, the controllers are upgraded again afterwards, and the jobs are then released.
+    """
     day = Day(seed=82, machines=6, later=LOWER)
     day.run(5)
     day.submit(job("run-a", heads=2, trek_s=40.0))
@@ -359,7 +401,10 @@
 
 
 def test_a_job_cancelled_before_its_user_is_answered_is_not_called_queued() -> None:
-    """It names a cancelled job, and a peer has moved it to its final state before the 201 is made up."""
+    """The response to a submission reports the job as cancelled if it has been cancelled before the response is sent.
+
+    Its predecessor is cancelled, and a peer writes the job's final state before the controller responds with 201.
+    """
     day = Day(seed=83)
     day.run(5)
     day.submit(job("run-a", heads=1, trek_s=60.0))
