--- a/tests/test_pipeline_edges.py
+++ b/tests/test_pipeline_edges.py
@@ -208,7 +208,7 @@
 
 
 def test_a_late_page_does_not_change_an_accepted_job() -> None:
-    """A repeated submission to another controller, with other predecessors, does not replace an accepted job's pages."""
+    """Submitting an accepted job again with other predecessors, to another controller, does not change its pages."""
     day = Day(seed=76, later=LOWER)
     day.run(5)
     first, second = (day.controllers[host][0] for host in HOSTS[:2])
@@ -251,7 +251,7 @@
     day = Day(seed=78, later=LOWER)
     day.run(5)
     controller = day.controllers[HOSTS[0]][0]
-    for turn in range(4):  # writes pages of another list each time; the controller ends before it writes a record
+    for turn in range(4):  # write pages of another list each time, but no record, and restart a controller
         compact = controller.jobs.pager.compact(records.JobRecord(submission("run-a", many("m", 60 + turn)), 0.0, []))
         wait_for(day, controller.jobs.writer._write_pages(compact.pages, []))
         day.restart(HOSTS[turn % 3], SECOND)
