--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,8 @@
-"""What binds at 4,000 machines: each thing is counted there and at 1,000, also with all machines in one shard."""
+"""Costs that could limit the size of a cluster, measured at 1,000 and at 4,000 machines.
+
+Costs are numbers of function calls, which are the same on every computer, or bytes. All machines are in one shard, as
+after a failover to a single controller.
+"""
 
 import json
 from datetime import timedelta
@@ -40,11 +44,12 @@
 
 
 def never() -> bool:
+    """A time limit that is never reached, for functions that ask whether to stop."""
     return False
 
 
 def varied_shard(machines: int, jobs: int) -> tuple[Shard, Planner]:
-    """No two machines have the same free room, and many jobs wait."""
+    """Return a shard in which each machine has another amount of free resources, and `jobs` urgent jobs wait."""
     shard, planner = busy_shard(machines)
     for number, machine in enumerate(shard.machines.values()):
         machine.free.cpus = 0.1 + number * 0.0019
@@ -58,6 +63,7 @@
 
 
 def test_a_heartbeat_costs_the_same_with_all_machines_in_one_shard() -> None:
+    """Processing a heartbeat and placing tasks on its machine takes as many calls with 4,000 machines as with 1,000."""
     costs = []
     for machines in (FEW, MANY):
         shard, planner = busy_shard(machines)
@@ -77,7 +83,7 @@
 
 
 def advised_shard(machines: int) -> tuple[Shard, Planner]:
-    """A busy shard with rebalancing's advice for it."""
+    """Return a busy shard whose scheduling uses the guidance of rebalancing."""
     shard, planner = busy_shard(machines)
     day = Day(seed=1, machines=0)
     day.run(0.1)
@@ -90,78 +96,92 @@
 
 
 def test_advice_costs_the_same_for_each_heartbeat_with_all_machines_in_one_shard() -> None:
+    """Placing tasks by the guidance of rebalancing takes as many calls with 4,000 machines as with 1,000."""
     costs = []
     for machines in (FEW, MANY):
         shard, planner = advised_shard(machines)
         for name in ("host-7", "host-9"):
             for placement in list(shard.machines[name].placements.values())[:2]:
-                shard.remove_placement(placement)  # so that something starts
+                shard.remove_placement(placement)  # makes room for two tasks, which `fill` then starts
 
         def fill(name: str, shard=shard, planner=planner) -> None:
             assert planner.fill_machine(shard.machines[name], 2 * SECOND, never) == 2
 
-        fill("host-9")  # the order of jobs, and a job's first desire, are found once
+        fill("host-9")  # computes the order of jobs and each job's first number of desired slots, which are then cached
         costs.append(calls_in(lambda fill=fill: fill("host-7")))
     assert costs[0] == costs[1] < 300
 
 
 def test_a_summary_of_all_machines_fits_a_frame_of_every_version() -> None:
+    """A shard's summary for other shards stays below half of the frame size limit and counts all machines."""
     sizes, costs = [], []
     for machines in (FEW, MANY):
         shard, planner = varied_shard(machines, jobs=machines)
-        told = [summarize(shard, planner, {1, 2}, False, 2 * SECOND)]
+        summaries = [summarize(shard, planner, {1, 2}, False, 2 * SECOND)]
         costs.append(
             calls_in(lambda shard=shard, planner=planner: summarize(shard, planner, {1, 2}, False, 2 * SECOND))
         )
-        sizes.append(len(mesh.encoder.encode(mesh.Gossip("a", 1, True, True, False, told))))
-        assert len(told[0].capacities) <= summary_module.MAX_CAPACITY_GROUPS
-        assert sum(capacity.count for capacity in told[0].capacities) == machines, "each machine is told of"
-        assert len(told[0].demands) >= machines // 2
-        exact = sum(machine.free.cpus for machine in shard.machines.values())
-        assert 0.5 * exact < sum(capacity.cpus * capacity.count for capacity in told[0].capacities) <= exact + 1
+        sizes.append(len(mesh.encoder.encode(mesh.Gossip("a", 1, True, True, False, summaries))))
+        assert len(summaries[0].capacities) <= summary_module.MAX_CAPACITY_GROUPS
+        assert sum(capacity.count for capacity in summaries[0].capacities) == machines, "each machine is counted"
+        assert len(summaries[0].demands) >= machines // 2
+        free_cpus = sum(machine.free.cpus for machine in shard.machines.values())
+        assert (
+            0.5 * free_cpus
+            < sum(capacity.cpus * capacity.count for capacity in summaries[0].capacities)
+            <= free_cpus + 1
+        )
     assert sizes[1] < MAX_FRAME_BYTES / 2
-    assert costs[1] < 5.5 * costs[0], "a few steps a machine, and once more for each coarser rounding"
+    assert costs[1] < 5.5 * costs[0], "a few calls for each machine, and again for each coarser rounding"
 
 
 def test_making_room_for_arrays_goes_on_where_its_time_ran_out() -> None:
-    """One pass over 2,000 waiting jobs and 4,000 machines once took almost four seconds."""
+    """Preemption for arrays that runs out of time in one round continues with the next job in the following round.
+
+    One pass over 2,000 waiting jobs and 4,000 machines once took almost four seconds.
+    """
     shard, planner = varied_shard(FEW, jobs=60)
-    looked: list[str] = []
+    visited: list[str] = []
     preemption = planner._preemption
-    real = preemption._array_tasks_without_capacity
+    array_tasks_without_capacity = preemption._array_tasks_without_capacity
 
-    def look(one, most, now):
-        looked.append(one.ref)
-        return real(one, most, now)
+    def record_visit(job, limit, now):
+        visited.append(job.ref)
+        return array_tasks_without_capacity(job, limit, now)
 
-    preemption._array_tasks_without_capacity = look
-    turns = iter(range(10**6))
+    preemption._array_tasks_without_capacity = record_visit
+    calls = iter(range(10**6))
 
-    def over() -> bool:
-        return next(turns) % 8 == 7  # seven jobs a round
+    def out_of_time() -> bool:
+        return next(calls) % 8 == 7  # after seven jobs in each round
 
     rounds = 0
-    while rounds < 40 and len(set(looked)) < len(shard.jobs):
-        planner.preempt_for_arrays(300 * SECOND, over)
+    while rounds < 40 and len(set(visited)) < len(shard.jobs):
+        planner.preempt_for_arrays(300 * SECOND, out_of_time)
         rounds += 1
     assert rounds > 5 and planner.overrun_rounds >= 5
-    assert set(looked) >= {f"run-w{number}" for number in range(60)}, "every job has its turn"
+    assert set(visited) >= {f"run-w{number}" for number in range(60)}, "every job is visited"
 
 
 def gaining_shard(machines: int) -> tuple[Shard, MovePlanner]:
-    """Half of the machines are full of work that saves, the others hold two more tasks each; urgent work lacks room."""
+    """Return a shard in which rebalancing can gain from moving tasks.
+
+    Half of the machines are full, the others have room for two more tasks each. The running tasks save checkpoints, so
+    they can be moved. An urgent task with four processors fits on no machine.
+    """
     shard, planner = busy_shard(machines)
     for number, machine in enumerate(shard.machines.values()):
         for placement in list(machine.placements.values())[: 2 * (number % 2)]:
             shard.remove_placement(placement)
     shard.jobs["run-on"].spec = msgspec.structs.replace(shard.jobs["run-on"].spec, checkpoint_s=1.0, estimate_s=1e4)
-    wanted = job("run-u", heads=1, cpus=4.0, rank="urgent", crew="red")
-    spec = parse_submission(json.dumps(wanted).encode())
+    urgent_job = job("run-u", heads=1, cpus=4.0, rank="urgent", crew="red")
+    spec = parse_submission(json.dumps(urgent_job).encode())
     shard.add_job(JobRecord(spec, 0.0, [TaskRange(0, 0, 1)]), timedelta(0), 10**6, timedelta(0))
     return shard, MovePlanner(shard, planner, Rebalancing(), SECOND, shard.guidance)
 
 
 def test_choosing_moves_costs_no_more_than_the_machines_there_are() -> None:
+    """The calls for choosing tasks to move grow at most in proportion to the number of machines."""
     costs = []
     for machines in (FEW, MANY):
         shard, moves = gaining_shard(machines)
@@ -171,6 +191,7 @@
 
 
 def test_what_is_told_of_waits_does_not_grow_with_the_fleet() -> None:
+    """The message with waiting times and loads less than doubles in size if machines and jobs quadruple."""
     sizes = []
     for machines in (FEW, MANY):
         shard, _ = varied_shard(machines, jobs=machines)
@@ -184,6 +205,7 @@
 
 
 def rental_cost(machines: int) -> int:
+    """Return the calls for planning rentals when half as many jobs as machines wait in a shard."""
     machine_type = MachineType("k8", 8.0, 0.0, 32.0, 10.0, 0.5, 1.0, 0.3, 20.0, ["a"])
     capacities = [FreeCapacity("k8", "a", False, 8.0, 0.0, 32.0, machines)]
     demands = [
@@ -194,17 +216,21 @@
 
     def plan() -> None:
         wanted = ScaleOutPlan({"k8": machine_type}, [Team("blue")], lambda place: True, 50).machines_wanted(shards, [])
-        assert sum(wanted.values()) == 50, "twenty tasks for every two machines of eight processors"
+        assert sum(wanted.values()) == 50, (
+            "for every two free machines of 8 CPUs, 20 tasks wait: more than fit, so 50 machines, the limit, are wanted"
+        )
 
     return calls_in(plan)
 
 
 def test_planning_rentals_costs_no_more_than_the_demands_there_are() -> None:
+    """The calls for planning rentals grow at most in proportion to the number of waiting jobs."""
     assert rental_cost(MANY) < 4.5 * rental_cost(FEW)
 
 
 @pytest.mark.parametrize(("machines", "rps", "seconds"), [(600, 6.0, 1.1), (4000, 6.0, 4.4), (4000, 3.0, 8.9)])
 def test_listing_machines_leaves_calls_for_renting(machines: int, rps: float, seconds: float) -> None:
+    """A listing of all machines takes `seconds` at a controller's part of the cloud's request rate of `rps`."""
     day = Day(seed=1, machines=0)
     day.run(0.1)
     cloud = CloudClient(day.loop, day.user, "cloud:8443", CloudLimits(rps, 2.0), 3)
@@ -212,10 +238,11 @@
 
 
 def test_a_burst_of_changes_reaches_a_slow_peer_but_memory_is_bounded() -> None:
+    """The queue to a peer keeps a frame for each of 4,000 machines, but never more than MAX_QUEUED_BYTES."""
     queue = SendQueue()
     for _ in range(MANY):
         queue.add(b"x" * 200)
-    assert len(queue) == MANY, "one for each machine that comes up"
+    assert len(queue) == MANY, "one frame for each machine that becomes ready"
     for _ in range(100):
         queue.add(b"x" * 100_000)
     assert queue.queued_bytes <= MAX_QUEUED_BYTES
@@ -227,30 +254,34 @@
 
 
 def reconciled(day: Day) -> bool:
+    """Whether each shard has a leader that knows which tasks run on every machine."""
     shards = [leader.shard for controller, _ in day.controllers.values() for leader in controller.leaders.values()]
     return len(shards) == len(HOSTS) and all(shard.reconciled for shard in shards)
 
 
 @pytest.mark.parametrize("machines", [FEW, MANY])
 def test_takeover_and_restart_of_all(machines: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """One controller takes all shards over, then all restart: no lease runs out, and nobody is taken for silent."""
-    called_silent: list[str] = []
-    monkeypatch.setattr(Fencing, "_delete_unresponsive", lambda self, machine: called_silent.append(machine.name))
+    """No worker's lease expires during a failover of all shards to one controller and a restart of all controllers.
+
+    No machine may be treated as unresponsive or unreachable meanwhile either.
+    """
+    suspected_machines: list[str] = []
+    monkeypatch.setattr(Fencing, "_delete_unresponsive", lambda self, machine: suspected_machines.append(machine.name))
     monkeypatch.setattr(
-        HeartbeatReconciler, "_mark_unreachable", lambda self, machine: called_silent.append(machine.name)
+        HeartbeatReconciler, "_mark_unreachable", lambda self, machine: suspected_machines.append(machine.name)
     )
     day = Day(
         seed=3, machines=machines, capacity=0, rps=3000, write_rps=6000, sockets=3 * machines, tick=SECOND, txn_ops=48
     )
-    members = lambda: sum(key.startswith("b/machines/") for key in day.store.items)  # noqa: E731
-    assert day.run_until(lambda: reconciled(day) and members() == machines, 20), "all are members"
+    registered = lambda: sum(key.startswith("b/machines/") for key in day.store.items)  # noqa: E731
+    assert day.run_until(lambda: reconciled(day) and registered() == machines, 20), "all machines are registered"
     for host in HOSTS[1:]:
         day.crash(host)
-    heir = day.controllers[HOSTS[0]][0]
-    assert day.run_until(lambda: len(heir.leaders) == len(HOSTS) and reconciled(day), 15), "one holds everything"
-    requests = heir.storage.store.requests
+    remaining = day.controllers[HOSTS[0]][0]
+    assert day.run_until(lambda: len(remaining.leaders) == len(HOSTS) and reconciled(day), 15), "it leads all shards"
+    requests_before = remaining.storage.store.requests
     day.run(3)
-    assert heir.storage.store.requests - requests < 150, "its requests do not follow its machines"
+    assert remaining.storage.store.requests - requests_before < 150, "requests do not depend on the number of machines"
     assert day.sockets(HOSTS[0]) < machines + 300
     day.crash(HOSTS[0])
     for host in HOSTS:
@@ -259,22 +290,26 @@
     pages = -(-machines // 500)
     for controller, _ in day.controllers.values():
         assert controller.storage.store.requests < 120 + 3 * pages
-    assert {worker.incarnation for worker in day.site.workers.values()} == {1}, "no lease ran out"
-    assert called_silent == []
+    assert {worker.incarnation for worker in day.site.workers.values()} == {1}, "no lease expired"
+    assert suspected_machines == []
     assert day.rules.broken == []
 
 
 def test_judging_silence_looks_at_each_machine_once_in_seconds() -> None:
+    """Counting overdue heartbeats visits each machine once; with 4,000 machines, the count is cached for 2 s."""
     costs = []
     for machines in (FEW, MANY):
         shard, _ = busy_shard(machines)
         costs.append(calls_in(lambda shard=shard: count_overdue(shard, SECOND, 0 * SECOND, 2 * SECOND)))
     assert costs[1] < 5 * costs[0]
-    assert RENEWAL_AGE_PER_MACHINE * MANY == 2 * SECOND, "an owner keeps a reading for so long"
+    assert RENEWAL_AGE_PER_MACHINE * MANY == 2 * SECOND, "the leader of a shard caches the count for this long"
 
 
 def test_a_relayed_heartbeat_costs_the_same_at_any_size() -> None:
-    """At the controller that relays: to decide, to pass it on, and to hand the answer back."""
+    """For a relayed heartbeat, the relaying controller makes as many calls with 4,000 machines as with 1,000.
+
+    The calls are those for choosing the route, forwarding the request and returning the response.
+    """
     costs = []
     for machines in (FEW, MANY):
         day = Day(seed=1, machines=0)
@@ -289,8 +324,8 @@
 
         def relay(routes=routes, forwarder=forwarder, sent=sent, day=day, request=request) -> None:
             assert routes.decide("host-7", "a", True, True, 2 * SECOND) is Route.RELAY
-            routine = day.loop.spawn(forwarder.forward("a", request, SECOND), "relay")
-            routine.step()
+            task = day.loop.spawn(forwarder.forward("a", request, SECOND), "relay")
+            task.step()
             message = sent.pop()
             mesh.encoder.encode(message)
             forwarder.on_response(mesh.ForwardedResponse("a", message.number, 200, b"{}"))
@@ -301,10 +336,13 @@
 
 
 def test_all_machines_of_a_controller_can_be_relayed_at_once() -> None:
+    """The limits on relayed requests and on queued bytes are high enough for 4,000 relayed heartbeats."""
     assert Connectivity().relays_at_once >= MANY
     heartbeat = Heartbeat("host-0000001", "10.0.0.1:9000", "k8", "a", False, 1, 9, 7, None, TASKS_OF_A_MACHINE)
     frame = mesh.encoder.encode(mesh.ForwardedRequest("b", 1 << 47, "POST", "/checkin", msgspec.json.encode(heartbeat)))
-    assert MANY / 4 * len(frame) < MAX_QUEUED_BYTES, "a quarter of them may wait for a sibling that reads slowly"
+    assert MANY / 4 * len(frame) < MAX_QUEUED_BYTES, (
+        "a quarter of the heartbeats may be queued for a peer that reads slowly"
+    )
 
 
 TASKS_OF_A_MACHINE = [TaskStatus(f"run-000412/{index}", 1 << 40, "running") for index in range(16)]
