--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,7 @@
-"""Two versions side by side and on one another's data, and the lower limits that come after."""
+"""Rolling upgrades from the version in production, and the lower limits of the key-value store that apply afterwards.
+
+Both versions run in one cluster and read each other's stored records and messages.
+"""
 
 import base64
 import json
@@ -23,10 +26,11 @@
 from tests.standins.day import HOSTS, SECOND, Day, job, settings_of
 from tests.standins.workers import MachineType
 
+# The lower limits that the settings announce for the key-value store.
 LATER = LaterStoreLimits(write_rps=28.0, value_kb=2.0, txn_ops=5)
 SAMPLES = json.loads((Path(__file__).parent / "data" / "production-samples.json").read_text())
 WRITTEN = json.loads((Path(__file__).parent / "data" / "written-samples.json").read_text())
-# Names in the samples -> what these records and messages are called here.
+# Class names in the version in production, which are the keys of the samples -> the same classes in these sources.
 RECORDS = {
     "PartClaim": records.ShardLeaderRecord,
     "FleetClaim": records.AutoscalerLeaderRecord,
@@ -48,35 +52,37 @@
 }
 
 
-# -- Formats: samples recorded with the version in production, and its own definitions
+# -- Formats, checked with samples recorded from the version in production and with its classes
 
 
-@pytest.mark.parametrize("kind", RECORDS)
-def test_records_of_the_version_in_production(kind: str) -> None:
-    """They are read as it reads them; and what we write of the same, it reads as the same."""
-    old = getattr(production.module("storage.records"), kind)
-    for text in SAMPLES[kind]:
-        mine = records.read(text.encode(), RECORDS[kind])
-        theirs = msgspec.json.decode(text.encode(), type=old)
-        known = msgspec.to_builtins(theirs)
-        assert {key: msgspec.to_builtins(mine)[key] for key in known} == known
-        again = msgspec.json.decode(bytes(records.write(mine)), type=old)
-        assert msgspec.to_builtins(again) == known
+@pytest.mark.parametrize("class_name", RECORDS)
+def test_records_of_the_version_in_production(class_name: str) -> None:
+    """Both versions read the same values from a stored record, also after the new version has rewritten it."""
+    old_class = getattr(production.module("storage.records"), class_name)
+    for text in SAMPLES[class_name]:
+        new = records.read(text.encode(), RECORDS[class_name])
+        old = msgspec.json.decode(text.encode(), type=old_class)
+        old_fields = msgspec.to_builtins(old)
+        assert {key: msgspec.to_builtins(new)[key] for key in old_fields} == old_fields
+        reread = msgspec.json.decode(bytes(records.write(new)), type=old_class)
+        assert msgspec.to_builtins(reread) == old_fields
 
 
 def test_what_is_written_stays_the_same_to_the_byte() -> None:
     """A renamed class or attribute must not change a stored value or a message between controllers."""
-    for kind, record in RECORDS.items():
-        written = [bytes(records.write(records.read(text.encode(), record))).decode() for text in SAMPLES[kind]]
-        assert written == WRITTEN[kind]
-    for kind, message in MESSAGES.items():
-        for text in SAMPLES[kind]:
+    for class_name, record_class in RECORDS.items():
+        written = [
+            bytes(records.write(records.read(text.encode(), record_class))).decode() for text in SAMPLES[class_name]
+        ]
+        assert written == WRITTEN[class_name]
+    for class_name, message_class in MESSAGES.items():
+        for text in SAMPLES[class_name]:
             decoded = mesh.decoder.decode(base64.b64decode(text))
-            assert type(decoded) is message
+            assert type(decoded) is message_class
             assert base64.b64encode(mesh.encoder.encode(decoded)).decode() == text
 
 
-ADDED_SINCE = {mesh.ForwardedRequest, mesh.ForwardedResponse}  # which the version in production does not know
+ADDED_SINCE = {mesh.ForwardedRequest, mesh.ForwardedResponse}  # the version in production lacks these messages
 
 
 def test_every_message_has_samples() -> None:
@@ -84,52 +90,54 @@
     assert not set(MESSAGES.values()) & ADDED_SINCE
 
 
-@pytest.mark.parametrize("kind", MESSAGES)
-def test_mesh_messages_of_the_version_in_production(kind: str) -> None:
-    decoder = production.module("protocol.mesh").decoder
-    assert SAMPLES[kind], "each message has a sample"
-    for text in SAMPLES[kind]:
+@pytest.mark.parametrize("class_name", MESSAGES)
+def test_mesh_messages_of_the_version_in_production(class_name: str) -> None:
+    """Both versions decode the same values from a message, also after the new version has encoded it again."""
+    old_decoder = production.module("protocol.mesh").decoder
+    assert SAMPLES[class_name], "each message has a sample"
+    for text in SAMPLES[class_name]:
         data = base64.b64decode(text)
-        mine, theirs = mesh.decoder.decode(data), decoder.decode(data)
-        known = msgspec.to_builtins(theirs)
-        assert {key: msgspec.to_builtins(mine)[key] for key in known} == known
-        assert msgspec.to_builtins(decoder.decode(mesh.encoder.encode(mine))) == known
+        new, old = mesh.decoder.decode(data), old_decoder.decode(data)
+        old_fields = msgspec.to_builtins(old)
+        assert {key: msgspec.to_builtins(new)[key] for key in old_fields} == old_fields
+        assert msgspec.to_builtins(old_decoder.decode(mesh.encoder.encode(new))) == old_fields
 
 
 def test_new_fields_are_optional_and_mean_the_old_thing() -> None:
-    old = production.module("storage.records").JobRecord
-    described = {key: value for key, value in job("run-1").items() if value is not None}
-    mine = records.JobRecord(msgspec.convert(described, records.Submission), 5.0, [(0, 0, 6)], 2, "AQ==")
-    theirs = msgspec.json.decode(bytes(records.write(mine)), type=old)
-    rewritten = records.read(msgspec.json.encode(theirs), records.JobRecord)
-    assert rewritten == mine, "an old controller's rewrite of a job that waits for none drops nothing"
+    """A job without predecessors loses nothing when a controller of the version in production rewrites its record."""
+    old_class = production.module("storage.records").JobRecord
+    fields = {key: value for key, value in job("run-1").items() if value is not None}
+    new = records.JobRecord(msgspec.convert(fields, records.Submission), 5.0, [(0, 0, 6)], 2, "AQ==")
+    old = msgspec.json.decode(bytes(records.write(new)), type=old_class)
+    rewritten = records.read(msgspec.json.encode(old), records.JobRecord)
+    assert rewritten == new, "the rewritten record has all fields of the original"
 
 
 @pytest.mark.parametrize("lease", [10.0, 11.0, 15.25, 16.0])
 @pytest.mark.parametrize("cancel", [36.0, 40.25, 46.0])
 def test_both_versions_agree_on_every_bound(lease: float, cancel: float) -> None:
-    """A changed constant would be a changed protocol."""
+    """Both versions derive the same times and leaders from the same settings; otherwise they could not run together."""
     day = settings_of(HOSTS[0], "state:1", [], StoreLimits(100, 30, 16, 16, LATER))
     workers = msgspec.structs.replace(day.params.workers, lease_s=lease, cancel_s=cancel)
     platform = msgspec.structs.replace(day.platform, params=msgspec.structs.replace(day.params, workers=workers))
-    old = production.module("settings")
-    theirs = old.Settings(msgspec.convert(msgspec.to_builtins(platform), old.PlatformSettings))
-    mine = new_settings.Settings(platform)
-    assert (mine.grace, mine.machine_lease, mine.max_clock_drift) == (theirs.grace, theirs.machine_lease, theirs.drift)
-    assert mine.operator.election.ttl == theirs.operator.claims.ttl
-    assert mine.hosts == theirs.hosts and mine.home_shard == theirs.home
+    old_settings = production.module("settings")
+    old = old_settings.Settings(msgspec.convert(msgspec.to_builtins(platform), old_settings.PlatformSettings))
+    new = new_settings.Settings(platform)
+    assert (new.grace, new.machine_lease, new.max_clock_drift) == (old.grace, old.machine_lease, old.drift)
+    assert new.operator.election.ttl == old.operator.claims.ttl
+    assert new.hosts == old.hosts and new.home_shard == old.home
 
 
-# -- Days that begin with the version in production
+# -- Simulated runs of a whole cluster that begin with the version in production
 
 
 def quiet(day: Day) -> Iterator[float]:
-    """Rolled, a few at a time."""
+    """Inject no fault; the controllers are upgraded one after another."""
     yield 1
 
 
 def dies_before_its_turn(day: Day) -> Iterator[float]:
-    """A process that dies before its turn comes back old."""
+    """Restart two controllers that have not been upgraded yet, so that they start again as the old version."""
     day.restart(HOSTS[2], SECOND / 3)
     yield 2
     day.restart(HOSTS[1], 2 * SECOND)
@@ -137,12 +145,14 @@
 
 
 def outage(day: Day) -> Iterator[float]:
+    """Make the key-value store unreachable during the upgrade."""
     day.store.outage(True)
     yield 3
     day.loop.later(15 * SECOND, lambda: day.store.outage(False))
 
 
 def cancellations(day: Day) -> Iterator[float]:
+    """Cancel three jobs just before the upgrade continues."""
     for ref in ("run-a1", "run-b0", "run-g2"):
         day.group.spawn(day.polling_users.cancel(ref), "user")
     yield 0.2
@@ -169,9 +179,12 @@
 ]
 
 
-@pytest.mark.parametrize("trouble", TROUBLES, ids=lambda one: one.__name__)
+@pytest.mark.parametrize("trouble", TROUBLES, ids=lambda fault: fault.__name__)
 def test_an_upgrade_under_trouble(trouble: Callable[[Day], Iterator[float]]) -> None:
-    """Both versions serve together, then pipelines come, then the limits are lowered, while work goes on."""
+    """Controllers are upgraded one by one while jobs run and a fault occurs.
+
+    After the upgrade, jobs with predecessors are submitted, and the limits of the key-value store are lowered.
+    """
     day = Day(seed=sum(trouble.__name__.encode()) + 3, machines=9, later=LATER, production_hosts=HOSTS)
     day.run(5)
     for number in range(3):
@@ -179,12 +192,12 @@
         day.submit(job(f"run-b{number}", heads=8, trek_s=15.0, crew="red", rank="idle", brand=f"img-{number}"))
         day.submit(job(f"run-g{number}", gait="group", heads=2, cpus=4.0, rank="urgent", trek_s=15.0))
     day.run(3)
-    turns = list(HOSTS)
+    not_upgraded = list(HOSTS)
     for number, pause in enumerate(trouble(day)):
-        if turns and number % 2 == 0:
-            day.upgrade(turns.pop(0), timedelta(seconds=day.random.choice((0.3, 1.0, 3.0))))
+        if not_upgraded and number % 2 == 0:
+            day.upgrade(not_upgraded.pop(0), timedelta(seconds=day.random.choice((0.3, 1.0, 3.0))))
         day.run(pause)
-    for host in turns:
+    for host in not_upgraded:
         day.upgrade(host, SECOND)
         day.run(4)
     day.run(4)
@@ -197,18 +210,18 @@
         day.submit(job(f"run-z{number}", heads=30, trek_s=3.0))
     day.restart(HOSTS[1], SECOND)
     assert day.finish(400) == []
-    assert day.store.too_large == [], "kept within the lower sizes from the first write on"
+    assert day.store.too_large == [], "the lower size limits are kept from the first write on"
     assert day.rules.broken == []
 
 
-# -- Lower limits
+# -- Lower limits of the key-value store
 
 
-def left_by_an_old_version(tasks: int, missing: list[int], ranges: list[list[int]], types: list[str] | None) -> dict:
-    """A record with far more done bits than fit the lower limit."""
-    done = ((1 << tasks) - 1) & ~sum(1 << one for one in missing)
-    described = job("run-big", heads=tasks, trek_s=1.0, crew="guests", breeds=types)
-    record = records.JobRecord(msgspec.convert(described, records.Submission), 0.0, ranges).with_done(done)
+def record_of_old_version(tasks: int, missing: list[int], ranges: list[list[int]], types: list[str] | None) -> dict:
+    """Return a stored job record with more bits of done tasks than fit into a value under the lower limit."""
+    done = ((1 << tasks) - 1) & ~sum(1 << index for index in missing)
+    fields = job("run-big", heads=tasks, trek_s=1.0, crew="guests", breeds=types)
+    record = records.JobRecord(msgspec.convert(fields, records.Submission), 0.0, ranges).with_done(done)
     return json.loads(bytes(records.write(record)))
 
 
@@ -224,11 +237,14 @@
     ids=["shared", "stolen", "many ranges", "many types"],
 )
 def test_a_record_that_is_too_large_moves_on(ranges: list[list[int]], types: list[str] | None, ended: str) -> None:
-    """Nothing is stuck, no done task is lost, and neither end needs a large write."""
-    pick = random.Random(7)
-    missing = sorted(pick.sample(range(200, 46000), 240))
+    """A job whose record exceeds the lowered limit is completed or cancelled, without running its done tasks again.
+
+    Its record must be split into small values before it can be changed, and no write may exceed the lowered limit.
+    """
+    generator = random.Random(7)
+    missing = sorted(generator.sample(range(200, 46000), 240))
     day = Day(seed=61, machines=6, value_kb=16.0, later=LATER)
-    value = left_by_an_old_version(60000, missing, ranges, types)
+    value = record_of_old_version(60000, missing, ranges, types)
     assert len(json.dumps(value)) > 5000
     day.store.revision = 1
     day.store.items["b/jobs/run-big"] = (value, 1, None)
@@ -248,22 +264,24 @@
     assert day.last_conditions["run-big"] == ended
     if ended == "done":
         assert day.rules.start_count <= len(missing) + 60, (
-            "what was done is not done again, but for what the restart cost"
+            "done tasks do not run again, except for some that ran when the controller was restarted"
         )
-    assert day.run_until(lambda: not any(key.startswith("b/done/") for key in day.store.items), 150), "pages go"
+    assert day.run_until(lambda: not any(key.startswith("b/done/") for key in day.store.items), 150), (
+        "the pages of done tasks are deleted"
+    )
     assert day.store.too_large == []
     assert day.rules.broken == []
 
 
 def test_spilling_stops_anywhere_without_losing_a_task() -> None:
-    """Writes fail, get lost, or come late, between any two steps."""
+    """Moving a record's done tasks to pages loses none, even if writes fail, get lost or are applied late."""
     day = Day(seed=62, machines=0, capacity=0, value_kb=16.0, later=LATER)
     missing = list(range(100, 40000, 400))
     day.store.revision = 1
-    day.store.items["b/jobs/run-big"] = (left_by_an_old_version(40000, missing, [[0, 0, 40000]], None), 1, None)
+    day.store.items["b/jobs/run-big"] = (record_of_old_version(40000, missing, [[0, 0, 40000]], None), 1, None)
     day.run(4)
     job_store = day.controllers[HOSTS[0]][0].jobs.store
-    before = job_store.done_tasks("run-big", job_store.active["run-big"])
+    done_before = job_store.done_tasks("run-big", job_store.active["run-big"])
     day.store.lower(day.settings[HOSTS[0]].params.state)
     day.store.late_write_probability = 0.4
     for turn in range(60):
@@ -276,7 +294,7 @@
             day.store.late_write_probability = 0.0
         for controller, _ in day.controllers.values():
             record = controller.jobs.store.active.get("run-big")
-            assert record is None or controller.jobs.store.done_tasks("run-big", record) == before
+            assert record is None or controller.jobs.store.done_tasks("run-big", record) == done_before
     assert day.store.items["b/jobs/run-big"][0]["bits"] == ""
     assert day.store.too_large == []
 
@@ -285,29 +303,30 @@
     ("write_rps", "refused", "lowered"), [(28.0, 0, False), (28.0, 2, False), (28.0, 3, True), (None, 9, False)]
 )
 def test_the_lower_rate_counts_once_it_shows(write_rps: float | None, refused: int, lowered: bool) -> None:
+    """An announced lower rate is used only after the key-value store has refused three writes."""
     day = Day(seed=63, later=LaterStoreLimits(write_rps=write_rps))
     day.run(3)
-    state = day.controllers[HOSTS[0]][0].storage.store
-    full = state.rates.change_limiter.rate
+    store = day.controllers[HOSTS[0]][0].storage.store
+    full_rate = store.rates.change_limiter.rate
     for _ in range(refused):
-        state.rates.record_refusal()
-    assert (state.rates.change_limiter.rate < full) is lowered
+        store.rates.record_refusal()
+    assert (store.rates.change_limiter.rate < full_rate) is lowered
 
 
 def test_what_is_refused_for_its_size_is_never_sent_again() -> None:
-    """Settings may be wrong: then everything is kept smaller from that answer on."""
+    """If the store's size limits are lower than the settings say, a refusal lowers the sizes that a controller uses."""
     day = Day(seed=64, value_kb=16.0, txn_ops=16)
     day.run(4)
     day.store.limits = StoreLimits(100, 40, 1.5, 4)
-    state = day.controllers[HOSTS[0]][0].storage.store
+    store = day.controllers[HOSTS[0]][0].storage.store
 
     async def write(changes: int) -> None:
-        await state.transact([], [put(f"b/x/{one}", "y" * 100) for one in range(changes)], Urgency.COMPLETE)
+        await store.transact([], [put(f"b/x/{number}", "y" * 100) for number in range(changes)], Urgency.COMPLETE)
 
     with pytest.raises(RequestRefusedError):
         run(day.loop, write(8))
-    assert state.max_changes == 4
-    run(day.loop, write(state.max_changes))
+    assert store.max_changes == 4
+    run(day.loop, write(store.max_changes))
     for number in range(4):
         day.submit(job(f"run-{number}", heads=12, trek_s=2.0))
     assert day.finish() == []
@@ -316,24 +335,28 @@
 
 
 def run(loop: Loop, coro: object) -> object:
+    """Run a coroutine on the event loop until it ends, and return its result."""
     return loop.run(loop.spawn(coro, "test"))
 
 
-@pytest.mark.parametrize("kinds", [2, 40])
-def test_a_large_catalog_is_kept_in_pieces(kinds: int) -> None:
-    """Where a restart in an outage of the cloud finds it; the version in production reads the pieces too."""
+@pytest.mark.parametrize("type_count", [2, 40])
+def test_a_large_catalog_is_kept_in_pieces(type_count: int) -> None:
+    """The catalogue of machine types is stored in several values if it is too large for one.
+
+    A controller that is restarted during an outage of the cloud reads it there. So does the version in production.
+    """
     day = Day(seed=65, later=LATER)
-    for number in range(kinds):
+    for number in range(type_count):
         name = f"kind-{number:03d}"
         day.site.machine_types[name] = MachineType(name, 8.0, 32.0)
     day.run(8)
     stored = [key for key in day.store.items if key.startswith("b/catalog")]
-    assert (len(stored) == 1) is (kinds == 2)
+    assert (len(stored) == 1) is (type_count == 2)
     day.site.cloud_down = True
     day.production_hosts = {HOSTS[1]}
     for host in HOSTS[:2]:
         day.restart(host, SECOND)
     day.run(8)
     for host in HOSTS[:2]:
-        assert len(day.controllers[host][0].catalog) == kinds + 1
+        assert len(day.controllers[host][0].catalog) == type_count + 1
     assert day.store.too_large == []
