--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -202,6 +202,7 @@
     ],
 )
 def test_preemption(victim: Priority, guaranteed: bool, stopped: bool) -> None:
+    """A gang preempts tasks of lower priority, and of equal priority if its team's guarantee covers the gang."""
     target = shard(1)
     machine = target.machines["host-0"]
     running = add(target, submission("run-v", team="red", priority=victim, tasks=1, cpus=8.0))
@@ -365,6 +366,10 @@
 
 @pytest.mark.parametrize(("tier", "first"), [(1, "run-near"), (-1, "run-far")])
 def test_late_jobs_come_last_unless_they_have_waited_too_long(tier: int, first: str) -> None:
+    """A job with a higher lateness tier than another (it misses more of its due times) is placed after it.
+
+    A job that has waited too long gets a tier below 0 and is placed first.
+    """
     target = shard(1)
     near, far = add(target, submission("run-near", image="img-1")), add(target, submission("run-far", image="img-2"))
     far.lateness_tier = tier
@@ -408,6 +413,7 @@
     ],
 )
 def test_start_in_flight(sequence: int, incarnation: int, tasks: list, periodic: bool, still_placed: bool) -> None:
+    """A placement is released only if a message, which lists `tasks`, proves that its task does not run."""
     target = shard(1)
     job = started(target)
     target.on_heartbeat(target.machines["host-0"], heartbeat(sequence, tasks, incarnation=incarnation), periodic, 2 * S)
@@ -425,6 +431,7 @@
     ],
 )
 def test_no_second_fetch_beside_a_gangs(phase: Phase, image: str, started: int) -> None:
+    """No other image is fetched on a machine before a gang's task there has fetched its own."""
     target = shard(1)
     machine = target.machines["host-0"]
     gang = add(target, submission("run-g", kind="group", tasks=1, cpus=4.0, image=image))
@@ -480,6 +487,7 @@
     ],
 )
 def test_a_gang_task_that_waited_too_long_waits_on(placed: int, change: Callable, commands: list[str]) -> None:
+    """A gang's task whose wait for the others timed out is restarted if the rest of the gang is still fetching."""
     target = shard(2)
     gang = waiting_gang(target, placed)
     change(gang)
@@ -564,6 +572,7 @@
 
 
 def test_refused_start_does_not_free_a_task_that_an_older_attempt_runs() -> None:
+    """A worker refuses to start a task that an older attempt runs (`in_use`): the task is placed with that attempt."""
     target = shard(1)
     job = started(target)
     tasks = [TaskStatus("run-1/0", 5, "running"), TaskStatus("run-1/0", 99, "exited", "in_use")]
@@ -812,6 +821,7 @@
 
 
 def test_processors_are_counted_once_by_what_they_do() -> None:
+    """Each processor counts for one use only, for example `beside` if it is free on a machine that has tasks."""
     target = shard(4)
     job = add(target, submission(tasks=3))
     machines = list(target.machines.values())
--- a/tests/test_pipeline_edges.py
+++ b/tests/test_pipeline_edges.py
@@ -396,6 +396,7 @@
 def test_later_limits_that_are_larger_or_missing_change_nothing(
     later: LaterStoreLimits | None, expected: tuple
 ) -> None:
+    """Of a present and an announced limit, the lower one applies; a limit that is not announced does not change."""
     limits = StoreLimits(100.0, 30.0, 16.0, 16, later)
     assert (limits.max_changes, limits.max_value_bytes, limits.lower_rates) == expected
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -92,7 +92,7 @@
 
 
 def test_what_dependents_hand_back() -> None:
-    """A predecessor inherits the highest level and earliest due time of its dependents, except of cancelled ones."""
+    """A predecessor inherits the highest level and the earliest due time from its dependents that are not cancelled."""
     graph = Graph()
     for ref, predecessors in {"b": "a", "c": "a", "d": "bc", "e": "c"}.items():
         graph.graph.add(ref, predecessors)
@@ -115,7 +115,7 @@
 
 
 def test_inheritance_goes_on_where_the_last_slice_stopped() -> None:
-    """A slice visits at most JOBS_PER_CLOCK_CHECK jobs, and all slices together visit each job once.
+    """Inherited levels and due times are computed in slices of at most JOBS_PER_CLOCK_CHECK jobs, each job once.
 
     The graph has ten chains of a hundred jobs and ten jobs with a hundred dependents each.
     """
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -49,7 +49,7 @@
 
 
 def varied_shard(machines: int, jobs: int) -> tuple[Shard, Planner]:
-    """Return a shard in which each machine has another amount of free resources, and `jobs` urgent jobs wait."""
+    """Return a shard in which each machine has a different amount of free resources, and `jobs` urgent jobs wait."""
     shard, planner = busy_shard(machines)
     for number, machine in enumerate(shard.machines.values()):
         machine.free.cpus = 0.1 + number * 0.0019
@@ -63,7 +63,7 @@
 
 
 def test_a_heartbeat_costs_the_same_with_all_machines_in_one_shard() -> None:
-    """Processing a heartbeat and placing tasks on its machine takes as many calls with 4,000 machines as with 1,000."""
+    """Processing a heartbeat, with placing tasks, takes as many function calls with 4,000 machines as with 1,000."""
     costs = []
     for machines in (FEW, MANY):
         shard, planner = busy_shard(machines)
@@ -83,7 +83,7 @@
 
 
 def advised_shard(machines: int) -> tuple[Shard, Planner]:
-    """Return a busy shard whose scheduling uses the guidance of rebalancing."""
+    """Return a busy shard whose scheduling follows the guidance of the rebalancing component."""
     shard, planner = busy_shard(machines)
     day = Day(seed=1, machines=0)
     day.run(0.1)
@@ -96,7 +96,7 @@
 
 
 def test_advice_costs_the_same_for_each_heartbeat_with_all_machines_in_one_shard() -> None:
-    """Placing tasks by the guidance of rebalancing takes as many calls with 4,000 machines as with 1,000."""
+    """Placing tasks by the rebalancer's guidance takes as many function calls with 4,000 machines as with 1,000."""
     costs = []
     for machines in (FEW, MANY):
         shard, planner = advised_shard(machines)
@@ -136,7 +136,7 @@
 
 
 def test_making_room_for_arrays_goes_on_where_its_time_ran_out() -> None:
-    """Preemption for arrays that runs out of time in one round continues with the next job in the following round.
+    """If a scheduling round's time runs out during preemption for arrays, the next round continues with the next job.
 
     One pass over 2,000 waiting jobs and 4,000 machines once took almost four seconds.
     """
@@ -181,7 +181,7 @@
 
 
 def test_choosing_moves_costs_no_more_than_the_machines_there_are() -> None:
-    """The calls for choosing tasks to move grow at most in proportion to the number of machines."""
+    """The function calls for choosing tasks to move grow at most in proportion to the number of machines."""
     costs = []
     for machines in (FEW, MANY):
         shard, moves = gaining_shard(machines)
@@ -205,7 +205,7 @@
 
 
 def rental_cost(machines: int) -> int:
-    """Return the calls for planning rentals when half as many jobs as machines wait in a shard."""
+    """Return the number of function calls for planning rentals if half as many jobs as machines wait in a shard."""
     machine_type = MachineType("k8", 8.0, 0.0, 32.0, 10.0, 0.5, 1.0, 0.3, 20.0, ["a"])
     capacities = [FreeCapacity("k8", "a", False, 8.0, 0.0, 32.0, machines)]
     demands = [
@@ -224,7 +224,7 @@
 
 
 def test_planning_rentals_costs_no_more_than_the_demands_there_are() -> None:
-    """The calls for planning rentals grow at most in proportion to the number of waiting jobs."""
+    """The function calls for planning rentals grow at most in proportion to the number of waiting jobs."""
     assert rental_cost(MANY) < 4.5 * rental_cost(FEW)
 
 
@@ -306,7 +306,7 @@
 
 
 def test_a_relayed_heartbeat_costs_the_same_at_any_size() -> None:
-    """For a relayed heartbeat, the relaying controller makes as many calls with 4,000 machines as with 1,000.
+    """Relaying a heartbeat for a peer takes as many function calls with 4,000 machines as with 1,000.
 
     The calls are those for choosing the route, forwarding the request and returning the response.
     """
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -145,14 +145,14 @@
 
 
 def outage(day: Day) -> Iterator[float]:
-    """Make the key-value store unreachable during the upgrade."""
+    """Make the key-value store unreachable for 18 s, beginning with the upgrade of the first controller."""
     day.store.outage(True)
     yield 3
     day.loop.later(15 * SECOND, lambda: day.store.outage(False))
 
 
 def cancellations(day: Day) -> Iterator[float]:
-    """Cancel three jobs just before the upgrade continues."""
+    """Cancel three jobs while the first controller is upgraded."""
     for ref in ("run-a1", "run-b0", "run-g2"):
         day.group.spawn(day.polling_users.cancel(ref), "user")
     yield 0.2
