--- a/badgerroute/coordination/autoscaling/scale_in.py
+++ b/badgerroute/coordination/autoscaling/scale_in.py
@@ -66,7 +66,7 @@
     def _return_idle(self, leader: ShardLeader, max_idle: timedelta) -> None:
         machines = [machine for machine in leader.shard.machines.values() if self._is_unneeded(machine, max_idle)]
         for machine in machines:
-            machine.quarantined = True  # so that no more tasks are started on it
+            machine.unschedulable = True  # so that no more tasks are started on it
         if machines:
             names = [machine.name for machine in machines]
             log.info("event=machines_scaled_in shard=%d machines=%s", leader.number, ",".join(names))
--- a/badgerroute/coordination/shards/machine_transfers.py
+++ b/badgerroute/coordination/shards/machine_transfers.py
@@ -63,7 +63,7 @@
             case WriteOutcome.NOT_APPLIED:
                 log.debug("event=machine_transfer_failed shard=%d error=%s", self._shard.number, result.error)
                 for machine in machines:
-                    machine.quarantined = False
+                    machine.unschedulable = False
             case WriteOutcome.UNKNOWN:
                 # The write may still be applied. Start nothing on these machines until another write has ruled that
                 # out.
@@ -87,7 +87,7 @@
     @staticmethod
     def _prepare_transfer(machine: Machine, shard: int) -> Put:
         """Stop placement on a machine, and return the write that makes it a member of another shard."""
-        machine.quarantined = True
+        machine.unschedulable = True
         record = MachineRecord(shard, machine.address, machine.machine_type.name, machine.zone, machine.spot)
         return put(MACHINES + machine.name, records.write(record))
 
@@ -109,7 +109,7 @@
                 ]
                 revision = await self._store.transact(conditions, [put(key, entry.value)], Urgency.COMPLETE)
                 self._replica.apply_early(key, bytes(entry.value), revision)
-                machine.quarantined = False
+                machine.unschedulable = False
                 return
             except WRITE_ERRORS:
                 await self._loop.sleep(RECONCILE_RETRY_INTERVAL)
--- a/badgerroute/scheduling/failures.py
+++ b/badgerroute/scheduling/failures.py
@@ -108,7 +108,7 @@
                 self._quarantine(other, events)
 
     def _quarantine(self, machine: Machine, events: Events) -> None:
-        if not machine.quarantined:
-            machine.quarantined = True
+        if not machine.unschedulable:
+            machine.unschedulable = True
             events.quarantined.append(machine)
             log.info("event=machine_quarantined machine=%s jobs=%d", machine.name, len(machine.failed_jobs))
--- a/badgerroute/scheduling/model.py
+++ b/badgerroute/scheduling/model.py
@@ -111,7 +111,9 @@
     fetched_images: set[str] = field(default_factory=set)  # the subset of `images` whose fetch has certainly ended
 
     # Placement
-    quarantined: bool = False  # it was quarantined after failures, so no task is started on it
+    # No task is started on it, since it was quarantined after failures, is about to be returned to the cloud, or is
+    # being transferred to another shard.
+    unschedulable: bool = False
     drain_deadline: timedelta | None = None  # while it drains: when it must be empty; no task is started on it
     reserved_for: str | None = None  # the job for which its free capacity is reserved
     reserved_until: timedelta | None = None
@@ -124,7 +126,7 @@
         return (
             self.alive
             and self.fenced
-            and not self.quarantined
+            and not self.unschedulable
             and self.drain_deadline is None
             and not self.unreachable
             and self.preemption_notice is None
--- a/badgerroute/settings/operator.py
+++ b/badgerroute/settings/operator.py
@@ -125,7 +125,7 @@
 
     @property
     def max_settle_time(self) -> timedelta:
-        """The maximum of the settle time, which grows from `settle` for connections that fail repeatedly."""
+        """The maximum of the settle time, which grows from `settle_time` for connections that fail repeatedly."""
         return timedelta(seconds=self.longest_settle_s)
 
     @property
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -470,8 +470,8 @@
 
 
 def set_draining(gang: Job) -> None:
-    """The first task's machine is quarantined, so nothing may be started on it."""
-    gang.placements[0].machine.quarantined = True
+    """The first task's machine is unschedulable: nothing may be started on it."""
+    gang.placements[0].machine.unschedulable = True
 
 
 @pytest.mark.parametrize(
@@ -652,7 +652,7 @@
         target.commands(machine, now, starts=True)
         ended = TaskStatus(f"{ref}/{number}", number, "exited", cause)
         target.on_heartbeat(machine, heartbeat(2 * number + 2, [ended]), True, now)
-    assert {machine.name for machine in target.machines.values() if machine.quarantined} == drained
+    assert {machine.name for machine in target.machines.values() if machine.unschedulable} == drained
     assert target.jobs["run-1"].failing is failing
     assert target.jobs["run-1"].startable == (1 if failing else target.jobs["run-1"].waiting_bits.bit_count())
 
@@ -827,7 +827,7 @@
     machines = list(target.machines.values())
     for index, (machine, phase) in enumerate(zip(machines, (Phase.RUNNING, Phase.FETCHING, Phase.SENT), strict=False)):
         target.place(job, index, 99, machine, 0 * S, phase)
-    machines[1].reserved_for, machines[2].quarantined = "run-9", True
+    machines[1].reserved_for, machines[2].unschedulable = "run-9", True
     use = cpu_usage(target)
     assert use == CpuUsage(running=2, fetching=2, starting=2, beside=6, held=6, unusable=6, empty=8)
     assert str(use).startswith("running=2 starting=2 fetching=2 waiting=0")
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -362,7 +362,7 @@
 
 def test_offered_capacity_is_what_was_asked_for() -> None:
     target = shard(machines=4)
-    target.machines["host-0"].quarantined = True
+    target.machines["host-0"].unschedulable = True
     offered = offered_capacity(target, WorkRequest("red", 1, 6, 2.0))
     assert [(capacity.cpus, capacity.count) for capacity in offered] == [(8.0, 1), (4.0, 1)]
     assert len(offered_capacity(target, WorkRequest("red", 1, 600, 2.0))) == 3
@@ -411,7 +411,7 @@
 
 def no_landing(target: Shard) -> None:
     """Leave no usable machine to which the tasks could move."""
-    target.machines["host-1"].quarantined = True
+    target.machines["host-1"].unschedulable = True
 
 
 def nearly_done(target: Shard) -> None:
