--- a/badgerroute/assembly.py
+++ b/badgerroute/assembly.py
@@ -1,4 +1,4 @@
-"""Builds a controller with the optional subsystems that are enabled. Disabled ones are not even imported."""
+"""Builds a controller with the optional subsystems that are enabled. Disabled subsystems are not even imported."""
 
 from badgerroute.coordination.controller import Controller
 from badgerroute.settings import Settings
--- a/badgerroute/cli.py
+++ b/badgerroute/cli.py
@@ -13,7 +13,7 @@
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """Build the parser for the arguments with which a controller is started or its settings are checked."""
+    """Build the argument parser for starting a controller or checking its settings."""
     parser = argparse.ArgumentParser(prog="badgerroute", description="Run a controller of the badgerroute scheduler.")
     parser.add_argument("--config", metavar="FILE", required=True, help="the platform's settings (TOML)")
     parser.add_argument(
@@ -29,7 +29,7 @@
 
 
 def set_up_logging() -> None:
-    """Log to standard error with one line per event, at the level in the environment variable LOG_LEVEL."""
+    """Log to standard error, one line per event, at the level that the environment variable LOG_LEVEL names."""
     level = os.environ.get("LOG_LEVEL", "info").lower()
     logging.basicConfig(
         stream=sys.stderr,
@@ -58,7 +58,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run the command that the arguments name and return the exit code. Uses `sys.argv` if no arguments are given."""
+    """Run the command that `arguments` name, by default those in `sys.argv`, and return the exit code."""
     arguments = sys.argv[1:] if arguments is None else arguments
     if arguments and arguments[0] in DRAIN_COMMANDS:
         from badgerroute.rebalancing import drain_command
--- a/badgerroute/daemon.py
+++ b/badgerroute/daemon.py
@@ -17,7 +17,7 @@
     poller = SelectorPoller()
     loop = Loop(SystemClock(), poller)
     group = TaskGroup(loop, settings.platform.host_name)
-    gc.freeze()  # modules and settings are never freed, so the garbage collector need not scan them
+    gc.freeze()  # loaded modules and settings are never freed, so the garbage collector is told to skip them
     gc.set_threshold(20_000, 20, 50)
     controller = build_controller(settings, loop, TcpNetwork(loop, poller), group)
     try:
--- a/badgerroute/protocol/cloud.py
+++ b/badgerroute/protocol/cloud.py
@@ -39,7 +39,7 @@
 class RentalRequest(Struct):
     """A request for `count` machines: POST /rentals.
 
-    `request` is an idempotency key: a repetition with the same key rents no further machines.
+    `request` is an idempotency key: a repeated request with the same key rents no further machines.
     """
 
     request: str = field(name="hire")
@@ -62,7 +62,7 @@
 
 
 class ListedMachine(Struct):
-    """A machine in the cloud's machine list: item of GET /rentals. The list may be out of date by some seconds.
+    """A machine in the cloud's machine list: item of GET /rentals. The list can be some seconds out of date.
 
     `age_s`: time since the machine was rented.
     """
@@ -77,7 +77,7 @@
 
 
 class MachineList(Struct):
-    """A page of the machine list: response to GET /rentals. `more`: further pages follow."""
+    """A page of the machine list: response to GET /rentals. `more`: whether further pages follow."""
 
     machines: list[ListedMachine] = field(name="mounts")
     more: bool = False
--- a/badgerroute/protocol/common.py
+++ b/badgerroute/protocol/common.py
@@ -22,7 +22,7 @@
 
     @classmethod
     def for_field(cls, field: str, problem: str) -> "MalformedError":
-        """Return an error about one field; the text begins with the field's name."""
+        """Return an error about one field. Its text begins with the field's name."""
         return cls(f"{field}: {problem}", field)
 
 
--- a/badgerroute/protocol/key_value.py
+++ b/badgerroute/protocol/key_value.py
@@ -2,7 +2,8 @@
 
 They are specified in the section "Controller nodes -> state service" of the platform's protocol specification.
 
-The store increments its revision with every transaction; all changes of a transaction have the same revision.
+The store has one revision number, which it increments with every transaction. All changes of a transaction have the
+same revision.
 """
 
 from typing import Any
@@ -21,13 +22,13 @@
 
 
 class KeyMissing(Struct):
-    """The key does not exist: 404 response to GET /kv/{key}. `revision`: the store's revision at that time."""
+    """The key does not exist: 404 response to GET /kv/{key}. `revision`: the store's revision when the key was read."""
 
     revision: int = field(name="ledger", default=0)
 
 
 class KeyValuePage(Struct):
-    """A page of the keys under a prefix, in order: response to GET /kv. `more`: further keys follow the last one."""
+    """A page of the keys under a prefix, in key order: response to GET /kv. `more`: whether further keys follow."""
 
     items: list[KeyValueEntry] = field(name="rows")
     revision: int = field(name="ledger")
@@ -69,7 +70,7 @@
 
 
 class CompareFailed(Struct):
-    """The keys whose conditions did not hold; nothing was applied: 409 response to POST /txn."""
+    """The keys whose conditions did not hold, so that no change was applied: 409 response to POST /txn."""
 
     failed: list[str]
     revision: int = field(name="ledger", default=0)
@@ -98,7 +99,7 @@
 
 
 class Refusal(Struct):
-    """Why the store rejected a request: 400 response to any request. Also sent for POST /txn if the lease has ended."""
+    """Why the store rejected a request: 400 response to any request, for example to a write under an ended lease."""
 
     error: str = ""
 
--- a/badgerroute/protocol/mesh.py
+++ b/badgerroute/protocol/mesh.py
@@ -1,9 +1,9 @@
 """Messages between controllers.
 
 The section "Controller nodes <-> controller nodes" of the platform's protocol specification leaves these messages to
-the service, so they are defined here: msgpack structs, one per frame. A lost message causes a delay but never affects
-safety. Controllers of the previous version send and receive the messages too: names on the wire don't change, and
-fields added by a version have a default.
+the service, so they are defined here: msgpack structs, one per frame. A lost message can cause a delay but never
+affects safety. The messages are also exchanged with controllers of the previous version. Names on the wire therefore
+don't change, and each field that a version adds has a default.
 """
 
 from typing import NamedTuple
@@ -27,7 +27,7 @@
 
 
 class ImageCapacity(NamedTuple):
-    """Free processors on the machines that cache an image: their sum, and the most on any one machine.
+    """Free processors on the machines that cache an image: the total, and the maximum on a single machine.
 
     Encoded as an array.
     """
@@ -37,11 +37,11 @@
 
 
 class PendingDemand(Struct, array_like=True):
-    """The waiting tasks of one job in one shard; resources are those of one task.
+    """The waiting tasks of one job in one shard. The resources are those that one task needs.
 
     `count`: the number of waiting tasks. `level`: priority level. `guaranteed`: whether the job is within its team's
-    guarantee. `types`, `zone`: where the tasks may run, None for anywhere. `spot`: whether they may run on spot
-    machines.
+    guarantee. `types`, `zone`: the machine types and the zone to which the tasks are restricted, None for no
+    restriction. `spot`: whether the tasks are allowed to run on spot machines.
     """
 
     ref: str
@@ -62,8 +62,8 @@
 class ClassWaits(Struct, array_like=True):
     """How long a team's tasks of one job class wait in one shard.
 
-    `waiting`: the number of waiting tasks. `oldest_s`: the longest current wait. `histogram`: wait times in
-    milliseconds of the tasks that started recently or are still waiting, as an encoded HDR histogram.
+    `waiting`: the number of waiting tasks. `oldest_s`: the longest of their waits so far. `histogram`: the waits, in
+    milliseconds, of tasks that were placed recently or are still waiting, as an encoded HDR histogram.
     """
 
     team: str
@@ -74,7 +74,7 @@
 
 
 class ShardLoad(Struct):
-    """A shard's wait times and machine utilization, used for rebalancing. Older versions don't send it.
+    """A shard's queue waits and machine utilization, used for rebalancing. Older versions don't send this struct.
 
     `machines_by_load`: the number of machines in each tenth of CPU utilization, lowest first.
     """
@@ -84,13 +84,14 @@
 
 
 class ShardSummary(Struct):
-    """The state of a shard as far as other shards need it.
-
-    `images`: image -> free processors on machines that cache it.
-    `cached_image_cpus`: image -> processors that each machine caching it could offer if preemptible work were stopped.
-    `preemptible_capacities`: priority level -> free resources for a job of this level if work of lower levels were
-    preempted.
-    `soon_free_cpus`: processors of array tasks that should end before a newly rented machine could be used.
+    """The part of a shard's state that other shards need.
+
+    `images`: image -> free processors on the machines that cache it.
+    `cached_image_cpus`: image -> for each machine that caches it, the number of processors that the machine could offer
+    if preemptible work were stopped.
+    `preemptible_capacities`: priority level -> resources that would be free for a job of this level if work of lower
+    levels were preempted.
+    `soon_free_cpus`: processors of array tasks that are expected to end before a newly rented machine could be used.
     `running`: job -> number of its running tasks.
     `used`: team -> processors and accelerators in use.
     `workers_silent`: whether the heartbeats of at least half of the shard's machines are overdue.
@@ -115,10 +116,11 @@
 class Gossip(Struct, tag="gossip"):
     """The state of a controller, sent to all its peers a few times a second.
 
-    `store_reachable`: whether the key-value store has responded to it within the last seconds. `isolated`: whether it
-    must not receive any shard, because workers can't reach it or its links have not been up for long. `mode`: a mode of
-    `connectivity.modes`. Older versions send neither this field nor those after it. `hears`: the controllers whose
-    gossip it receives. `relays`: whether it forwards requests and accepts forwarded requests.
+    `store_reachable`: whether the key-value store has responded to the controller within the last seconds. `isolated`:
+    whether the controller must not receive any shard, because workers can't reach it or because its links were
+    restored too recently. `mode`: a mode of `connectivity.modes`. `hears`: the controllers whose gossip it receives.
+    `relays`: whether it forwards requests and accepts forwarded requests. Older versions don't send `mode`, `hears` and
+    `relays`.
     """
 
     host: str
@@ -144,9 +146,10 @@
 
 
 class StealRequest(Struct, tag="steal"):
-    """An idle shard (`thief`) asks a busy one (`victim`) for waiting tasks; the victim's leader decides and writes.
+    """A shard (`thief`) asks a busier one (`victim`) for waiting tasks.
 
-    `teams_lacking_quota`: teams whose work already waits for quota in the thief's shard.
+    The victim's leader decides which tasks to hand over and records their transfer. `teams_lacking_quota`: teams whose
+    tasks should not be handed over, for example because the team's tasks in the thief's shard already wait for quota.
     """
 
     victim: int
@@ -157,7 +160,7 @@
 
 
 class QuotaRequest(Struct, tag="lack"):
-    """A shard needs more quota of a team's limit; a shard that does not use all of its quota may grant some.
+    """A shard asks for more of a team's quota. Another shard that does not use all of its own portion can grant some.
 
     Among the team's jobs that wait for quota, the request covers those that come first in the order of service. `cpus`,
     `accelerators`: the quota that these jobs lack. `age_s`: the age of the oldest of them. `rank`: their sort key in
@@ -178,7 +181,7 @@
 class MachineRequest(Struct, tag="borrow"):
     """A shard that is too small for a gang (`job`) asks the other shards for empty machines.
 
-    `count` is the number of the gang's tasks for which the shard lacks room, not the number of machines.
+    `count` is the number of the gang's tasks that don't fit into the shard, not a number of machines.
     """
 
     shard: int = field(name="part")
@@ -189,7 +192,7 @@
 class MisroutedHeartbeat(Struct, tag="knock"):
     """A controller (`host`) received a heartbeat from a machine of a shard that another controller leads.
 
-    Sent to that leader if its workers seem to be cut off from it, so that it can transfer the shard.
+    The message is sent to that leader if its workers seem to be cut off from it, so that it can transfer the shard.
     """
 
     shard: int = field(name="part")
@@ -220,14 +223,14 @@
 
 
 class CancellationNotice(Struct, tag="withdrawn"):
-    """Cancelled jobs, with the revisions of their final states. Resent until it is acknowledged."""
+    """Cancelled jobs, with the revisions of their final states. The notice is resent until it is acknowledged."""
 
     host: str
     jobs: list[tuple[str, int]]
 
 
 class CancellationAck(Struct, tag="withdrawn_heard"):
-    """Acknowledges a CancellationNotice: from now on the receiver treats these jobs as cancelled."""
+    """Acknowledges a CancellationNotice: its receiver (`host`) now treats the jobs `refs` as cancelled."""
 
     host: str
     refs: list[str]
--- a/badgerroute/protocol/users.py
+++ b/badgerroute/protocol/users.py
@@ -32,12 +32,13 @@
 
 
 class Submission(Struct, frozen=True, omit_defaults=True):
-    """A job as submitted by its user: POST /v1/jobs. Resources are those of one task.
+    """A job as submitted by its user: POST /v1/jobs. The resources are those that one task needs.
 
     `together`: all tasks must run in one zone. `spread`: at most half of the tasks (rounded up) may run in one zone.
-    `spot`: the job may run on spot machines. `checkpoint_s`: 0 if the job saves no checkpoints. `save_s`: how long a
-    task takes to save its progress when it is stopped. `types`, `zone`: where the job may run, None for anywhere.
-    `predecessors`: upstream jobs, which must be done before this one starts.
+    `spot`: whether the job is allowed to run on spot machines. `checkpoint_s`: 0 if the job saves no checkpoints.
+    `save_s`: how long a task takes to save its progress when it is stopped. `types`, `zone`: the machine types and the
+    zone to which the job is restricted, None for no restriction. `predecessors`: upstream jobs, which must be done
+    before this job starts.
     """
 
     ref: Text
@@ -89,7 +90,7 @@
 class JobView(Struct, omit_defaults=True):
     """A job's state as shown to users: response to GET /v1/jobs/{id} and to POST /v1/jobs/{id}/cancel.
 
-    `done`, `running`: numbers of tasks.
+    `done`, `running`: the numbers of tasks in these states.
     """
 
     ref: str
--- a/badgerroute/protocol/workers.py
+++ b/badgerroute/protocol/workers.py
@@ -17,7 +17,7 @@
 
 
 class TaskStatus(Struct):
-    """The state of a task as reported by its machine, part of a heartbeat. `checkpointed`: its progress was saved."""
+    """The state of a task, as its machine reports it in a heartbeat. `checkpointed`: whether its progress was saved."""
 
     task: TaskId = field(name="head")
     attempt: Count = field(name="try")
@@ -27,11 +27,11 @@
 
 
 class Heartbeat(Struct):
-    """A machine's heartbeat: POST /checkin, and the response to POST /do and GET /status.
+    """A machine's heartbeat: body of POST /checkin, and of the responses to POST /do and GET /status.
 
     `incarnation` increases whenever the machine's lease ends, `sequence` with every message that the machine sends.
-    `fencing_token`: the highest token that the machine has received. `preemption_notice_s`: seconds until the cloud
-    preempts the machine, or None without a preemption notice.
+    `fencing_token`: the highest fencing token that the machine has received. `preemption_notice_s`: seconds until the
+    cloud preempts the machine, or None if it has received no preemption notice.
     """
 
     machine: Text = field(name="mount")
@@ -54,7 +54,7 @@
 
 
 def parse_heartbeat(body: bytes) -> Heartbeat:
-    """Parse a heartbeat from a message's body; raise MalformedError if it is not valid."""
+    """Parse a heartbeat from a message's body. Raise MalformedError if it is invalid."""
     heartbeat = decode(body, _heartbeat_decoder)
     if max(heartbeat.incarnation, heartbeat.sequence, heartbeat.fencing_token) >= COUNTER_LIMIT:
         raise MalformedError("a counter is out of range")
@@ -74,7 +74,10 @@
 
 
 class Command(Struct, omit_defaults=True):
-    """A command to a machine about one task. `grace_s`: how long the task may save its progress before it is killed."""
+    """A command to a machine about one task.
+
+    `grace_s`: how long the task is allowed to save its progress before it is killed.
+    """
 
     kind: Literal["start", "halt", "clear"] = field(name="call")
     task: str = field(name="head")
--- a/badgerroute/rebalancing/drain_command.py
+++ b/badgerroute/rebalancing/drain_command.py
@@ -1,7 +1,7 @@
 """The commands `badgerroute drain` and `badgerroute undrain`.
 
-They write to the key-value store directly, not through a controller. They therefore work whichever controller leads the
-machine's shard, and also while no controller leads it.
+They write to the key-value store directly, not through a controller, so that they work even while no controller leads
+the machine's shard.
 """
 
 import argparse
@@ -49,8 +49,8 @@
     poller = SelectorPoller()
     loop = Loop(SystemClock(), poller)
     params = settings.params
-    # The store's rate limits are divided among its clients. The command counts as one more client beside the
-    # controllers, so that it stays within a client's portion.
+    # The store's rate limits are divided equally among its clients. The command counts itself as one more client in
+    # addition to the controllers, and limits its own rate to one client's portion.
     address = settings.platform.endpoints.state
     store = KeyValueClient(loop, TcpNetwork(loop, poller), address, params.state, params.size + 1)
     return loop.run(loop.spawn(_run(command, options, DrainRequests(loop, store)), command))
--- a/badgerroute/rebalancing/drain_requests.py
+++ b/badgerroute/rebalancing/drain_requests.py
@@ -30,7 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainOutcome:
-    """The result of a request, and the deadline (a POSIX time) if the machine is being drained afterwards."""
+    """The result of a request.
+
+    `deadline`: the POSIX time by which the machine must be empty, or None if it is not draining after the request.
+    """
 
     answer: DrainAnswer
     deadline: float | None = None
@@ -39,8 +42,9 @@
 class DrainRequests:
     """Writes and withdraws drain requests, each with one conditional transaction.
 
-    If the conditions fail or the response is lost, the keys are read again and the request is tried again. After
-    MAX_ATTEMPTS this raises StoreUnavailableError; the caller may then repeat the request.
+    If the transaction's conditions fail or its response is lost, the keys are read again and another attempt is made.
+    After MAX_ATTEMPTS attempts, `drain` and `undrain` raise StoreUnavailableError; the caller can safely call them
+    again.
     """
 
     def __init__(self, loop: Loop, store: KeyValueClient) -> None:
@@ -70,7 +74,7 @@
         raise StoreUnavailableError("each attempt conflicted with another change or its response was lost")
 
     async def undrain(self, machine: str) -> DrainOutcome:
-        """Withdraw a machine's drain request. Tasks that have already been moved off the machine are not moved back."""
+        """Withdraw a machine's drain request. Tasks that have already left the machine are not moved back."""
         removal_attempted = False
         for _ in range(MAX_ATTEMPTS):
             item = await self._store.get(DRAINS + machine, Urgency.SUBMIT)
--- a/badgerroute/rebalancing/drains.py
+++ b/badgerroute/rebalancing/drains.py
@@ -1,4 +1,4 @@
-"""Draining of machines: reads the stored drain requests (drains) and applies them to the machines of a shard."""
+"""Draining of machines: reads the stored drain requests, called drains, and applies them to a shard's machines."""
 
 import logging
 from dataclasses import dataclass
@@ -16,21 +16,24 @@
 from badgerroute.transport.loop import Loop
 
 log = logging.getLogger(__name__)
-# A drain is removed once its machine has had no record in the key-value store for this long. The time is longer than a
-# transfer of the machine to another shard, during which the record may be missing too.
+# A drain is removed once its machine has had no record in the key-value store for this long. A machine's record can
+# also be missing while the machine is transferred to another shard, but such a transfer takes less time than this.
 ORPHANED_AFTER = timedelta(seconds=60)
 
 
 @dataclass(frozen=True, slots=True)
 class Drain:
-    """A request to empty one machine by `deadline`, on the monotonic clock, and then, if `delete`, to delete it."""
+    """A request to empty one machine by `deadline`, on the monotonic clock.
+
+    `delete`: whether to delete the machine at the cloud once it is empty.
+    """
 
     deadline: timedelta
     delete: bool
 
 
 class DrainRegistry:
-    """The stored drains, read from the local replica. Being stored, they outlast a failover of the machine's shard."""
+    """The drains in the key-value store, read from the local replica. They outlast a failover of a machine's shard."""
 
     def __init__(self, loop: Loop, replica: Replica, store: KeyValueClient) -> None:
         self._loop, self._replica, self._store = loop, replica, store
@@ -84,7 +87,7 @@
         self._reported_empty: set[str] = set()
 
     def apply(self, machine: Machine, drain: Drain | None) -> None:
-        """Apply a machine's drain, which may be new or changed. None means that it was withdrawn."""
+        """Apply a machine's current drain. If `drain` is None, end the draining of the machine if it was draining."""
         if drain is None:
             if machine.drain_deadline is not None:
                 log.info("event=drain_ended machine=%s shard=%d", machine.name, self._shard)
@@ -98,7 +101,7 @@
     def became_empty(self, machine: Machine) -> bool:
         """Return whether a drained machine is empty and was not empty at the previous call.
 
-        It counts as empty only if it has listed its tasks in a heartbeat to the shard's current leader.
+        A machine counts as empty only once it has listed its tasks in a heartbeat to the shard's current leader.
         """
         if not (machine.empty and machine.fenced and machine.alive):
             self._reported_empty.discard(machine.name)
--- a/badgerroute/rebalancing/fetch_rates.py
+++ b/badgerroute/rebalancing/fetch_rates.py
@@ -7,15 +7,15 @@
 
 SMOOTHING = 0.2  # weight of a new measurement in the moving average
 MIN_MEASUREMENTS = 3  # with fewer, the nominal rate of the machine type is used
-# Since a late heartbeat or a stopped clock distorts a measurement, each measured rate is limited to at most the nominal
-# rate of the machine type times this factor, and to at least the nominal rate divided by it.
+# Each measured rate is limited to at most the nominal rate of the machine type times this factor, and to at least the
+# nominal rate divided by it, because a late heartbeat or a stopped clock distorts a measurement.
 MAX_DEVIATION_FACTOR = 8.0
 
 
 class FetchRates:
     """Moving averages of fetch rates in GB per second, by machine type.
 
-    Only fetches that were observed from start to end are measured.
+    Only fetches whose start and end were both observed are measured.
     """
 
     def __init__(self) -> None:
--- a/badgerroute/rebalancing/local_waits.py
+++ b/badgerroute/rebalancing/local_waits.py
@@ -6,16 +6,16 @@
 from badgerroute.scheduling.model import ZERO, Job, Machine
 from badgerroute.scheduling.shard import Shard
 
-MAX_ENDS_PER_IMAGE = 512  # if more tasks wait for an image, the rest must start on machines without it anyway
+MAX_ENDS_PER_IMAGE = 512  # further ends are ignored: tasks that would wait for them start on other machines anyway
 FOREVER = timedelta(days=1)  # the estimate if more tasks wait for an image than run on the machines that cache it
 MACHINES_PER_TIME_CHECK = 32  # number of machines visited between two checks of the time limit
 
 
 class LocalWaits:
-    """Estimates, for each image in one shard, how long its waiting tasks wait for a machine that caches it.
+    """Estimates how long the waiting tasks of one shard wait for a machine that caches their image, for each image.
 
     The estimates are computed in passes over the shard's machines. A pass that exceeds the time limit of one scheduling
-    round is continued in the next rounds. Estimates are used for at most `valid_for` after their pass was completed.
+    round continues in the next rounds. The estimates of a pass are used for at most `valid_for` after its completion.
     """
 
     def __init__(self, shard: Shard, run_time: Callable[[Job], timedelta], valid_for: timedelta) -> None:
@@ -24,8 +24,9 @@
         self._task_ends: dict[str, list[timedelta]] = {}
         self._waiting_tasks: dict[str, int] = {}  # image -> number of waiting tasks that use it
         self._completed_at: timedelta | None = None  # when the last pass was completed
-        self._unvisited: list[Machine] | None = None  # machines that the current pass has still to visit
-        self._ends_so_far: dict[str, list[timedelta]] = {}  # like `_task_ends`, but unsorted, by the current pass
+        self._unvisited: list[Machine] | None = None  # machines that the current pass has not visited yet
+        # like `_task_ends`, but unsorted: the ends that the current pass has collected so far
+        self._ends_so_far: dict[str, list[timedelta]] = {}
 
     def advance(self, now: timedelta, out_of_time: Callable[[], bool]) -> bool:
         """Continue the current pass until it is complete or `out_of_time` returns true. Return whether it completed."""
@@ -64,8 +65,8 @@
     def expected_wait(self, job: Job, now: timedelta) -> timedelta | None:
         """Return how long the waiting tasks that use a job's image are expected to wait for machines that cache it.
 
-        This is the wait of the last of these tasks. Return None if there are none, if the job is a gang, or if no pass
-        was completed recently enough.
+        The result is the wait of the last of these tasks. It is None if no such task waits, if the job is a gang, or if
+        no pass was completed within the last `valid_for`.
         """
         if self._completed_at is None or now - self._completed_at > self._valid_for or job.gang:
             return None
--- a/badgerroute/rebalancing/move_ledger.py
+++ b/badgerroute/rebalancing/move_ledger.py
@@ -14,15 +14,15 @@
     """
 
     period: timedelta
-    rest_time: timedelta  # how long a moved task may not move again, and its job may not use the machine that it left
-    max_moves: int  # within any `period`
+    rest_time: timedelta  # after a move, the task must not move again and its job must not use the machine it left
+    max_moves: int  # the maximum number of moves within any `period`
     last_moved_at: dict[tuple[str, int], timedelta] = field(default_factory=dict)  # by Placement.key
     _moves_in_period: list[timedelta] = field(default_factory=list)  # times of the moves within the last `period`
-    total_moves: int = 0  # cumulative, since this controller began to lead the shard
-    total_cost: float = 0.0  # expected cost of these moves in CPU-seconds
+    total_moves: int = 0  # since this controller began to lead the shard
+    total_cost: float = 0.0  # expected cost of all `total_moves` moves, in CPU-seconds
 
     def remaining_moves(self, now: timedelta) -> int:
-        """Return how many more tasks may be moved now, given the moves within the last `period`."""
+        """Return how many more tasks may be moved now: `max_moves` less the moves within the last `period`."""
         self._moves_in_period = [moved_at for moved_at in self._moves_in_period if now - moved_at < self.period]
         return self.max_moves - len(self._moves_in_period)
 
@@ -34,7 +34,7 @@
     def record(self, placement: Placement, loss: float, now: timedelta) -> None:
         """Record the move of a task and its expected cost in CPU-seconds (`loss`).
 
-        For the rest time, no task of its job may start on the machine that the task leaves.
+        During the rest time, no task of the same job may start on the machine that the moved task leaves.
         """
         self.last_moved_at = {
             key: moved_at for key, moved_at in self.last_moved_at.items() if now - moved_at < self.rest_time
--- a/badgerroute/rebalancing/moves.py
+++ b/badgerroute/rebalancing/moves.py
@@ -1,8 +1,9 @@
 """Moves running tasks: stops tasks that save checkpoints so that a waiting job can start on their machines.
 
-A move obeys the preemption rules: it stops only tasks that the waiting job may preempt. Unlike a preemption, it is made
-only if each stopped task can restart on another machine. A job therefore need not wait as long for a move as for a
-preemption.
+A move obeys the preemption rules: it stops only tasks that the waiting job is allowed to preempt. Unlike a preemption,
+a move requires that each stopped task can restart on another machine. As this makes a move cheaper than a preemption,
+tasks are moved for a job once it has waited HEARTBEATS_BEFORE_MOVE heartbeat intervals, whereas other tasks are
+preempted for it only after a third of its slack (see `scheduling.preemption`).
 """
 
 import heapq
@@ -25,7 +26,7 @@
 log = logging.getLogger(__name__)
 HEARTBEATS_PER_MOVE = 2  # one to send the stop command, one to confirm that the task no longer runs
 HEARTBEATS_BEFORE_MOVE = 2  # how long a job waits, in heartbeat intervals, before tasks are moved for it
-RESERVATION_AFTER_SAVE = timedelta(seconds=5)  # how long a machine stays reserved for the job after the expected stop
+RESERVATION_AFTER_SAVE = timedelta(seconds=5)  # a machine stays reserved for the job this long after the expected stop
 MAX_CANDIDATES = 64  # maximum number of machines from which moves are considered for one job
 MAX_DESTINATIONS = 64  # maximum number of machines to which moves are considered for one job
 MAX_JOBS_PER_ROUND = 16  # maximum number of waiting jobs for which moves are planned in one round
@@ -33,14 +34,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MoveOption:
-    """A machine, and tasks (`victims`) that could be moved off it to make space for a waiting task.
+    """A machine, and the tasks (`victims`) that could be moved off it so that one waiting task fits there.
 
     `loss` is the expected cost of the moves in CPU-seconds.
     """
 
     machine: Machine
     victims: list[Placement]
-    wait_without_move: timedelta  # until all victims are expected to end if they are not moved
+    wait_without_move: timedelta  # expected time until all victims end if none is moved
     loss: float
 
 
@@ -72,7 +73,7 @@
         return moved
 
     def _could_benefit(self, job: Job, now: timedelta) -> bool:
-        """Return whether a job has waited long enough for a move, and lacks nothing but free capacity."""
+        """Return whether a job has waited long enough for a move, and nothing but a lack of free capacity delays it."""
         if (
             job.failing
             or now - job.waiting_since < HEARTBEATS_BEFORE_MOVE * self._heartbeat
@@ -100,7 +101,7 @@
         victims = sum(len(option.victims) for option in chosen)
         if not chosen or victims > self.ledger.remaining_moves(now):
             return 0
-        # Without moves, the job would start once the victims on as many of these machines as it needs have ended.
+        # The job needs `needed` machines. Without moves it would start once the victims have ended on that many.
         waits_without_move = sorted(option.wait_without_move for option in options)
         wait_avoided = waits_without_move[needed - 1] - self._longest_stop_time(chosen)
         gain = wait_avoided.total_seconds() * max(job.task_resources.cpus, job.task_resources.accelerators) * needed
@@ -114,8 +115,8 @@
     def _move_options(self, job: Job, now: timedelta) -> list[MoveOption]:
         """Return the machines from which tasks could be moved so that a task of the job can start there.
 
-        To limit the computing time, only the MAX_CANDIDATES machines to move tasks from and the MAX_DESTINATIONS
-        machines to move tasks to that have the most free CPUs are considered.
+        To limit the computing time, tasks are moved only from the MAX_CANDIDATES candidate machines with the most free
+        CPUs, and only to the MAX_DESTINATIONS usable machines with the most free CPUs.
         """
         free = [
             machine
@@ -138,10 +139,10 @@
     def _move_option(
         self, job: Job, machine: Machine, free_resources: dict[str, Resources], now: timedelta
     ) -> MoveOption | None:
-        """Return tasks to move off a machine so that one task of the job fits, or None if it cannot be made to fit.
+        """Return tasks to move off a machine so that one task of the job fits, or None if no such tasks are found.
 
-        Tasks that are cheaper to move are chosen first. Each needs a destination with free capacity, which is then
-        subtracted in `free_resources`.
+        Tasks that are cheaper to move are chosen first. Each chosen task needs a destination with enough free capacity;
+        that capacity is subtracted from the destination's entry in `free_resources`.
         """
         available = machine.free.copy()
         victims: list[Placement] = []
@@ -168,9 +169,10 @@
         return MoveOption(machine, victims, wait_without_move, loss)
 
     def _may_move(self, placement: Placement, job: Job, now: timedelta) -> bool:
-        """Return whether a task may be moved to make space for the job.
+        """Return whether a task is allowed to be moved to make space for the job.
 
-        It must run, save checkpoints, belong to no gang, be preemptible by the job, and not have been moved recently.
+        The task must run, save checkpoints, belong to no gang, be preemptible by the job, and not have been moved
+        within the ledger's `rest_time`.
         """
         victim = placement.job
         return (
@@ -185,7 +187,7 @@
     def _destination(
         self, placement: Placement, machine: Machine, free_resources: dict[str, Resources], now: timedelta
     ) -> Machine | None:
-        """Return a machine on which a task could restart, or None. Prefer a machine that caches the task's image."""
+        """Return a machine on which the task could restart, or None. Prefer machines that cache the task's image."""
         job = placement.job
         fallback: Machine | None = None
         for name, free in free_resources.items():
@@ -210,7 +212,7 @@
         return max(ZERO, self._planner.run_time(placement.job) - (now - started_at))
 
     def _min_loss(self, placement: Placement) -> float:
-        """Return the cost of moving a task, in CPU-seconds, if its destination already caches its image."""
+        """Return the cost of moving a task to a machine that already caches its image, in CPU-seconds."""
         pause = save_time(placement.job) + HEARTBEATS_PER_MOVE * self._heartbeat
         return pause.total_seconds() * max(placement.job.task_resources.cpus, placement.job.task_resources.accelerators)
 
@@ -228,9 +230,9 @@
 
     @staticmethod
     def _choose_machines(job: Job, options: list[MoveOption], needed: int) -> list[MoveOption]:
-        """Return the `needed` machines with the lowest loss, or none if there are fewer.
+        """Return the options with the lowest loss, as many as `needed`, or an empty list if there are fewer.
 
-        If the job's tasks must run together, all of the machines are in one zone.
+        If the job's tasks must run in one zone, all returned options are in the first zone (by name) that suffices.
         """
         ordered = sorted(options, key=lambda option: (option.loss, option.machine.name))
         if not job.spec.together:
@@ -242,7 +244,7 @@
         return []
 
     def _start_move(self, option: MoveOption, job: Job, now: timedelta) -> None:
-        """Stop the victims, with enough time to save their work, and reserve the machine for the waiting job."""
+        """Stop the option's victims, with enough time to save their work, and reserve its machine for the job."""
         machine = option.machine
         longest_save = max(save_time(victim.job) for victim in option.victims)
         machine.reserved_for = job.ref
--- a/badgerroute/rebalancing/service.py
+++ b/badgerroute/rebalancing/service.py
@@ -1,4 +1,4 @@
-"""Rebalancing on one controller: maintains the view of the fleet, guides scheduling, moves tasks, drains machines."""
+"""Rebalancing on one controller: collects wait statistics, guides scheduling, moves tasks, drains machines."""
 
 import logging
 from collections.abc import Callable
@@ -27,16 +27,16 @@
 WORK_REQUEST_INTERVAL = timedelta(seconds=2)
 VIEW_LOG_INTERVAL = timedelta(seconds=10)
 ORPHAN_CHECK_INTERVAL = timedelta(seconds=10)
-# How many heartbeat intervals before a drain's deadline the last tasks are stopped: one heartbeat to send the stop
-# command, one to confirm that the task no longer runs.
+# The last tasks of a draining machine are stopped this many heartbeat intervals before the drain's deadline: one
+# heartbeat is needed to send the stop command, one to confirm that the task no longer runs.
 DRAIN_MARGIN_HEARTBEATS = 2
-# A team's wait ratio is its median queue wait divided by the fleet's. The team's urgency is 1 as long as this ratio is
-# at most URGENCY_THRESHOLD * `max_wait_ratio` (a setting). Above that, it is the quotient of the two, to the power of
-# URGENCY_EXPONENT, but at most MAX_URGENCY.
+# A team's wait ratio is its median queue wait divided by the median queue wait of all tasks in the fleet. The team's
+# urgency is 1 while this ratio is at most the threshold, URGENCY_THRESHOLD * `max_wait_ratio` (a setting). Above the
+# threshold, the urgency is (ratio / threshold) ** URGENCY_EXPONENT, but at most MAX_URGENCY.
 URGENCY_THRESHOLD = 0.5
 URGENCY_EXPONENT = 3.0
 MAX_URGENCY = 64.0
-MIN_ENTITLEMENT = 0.1  # minimum entitlement of a team, as a fraction of the mean CPU guarantee of teams that have one
+MIN_ENTITLEMENT = 0.1  # minimum entitlement of a team, as a fraction of the mean of all CPU guarantees above 0
 
 
 @dataclass(slots=True)
@@ -53,8 +53,8 @@
 class Rebalancer:
     """Runs rebalancing for one controller.
 
-    It is created before the controller, whose shards get their scheduling guidance from it, and is attached to the
-    controller afterwards.
+    It is created before the controller, because the controller's shards get their scheduling guidance from it, and is
+    attached to the controller afterwards.
     """
 
     def __init__(self, settings: Settings, rebalancing: Rebalancing, loop: Loop) -> None:
@@ -87,9 +87,9 @@
         return self._entitlements.get(team, self._min_entitlement)
 
     def urgency(self, team: str) -> float:
-        """Return the factor by which a team's entitlement to capacity is raised because its tasks wait long.
+        """Return the factor by which a team's entitlement to capacity is multiplied because its tasks wait long.
 
-        It is 1 up to a wait ratio of URGENCY_THRESHOLD * `max_wait_ratio`, and grows with higher ratios.
+        The factor is 1 up to a wait ratio of URGENCY_THRESHOLD * `max_wait_ratio`. Above that, it grows with the ratio.
         """
         return self._urgencies.get(team, 1.0)
 
@@ -131,7 +131,7 @@
     def _refresh_led_shards(self) -> list[_LedShard]:
         """Return the shards that this controller leads and in which it may start tasks now.
 
-        The rebalancing state of a shard is dropped when this controller no longer leads it, or leads it anew.
+        The rebalancing state of a shard is dropped when this controller loses the shard, even if it leads it again.
         """
         assert self._controller is not None
         leaders = self._controller.leaders
@@ -147,7 +147,7 @@
         return [led_shard for number, led_shard in self._led_shards.items() if policy.allows_for(number, Action.START)]
 
     def _may_request_work(self, leader: ShardLeader) -> bool:
-        """Return whether a shard may request work from other shards."""
+        """Return whether a shard is reconciled and the controller's mode permits requests for other shards' work."""
         policy = self._controller.leadership.policy if self._controller is not None else None
         return leader.shard.reconciled and policy is not None and policy.allows_for(leader.number, Action.STEAL)
 
@@ -176,14 +176,15 @@
         reports = [ShardWaitReport(summary, ZERO) for summary in own.values()]
         reports += [ShardWaitReport(summary, age) for summary, age in peers.shard_reports() if summary.shard not in own]
         self.view = FleetView(reports, self._rebalancing.stale_after)
-        # Compute the urgencies only once per view. Every comparison of two jobs uses them, and computing one iterates
-        # over whole histograms to find percentiles.
+        # The urgencies are computed only once per view: sorting the waiting jobs uses them often, and computing a
+        # team's urgency iterates over whole histograms to find medians.
         self._urgencies = {team: self._compute_urgency(team) for team in self.view.teams}
 
     def _request_missing_work(self, now: timedelta) -> None:
         """Request waiting tasks from shards that have more than their fair share of a team's waiting tasks.
 
-        Only teams with an urgency above 1 count. WORK_REQUEST_INTERVAL leaves time for the responses to take effect.
+        Only the tasks of teams with an urgency above 1 are requested. Requests are sent at most once in each
+        WORK_REQUEST_INTERVAL, so that the tasks requested earlier have time to arrive.
         """
         assert self._controller is not None
         if now - self._work_requested_at < WORK_REQUEST_INTERVAL:
@@ -230,7 +231,7 @@
     # -- drains
 
     def _drain_changed(self, key: str, value: bytes | None, revision: int) -> None:
-        """Apply a changed drain without waiting for the next round: no more tasks may start on a draining machine."""
+        """Apply a changed drain at once, not in the next round: no task is allowed to start on a draining machine."""
         assert self._controller is not None and self._drains is not None
         name = key.removeprefix(DRAINS)
         for led_shard in self._led_shards.values():
--- a/badgerroute/rebalancing/shard_guidance.py
+++ b/badgerroute/rebalancing/shard_guidance.py
@@ -14,15 +14,15 @@
 from badgerroute.transport.loop import Loop
 
 MEAN_REFRESH_INTERVAL = timedelta(milliseconds=100)
-ACCELERATOR_WEIGHT = 8  # an accelerator counts as this many CPUs, as it does in the scheduling order of jobs
+ACCELERATOR_WEIGHT = 8  # an accelerator counts as this many CPUs; the scheduling order of jobs uses the same weight
 
 
 class ShardGuidance(Guidance):
     """Guidance for one shard.
 
-    For a team, `entitlement` returns the CPUs that it is entitled to, and `urgency` the factor, at least 1, by which
-    long queue waits raise this entitlement. `drain_deadline` returns when a machine must be empty, on the monotonic
-    clock, or None.
+    `entitlement` returns the number of CPUs that a team is entitled to. `urgency` returns the factor, at least 1, by
+    which this number is multiplied because the team's tasks wait long. `drain_deadline` returns when a machine must be
+    empty, on the monotonic clock, or None if the machine is not draining.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         self._mean_ratio, self._mean_computed_at = 0.0, -timedelta(days=1)
 
     def attach(self, usage: dict[str, Usage], local: LocalWaits) -> None:
-        """Set the shard's quota usage and wait estimates. Called when the shard's leader is ready."""
+        """Set the shard's quota usage and wait estimates. Called when the shard's leader has become ready."""
         self.usage, self.local_waits = usage, local
 
     def task_placed(self, job: Job, waited: timedelta, now: timedelta) -> None:
@@ -54,11 +54,11 @@
         self.fetch_rates.record_fetch(placement, took)
 
     def precedence(self, job: Job) -> float:
-        """Return a sort key that puts the jobs first whose team uses the least relative to its entitlement and urgency.
+        """Return a sort key, lowest first, that favors teams that use little relative to their entitlement and urgency.
 
-        The key is the team's usage of the shard, with one more task of the job, divided by its entitlement times its
-        urgency. Usage is summed by team. When it was compared by job instead, a team with many small jobs always came
-        first, and the array of another team never had its turn.
+        The key is (the team's usage of the shard + one more task of the job) / (the team's entitlement * its urgency).
+        Usage is summed over all jobs of the team. When each job's own usage was compared instead, a team with many
+        small jobs always came first, and another team's array never got any capacity.
         """
         if job.gang:
             return 0.0  # gangs keep their order of arrival, since each waits until all of its tasks fit at once
@@ -67,13 +67,13 @@
         return (self._usage_of(team) + task_usage) / (self._entitlement(team) * self._urgency(team))
 
     def may_exceed_desire(self, job: Job) -> bool:
-        """Return whether a job may start tasks beyond its desire, because its team uses less than the mean.
+        """Return whether a job is allowed to exceed its desire, because its team uses less than the mean of all teams.
 
-        A desire is the number of slots that utilization feedback computes for a job. What is compared is the team's
-        usage, divided by its entitlement and urgency, with the ratio of usage to entitlement of all teams with tasks in
-        the shard. A job that arrives while nothing is free starts with a desire of one slot. Next to a team that
-        submits jobs of one task, whose desires are always filled first, an array would get only one more slot every
-        ten seconds.
+        A job's desire is the number of slots that utilization feedback computes for it. The team's usage / (entitlement
+        * urgency) is compared with the total usage / total entitlement of the teams with tasks in the shard. An array
+        that arrives while no capacity is free starts with a desire of one slot. Without this exception, it would get
+        only one more slot every ten seconds while another team keeps submitting jobs of one task each, because the
+        desires of those jobs are always filled first.
         """
         team = job.spec.team
         return self._usage_of(team) / (self._entitlement(team) * self._urgency(team)) < self._mean_usage_ratio()
@@ -85,7 +85,7 @@
     def _mean_usage_ratio(self) -> float:
         """Return the total usage of the teams with tasks in the shard, divided by their total entitlement.
 
-        It is computed at most once in MEAN_REFRESH_INTERVAL.
+        The result is cached for MEAN_REFRESH_INTERVAL.
         """
         now = self._loop.now()
         if now - self._mean_computed_at >= MEAN_REFRESH_INTERVAL:
@@ -100,7 +100,7 @@
         return self.fetch_rates.fetch_time(job, machine)
 
     def local_wait(self, job: Job) -> timedelta | None:
-        """Return how long the job's tasks may wait for machines that cache their image, or None if unknown."""
+        """Return the expected wait of the job's tasks for machines that cache their image, or None if unknown."""
         return self.local_waits.expected_wait(job, self._loop.now()) if self.local_waits is not None else None
 
     def drain_deadline(self, machine: str) -> timedelta | None:
--- a/badgerroute/rebalancing/spreading.py
+++ b/badgerroute/rebalancing/spreading.py
@@ -1,7 +1,7 @@
 """Spreads a team's waiting tasks over the shards: computes how many a shard should request, and from which shard.
 
-A request is an ordinary work-stealing request: the leader of the shard that owns the tasks decides which ones to hand
-over and records the transfer. Leaders of older versions do this too.
+A request is an ordinary work-stealing request: the leader of the shard that owns the tasks decides which tasks to hand
+over and records their transfer. Leaders that run older versions can respond to it as well.
 """
 
 from dataclasses import dataclass
@@ -10,9 +10,9 @@
 from badgerroute.scheduling.shard import Shard
 
 # A shard with less than this fraction of its fair share of a team's waiting tasks requests the rest of that share.
-# Afterwards neither of the two shards is below this fraction, so no tasks are requested back.
+# Neither shard is below this fraction after the transfer, so the other shard does not request the tasks back.
 REQUEST_THRESHOLD = 0.5
-MIN_TASKS = 2  # fewer are not worth a write to the key-value store
+MIN_TASKS = 2  # requesting fewer tasks is not worth the write to the key-value store
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
 
 
 def missing_work(own: ShardSummary, others: list[ShardSummary], teams: list[str]) -> list[WorkRequest]:
-    """Return the requests with which a shard gets its fair share of the given teams' waiting tasks.
+    """Return the requests that a shard must send to get its fair share of the given teams' waiting tasks.
 
     A shard's fair share of a team's waiting tasks is proportional to its number of machines. The victim is the shard
     with the most waiting tasks of the team per machine.
@@ -58,7 +58,7 @@
 
 
 def _cpus_per_task(summary: ShardSummary, team: str) -> float:
-    """Return the mean CPUs per task of a team's waiting tasks in a shard."""
+    """Return the mean CPUs per waiting task of a team in a shard, or 1 if no waiting task is reported."""
     demands = [demand for demand in summary.demands if demand.team == team]
     tasks = sum(demand.count for demand in demands)
     if not tasks:
@@ -67,9 +67,9 @@
 
 
 def offered_capacity(shard: Shard, request: WorkRequest) -> list[FreeCapacity]:
-    """Return capacity of usable machines for the requested tasks, in the form of a steal request.
+    """Return the capacity that the shard offers for the requested tasks: the `capacities` of its steal request.
 
-    CPUs in use are offered as if they were free, since some of them will be free soon.
+    Only usable machines are offered. Their CPUs in use count as free, since some of them will be free soon.
     """
     cpus_left = request.tasks * request.cpus_per_task
     offered: list[FreeCapacity] = []
--- a/badgerroute/rebalancing/view.py
+++ b/badgerroute/rebalancing/view.py
@@ -1,4 +1,4 @@
-"""Statistics of the queue waits of each team's tasks in the whole fleet, merged from the reports of all shards."""
+"""Statistics of queue waits in the fleet, by team, job class and shard, merged from the reports of all shards."""
 
 import logging
 import zlib
@@ -15,14 +15,14 @@
 log = logging.getLogger(__name__)
 MEDIAN_PERCENT = 50.0
 TAIL_PERCENT = 95.0
-MAX_HISTOGRAM_CHARS = 8192  # longest encoded histogram that is accepted from a peer; typical ones have a few hundred
+MAX_HISTOGRAM_CHARS = 8192  # maximum length of a peer's encoded histogram; a typical one has a few hundred
 
 DECODE_ERRORS = (HdrCookieException, HdrHistogramSettingsException, HdrLengthException, ValueError, zlib.error)
 
 
 @dataclass(frozen=True, slots=True)
 class ShardWaitReport:
-    """The last summary that a shard's leader sent, and the summary's age."""
+    """The latest summary of a shard, and the time since it was received; zero for a shard led by this controller."""
 
     summary: ShardSummary
     age: timedelta
@@ -32,8 +32,8 @@
 class WaitStatistics:
     """Wait statistics of a team, of one of its job classes, of a shard or of the fleet.
 
-    The histogram holds the waits of recently started and of waiting tasks. `waiting` is the number of waiting tasks,
-    `oldest` the longest wait among them.
+    The histogram holds the waits of recently placed tasks, and the waits so far of tasks that are still waiting.
+    `waiting` is the number of tasks that are still waiting, and `oldest` is the longest of their waits.
     """
 
     histogram: HdrHistogram = field(default_factory=new_histogram)
@@ -41,7 +41,7 @@
     oldest: timedelta = ZERO
 
     def add(self, waits: ClassWaits) -> None:
-        """Add the waits that a shard reports. A histogram that is too long or can't be decoded is ignored."""
+        """Add the waits that a shard reports. Its histogram is ignored if it is too long or can't be decoded."""
         if len(waits.histogram) <= MAX_HISTOGRAM_CHARS:
             try:
                 self.histogram.decode_and_add(waits.histogram.encode())
@@ -59,7 +59,7 @@
 
     @property
     def task_count(self) -> int:
-        """Return the number of tasks in the histogram, both recently started and waiting ones."""
+        """Return the number of tasks in the histogram, both recently placed and waiting ones."""
         return self.histogram.get_total_count()
 
     @property
@@ -74,7 +74,7 @@
 
 
 class FleetView:
-    """Wait statistics of the fleet, from recent reports only.
+    """Wait statistics of the fleet, computed from recent reports only.
 
     The statistics leave out shards whose report is older than `stale_after` or does not contain the shard's load. These
     shards are listed in `stale_shards` and `shards_without_load`.
@@ -89,8 +89,8 @@
         self.machines_by_load = [0] * 10  # number of machines in each tenth of CPU utilization, lowest first
         self.summaries: list[ShardSummary] = []  # summaries that are not stale and contain the shard's load
         self.stale_shards: list[int] = []
-        self.shards_without_load: list[int] = []  # led by versions that do not report their load
-        latest: dict[int, ShardWaitReport] = {}  # two controllers may briefly both report a shard
+        self.shards_without_load: list[int] = []  # their leaders run older versions, which do not report the load
+        latest: dict[int, ShardWaitReport] = {}  # the old and the new leader might briefly both report a shard
         for report in sorted(reports, key=lambda report: report.age, reverse=True):
             latest[report.summary.shard] = report
         for report in latest.values():
@@ -114,9 +114,9 @@
             self.machines_by_load[decile] += count
 
     def wait_ratio(self, team: str, min_wait: timedelta) -> float:
-        """Return a team's median wait divided by the fleet's, or 1 if there are no waits of the team.
+        """Return a team's median wait divided by the fleet's median wait, or 1 if no waits of the team are known.
 
-        A median below `min_wait` counts as `min_wait`.
+        Each of the two medians counts as at least `min_wait`.
         """
         team_waits = self.teams.get(team)
         if team_waits is None or not team_waits.task_count:
--- a/badgerroute/rebalancing/waits.py
+++ b/badgerroute/rebalancing/waits.py
@@ -12,9 +12,11 @@
 MIN_MS = 1
 MAX_MS = 3_600_000  # one hour; longer waits count as one hour
 SIGNIFICANT_DIGITS = 2
-MAX_CLASSES = 200  # at most this many pairs of team and job class have their own histogram; the rest share one per team
+MAX_CLASSES = 200  # maximum number of (team, job class) pairs with their own histogram; others share one per team
 OTHER_CLASSES = "*"
-MAX_REQUEUED_COUNTED = 64  # for at most this many tasks of a job, the wait since their return to the queue is counted
+# The wait of tasks that returned to the queue is measured from their return, but for at most this many tasks of a job.
+# The wait of all other tasks is measured from the acceptance of the job.
+MAX_REQUEUED_COUNTED = 64
 MILLISECOND = timedelta(milliseconds=1)
 
 ClassKey = tuple[str, str]  # team, job class
@@ -39,7 +41,7 @@
 
 @dataclass(slots=True)
 class _PendingWaits:
-    """The waiting tasks of one team and job class: a histogram of their waits so far, their number, the longest."""
+    """The waiting tasks of one team and job class: histogram of their waits so far, their number, the longest wait."""
 
     histogram: HdrHistogram
     tasks: int = 0
@@ -47,10 +49,10 @@
 
 
 class RecentWaits:
-    """Waits of the tasks that were placed recently, and of those that are waiting.
+    """Queue waits of recently placed tasks and of waiting tasks.
 
-    Waits of placed tasks are kept for half of `window` to all of it: they are collected in one histogram for each half,
-    and the older half is dropped as a whole.
+    The wait of a placed task is kept for at least half of `window` and normally at most all of it. Each half of the
+    window has its own histograms, and those of the older half are dropped together.
     """
 
     def __init__(self, window: timedelta, now: timedelta) -> None:
@@ -102,7 +104,7 @@
     def _pending_by_class(self, shard: ShardView, now: timedelta) -> dict[ClassKey, _PendingWaits]:
         """Return the tasks that wait for free capacity, by team and job class.
 
-        Tasks that wait for their own team's quota are left out, since no other team's tasks delay them.
+        Tasks that wait for quota of their own team are left out, since the tasks of other teams do not delay them.
         """
         pending_by_class: dict[ClassKey, _PendingWaits] = {}
         for job in shard.jobs.values():
@@ -121,7 +123,7 @@
 
 
 def machines_by_utilization(shard: ShardView) -> list[int]:
-    """Return ten numbers of machines: those with CPU utilization below 10%, from 10% to below 20%, and so on."""
+    """Return ten counts: the number of machines with a CPU utilization below 10%, from 10% to below 20%, and so on."""
     counts = [0] * 10
     for machine in shard.machines.values():
         used = 1.0 - machine.free.cpus / machine.machine_type.cpus if machine.machine_type.cpus else 0.0
--- a/badgerroute/settings/derived.py
+++ b/badgerroute/settings/derived.py
@@ -21,7 +21,7 @@
 
     @property
     def hosts(self) -> list[str]:
-        """All controllers in an order that is the same on each of them. A controller's index is its home shard."""
+        """The names of all controllers, in the same order on each of them. A controller's index is its home shard."""
         return sorted([self.platform.host_name, *(peer.host_name for peer in self.platform.peers)])
 
     @property
@@ -31,15 +31,15 @@
 
     @property
     def max_clock_drift(self) -> timedelta:
-        """How far two hosts' monotonic clocks may drift apart, at most, during the longest wait that safety relies on.
+        """An upper bound of the drift between two hosts' clocks during the longest wait that safety relies on.
 
-        That wait is the setting `cancel_s`. Each clock may be up to 0.05% fast or slow.
+        That wait takes `cancel_s` (a setting). Each monotonic clock is assumed to be at most 0.05% fast or slow.
         """
         return timedelta(seconds=0.002 * self.params.workers.cancel_s)
 
     @property
     def grace(self) -> timedelta:
-        """How long a leader may act without confirmation of its leadership by the key-value store.
+        """How long a leader is allowed to act without a confirmation of its leadership by the key-value store.
 
         docs/safety.md calls this time G. G + the workers' lease + `max_clock_drift` must stay well below `cancel_s`.
         Otherwise a controller that is cut off from the store could keep a cancelled job's task running for too long.
@@ -50,5 +50,5 @@
 
     @property
     def machine_lease(self) -> timedelta:
-        """The time after which a machine whose heartbeats got no response has certainly killed its tasks."""
+        """The time without a response to its heartbeats after which a machine has certainly killed its tasks."""
         return self.params.workers.lease + self.max_clock_drift + timedelta(milliseconds=500)
--- a/badgerroute/settings/loading.py
+++ b/badgerroute/settings/loading.py
@@ -1,4 +1,4 @@
-"""Reads and checks both settings files before anything starts. An error is one line that names the field."""
+"""Reads and checks both settings files before the controller starts. An error is one line that names the field."""
 
 import importlib.util
 import tomllib
--- a/badgerroute/settings/operator.py
+++ b/badgerroute/settings/operator.py
@@ -27,20 +27,20 @@
 
     @property
     def wait_cap(self) -> timedelta:
-        """The longest time that a task waits for a nearer machine before it may start farther from its image."""
+        """The longest time that delay scheduling lets a task wait for a machine or zone that caches its image."""
         return timedelta(seconds=self.wait_cap_s)
 
     @property
     def round(self) -> timedelta:
-        """The time after which one scheduling round stops; the next round continues."""
+        """The time limit of one scheduling round. The next round continues where a round has stopped."""
         return timedelta(milliseconds=self.round_ms)
 
 
 class FleetSettings(Struct, frozen=True, forbid_unknown_fields=True):
     """Settings of the autoscaler.
 
-    `return_idle` is whether idle machines are returned to the cloud. If it is null, the platform's service objectives
-    decide (see `scheduling.scale_out_planning.scales_out_ahead`). `most_machines` is the maximum size of the fleet.
+    `return_idle`: whether idle machines are returned to the cloud. If it is null, the platform's service objectives
+    decide (see `scheduling.scale_out_planning.scales_out_ahead`). `most_machines`: the maximum size of the fleet.
     """
 
     return_idle: bool | None = None
@@ -65,10 +65,11 @@
 
 
 class Rebalancing(Struct, frozen=True, forbid_unknown_fields=True):
-    """Settings of rebalancing, which is off if the file has no such block. See docs/rebalancing.md.
+    """Settings of rebalancing, which is off if the file has no `rebalancing` block. See docs/rebalancing.md.
 
-    `max_wait_ratio`: a team's tasks are favored when its median queue wait exceeds half this multiple of the fleet's.
-    `move_gain`: tasks are moved only if the move saves more than this many times its cost, both in CPU-seconds.
+    `max_wait_ratio`: the target maximum of a team's median queue wait divided by the fleet's median queue wait. A team
+    is favored as soon as its quotient exceeds half of this setting. `move_gain`: tasks are moved only if the moves save
+    more than this many times their cost, both in CPU-seconds.
     """
 
     window_s: Annotated[float, Meta(ge=5, le=3600)] = 60.0
@@ -86,7 +87,7 @@
 
     @property
     def stale_after(self) -> timedelta:
-        """The age above which the reports of shards and the estimates of waits are ignored."""
+        """The age above which shards' load reports and the estimated waits for cached images are ignored."""
         return timedelta(seconds=self.stale_s)
 
     @property
@@ -96,9 +97,9 @@
 
     @property
     def move_rest(self) -> timedelta:
-        """The time after a move during which the task may not be moved again.
+        """The time after a move during which the task must not be moved again.
 
-        During this time, its job may not start tasks on the machine that the task left either.
+        During the same time, its job must not start tasks on the machine that the task left.
         """
         return timedelta(seconds=self.move_rest_s)
 
@@ -120,12 +121,12 @@
 
     @property
     def settle_time(self) -> timedelta:
-        """The minimum time for which connections must be stable before a shard returns to its home controller."""
+        """How long connections must be stable, at least, before a shard returns to its home controller."""
         return timedelta(seconds=self.settle_s)
 
     @property
     def max_settle_time(self) -> timedelta:
-        """The maximum of the settle time, which grows from `settle` for connections that fail repeatedly."""
+        """The upper limit of the settle time, which grows from `settle_time` for connections that fail repeatedly."""
         return timedelta(seconds=self.longest_settle_s)
 
     @property
--- a/badgerroute/settings/platform.py
+++ b/badgerroute/settings/platform.py
@@ -1,4 +1,4 @@
-"""The platform's settings file (TOML) as typed values. Unknown fields are ignored, as the platform may add some."""
+"""The platform's settings file (TOML) as typed values. Unknown fields are ignored: the platform may add fields."""
 
 from datetime import timedelta
 from math import inf
@@ -28,7 +28,7 @@
 
 
 class Team(Struct, frozen=True):
-    """The quota of a team: `cpus` and `gpus` are guaranteed, `cpus_max` and `gpus_max` are limits (0 for none)."""
+    """The quota of a team: `cpus` and `gpus` are guaranteed, `cpus_max` and `gpus_max` are limits (0: no limit)."""
 
     name: Name
     cpus: Amount = 0.0
@@ -40,8 +40,8 @@
     def limits(self) -> tuple[float, float]:
         """The most CPUs and accelerators that the team's tasks may use at the same time.
 
-        In the file, 0 means no limit. When it was read as a limit of 0, all jobs of a team without a guarantee were
-        refused.
+        In the file, 0 means that there is no limit. When 0 was taken as the limit, all jobs of a team without a
+        guarantee were refused.
         """
         return self.cpus_max or inf, self.gpus_max or inf
 
@@ -77,7 +77,7 @@
 
     @property
     def max_cancellation_time(self) -> timedelta:
-        """The longest time that a task may still run on a machine after its job was cancelled."""
+        """The longest time that a task is allowed to keep running after its job was cancelled."""
         return timedelta(seconds=self.cancel_s)
 
     @property
@@ -87,7 +87,7 @@
 
 
 class LaterStoreLimits(Struct, frozen=True):
-    """Limits that the key-value store will adopt at some later time, without notice. A null limit does not change."""
+    """Limits that the key-value store will adopt later, without notice. A limit that is None stays as it is."""
 
     rps: Positive | None = None
     write_rps: Positive | None = None
@@ -111,7 +111,7 @@
     def max_changes(self) -> int:
         """The maximum number of changes in a transaction: the lower of the current limit and the later one.
 
-        The later limit may take effect at any time.
+        Both are observed from the start, because the later limit can take effect at any time.
         """
         return min(self.txn_ops, (self.next and self.next.txn_ops) or self.txn_ops)
 
@@ -122,13 +122,13 @@
 
     @property
     def lower_rates(self) -> tuple[float, float]:
-        """The limits of requests and of changes per second once the later limits apply, if these are lower."""
+        """The maximum requests and changes per second: for each, the lower of the current limit and the later one."""
         later = self.next or LaterStoreLimits()
         return min(self.rps, later.rps or self.rps), min(self.write_rps, later.write_rps or self.write_rps)
 
 
 class CloudLimits(Struct, frozen=True):
-    """The number of requests per second that the cloud accepts, and the usual age of its machine list."""
+    """The number of requests per second that the cloud accepts, and the usual age of its machine list in seconds."""
 
     rps: Positive
     list_lag_s: Amount
@@ -140,7 +140,7 @@
 
 
 class HostLimits(Struct, frozen=True):
-    """The resources of its host that a controller may use: CPUs, memory in MB, file descriptors."""
+    """The resources that a controller is allowed to use on its host: CPUs, memory in MB, file descriptors."""
 
     cpu: Positive
     mem_mb: Positive
--- a/badgerroute/transport/clock.py
+++ b/badgerroute/transport/clock.py
@@ -16,7 +16,7 @@
     """The source of all times: a monotonic clock and a wall clock."""
 
     def now(self) -> timedelta:
-        """Return the monotonic time. It never goes back but may drift."""
+        """Return the monotonic time. It never goes back, but its rate may differ slightly from that of other hosts."""
 
     def today(self) -> datetime:
         """Return the wall-clock time, whose error is at most the platform setting `time_bound_ms`."""
@@ -35,7 +35,7 @@
 
 
 class VirtualClock:
-    """A simulated clock that only `advance` moves, so that tests can simulate long periods quickly."""
+    """A simulated clock that moves only when `advance` is called, so that tests can simulate long periods quickly."""
 
     def __init__(self, start: datetime = datetime(2026, 1, 1, tzinfo=UTC)) -> None:
         self._start = start
--- a/badgerroute/transport/event_loop.py
+++ b/badgerroute/transport/event_loop.py
@@ -55,7 +55,7 @@
             timer.cancel()
 
     def limit(self, limit: timedelta) -> Deadline:
-        """Return a context manager that raises TimeLimitError in its body once the time limit is over."""
+        """Return a context manager that raises TimeLimitError in its body when the body exceeds the time limit."""
         return Deadline(self, limit)
 
     async def first(self, future: Future, limit: timedelta) -> bool:
@@ -76,10 +76,10 @@
     def run_once(self, until: Callable[[], bool] | None = None) -> None:
         """Run one iteration: run due timers and ready tasks, then wait for sockets or the next timer.
 
-        The wait is skipped if `until` returns true.
+        The wait is skipped if `until` returns true after the tasks have run.
         """
         self._run_due_timers()
-        for _ in range(len(self.ready)):  # tasks that become ready meanwhile run in the next iteration
+        for _ in range(len(self.ready)):  # tasks that become ready during this pass run in the next iteration
             self.ready.popleft().step()
         if until is not None and until():
             return
--- a/badgerroute/transport/frames.py
+++ b/badgerroute/transport/frames.py
@@ -2,7 +2,7 @@
 
 from badgerroute.transport.net import Stream
 
-MAX_FRAME_BYTES = 1 << 20  # without the length prefix
+MAX_FRAME_BYTES = 1 << 20  # maximum size of a payload, without the length prefix
 LENGTH_BYTES = 4
 
 
--- a/badgerroute/transport/futures.py
+++ b/badgerroute/transport/futures.py
@@ -5,7 +5,7 @@
 
 
 class CancelledError(BaseException):
-    """Raised in a task that is cancelled. Not an `Exception`, so that `except Exception` does not catch it."""
+    """Raised in a task that is cancelled. It is not an `Exception`, so that `except Exception` does not catch it."""
 
 
 class TimeLimitError(Exception):
@@ -24,14 +24,14 @@
         self.waiters: list[Callable[[], None]] = []
 
     def set(self, result: Any = None) -> None:
-        """Set the result and wake all waiters. Does nothing if the future is done already."""
+        """Set the result and wake all waiters. Do nothing if the future is already done."""
         if not self.done:
             self.done = True
             self.result = result
             self._wake()
 
     def fail(self, error: BaseException) -> None:
-        """Set an error instead of a result; it is raised wherever the future is awaited. Does nothing if it is done."""
+        """Set an error, which is raised wherever the future is awaited. Do nothing if the future is already done."""
         if not self.done:
             self.done = True
             self.error = error
--- a/badgerroute/transport/http_client.py
+++ b/badgerroute/transport/http_client.py
@@ -12,7 +12,7 @@
 class NoAnswerError(Exception):
     """A request got no valid response.
 
-    `sent`: sending had begun, so the server may have received and executed the request.
+    `sent`: whether sending had begun; if so, the server might have received and executed the request.
     """
 
     def __init__(self, reason: str, sent: bool) -> None:
@@ -29,8 +29,8 @@
 class Client:
     """Sends requests to one server, reusing idle connections.
 
-    `idle_limit`: how long an idle connection is kept. `most_idle`: how many idle connections are kept. `connect`: time
-    limit for opening a connection.
+    `idle_limit`: how long an idle connection is kept. `most_idle`: the maximum number of idle connections. `connect`:
+    the time limit for opening a connection.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         self._idle_connections: list[_IdleConnection] = []
 
     def _pop_idle_connection(self) -> _IdleConnection | None:
-        """Return the most recently used idle connection, or None. Closes connections that were idle for too long."""
+        """Return the most recently used idle connection, or None. Close connections that were idle for too long."""
         while self._idle_connections:
             connection = self._idle_connections.pop()
             if self._loop.now() - connection.idle_since < self._idle_limit:
@@ -62,7 +62,7 @@
     async def request(self, method: str, target: str, body: bytes, limit: timedelta, fresh: bool = False) -> Response:
         """Send a request and return its response. Raise NoAnswerError if none arrives within `limit`.
 
-        `fresh`: use a new connection, because an idle one may be broken without the client noticing.
+        `fresh`: use a new connection; an idle one might be broken without the client having noticed.
         """
         sent = False
         stream: Stream | None = None
@@ -83,7 +83,7 @@
             if isinstance(error, CancelledError):
                 raise
             if not isinstance(error, TimeLimitError):
-                self.drop()  # the server was probably restarted, which breaks the other connections as well
+                self.drop()  # the server has probably restarted, which breaks the idle connections too
             raise NoAnswerError(str(error), sent) from None
         if response.keep_alive and len(self._idle_connections) < self._max_idle and not reader.has_buffered_data:
             self._idle_connections.append(_IdleConnection(stream, reader, self._loop.now()))
--- a/badgerroute/transport/http_messages.py
+++ b/badgerroute/transport/http_messages.py
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """A complete HTTP request. `keep_alive`: the connection stays open after the response."""
+    """A complete HTTP request. `keep_alive`: whether the connection stays open after the response."""
 
     method: str
     path: str
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class Response:
-    """An HTTP response. `keep_alive`: the connection stays open afterwards."""
+    """An HTTP response. `keep_alive`: whether the connection stays open after it."""
 
     status: int
     body: bytes = b""
@@ -46,7 +46,7 @@
 
 
 def encode_response(response: Response, keep_alive: bool) -> bytes:
-    """Encode a response. Without `keep_alive` it tells the client that the connection will be closed."""
+    """Encode a response. Without `keep_alive`, a header tells the client that the connection will be closed."""
     lines = [f"HTTP/1.1 {response.status} {REASONS.get(response.status, 'Status')}"]
     if response.body:
         lines.append("Content-Type: application/json")
--- a/badgerroute/transport/http_parser.py
+++ b/badgerroute/transport/http_parser.py
@@ -5,10 +5,10 @@
 from badgerroute.transport.http_messages import Request, Response
 from badgerroute.transport.net import Stream
 
-MAX_HEAD_BYTES = 8192  # of the request line or status line, with the headers
-MAX_REQUEST_BYTES = 65536  # of a request's body
-# Limit for a response's body. It is large, since the key-value store does not limit the size of its responses to a
-# watch.
+MAX_HEAD_BYTES = 8192  # maximum size of the request line or status line and the headers together
+MAX_REQUEST_BYTES = 65536  # maximum size of a request's body
+# Maximum size of a response's body. It is large, because the key-value store does not limit the size of its responses
+# to a watch.
 MAX_RESPONSE_BYTES = 64 * 1024 * 1024
 MAX_LENGTH_DIGITS = 12
 METHODS = frozenset({b"GET", b"POST", b"PUT", b"DELETE", b"HEAD", b"OPTIONS", b"PATCH", b"TRACE", b"CONNECT"})
@@ -17,11 +17,11 @@
 
 
 class BadMessageError(Exception):
-    """Invalid or unsupported HTTP message. A server responds with 400 and closes the connection."""
+    """An HTTP message is invalid or unsupported. A server that receives it responds with 400 and disconnects."""
 
 
 def _parse_headers(lines: list[bytes]) -> dict[bytes, bytes]:
-    """Parse header lines into a map by lower-case name. Reject repeated Host and message-length headers."""
+    """Parse header lines into a map by lower-case name. Reject a repeated Host, Content-Length or Transfer-Encoding."""
     headers: dict[bytes, bytes] = {}
     for line in lines:
         match = _match_header(line)
@@ -58,7 +58,7 @@
 
     @property
     def has_buffered_data(self) -> bool:
-        """Whether bytes of the next message have been read already."""
+        """Whether bytes of the next message are already in the buffer."""
         return bool(self._buffer)
 
     async def read_more(self) -> bool:
--- a/badgerroute/transport/http_server.py
+++ b/badgerroute/transport/http_server.py
@@ -11,7 +11,7 @@
 
 log = logging.getLogger(__name__)
 
-REFUSAL_LIMIT = timedelta(seconds=1)  # for sending the response to a malformed request
+REFUSAL_LIMIT = timedelta(seconds=1)  # time limit for sending the response to a malformed request
 
 Handler = Callable[[Request], Awaitable[Response]]
 
@@ -19,9 +19,10 @@
 class Server:
     """Serves each connection in a task of its own.
 
-    `max_connections`: limit for open connections; once it is reached, each new one closes the longest idle one.
-    `idle_limit`: how long a connection may stay idle between requests. `transfer_limit`: time limit for receiving a
-    request once its first bytes have arrived, and for sending its response.
+    `max_connections`: the limit of open connections. Once it is reached, each new connection closes the one that has
+    been idle longest, if any is idle. `idle_limit`: how long a connection is allowed to stay idle between requests.
+    `transfer_limit`: the time limit for receiving a request once its first bytes have arrived, and for sending its
+    response.
     """
 
     def __init__(
@@ -39,7 +40,7 @@
         self._max_connections = max_connections
         self._idle_limit = idle_limit
         self._transfer_limit = transfer_limit
-        self._idle_tasks: dict[Stream, CoroutineTask | None] = {}  # idle connections, the longest idle first
+        self._idle_tasks: dict[Stream, CoroutineTask | None] = {}  # by idle connection, the one idle longest first
         self.open_connections = 0
 
     async def serve(self, listener: Listener) -> None:
--- a/badgerroute/transport/net.py
+++ b/badgerroute/transport/net.py
@@ -11,8 +11,8 @@
 
 log = logging.getLogger(__name__)
 MAX_READ_BYTES = 65536
-ACCEPT_RETRY_DELAY = timedelta(milliseconds=100)  # after the system has run out of file descriptors or memory
-LISTEN_BACKLOG = 4096  # after a failover all workers may connect at once; the system may allow fewer
+ACCEPT_RETRY_DELAY = timedelta(milliseconds=100)  # used when the system has run out of file descriptors or memory
+LISTEN_BACKLOG = 4096  # after a failover, all workers might connect at once; the system may cap this
 
 
 class Stream(Protocol):
@@ -22,7 +22,7 @@
         """Wait for data and return it; return empty bytes at the end of the stream."""
 
     async def write(self, data: bytes) -> None:
-        """Write all of the data, waiting as often as necessary."""
+        """Write all of the data. Wait whenever the connection accepts no more bytes for now."""
 
     def close(self) -> None:
         """Close the connection; closing twice does nothing."""
@@ -42,7 +42,7 @@
     """Opens connections and listeners. The implementations are TcpNetwork and the simulated networks of the tests."""
 
     async def connect(self, address: str, limit: timedelta) -> Stream:
-        """Open a connection. Raise OSError or TimeLimitError if that fails."""
+        """Open a connection. Raise OSError if that fails, or TimeLimitError if it takes longer than `limit`."""
 
     def listen(self, address: str) -> Listener:
         """Start listening on an address."""
@@ -116,7 +116,7 @@
 
 
 class TcpNetwork:
-    """The TCP network of the operating system."""
+    """Opens TCP connections and listeners with the sockets of the operating system."""
 
     def __init__(self, loop: Loop, poller: SelectorPoller) -> None:
         self._loop = loop
--- a/badgerroute/transport/poller.py
+++ b/badgerroute/transport/poller.py
@@ -1,4 +1,4 @@
-"""Pollers, which block the event loop until a socket is ready or a time has passed."""
+"""Pollers, which block the event loop until a socket is ready or a time limit has passed."""
 
 import selectors
 from collections.abc import Iterable
@@ -10,10 +10,10 @@
 
 
 class Poller(Protocol):
-    """Waits for sockets or for a time-out."""
+    """Waits until a file descriptor is ready or a time limit has passed."""
 
     def poll(self, limit: timedelta | None) -> None:
-        """Wait up to `limit` (None: without limit) and wake the waiters of the descriptors that became ready."""
+        """Wait for at most `limit` (None: without limit), and wake the waiters of the descriptors that became ready."""
 
 
 def _combine_events(events: Iterable[int]) -> int:
@@ -43,7 +43,7 @@
         return future
 
     def cancel_waits(self, fileno: int) -> None:
-        """End the waits for a descriptor that is about to be closed; they raise ConnectionError."""
+        """End all waits for a descriptor that is about to be closed: ConnectionError is raised in the waiting tasks."""
         futures_by_event = self._waiters.pop(fileno, None)
         if futures_by_event:
             self._selector.unregister(fileno)
@@ -51,7 +51,7 @@
                 future.fail(ConnectionError("connection closed locally"))
 
     def poll(self, limit: timedelta | None) -> None:
-        """Wait up to `limit` (None: without limit), and set the futures of the descriptors that became ready."""
+        """Wait for at most `limit` (None: without limit), and set the futures of the descriptors that became ready."""
         timeout = None if limit is None else max(0.0, limit.total_seconds())
         for key, mask in self._selector.select(timeout):
             self._wake(key.fd, mask)
@@ -71,7 +71,7 @@
 
 
 class VirtualPoller:
-    """Polls no descriptors; instead of waiting it advances a virtual clock."""
+    """A poller for tests. It polls no descriptors, and advances a virtual clock instead of waiting."""
 
     def __init__(self, clock: VirtualClock) -> None:
         self._clock = clock
--- a/badgerroute/transport/semaphore.py
+++ b/badgerroute/transport/semaphore.py
@@ -10,7 +10,7 @@
 
 
 class _Waiter(NamedTuple):
-    """A waiting task. Waiters sort by urgency, then by arrival; `number` is unique."""
+    """A task that waits for a permit. Waiters sort by urgency, then by `number`, which increases with each arrival."""
 
     not_urgent: bool
     number: int
@@ -18,7 +18,7 @@
 
 
 class Semaphore:
-    """Grants a limited number of permits. Urgent waiters come first, others in order of arrival."""
+    """Grants a limited number of permits, to urgent waiters first, and otherwise in order of arrival."""
 
     def __init__(self, permits: int) -> None:
         self.available_permits = permits
@@ -43,7 +43,7 @@
         try:
             await admitted
         except BaseException:
-            if admitted.done:  # cancelled after the permit was granted: pass it on
+            if admitted.done:  # this task was cancelled after it got a permit: pass the permit on
                 self._release()
             else:
                 admitted.set()  # so that `_release` skips this waiter
--- a/badgerroute/transport/task_group.py
+++ b/badgerroute/transport/task_group.py
@@ -21,7 +21,7 @@
         self._tasks: set[CoroutineTask] = set()
 
     def spawn(self, coro: Coroutine, name: str) -> CoroutineTask:
-        """Start a task in the group. If the group has been cancelled already, the task is cancelled at once."""
+        """Start a task in the group. If the group has already been cancelled, the task is cancelled at once."""
         task = self.loop.spawn(coro, f"{self.name}/{name}")
         if self.cancelled:
             task.cancel()
@@ -35,7 +35,7 @@
         return self.spawn(self._run_with_restarts(factory, name, restart_delay), name)
 
     def cancel(self) -> None:
-        """Cancel all tasks of the group, and any that are spawned later."""
+        """Cancel all tasks of the group, and each task that is spawned in it later."""
         self.cancelled = True
         for task in list(self._tasks):
             task.cancel()
--- a/badgerroute/transport/timers.py
+++ b/badgerroute/transport/timers.py
@@ -9,11 +9,11 @@
 
 
 def do_nothing() -> None:
-    """Do nothing: the action of a cancelled timer, or a placeholder for a waiter."""
+    """Do nothing. It serves as the action of a cancelled timer and as a placeholder for a waiter."""
 
 
 class Timer:
-    """An action that the event loop runs at a given time, unless it is cancelled before."""
+    """An action that the event loop runs at a given time, unless the timer is cancelled before that."""
 
     __slots__ = ("action", "cancelled")
 
@@ -22,7 +22,7 @@
         self.cancelled = False
 
     def cancel(self) -> None:
-        """Cancel the timer. It drops the action at once, so that objects referenced by it can be freed."""
+        """Cancel the timer. The action is dropped at once, so that objects that it references can be freed."""
         self.cancelled = True
         self.action = do_nothing
 
@@ -37,7 +37,7 @@
 
 
 class Deadline:
-    """Context manager that raises TimeLimitError in its body once a time limit is over; see Loop.limit."""
+    """A context manager that raises TimeLimitError in its body when the body exceeds a time limit; see Loop.limit."""
 
     __slots__ = ("_loop", "_limit", "_timer", "_error")
 
@@ -56,4 +56,4 @@
         self._timer.cancel()
         task = self._loop.current
         if task is not None:
-            task.discard_error(self._error)  # if the time ran out just as the body ended, the body's result stands
+            task.discard_error(self._error)  # if the time ran out as the body ended, the body's result counts
--- a/tools/build_app.py
+++ b/tools/build_app.py
@@ -1,8 +1,8 @@
 """Copies the program to target/app and compiles it to bytecode there; the last step of the build in the deploy file.
 
-Controllers run from a read-only directory, where Python can't store bytecode. Without precompiled bytecode every start
-compiles all modules, which takes more than half of the processor time of a start. The bytecode is validated by the hash
-of its source instead of the modification time, so that it stays valid when the tree is copied.
+Controllers run from a read-only directory, where Python can't store bytecode. Without precompiled bytecode, all modules
+are compiled at every start, which takes more than half of the processor time of the start. The bytecode is validated by
+the hash of its source instead of the modification time, so that it stays valid when the directory is copied.
 """
 
 import compileall
@@ -16,7 +16,7 @@
 
 
 def build() -> bool:
-    """Recreate target/app. Return whether all modules compiled."""
+    """Recreate target/app. Return whether all modules were compiled without errors."""
     shutil.rmtree(APP, ignore_errors=True)
     shutil.copytree(ROOT / "badgerroute", APP / "badgerroute", ignore=shutil.ignore_patterns("__pycache__"))
     shutil.copy2(ROOT / "run.py", APP)
--- a/tools/connectivity_measurement.py
+++ b/tools/connectivity_measurement.py
@@ -16,8 +16,8 @@
 from tools.connectivity_results import METRICS, CutDay, KindSummary, summarize
 
 MACHINES = 12
-RENTABLE_MACHINES = 2  # machines that may be rented in addition to MACHINES
-COMPLETION_LIMIT_S = 300  # for jobs that are unfinished when the cut ends
+RENTABLE_MACHINES = 2  # maximum number of machines that are rented in addition to MACHINES
+COMPLETION_LIMIT_S = 300  # time limit for the jobs that are unfinished when the cut ends
 FIRST_HOST, *OTHER_HOSTS = HOSTS
 
 
--- a/tools/connectivity_results.py
+++ b/tools/connectivity_results.py
@@ -1,4 +1,4 @@
-"""Results of the connectivity measurement: those of each simulation, and their spread over the seeds."""
+"""Results of the connectivity measurement: the results of each simulation, and their spread over the seeds."""
 
 from dataclasses import dataclass, field
 from statistics import mean
@@ -14,9 +14,9 @@
     hand_overs: int  # leadership transfers
     claims: int  # elections won
     killed_by_lease: int  # tasks killed because their machine's lease expired
-    without_leader_s: float  # total over all shards
-    refused: int  # 503 responses to a user who sends two requests per second
-    asked: int  # requests of this user
+    without_leader_s: float  # time without a leader, summed over all shards
+    refused: int  # 503 responses to a simulated user who sends two requests per second
+    asked: int  # requests that this user sent
     relayed: int  # heartbeats relayed to the shard's leader
     makespan_s: float
     problems: list[str] = field(default_factory=list)
--- a/tools/rebalancing_measurement.py
+++ b/tools/rebalancing_measurement.py
@@ -23,7 +23,7 @@
 LOAD_DURATION_S = 64  # before it is multiplied by TIME_SCALE
 TIME_SCALE = 0.5  # factor for all durations in the load
 STORE_REQUESTS_PER_S = 2000.0  # high enough that the key-value store is not the bottleneck
-COMPLETION_LIMIT_S = 300  # for jobs that are unfinished when the load ends
+COMPLETION_LIMIT_S = 300  # time limit for the jobs that are unfinished when the load ends
 
 
 def simulate_day(seed: int, rebalancing_on: bool, machines: int, jobs_per_burst: int) -> DayResult:
--- a/tools/rebalancing_report.py
+++ b/tools/rebalancing_report.py
@@ -7,7 +7,7 @@
 from tools.rebalancing_results import DayResult, summarize
 
 TEAM_COLOURS = {"blue": "tab:blue", "red": "tab:red", "green": "tab:green"}
-MAX_RATIO = 2.0  # target maximum of a team's median wait divided by that of the fleet
+MAX_RATIO = 2.0  # target maximum of a team's median wait divided by the fleet's median wait
 TEMPLATE = jinja2.Template(
     """<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>Queue waits with and without rebalancing</title>
--- a/tools/rebalancing_results.py
+++ b/tools/rebalancing_results.py
@@ -1,4 +1,4 @@
-"""Results of the rebalancing measurement: those of each simulation, and their spread over the seeds."""
+"""Results of the rebalancing measurement: the results of each simulation, and their spread over the seeds."""
 
 from dataclasses import dataclass, field
 from statistics import mean, pstdev
@@ -6,7 +6,10 @@
 
 @dataclass
 class Wait:
-    """The wait of a task from the submission of its job to its first start. Times count from the load's start."""
+    """How long a task waited from the submission of its job to its own first start.
+
+    `submitted_s`: the time from the start of the simulated load to the submission.
+    """
 
     team: str
     submitted_s: float
@@ -15,7 +18,10 @@
 
 @dataclass
 class DayResult:
-    """The results of one simulation. `on`: with rebalancing. `problems`: violated safety rules and unfinished jobs."""
+    """The results of one simulation.
+
+    `on`: whether rebalancing was enabled. `problems`: violations of safety rules, and unfinished jobs.
+    """
 
     seed: int
     on: bool
@@ -31,7 +37,7 @@
 
     @property
     def worst_ratio(self) -> float:
-        """The ratio of the team with the longest median wait."""
+        """The ratio of the team with the longest median wait: the largest value in `ratios`."""
         return max(self.ratios.values())
 
 
@@ -46,5 +52,5 @@
 
 
 def summarize(values: list[float]) -> Summary:
-    """Return minimum, mean, maximum and standard deviation."""
+    """Return the minimum, mean, maximum and population standard deviation of a metric's values."""
     return Summary(min(values), mean(values), max(values), pstdev(values))
