--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -30,7 +30,7 @@
 
 
 def submission(ref: str = "run-1", **changes: object) -> Submission:
-    """Return a submission of a small array, with `changes` of its fields."""
+    """Return a submission of a small array in which the fields given in `changes` have other values."""
     fields = dict(
         ref=ref,
         job_class="batch",
@@ -66,7 +66,7 @@
 
 
 def add(target: Shard, job: Submission) -> Job:
-    """Add a submitted job, all tasks of which belong to the shard."""
+    """Add a job to a shard, which gets all of its tasks; return the job."""
     return target.add_job(JobRecord(job, 0.0, [(0, 0, job.tasks)]), timedelta(0), 1000, timedelta(0))
 
 
@@ -77,7 +77,7 @@
 
 
 def never() -> bool:
-    """A time limit that is never reached, for functions that ask whether to stop."""
+    """Return False. Passed to functions that call a predicate to learn whether their time is up."""
     return False
 
 
@@ -87,15 +87,18 @@
 @pytest.mark.parametrize(
     ("desire", "allocation", "utilization", "tasks_waited", "expected"),
     [
-        (8, 8, 0.2, False, 4),  # inefficient: the desire is divided by rho
-        (8, 8, 0.2, True, 16),  # tasks waited, so the low utilization does not count as inefficiency
-        (8, 3, 0.9, True, 8),  # efficient and deprived: the desire stays
-        (8, 8, 0.9, False, 16),  # efficient and satisfied: the desire is multiplied by rho
-        (1, 1, 0.0, False, 1),  # the desire is at least one slot
+        (8, 8, 0.2, False, 4),  # inefficient: the number of desired slots is divided by rho, which is 2
+        (8, 8, 0.2, True, 16),  # low utilization does not count as inefficiency if tasks waited
+        (8, 3, 0.9, True, 8),  # efficient, but got fewer slots than desired: the number stays
+        (8, 8, 0.9, False, 16),  # efficient and got all desired slots: the number is multiplied by rho
+        (1, 1, 0.0, False, 1),  # at least one slot is desired
     ],
 )
 def test_af(desire: float, allocation: float, utilization: float, tasks_waited: bool, expected: float) -> None:
-    """Af, the adaptive feedback, computes how many slots a job should have from its use of slots in the last period."""
+    """The adaptive feedback (Af) computes how many slots a job should have next, the desire.
+
+    It depends on the desire and the allocation of the last period, and on how well the allocated slots were used.
+    """
     assert (
         utilization_feedback.next_desire(desire, allocation, utilization, tasks_waited, delta=0.6, rho=2.0) == expected
     )
@@ -110,11 +113,11 @@
         ("nowhere", 0, 5.0, delay_scheduling.LocalityLevel.ANY),  # no machine caches the image, so waiting is of no use
         ("a", 0, 50.0, delay_scheduling.LocalityLevel.CACHED),
         ("a", 9, 50.0, delay_scheduling.LocalityLevel.CACHED),
-        # from tau * p on, any machine in the zone of the cached image
+        # a job that has waited for at least tau * p may use any machine in the zone where its image is cached
         ("a", 10, 50.0, delay_scheduling.LocalityLevel.ZONE),
-        ("a", 20, 50.0, delay_scheduling.LocalityLevel.ANY),  # from 2 * tau * p on, any machine
-        ("a", 6, 2.5, delay_scheduling.LocalityLevel.ANY),  # the wait is limited to the fetch time, 5 s
-        ("a", 61, 500.0, delay_scheduling.LocalityLevel.ANY),  # the wait is limited to one minute
+        ("a", 20, 50.0, delay_scheduling.LocalityLevel.ANY),  # after at least 2 * tau * p, any machine
+        ("a", 6, 2.5, delay_scheduling.LocalityLevel.ANY),  # a job never waits for longer than the fetch takes, 5 s
+        ("a", 61, 500.0, delay_scheduling.LocalityLevel.ANY),  # a job never waits for longer than one minute
     ],
 )
 def test_delay_scheduling(
@@ -145,7 +148,7 @@
 
 
 def test_round_out_of_time_goes_on_where_it_stopped() -> None:
-    """A scheduling round that runs out of time is continued with the next job, not begun again."""
+    """A scheduling round that runs out of time is continued later with the next job, not with the first one again."""
     target = shard(1)
     for number, priority in enumerate((Priority.URGENT, Priority.NORMAL, Priority.IDLE)):
         add(target, submission(f"run-{number}", priority=priority, tasks=1))
@@ -166,9 +169,10 @@
     ("changes", "share", "placed"),
     [
         ({"tasks": 2, "cpus": 8.0}, 100, 2),
-        ({"tasks": 3, "cpus": 8.0}, 100, 0),  # only two tasks fit, and a gang is placed as a whole or not at all
+        # only two of the three tasks fit, and a gang is placed completely or not at all
+        ({"tasks": 3, "cpus": 8.0}, 100, 0),
         ({"tasks": 2, "cpus": 8.0}, 15, 0),  # the team's share must be enough for the whole gang
-        # each machine has room for one task, and they are in different zones
+        # the gang must run in one zone, but each zone has only one machine, with room for one task
         ({"tasks": 2, "cpus": 8.0, "together": True}, 100, 0),
         ({"tasks": 2, "cpus": 4.0, "together": True}, 100, 2),
         ({"tasks": 2, "cpus": 4.0, "spread": True}, 100, 2),
@@ -192,12 +196,12 @@
 @pytest.mark.parametrize(
     ("victim", "guaranteed", "stopped"),
     [
-        (Priority.IDLE, False, True),  # lower priority level
-        (Priority.URGENT, False, False),  # equal priority level
-        (Priority.PRODUCTION, False, False),  # higher priority level
-        # equal level; the gang is within the guarantee of its team, the running job is not
+        (Priority.IDLE, False, True),  # the running job has a lower priority level
+        (Priority.URGENT, False, False),  # the running job has an equal priority level
+        (Priority.PRODUCTION, False, False),  # the running job has a higher priority level
+        # levels are equal; the gang is within the guarantee of its team, and the running job is not
         (Priority.URGENT, True, True),
-        # the level outweighs the guarantee; otherwise two jobs could preempt each other in turn
+        # the priority level outweighs the guarantee; otherwise, two jobs could preempt each other in turn
         (Priority.PRODUCTION, True, False),
     ],
 )
@@ -214,7 +218,7 @@
 
 
 def test_room_for_a_gang_is_made_once() -> None:
-    """Once tasks are being preempted for a gang, no other machines are chosen.
+    """Once tasks are being preempted on two machines for a gang, the planner chooses no other machines for it.
 
     The planner preempts the tasks on host-2 and host-3 for the gang. Then host-0 and host-1 become usable, with tasks
     that would be cheaper to preempt because they have not started running.
@@ -271,18 +275,19 @@
     [
         # both tasks fit on machines that cache the image, although shard 0 has more free machines
         ([(4, []), (2, [8.0, 8.0])], 1),
-        ([(4, []), (0, [8.0, 8.0])], 1),  # also if work of lower priority must be preempted there
-        ([(4, []), (0, [8.0])], 0),  # but not if only one of the two tasks fits there
-        # one machine caches the image and another fetches it: the next gang finds both in one shard
+        ([(4, []), (0, [8.0, 8.0])], 1),  # tasks of lower priority on these machines are preempted
+        ([(4, []), (0, [8.0])], 0),  # only one of the two tasks fits on machines that cache the image
+        # only one machine caches the image, but the other task's machine fetches it: then both are in one shard
         ([(4, [8.0]), (9, [])], 0),
         ([(4, [3.0, 3.0]), (9, [])], 1),  # the machines that cache the image have too little capacity for a task
         ([(4, []), (9, [])], 1),
     ],
 )
 def test_gangs_go_where_their_image_is(shards: list[tuple[int, list[float]]], expected: int) -> None:
-    """A gang is assigned to a shard where machines cache its image, if it fits there.
+    """A gang is assigned to a shard in which machines cache its image, if the gang fits in that shard.
 
-    An item of `shards` has the number of free machines, and the processors on machines that cache the image.
+    An item of `shards` has a shard's number of free machines, and the free or reclaimable processors on each machine
+    that caches the image.
     """
     summaries = [summary(number, *arguments) for number, arguments in enumerate(shards)]
     assert split(submission(kind="group", tasks=2, cpus=8.0), summaries, len(shards)) == [(expected, 0, 2)]
@@ -292,18 +297,18 @@
     ("shards", "expected"),
     [
         ([(4, [], 0), (4, [], 0), (4, [], 0)], 2),  # no machine caches the image: its hash selects the shard
-        ([(9, [], 0), (4, [], 0), (4, [], 0)], 2),  # although another shard has more free machines
-        ([(0, [], 0), (0, [], 0), (0, [], 0)], 2),  # also if no shard has a free machine yet
-        ([(9, [], 0), (4, [], 0), (1, [], 0)], 0),  # but not if the gang does not fit there
-        ([(4, [], 0), (9, [], 0), (4, [], 80)], 1),  # nor if the queue there is much longer
+        ([(9, [], 0), (4, [], 0), (4, [], 0)], 2),  # that shard is selected although another one has more free machines
+        ([(0, [], 0), (0, [], 0), (0, [], 0)], 2),  # it is also selected if no shard has a free machine yet
+        ([(9, [], 0), (4, [], 0), (1, [], 0)], 0),  # it is not selected if the gang does not fit in it
+        ([(4, [], 0), (9, [], 0), (4, [], 80)], 1),  # nor if its queue is much longer than those of the others
         ([(4, [], 0), (4, [8.0], 0), (4, [], 0)], 1),  # nor if a machine of another shard caches the image
     ],
 )
 def test_gangs_of_an_image_gather(shards: list[tuple[int, list[float], float]], expected: int) -> None:
     """Gangs whose image no machine caches yet are assigned to the shard that the hash of the image selects.
 
-    An item of `shards` has the number of free machines, the processors on machines that cache the image, and the
-    processors that queued tasks need.
+    An item of `shards` has a shard's number of free machines, the free or reclaimable processors on each machine that
+    caches the image, and the number of processors that queued tasks need.
     """
     assert zlib.crc32(b"img-1") % 3 == 2
     summaries = [summary(number, *arguments) for number, arguments in enumerate(shards)]
@@ -313,9 +318,9 @@
 @pytest.mark.parametrize(
     ("shards", "expected"),
     [
-        ([(4, [8.0], 0), (4, [], 0), (4, [], 0)], [1 / 3] * 3),  # not all go to the shard that caches the image
+        ([(4, [8.0], 0), (4, [], 0), (4, [], 0)], [1 / 3] * 3),  # a cached image in one shard does not attract all jobs
         ([(8, [], 0), (4, [], 0), (0, [], 0)], [2 / 3, 1 / 3, 0]),
-        # no machine is free: by the queues per machine
+        # no machine is free, so the shards with the shorter queues per machine get more jobs
         ([(0, [], 10.0), (0, [], 10.0), (0, [], 0)], [1 / 4, 1 / 4, 1 / 2]),
     ],
 )
@@ -338,18 +343,22 @@
     ("jobs", "expected"),
     [
         ({"a": (10, 10, [20])}, {"a": 0}),
-        # the job with the most work is late
+        # not all three jobs can be in time: the one with the most work is late
         ({"a": (80, 10, [15]), "b": (100, 10, [20]), "c": (60, 10, [18])}, {"a": 0, "b": 1, "c": 0}),
-        # its shortest duration exceeds the time left, however many processors there are
+        # its shortest possible duration, with any number of processors, exceeds the time until it is due
         ({"a": (10, 30, [20])}, {"a": 1}),
         # b misses its first due time, but not the second
         ({"a": (100, 10, [12, 21]), "b": (110, 10, [12, 22])}, {"a": 0, "b": 1}),
-        ({"a": (10, 10, [])}, {"a": 0}),  # it has no due time
+        ({"a": (10, 10, [])}, {"a": 0}),  # a job without a due time is never late
         ({"a": (10, 10, [-5])}, {"a": 1}),
     ],
 )
 def test_as_many_jobs_as_can_be_are_in_time(jobs: dict, expected: dict) -> None:
-    """`jobs`: job -> its work, its shortest duration and its due times, in seconds, with ten processors in total."""
+    """As many jobs as possible are planned to complete by their due times, on ten processors in total.
+
+    `jobs`: job -> its work in processor seconds, and its shortest possible duration and its due times in seconds.
+    `expected`: job -> its lateness tier, which is the number of due times that it misses.
+    """
     loads = [
         RemainingWork(ref, work * S, min_duration * S, [seconds * S for seconds in due])
         for ref, (work, min_duration, due) in jobs.items()
@@ -358,7 +367,7 @@
 
 
 def test_what_is_served_first_leaves_less_time_to_the_rest() -> None:
-    """The work of an earlier group delays a later group, also if the earlier group is late."""
+    """The jobs of a group delay those of the groups after it, even if the delaying jobs will be late themselves."""
     first, second = RemainingWork("a", 100 * S, S, [5 * S]), RemainingWork("b", 100 * S, S, [15 * S])
     assert lateness_tiers([[first], [second]], 10.0) == {"a": 1, "b": 1}
     assert lateness_tiers([[second]], 10.0) == {"b": 0}
@@ -366,14 +375,14 @@
 
 @pytest.mark.parametrize(("tier", "first"), [(1, "run-near"), (-1, "run-far")])
 def test_late_jobs_come_last_unless_they_have_waited_too_long(tier: int, first: str) -> None:
-    """A job with a higher lateness tier than another (it misses more of its due times) is placed after it.
+    """A job with a higher lateness tier than another job (it misses more due times) is placed after that job.
 
     A job that has waited too long gets a tier below 0 and is placed first.
     """
     target = shard(1)
     near, far = add(target, submission("run-near", image="img-1")), add(target, submission("run-far", image="img-2"))
     far.lateness_tier = tier
-    # The machine caches the image of run-far, which would go first for that reason if its tier were 0.
+    # The machine caches the image of run-far. For this reason, run-far would be placed first if both tiers were 0.
     target.machines["host-0"].touch_image("img-2", 5.0)
     planner = Planner(target, Scheduling(), Objectives([]))
     assert planner.fill_machine(target.machines["host-0"], 100 * S, never) == 4
@@ -401,19 +410,22 @@
 @pytest.mark.parametrize(
     ("sequence", "incarnation", "tasks", "periodic", "still_placed"),
     [
-        (2, 1, [], True, False),  # a later heartbeat does not list the task: the command did not arrive
+        (2, 1, [], True, False),  # a later heartbeat does not list the task, so the start command did not arrive
         (2, 1, [], False, True),  # the response to a direct command does not prove that the start command was lost
-        (1, 1, [], True, True),  # a copy of the heartbeat sent before the start command
-        (0, 1, [], True, True),  # an older heartbeat
+        (1, 1, [], True, True),  # a copy of the heartbeat that the worker sent before it received the start command
+        (0, 1, [], True, True),  # an even older heartbeat
         (2, 1, [RUNNING], True, True),
-        (2, 2, [], False, False),  # a new incarnation of the worker: all earlier tasks are dead
+        (2, 2, [], False, False),  # a new incarnation of the worker: tasks of earlier incarnations no longer run
         (2, 1, [TaskStatus("run-1/0", 99, "exited", "no_room")], True, False),
         # only an earlier attempt of the task ended
         (2, 1, [TaskStatus("run-1/0", 98, "exited", "done")], True, False),
     ],
 )
 def test_start_in_flight(sequence: int, incarnation: int, tasks: list, periodic: bool, still_placed: bool) -> None:
-    """A placement is released only if a message, which lists `tasks`, proves that its task does not run."""
+    """The placement of a task is released only if the worker's next message proves that the task does not run.
+
+    The message lists `tasks`. It is a heartbeat if `periodic`, and a response to a direct command otherwise.
+    """
     target = shard(1)
     job = started(target)
     target.on_heartbeat(target.machines["host-0"], heartbeat(sequence, tasks, incarnation=incarnation), periodic, 2 * S)
@@ -431,7 +443,7 @@
     ],
 )
 def test_no_second_fetch_beside_a_gangs(phase: Phase, image: str, started: int) -> None:
-    """No other image is fetched on a machine before a gang's task there has fetched its own."""
+    """While a gang's task fetches its image on a machine, that machine starts no fetch of another image."""
     target = shard(1)
     machine = target.machines["host-0"]
     gang = add(target, submission("run-g", kind="group", tasks=1, cpus=4.0, image=image))
@@ -455,31 +467,31 @@
 
 
 def set_running(gang: Job) -> None:
-    """The second task runs."""
+    """Let the second task run."""
     gang.placements[1].running_since = S
 
 
 def set_stopping(gang: Job) -> None:
-    """The second task is being stopped."""
+    """Let the second task be stopped."""
     gang.placements[1].grace = timedelta(0)
 
 
 def set_tired(gang: Job) -> None:
-    """The first task has been restarted more often than a waiting task may be."""
+    """Let the first task have been restarted more often than is allowed for a task that waits for its gang."""
     gang.placements[0].gang_wait_restarts = 1000
 
 
 def set_draining(gang: Job) -> None:
-    """The first task's machine is quarantined, so nothing may be started on it."""
+    """Quarantine the first task's machine, so that nothing may be started on it."""
     gang.placements[0].machine.quarantined = True
 
 
 @pytest.mark.parametrize(
     ("placed", "change", "commands"),
     [
-        # the first task is restarted to wait longer; the second continues its fetch
+        # the first task is restarted, so that it waits longer; the second continues its fetch
         (2, lambda gang: None, ["clear", "start"]),
-        (1, lambda gang: None, ["clear"]),  # no second task is placed that it could wait for
+        (1, lambda gang: None, ["clear"]),  # the second task is not placed, so the first has nothing to wait for
         (2, set_running, ["clear"]),
         (2, set_stopping, ["clear"]),
         (2, set_tired, ["clear"]),
@@ -509,8 +521,8 @@
 @pytest.mark.parametrize(
     ("sequence", "periodic", "task", "commands"),
     [
-        (2, False, ALONE, []),  # may have been sent before the response with the start command arrived
-        (2, True, ALONE, ["clear", "start"]),  # the response was lost, or the restarted task has timed out again
+        (2, False, ALONE, []),  # this message may have been sent before the worker received the start command
+        (2, True, ALONE, ["clear", "start"]),  # the start command was lost, or the restarted task has timed out again
         (2, True, TaskStatus("run-g/0", 99, "waiting"), []),
         (1, True, ALONE, []),
     ],
@@ -520,8 +532,8 @@
 ) -> None:
     """An exit that was reported before a restart must not be taken for an exit of the restarted task.
 
-    The two can't be told apart by the attempt number, because a gang's task keeps it when it is restarted to wait
-    longer.
+    The attempt number can't distinguish the two exits, because a gang's task keeps its number when it is restarted to
+    wait longer.
     """
     target = shard(2)
     gang = waiting_gang(target)
@@ -529,7 +541,7 @@
     target.on_heartbeat(machine, heartbeat(1, [ALONE]), True, 30 * S)
     target.commands(machine, 30 * S, starts=True)
     events = target.on_heartbeat(machine, heartbeat(sequence, [task]), periodic, 31 * S)
-    assert 0 in gang.placements, "the task may be on its machine"
+    assert 0 in gang.placements, "the restarted task might run on its machine"
     assert [
         command.kind for command in target.commands(machine, 31 * S, starts=True) if events and periodic
     ] == commands
@@ -539,8 +551,8 @@
     ("seen", "other_task_waits", "cached"),
     [
         ([], False, False),  # the task was stopped before any heartbeat listed it
-        ([TaskStatus("run-1/0", 99, "fetching")], False, False),  # the fetch is cancelled
-        # another task still needs the image, so the fetch continues
+        ([TaskStatus("run-1/0", 99, "fetching")], False, False),  # stopping the task cancels its fetch
+        # another task on the machine still needs the image, so the fetch continues
         ([TaskStatus("run-1/0", 99, "fetching")], True, True),
         ([TaskStatus("run-1/0", 99, "fetching"), RUNNING], False, True),
         ([TaskStatus("run-1/0", 99, "fetching"), TaskStatus("run-1/0", 99, "exited", "done")], False, True),
@@ -554,7 +566,7 @@
         target.place(add(target, submission("run-2", tasks=1)), 0, 98, machine, 1 * S, Phase.SENT)
     for sequence, task in enumerate(seen, 2):
         target.on_heartbeat(machine, heartbeat(sequence, [task]), True, sequence * S)
-    assert "img-1" in machine.images, "the image is being fetched, or cached"
+    assert "img-1" in machine.images, "the machine is fetching the image or has cached it"
     target.on_heartbeat(machine, heartbeat(10, [TaskStatus("run-1/0", 99, "exited", "stopped")]), True, 10 * S)
     assert ("img-1" in machine.images) is cached
 
@@ -567,12 +579,15 @@
     events = target.on_heartbeat(machine, heartbeat(2, [TaskStatus("run-1/0", 99, "exited", "done")]), True, 2 * S)
     assert events.progressed == {"run-1"}
     assert target.commands(machine, 2 * S, starts=True) == []
-    target.drop_job(job.ref)  # as after the job's final state has been written
+    target.drop_job(job.ref)  # the leader does so once the job's final state has been written
     assert [command.kind for command in target.commands(machine, 2 * S, starts=True)] == ["clear"]
 
 
 def test_refused_start_does_not_free_a_task_that_an_older_attempt_runs() -> None:
-    """A worker refuses to start a task that an older attempt runs (`in_use`): the task is placed with that attempt."""
+    """A worker refuses to start a task (`in_use`) if an older attempt of the task still runs on it.
+
+    The task must then count as placed with the older attempt.
+    """
     target = shard(1)
     job = started(target)
     tasks = [TaskStatus("run-1/0", 5, "running"), TaskStatus("run-1/0", 99, "exited", "in_use")]
@@ -581,7 +596,7 @@
 
 
 def test_lower_token_is_no_last_word() -> None:
-    """A machine counts as fenced only once it reports this leader's fencing token, not a former leader's."""
+    """A machine counts as fenced only once it reports this leader's fencing token, not that of a former leader."""
     target = shard(1, term=9)
     machine = target.machines["host-0"]
     target.reconciled = False
@@ -596,9 +611,10 @@
     [
         (10, True, 20, 22, True),
         (10, True, 20, 20, False),
-        (None, False, 20, 30, False),  # a former leader may have renewed its lease until the grace period of 20 s ended
+        # a former leader may have renewed the machine's lease until that leader's grace period of 20 s ended
+        (None, False, 20, 30, False),
         (None, False, 20, 32, True),
-        # a response of this leader renewed its lease, although the machine was not fenced yet
+        # a response of this leader renewed the machine's lease, although the machine was not fenced yet
         (25, False, 20, 35, False),
     ],
 )
@@ -614,28 +630,30 @@
 @pytest.mark.parametrize(
     ("events", "drained", "failing"),
     [
-        (["0 run-1 error", "0 run-2 error"], set(), False),  # both jobs may be about to fail on other machines too
-        # these jobs have failed on host-0 only, so the machine is at fault
+        # both jobs could be at fault: they might fail on any other machine too
+        (["0 run-1 error", "0 run-2 error"], set(), False),
+        # the three jobs have failed on host-0 only, so host-0 is at fault
         (["0 run-1 error", "0 run-2 error", "5", "0 run-3 error"], {"host-0"}, False),
         (["0 run-1 error", "0 run-2 error", "1 run-1 error", "1 run-2 error", "5", "0 run-3 error"], set(), False),
-        # the job has not run on another machine yet
+        # run-1 has not run on another machine yet, so it may be at fault itself
         (["0 run-1 error", "0 run-1 error", "0 run-1 error"], set(), False),
-        # done on host-1, so host-0 is at fault
+        # run-1 succeeded on host-1, so host-0 is at fault
         (["0 run-1 error", "0 run-1 error", "0 run-1 error", "1 run-1 done"], {"host-0"}, False),
         (["0 run-1 error", "1 run-1 error", "2 run-1 error"], set(), True),
-        # failures of run-1 do not count against host-0
+        # run-1 is at fault, so its failure does not count against host-0, where run-2 fails as well
         (["0 run-1 error", "1 run-1 error", "2 run-1 error", "0 run-2 error"], set(), True),
         (["0 run-1 error", "0 run-3 done", "0 run-2 error"], set(), False),
-        # done on host-3, so the job is not at fault
+        # run-1 succeeded on host-3, so it is not at fault
         (["0 run-1 error", "1 run-1 error", "2 run-1 error", "3 run-1 done"], set(), False),
-        # it fails there again after 60 s; perhaps no other machine may run it
+        # run-1 fails again on host-0 after 60 s; possibly its constraints allow no other machine
         (["0 run-1 error", "60", "0 run-1 error"], {"host-0"}, False),
     ],
 )
 def test_sick_machines_and_failing_jobs(events: list[str], drained: set[str], failing: bool) -> None:
     """A job that fails on several machines is marked as failing; a machine that causes failures is quarantined.
 
-    An event is a number of seconds that pass, or the number of a host, a job and the cause with which its task exits.
+    An event is either a number of seconds that pass, or a host's number, a job and the cause with which a task of the
+    job exits on this host.
     """
     target = shard(4)
     now = S
@@ -668,7 +686,8 @@
         (9, 0, 7, []),  # a message of an earlier incarnation, with a higher sequence number
         (1, 1, 7, [RUNNING]),
         (1, 1, 7, [DONE]),
-        (9, 0, 6, [TaskStatus("run-1/1", 98, "running")]),  # lists a task that died with an earlier incarnation
+        # a message of an earlier incarnation, with a task of a former leader, that no longer runs
+        (9, 0, 6, [TaskStatus("run-1/1", 98, "running")]),
     ],
 )
 def test_late_copies_change_nothing(
@@ -711,14 +730,15 @@
 @pytest.mark.parametrize(
     ("heartbeats", "unreachable"),
     [
-        ([(2, 1, [])], False),  # a single response may be lost
+        ([(2, 1, [])], False),  # one missing start is not enough: a single response may be lost by chance
         ([(2, 1, []), (3, 1, [])], True),  # two start commands in a row did not arrive
         ([(2, 1, []), (3, 1, [RUNNING])], False),
-        ([(2, 2, [])], True),  # the lease expired although the controller responded a moment ago
+        # a new incarnation: the machine's lease expired although the controller had just responded to it
+        ([(2, 2, [])], True),
     ],
 )
 def test_machines_that_do_not_hear(heartbeats: list[tuple[int, int, list]], unreachable: bool) -> None:
-    """A machine whose heartbeats arrive but that does not receive the responses gets no tasks."""
+    """A machine whose heartbeats arrive but which does not receive the responses gets no tasks."""
     target = shard(1)
     machine = target.machines["host-0"]
     job = started(target)
@@ -730,7 +750,7 @@
             target.commands(machine, sequence * S, starts=True)
     assert machine.unreachable is unreachable and machine.usable is not unreachable
     target.on_heartbeat(machine, heartbeat(20, incarnation=machine.incarnation), False, 20 * S)
-    assert machine.usable, "it responded to a direct command"
+    assert machine.usable, "the machine responded to a direct command, so commands reach it"
 
 
 # -- Stored records
@@ -766,15 +786,16 @@
     ("times", "learned"),
     [
         ((1, 2, 3, 4), 1),  # a heartbeat each second, so the run time is known
-        ((1, 2, 30, 31), 1),  # the gap is in the middle of the run: its start and its end were seen in time
+        ((1, 2, 30, 31), 1),  # the gap is in the middle of the run: the start and the end of the run were seen in time
         ((1, 2, 3, 30), 0),  # the task may have ended at any time in the gap
         ((1, 20, 21, 22), 0),  # the task may have started at any time in the gap
     ],
 )
 def test_runs_across_a_silence(times: tuple[int, ...], learned: int) -> None:
-    """A controller must not count a gap between heartbeats, such as its own pause, as run time.
+    """A run time is learned only if no gap between heartbeats, such as a controller's pause, hides its start or end.
 
-    `times` are when four heartbeats arrive: before the task starts, twice while it runs, and after its exit.
+    `times` are the seconds at which four heartbeats arrive: before the task starts, twice while it runs, and after its
+    exit.
     """
     target = shard(1)
     machine = target.machines["host-0"]
@@ -793,10 +814,10 @@
 
 
 def test_nothing_is_placed_while_a_task_of_an_undecided_job_runs() -> None:
-    """No task is placed while a machine runs a task of an undecided job.
+    """No task is placed in a shard while one of its machines runs a task of an undecided job.
 
-    A job is undecided while it is not known whether its predecessors are done. It may be released at any moment, and
-    then its tasks would be started on other machines although they run already.
+    A job is undecided while it is not known whether its predecessors are done. The job may be released at any moment.
+    If the shard then placed the job's tasks, it would start them on other machines although they run already.
     """
     target = shard(2)
     undecided = {"run-1"}
@@ -816,12 +837,12 @@
     other_done = TaskStatus("run-2/0", 5, "exited", "done")
     target.on_heartbeat(machine, heartbeat(3, [done, other_done]), True, 3 * S)
     assert [command.task for command in target.commands(machine, 3 * S, starts=True)] == [], (
-        "only recorded exits are cleared"
+        "a clear command is sent only once the exit has been recorded"
     )
 
 
 def test_processors_are_counted_once_by_what_they_do() -> None:
-    """Each processor counts for one use only, for example `beside` if it is free on a machine that has tasks."""
+    """Each processor is counted under one use only, such as `beside` if it is free on a machine that has tasks."""
     target = shard(4)
     job = add(target, submission(tasks=3))
     machines = list(target.machines.values())
