--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -1,7 +1,7 @@
 """Days in which two faults coincide, here called meetings.
 
-A day is a simulated run of a whole cluster in virtual time. docs/safety.md lists the known meetings; each has a day
-here that brings it about.
+A day is a simulated run of a whole cluster in virtual time. docs/safety.md lists the known meetings; for each,
+this module has a day that injects its faults.
 """
 
 from collections.abc import Callable, Iterator
@@ -35,12 +35,12 @@
 
 
 def on_machines(day: Day, ref: str) -> list[str]:
-    """Return the names of a job's tasks that are on a machine now."""
+    """Return the names of a job's tasks that are on any machine now."""
     return [name for name in day.rules.worker_by_task if name.rpartition("/")[0] == ref]
 
 
 def cut(day: Day, host: str, peers: list[str], mode: str = "hold") -> Callable[[], None]:
-    """Cut the connections between a host and others; return a function that restores them.
+    """Cut the connections between a host and its `peers`; return a function that restores these connections.
 
     `mode`: "reset" closes connections and refuses new ones; "hold" delivers nothing until the cut is healed.
     """
@@ -51,18 +51,19 @@
 
 # -- The gap
 #
-# The key-value store refuses the requests of one leader, a user cancels jobs of that leader at a peer, and then the
-# store is down for all controllers for longer than CANCEL_S. The leader can't learn of the cancellations from the
-# store. If no peer can notify it either, the tasks must stop because the leader's grace period ends (G in
-# docs/safety.md: how long a leader may act without confirmation of its leadership by the store).
+# First, the key-value store refuses the requests of one leader. Then a user asks one of its peers to cancel jobs whose
+# tasks run on the leader's machines. Finally, the store is down for all controllers for longer than CANCEL_S. The
+# leader can't learn of the cancellations from the store. If no peer can notify it either, the tasks must stop because
+# the leader's grace period ends (G in docs/safety.md: how long a leader may act without confirmation of its leadership
+# by the store).
 
 
 def well(day: Day, worker: Worker) -> None:
-    """Leave the machine without a fault."""
+    """Inject no fault into the machine."""
 
 
 def hung(day: Day, worker: Worker) -> None:
-    """Make the machine unresponsive before the store refuses its leader, until just before its lease expires."""
+    """Make the machine unresponsive from before the store refuses its leader until just before its lease expires."""
     worker.unresponsive = True
     day.loop.later(10 * SECOND, lambda: setattr(worker, "unresponsive", False))
 
@@ -77,7 +78,7 @@
     # Each row has the parameters of `play_gap`:
     # - seconds from the first refusal to the cancellations
     # - seconds from the start of the outage until the store no longer refuses the leader
-    # - seconds of the outage
+    # - duration of the outage in seconds
     # - the leader's connections to its peers: "whole", "cut", cut and healed during the outage ("returns"), or whole
     #   while the controller that accepted the cancellations crashes ("crash")
     # - the fault of a machine that runs tasks of the jobs
@@ -139,9 +140,11 @@
         if task.ref in refs and task.state != "exited"
     ]
     if mesh != "cut":
-        assert not tasks, "the leader was notified, and stops the tasks at once although it can't reach the store"
+        assert not tasks, (
+            "a peer notified the leader, which must stop the tasks at once although it can't reach the store"
+        )
     elif refused_s < 60:
-        assert tasks, "no peer could notify the leader: only the end of its grace period stops the tasks"
+        assert tasks, "no peer could notify the leader, so the tasks must run until its grace period ends"
     day.run(max(refused_s, outage_s) + 5)
     heal()
     return day
@@ -159,9 +162,10 @@
 @pytest.mark.cheats
 @pytest.mark.parametrize("guard", ["grace", "watch"])
 def test_the_gap_needs_its_bound(guard: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The rules detect a cancelled job that runs on, if a controller's grace period is too long or never ends.
+    """The rules of the simulated day report a cancelled job that keeps running because the grace period is too long.
 
-    In the first case the grace period is 60 s; in the second, leadership always counts as confirmed just now.
+    If `guard` is "grace", the grace period is 60 s. If it is "watch", the grace period never ends, since leadership
+    always counts as confirmed just now.
     """
     if guard == "grace":
         monkeypatch.setattr("badgerroute.settings.Settings.grace", property(lambda self: 60 * SECOND))
@@ -177,7 +181,7 @@
 def test_a_lease_renewal_proves_nothing_about_cancellations() -> None:
     """A leader whose watch gets no response counts as unconfirmed, even if its lease is renewed all the time.
 
-    It can't learn of cancellations, so its tasks must stop when the grace period ends.
+    Such a leader can't learn of cancellations, so its tasks must stop when the grace period ends.
     """
     day = Day(seed=21, machines=9, capacity=0)
     day.run(5)
@@ -193,7 +197,9 @@
     day.run(12)
     state = controller.leadership_state
     assert state.lease is not None and day.loop.now() - state.lease_confirmed_at < 2 * SECOND
-    assert state.last_confirmed <= confirmed_before + SECOND, "not later than the last answered watch request"
+    assert state.last_confirmed <= confirmed_before + SECOND, (
+        "the last confirmation must not be later than the last answered watch request"
+    )
     day.run(CANCEL_S)
     assert not on_machines(day, "run-a")
     day.store.hosts_without_watches.clear()
@@ -207,20 +213,23 @@
     day = Day(seed=22)
     day.run(12)
     replica = day.controllers[HOSTS[0]][0].storage.replica
-    ages_s = []  # ages of the confirmation when the response that brings it arrives
+    ages_s = []  # ages of the confirmations at the arrival of the responses that contain them
     for _ in range(300):
         previous = replica.last_confirmed
         day.run(0.01)
         if replica.last_confirmed != previous:
             ages_s.append((day.loop.now() - replica.last_confirmed) / SECOND)
     assert len(ages_s) >= 2
-    assert min(ages_s) >= 0.98, "each request waits one second, as nothing changes, and confirms its own start only"
+    assert min(ages_s) >= 0.98, (
+        "the store answers a watch after one second without changes; this confirms only the time of the request"
+    )
 
 
 def test_a_long_outage_takes_no_node_from_the_load_balancer() -> None:
     """All controllers stay available to users during an outage of the key-value store.
 
-    No other controller could serve users better, and the load balancer would exclude them for longer than the outage.
+    Excluding controllers would be of no use: none could serve users better during the outage, and the load balancer
+    would exclude them for longer than the outage lasts.
     """
     day = Day(seed=24)
     day.run(5)
@@ -235,7 +244,10 @@
 
 
 def test_cancellations_are_told_until_they_are_acknowledged() -> None:
-    """Notices are sent to each peer again until it acknowledges them, or until they are older than CANCEL_S."""
+    """Notices of cancellations are sent to each peer repeatedly until it acknowledges them or they are too old.
+
+    They are too old once more than CANCEL_S has passed since the cancellation.
+    """
     day = Day(seed=23)
     sent: list[tuple[str, list]] = []
 
@@ -260,10 +272,10 @@
     sent.clear()
     day.run(40)
     broadcast.resend()
-    assert sent == [], "notices older than CANCEL_S are no longer of use"
+    assert sent == [], "notices older than CANCEL_S must not be sent"
 
 
-# -- The other meetings. Each is a generator that injects its faults, and yields how many seconds to run the day next.
+# -- The other meetings. Each is a generator that injects faults and yields for how many seconds the day runs next.
 
 
 def held_report(day: Day) -> Iterator[float]:
@@ -282,7 +294,7 @@
 
 
 def mute_machines(day: Day) -> Iterator[float]:
-    """Four workers can't send heartbeats, but commands reach them. A controller restarts meanwhile."""
+    """Four workers can't send heartbeats but still receive commands. A controller restarts meanwhile."""
     workers = day.random.sample(list(day.site.workers.values()), 4)
     for worker in workers:
         worker.heartbeats_blocked = True
@@ -333,7 +345,7 @@
 
 
 def far_ends(day: Day) -> Iterator[float]:
-    """The tasks of the same small job end up to 29 s apart, while every leader restarts."""
+    """Small jobs run while every leader restarts. Two tasks of the same job can end up to 29 s apart."""
     number_of_job = {f"run-f{number}": number for number in range(6)}
     original_run_time = day.site.run_time
     day.site.run_time = lambda ref: (
@@ -349,7 +361,7 @@
 
 
 def one_task_jobs(day: Day) -> Iterator[float]:
-    """Users submit four jobs of one task each second and cancel a quarter of them; a controller restarts meanwhile."""
+    """Every second, users submit four jobs with one task each and cancel one of the four. A controller restarts."""
     for number in range(120):
         description = job(f"run-o{number}", heads=1, trek_s=3.0, brand=f"img-{number % 3}")
         day.group.spawn(day.polling_users.submit(description, cancelled=number % 4 == 0), "user")
@@ -360,13 +372,14 @@
 
 def unheard_leader(day: Day) -> Iterator[float]:
     """A leader crashes while one machine with long tasks is cut off and two others receive no responses or commands."""
-    yield 24  # the other machines must have room for the tasks that will be lost
+    yield 24  # until other machines have room for the tasks that the faulty machines will lose
     day.submit(job("run-long", crew="guests", heads=45, trek_s=60.0))
     yield 8
     crashed = HOSTS[0]
     workers = workers_of(day, crashed)
     heal = cut(day, workers[0].name, HOSTS)
-    day.site.cloud_down = True  # otherwise the machines are deleted, and nobody has to wait until their leases expire
+    # Otherwise, the leader would delete the machines instead of waiting until their leases expire.
+    day.site.cloud_down = True
     for worker in workers[1:3]:
         worker.unreachable = True
     yield 0.3
@@ -411,7 +424,7 @@
 def close_looks(day: Day) -> Iterator[float]:
     """Users poll all controllers within milliseconds after a job was accepted, completed or cancelled.
 
-    They cancel some jobs at once after the acceptance, and others after the completion.
+    They cancel some jobs right after these were accepted, and others right after these were completed.
     """
     for number in range(12):
         description = job(f"run-c{number}", heads=1 + number % 3, trek_s=2.0)
@@ -423,7 +436,10 @@
 
 
 def more_than_room(day: Day) -> Iterator[float]:
-    """Urgent and other jobs need more than the machines can run, the network is slow, and a controller restarts."""
+    """Jobs of several priorities need more processors than the machines have, while the network is slow.
+
+    A controller restarts meanwhile.
+    """
     day.world.delay_factor = 60.0
     for number in range(6):
         day.submit(job(f"run-u{number}", heads=10, trek_s=8.0, rank="urgent"))
@@ -455,7 +471,7 @@
 
 
 def answers_lost(day: Day) -> Iterator[float]:
-    """The store applies transactions but its responses are lost, while other controllers read what was written."""
+    """The store applies transactions, but its responses are lost. Other controllers read what was written."""
     for number in range(8):
         day.store.answers_to_drop = 3
         description = job(f"run-d{number}", heads=2, trek_s=1.0)
@@ -467,7 +483,7 @@
 
 
 def held_commands(day: Day) -> Iterator[float]:
-    """Commands and their responses are delayed by 6 s, since a machine is unresponsive and another is cut off."""
+    """For 6 s, one machine is unresponsive and another is cut off, which delays their commands and responses."""
     for turn in range(3):
         worker = day.random.choice(list(day.site.workers.values()))
         worker.unresponsive = True
@@ -482,7 +498,10 @@
 
 
 def earlier_sessions(day: Day) -> Iterator[float]:
-    """Old heartbeats arrive after newer ones, also from earlier incarnations of machines and attempts of tasks."""
+    """Old heartbeats arrive again after newer ones.
+
+    Some are from earlier incarnations of machines and list earlier attempts of tasks.
+    """
     cut_off = day.random.sample(list(day.site.workers.values()), 2)
     heals = [cut(day, worker.name, HOSTS, "reset") for worker in cut_off]
     yield 13
@@ -522,7 +541,7 @@
 
 
 def zone_loses_machines(day: Day) -> Iterator[float]:
-    """Jobs that may run in one zone only, arrays and a gang, lose all but one of its machines."""
+    """A zone loses all but one of its machines, while arrays and a gang run that may run in this zone only."""
     for number in range(3):
         day.submit(job(f"run-y{number}", heads=8, pasture="b", strays=False, trek_s=8.0, together=number == 1))
     day.submit(job("run-yg", gait="group", heads=2, cpus=5.0, pasture="b", trek_s=8.0))
@@ -536,7 +555,7 @@
 
 
 def ten_leaders(day: Day) -> Iterator[float]:
-    """Controllers restart ten times within two minutes; two of these restarts happen during outages of the store."""
+    """Controllers restart ten times within two minutes, twice during an outage of the key-value store."""
     for turn in range(10):
         if turn in (3, 7):
             day.store.outage(True)
@@ -564,7 +583,7 @@
 
 
 def writes_late(day: Day) -> Iterator[float]:
-    """The store applies transactions that timed out later on, after newer ones of the same controller."""
+    """Some transactions time out, but the store still applies them later, after newer ones of the same controller."""
     day.store.late_write_probability = 0.3
     for number in range(8):
         description = job(f"run-w{number}", heads=3, trek_s=3.0)
@@ -603,7 +622,7 @@
 
 
 def start(seed: int, capacity: int = 3) -> Day:
-    """Return a day on which arrays, low-priority arrays and urgent gangs run."""
+    """Return a day on which arrays of normal and low priority and urgent gangs run."""
     day = Day(seed=seed, machines=9, capacity=capacity, objectives=[Objective("wait", 0.9, "batch", within_s=20.0)])
     day.run(5)
     for number in range(3):
@@ -615,7 +634,7 @@
 
 
 def play(day: Day, meeting: Callable[[Day], Iterator[float]]) -> None:
-    """Run a meeting to its end: advance the day by each pause that it yields."""
+    """Run a meeting to its end: run the day for each number of seconds that the meeting yields."""
     for pause in meeting(day):
         day.run(pause)
 
