--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,6 +1,7 @@
 """Simulated runs of a whole cluster in virtual time (days), each with an injected fault.
 
-The stand-ins for workers, users and stores check the scheduler's rules during each day. No rule may be broken.
+Stand-ins for workers, users and the key-value store check the scheduler's safety rules during each day. A day
+must not break any of these rules.
 """
 
 from collections.abc import Callable
@@ -51,7 +52,7 @@
 
 
 def restart_at_once(day: Day) -> None:
-    """Restart a controller three times, each within a fraction of a second: its previous lease is still valid."""
+    """Restart a controller three times, within 0.2 s each time, so that its previous lease is still valid."""
     host = day.random.choice(HOSTS)
     for _ in range(3):
         day.restart(host, SECOND / 5)
@@ -135,9 +136,10 @@
 
 
 def zone_cut(mode: str, controllers_inside: int) -> Callable[[Day], None]:
-    """Cut off a zone with its workers and some controllers, which keep acting inside it during the grace period.
+    """Cut off a zone with its workers and some controllers.
 
-    The grace period (G in docs/safety.md) is how long a leader may act without confirmation by the key-value store.
+    These controllers keep acting inside the zone during the grace period. The grace period
+    (G in docs/safety.md) is how long a leader may act without confirmation by the key-value store.
     """
 
     def fault(day: Day) -> None:
@@ -214,7 +216,9 @@
     day.run(3)
     starts_before = day.rules.start_count
     day.run(40)
-    assert all(worker.name not in day.site.workers for worker in workers), "machines that receive nothing are replaced"
+    assert all(worker.name not in day.site.workers for worker in workers), (
+        "machines that receive nothing must be replaced"
+    )
     assert day.rules.start_count > starts_before
 
 
@@ -237,7 +241,9 @@
             if leader.number == shard
         )
 
-    assert day.run_until(reconciled, 60), "one machine must not prevent its shard from being reconciled"
+    assert day.run_until(reconciled, 60), (
+        "one machine that can't be fenced must not prevent its shard from being reconciled"
+    )
     unreachable.unreachable = day.site.cloud_down = False
 
 
@@ -254,7 +260,7 @@
         if round_ == 2:
             for name in deleted:
                 day.site.remove_worker(name)
-            # Each controller drops the machines of shards that it does not lead from its queue.
+            # A controller removes machines from its deletion queue if it does not lead their shards.
             for controller, _ in list(day.controllers.values()):
                 controller.autoscaling.deletion_queue.delete(sorted(deleted))
         day.run(5)
@@ -276,11 +282,13 @@
             day.world.cut(host, other, mode)
         day.run(6)
         up = day.ask("GET", "/up", host=host)
-        assert up is not None and up.status == 503, "the load balancer must see that the controller can't serve users"
+        assert up is not None and up.status == 503, (
+            "the status page must tell the load balancer that the controller can't serve users"
+        )
         day.run(22)
         controller = day.controllers[host][0]
         assert not any(controller.leadership_state.may_lead(shard) for shard in range(3)), (
-            "it must stop acting as a leader when its grace period ends"
+            "the cut-off controller must stop acting as a leader when its grace period ends"
         )
         for others in (peers, state) if peers_first else (state, peers):
             for other in others:
@@ -291,7 +299,7 @@
 
 
 def peers_refuse(day: Day) -> None:
-    """Connections between controllers are refused."""
+    """All connections between controllers are refused."""
     pairs = [(source, target) for source in HOSTS for target in HOSTS if source < target]
     for source, target in pairs:
         day.world.cut(source, target, "reset")
@@ -309,7 +317,7 @@
 def crash_in_election(day: Day) -> None:
     """Restart a controller again and again while its shard is being claimed by a peer or handed back to it.
 
-    After the first crash, it always returns within a fraction of a second.
+    After the first crash, the controller is always running again within a fraction of a second.
     """
     host = day.random.choice(HOSTS)
     day.restart(host, timedelta(seconds=4.2))
@@ -319,7 +327,7 @@
 
 
 def frozen(seconds: float, hosts: int = 1) -> Callable[[Day], None]:
-    """Pause controllers' processes while their clocks run on. Afterwards they resume whatever they were doing."""
+    """Pause the processes of `hosts` controllers while their clocks run on. They then continue where they stopped."""
 
     def fault(day: Day) -> None:
         for host in day.random.sample(HOSTS, hosts):
@@ -330,7 +338,7 @@
 
 
 def frozen_in_takeover(day: Day) -> None:
-    """A controller crashes, and the peer that may take over its shard is paused in the middle of the takeover."""
+    """A controller crashes, and the peer that takes over its shard is paused in the middle of the takeover."""
     crashed, successor = day.random.sample(HOSTS, 2)
     day.restart(crashed, 30 * SECOND)
     for _ in range(3):
@@ -416,7 +424,7 @@
 def play(day: Day, fault: Callable[[Day], None]) -> list[str]:
     """Submit the load, inject the fault while it runs, and cancel a job during the fault.
 
-    Return the accepted jobs that have not ended when the day is over.
+    Return the accepted jobs that have not ended by the end of the day.
     """
     load(day)
     day.run(day.random.uniform(1, 6))
@@ -452,7 +460,7 @@
     day = Day(seed=sum(name.encode()))
     unfinished = play(day, FAULTS[name])
     assert day.rules.broken == []
-    assert unfinished == [], "every accepted job must end"
+    assert unfinished == [], "every accepted job must end before the day does"
     assert day.rules.start_count > 100
 
 
@@ -471,10 +479,10 @@
 @pytest.mark.parametrize("mode", ["reset", "hold"])
 @pytest.mark.parametrize("seed", range(3))
 def test_cut_off_leader_takes_no_machine_for_dead(seed: int, mode: str) -> None:
-    """A leader that is cut off together with a zone must not treat the other zone's machines as failed.
+    """A leader that is cut off inside one zone must not treat the other zone's machines as failed.
 
-    Two controllers are cut off with a zone and keep acting during the grace period. The third controller answers the
-    heartbeats of the other zone's machines, which therefore keep running their tasks. Although the two controllers
+    Two controllers are cut off inside the zone and keep acting during their grace period. The third controller answers
+    the heartbeats of the other zone's machines, which therefore keep running their tasks. Although the two controllers
     receive no heartbeats from these machines, they must not start the same tasks inside the zone.
     """
     day = Day(seed=seed)
@@ -489,15 +497,15 @@
     assert day.rules.broken == []
 
 
-# The following tests patch a defect into the controllers, called a cheat, and check that the stand-ins report the
-# violation. Otherwise, days without violations would prove nothing.
+# Each of the following tests patches a defect, called a cheat, into the controllers. It checks that the stand-ins
+# report the broken rule. If they did not, days without violations would prove nothing.
 
 
 def skip_fencing(day: Day, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let a new leader place tasks on machines that may still follow the previous leader.
+    """Let a new leader place tasks on machines that might still execute the previous leader's commands.
 
     Normally the leader fences each machine first: it waits until the machine has seen the leader's fencing token and
-    has reported its tasks afterwards.
+    has then reported its tasks.
     """
     monkeypatch.setattr(
         "badgerroute.scheduling.shard.Shard.reconcile", lambda self: setattr(self, "reconciled", True) or True
@@ -506,7 +514,7 @@
 
 
 def quota_given_while_used(day: Day, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let leaders ignore the resources in use when they compute how many more tasks fit within their team quota."""
+    """Let leaders ignore the resources that a team already uses when they compute how much of its quota is free."""
     monkeypatch.setattr("badgerroute.scheduling.shard.Shard.tasks_within_quota", lambda self, job, tasks=1: tasks)
 
 
@@ -520,7 +528,8 @@
         return await real(self, machine, HiddenStarts(self._shard.commands(machine, self._loop.now(), starts=True)))
 
     class HiddenStarts(list):
-        def __iter__(self):  # wraps each command, so that the filter against start commands does not recognize it
+        # Wraps each command, so that the filter that removes start commands does not recognize them.
+        def __iter__(self):
             for command in list.__iter__(self):
                 yield type("Command", (), {"kind": "hidden", "inner": command})
 
@@ -562,7 +571,7 @@
 
 
 def constant_answer(condition: str, status: int = 200) -> Callable[[pytest.MonkeyPatch], None]:
-    """Return a cheat that lets controllers give the same answer to every poll of a job."""
+    """Return a cheat: controllers answer every poll with the same condition and status, whatever the job's state is."""
 
     async def poll(self: JobService, ref: str) -> Response:
         return answer(status, {"ref": ref, "condition": condition})
@@ -577,7 +586,7 @@
 
 
 def never_drops(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let leaders keep running the tasks of cancelled jobs."""
+    """Let leaders keep the tasks of cancelled jobs running."""
     monkeypatch.setattr("badgerroute.scheduling.shard.Shard.drop_job", lambda self, ref: None)
 
 
@@ -613,7 +622,8 @@
 def test_gang_too_large_for_any_shard(fault: Callable[[Day], None]) -> None:
     """A gang that fits in no shard starts after machines have been transferred to one shard until the gang fits there.
 
-    The fencing tokens of the transferred machines may exceed that shard's term, which is then raised.
+    The fencing tokens of the transferred machines may be higher than the shard's term. In this case, the leader raises
+    the term.
     """
     day = Day(seed=3)
     day.run(4)
@@ -624,9 +634,10 @@
 
 
 def test_a_gang_is_not_begun_anew_while_its_image_is_fetched() -> None:
-    """A gang is not restarted although one of its machines fetches the image for longer than a gang task may wait.
+    """A gang is not restarted although one task waits for longer than its limit while the other's image is fetched.
 
-    The other machine has the image cached. The fetch takes 100 s; a started gang task waits 45 s for the others.
+    One machine caches the image, and on the other one the fetch takes 100 s. A started gang task waits for the others
+    for at most 45 s before it exits.
     """
     day = Day(seed=9, machines=4, capacity=0)
     day.run(5)
@@ -635,7 +646,9 @@
     day.submit(job("run-g", gait="group", heads=2, cpus=8.0, trek_s=5.0, brand="img-x", image_gb=100.0, together=True))
     submitted_at = day.loop.now()
     assert day.finish(400) == []
-    assert day.loop.now() - submitted_at < 120 * SECOND, "one image fetch of 100 s and a run of 5 s"
+    assert day.loop.now() - submitted_at < 120 * SECOND, (
+        "one image fetch of 100 s and a run of 5 s must fit within this time"
+    )
     assert day.rules.broken == []
 
 
@@ -645,20 +658,21 @@
     for number in range(8):
         day.submit(job(f"run-f{number}", gait="group", heads=1, cpus=8.0, trek_s=3.0, brand=f"img-{number}"))
     assert day.finish(120) == []
-    times_by_machine: dict[str, list[float]] = {}  # starts and ends in turn; the ends are stored as negative numbers
+    # Each machine's start and end times of tasks in turn. End times are stored as negative numbers.
+    times_by_machine: dict[str, list[float]] = {}
     for name, time_s, event in day.rules.events:
         times_by_machine.setdefault(name, []).append(time_s if event == "start" else -time_s)
     gaps_s = [
         start + end for times in times_by_machine.values() for end, start in zip(times[1::2], times[2::2], strict=False)
     ]
-    assert gaps_s and min(gaps_s) < 0.3, "the next gang starts at once on the machine that became free"
+    assert gaps_s and min(gaps_s) < 0.3, "the next gang must start within 0.3 s on the machine that became free"
     assert day.rules.broken == []
 
 
 def test_placed_tasks_are_never_given_away() -> None:
-    """A write that would give a placed task to another shard is not made.
+    """A leader does not write a change that would give a placed task to another shard.
 
-    A leader chooses the tasks to give away before it writes the change, and may place one of them in between.
+    A leader first chooses the tasks to give away and later writes the change. It may place one of them in between.
     """
     day = Day(seed=6)
     day.run(4)
@@ -683,9 +697,10 @@
 
 
 def test_tasks_on_their_way_are_out_of_reach(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Tasks that a write in flight gives to another shard don't wait in this shard any more.
+    """Tasks that a write in flight gives to another shard must not be available for placement in this shard.
 
-    The leader may read the job's old record again during the write. The tasks must not return to the shard then.
+    During the write, the leader may read the job's old record again, which still lists the tasks as its own. Even then,
+    it must not place them.
     """
     day = Day(seed=7)
     day.run(4)
@@ -726,8 +741,8 @@
 ) -> None:
     """A large job that can't meet its deadline starts once it is older than STARVING_AFTER, and not before.
 
-    Small jobs that can meet their deadlines keep arriving and come before it until then. The team has no limit, so that
-    only the order of the jobs decides, and not how a limit happens to be divided among the shards.
+    Until then, small jobs that can meet their deadlines keep arriving and are placed before the large job. The team has
+    no limit, so that the result depends only on the order of the jobs and not on how a limit is divided among shards.
     """
     assert 1.5 * deadline_tiers.STARVING_AFTER <= 240 * SECOND, "even the largest jobs must start within four minutes"
     monkeypatch.setattr(deadline_tiers, "STARVING_AFTER", starving_after_s * SECOND)
@@ -739,13 +754,16 @@
         day.submit(small_job, tries=1)
         day.run(2)
     started_tasks = [name for name in (*day.site.finished, *day.rules.worker_by_task) if name.startswith("run-big/")]
-    assert (len(started_tasks) >= 48) is starts, "48 tasks: one for each CPU of the cluster"
+    assert (len(started_tasks) >= 48) is starts, (
+        "all 48 tasks that fit in the cluster, one for each CPU, must have started only if the job is old enough"
+    )
     assert day.rules.broken == []
 
 
 def test_quota_moves_only_while_unused(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A shard that gives part of its team quota to another stops using that part before it writes the change."""
-    quota_pairs: list[tuple[float, float]] = []  # CPUs: the giving shard's usable quota, and the one it writes
+    """A shard that gives part of its team quota to another one stops using that part before it writes the change."""
+    # For each write, in CPUs: the quota that the giving shard still uses, and the quota that the write leaves it.
+    quota_pairs: list[tuple[float, float]] = []
     real = QuotaAllocator._write
 
     async def write(self: QuotaAllocator, team: str, writer: int, changed: dict) -> bool:
@@ -756,5 +774,5 @@
     monkeypatch.setattr(QuotaAllocator, "_write", write)
     day = Day(seed=5)
     play(day, nothing)
-    assert quota_pairs, "the day must make quota move between shards"
+    assert quota_pairs, "the test proves something only if quota moved between shards"
     assert all(abs(usable - written) < 1e-6 for usable, written in quota_pairs)
