--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -41,14 +41,14 @@
 
 
 def leader_hosts(day: Day, shard: int) -> list[str]:
-    """Return the hosts whose controllers lead a shard, or believe so."""
+    """Return the hosts whose controllers act as the leader of a shard."""
     return [host for host, (controller, _) in day.controllers.items() if shard in controller.leaders]
 
 
 def test_a_shard_is_not_transferred_to_a_peer_without_the_store() -> None:
     """A shard is not transferred back to its previous leader while that controller can't reach the key-value store.
 
-    The controller still sends messages to its peers, which contain the lease that it had.
+    Meanwhile the controller keeps sending messages to its peers. They contain the lease that it last held.
     """
     day = Day(seed=1)
     day.run(5)
@@ -59,17 +59,17 @@
         day.run(0.5)
         item = day.store.items.get("b/parts/1")
         terms.add(item[1] if item else 0)
-    assert len(terms - {0}) == 2, "the shard gets a new leader only once"
+    assert len(terms - {0}) == 2, "the shard must get a new leader only once"
     day.world.heal(host, f"state-{host}")
     day.run(15)
-    assert leader_hosts(day, 1) == [host], "its first leader leads it again when that controller reaches the store"
+    assert leader_hosts(day, 1) == [host], "the first leader must lead the shard again once it reaches the store"
 
 
 def test_no_answer_that_a_machine_must_drop(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A leader whose term is lower than a machine's fencing token, and that can't raise it, refuses the heartbeat.
+    """A leader refuses a machine's heartbeat if its own term is below the machine's fencing token and can't be raised.
 
-    The machine ignores an answer in a lower term, but after status 200 it would keep sending its heartbeats there until
-    its lease expires.
+    The machine ignores an answer whose term is below its fencing token. However, if the status were 200, the machine
+    would keep sending its heartbeats to this leader until its lease expires.
     """
     token_accepted: list[bool] = []  # for each answer: whether its machine accepts the fencing token in it
     real = ShardLeader.answer_heartbeat
@@ -90,7 +90,7 @@
     for source in HOSTS:
         for target in HOSTS:
             if source < target:
-                day.world.cut(source, target, "reset")  # so that no peer can report a higher term to them
+                day.world.cut(source, target, "reset")  # so that no peer can report a higher term to the leaders
     day.run(30)
     assert len(token_accepted) > 300 and all(token_accepted)
     assert day.rules.broken == []
@@ -105,7 +105,7 @@
     term = leaderships[0].term
     controller.leadership.records.pending_writes.add(0)
     election.step_down_if_outranked(0, term)
-    assert 0 in leaderships, "a report of its own term changes nothing"
+    assert 0 in leaderships, "a report of the leader's own term must not make it step down"
     election.step_down_if_outranked(0, term + 5)
     assert 0 not in leaderships
 
@@ -113,7 +113,7 @@
 def test_a_leader_that_lost_its_leadership_gives_nothing_away(caplog: pytest.LogCaptureFixture) -> None:
     """A write that gives tasks to another shard is not made once the controller no longer leads its own shard.
 
-    It may lose the leadership while an earlier write of the same planning round is in flight.
+    The controller may lose its leadership while an earlier write of the same planning round is in flight.
     """
     day = Day(seed=4)
     day.run(5)
@@ -133,16 +133,16 @@
 
     give_tasks_away()
     day.run(3)
-    assert controller.leaders[0] is not leader, "the controller leads the shard again, with a new ShardLeader"
+    assert controller.leaders[0] is not leader, "the controller must lead the shard again, but with a new ShardLeader"
     give_tasks_away()
     assert day.finish() == []
 
 
 @pytest.mark.parametrize("fault", ["cut", "frozen"])
 def test_only_a_leader_whose_lease_is_surely_valid_deletes_machines(fault: str) -> None:
-    """A controller that was paused or cut off does not carry out a deletion that it queued before or meanwhile.
+    """A controller that was paused or cut off does not delete a machine that it queued before or during the fault.
 
-    Another controller may have become the leader of the machine's shard since then.
+    Another controller may have become the leader of the machine's shard after the machine was queued.
     """
     day = Day(seed=10)
     day.run(5)
@@ -154,7 +154,9 @@
         for other in others:
             day.world.cut(host, other, "hold")
         day.run(6)
-        assert 0 in controller.leaders, "it may still act during the grace period, which is longer than its lease"
+        assert 0 in controller.leaders, (
+            "the controller may still act during its grace period, which is longer than its lease"
+        )
         controller.autoscaling.deletion_queue.delete([name])
         day.run(5)
         assert name in day.site.workers
@@ -165,16 +167,16 @@
         day.loop.pause_host(host, 12)
         day.run(13)
     day.run(20)
-    assert name in day.site.workers, "only the new leader of its shard may delete it"
+    assert name in day.site.workers, "only the new leader of the machine's shard may delete the machine"
     controller.autoscaling.deletion_queue.delete([name])
     day.run(3)
     assert name not in day.site.workers
 
 
 def test_commands_to_machines_share_few_sockets(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A controller that takes over all shards limits its connections to machines' own addresses.
+    """A controller that leads all shards limits the number of its connections to machines for direct commands.
 
-    Connections to all of them at the same time would leave no sockets for users and peers.
+    Connections to all machines at the same time would leave no sockets for users and peers.
     """
     monkeypatch.setattr(socket_budget, "MAX_DIRECT_COMMANDS", 8)
     monkeypatch.setattr(socket_budget, "SOCKETS_PER_DIRECT_COMMAND", 1000)  # so that the limit is 8 at 600 sockets
@@ -182,7 +184,7 @@
     day.run(6)
     for host in HOSTS[1:]:
         day.restart(host, 60 * SECOND)
-    open_streams: list[int] = []  # to machines, after each new connection
+    open_streams: list[int] = []  # the number of open connections to machines, after each new one
     real = HostNetwork.connect
 
     async def connect(self: HostNetwork, address: str, limit: timedelta) -> VirtualStream:
@@ -196,11 +198,14 @@
     successor = day.controllers[HOSTS[0]][0]
     assert all(leader.shard.reconciled for leader in successor.leaders.values()) and len(successor.leaders) == 3
     assert 4 < max(open_streams) <= 8
-    assert day.sockets(HOSTS[0]) <= 60 + 20, "no connection for commands stays open"
+    assert day.sockets(HOSTS[0]) <= 60 + 20, "connections for direct commands must be closed again"
 
 
 def test_semaphore() -> None:
-    """Waiting coroutines get permits in their order, urgent ones first and cancelled ones not at all."""
+    """Waiting coroutines get permits in the order of their requests, except that urgent ones come first.
+
+    A coroutine that is cancelled while it waits gets no permit.
+    """
     clock = VirtualClock()
     loop: Loop = DayLoop(clock)
     semaphore = Semaphore(2)
@@ -221,7 +226,9 @@
     assert acquired == ["a", "b"]
     coroutines[2].cancel()  # while it waits for a permit
     run(1)
-    assert acquired == ["a", "b", "u", "d"], "urgent coroutines first, then in the order of their requests"
+    assert acquired == ["a", "b", "u", "d"], (
+        "urgent coroutines must come first, and the others in the order of their requests"
+    )
     run(3)
     assert semaphore.available_permits == 2
     assert isinstance(coroutines[2].error, CancelledError)
@@ -231,9 +238,10 @@
 def test_memory_of_deleted_machines_follows_the_fleet(
     members: int, deleted: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The number of tombstones kept is bounded by the number of machines, not by that of the deletions.
+    """The number of tombstones kept is bounded in proportion to the number of machines, however many were deleted.
 
-    A tombstone is the stored name of a deleted machine. `members`: machines of the shard; `deleted`: deletions.
+    A tombstone is the stored name of a deleted machine. `members` is the number of machines in the shard, and
+    `deleted` is the number of machines that were deleted.
     """
     monkeypatch.setattr(tombstone_writer_module, "NAMES_PER_PAGE", 10)
     day = Day(seed=6, machines=3 * members, capacity=0)
@@ -244,16 +252,18 @@
     day.run(2)
     pages = {key: value[0] for key, value in day.store.items.items() if key.startswith("b/gone/0/")}
     kept = {name for page in pages.values() for name in page["names"]}
-    assert len(kept) >= min(deleted, 2 * members), "at least twice as many names as the shard ever had machines"
-    assert set(names[-2 * members :]) <= kept, "the names of the machines that were deleted last"
-    assert len(kept) <= max(40, 2 * members + 10) + 16, "the number of stored names is bounded"
+    assert len(kept) >= min(deleted, 2 * members), (
+        "all names must be kept, or at least twice as many as the shard has machines"
+    )
+    assert set(names[-2 * members :]) <= kept, "the names of the machines that were deleted last must be kept"
+    assert len(kept) <= max(40, 2 * members + 10) + 16, "the number of stored names must be bounded"
     assert records.TombstoneRecord(list(kept)).names
 
 
 def calls_in(action: Callable[[], object]) -> int:
     """Return how many calls of Python functions an action makes. Unlike its duration, the number is reproducible.
 
-    Garbage of earlier tests is collected before the action and not during it, since its finalizers would be counted.
+    Garbage is collected before the action, so that finalizers of objects from earlier tests are not counted.
     """
     count = 0
 
@@ -293,7 +303,7 @@
 
 
 def test_what_a_heartbeat_costs_does_not_grow_with_the_fleet() -> None:
-    """Processing a heartbeat makes the same number of function calls, however many machines the shard has."""
+    """Processing a heartbeat makes the same number of function calls, whatever the shard's number of machines is."""
     call_counts = []
     for machines in (30, 300, 900):
         shard, planner = busy_shard(machines)
@@ -307,7 +317,7 @@
             planner.fill_machine(machine, 2 * SECOND, lambda: False)
             assert shard.commands(machine, 2 * SECOND, starts=True) == []
 
-        heartbeat(1)  # also computes the order of the jobs and the images' locations, cached for a fraction of a second
+        heartbeat(1)  # fills the caches of the order of jobs and of image locations, which last a fraction of a second
         call_counts.append(calls_in(lambda heartbeat=heartbeat: heartbeat(2)))
     assert call_counts[0] == call_counts[1] == call_counts[2] < 60
 
@@ -321,7 +331,7 @@
             calls_in(lambda shard=shard, planner=planner: summarize(shard, planner, {2}, False, 2 * SECOND))
         )
     assert call_counts[2] - call_counts[1] < 2.2 * (call_counts[1] - call_counts[0])
-    assert call_counts[2] < 40 * 400, "fewer than 40 calls for each machine"
+    assert call_counts[2] < 40 * 400, "there must be fewer than 40 calls for each machine"
 
 
 BIG_HEARTBEAT = {
@@ -350,7 +360,7 @@
             job("run-n2", gait="group", heads=41),
             422,
             503,
-        ),  # over its team's limit; a controller can't tell during an outage
+        ),  # exceeds its team's limit, which controllers can't read during an outage
         ("/v1/jobs", job("run-n3", cpus=9.0), 422, 503),
         ("/v1/jobs", job("run-n4", crew="nobody"), 422, 503),
         ("/v1/jobs", job("run-n5"), 201, 503),
@@ -362,9 +372,10 @@
 def test_bad_input_is_answered_at_once(
     path: str, body: object, normal_status: int | None, outage_status: int | None, outage: bool, day_at_size: Day
 ) -> None:
-    """Invalid requests are answered within 2 s, also with many machines and during an outage of the key-value store.
+    """Invalid requests are answered within 2 s, even with many machines and during an outage of the key-value store.
 
-    An answer with status 503 has a `Retry-After` header. None as a status means any of 200, 421 and 503.
+    An answer with status 503 has a `Retry-After` header.
+    If the expected status is None, any of 200, 421 and 503 is accepted.
     """
     day = day_at_size
     day.store.outage(outage)
@@ -405,7 +416,7 @@
     day.run(20)
     assert day.sockets(HOSTS[0]) <= limit
     assert {name: worker.incarnation for name, worker in day.site.workers.items()} == incarnations, (
-        "no machine's lease expired"
+        "the machines' leases must not expire"
     )
     assert day.ask("GET", "/up", host=HOSTS[0]).status == 200
 
