--- a/tests/test_left_waiting.py
+++ b/tests/test_left_waiting.py
@@ -1,4 +1,5 @@
-"""Tests that no task keeps waiting while a machine has room for it, and of failures that code reviews have found.
+"""Tests that no task keeps waiting while a machine has room for it, and tests of failures that were found in
+code reviews.
 
 Most run a day: a simulated run of a whole cluster in virtual time.
 """
@@ -17,7 +18,7 @@
 
 
 def assign_new_jobs(monkeypatch: pytest.MonkeyPatch, shards: dict[str, int]) -> None:
-    """Assign each new job as a whole to the shard that `shards` has for it, instead of splitting it among shards."""
+    """Assign all tasks of each new job to the shard that `shards` maps it to, instead of splitting it among shards."""
 
     def assign_whole(submission: Submission, summaries: list[ShardSummary], size: int) -> list[tuple[int, int, int]]:
         return [(shards[submission.ref], 0, submission.tasks)]
@@ -33,7 +34,8 @@
 def decoy(day: Day, shards: dict[str, int]) -> list[dict]:
     """Return a large job that waits for a full zone, and a job in another shard that may run in the other zone.
 
-    Idle shards once requested work only from the shard of the large job, and so never got the other job.
+    Guards against a former fault: idle shards requested work only from the shard of the large job, and so never got
+    tasks of the other job.
     """
     shards |= {"run-decoy": 0, "run-q": 1}
     return [
@@ -52,7 +54,10 @@
 
 
 def few_at_a_time(day: Day, shards: dict[str, int]) -> list[dict]:
-    """Return an array that must run in one shard. Its shard has no fitting machine, and no shard fits all its tasks."""
+    """Return an array whose tasks must all run in one zone.
+
+    The array's own shard has no machine in this zone, and no other shard has room for all of its tasks.
+    """
     for worker in list(day.site.workers.values()):
         if worker.zone == "b" and int(worker.name[-6:]) % 3 == 0:
             day.site.remove_worker(worker.name)
@@ -61,7 +66,10 @@
 
 
 def failing(day: Day, shards: dict[str, int]) -> list[dict]:
-    """Return two jobs that fail on every machine and so wait beside free machines, and a job of the third shard."""
+    """Return two jobs that fail on every machine, and a job in the third shard, which must get the free machines.
+
+    Failing jobs are retried rarely. Their shards therefore have waiting tasks although machines are free.
+    """
     shards |= {"run-bad0": 0, "run-bad2": 2, "run-q": 1}
     day.site.failing |= {"run-bad0", "run-bad2"}
     return [
@@ -75,9 +83,9 @@
 def test_waiting_work_reaches_the_room_there_is(
     jobs: Callable, min_running: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """At least `min_running` tasks of run-q start within 25 s, although other work waits as well.
+    """At least `min_running` tasks of run-q start within 25 s, although other jobs wait as well.
 
-    Each shard has two machines with eight CPUs, one in each zone. Two spot machines can be rented, and no others.
+    Each shard has two machines with eight CPUs, one in each zone. Only two more machines, spot machines, can be rented.
     """
     day = Day(seed=31, machines=6, capacity=0)
     shards: dict[str, int] = {}
@@ -113,9 +121,9 @@
 def test_a_limit_does_not_stay_with_the_shard_that_has_it(
     ranks: tuple[str, str], min_running: int, reached: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """One shard holds a team's whole limit and has work for all of it; then another shard gets a job of the team.
+    """One shard holds a team's whole limit and has enough tasks to use it; then another shard gets a job of the team.
 
-    The other shard must get part of the limit if its job has a higher or the same priority, but not if it has a lower.
+    The other shard must get part of the limit only if its job has at least the priority of the first shard's job.
     """
     day = Day(seed=37, machines=12, capacity=0)
     assign_new_jobs(monkeypatch, {"run-first": 0, "run-q": 1, "run-fill": 2})
@@ -128,13 +136,13 @@
     day.submit(job("run-q", heads=400, crew="red", rank=ranks[1], trek_s=4.0))
     assert day.run_until(lambda: count_running(day, "run-q") >= min_running, 25) is reached
     assert min_running == 20 or count_running(day, "run-first") >= 10, (
-        "jobs of equal priority share the limit, and a later job of lower priority waits"
+        "jobs of equal priority must share the limit, and a later job of lower priority must wait"
     )
     assert day.rules.broken == []
 
 
 def test_the_checker_sees_work_left_waiting(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The check for waiting jobs that each day makes at its end detects shards that place no tasks."""
+    """At the end of each day, a check for waiting jobs runs. It must detect shards that place no tasks."""
     monkeypatch.setattr("badgerroute.scheduling.planner.Planner.fill_machine", lambda self, *args: 0)
     day = Day(seed=33, machines=3)
     day.run(5)
@@ -144,10 +152,10 @@
 
 
 def test_an_election_of_ours_that_was_carried_out_late() -> None:
-    """A controller's write that claims a shard is applied late: the new leader must wait for the full grace period.
+    """A write with which a controller claims a shard is applied late. The controller must wait for a full grace period.
 
-    Another controller may have led the shard meanwhile and been cut off. It may still act after the time limit
-    (`until`) in the late record, which was computed before that controller was elected.
+    In the meantime, another controller may have been elected and then cut off. It can still act after the time limit
+    (`until`) in the late record, because this limit was computed before its election.
     """
     day = Day(seed=34)
     day.run(5)
@@ -167,7 +175,7 @@
 def test_a_late_page_strikes_no_deleted_machine_off() -> None:
     """A write of a page of tombstones (names of deleted machines) is applied seconds late, after a newer write.
 
-    The pages must still name both machines afterwards, and neither machine may be registered again.
+    Afterwards, the pages must still name both deleted machines, and neither must be registered again.
     """
     day = Day(seed=35, machines=9)
     day.run(5)
@@ -199,7 +207,7 @@
 
 
 def test_every_field_is_known_here() -> None:
-    """The tests below cover each field of a submission."""
+    """The tests below must cover every field of a submission, so this one fails if a field is added without them."""
     assert set(FIELDS) == set(VALID_JOB)
 
 
@@ -252,10 +260,10 @@
 
 @pytest.mark.parametrize("level", ["normal", "urgent"])
 def test_a_gang_comes_before_lesser_tasks_of_a_team_at_its_limit(level: str) -> None:
-    """Low-priority tasks use a team's whole limit; the CPUs that they release are kept for a waiting gang.
+    """Low-priority tasks use a team's whole limit; CPUs that they release are kept for a waiting gang of the team.
 
-    The gang needs 16 of the 24 CPUs at the same time. If other tasks of the team took each CPU that becomes free, the
-    gang would never start.
+    The gang needs 16 of the team's 24 CPUs at the same time. If other tasks of the team took each CPU that becomes
+    free, the gang would never start.
     """
     day = Day(seed=91, machines=12, capacity=0)
     day.run(5)
