--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -20,7 +20,8 @@
     """A controller that is paused for 26 s loses its shard and must get it back after the pause.
 
     Its peers have closed their connections to it by the end of the pause. If `resets` is true, data that it sends on
-    such a connection causes a reset. Otherwise the data is lost without an error, and it must detect this itself.
+    such a connection causes a reset. Otherwise the data is lost without an error, and the controller must
+    detect by itself that the connection is dead.
     """
     day = Day(seed=11)
     day.world.resets = resets
@@ -28,17 +29,17 @@
     day.loop.pause_host(HOSTS[0], 26)
     day.run(26)
     leaders = day.controllers[HOSTS[0]][0].leaders
-    assert day.run_until(lambda: 0 not in leaders, 2), "the controller learns that it lost its leadership"
-    assert day.run_until(lambda: 0 in leaders, 15), "the shard returns to its home controller"
+    assert day.run_until(lambda: 0 not in leaders, 2), "the controller must learn that it lost its leadership"
+    assert day.run_until(lambda: 0 in leaders, 15), "the shard must return to its home controller"
     day.submit(job("run-a", heads=12))
     assert day.finish() == []
     assert day.rules.broken == []
 
 
 def test_a_team_without_a_limit_is_served() -> None:
-    """A team without a guarantee has the limit 0 in the settings, which means no limit.
+    """A team without a guarantee has the limit 0 in the settings, which means that it has no limit.
 
-    Its jobs must be accepted and started. Reading the value as a limit of 0 CPUs would refuse all of them.
+    The team's jobs must be accepted and started. If 0 were read as a limit of 0 CPUs, all of them would be refused.
     """
     day = Day(seed=12, machines=8)
     day.run(5)
@@ -46,7 +47,7 @@
     assert day.submit(job("run-gang", crew="guests", gait="group", heads=3, cpus=8.0, trek_s=20.0)) == 201
     assert day.submit(job("run-own", heads=8)) == 201
     running_guest_tasks = lambda: sum(name.startswith("run-g") for name in day.rules.worker_by_task)  # noqa: E731
-    assert day.run_until(lambda: running_guest_tasks() >= 40, 40), "no limit holds the team's tasks back"
+    assert day.run_until(lambda: running_guest_tasks() >= 40, 40), "the team's tasks must not be held back by a limit"
     assert day.finish() == []
     assert day.rules.broken == []
 
@@ -72,16 +73,16 @@
     for ref in day.site.failing:
         assert day.cancel(ref) == "withdrawn"
     assert day.finish() == []
-    assert initial_machines <= set(day.site.workers), "no machine was deleted"
+    assert initial_machines <= set(day.site.workers), "healthy machines must not be deleted"
     starts = [machine for machine, seconds, event in day.rules.events if event == "start"]
     assert early_events and len(starts) < 400
     assert day.rules.broken == []
 
 
 def test_many_polls_are_one_question_to_the_state_service() -> None:
-    """Polls that arrive together share one request for the key-value store's revision.
+    """Polls that arrive at the same time share one request for the key-value store's current revision.
 
-    A request for each of the 200 polls would use up the controller's rate limit.
+    If each of the 200 polls made a request, these would use up the controller's rate limit for the store.
     """
     day = Day(seed=14)
     day.run(5)
@@ -96,11 +97,11 @@
 
 @pytest.mark.parametrize("peers_cut_off", [False, True])
 def test_a_poll_is_never_older_than_what_another_controller_told(peers_cut_off: bool) -> None:
-    """Once one controller has reported a job as cancelled, every controller must do so in its next answer.
+    """Once one controller has reported a job as cancelled, the next answer of every controller must do so too.
 
-    Controllers send changes to each other, but these messages may be lost, and with `peers_cut_off` all of them are.
-    Before it answers a poll, a controller must therefore request the key-value store's current revision and wait until
-    its replica has reached it.
+    Controllers notify each other of changes, but can't rely on it: these messages may be lost, and all of them are lost
+    with `peers_cut_off`. Before a controller answers a poll, it must therefore request the key-value store's current
+    revision and wait until its replica has reached that revision.
     """
     day = Day(seed=15)
     day.run(5)
@@ -112,7 +113,7 @@
     for ref in refs:
         day.submit(job(ref, heads=20, trek_s=30.0))
     day.run(1)
-    for ref in refs:  # without a pause, so that cancellations occur while the watch waits between two of its requests
+    for ref in refs:  # without a pause, so that some cancellations occur between two watch requests
         assert day.cancel(ref) == "withdrawn"
         for host in HOSTS:
             assert day.poll(ref, host) == "withdrawn"
@@ -128,7 +129,7 @@
 
 
 def cut_from_workers(day: Day, host: str, mode: str) -> Callable[[], None]:
-    """Cut the links between a controller and all machines; return a function that heals these links."""
+    """Cut the links between a controller and all machines; return a function that restores these links."""
     machines = list(day.site.workers)
     for machine in machines:
         day.world.cut(host, machine, mode)
@@ -156,20 +157,21 @@
     host = HOSTS[seed % 3]
     heal = cut_from_workers(day, host, mode)
     day.run(20)
-    assert day.controllers[host][0].leaders == {}, "it gets no shard back while it reaches no worker"
+    assert day.controllers[host][0].leaders == {}, "the controller must get no shard back while it reaches no worker"
     reset_machines = [name for name, worker in day.site.workers.items() if worker.incarnation != incarnations.get(name)]
-    assert len(reset_machines) <= 1, "at most one machine's lease expired"
+    assert len(reset_machines) <= 1, "the lease of at most one machine is allowed to expire"
     heal()
     leaders = day.controllers[host][0].leaders
-    assert day.run_until(lambda: len(leaders) == 1, 20), "the shard returns to its home controller"
+    assert day.run_until(lambda: len(leaders) == 1, 20), "the shard must return to its home controller"
     assert day.finish() == []
     assert day.rules.broken == []
 
 
 def test_silent_machines_alone_move_no_shard() -> None:
-    """A shard must not be transferred if two thirds of its machines are cut off from all controllers.
+    """A shard must not be transferred because two thirds of its machines are cut off from all controllers.
 
-    The leader's own links are not the cause, and no other controller reaches these machines either.
+    The leader's own links are not the cause. A transfer would be of no use, since no other controller reaches these
+    machines either.
     """
     day = Day(seed=19, machines=24, capacity=0)
     day.run(5)
@@ -193,8 +195,8 @@
 def test_machines_that_boot_slowly_are_waited_for() -> None:
     """Machines that take seven times as long to boot as the catalog says must not be deleted while they boot.
 
-    The short provisioning timeout applies only to a machine that was rented before one that is already up. If it
-    applied to all, each machine would be deleted before it is up.
+    The short provisioning timeout applies to a machine only if another one that was rented later is already up. If it
+    applied to all machines, each would be deleted before it has booted.
     """
     day = Day(seed=20, machines=0, capacity=4)
     day.site.boot_factor = 7.0
@@ -206,9 +208,9 @@
 
 
 def test_a_machine_that_never_boots_is_replaced() -> None:
-    """Two of the rented machines never boot. They must be deleted once machines rented later are up.
+    """Two of the rented machines never boot. They must be deleted once machines that were rented later are up.
 
-    Otherwise they would cost money forever.
+    Otherwise the two machines would cost money forever.
     """
     day = Day(seed=21, machines=0, capacity=4)
     day.site.machines_that_never_boot = 2
@@ -224,9 +226,9 @@
 
 
 def test_what_a_dead_controller_can_not_use_serves_the_others() -> None:
-    """The controllers divide the key-value store's rate limits. The portion of a dead one must go to the other two.
+    """Three controllers share the key-value store's rate limits. A dead controller's portion must go to the other two.
 
-    A controller that its peers merely can't reach keeps its portion.
+    A controller that is still running keeps its portion, even if its peers can't reach it.
     """
     day = Day(seed=22)
     day.run(10)
@@ -234,13 +236,16 @@
     normal_rate = stores[HOSTS[0]].rates.change_limiter.rate
     day.crash(HOSTS[2])
     day.run(3)
-    assert stores[HOSTS[0]].rates.change_limiter.rate == normal_rate, "the crashed controller may still restart soon"
+    assert stores[HOSTS[0]].rates.change_limiter.rate == normal_rate, (
+        "the portions must not change at once, since the crashed controller may restart soon"
+    )
     assert day.run_until(lambda: stores[HOSTS[0]].rates.change_limiter.rate == 1.5 * normal_rate, 15)
     day.start(HOSTS[2])
     assert day.run_until(lambda: stores[HOSTS[0]].rates.change_limiter.rate == normal_rate, 3), (
-        "the restarted controller has its portion again"
+        "the restarted controller must have its portion again"
     )
-    for number, host in enumerate(HOSTS):  # the controllers can't reach each other, but each keeps its leadership
+    # From here on, the controllers can't reach each other, but each keeps its leadership.
+    for number, host in enumerate(HOSTS):
         for other in HOSTS[:number]:
             day.world.cut(host, other, "reset")
     day.run(20)
@@ -248,10 +253,10 @@
 
 
 def test_a_machine_that_joined_somebody_else_is_not_deleted() -> None:
-    """A controller must not delete a machine that another controller's shard has as a member.
+    """A controller must not delete a machine that belongs to another controller's shard.
 
-    Its deletion queue may hold such a machine: after the controller queued it, its process was paused, another
-    controller registered the machine, and the first one resumed with a new lease.
+    Its deletion queue may contain such a machine. This happens if the controller queues a machine, its process is then
+    paused, another controller registers the machine, and the first controller resumes with a new lease.
     """
     day = Day(seed=23)
     day.run(5)
@@ -285,7 +290,7 @@
     batches_with_both_classes = 0
     for batch in batches:
         classes = [day.site.jobs[ref]["herd"] for ref in batch]
-        assert classes == sorted(classes, reverse=True), "jobs of class soon are written before jobs of class batch"
+        assert classes == sorted(classes, reverse=True), "jobs of class soon must be written before jobs of class batch"
         batches_with_both_classes += len(set(classes)) == 2
     assert batches_with_both_classes
     assert day.rules.broken == []
@@ -300,7 +305,8 @@
 def cut_from_state_and_siblings(day: Day) -> None:
     """Cut a controller off from the key-value store and from its peers for 30 s.
 
-    For a while it continues to serve its workers and users. Meanwhile jobs are cancelled through the peers.
+    For a while, the controller continues to serve its workers and users. Meanwhile, users cancel jobs with requests to
+    the peers.
     """
     host = day.random.choice(HOSTS)
     cut_hosts = [f"state-{host}", *(peer for peer in HOSTS if peer != host)]
@@ -322,7 +328,7 @@
 def hand_overs(day: Day) -> None:
     """Cut a controller off from its workers for 16 s, so that it transfers its shards.
 
-    After 9 s, kill its process and start it again 0.2 s later.
+    Kill its process 9 s after the cut and start it again 0.2 s later.
     """
     host = day.random.choice(HOSTS)
     heal = cut_from_workers(day, host, "hold")
@@ -331,7 +337,7 @@
 
 
 def standstill(day: Day) -> None:
-    """After 2 s, pause the process of a controller for 9 s."""
+    """Wait for 2 s, then pause the process of a controller for 9 s."""
     day.loop.later(2 * SECOND, lambda: day.loop.pause_host(day.random.choice(HOSTS), 9))
 
 
@@ -384,9 +390,9 @@
     ("first_fault", "second_fault"), list(itertools.combinations(FAULTS, 2)), ids=lambda fault: fault.__name__
 )
 def test_two_troubles_at_once(first_fault: Callable[[Day], None], second_fault: Callable[[Day], None]) -> None:
-    """Each pair of faults, with 3 s between the two, must not break a safety rule.
+    """A second fault, injected 3 s after the first one, must not lead to a violation of a safety rule.
 
-    Most violations that were ever found occurred when two faults coincided.
+    Most violations that have been found in this project occurred when two faults coincided.
     """
     day = Day(seed=sum((first_fault.__name__ + second_fault.__name__).encode()), machines=8)
     day.run(5)
