--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -1,6 +1,6 @@
 """Tests of input from outside the process: HTTP messages, submissions, heartbeats, settings and the command line.
 
-Also tests of the event loop, of the list of known failures and of the imports between packages.
+The module also has tests of the event loop, the list of known failures and the imports between packages.
 """
 
 import ast
@@ -24,7 +24,7 @@
 
 
 class ChunkStream:
-    """A stream from which the given chunks are read one by one, until it ends."""
+    """A stream that returns the given chunks one by one and then the end of the stream."""
 
     def __init__(self, *chunks: bytes) -> None:
         self.chunks = list(chunks)
@@ -238,7 +238,7 @@
         await stream.write(data)
         await day.loop.sleep(60 * SECOND)
 
-    for number in range(700):  # more connections than the 600 open files that a controller may have
+    for number in range(700):  # more connections than a controller may have open files, which is 600
         day.group.spawn(hold(b"POST /v1/jobs HTTP/1.1\r\nContent-Length: 50\r\n" if number % 2 else b""), "hold")
     day.run(8)
     assert day.ask("GET", "/up", host="drover-0").status == 200
@@ -408,7 +408,7 @@
 
 
 class _Item:
-    """Stands in for a collected test, and records the markers that are added to it."""
+    """Stands in for a test collected by pytest, and records the markers that are added to the test."""
 
     def __init__(self) -> None:
         self.marks: list[pytest.MarkDecorator] = []
@@ -498,7 +498,8 @@
 def test_dependencies_point_down(layer: str) -> None:
     """Each package imports only its own modules and those that LAYERS allows.
 
-    `scheduling` must not depend on input or output. Of `storage`, it imports only the records and their parts.
+    `scheduling` must not depend on input or output. From `storage`, it may import only the record types and the types
+    of their fields.
     """
     allowed = tuple(f"badgerroute.{name}" for name in {layer.replace("/", "."), *LAYERS[layer]})
     for path in sorted((PACKAGE / layer).glob("*.py")):
@@ -526,4 +527,6 @@
     modules = {name: path for name, path in modules.items() if not name.endswith("__init__")}
     graph = {name: set(imports_of(path)) & modules.keys() for name, path in modules.items()}
     assert modules_in_cycles(graph) == []
-    assert modules_in_cycles({"a": {"b"}, "b": {"c"}, "c": {"b"}}) == ["b", "c"], "an import cycle is detected"
+    assert modules_in_cycles({"a": {"b"}, "b": {"c"}, "c": {"b"}}) == ["b", "c"], (
+        "modules_in_cycles() must detect an import cycle"
+    )
