--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -16,12 +16,13 @@
 DOCS = PROJECT / "docs"
 PAGES = sorted(path.name for path in DOCS.glob("*.md") if path.name != "questions.md")
 EVENT_PAGES = ("operations.md", "rebalancing-operations.md", "connectivity-operations.md")
-PREFIX = "b/"  # begins all keys in the key-value store; tests/test_written_names.py checks these
+PREFIX = "b/"  # all keys in the key-value store begin with it; tests/test_written_names.py checks the keys
 RENAMES_HEADING = "## Old event, new event"  # heading of the section that lists renamed log events
-THIS_FILE = "tests/test_documents.py"  # not searched for identifiers, since it holds names that don't exist as examples
+# This file is not searched for identifiers: its tests use invented names as examples, which must count as unknown.
+THIS_FILE = "tests/test_documents.py"
 
 CODE = r"`([^`\n]+)`"
-# The path of a module, and the classes or `Class.method`s named right after it, which must be in that module.
+# Matches the path of a module and the classes or `Class.method`s named right after it, which must be in the module.
 MODULE = re.compile(r"`(badgerroute/[\w/]+\.py)`((?:(?:,| and)? `[A-Z]\w*(?:\.\w+)?`)*)")
 PACKAGE_PATH = re.compile(r"`((?:badgerroute|tools)(?:/\w+)*/)`")
 MEMBER = re.compile(r"[A-Z]\w*\.\w+")
@@ -30,14 +31,14 @@
 
 
 def expect_none(problems: Collection[str], complaint: str = "does not exist") -> None:
-    """Fail with the list of all problems, since one change of the code may make many names on a page wrong."""
+    """Fail if there are problems, and list all of them: one change of the code can make many names on a page wrong."""
     assert not problems, "\n".join([f"{complaint}:", *sorted(problems)])
 
 
 def text_of(page: str) -> str:
     """Return a page's text with each paragraph on one line, and without indented examples.
 
-    Names and phrases that are wrapped over two lines are thus matched as well.
+    Joining the lines lets a search find names and phrases that are wrapped over two lines.
     """
     lines = (line for line in (DOCS / page).read_text().splitlines() if not line.startswith("    "))
     return re.sub(r"(?<=[^|\n])\n(?=[^|\n#])", " ", "\n".join(lines))
@@ -90,7 +91,10 @@
 
 @cache
 def identifiers() -> set[str]:
-    """Return all identifiers and string constants in the sources. Strings name some simulated days and faults."""
+    """Return all identifiers and string constants in the sources.
+
+    Strings are included because some simulated days and faults are named by strings only.
+    """
     names: set[str] = set()
     for path, module in all_sources().items():
         for node in ast.walk(module) if path != THIS_FILE else ():
@@ -135,7 +139,7 @@
 
 
 def unknown_modules(text: str) -> list[str]:
-    """Return an error text for each module, class, member and package that is named in a text but does not exist."""
+    """Return an error text for each module, class, member and package that a text names but that does not exist."""
     problems: list[str] = []
     for path, names_after in MODULE.findall(text):
         module = sources("badgerroute").get(path)
@@ -160,7 +164,7 @@
 
 @pytest.mark.parametrize("page", PAGES)
 def test_modules_are_written_in_full(page: str) -> None:
-    """Module names without their full path would escape `test_modules_and_their_classes_exist`."""
+    """A module name without its full path would not be checked by `test_modules_and_their_classes_exist`."""
     module_paths = [name for name in re.findall(CODE, text_of(page)) if name.endswith(".py") and " " not in name]
     expect_none(
         [name for name in module_paths if not name.startswith(("badgerroute/", "tests/", "tools/"))],
@@ -176,7 +180,7 @@
 
 
 def unknown_names(text: str) -> list[str]:
-    """Return the classes, `Class.member`s and identifiers that are named in a text but not found in the sources."""
+    """Return the classes, `Class.member`s and identifiers that a text names but that are not in the sources."""
     unknown: list[str] = []
     for name in re.findall(CODE, text):
         if MEMBER.fullmatch(name):
@@ -189,7 +193,8 @@
     return unknown
 
 
-# Page -> names that are allowed on it: those of other programs, and those of removed code that an incident concerned.
+# Page -> unknown names that are allowed on it: names from other programs, and names of removed code in incident
+# reports.
 ALLOWED_UNKNOWN_NAMES = {
     "incidents.md": {"ShardLeader._quota_to_yield"},
     "performance.md": {"no_node"},
@@ -228,7 +233,7 @@
 def test_keys_on_the_architecture_page_are_the_constants() -> None:
     named_keys = {name for name in re.findall(CODE, text_of("architecture.md")) if name.startswith(PREFIX)}
     prefixes = key_prefixes() - {PREFIX}
-    assert len(prefixes) >= 12, "key_prefixes() finds the constants"
+    assert len(prefixes) >= 12, "key_prefixes() must find the constants"
     expect_none([key for key in sorted(named_keys - {PREFIX}) if not key.startswith(tuple(prefixes))], "no such key")
     expect_none(
         [prefix for prefix in sorted(prefixes) if not any(key.startswith(prefix) for key in named_keys)], "not named"
@@ -239,9 +244,10 @@
 
 
 def events_of_tables(text: str) -> list[str]:
-    """Return the log events in the tables of a text: the names in each first column that is headed `event`.
+    """Return the log events in the tables of a text.
 
-    The keys of a log line stand in the other columns.
+    They are the names in the first column of each table whose first heading is `event`. The other
+    columns describe the keys of the log line.
     """
     names: list[str] = []
     in_table = False
@@ -271,7 +277,7 @@
 
 
 def test_every_line_of_the_log_names_its_event_in_full() -> None:
-    """An event whose name is not written out after `event=` would escape the tests above."""
+    """The tests above find an event only if its full name follows `event=` in the source."""
     expect_none([line for text in source_texts() for line in re.findall(r".*\bevent=(?![a-z]).*", text)], "no name")
 
 
