--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -275,7 +275,7 @@
     [
         # both tasks fit on machines that cache the image, although shard 0 has more free machines
         ([(4, []), (2, [8.0, 8.0])], 1),
-        ([(4, []), (0, [8.0, 8.0])], 1),  # tasks of lower priority on these machines are preempted
+        ([(4, []), (0, [8.0, 8.0])], 1),  # to make room on these machines, tasks of lower priority are preempted
         ([(4, []), (0, [8.0])], 0),  # only one of the two tasks fits on machines that cache the image
         # only one machine caches the image, but the other task's machine fetches it: then both are in one shard
         ([(4, [8.0]), (9, [])], 0),
@@ -686,7 +686,7 @@
         (9, 0, 7, []),  # a message of an earlier incarnation, with a higher sequence number
         (1, 1, 7, [RUNNING]),
         (1, 1, 7, [DONE]),
-        # a message of an earlier incarnation, with a task of a former leader, that no longer runs
+        # a message of an earlier incarnation that lists a task which no longer runs
         (9, 0, 6, [TaskStatus("run-1/1", 98, "running")]),
     ],
 )
