--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -283,7 +283,7 @@
         day.run(6)
         up = day.ask("GET", "/up", host=host)
         assert up is not None and up.status == 503, (
-            "the status page must tell the load balancer that the controller can't serve users"
+            "/up must tell the load balancer that the controller can't serve users"
         )
         day.run(22)
         controller = day.controllers[host][0]
@@ -762,7 +762,7 @@
 
 def test_quota_moves_only_while_unused(monkeypatch: pytest.MonkeyPatch) -> None:
     """A shard that gives part of its team quota to another one stops using that part before it writes the change."""
-    # For each write, in CPUs: the quota that the giving shard still uses, and the quota that the write leaves it.
+    # For each write, in CPUs: the quota that the giving shard may still use, and the quota that the write leaves it.
     quota_pairs: list[tuple[float, float]] = []
     real = QuotaAllocator._write
 
