--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -93,7 +93,7 @@
 def identifiers() -> set[str]:
     """Return all identifiers and string constants in the sources.
 
-    Strings are included because some simulated days and faults are named by strings only.
+    Strings are included because some of them are the names of simulated days and faults.
     """
     names: set[str] = set()
     for path, module in all_sources().items():
@@ -193,8 +193,8 @@
     return unknown
 
 
-# Page -> unknown names that are allowed on it: names from other programs, and names of removed code in incident
-# reports.
+# Page -> unknown names that are allowed on it: names from other programs, and names of removed code that was
+# involved in an incident.
 ALLOWED_UNKNOWN_NAMES = {
     "incidents.md": {"ShardLeader._quota_to_yield"},
     "performance.md": {"no_node"},
