--- a/tests/test_left_waiting.py
+++ b/tests/test_left_waiting.py
@@ -123,7 +123,8 @@
 ) -> None:
     """One shard holds a team's whole limit and has enough tasks to use it; then another shard gets a job of the team.
 
-    The other shard must get part of the limit only if its job has at least the priority of the first shard's job.
+    The other shard must get part of the limit if its job has at least the priority of the first shard's job, and none
+    otherwise.
     """
     day = Day(seed=37, machines=12, capacity=0)
     assign_new_jobs(monkeypatch, {"run-first": 0, "run-q": 1, "run-fill": 2})
