--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -357,7 +357,7 @@
     """As many jobs as possible are planned to complete by their due times, on ten processors in total.
 
     `jobs`: job -> its work in processor seconds, and its shortest possible duration and its due times in seconds.
-    `expected`: job -> its lateness tier, which is the number of due times that it misses.
+    `expected`: job -> its lateness tier, which here is always the number of due times that it misses.
     """
     loads = [
         RemainingWork(ref, work * S, min_duration * S, [seconds * S for seconds in due])
