--- a/tests/test_pipeline_edges.py
+++ b/tests/test_pipeline_edges.py
@@ -39,27 +39,28 @@
 @pytest.mark.parametrize(
     ("announced", "refusals", "later", "changes", "value_bytes"),
     [
-        # the announced limits are kept from the first write on, so size is not the reason
+        # no write exceeds the announced limits, so the store can't have refused it for its size
         ((True, True), [(16, 9000)], 0, 16, 10000),
-        ((False, False), [(1, 300)], 0, 16, 10000),  # so small that its size can't be the reason
+        ((False, False), [(1, 300)], 0, 16, 10000),  # too small to be refused for its size
         ((False, False), [(2, 512)], 0, 16, 10000),
         ((False, False), [(8, 100)], 0, 4, 10000),
         ((False, False), [(1, 4000)], 0, 16, 2000),
         ((False, True), [(8, 4000)], 0, 4, 10000),
         ((True, False), [(8, 4000)], 0, 16, 2000),
         ((False, False), [(8, 100), (4, 100), (2, 100)], 0, 2, 10000),
-        ((False, False), [(8, 100)], 6, 8, 10000),  # the limit is raised again step by step
+        ((False, False), [(8, 100)], 6, 8, 10000),  # the lowered limit is raised again step by step
         ((False, False), [(8, 100)], 12, 16, 10000),
-        ((False, False), [(8, 100), (4, 100), (8, 100)], 6, 2, 10000),  # the more refusals, the later it is raised
+        ((False, False), [(8, 100), (4, 100), (8, 100)], 6, 2, 10000),  # after more refusals, it is raised again later
     ],
 )
 def test_only_what_may_be_a_matter_of_size_lowers_a_size(
     announced: tuple[bool, bool], refusals: list[tuple[int, int]], later: float, changes: int, value_bytes: int
 ) -> None:
-    """A refused transaction lowers a limit only if its size may be the reason.
+    """A refused transaction lowers a size limit only if the store might have refused it for its size.
 
     `announced`: whether the settings announce a future limit on changes and on value sizes; `refusals`: the numbers of
-    changes and the value sizes of refused transactions; `later`: seconds until the limits are compared.
+    changes and the value sizes of the refused transactions; `later`: seconds from the refusals until the limits are
+    compared with `changes` and `value_bytes`.
     """
     limits = SizeLimits(16, 10000, *announced)
     for size in refusals:
@@ -82,12 +83,12 @@
     ],
 )
 def test_an_ended_lease_is_told_by_the_error_alone(body: bytes, ended: bool) -> None:
-    """Only the error text of a response, not its other content, says that a lease has ended."""
+    """Whether a lease has ended is decided by the error text of a response alone, not by its other content."""
     assert names_ended_lease(body) is ended
 
 
 def test_a_mistaken_refusal_does_not_squeeze_a_controller_for_good() -> None:
-    """Size limits that were lowered after refusals for another reason return to their old values within a minute."""
+    """Size limits that were lowered although a refusal had another cause are restored within a minute."""
     day = Day(seed=71)
     day.run(4)
     store = day.controllers[HOSTS[0]][0].storage.store
@@ -128,7 +129,8 @@
 def finished(day: Day, count: int, state: str = "done") -> list[str]:
     """Store final states of `count` jobs that ended long ago and that no controller has in memory; return the jobs.
 
-    The final states of nine other jobs are stored after each, so reading whole ranges of keys would read too much.
+    Between the keys of any two of these jobs lie the final states of nine other jobs. A controller that read the whole
+    range of keys would therefore read ten times as much as it needs.
     """
     day.store.revision += 1
     for number in range(10 * count):
@@ -147,8 +149,8 @@
 def test_a_hundred_predecessors_are_looked_up_together(state: str) -> None:
     """A hundred predecessors that no controller has in memory are looked up in few requests, also after a restart.
 
-    The submission should take about 200 ms; the test allows 400 ms. After a restart of all controllers, the job is
-    released within 12 s, or cancelled with its predecessors.
+    The submission should take about 200 ms; the test allows 400 ms. After a restart of all controllers, the submitted
+    job must be released within 12 s if its predecessors are done, or cancelled if they were cancelled.
     """
     day = Day(seed=73, later=LOWER)
     day.run(6)
@@ -180,7 +182,7 @@
 
 
 def test_a_list_beyond_any_bound_is_refused_with_the_reason() -> None:
-    """A submission with too many predecessors is refused with the limit; one with exactly as many is accepted."""
+    """The refusal of a submission with too many predecessors names the limit; with exactly that many it is accepted."""
     day = Day(seed=75, later=LOWER)
     day.run(5)
     refs = finished(day, 460)
@@ -194,7 +196,7 @@
     assert day.rules.broken == []
 
 
-# -- Pages of predecessors: keys of their own for predecessors that do not fit into a job's record
+# -- Pages: separate keys for the lists of predecessors that do not fit into a job's record
 
 
 def submission(ref: str, follows: list[str]) -> Submission:
@@ -208,7 +210,7 @@
 
 
 def test_a_late_page_does_not_change_an_accepted_job() -> None:
-    """Submitting an accepted job again with other predecessors, to another controller, does not change its pages."""
+    """If an accepted job is submitted to another controller with other predecessors, its stored pages do not change."""
     day = Day(seed=76, later=LOWER)
     day.run(5)
     first, second = (day.controllers[host][0] for host in HOSTS[:2])
@@ -221,9 +223,10 @@
 
 
 def test_a_record_is_written_with_its_own_pages_only() -> None:
-    """A record is not written if another controller has overwritten the job's pages with another list meanwhile.
+    """A job's record is not written if another controller has overwritten the job's pages with other predecessors.
 
-    The first controller writes its pages and then the record; in between, the second one writes pages of another list.
+    The first controller writes the pages and then the record. Between these two writes, a second controller, which
+    received the same job with other predecessors, writes its pages under the same keys.
     """
     day = Day(seed=77, later=LOWER)
     day.run(5)
@@ -247,11 +250,11 @@
 
 
 def test_pages_without_a_record_are_removed() -> None:
-    """Pages that a controller wrote before it ended, without writing the job's record, are deleted later."""
+    """If a controller ends after it wrote a job's pages and before it wrote its record, the pages are deleted later."""
     day = Day(seed=78, later=LOWER)
     day.run(5)
     controller = day.controllers[HOSTS[0]][0]
-    for turn in range(4):  # write pages of another list each time, but no record, and restart a controller
+    for turn in range(4):  # each time, write other predecessors but no record, and restart a controller
         compact = controller.jobs.pager.compact(records.JobRecord(submission("run-a", many("m", 60 + turn)), 0.0, []))
         wait_for(day, controller.jobs.writer._write_pages(compact.pages, []))
         day.restart(HOSTS[turn % 3], SECOND)
@@ -265,9 +268,10 @@
 
 
 def test_tasks_of_undecided_jobs_are_no_strays(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Running tasks of released jobs are not stopped while it is unknown whether the jobs' predecessors are done.
+    """Controllers do not stop running tasks of a job while they do not know whether its predecessors are done.
 
-    All controllers are restarted, and for some 12 s none of them can look up how the predecessors ended.
+    The job was released before all controllers are restarted. For some 12 s after the restart, none of them can look
+    up how the predecessors ended.
     """
     day = Day(seed=79, machines=6)
     day.run(5)
@@ -295,7 +299,7 @@
 
 
 def test_tasks_of_jobs_that_certainly_wait_are_strays() -> None:
-    """A task of a job that can't have been released is an orphaned task, which is stopped, whoever started it."""
+    """A running task is orphaned, and is stopped, if its job can't have been released, whoever started the task."""
     day = Day(seed=80)
     day.run(5)
     day.submit(job("run-a", heads=1, trek_s=30.0))
@@ -312,9 +316,10 @@
 
 
 def test_a_final_state_without_a_time_leaves_the_arrival() -> None:
-    """A predecessor whose final state has no time does not change when a job counts as waiting.
+    """A predecessor whose final state has no time (stored as 0) does not delay the time since which a job waits.
 
-    Only versions without dependencies wrote such states, so that predecessor ended before any job could name it.
+    Only versions without dependencies wrote such final states. A predecessor with one ended before any job could
+    name it in `follows`.
     """
     ends = {"a": FinalState(JobState.DONE, 0.0), "b": FinalState(JobState.DONE, 70.0)}
     graph = Dependencies(ends.get, lambda ref: None, lambda ref: None)
@@ -324,9 +329,10 @@
 
 
 def test_a_fan_of_hundreds_is_cancelled_at_the_lower_rate_beside_a_dead_leader() -> None:
-    """500 dependents are cancelled in time although writes are limited to the lower rate and one controller is down.
+    """500 dependents are reported as cancelled in time although writes are limited and one controller is down.
 
-    Their records take longer; controllers must not lose their leases meanwhile.
+    Deleting the records of the dependents takes longer than CANCEL seconds at the lower write rate. Meanwhile,
+    controllers must not lose their leases.
     """
     day = Day(seed=81, machines=3, later=LOWER)
     day.run(5)
@@ -338,13 +344,15 @@
     day.run(2)
     next_lease = day.store.next_lease
     assert day.cancel("run-first", host=HOSTS[1]) == "withdrawn"
-    day.crash(HOSTS[2])  # and is not started again
+    day.crash(HOSTS[2])  # this controller is not started again
     confirmed_at = day.loop.now()
     while day.loop.now() - confirmed_at < CANCEL * SECOND:
         for ref in refs[::29]:
             day.poll(ref, host=HOSTS[0])
         day.run(3)
-    assert any(key.startswith("b/jobs/") for key in day.store.items), "deleting all records takes longer than that"
+    assert any(key.startswith("b/jobs/") for key in day.store.items), (
+        "deleting all records takes longer than CANCEL seconds"
+    )
     assert {day.poll(ref, host=host) for ref in refs[::7] for host in HOSTS[:2]} == {"withdrawn"}
     assert day.run_until(lambda: not any(key.startswith("b/jobs/") for key in day.store.items), 120)
     assert day.store.next_lease == next_lease, "no controller had to acquire a new lease"
@@ -396,7 +404,7 @@
 def test_later_limits_that_are_larger_or_missing_change_nothing(
     later: LaterStoreLimits | None, expected: tuple
 ) -> None:
-    """Of a present and an announced limit, the lower one applies; a limit that is not announced does not change."""
+    """The lower of the present limit and the announced limit applies; without an announcement, the present one does."""
     limits = StoreLimits(100.0, 30.0, 16.0, 16, later)
     assert (limits.max_changes, limits.max_value_bytes, limits.lower_rates) == expected
 
@@ -404,7 +412,8 @@
 def test_a_job_cancelled_before_its_user_is_answered_is_not_called_queued() -> None:
     """The response to a submission reports the job as cancelled if it has been cancelled before the response is sent.
 
-    Its predecessor is cancelled, and a peer writes the job's final state before the controller responds with 201.
+    The job's predecessor has been cancelled. A peer therefore writes the job's final state before the controller that
+    received the submission responds with 201.
     """
     day = Day(seed=83)
     day.run(5)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -1,4 +1,4 @@
-"""Jobs with predecessors: released once all predecessors are done, cancelled if one is cancelled; also under faults.
+"""Jobs with predecessors are released once all of them are done, and cancelled if one of them is; also under faults.
 
 A predecessor is a job named in `follows`; a dependent is a job that waits for it.
 """
@@ -31,7 +31,7 @@
 class Graph:
     """A dependency graph, and the jobs that it has reported as released and as cancelled.
 
-    `ends`: job -> its final state before the graph was made.
+    `ends`: job -> its final state, for jobs that ended before the graph was created.
     """
 
     def __init__(self, **ends: str) -> None:
@@ -68,7 +68,7 @@
     ],
 )
 def test_final_states_decide(needs: dict[str, str], ends: list, released: str, cancelled: str) -> None:
-    """`needs`: job -> its predecessors, one letter each. `ends`: final states in the order of their reports."""
+    """`needs`: job -> its predecessors, one letter each. `ends`: job and final state, in the order of the reports."""
     for repeated in (False, True):  # adding a job or reporting its end a second time changes nothing
         graph = Graph(o="done", w="withdrawn")
         for ref, predecessors in needs.items():
@@ -83,7 +83,7 @@
 
 
 def test_the_last_predecessor_starts_the_clock() -> None:
-    """A job counts as waiting from the time when its last predecessor was done, in whatever order they are reported."""
+    """A job counts as waiting from the time when the last of its predecessors was done, in any order of reports."""
     graph = Graph()
     graph.graph.add("c", "ab")
     graph.end("b", "done", 50.0)
@@ -115,7 +115,7 @@
 
 
 def test_inheritance_goes_on_where_the_last_slice_stopped() -> None:
-    """Inherited levels and due times are computed in slices of at most JOBS_PER_CLOCK_CHECK jobs, each job once.
+    """Inherited levels and due times are computed in slices of at most JOBS_PER_CLOCK_CHECK jobs; no job is repeated.
 
     The graph has ten chains of a hundred jobs and ten jobs with a hundred dependents each.
     """
@@ -138,7 +138,7 @@
             break
         assert visits - before <= JOBS_PER_CLOCK_CHECK
         if slices == 20:
-            graph.graph.add("late", ["c3-100"])  # a job may be added between two slices
+            graph.graph.add("late", ["c3-100"])  # adding a job between two slices is allowed
     assert slices > 100 and visits <= 2102
     assert inheritance.result["c7-0"] == (2, 400.0) and inheritance.result["root4"] == (0, 499.0)
 
@@ -159,7 +159,7 @@
 
 
 def chain(day: Day, name: str, length: int = 4, **last: object) -> list[str]:
-    """Submit a chain of jobs in order and return them. The last one gets the fields `last`, the others are idle."""
+    """Submit a chain of jobs in order and return them. `last`: fields of the last job; the others are idle."""
     refs = [f"run-{name}{number}" for number in range(length)]
     for number, ref in enumerate(refs):
         predecessor = {"follows": refs[number - 1 : number]} if number else {}
@@ -170,7 +170,7 @@
 
 
 def test_a_pipeline_runs_in_order() -> None:
-    """The jobs of a chain end in order, and no controller schedules a job before its predecessor is done."""
+    """The jobs of a chain complete in order, and no controller schedules a job before its predecessor is done."""
     day = Day(seed=41)
     day.run(5)
     refs = chain(day, "p", rank="urgent", market_s=90.0)
@@ -236,7 +236,7 @@
     day.submit(job("run-running", heads=2, trek_s=8.0))
     day.submit(job("run-off", heads=2, trek_s=30.0))
     day.cancel("run-off")
-    for host in HOSTS:  # at once, also at controllers that may not know the predecessors yet
+    for host in HOSTS:  # immediately, so that some controllers might not know the predecessors yet
         ref = f"run-new{host[-1]}" if follows != ["run-new"] else "run-new"
         described = job(ref, follows=follows)
         day.site.jobs[ref] = described
@@ -253,7 +253,8 @@
 def test_names_that_can_not_be_looked_up() -> None:
     """While the key-value store is unreachable, a submission with unknown predecessors gets 503, not 422.
 
-    A repeated submission of an accepted job gets the job's state, even if it names an unknown predecessor.
+    The response to a repeated submission of an accepted job reports the job's state, even if the repeated submission
+    names an unknown predecessor.
     """
     day = Day(seed=44)
     day.run(5)
@@ -292,13 +293,13 @@
 
 
 def outage(day: Day) -> None:
-    """Start an outage of the key-value store right after the cancellation is confirmed."""
+    """Start an outage of the key-value store. The test calls this right after a cancellation was confirmed."""
     day.store.outage(True)
     day.loop.later((CANCEL + 12) * SECOND, lambda: day.store.outage(False))
 
 
 def confirmer_ends(day: Day) -> None:
-    """Restart two of the three controllers, so that the one that confirmed the cancellation may be among them."""
+    """Restart two of the three controllers, which might include the one that confirmed the cancellation."""
     for host in HOSTS[:2]:
         day.restart(host, 4 * SECOND)
 
@@ -310,7 +311,7 @@
 
 
 def writes_late(day: Day) -> None:
-    """For 20 s, apply some transactions only after their client timed out."""
+    """For 20 s, let the key-value store apply some transactions only after the controller's request has timed out."""
     day.store.late_write_probability = 0.3
     day.loop.later(20 * SECOND, lambda: setattr(day.store, "late_write_probability", 0.0))
 
@@ -333,23 +334,24 @@
         for ref in refs[::17]:
             day.poll(ref)
         day.run(2)
-    # After this time, a job reported as queued or running is a violation. None means that no controller answered.
+    # CANCEL seconds have passed, so no job may be reported as queued or running. None: the controller did not answer.
     answers = {day.poll(ref, host=host) for ref in refs[::7] for host in HOSTS}
     assert answers <= {"withdrawn", None}
     assert trouble in (outage, writes_late) or answers == {"withdrawn"}
     assert day.finish(200) == []
     assert {day.last_conditions[ref] for ref in refs} == {"withdrawn"}
     assert day.run_until(lambda: not any(key.startswith("b/jobs/") for key in day.store.items), 60), (
-        "the records of the cancelled jobs are deleted later"
+        "the records of the cancelled jobs are deleted within another minute"
     )
     assert day.rules.start_count <= 1
     assert day.rules.broken == []
 
 
 def test_what_a_controller_has_forgotten_is_looked_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A restarted controller reports a job as cancelled if another controller has done so.
+    """A restarted controller reports a job as cancelled if another controller has reported it so before the restart.
 
-    The job was cancelled because of its predecessor, whose final state the restarted controller has to look up.
+    The job was cancelled because its predecessor was cancelled. The restarted controller has to look up the
+    predecessor's final state in the key-value store.
     """
 
     async def never(self: DownstreamCancellation | UpstreamResolver) -> None:
@@ -364,7 +366,7 @@
     day.submit(job("run-c", follows=["run-b"]))
     day.cancel("run-a", host=HOSTS[1])
     assert day.poll("run-c", host=HOSTS[1]) == "withdrawn"
-    day.run(CANCEL + 4)  # until no controller sends the cancellation to its peers any more
+    day.run(CANCEL + 4)  # after this time, no controller sends the cancellation to its peers any more
     day.restart(HOSTS[0], SECOND)
     assert day.run_until(lambda: day.ask("GET", "/up", host=HOSTS[0]) is not None, 8)
     day.run(3)
@@ -373,7 +375,7 @@
 
 
 def test_a_cancellation_that_meets_the_end_of_a_predecessor() -> None:
-    """If a job is cancelled while it ends, either it is done and its dependent runs, or both are cancelled."""
+    """If a job is cancelled at the moment it ends, either it is done and its dependent runs, or both are cancelled."""
     outcomes = set()
     for seed in range(8):
         day = Day(seed=50 + seed)
@@ -448,7 +450,7 @@
 
 
 def test_tasks_of_a_released_job_survive_a_start_of_all() -> None:
-    """After a restart, a controller does not treat running tasks as orphaned while it looks up their predecessors."""
+    """A restarted controller treats no running task as orphaned while it looks up the predecessors of its job."""
     day = Day(seed=48, machines=6)
     day.run(5)
     refs = [f"run-a{number}" for number in range(14)]
@@ -457,7 +459,7 @@
     day.submit(job("run-b", heads=12, trek_s=40.0, follows=refs))
     assert day.run_until(lambda: len(day.rules.worker_by_task) == 12, 30)
     starts = day.rules.start_count
-    day.store.delay_factor = 10.0  # looking up the predecessors takes longer than the first heartbeats do
+    day.store.delay_factor = 10.0  # so heartbeats arrive before the look-up of the predecessors is complete
     for host in HOSTS:
         day.restart(host, SECOND / 2)
     assert day.finish() == []
@@ -493,7 +495,7 @@
 
 @pytest.mark.parametrize("meeting", MEETINGS, ids=lambda meeting: meeting.__name__)
 def test_pipelines_in_every_meeting(meeting: Callable[[Day], Iterator[float]]) -> None:
-    """Jobs with predecessors run beside others under each combination of faults (meeting) from test_meetings."""
+    """Jobs with and without predecessors end under each combination of faults (meeting) from test_meetings."""
     day = Day(seed=sum(meeting.__name__.encode()) + 1, machines=9)
     day.run(5)
     for number in range(3):
@@ -511,13 +513,13 @@
 
 
 def test_records_of_the_past_tell_when() -> None:
-    """In a final state without a time, as old versions wrote it, the time is 0."""
+    """A stored final state without a time, as old versions wrote it, is read with the time 0."""
     assert records.read(b'{"state":"done","tasks":3}', records.FinalStateRecord).at == 0.0
     assert timedelta(seconds=0) == 0 * SECOND
 
 
 async def looks_at_the_record_only(self: JobReader, ref: str) -> ActiveJob:
-    """Misbehave: return a job's record without asking whether a predecessor was cancelled."""
+    """Misbehave: return a job's stored record without checking whether one of its predecessors was cancelled."""
     return ActiveJob(self._job_store.active.get(ref) or records.JobRecord(submission_of(ref), 0.0, []), 0)
 
 
@@ -542,7 +544,7 @@
 def test_checker_catches_broken_dependencies(
     target: str, cheat: Callable[..., object], rule: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The checks of the stand-ins notice a controller that starts jobs too early or does not cancel dependents."""
+    """The simulated run's checks detect a controller that starts jobs too early or does not cancel dependents."""
     monkeypatch.setattr(target, cheat)
     day = Day(seed=54)
     day.run(5)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,7 +1,7 @@
 """Costs that could limit the size of a cluster, measured at 1,000 and at 4,000 machines.
 
-Costs are numbers of function calls, which are the same on every computer, or bytes. All machines are in one shard, as
-after a failover to a single controller.
+Costs are measured in function calls, whose number is the same on every computer, or in bytes. All machines are in one
+shard, as after a failover to a single controller.
 """
 
 import json
@@ -44,7 +44,7 @@
 
 
 def never() -> bool:
-    """A time limit that is never reached, for functions that ask whether to stop."""
+    """Return False; passed to functions that call it to learn whether their time has run out."""
     return False
 
 
@@ -63,7 +63,7 @@
 
 
 def test_a_heartbeat_costs_the_same_with_all_machines_in_one_shard() -> None:
-    """Processing a heartbeat, with placing tasks, takes as many function calls with 4,000 machines as with 1,000."""
+    """Processing a heartbeat and placing tasks takes as many function calls with 4,000 machines as with 1,000."""
     costs = []
     for machines in (FEW, MANY):
         shard, planner = busy_shard(machines)
@@ -132,7 +132,9 @@
             <= free_cpus + 1
         )
     assert sizes[1] < MAX_FRAME_BYTES / 2
-    assert costs[1] < 5.5 * costs[0], "a few calls for each machine, and again for each coarser rounding"
+    assert costs[1] < 5.5 * costs[0], (
+        "a few calls for each machine, repeated for each coarser rounding of its resources"
+    )
 
 
 def test_making_room_for_arrays_goes_on_where_its_time_ran_out() -> None:
@@ -153,7 +155,7 @@
     calls = iter(range(10**6))
 
     def out_of_time() -> bool:
-        return next(calls) % 8 == 7  # after seven jobs in each round
+        return next(calls) % 8 == 7  # the time of each round runs out after seven jobs
 
     rounds = 0
     while rounds < 40 and len(set(visited)) < len(shard.jobs):
@@ -191,7 +193,7 @@
 
 
 def test_what_is_told_of_waits_does_not_grow_with_the_fleet() -> None:
-    """The message with waiting times and loads less than doubles in size if machines and jobs quadruple."""
+    """A shard's message with waiting times and loads does not double in size when machines and jobs quadruple."""
     sizes = []
     for machines in (FEW, MANY):
         shard, _ = varied_shard(machines, jobs=machines)
@@ -217,7 +219,7 @@
     def plan() -> None:
         wanted = ScaleOutPlan({"k8": machine_type}, [Team("blue")], lambda place: True, 50).machines_wanted(shards, [])
         assert sum(wanted.values()) == 50, (
-            "for every two free machines of 8 CPUs, 20 tasks wait: more than fit, so 50 machines, the limit, are wanted"
+            "20 tasks wait for every two free machines of 8 CPUs, more than fit; 50 machines is the limit on rentals"
         )
 
     return calls_in(plan)
@@ -230,7 +232,7 @@
 
 @pytest.mark.parametrize(("machines", "rps", "seconds"), [(600, 6.0, 1.1), (4000, 6.0, 4.4), (4000, 3.0, 8.9)])
 def test_listing_machines_leaves_calls_for_renting(machines: int, rps: float, seconds: float) -> None:
-    """A listing of all machines takes `seconds` at a controller's part of the cloud's request rate of `rps`."""
+    """Listing all machines takes `seconds` if three controllers share the cloud's `rps` requests per second."""
     day = Day(seed=1, machines=0)
     day.run(0.1)
     cloud = CloudClient(day.loop, day.user, "cloud:8443", CloudLimits(rps, 2.0), 3)
@@ -254,7 +256,7 @@
 
 
 def reconciled(day: Day) -> bool:
-    """Whether each shard has a leader that knows which tasks run on every machine."""
+    """Return whether each shard has a leader that knows the running tasks of all machines in the shard."""
     shards = [leader.shard for controller, _ in day.controllers.values() for leader in controller.leaders.values()]
     return len(shards) == len(HOSTS) and all(shard.reconciled for shard in shards)
 
@@ -263,7 +265,7 @@
 def test_takeover_and_restart_of_all(machines: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """No worker's lease expires during a failover of all shards to one controller and a restart of all controllers.
 
-    No machine may be treated as unresponsive or unreachable meanwhile either.
+    Nor may a controller treat any machine as unresponsive or unreachable meanwhile.
     """
     suspected_machines: list[str] = []
     monkeypatch.setattr(Fencing, "_delete_unresponsive", lambda self, machine: suspected_machines.append(machine.name))
@@ -278,10 +280,14 @@
     for host in HOSTS[1:]:
         day.crash(host)
     remaining = day.controllers[HOSTS[0]][0]
-    assert day.run_until(lambda: len(remaining.leaders) == len(HOSTS) and reconciled(day), 15), "it leads all shards"
+    assert day.run_until(lambda: len(remaining.leaders) == len(HOSTS) and reconciled(day), 15), (
+        "the remaining controller leads all shards"
+    )
     requests_before = remaining.storage.store.requests
     day.run(3)
-    assert remaining.storage.store.requests - requests_before < 150, "requests do not depend on the number of machines"
+    assert remaining.storage.store.requests - requests_before < 150, (
+        "the number of requests does not depend on the number of machines"
+    )
     assert day.sockets(HOSTS[0]) < machines + 300
     day.crash(HOSTS[0])
     for host in HOSTS:
@@ -296,13 +302,13 @@
 
 
 def test_judging_silence_looks_at_each_machine_once_in_seconds() -> None:
-    """Counting overdue heartbeats visits each machine once; with 4,000 machines, the count is cached for 2 s."""
+    """Counting the machines with overdue heartbeats visits each machine once; at 4,000, the count is cached for 2 s."""
     costs = []
     for machines in (FEW, MANY):
         shard, _ = busy_shard(machines)
         costs.append(calls_in(lambda shard=shard: count_overdue(shard, SECOND, 0 * SECOND, 2 * SECOND)))
     assert costs[1] < 5 * costs[0]
-    assert RENEWAL_AGE_PER_MACHINE * MANY == 2 * SECOND, "the leader of a shard caches the count for this long"
+    assert RENEWAL_AGE_PER_MACHINE * MANY == 2 * SECOND, "the leader of a shard caches the count for 2 s"
 
 
 def test_a_relayed_heartbeat_costs_the_same_at_any_size() -> None:
@@ -341,7 +347,7 @@
     heartbeat = Heartbeat("host-0000001", "10.0.0.1:9000", "k8", "a", False, 1, 9, 7, None, TASKS_OF_A_MACHINE)
     frame = mesh.encoder.encode(mesh.ForwardedRequest("b", 1 << 47, "POST", "/checkin", msgspec.json.encode(heartbeat)))
     assert MANY / 4 * len(frame) < MAX_QUEUED_BYTES, (
-        "a quarter of the heartbeats may be queued for a peer that reads slowly"
+        "a quarter of the heartbeats fits into the queue for a peer that reads slowly"
     )
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -30,7 +30,7 @@
 LATER = LaterStoreLimits(write_rps=28.0, value_kb=2.0, txn_ops=5)
 SAMPLES = json.loads((Path(__file__).parent / "data" / "production-samples.json").read_text())
 WRITTEN = json.loads((Path(__file__).parent / "data" / "written-samples.json").read_text())
-# Class names in the version in production, which are the keys of the samples -> the same classes in these sources.
+# Class name in the version in production, which is also the key of its samples -> the class in these sources.
 RECORDS = {
     "PartClaim": records.ShardLeaderRecord,
     "FleetClaim": records.AutoscalerLeaderRecord,
@@ -52,7 +52,7 @@
 }
 
 
-# -- Formats, checked with samples recorded from the version in production and with its classes
+# -- Formats, checked against samples recorded from the version in production and against its classes
 
 
 @pytest.mark.parametrize("class_name", RECORDS)
@@ -69,7 +69,7 @@
 
 
 def test_what_is_written_stays_the_same_to_the_byte() -> None:
-    """A renamed class or attribute must not change a stored value or a message between controllers."""
+    """Renaming a class or attribute in the sources must not change the bytes of stored values or messages."""
     for class_name, record_class in RECORDS.items():
         written = [
             bytes(records.write(records.read(text.encode(), record_class))).decode() for text in SAMPLES[class_name]
@@ -132,12 +132,12 @@
 
 
 def quiet(day: Day) -> Iterator[float]:
-    """Inject no fault; the controllers are upgraded one after another."""
+    """Inject no fault."""
     yield 1
 
 
 def dies_before_its_turn(day: Day) -> Iterator[float]:
-    """Restart two controllers that have not been upgraded yet, so that they start again as the old version."""
+    """Restart two controllers that have not been upgraded yet, which start again in the old version."""
     day.restart(HOSTS[2], SECOND / 3)
     yield 2
     day.restart(HOSTS[1], 2 * SECOND)
@@ -145,7 +145,7 @@
 
 
 def outage(day: Day) -> Iterator[float]:
-    """Make the key-value store unreachable for 18 s, beginning with the upgrade of the first controller."""
+    """Make the key-value store unreachable for 18 s from the start of the first controller's upgrade."""
     day.store.outage(True)
     yield 3
     day.loop.later(15 * SECOND, lambda: day.store.outage(False))
@@ -210,7 +210,7 @@
         day.submit(job(f"run-z{number}", heads=30, trek_s=3.0))
     day.restart(HOSTS[1], SECOND)
     assert day.finish(400) == []
-    assert day.store.too_large == [], "the lower size limits are kept from the first write on"
+    assert day.store.too_large == [], "no write exceeds the lower size limits, not even the first one after the change"
     assert day.rules.broken == []
 
 
@@ -218,7 +218,7 @@
 
 
 def record_of_old_version(tasks: int, missing: list[int], ranges: list[list[int]], types: list[str] | None) -> dict:
-    """Return a stored job record with more bits of done tasks than fit into a value under the lower limit."""
+    """Return a stored job record whose list of done tasks is too large for a value under the lower limit."""
     done = ((1 << tasks) - 1) & ~sum(1 << index for index in missing)
     fields = job("run-big", heads=tasks, trek_s=1.0, crew="guests", breeds=types)
     record = records.JobRecord(msgspec.convert(fields, records.Submission), 0.0, ranges).with_done(done)
@@ -239,7 +239,8 @@
 def test_a_record_that_is_too_large_moves_on(ranges: list[list[int]], types: list[str] | None, ended: str) -> None:
     """A job whose record exceeds the lowered limit is completed or cancelled, without running its done tasks again.
 
-    Its record must be split into small values before it can be changed, and no write may exceed the lowered limit.
+    The record must be split into several smaller values before it can be changed, and no write may exceed the lowered
+    limit.
     """
     generator = random.Random(7)
     missing = sorted(generator.sample(range(200, 46000), 240))
@@ -264,7 +265,7 @@
     assert day.last_conditions["run-big"] == ended
     if ended == "done":
         assert day.rules.start_count <= len(missing) + 60, (
-            "done tasks do not run again, except for some that ran when the controller was restarted"
+            "no done task runs again, except for some that were running when the controller was restarted"
         )
     assert day.run_until(lambda: not any(key.startswith("b/done/") for key in day.store.items), 150), (
         "the pages of done tasks are deleted"
@@ -274,7 +275,7 @@
 
 
 def test_spilling_stops_anywhere_without_losing_a_task() -> None:
-    """Moving a record's done tasks to pages loses none, even if writes fail, get lost or are applied late."""
+    """Moving the list of done tasks from a record to pages loses none if writes fail, get lost or are applied late."""
     day = Day(seed=62, machines=0, capacity=0, value_kb=16.0, later=LATER)
     missing = list(range(100, 40000, 400))
     day.store.revision = 1
@@ -314,7 +315,7 @@
 
 
 def test_what_is_refused_for_its_size_is_never_sent_again() -> None:
-    """If the store's size limits are lower than the settings say, a refusal lowers the sizes that a controller uses."""
+    """If the store refuses a size that the settings allow, the controller lowers its own limits accordingly."""
     day = Day(seed=64, value_kb=16.0, txn_ops=16)
     day.run(4)
     day.store.limits = StoreLimits(100, 40, 1.5, 4)
@@ -343,7 +344,8 @@
 def test_a_large_catalog_is_kept_in_pieces(type_count: int) -> None:
     """The catalogue of machine types is stored in several values if it is too large for one.
 
-    A controller that is restarted during an outage of the cloud reads it there. So does the version in production.
+    A controller that is restarted during an outage of the cloud reads the catalogue from the key-value store. The
+    version in production can read these values as well.
     """
     day = Day(seed=65, later=LATER)
     for number in range(type_count):
