--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,7 +11,7 @@
 
 
 def known_red(text: str) -> dict[str, str]:
-    """Return the tests that fail because of an open fault, with cause and issue, from lines of `test, cause, issue`."""
+    """Return the tests that fail because of an open fault, with cause and issue, from lines `test, cause, issue`."""
     lines = [line.strip() for line in text.splitlines() if line.strip() and not line.startswith("#")]
     if len(lines) > MOST_RED:
         raise pytest.UsageError(f"KNOWN-RED.txt: {len(lines)} lines, {MOST_RED} at most")
@@ -27,7 +27,7 @@
 def mark_red(names: dict[str, pytest.Item], red: dict[str, str], whole: bool) -> None:
     """Mark the tests in `red` as expected failures.
 
-    The run fails if one of them passes. If `whole` (all tests were collected), a line that names no test is an error.
+    The run fails if a marked test passes. If `whole` (all tests were collected), a line that names no test is an error.
     """
     for test, why in red.items():
         if test in names:
@@ -58,9 +58,9 @@
 def no_errors_logged(caplog: pytest.LogCaptureFixture, request: pytest.FixtureRequest) -> Iterator[None]:
     """Fail a test during which an error was logged.
 
-    The service restarts background tasks that fail and answers 503 when a request handler fails, so that a test could
-    pass in spite of such a fault. Tests marked `cheats` make controllers misbehave, and the text "once more" marks an
-    error that a test raises on purpose: errors are expected there.
+    The service restarts background tasks that fail and answers 503 when a request handler fails, so a test could
+    pass in spite of such a fault. Errors are expected in tests marked `cheats`, which make controllers misbehave,
+    and where the logged text contains "once more", which marks an error that a test raises on purpose.
     """
     caplog.set_level(logging.ERROR)
     yield
--- a/tests/standins/cuts.py
+++ b/tests/standins/cuts.py
@@ -18,11 +18,11 @@
     """What a `CutWatch` measured while links were cut."""
 
     shard_seconds_without_leader: float = 0.0
-    hand_overs: int = 0  # leadership transfers: the previous leader wrote its successor into the store
-    claims: int = 0  # elections: a controller wrote itself into the store as the leader of a shard
+    hand_overs: int = 0  # leadership transfers, in which a leader writes its successor into the store
+    claims: int = 0  # elections, in which a controller writes itself into the store as the leader of a shard
     killed_by_lease: list[float] = field(default_factory=list)  # times of task kills, in seconds after the watch began
-    users_503: int = 0  # requests of the watch's user that were answered 503
-    users_asked: int = 0  # all requests of the watch's user
+    users_503: int = 0  # requests of the simulated user of `CutWatch` that were answered 503
+    users_asked: int = 0  # all requests of that user
     relayed: int = 0  # heartbeats that one controller relayed to another
     modes: dict[str, list[str]] = field(default_factory=dict)  # host -> the controller's modes, in order
 
@@ -80,7 +80,7 @@
         self._relayed_by_controller[id(controller)] = controller.requests.heartbeat_handler.relayed_heartbeats
 
     async def _poll_unknown_job(self) -> None:
-        """Ask the controllers in turn, twice a second, for an unknown job. The answer needs a read of the store."""
+        """Ask the controllers in turn, twice a second, for an unknown job, which they have to look up in the store."""
         turn = 0
         while not self._ended:
             await self.day.loop.sleep(SECOND / 2)
@@ -94,7 +94,7 @@
 
 
 def workload(day: Day, jobs: int = 4) -> None:
-    """Submit arrays and gangs of two teams and three priorities, which run for about as long as the cuts last."""
+    """Submit arrays and gangs of two teams and three priorities, which run for about as long as the links are cut."""
     day.run(4)
     for number in range(jobs):
         day.submit(job(f"run-a{number}", heads=16, trek_s=14.0, crew="blue"))
@@ -134,7 +134,7 @@
 
 
 def from_store(day: Day, hosts: Iterable[str], mode: str) -> tuple[Action, Action]:
-    """Return the functions that cut the hosts off the key-value store and heal that.
+    """Return the functions that cut the hosts off from the key-value store and connect them again.
 
     `mode` is a mode of `between`, or `refuse`: the store answers 503 to these hosts only.
     """
@@ -155,7 +155,7 @@
 
 
 def flap(day: Day, link: tuple[Action, Action], seconds: float, times: int) -> None:
-    """Cut a link and heal it, `times` times, and run for `seconds` after each cut and each healing."""
+    """Cut and heal a link `times` times in a row; run for `seconds` after each cut and after each healing."""
     cut, heal = link
     for _ in range(times):
         cut()
--- a/tests/standins/day.py
+++ b/tests/standins/day.py
@@ -1,6 +1,6 @@
 """A simulated run of a whole cluster in virtual time, called a day: controllers, stand-ins, users and faults.
 
-The users check each answer of the controllers against what they know of their jobs.
+The users check each answer of a controller against earlier answers and against what the machines really did.
 """
 
 import json
@@ -79,7 +79,7 @@
     operator: OperatorSettings = DEFAULT_OPERATOR,
     teams: list[Team] = TEAMS,
 ) -> Settings:
-    """Return a controller's settings. `state`: the key-value store's address; `sockets`: the limit of open files."""
+    """Return a controller's settings. `state`: address of the key-value store; `sockets`: limit on open files."""
     params = Params(
         size=len(HOSTS),
         zones=["a", "b"],
@@ -98,7 +98,7 @@
 
 
 class PausableTask(CoroutineTask):
-    """A coroutine that does not continue while its host is paused. All wake-ups of a pause take effect when it ends."""
+    """A coroutine that does not continue while its host is paused. Wake-ups during a pause take effect at its end."""
 
     __slots__ = ()
 
@@ -139,8 +139,8 @@
     `run` and read the violations that were found from `rules.broken`.
 
     `capacity`: ordinary machines of a type that can be rented in a zone. `production_hosts`: hosts that run the version
-    in production instead of these sources. `later`: lower limits of the key-value store that are announced for later.
-    `sockets`: how many files a controller may have open. `tick`: how often a worker updates its tasks.
+    in production instead of these sources. `later`: lower limits that the settings announce for the key-value store.
+    `sockets`: the limit on files that a controller has open. `tick`: how often a worker updates its tasks.
     """
 
     def __init__(
@@ -181,8 +181,8 @@
         self.controllers: dict[str, tuple[Controller, TaskGroup]] = {}
         self.production_hosts: set[str] = set(production_hosts)
         self.user = self.world.network("user")
-        self.last_conditions: dict[str, str] = {}  # job -> the condition that its user was told last
-        self.accepted: set[str] = set()  # jobs whose acceptance a user was told
+        self.last_conditions: dict[str, str] = {}  # job -> the last condition that its user was told
+        self.accepted: set[str] = set()  # jobs that a user was told are accepted
         self.on_controller_created: Callable[[Controller], None] = lambda controller: None
         self.polling_users = PollingUsers(self)
         self.starvation_watch = StarvationWatch(self)
@@ -215,7 +215,7 @@
     def crash(self, host: str) -> None:
         """Kill a controller's process. Its connections are reset."""
         if host not in self.controllers:
-            return  # it does not run
+            return  # the controller is not running
         controller, group = self.controllers.pop(host)
         for leader in controller.leaders.values():
             leader.group.cancel()
@@ -247,7 +247,7 @@
         self.loop.run(self.loop.spawn(self.loop.sleep(timedelta(seconds=seconds)), "run"))
 
     def run_until(self, reached: Callable[[], bool], limit: float) -> bool:
-        """Run until `reached` returns true, for at most `limit` seconds; return whether it did."""
+        """Run until `reached` returns true, for at most `limit` seconds; return whether it returned true."""
         end = self.loop.now() + timedelta(seconds=limit)
         while not reached() and self.loop.now() < end:
             self.run(0.25)
@@ -277,7 +277,7 @@
         return self.loop.run(self.loop.spawn(send(), "user"))
 
     async def status_of(self, method: str, path: str, host: str) -> int | None:
-        """Return the status of one controller's response, or None without one. Other coroutines run on meanwhile."""
+        """Return the status of a controller's response, or None without a response. Other coroutines run meanwhile."""
         client = Client(self.loop, self.user, f"{host}:8080")
         try:
             return (await client.request(method, path, b"", 2 * SECOND, fresh=True)).status
@@ -287,7 +287,7 @@
             client.drop()
 
     def submit(self, description: dict, tries: int = 40) -> int:
-        """Submit a job until it is accepted or rejected, as users do. Return that status, or 0 if neither came."""
+        """Submit a job until it is accepted or rejected, as users do. Return that status, or 0 if no try succeeds."""
         self.site.jobs[description["ref"]] = description
         self.rules.history.submitted.setdefault(description["ref"], self.loop.now())
         for _ in range(tries):
@@ -328,7 +328,7 @@
                 self.submit(description)
 
     def poll(self, ref: str, host: str | None = None) -> str | None:
-        """Return a job's condition as a controller reports it ("unknown" for 404), or None without a usable answer."""
+        """Return a job's condition as a controller reports it ("unknown" for 404), or None if the request fails."""
         response = self.ask("GET", f"/v1/jobs/{ref}", host=host)
         if response is None or response.status not in (200, 404):
             return None
@@ -344,7 +344,7 @@
         return condition
 
     def _check_condition(self, ref: str, condition: str) -> None:
-        """Check a reported condition against earlier answers, against cancellations and against the finished tasks."""
+        """Check a job's reported condition against earlier answers, cancellations and the tasks that have finished."""
         last = self.last_conditions.get(ref)
         if last in ("done", "withdrawn") and condition != last:
             self.rules.report_violation("went_back", f"{ref} from {last} to {condition}")
@@ -398,7 +398,7 @@
         return self.rules.history.problems({ref: self.site.jobs[ref]["heads"] for ref in not_cancelled}, gangs)
 
     def finish(self, limit: float = 240) -> list[str]:
-        """Run until all accepted jobs have ended, for at most `limit` seconds; return those that have not.
+        """Run until all accepted jobs have ended, for at most `limit` seconds; return the jobs that have not ended.
 
         Call it when all faults have been healed. A job for which no controller answers for 75 s then counts as
         forgotten. No job may wait for 90 s while its team is below its limit and a machine that fits has room for it.
--- a/tests/standins/history.py
+++ b/tests/standins/history.py
@@ -1,4 +1,4 @@
-"""The history of all task runs as the machines recorded it, and the checks of it at the end of a simulated run."""
+"""The history of all task runs on the machines, and the checks of this history at the end of a simulated run."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
     began: timedelta
     ended: timedelta | None = None
     cause: str | None = None
-    kept: bool = False  # it saved a checkpoint before it was stopped
-    cleared: bool = False  # a controller had the machine discard the result, since it was stored
-    lost_with_lease: bool = False  # the machine discarded an uncleared result, perhaps before it reached any controller
+    kept: bool = False  # the task saved a checkpoint before it was stopped
+    cleared: bool = False  # after the result was stored, a controller told the machine to discard it
+    lost_with_lease: bool = False  # an uncleared result was discarded and might not have reached any controller
 
 
 @dataclass
 class History:
-    """The runs of each task in the order of their starts, and the answers that users got about their jobs."""
+    """The runs of each task in the order of their starts, and the final answers that users got about their jobs."""
 
     runs: dict[str, list[Run]] = field(default_factory=dict)
     submitted: dict[str, timedelta] = field(default_factory=dict)  # job -> time of the first submission
     answers: dict[str, list[str]] = field(default_factory=dict)  # job -> the final conditions that its user was told
-    done_at: dict[str, timedelta] = field(default_factory=dict)  # job -> when its user was first told that it is done
+    done_at: dict[str, timedelta] = field(default_factory=dict)  # job -> when a user was first told that it is done
 
     def started(self, task: str, machine: str, attempt: int, now: timedelta) -> None:
         self.runs.setdefault(task, []).append(Run(task, machine, attempt, now))
@@ -42,13 +42,13 @@
                 return
 
     def machine_reset(self, machine: str) -> None:
-        """Record that a machine has discarded all its tasks: uncleared results may not have reached any controller."""
+        """Record that a machine has discarded all its tasks. Uncleared results might not have reached a controller."""
         for runs in self.runs.values():
             for run in runs:
                 run.lost_with_lease = run.lost_with_lease or (run.machine == machine and not run.cleared)
 
     def cleared(self, task: str, machine: str) -> None:
-        """Record that a controller had a machine discard a task's result, since the result was stored durably."""
+        """Record that a controller told a machine to discard a task's result, which is by then stored durably."""
         for run in self.runs.get(task, []):
             run.cleared = run.cleared or (run.machine == machine and run.ended is not None)
 
@@ -56,7 +56,7 @@
         """Record an answer to a user. Only final conditions are kept."""
         if condition in ("done", "withdrawn"):
             self.answers.setdefault(ref, []).append(condition)
-        if condition == "done":  # after a cancellation, starts that are in flight are allowed and then stopped
+        if condition == "done":  # a cancelled job is left out: start commands in flight might still take effect
             self.done_at.setdefault(ref, now)
 
     def problems(self, expected: dict[str, int], gangs: Container[str] = ()) -> list[str]:
@@ -84,7 +84,7 @@
         return violations + self._starts_after_completion()
 
     def _starts_after_completion(self) -> list[str]:
-        """Return the starts of tasks after the user had been told that the job is done."""
+        """Return the starts of tasks that came after a user had been told that the job is done."""
         return [
             f"started after its end: {run.task} on {run.machine}"
             for task, runs in self.runs.items()
@@ -100,7 +100,7 @@
         return [run for runs in self.runs.values() for run in runs if run.cause == "stopped"]
 
     def waits(self, teams: dict[str, str]) -> dict[str, list[float]]:
-        """Return, for each team, the seconds from the submission of a job to each of its tasks' first start.
+        """Return, for each team, the waits of all tasks: seconds from the job's submission to the task's first start.
 
         `teams` maps jobs to teams; other jobs are left out.
         """
@@ -113,6 +113,6 @@
 
 
 def wait_ratios(waits: dict[str, list[float]]) -> dict[str, float]:
-    """Return each team's median wait divided by that of the whole fleet, which counts as at least 0.5 s."""
+    """Return each team's median wait divided by the median wait of all tasks, which counts as at least 0.5 s."""
     fleet = max(0.5, median(wait for team in waits.values() for wait in team))
     return {team: median(team_waits) / fleet for team, team_waits in waits.items()}
--- a/tests/standins/key_value_store.py
+++ b/tests/standins/key_value_store.py
@@ -1,4 +1,4 @@
-"""A simulated key-value store, which follows the real one's published protocol."""
+"""A simulated key-value store, which follows the published protocol of the real store."""
 
 import json
 from datetime import timedelta
@@ -17,9 +17,9 @@
 
 
 class KeyValueStore:
-    """The store with its leases, transactions and watches, and the faults that tests inject.
+    """The key-value store with its leases, transactions and watches, and the faults that tests inject.
 
-    Each controller reaches it at an address of its own, so that the store can fail for one controller only.
+    Each controller uses a separate address of the store, so that the store can fail for one controller only.
     """
 
     def __init__(self, loop: Loop, world: World, group: TaskGroup) -> None:
@@ -31,18 +31,18 @@
         self.next_lease = 1
         self.down = False
         self.delay_factor = 1.0  # multiplies the delay of each response
-        self.refused_hosts: set[str] = set()  # their requests are answered 503
-        self.hosts_without_watches: set[str] = set()  # their watches get no response, while other requests do
+        self.refused_hosts: set[str] = set()  # all requests from these hosts are answered 503
+        self.hosts_without_watches: set[str] = set()  # watches of these hosts get no response; other requests do
         self.changed = Future()  # is set at the next change
-        self.late_write_probability = 0.0  # that a transaction is applied late and its response comes too late
-        self.late_write_delay_s = (2.0, 12.0)  # minimum and maximum
-        self.answers_to_drop = 0  # this many transactions are applied, but their responses are lost
+        self.late_write_probability = 0.0  # of applying a transaction late, so that its response is late as well
+        self.late_write_delay_s = (2.0, 12.0)  # minimum and maximum delay of these transactions
+        self.answers_to_drop = 0  # how many more transactions are applied while their responses are lost
         self.limits: StoreLimits | None = None
         self.write_rps: float | None = None  # transactions with changes beyond this rate are answered 429
-        self.rate_limited_count = 0  # responses with status 429
+        self.rate_limited_count = 0  # how many transactions were answered 429
         self._tokens, self._refilled_at = 0.0, timedelta(0)
         self.rejects_transactions = False  # all transactions are answered 400, "malformed"
-        self.too_large: list[str] = []  # the keys of transactions that exceeded a size limit
+        self.too_large: list[str] = []  # keys written by transactions that exceeded a size limit
         self.group = group
         self._down_since = timedelta(0)
         group.spawn(self._expire(), "leases")
@@ -62,7 +62,7 @@
         """Start an outage (all requests are answered 503, watches get no response), or end it."""
         if down and not self.down:
             self._down_since = self.loop.now()
-        if self.down and not down:  # every lease gets its full time to live again
+        if self.down and not down:  # after an outage, every lease gets its full time to live again
             self.leases = {lease: (ttl, self.loop.now() + ttl) for lease, (ttl, _) in self.leases.items()}
         self.down = down
 
@@ -138,7 +138,7 @@
         self._refilled_at = self.loop.now()
 
     def _within_rate(self, changes: int) -> bool:
-        """Take tokens for a transaction; a transaction larger than one second's changes needs only a full bucket."""
+        """Take tokens for a transaction; one with more changes than the bucket holds needs only a full bucket."""
         if self.write_rps is None:
             return True
         elapsed_s = (self.loop.now() - self._refilled_at) / timedelta(seconds=1)
--- a/tests/standins/loads.py
+++ b/tests/standins/loads.py
@@ -2,14 +2,14 @@
 
 from tests.standins.day import Day, job
 
-ARRAY_PERIOD_S = 30  # between two large arrays, which the two other teams submit in turn
-TRIPLED_AFTER_S = 20  # from then on the team with the high load submits three times as many jobs
+ARRAY_PERIOD_S = 30  # time between two large arrays, which two other teams submit in turn
+TRIPLED_AFTER_S = 20  # afterwards, the team with the high load submits three times as many jobs
 
 
 def hot_team(day: Day, seconds: int = 110, time_scale: float = 1.0, jobs: int = 4) -> None:
-    """One team submits jobs of one task at a rate that triples; two others submit an array of tasks now and then.
+    """Submit jobs: one team submits single tasks at a rate that triples, and two others submit a large array in turn.
 
-    `seconds`: the length of the load. `time_scale`: multiplies all times, so that runs in real time can be shorter.
+    `seconds`: how long jobs are submitted. `time_scale`: factor on all times, which shortens runs in real time.
     `jobs`: how many jobs the first team submits in two seconds before its rate triples.
     """
     sent = 0
--- a/tests/standins/loopback.py
+++ b/tests/standins/loopback.py
@@ -1,4 +1,4 @@
-"""Runs of a whole cluster in real time on real sockets: addresses are mapped to ports of the loopback interface."""
+"""Runs a whole cluster in real time on real sockets. Its addresses are mapped to ports of the loopback interface."""
 
 import random
 from datetime import timedelta
@@ -28,7 +28,7 @@
 
 
 class LoopbackNetwork(TcpNetwork):
-    """Connects over TCP to the port that stands for an address."""
+    """Connects over TCP to the loopback port that is mapped to an address."""
 
     def __init__(self, world: LoopbackWorld) -> None:
         super().__init__(world.loop, world.poller)
--- a/tests/standins/net.py
+++ b/tests/standins/net.py
@@ -14,12 +14,12 @@
 
     def __init__(self, world: "World", source: str, target: str) -> None:
         self.world, self.source, self.target = world, source, target
-        self.chunks: deque[bytes] = deque()  # have arrived and wait to be read
+        self.chunks: deque[bytes] = deque()  # data that has arrived and has not been read yet
         self.ended = False  # the end of the stream has arrived
         self.broken = False  # the connection was reset
-        self.wake = Future()  # is set when something arrives
-        self.last_arrival = timedelta(0)  # no later packet arrives earlier, so that packets stay in order
-        self.held: list[bytes | None] = []  # sent while a cut holds packets; None is the end of the stream
+        self.wake = Future()  # is set when data, the end of the stream or a reset arrives
+        self.last_arrival = timedelta(0)  # arrival time of the last packet; later packets never arrive before it
+        self.held: list[bytes | None] = []  # packets sent while a cut holds them; None is the end of the stream
 
     def send(self, data: bytes | None) -> None:
         """Send bytes, or None for the end of the stream."""
@@ -39,13 +39,13 @@
         self._notify()
 
     def release(self) -> None:
-        """Send what was held during a cut."""
+        """Send the packets that were held during a cut."""
         held, self.held = self.held, []
         for data in held:
             self.send(data)
 
     def break_off(self) -> None:
-        """Reset the connection: its reader gets an error once it has read what had arrived."""
+        """Reset the connection: its reader gets an error after it has read the data that had arrived."""
         self.broken = True
         self._notify()
 
@@ -119,12 +119,13 @@
         self.loop = loop
         self.random = random.Random(seed)
         self.listeners: dict[str, VirtualListener] = {}
-        self.streams: list[tuple[str, str, VirtualStream, VirtualStream]] = []  # connecting host, accepting host, sides
+        # Connecting host, accepting host, and the stream of each.
+        self.streams: list[tuple[str, str, VirtualStream, VirtualStream]] = []
         self.cuts: dict[frozenset[str], str] = {}  # the two hosts -> mode of the cut
         self.one_way_cuts: set[tuple[str, str]] = set()  # packets from the first host to the second are held
         self.pipes_holding_data: dict[Pipe, None] = {}  # a set in the order of insertion
         self.delay_factor = 1.0  # multiplies the delay of each packet
-        self.resets = True  # False: data sent to a side that has closed its connection is lost without a reset
+        self.resets = True  # False: sending to a side that has closed its connection causes no reset
 
     def delay(self) -> timedelta:
         return MS * self.delay_factor * self.random.uniform(0.3, 2.5)
@@ -143,7 +144,7 @@
                     near.outgoing.broken = far.outgoing.broken = True
 
     def heal(self, one: str, other: str) -> None:
-        """End a cut, and send the packets that no remaining cut holds."""
+        """End the cut between two hosts, and send the held packets unless another cut still holds them."""
         self.cuts.pop(frozenset((one, other)), None)
         holding, self.pipes_holding_data = self.pipes_holding_data, {}
         for pipe in holding:
@@ -153,7 +154,7 @@
                 pipe.release()
 
     def cut_one_way(self, source: str, target: str) -> None:
-        """Hold packets from `source` to `target` until the link heals. The other direction works; connecting fails."""
+        """Hold packets from `source` to `target` until the link heals. The other one works; new connections fail."""
         self.one_way_cuts.add((source, target))
 
     def heal_one_way(self, source: str, target: str) -> None:
--- a/tests/standins/production.py
+++ b/tests/standins/production.py
@@ -1,8 +1,8 @@
 """Gives tests access to the version in production, so that old and new controllers can run in one cluster.
 
 `tests/data/production.zip` holds the package as of the commit that deploy/service.toml names, as the package
-`badgerroute_production`. Both versions run on one event loop in virtual time, so the archive has no transport layer of
-its own and uses the one of these sources. `python -m tests.standins.production COMMIT` writes the archive.
+`badgerroute_production`. Both versions run on one event loop in virtual time, so the archive contains no
+transport layer and uses the one of these sources. `python -m tests.standins.production COMMIT` writes the archive.
 """
 
 import importlib
@@ -54,7 +54,7 @@
     """Import a module of the version in production; `name` is relative to the package."""
     if str(ARCHIVE) not in sys.path:
         sys.path.append(str(ARCHIVE))
-        # The version in production uses these names of the transport layer, which has been renamed since.
+        # The version in production uses these old names, from before a renaming in the transport layer.
         http.Unanswered = http.NoAnswerError
         loop.TimeLimit = loop.TimeLimitError
         loop.Group, loop.Gate, loop.Routine = loop.TaskGroup, loop.Semaphore, loop.CoroutineTask
@@ -65,7 +65,7 @@
 
 
 def freeze(commit: str) -> None:
-    """Write the package as of a commit, without its transport layer, to the archive under its other name."""
+    """Write the package as of a commit, without its transport layer, to the archive, as `badgerroute_production`."""
     content = subprocess.run(["git", "archive", commit, "badgerroute"], check=True, capture_output=True).stdout
     with tarfile.open(fileobj=io.BytesIO(content)) as tree, zipfile.ZipFile(ARCHIVE, "w") as archive:
         for member in sorted(tree.getmembers(), key=lambda member: member.name):
--- a/tests/standins/proxies.py
+++ b/tests/standins/proxies.py
@@ -13,9 +13,9 @@
     """What happens to the packets of one direction of a link."""
 
     PASS = "pass"
-    DROP = "drop"  # packets are held until the fault ends, without an error, as with a packet filter and retransmission
+    DROP = "drop"  # packets are held until the fault ends, as if a packet filter dropped them and TCP sent them again
     DELAY = "delay"
-    REFUSE = "refuse"  # connections are reset, and new ones refused
+    REFUSE = "refuse"  # existing connections are reset, and new ones are refused
 
 
 @dataclass
@@ -23,7 +23,7 @@
     """The current fault of one direction of a link."""
 
     fault: Fault = Fault.PASS
-    delay: timedelta = timedelta(0)  # for Fault.DELAY
+    delay: timedelta = timedelta(0)  # delay of each packet with Fault.DELAY
     changed: Future = field(default_factory=Future)
 
     def set(self, fault: Fault, delay: timedelta = timedelta(0)) -> None:
@@ -99,17 +99,17 @@
 
 
 class ProxiedWorld(LoopbackWorld):
-    """Real sockets, with a proxy on every link."""
+    """The network of a run on real sockets, with a proxy on every link between two hosts."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed)
-        self.proxies: dict[tuple[str, str], LinkProxy] = {}  # by connecting and accepting host
+        self.proxies: dict[tuple[str, str], LinkProxy] = {}  # (connecting host, accepting host) -> proxy
 
     def network(self, host: str) -> "ProxiedNetwork":
         return ProxiedNetwork(self, host)
 
     def proxy(self, source: str, address: str) -> LinkProxy:
-        """Return the proxy from a host to an address, and create it if needed."""
+        """Return the proxy for connections from a host to an address; create it at the first call."""
         key = (source, address.partition(":")[0])
         proxy = self.proxies.get(key)
         if proxy is None or proxy._target != self.ports[address]:
--- a/tests/standins/users.py
+++ b/tests/standins/users.py
@@ -13,15 +13,15 @@
 
 SECOND = timedelta(seconds=1)
 STAGES = {"queued": 1, "running": 1, "done": 2, "withdrawn": 2}
-NOT_CONFIRMED = timedelta(days=1)  # time of a cancellation that no answer has confirmed: later than any run ends
-POLL_ROUNDS = 12  # requests to each controller, a few milliseconds apart
+NOT_CONFIRMED = timedelta(days=1)  # time of an unconfirmed cancellation; no simulated run lasts as long
+POLL_ROUNDS = 12  # how many requests each controller gets, a few milliseconds apart
 
 
 class PollingUsers:
     """Users that expect linearizable answers.
 
-    Once any controller has reported that a job is accepted, done or cancelled, no request sent later may get an answer
-    of an earlier stage (see STAGES).
+    Once any controller has reported that a job is accepted, done or cancelled, the answer to a request sent afterwards
+    must not report an earlier stage of the job (see STAGES).
     """
 
     def __init__(self, day: Day) -> None:
@@ -42,11 +42,11 @@
             client.drop()
 
     def minimum_stage(self, ref: str) -> int:
-        """Return the lowest stage that the answer to a request sent now may report (0: the job may be unknown)."""
+        """Return the lowest stage that the answer to a request sent now is allowed to report; 0 is "unknown job"."""
         return max(self.known_stage.get(ref, 0), STAGES.get(self.day.last_conditions.get(ref, ""), 0))
 
     def _check_response(self, ref: str, response: Response, minimum: int) -> str | None:
-        """Check a response against the lowest stage allowed when its request was sent; return the job's condition."""
+        """Check a response against `minimum`, the lowest stage allowed at the request; return the job's condition."""
         if response.status == 404:
             if minimum:
                 self.day.rules.report_violation("forgotten", f"{ref}: 404 after it was accepted")
@@ -56,7 +56,7 @@
             self.day.rules.report_violation("went_back", f"{ref} is {condition} after a later stage was reported")
         if STAGES[condition] >= self.minimum_stage(
             ref
-        ):  # otherwise the request was sent before a later stage was reported
+        ):  # otherwise another answer reported a later stage after the request was sent
             self.day._check_condition(ref, condition)
         self.known_stage[ref] = max(self.known_stage.get(ref, 0), STAGES[condition])
         return condition
@@ -84,8 +84,8 @@
     async def cancel(self, ref: str, host: str | None = None) -> str | None:
         """Request a cancellation until it is answered; then poll all controllers. Return the job's condition."""
         day = self.day
-        # A cancellation may take effect although its request gets no answer, so that other controllers may report it
-        # before this user gets an answer.
+        # A cancellation might take effect although its request gets no answer. Other controllers can then report the
+        # job as cancelled before this user gets an answer.
         day.site.cancelled.setdefault(ref, NOT_CONFIRMED)
         while True:
             minimum, before = self.minimum_stage(ref), day.loop.now()
--- a/tests/standins/waiting.py
+++ b/tests/standins/waiting.py
@@ -1,4 +1,4 @@
-"""Detects jobs that keep waiting although the cluster has room for them."""
+"""Detects jobs that wait too long although machines have room for their tasks."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class StarvationWatch:
-    """Reports jobs of which no task runs for MAX_WAIT although one could, judged by the state of the machines."""
+    """Reports a job if none of its tasks runs for MAX_WAIT although the machines have room for one of them."""
 
     def __init__(self, day: Day) -> None:
         self.day = day
-        self._waiting_since: dict[str, timedelta] = {}  # job -> the time since which it waits although it could run
+        self._waiting_since: dict[str, timedelta] = {}  # job -> since when it has waited although it could run
         self._enabled = False
 
     def begin(self) -> None:
@@ -42,7 +42,7 @@
                 self._waiting_since[ref] = now
 
     def _could_run(self, ref: str) -> bool:
-        """Return whether a task of the job (all tasks of a gang) fits on machines now, within its team's limit."""
+        """Return whether a task of the job (all tasks of a gang) fits on the machines and into the team's limit now."""
         job = self.day.site.jobs[ref]
         if not all(self.day.site.is_done(upstream) for upstream in job.get("follows") or ()):
             return False
--- a/tests/standins/workers.py
+++ b/tests/standins/workers.py
@@ -15,7 +15,7 @@
 from tests.standins.net import World
 
 SECOND = timedelta(seconds=1)
-# Heartbeat period, lease of a machine, how long a gang task waits for the others, and `gang_peer_s` of the settings.
+# Heartbeat period, a machine's lease, how long a gang's task waits for the other tasks, `gang_peer_s` of the settings.
 HEARTBEAT, LEASE, GANG_WAIT, GANG_PEER = SECOND, 11 * SECOND, 45 * SECOND, 4 * SECOND
 
 
@@ -23,13 +23,13 @@
 class Task:
     """One attempt of a task on a machine."""
 
-    ref: str  # the job
+    ref: str  # id of the job
     index: int
     attempt: int
-    state: str  # as in heartbeats
+    state: str  # one of the states that heartbeats report
     state_since: timedelta
-    cause: str | None = None  # of its exit
-    kept: bool = False  # it saved a checkpoint before it was stopped
+    cause: str | None = None  # why the task exited
+    kept: bool = False  # the task saved a checkpoint before it was stopped
     state_ends_at: timedelta | None = None  # end of the image fetch, of the run or of the saving of a checkpoint
 
     @property
@@ -64,15 +64,15 @@
     tasks: dict[str, Task] = field(default_factory=dict)
     images: set[str] = field(default_factory=set)
     fails_tasks: bool = False  # tasks end with an error
-    unresponsive: bool = False  # it sends and answers nothing and runs no task; its lease still expires
-    unreachable: bool = False  # its heartbeats arrive, but neither responses nor commands reach it
+    unresponsive: bool = False  # sends and answers nothing and runs no task, but its lease still expires
+    unreachable: bool = False  # its heartbeats reach controllers, but neither responses nor commands reach it
     heartbeats_blocked: bool = False  # it can't send heartbeats, but commands reach it
-    notice_at: timedelta | None = None  # after a preemption notice: when the cloud will take the machine
+    notice_at: timedelta | None = None  # after a preemption notice: when the cloud will delete the machine
 
     def __post_init__(self) -> None:
         self.loop = self.site.loop
         self.address = f"{self.name}:9000"
-        self.lease_renewed_at = self.loop.now()  # when the last heartbeat that was answered was sent
+        self.lease_renewed_at = self.loop.now()  # send time of the last heartbeat that was answered
         self.changed = Future()  # is set when the next heartbeat should be sent early
         network = self.site.world.network(self.name)
         self.clients = {host: Client(self.loop, network, f"{host}:8080", connect=SECOND) for host in self.site.hosts}
@@ -83,7 +83,7 @@
     # -- heartbeats
 
     def heartbeat(self) -> dict:
-        """Return the next heartbeat's body; it raises the sequence number."""
+        """Raise the sequence number, and return the body of the next heartbeat."""
         self.tally += 1
         notice = None if self.notice_at is None else (self.notice_at - self.loop.now()) / SECOND
         heads = []
@@ -176,7 +176,7 @@
     # -- tasks
 
     def execute(self, calls: list[dict]) -> None:
-        """Carry out commands; those for other attempts of a task are ignored."""
+        """Carry out commands. A command for another attempt than the one on this machine is ignored."""
         for call in calls:
             ref, _, index = call["head"].rpartition("/")
             task = self.tasks.get(call["head"])
@@ -197,7 +197,7 @@
         now = self.loop.now()
         task = Task(ref, index, attempt, "fetching", now)
         if previous is not None and previous.state != "exited":
-            return  # a heartbeat can't hold two attempts of one task; controllers don't start a second one
+            return  # a heartbeat can't list two attempts of a task, so controllers start none while one is here
         self.tasks[name] = task
         if job is None:
             task.state, task.cause = "exited", "no_such"
@@ -255,7 +255,7 @@
                 self._advance(task, now)
 
     def _advance(self, task: Task, now: timedelta) -> None:
-        """Move a task to its next state if it is time."""
+        """Move a task to its next state if the condition for that is met at the time `now`."""
         if task.state == "exited":
             return
         job = self.site.jobs[task.ref]
@@ -294,7 +294,7 @@
 
 
 class RuleChecker:
-    """Checks safety rules against what the machines and users really do, and records violations.
+    """Checks the safety rules against the true state of the machines and users, and records violations.
 
     It uses no state of the controllers.
     """
@@ -302,9 +302,9 @@
     def __init__(self, site: "Site") -> None:
         self.site = site
         self.broken: list[str] = []  # the violations: time, rule, text
-        self.worker_by_task: dict[str, Worker] = {}  # running tasks
+        self.worker_by_task: dict[str, Worker] = {}  # task that runs -> its machine
         self.start_count = 0
-        # Tasks that started after a user had been told that their job is cancelled.
+        # Starts of tasks after a user had been told that the job is cancelled.
         self.starts_after_cancellation: list[str] = []
         self.events: list[tuple[str, float, str]] = []  # machine, time in seconds, "start" or "end"
         self.history = History()
@@ -346,7 +346,7 @@
         self.check_cancellation(task)
 
     def check_cancellation(self, task: Task) -> None:
-        """Report a task that runs although its job was cancelled longer ago than the cancellation limit."""
+        """Record a violation if a task runs for longer than the cancellation limit after its job was cancelled."""
         cancelled_at = self.site.cancelled.get(task.ref)
         if cancelled_at is not None and self.site.loop.now() - cancelled_at > self.site.cancel_limit:
             self.report_violation("ran_cancelled", task.name)
@@ -359,7 +359,7 @@
             del self.worker_by_task[task.name]
 
     def check_cancellations(self) -> None:
-        """Check the running tasks' cancellations. It is called twice a second."""
+        """Call `check_cancellation` for each running task; called twice a second."""
         for name in self.worker_by_task:
             ref, _, index = name.rpartition("/")
             self.check_cancellation(Task(ref, int(index), 0, "", timedelta(0)))
@@ -382,8 +382,8 @@
         self.hosts, self.zones, self.limits, self.cancel_limit = hosts, zones, limits, cancel_limit
         self.failing: set[str] = set()  # jobs that fail on every machine
         self.machine_types = {machine_type.name: machine_type for machine_type in machine_types}
-        self.capacity = capacity  # machines of a type that a zone offers; of spot machines it offers one
-        self.jobs: dict[str, dict] = {}  # as submitted
+        self.capacity = capacity  # how many ordinary machines of a type a zone offers, besides one spot machine
+        self.jobs: dict[str, dict] = {}  # job -> its description as submitted
         self.finished: set[str] = set()  # tasks that completed
         self.cancelled: dict[str, timedelta] = {}  # job -> when the request that cancelled it was sent
         self.workers: dict[str, Worker] = {}
@@ -391,13 +391,13 @@
             str, tuple[MachineType, str, bool]
         ] = {}  # machine -> type, zone, whether it is a spot machine
         self.rental_requested_at: dict[str, timedelta] = {}
-        self.machines_by_rental: dict[str, list[str]] = {}  # by the id of the request
+        self.machines_by_rental: dict[str, list[str]] = {}  # id of the rental request -> machines
         self.rules = RuleChecker(self)
         self.group = TaskGroup(self.loop, "site")
         self.cloud_down = False
-        self.sent_heartbeats: deque[tuple[str, bytes]] = deque(maxlen=4000)  # machine and body
-        self.lose_rental_answers = 0  # this many rentals are carried out, but their responses are lost
-        self.machines_that_never_boot = 0  # this many of the next rented machines never boot
+        self.sent_heartbeats: deque[tuple[str, bytes]] = deque(maxlen=4000)  # (machine, body of the heartbeat)
+        self.lose_rental_answers = 0  # how many more rentals succeed although their responses are lost
+        self.machines_that_never_boot = 0  # how many of the machines that are rented next never boot
         self.boot_factor = 1.0  # multiplies the time that machines take to boot
         self.list_calls = 0
         self.killed_by_lease: list[timedelta] = []  # times of task kills because a machine's lease expired
@@ -427,7 +427,7 @@
         return self.jobs[ref]["trek_s"]
 
     def gang_members(self, task: Task) -> list[Task]:
-        """Return the tasks of the same gang and attempt that have not exited, on machines that respond."""
+        """Return the tasks of a task's gang and attempt that have not exited and whose machines respond."""
         return [
             member
             for worker in self.workers.values()
@@ -437,7 +437,7 @@
         ]
 
     def all_done(self, task: Task) -> bool:
-        """Return whether the task's gang has completed, which it does as a whole."""
+        """Return whether the gang of a task has completed. All tasks of a gang complete together."""
         job = self.jobs[task.ref]
         return any(f"{task.ref}/{index}" in self.finished for index in range(job["heads"]))
 
@@ -450,7 +450,7 @@
         return worker
 
     def remove_worker(self, name: str) -> None:
-        """Delete a machine, whether it boots or runs, with all its tasks."""
+        """Delete a machine and all its tasks, also if the machine is still booting."""
         self.booting.pop(name, None)
         worker = self.workers.pop(name, None)
         if worker is not None:
@@ -512,7 +512,7 @@
         return reply(200, {"mounts": page, "more": len(page) < len(rows)})
 
     def _all(self) -> dict[str, tuple[MachineType, str, bool, str]]:
-        """Return type, zone, spot and condition of all machines."""
+        """Return type, zone and condition of all machines, and whether each is a spot machine."""
         running = {
             name: (worker.machine_type, worker.zone, worker.spot, "running") for name, worker in self.workers.items()
         }
--- a/tests/test_autoscaling.py
+++ b/tests/test_autoscaling.py
@@ -30,7 +30,7 @@
 def test_a_machine_times_out_sooner_if_a_later_one_is_up() -> None:
     loop = new_loop()
     now = loop.now()
-    # The difference exceeds the maximum age of the cloud's list of machines, 5 s.
+    # 6 s between the rentals exceed the maximum age of the cloud's list of machines, 5 s.
     pending = pending_machines(loop, first=now, second=now + 6 * SECOND)
     late = now + 46 * SECOND
     assert pending.remove_timed_out(set(), late) == []
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -1,6 +1,6 @@
 """Unit tests of failure detection, connectivity modes, flap damping, relay routes, transfer targets and forwarding.
 
-They also check that controller code asks `ActionPolicy` before it acts, and never bypasses it.
+Others check that code in the controllers asks `ActionPolicy` before each action, and never bypasses it.
 """
 
 import ast
@@ -39,11 +39,11 @@
 @pytest.mark.parametrize(
     ("interval", "jitter", "timeout"),
     [
-        # All in seconds. With a timeout of None, the timeout must be longer than the minimum of 3 s.
-        (0.5, 0.0, 3.0),  # for regular heartbeats, the timeout is the minimum
+        # All values are in seconds. None: the timeout must exceed the minimum of 3 s, but not the maximum.
+        (0.5, 0.0, 3.0),  # regular heartbeats: the timeout is the minimum
         (0.5, 0.3, 3.0),
         (2.0, 0.0, 3.0),
-        (2.0, 1.0, None),  # for irregular heartbeats, it is longer than the minimum
+        (2.0, 1.0, None),  # for irregular heartbeats, the timeout exceeds the minimum
         (2.9, 0.1, None),
     ],
 )
@@ -149,7 +149,7 @@
         ([(0, GOOD), (9, GOOD)], [SERVING, SERVING]),
         ([(0, WORKERS_UNREACHABLE), (5, GOOD), (8, GOOD), (9, GOOD)], [NO_WORKERS, *[RECOVERING] * 2, SERVING]),
         ([(0, STORE_UNREACHABLE), (1, GOOD), (5, GOOD)], [NO_STORE, RECOVERING, SERVING]),
-        ([(0, OUTAGE), (5, GOOD)], [Mode.OUTAGE, SERVING]),  # no delay: in an outage no peer takes over a shard
+        ([(0, OUTAGE), (5, GOOD)], [Mode.OUTAGE, SERVING]),  # no RECOVERING: no peer can take over in an outage
         ([(0, STORE_UNREACHABLE), (1, WORKERS_UNREACHABLE), (2, GOOD), (6, GOOD)],
          [NO_STORE, NO_WORKERS, RECOVERING, SERVING]),
         # The second loss within a few seconds doubles the time in RECOVERING.
@@ -187,7 +187,7 @@
 
 @pytest.mark.parametrize("mode", Mode)
 def test_nothing_that_safety_bounds_is_unbounded(mode: Mode) -> None:
-    """In every mode, the grace period or the lease limits all actions for a shard and the deletion of machines."""
+    """In every mode, actions for a shard and deletions of machines end with the grace period or the lease."""
     bounded = {
         Action.ANSWER_HEARTBEAT: {Permission.WITHIN_GRACE},
         Action.START: {Permission.WITHIN_GRACE, Permission.REFUSED},
@@ -241,7 +241,7 @@
 
 
 def test_no_action_goes_round_the_policy() -> None:
-    """Only the action policy checks the grace period and the lease, and some code names each action of `Action`."""
+    """Only the action policy checks the grace period and the lease, and each action of `Action` is used somewhere."""
     policy, state = "coordination/leadership/action_policy.py", "coordination/leadership/leadership_state.py"
     checks = attribute_uses({"within_grace", "lease_surely_valid", "may_lead"})
     assert set().union(*checks.values()) <= {policy, state}
@@ -254,10 +254,10 @@
 def test_workers_are_lost_only_if_peers_hear_them() -> None:
     link = WorkerLink()
     link.update({0: 8}, 0 * SECOND)
-    assert not link.lost, "overdue heartbeats alone do not show a lost link, since the machines may have failed"
+    assert not link.lost, "overdue heartbeats alone do not show a lost link: the machines might have failed"
     link.record_peer_heartbeat(0, "host-1", "b", SECOND, relayed=True)
     link.update({0: 8}, SECOND)
-    assert not link.lost, "one machine that reports to a peer is not enough"
+    assert not link.lost, "one machine that reports to a peer does not show a lost link"
     link.record_peer_heartbeat(0, "host-2", "c", SECOND, relayed=False)
     link.update({0: 8}, SECOND)
     assert link.lost and link.lost_for(3 * SECOND) == 2 * SECOND
@@ -281,11 +281,11 @@
     link.record_machine_reached(2 * SECOND)
     assert not link.lost
     report_to_peer(3 * SECOND)
-    assert not link.lost, "the link is on probation"
+    assert not link.lost, "after a response, the link counts as up until its probation ends"
     report_to_peer(2 * SECOND + PROBATION)
     assert link.lost, "the probation is over, and the machines still report to a peer"
     link.update({}, 20 * SECOND)
-    assert link.lost, "without a shard no heartbeats are expected, so the link is not known to be up again"
+    assert link.lost, "a controller without shards gets no heartbeats that could show that the link works again"
 
 
 # -- routes
@@ -296,19 +296,20 @@
 @pytest.mark.parametrize(
     "steps",
     [
-        # Each step: the second, whether the leader's workers can't reach it, whether the heartbeat lists tasks, and the
-        # expected route, or None for either route.
+        # Each step: time in seconds, whether the workers are known not to reach the leader, whether the heartbeat lists
+        # tasks, and the expected route (None: either route is right).
         [(0, False, False, REDIRECT)],
         [(0, False, True, RELAY), (1, False, True, REDIRECT)],  # with tasks, the first heartbeat is relayed
         [(0, True, True, RELAY), (1, True, True, RELAY), (500, True, True, RELAY)],
-        # The machine returns 6 s after each redirect, so it can't reach its leader. It is redirected again after a
-        # delay, which doubles each time.
+        # The machine sends a heartbeat here again 6 s after each redirect, so it can't have reached its leader. It is
+        # redirected again after a delay, which doubles each time.
         [(0, False, False, REDIRECT), (6, False, True, RELAY), (15, False, True, RELAY), (16, False, True, REDIRECT),
          (22, False, True, RELAY), (41, False, True, RELAY), (42, False, True, REDIRECT)],
-        # A machine that returns only after this window may have reached its leader, so it is redirected at once.
+        # A machine that comes back only after this window might have reached its leader before, so it is redirected
+        # immediately.
         [(0, False, False, REDIRECT), (REDIRECT_FAILURE_WINDOW / SECOND, False, False, REDIRECT)],
         # Once workers can reach the leader again, redirects are spread over 4 s. In the middle of this period, either
-        # route is right. The machine returns 5 s after its redirect, so it can't reach the leader yet.
+        # route is right. The machine comes back 5 s after its redirect, so it can't reach the leader yet.
         [(0, True, True, RELAY), (5, False, True, None), (9, False, True, REDIRECT), (14, False, True, RELAY),
          (15, False, True, RELAY)],
     ],
@@ -351,11 +352,11 @@
     [
         ([], None),
         ([TransferCandidate("b", 0, 5)], None),
-        ([TransferCandidate("b", 4, 50), TransferCandidate("c", 3, 10)], "c"),  # c leads fewer machines
-        # Fewer than half as many machines report to c as to b.
+        ([TransferCandidate("b", 4, 50), TransferCandidate("c", 3, 10)], "c"),  # c leads fewer machines than b
+        # c leads fewer machines, but fewer than half as many machines report to it as to b.
         ([TransferCandidate("b", 9, 50), TransferCandidate("c", 3, 10)], "b"),
-        ([TransferCandidate("b", 4, 10), TransferCandidate("c", 5, 10)], "c"),  # equal load, more machines report to c
-        ([TransferCandidate("c", 4, 10), TransferCandidate("b", 4, 10)], "b"),  # all equal, so by name
+        ([TransferCandidate("b", 4, 10), TransferCandidate("c", 5, 10)], "c"),  # equal load; more report to c
+        ([TransferCandidate("c", 4, 10), TransferCandidate("b", 4, 10)], "b"),  # both equal, so the first by name
     ],
 )
 def test_receiver_of_a_shard(candidates: list[TransferCandidate], chosen: str | None) -> None:
@@ -429,9 +430,9 @@
     assert pair.forward(requests.append, timeout_s=0.5) is None
     pair.far.on_request(requests[0], pair._handle)
     (answer,) = pair.answers()
-    pair.near.on_response(answer)  # a late response is ignored, without an error
+    pair.near.on_response(answer)  # a response that arrives after its request timed out is ignored
     second_response = pair.forward(lambda request: None, timeout_s=0.2)
-    assert second_response is None, "the late response is not matched to a new request"
+    assert second_response is None, "the late response is not taken for the response to a new request"
 
 
 def test_requests_on_their_way_are_bounded() -> None:
--- a/tests/test_connectivity_days.py
+++ b/tests/test_connectivity_days.py
@@ -1,6 +1,6 @@
 """Half-open network cuts in simulated runs of a whole cluster: some links fail, or only one direction of a link.
 
-Every accepted job must end with exactly one final answer to its user, whatever links the controllers lose.
+Every accepted job must end with exactly one final answer to its user, whichever links fail.
 """
 
 import logging
@@ -26,8 +26,8 @@
     (3, 2),
     (7, 1),
     (7, 2),
-]  # (length of each phase in s, seed); tools/connectivity_measurement.py runs more
-LEASE_S = 11  # lease of the simulated workers
+]  # (seconds of each cut and each pause, seed); tools/connectivity_measurement.py runs more
+LEASE_S = 11  # a simulated worker kills its tasks if no heartbeat was answered for this long
 Fault = Callable[[Day], None]
 
 
@@ -38,7 +38,7 @@
 
 
 def play(day: Day, fault: Fault) -> CutCounts:
-    """Inject a fault while a workload runs, let all jobs end, check that no rule was broken, and return the counts."""
+    """Inject a fault while a workload runs, let all jobs end, and check that no rule was broken; return the counts."""
     watch = CutWatch(day)
     fault(day)
     counts = watch.end()
@@ -71,7 +71,7 @@
 @pytest.mark.parametrize("mode", ["reset", "hold", "one_way"])
 def test_flapping_worker_links_move_no_shard_about(seconds: float, mode: str, seed: int) -> None:
     counts = play(cluster(seed), flapping_workers(seconds, mode))
-    assert counts.hand_overs <= 2, "in total, however many cuts there are"
+    assert counts.hand_overs <= 2, "at most two leadership transfers in total, however many cuts there are"
     assert counts.killed_by_lease == []
     assert counts.shard_seconds_without_leader <= 2
 
@@ -86,7 +86,7 @@
 
 
 def test_damping_delays_the_return_of_a_shard_more_from_cut_to_cut() -> None:
-    """Without relays each cut moves the shard to a peer. It returns later after each further cut, but within 90 s."""
+    """Without relays, each cut moves the shard to a peer. Its return takes longer with each cut, but at most 90 s."""
     day = cluster(3, OperatorSettings())
     day.run(5)
     host = HOSTS[0]
@@ -119,7 +119,7 @@
 def heals_when(reached: Callable[[Day, str, int], bool], mode: str) -> Fault:
     """Cut a controller off from the key-value store, and heal the link as soon as `reached` is true.
 
-    `reached(day, host, shard)` tells whether a peer has taken over the shard of the controller up to a certain step.
+    `reached(day, host, shard)` returns whether a peer's takeover of the controller's shard has reached a certain step.
     """
 
     def fault(day: Day) -> None:
@@ -183,7 +183,7 @@
 
 
 def opposite(seconds: float, mode: str) -> Fault:
-    """Cut one controller off from the key-value store, and the others from the workers."""
+    """Cut one controller off from the key-value store, and the other two from the workers."""
 
     def fault(day: Day) -> None:
         host = pick(day)
@@ -209,7 +209,7 @@
 
 
 def test_without_relays_the_opposite_cuts_kill_tasks() -> None:
-    """Show that without relays the workers' leases expire, so that the test above does test the relays."""
+    """Without relays the workers' leases expire, which shows that the previous test depends on the relays."""
     day = cluster(1, OperatorSettings())
     watch = CutWatch(day)
     opposite(40, "hold")(day)
@@ -239,7 +239,7 @@
 
 
 def zone_cut_off(day: Day) -> None:
-    """Cut a zone off from everything outside. The controller in it reaches only the workers of the zone."""
+    """Cut a zone off from everything outside. The controller in the zone reaches only the workers of the zone."""
     host = pick(day)
     inside = [host, *(name for name, worker in day.site.workers.items() if worker.zone == "a")]
     outside = [name for name in (*HOSTS, *day.site.workers, "cloud", f"state-{host}") if name not in inside]
@@ -266,7 +266,7 @@
 
 
 def paused_leader(day: Day) -> None:
-    """Pause a leader whose heartbeats are relayed. When it resumes, another controller leads its shard."""
+    """Pause a leader that receives relayed heartbeats. When it resumes, another controller leads its shard."""
     host = pick(day)
     cut, heal = from_workers(day, [host], "hold")
     cut()
@@ -289,14 +289,14 @@
 
 
 def late_hand_over(day: Day) -> None:
-    """Transfer shards while half of the transactions get no response and are carried out late."""
+    """Transfer shards while half of the transactions to the key-value store are applied late and get no response."""
     day.store.late_write_probability = 0.5
     hold(day, from_workers(day, [pick(day)], "reset"), 20)
     day.store.late_write_probability = 0.0
 
 
 def lost_hand_over(day: Day) -> None:
-    """Lose the response to one transaction every 3 s, so that the response to a leadership transfer is lost."""
+    """Lose the response to one store transaction every 3 s, so that a leadership transfer's response gets lost."""
     cut, heal = from_workers(day, [pick(day)], "reset")
     cut()
     for _ in range(6):
@@ -325,7 +325,7 @@
 
 
 def teams_at_their_limits(day: Day) -> None:
-    """Submit more work than the limits of two teams allow to run, then inject `opposite`."""
+    """Submit more jobs of two teams than their CPU limits allow to run at once, then inject the fault `opposite`."""
     for number in range(4):
         day.submit(job(f"run-l{number}", heads=30, trek_s=9.0, crew=("blue", "red")[number % 2]))
     opposite(25, "hold")(day)
@@ -344,7 +344,7 @@
 
 
 def cancellations_in_an_outage(day: Day) -> None:
-    """Confirm cancellations, then cut all controllers off from the key-value store for longer than `cancel_s`."""
+    """Confirm cancellations, then cut all controllers off from the store for longer than `cancel_s`, the limit."""
     for number in range(3):
         assert day.cancel(f"run-a{number}") == "withdrawn"
     hold(day, from_store(day, HOSTS, "refuse"), 42)
@@ -379,9 +379,9 @@
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("older", [HOSTS[:1], HOSTS[1:], HOSTS[2:]], ids=["owner", "relays", "one_relay"])
 def test_beside_the_version_in_production(older: list[str], seed: int) -> None:
-    """A peer of the production version neither relays heartbeats nor accepts relayed ones.
+    """A peer that runs the version in production neither relays heartbeats nor accepts relayed ones.
 
-    The leader must transfer the shard to a peer that its workers report to.
+    A leader that lost the link to its workers must then transfer its shard to a peer that the workers report to.
     """
     day = cluster(seed, production_hosts=older)
 
@@ -393,7 +393,7 @@
     play(day, fault)
 
 
-# -- After the maximum relay time, the shard is transferred to a peer that its workers can reach
+# -- After the maximum time of relaying, a shard is transferred to a peer that its workers can reach
 
 
 def test_a_cut_that_lasts_transfers_the_shard_once() -> None:
@@ -402,12 +402,12 @@
     counts = play(day, lambda day: hold(day, from_workers(day, HOSTS[:1], "hold"), 60))
     assert counts.hand_overs == 1 and counts.relayed > 30 and counts.killed_by_lease == []
     assert day.run_until(lambda: day.controllers[HOSTS[0]][0].leadership_state.leaderships != {}, 60), (
-        "after the cut, its home controller leads the shard again"
+        "after the cut, the shard's home controller leads it again"
     )
 
 
 def test_shards_of_a_controller_without_workers_go_to_different_peers() -> None:
-    """A controller that leads two shards and loses its workers transfers them by load, so not both to one peer."""
+    """A controller that leads two shards and can't reach its workers transfers one shard to each of its two peers."""
     day = cluster(6, NO_RELAY_SERVES)
     day.restart(HOSTS[1], 30 * SECOND)
     assert day.run_until(
@@ -427,7 +427,7 @@
 def test_a_new_leader_whose_machines_have_yet_to_come_reaches_its_workers(fault: str, seed: int) -> None:
     """For some seconds after a takeover, workers report to the former leader, or it relays their heartbeats.
 
-    The new leader must not take this for a lost link to its workers.
+    The new leader must not conclude that its link to the workers is lost.
     """
     day = cluster(seed)
     host = pick(day)
@@ -473,7 +473,7 @@
 def tampering(change: Callable[[Day, Controller, ForwardedRequest], None]) -> Callable[[Day], Callable]:
     """Return a function that, for a `Day`, makes a hook for new controllers.
 
-    With the hook, a controller calls `change` after each forwarded request that it receives.
+    With the hook, `change` is called for each forwarded request that a controller receives.
     """
 
     def install(day: Day) -> Callable:
@@ -494,7 +494,7 @@
 def late_copies(day: Day, controller: Controller, message: ForwardedRequest) -> None:
     """Deliver a forwarded request three more times, each to a random controller: at once, within 3 s and within 30 s.
 
-    The copies are out of order, and their receivers may have become leaders of the shard since.
+    The copies arrive out of order. A receiver might have become the leader of the shard after the request was sent.
     """
     for delay in (0.0, day.random.uniform(0.1, 3), day.random.uniform(3, 30)):
         host = day.random.choice(HOSTS)
@@ -527,7 +527,7 @@
 def test_what_was_passed_on_once_is_not_passed_on_again(monkeypatch: pytest.MonkeyPatch) -> None:
     """A controller that receives a forwarded heartbeat for a shard that it does not lead answers 503.
 
-    This happens if the leader changed since the heartbeat was forwarded. The worker then sends another heartbeat.
+    This happens if the leader changed after the heartbeat was forwarded. After the 503, the worker sends another one.
     """
     day = cluster(2)
     day.run(5)
@@ -547,8 +547,8 @@
 def test_a_start_lost_with_its_relay_counts_until_a_later_heartbeat(monkeypatch: pytest.MonkeyPatch) -> None:
     """Forwarded responses are lost with a probability of 0.4, some of them with start commands.
 
-    A task whose start command was lost counts as started until a later heartbeat of its worker lacks the task. No task
-    may run twice, and all must run.
+    The leader treats a task whose start command was lost as started until a later heartbeat of the worker does not list
+    the task. No task may run twice, and all must run.
     """
     day = cluster(3)
     lost_responses = 0
@@ -623,7 +623,7 @@
 def test_an_unrecorded_controller_starts_nothing_and_keeps_what_runs() -> None:
     """A controller that reaches neither the key-value store nor its peers can't learn that it lost its shard.
 
-    In this mode (`unrecorded`), it must not start tasks, and must not stop those that run.
+    In this mode (`unrecorded`), the controller must not start tasks, and must not stop running ones.
     """
     day = cluster(7)
     host = HOSTS[0]
--- a/tests/test_connectivity_loopback.py
+++ b/tests/test_connectivity_loopback.py
@@ -20,14 +20,14 @@
 
 
 def between(day: ProxiedDay, host: str, others: list[str], outgoing: Fault, incoming: Fault) -> None:
-    """Set the fault for packets from the host to the others, and the fault for packets from the others to the host."""
+    """Set the fault of packets from the host to the others (`outgoing`) and of packets to the host (`incoming`)."""
     for other in others:
         day.world.set(host, other, outgoing, SECOND / 2)
         day.world.set(other, host, incoming, SECOND / 2)
 
 
 def heartbeats_dropped(day: ProxiedDay) -> None:
-    """Drop all packets from the workers to one controller: heartbeats, and responses to its direct commands."""
+    """Drop all packets from the workers to one controller: heartbeats, and responses to the controller's commands."""
     between(day, HOSTS[0], list(day.site.workers), Fault.PASS, Fault.DROP)
 
 
@@ -37,7 +37,7 @@
 
 
 def answers_dropped_and_state_delayed(day: ProxiedDay) -> None:
-    """Drop all packets from one controller to the workers, and delay those between another and the key-value store."""
+    """Drop all packets from one controller to the workers; delay those between another one and the key-value store."""
     between(day, HOSTS[0], list(day.site.workers), Fault.DROP, Fault.PASS)
     between(day, HOSTS[1], [f"state-{HOSTS[1]}"], Fault.DELAY, Fault.DELAY)
 
@@ -75,7 +75,7 @@
 
 
 def test_the_opposite_cut_is_relayed_over_real_sockets() -> None:
-    """The cut lasts longer than a worker's lease. If no heartbeats were relayed, workers would kill their tasks."""
+    """No worker kills a task although the cut outlasts a worker's lease, since heartbeats are relayed."""
     day = ProxiedDay(2, machines=6, capacity=0, operator=RELAYING)
     try:
         day.run(4)
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -1,4 +1,4 @@
-"""Leadership of shards: when a term can't be raised, the condition of writes, and the notifications of listeners."""
+"""Leadership of shards: terms that can't be raised, the condition of writes, and notifications of listeners."""
 
 import pytest
 
@@ -57,7 +57,7 @@
     day, controller = elected_controller()
     day.store.revision += 1
     record, _, lease = day.store.items["b/parts/0"]
-    # The change is not added to the store's log, so the controller's watch does not deliver it.
+    # Changes the value without an entry in the store's log, so the controller's watch does not deliver the change.
     day.store.items["b/parts/0"] = (record, day.store.revision, lease)
     with pytest.raises(LeadershipNotGainedError) as caught:
         raise_term(day, controller, 0)
@@ -92,4 +92,4 @@
     state.clear_lease()
     assert events == [("deposed", 0), ("elected", 0), ("deposed", 0)]
     assert state.lease is None and not state.leaderships and not state.within_grace()
-    day.run(0.1)  # lets the background tasks of the briefly led shard end
+    day.run(0.1)  # time for the background tasks of the shard, which was led only briefly, to end
--- a/tests/test_measurement.py
+++ b/tests/test_measurement.py
@@ -1,4 +1,4 @@
-"""The measurements of rebalancing and of half-open network cuts: their statistics, tables and reports."""
+"""Statistics, tables and reports of the tools that measure rebalancing and half-open network cuts."""
 
 import json
 import re
@@ -16,7 +16,7 @@
 
 
 def day_result(seed: int, on: bool, max_wait_ratio: float, problems: list[str] | None = None) -> DayResult:
-    """Return a result with rebalancing on or off; `max_wait_ratio` is the highest wait ratio of a team."""
+    """Return a result with rebalancing on or off. `max_wait_ratio`: the highest of the teams' wait ratios."""
     waits = [Wait("blue", 1.0, 2.0), Wait("red", 3.0, 4.0)]
     return DayResult(
         seed, on, 6, {"blue": 0.9, "red": max_wait_ratio}, 50.0, 3 * on, 12.0, 2, 400, problems or [], waits
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -1,4 +1,4 @@
-"""Quota arithmetic and the stored form of allocations."""
+"""Arithmetic on quotas, and how allocations of quota to shards are stored."""
 
 from badgerroute.coordination.quotas.quota_allocation import QuotaAllocation, TeamAllocations, available_part
 from badgerroute.scheduling.resources import Resources
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -1,4 +1,4 @@
-"""Unit tests of rebalancing: its settings, the fleet view, the scheduling guidance, moves of tasks, and drains."""
+"""Unit tests of rebalancing: settings, the view of all shards, scheduling guidance, moves of tasks, and drains."""
 
 import subprocess
 import sys
@@ -72,7 +72,7 @@
     ("text", "complaint"),
     [
         ('{"rebalancing": {"window_s": 1}}', "rebalancing.window_s"),
-        ('{"rebalancing": [{"stale_s": 2}]}', None),  # a block may also be a list with one element
+        ('{"rebalancing": [{"stale_s": 2}]}', None),  # a block in a list of one element is read as well
         ('{"rebalancing": {', "not HCL"),
         ("[]", "top level"),
     ],
@@ -95,7 +95,7 @@
     subprocess.run([sys.executable, "-c", code], cwd=ROOT, check=True)
 
 
-# -- waiting times and the fleet view
+# -- waiting times and the fleet view, which combines the load reports of all shards
 
 
 def waiting_shard(**changes: object) -> tuple[Shard, Job]:
@@ -117,8 +117,8 @@
     assert view.teams["blue"].median / S == pytest.approx(3.0, rel=0.02)
     assert view.teams["blue"].tail / S == pytest.approx(5.0, rel=0.02)
     target.jobs.clear()
-    assert waits.snapshot(target, 14 * S), "the waits of placed tasks are kept within the window"
-    assert waits.snapshot(target, 40 * S) == [], "but not after it"
+    assert waits.snapshot(target, 14 * S), "waits of placed tasks are reported within the window of 20 s"
+    assert waits.snapshot(target, 40 * S) == [], "waits of placed tasks are not reported after the window"
 
 
 def test_a_team_at_its_limit_waits_for_nobody_else() -> None:
@@ -168,7 +168,9 @@
     assert view.stale_shards == [2] and view.shards_without_load == [3]
     assert view.fleet.task_count == 20 and view.machines_by_load == [2] * 10
     assert view.wait_ratio("red", S / 2) == pytest.approx(9.0, rel=0.05)
-    assert view.wait_ratio("red", 20 * S) == 1.0, "both median waits are below the minimum"
+    assert view.wait_ratio("red", 20 * S) == 1.0, (
+        "the team's and the fleet's median waits both count as the minimum of 20 s"
+    )
     assert [view.shards[shard].median > 5 * S for shard in sorted(view.shards)] == [False, True]
     assert view.classes["red", "batch"].describe().startswith("waiting=0 median=9.")
     assert view.wait_ratio("nobody", S) == 1.0
@@ -194,11 +196,11 @@
 @pytest.mark.parametrize(
     ("fetches", "expected"),
     [
-        ([], 10.0),  # no measurements: the nominal rate of the machine type, 0.5 GB/s for an image of 5 GB
+        ([], 10.0),  # nothing measured: 5 GB at the nominal rate of the machine type, 0.5 GB/s
         ([20.0, 20.0], 10.0),  # fewer than three measurements are not used
         ([20.0] * 3, 20.0),
         ([20.0] * 3 + [10.0] * 40, 10.0),
-        ([1e9] * 9, 80.0),  # measured rates are limited to a factor of 8, since a heartbeat may be days late
+        ([1e9] * 9, 80.0),  # at most 8 times the nominal time, since a heartbeat might be days late
         ([0.001] * 9, 1.25),
     ],
 )
@@ -230,9 +232,9 @@
 @pytest.mark.parametrize(
     ("waiting", "expected"),
     [
-        (1, 5.0),  # at second 5, the first running task is expected to end in 5 s
-        (4, 9.0),  # the last of the four running tasks ends in 9 s
-        (5, None),  # more tasks wait than run there, so the estimate is FOREVER
+        (1, 5.0),  # one waiting task: at second 5, the first running task should end in 5 s
+        (4, 9.0),  # the fourth waiting task needs the last of four running tasks to end, in 9 s
+        (5, None),  # more tasks wait than run on the machine, so the estimate is FOREVER
     ],
 )
 def test_the_wait_beside_an_image_follows_what_runs_and_what_waits_there(waiting: int, expected: float | None) -> None:
@@ -241,7 +243,9 @@
         running(target, f"run-{number}", "host-0", since * S, estimate_s=10.0)
     job = add(target, submission("run-w", tasks=waiting, cpus=1.0))
     local_waits = LocalWaits(target, planner_of(target).run_time, 5 * S)
-    assert local_waits.expected_wait(job, 5 * S) is None, "no pass over the machines was completed yet"
+    assert local_waits.expected_wait(job, 5 * S) is None, (
+        "no pass over the machines is complete yet, so there are no estimates"
+    )
     assert local_waits.advance(5 * S, never)
     assert local_waits.expected_wait(job, 5 * S) == (FOREVER if expected is None else expected * S)
     assert local_waits.expected_wait(job, 11 * S) is None, "the estimates are too old"
@@ -265,9 +269,9 @@
 @pytest.mark.parametrize(
     ("held", "urgency", "first"),
     [
-        ((4, 2), (1.0, 1.0), "red"),  # the team that uses less comes first
+        ((4, 2), (1.0, 1.0), "red"),  # at equal urgency, the team that uses less comes first
         ((2, 4), (1.0, 1.0), "blue"),
-        ((4, 2), (4.0, 1.0), "blue"),  # unless the urgency of the other team, from its long waits, outweighs that
+        ((4, 2), (4.0, 1.0), "blue"),  # the team that uses more comes first if its urgency outweighs that
         ((2, 2), (1.0, 1.5), "red"),
     ],
 )
@@ -327,13 +331,13 @@
 @pytest.mark.parametrize(
     ("own", "others", "expected"),
     [
-        # (machines, waiting tasks) of the own shard and of the others; the expected victim and number of tasks
-        ((10, 0), [(10, 30), (10, 0)], (1, 10)),  # the fair share of a third of the machines
-        ((10, 0), [(10, 30), (10, 12)], (1, 14)),  # from the shard with the most waiting tasks per machine
+        # (machines, waiting tasks) of the own shard and of the others; expected shard to ask and number of tasks
+        ((10, 0), [(10, 30), (10, 0)], (1, 10)),  # the fair share of a shard with a third of the machines
+        ((10, 0), [(10, 30), (10, 12)], (1, 14)),  # requested from the shard with the most waiting tasks per machine
         ((5, 0), [(10, 30), (15, 0)], (1, 5)),  # the fair share is proportional to the number of machines
-        ((10, 6), [(10, 30), (10, 0)], None),  # at least half of the fair share, so no request
+        ((10, 6), [(10, 30), (10, 0)], None),  # at least half of its fair share waits here, so no request
         ((10, 5), [(10, 30), (10, 0)], (1, 6)),
-        ((10, 0), [(10, 3), (10, 0)], None),  # fewer than two tasks, not worth a write
+        ((10, 0), [(10, 3), (10, 0)], None),  # a request for fewer than two tasks is not worth a write to the store
         ((0, 0), [(10, 30)], None),
         ((10, 30), [(10, 0)], None),
     ],
@@ -347,7 +351,7 @@
 
 
 def test_after_one_request_nobody_asks_back() -> None:
-    """After a request was met, neither of the two shards requests tasks back from the other."""
+    """After one of two shards has received the requested tasks, neither requests tasks from the other."""
     for own_waiting in range(0, 40):
         for other_waiting in range(0, 40):
             own, other = summary_of(0, 7, {"red": own_waiting}), summary_of(1, 5, {"red": other_waiting})
@@ -372,7 +376,7 @@
 
 
 def crowded_shard() -> tuple[Shard, Job]:
-    """Return a shard in which only a move can start the urgent job soon, and the job whose tasks can be moved.
+    """Return a shard where the urgent job can start soon only if a task moves, and the job whose tasks can move.
 
     host-0 (zone a) is full of tasks with checkpoints, and host-1 (zone b) is empty. The urgent job must run in zone a.
     """
@@ -406,7 +410,7 @@
     assert move_planner(target).start_moves(10 * S, never) == 2
     assert [placement.grace for placement in stopping(target)] == [S, S]
     assert target.machines["host-0"].reserved_for == "run-u"
-    assert victim.no_return_until["host-0"] > 10 * S, "its tasks must not return to host-0 for a while"
+    assert victim.no_return_until["host-0"] > 10 * S, "the moved tasks must not return to host-0 for a while"
 
 
 def no_landing(target: Shard) -> None:
@@ -415,7 +419,7 @@
 
 
 def nearly_done(target: Shard) -> None:
-    """Let the running tasks be about to end: 307 of 300 estimated seconds have passed at second 10."""
+    """Let the running tasks be about to end: at second 10 they have run for 307 s, and the estimate was 300 s."""
     for placement in target.jobs["run-v"].placements.values():
         placement.running_since = -297 * S
 
@@ -426,7 +430,7 @@
 
 
 def equals(target: Shard) -> None:
-    """Give the waiting job the same priority as the running one, so that it may not preempt."""
+    """Give the waiting job the same priority as the running one, so that it is not allowed to preempt it."""
     del target.jobs["run-u"]
     add(target, urgent(priority=Priority.NORMAL))
 
@@ -448,7 +452,7 @@
 
 
 def dear_image(target: Shard) -> None:
-    """Make a restart elsewhere expensive: an image of 100 GB would have to be fetched there."""
+    """Make a restart on the other machine expensive: it would have to fetch an image of 100 GB."""
     target.machines["host-1"].fetched_images.clear()
     replace(target, image_gb=100.0)
 
@@ -483,10 +487,12 @@
         target.release(placement, 11 * S)
     target.machines["host-0"].reserved_for = None
     assert planner_of(target).fill_machine(target.machines["host-0"], 11 * S, never) == 1, (
-        "only the urgent task starts there; no moved task returns"
+        "only the urgent task starts on host-0; no moved task returns"
     )
     add(target, urgent(ref="run-u2"))
-    assert planner.start_moves(15 * S, never) == 0, "two more moves would exceed the limit of three per period"
+    assert planner.start_moves(15 * S, never) == 0, (
+        "after two moves, two more would exceed the limit of three per period"
+    )
     assert planner.start_moves(41 * S, never) == 2
     assert planner.ledger.total_moves == 4 and victim.no_return_until
 
@@ -497,18 +503,18 @@
 @pytest.mark.parametrize(
     ("changes", "ran_s", "time_left_s", "patient", "grace"),
     [
-        # The changes to the job, how long it has run (None: its image is still being fetched), the time left until the
-        # deadline, whether the drain is patient, and the expected grace period (None: not stopped). Times in seconds.
-        ({"estimate_s": 10.0}, 5, 8, True, None),  # expected to end before the deadline
-        # Would not end in time, so it saves a checkpoint at once.
+        # Changes to the job, how long its task has run (None: the image is still being fetched), time until the
+        # deadline, whether the drain is patient, expected grace period (None: the task is not stopped). In seconds.
+        ({"estimate_s": 10.0}, 5, 8, True, None),  # the task should end before the deadline
+        # The task would not end before the deadline, so it saves a checkpoint immediately.
         ({"estimate_s": 100.0, "checkpoint_s": 5.0, "save_s": 2.0}, 5, 60, True, 2.0),
-        # Without checkpoints it runs on, since it may end earlier than estimated, until 3 s before the deadline.
+        # A task without checkpoints runs until 3 s before the deadline, since it might end earlier than estimated.
         ({"estimate_s": 100.0}, 5, 60, True, None),
         ({"estimate_s": 100.0}, 5, 2, True, 0.0),
         ({"estimate_s": 100.0}, 5, 60, False, 0.0),  # not patient, as after a spot preemption notice: stopped at once
         ({"estimate_s": 10.0}, 5, 0, True, 0.0),  # the deadline has passed
         ({"kind": "group", "estimate_s": 100.0, "checkpoint_s": 5.0, "save_s": 2.0}, 5, 60, True, 2.0),
-        ({"estimate_s": 10.0, "image_gb": 5.0}, None, 30, True, None),  # 10 s for the fetch and 10 s for the run
+        ({"estimate_s": 10.0, "image_gb": 5.0}, None, 30, True, None),  # needs 10 s for the fetch and 10 s to run
         ({"estimate_s": 10.0, "image_gb": 5.0}, None, 15, True, 0.0),
         ({"estimate_s": 10.0, "image_gb": 5.0}, None, 30, False, 0.0),
     ],
--- a/tests/test_rebalancing_days.py
+++ b/tests/test_rebalancing_days.py
@@ -1,6 +1,6 @@
 """Rebalancing in simulated runs of a whole cluster, with failures of machines and controllers.
 
-Tests how long teams wait, the choice of machines for large images, moves of running tasks, and drains of machines.
+The tests cover how long teams wait, which machines run jobs with large images, moves of running tasks, and drains.
 """
 
 from collections.abc import Callable
@@ -21,7 +21,7 @@
 
 ON = OperatorSettings(rebalancing=Rebalancing())
 OFF = OperatorSettings()
-# The teams have no guarantees and no limits, so only the order among equal teams decides who is served.
+# No team has a guarantee or a limit, so the scheduling order alone decides which team's tasks start first.
 EQUALS = [Team("blue"), Team("red"), Team("green")]
 MAX_RATIO = 2.0  # maximum of a team's median wait, divided by the median wait of all tasks
 
@@ -32,7 +32,7 @@
 def hot_day(seed: int, operator: OperatorSettings, upgrade: bool = False) -> Day:
     """Run a cluster with 24 CPUs in which one team triples its load.
 
-    With `upgrade`, one of the controllers is of the version in production.
+    With `upgrade`, one of the controllers runs the version in production.
     """
     day = Day(seed, machines=6, capacity=0, cpus_per_machine=4.0, operator=operator, teams=EQUALS)
     if upgrade:
@@ -46,7 +46,7 @@
 
 
 def team_wait_ratios(day: Day) -> dict[str, float]:
-    """Return each team's median wait divided by that of the whole fleet."""
+    """Return each team's median wait divided by the median wait of all tasks."""
     return wait_ratios(day.rules.history.waits({ref: submitted["crew"] for ref, submitted in day.site.jobs.items()}))
 
 
@@ -64,7 +64,7 @@
 
 
 def test_an_older_version_beside_it_knows_nothing_of_it() -> None:
-    """A controller of the version in production neither sends nor reads load reports, and its shard works as before."""
+    """A controller of the version in production neither sends nor reads load reports; its shard works without them."""
     day = hot_day(4, ON, upgrade=True)
     assert day.production_hosts and day.rules.broken == [] and day.history_problems() == []
 
@@ -85,7 +85,7 @@
 
 @pytest.fixture(autouse=True)
 def record_rebalancers(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Collect all rebalancers that are created, so that tests can read their views of the fleet."""
+    """Collect all rebalancers that are created, so that tests can read what they know of the other shards."""
     real_attach = Rebalancer.attach
     created: list[Rebalancer] = []
 
@@ -126,7 +126,7 @@
 
 
 def test_a_large_image_wanted_everywhere_is_fetched_where_waiting_costs_more() -> None:
-    """One machine caches an image of 8 GB that 48 tasks need. Without measured waits, all would wait for it first."""
+    """48 tasks need an image of 8 GB that one machine caches. Without measured waits, all would wait for it."""
     day = Day(7, machines=6, capacity=0, operator=ON, teams=EQUALS)
     day.run(5)
     day.submit(job("run-first", heads=2, crew="red", brand="img-big", image_gb=8.0, trek_s=20.0))
@@ -134,7 +134,7 @@
     day.run(20)
     day.submit(job("run-many", heads=48, crew="red", brand="img-big", image_gb=8.0, trek_s=20.0))
     assert day.run_until(lambda: len(on_machines(day, "run-many")) >= 40, 12), (
-        "the tasks start all over the fleet without a long wait"
+        "most tasks start soon, on machines that have to fetch the image"
     )
     assert day.finish() == [] and day.rules.broken == [] and day.history_problems() == []
 
@@ -143,7 +143,7 @@
 
 
 def moving_day(seed: int, machines: int = 6) -> Day:
-    """Fill zone a with tasks that save checkpoints and may be moved, and leave zone b empty.
+    """Fill zone a with tasks that save checkpoints and can be moved, and leave zone b empty.
 
     The tests then submit an urgent job that must run in zone a.
     """
@@ -154,7 +154,7 @@
         saves = {"waypoint_s": 5.0, "pen_s": 1.0, "trek_s": 60.0}
         day.submit(job(f"run-v{shard}", heads=tasks // 3, crew="blue", pasture="a", **saves))
     assert day.run_until(lambda: len(day.rules.worker_by_task) == tasks, 30), "all CPUs of zone a are in use"
-    for shard in range(3):  # the workers check the submitted zone, which would forbid the moves
+    for shard in range(3):  # the workers would refuse tasks that are moved out of the zone that was submitted
         day.site.jobs[f"run-v{shard}"]["pasture"] = None
     widen(day)
     return day
@@ -190,7 +190,7 @@
 
 
 def end_at_the_halt(day: Day) -> None:
-    """Let running tasks finish at about the time when they receive the stop command."""
+    """Let running tasks complete at about the time when they receive the stop command of a move."""
     for worker in day.site.workers.values():
         for task in worker.tasks.values():
             if task.ref.startswith("run-v") and task.state == "running":
@@ -216,14 +216,14 @@
 
 
 def hang(day: Day) -> None:
-    """Let half of the workers be unresponsive for 20 s."""
+    """Let half of the workers be unresponsive for 20 s: they send and answer nothing."""
     for worker in list(day.site.workers.values())[::2]:
         worker.unresponsive = True
         day.loop.later(20 * SECOND, lambda worker=worker: setattr(worker, "unresponsive", False))
 
 
 def deafen(day: Day) -> None:
-    """Let half of the workers be unreachable for 25 s."""
+    """Let half of the workers receive neither responses nor commands for 25 s."""
     for worker in list(day.site.workers.values())[::2]:
         worker.unreachable = True
         day.loop.later(25 * SECOND, lambda worker=worker: setattr(worker, "unreachable", False))
@@ -270,12 +270,12 @@
 
 
 def ask_drain(day: Day, machine: str, within: float = 60.0, delete: bool = False) -> DrainOutcome:
-    """Request a drain of a machine, as the `drain` command does; `within` is the time to its deadline in seconds."""
+    """Request a drain of a machine, as the `drain` command does; `within`: seconds until the deadline of the drain."""
     return run_drain_request(day, lambda requests: requests.drain(machine, timedelta(seconds=within), delete))
 
 
 def run_drain_request(day: Day, start_request: Callable[[DrainRequests], object]) -> DrainOutcome:
-    """Run a request about a drain against the key-value store, and return its outcome."""
+    """Send a request to start or end a drain to the key-value store, and return its outcome."""
     state = KeyValueClient(day.loop, day.user, day.settings[HOSTS[0]].platform.endpoints.state, day.limits, 4)
     return day.loop.run(day.loop.spawn(start_request(DrainRequests(day.loop, state)), "operator"))
 
@@ -302,7 +302,7 @@
 
 
 def starts_on(day: Day, machine: str, since: timedelta) -> int:
-    """Return how many task runs began on a machine after `since`."""
+    """Return how many runs of tasks began on a machine after the time `since`."""
     return sum(run.machine == machine and run.began > since for runs in day.rules.history.runs.values() for run in runs)
 
 
@@ -322,7 +322,7 @@
     undrained_at = day.loop.now()
     day.submit(job("run-c", heads=60, crew="red", trek_s=5.0))
     assert day.run_until(lambda: starts_on(day, worker.name, undrained_at) > 0, 30), (
-        "after the drain, tasks start there again"
+        "after the drain, tasks start on the machine again"
     )
     assert day.finish(300) == [] and day.rules.broken == [] and day.history_problems() == []
 
@@ -377,14 +377,14 @@
     day.start(leader)
     day.run(15)
     assert starts_on(day, worker.name, asked_at + SECOND) == 0, (
-        "no task starts there, even after the crashed controller has restarted"
+        "no task starts on the drained machine, even after the crashed controller has restarted"
     )
     ask_undrain(day, worker.name)
     assert day.finish(300) == [] and day.rules.broken == [] and day.history_problems() == []
 
 
 def shards_of(day: Day, machine: str) -> list[int]:
-    """Return the shards that contain a machine in the view of their leaders."""
+    """Return the shards whose leaders count a machine among the machines of the shard."""
     return [
         number
         for controller, _ in day.controllers.values()
@@ -415,15 +415,15 @@
     day.run(25)
     assert machine not in [worker.name for worker in day.rules.worker_by_task.values()]
     assert {len(runs) for runs in day.rules.history.runs.values()} == {2}, (
-        "each task of the gang was started a second time"
+        "each task of the gang was started exactly twice, the second time because of the drain"
     )
     assert day.finish(300) == [] and day.rules.broken == [] and day.history_problems() == []
 
 
 def test_the_leader_that_drains_is_cut_off() -> None:
-    """The leader that drains a machine is cut off from the store and its peers, so it may not act after its lease.
+    """The leader that drains a machine is cut off from the store and its peers; it must not act after its lease.
 
-    The next leader finds the stored drain and completes it.
+    The next leader reads the drain from the key-value store and completes it.
     """
     day = busy_day(39, waypoint_s=5.0, pen_s=1.0)
     worker = busiest_worker(day)
@@ -468,12 +468,12 @@
 
 
 def breach_answers(history: History) -> None:
-    """Let the user receive a second, different final answer."""
+    """Let a user receive two different final answers about one job."""
     history.answered("run-a", "withdrawn", 70 * SECOND)
 
 
 def breach_late(history: History) -> None:
-    """Let a run begin after the user was told that the job is done."""
+    """Let a run of a task begin after the user was told that the job is done."""
     history.started("run-a/1", "host-2", 9, 80 * SECOND)
 
 
--- a/tests/test_rebalancing_loopback.py
+++ b/tests/test_rebalancing_loopback.py
@@ -20,7 +20,7 @@
 
 @pytest.mark.parametrize("on", [True, False], ids=["with", "without"])
 def test_no_team_waits_twice_as_long_as_the_fleet(on: bool) -> None:
-    """Rebalancing keeps the waits within the bound; the same load without rebalancing exceeds it."""
+    """With rebalancing, no team's wait ratio exceeds MAX_RATIO; without it, the same load exceeds the ratio."""
     operator = OperatorSettings(rebalancing=Rebalancing() if on else None)
     day = LoopbackDay(1, machines=6, capacity=0, cpus_per_machine=4.0, operator=operator, teams=EQUALS)
     try:
--- a/tests/test_written_names.py
+++ b/tests/test_written_names.py
@@ -1,7 +1,8 @@
 """Tests that the names in messages, stored records and settings files have not changed.
 
-The tables were recorded before classes and attributes in the code were renamed. The label that begins a row is the name
-at that time, and stays. The class or constant beside it may be renamed, but the rest of its row must not change.
+The tables were recorded before classes and attributes in the code were renamed. The label at the start of a row is the
+name at that time, and does not change. The class or constant that follows is allowed to be renamed, but the rest of the
+row must not change.
 """
 
 from enum import Enum
@@ -15,7 +16,7 @@
 from badgerroute.settings import operator, platform
 from badgerroute.storage import keys, records
 
-# Label, class, tag (the type name in the message), whether it is encoded as an array, field names in their order.
+# Label, class, tag (the type name in a message), whether the class is encoded as an array, field names in order.
 STRUCTS: list[tuple[str, type[Struct], str | None, bool, str]] = [
     (
         "protocol.cloud.MachineType",
@@ -163,7 +164,7 @@
     ("catalog.CatalogRecord", catalog.CatalogRecord, None, False, "types"),
 ]
 
-# Label, enum, values in their order.
+# Label, enum, values of the enum in their order.
 VALUES: list[tuple[str, type[Enum], str]] = [
     ("connectivity.modes.Mode", Mode, "serving recovering outage unrecorded unheard isolated"),
     ("storage.records.JobState", records.JobState, "active done withdrawn"),
