--- a/tests/test_pipeline_edges.py
+++ b/tests/test_pipeline_edges.py
@@ -39,9 +39,9 @@
 @pytest.mark.parametrize(
     ("announced", "refusals", "later", "changes", "value_bytes"),
     [
-        # no write exceeds the announced limits, so the store can't have refused it for its size
+        # writes never exceed the announced limits, so the store can't have refused this one for its size
         ((True, True), [(16, 9000)], 0, 16, 10000),
-        ((False, False), [(1, 300)], 0, 16, 10000),  # too small to be refused for its size
+        ((False, False), [(1, 300)], 0, 16, 10000),  # a transaction that is too small to be refused for its size
         ((False, False), [(2, 512)], 0, 16, 10000),
         ((False, False), [(8, 100)], 0, 4, 10000),
         ((False, False), [(1, 4000)], 0, 16, 2000),
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -192,7 +192,7 @@
 def test_jobs_that_wait_take_nothing_from_others() -> None:
     """Jobs with unfinished predecessors use no quota, and no machines are rented for them.
 
-    Urgent jobs with 1,200 processors in total wait for a predecessor; an idle job must still start at once.
+    Urgent jobs that ask for 1,200 processors in total wait for a predecessor. An idle job must still start immediately.
     """
     day = Day(seed=42, machines=3)
     day.run(5)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -113,7 +113,7 @@
 
 
 def test_a_summary_of_all_machines_fits_a_frame_of_every_version() -> None:
-    """A shard's summary for other shards stays below half of the frame size limit and counts all machines."""
+    """The summary of a shard, which peers receive, stays below half of the frame size limit and counts all machines."""
     sizes, costs = [], []
     for machines in (FEW, MANY):
         shard, planner = varied_shard(machines, jobs=machines)
@@ -207,7 +207,7 @@
 
 
 def rental_cost(machines: int) -> int:
-    """Return the number of function calls for planning rentals if half as many jobs as machines wait in a shard."""
+    """Return the number of function calls for planning rentals when half as many jobs wait as there are machines."""
     machine_type = MachineType("k8", 8.0, 0.0, 32.0, 10.0, 0.5, 1.0, 0.3, 20.0, ["a"])
     capacities = [FreeCapacity("k8", "a", False, 8.0, 0.0, 32.0, machines)]
     demands = [
@@ -265,7 +265,7 @@
 def test_takeover_and_restart_of_all(machines: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """No worker's lease expires during a failover of all shards to one controller and a restart of all controllers.
 
-    Nor may a controller treat any machine as unresponsive or unreachable meanwhile.
+    Meanwhile, controllers must not treat any machine as unresponsive or unreachable.
     """
     suspected_machines: list[str] = []
     monkeypatch.setattr(Fencing, "_delete_unresponsive", lambda self, machine: suspected_machines.append(machine.name))
