--- a/tests/standins/day.py
+++ b/tests/standins/day.py
@@ -138,9 +138,10 @@
     It runs three controllers against the stand-ins. Tests submit jobs, inject faults, advance the virtual time with
     `run` and read the violations that were found from `rules.broken`.
 
-    `capacity`: ordinary machines of a type that can be rented in a zone. `production_hosts`: hosts that run the version
-    in production instead of these sources. `later`: lower limits that the settings announce for the key-value store.
-    `sockets`: the limit on files that a controller has open. `tick`: how often a worker updates its tasks.
+    `capacity`: how many machines of each type, except spot machines, can be rented in each zone. `production_hosts`:
+    hosts that run the version in production instead of these sources. `later`: lower limits that the settings announce
+    for the key-value store. `sockets`: the limit on files that a controller has open. `tick`: how often a worker
+    updates its tasks.
     """
 
     def __init__(
@@ -401,7 +402,7 @@
         """Run until all accepted jobs have ended, for at most `limit` seconds; return the jobs that have not ended.
 
         Call it when all faults have been healed. A job for which no controller answers for 75 s then counts as
-        forgotten. No job may wait for 90 s while its team is below its limit and a machine that fits has room for it.
+        forgotten. A job must not wait for 90 s while its team is below its limit and a suitable machine has room.
         """
         self.starvation_watch.begin()
         last_answer_at = dict.fromkeys(self.accepted, self.loop.now())
--- a/tests/standins/history.py
+++ b/tests/standins/history.py
@@ -62,8 +62,8 @@
     def problems(self, expected: dict[str, int], gangs: Container[str] = ()) -> list[str]:
         """Return the violations. `expected`: the number of tasks of each accepted job that was not cancelled.
 
-        A task may be started again after it completed if its machine lost the result: workers keep the outputs, and
-        the second run ends at once. One completed task of a gang is enough, because the tasks of a gang complete
+        A completed task is allowed to start again if its machine lost the result: workers keep the outputs of tasks, so
+        the second run ends immediately. One completed task of a gang is enough, because the tasks of a gang complete
         together.
         """
         violations = []
--- a/tests/standins/key_value_store.py
+++ b/tests/standins/key_value_store.py
@@ -138,7 +138,7 @@
         self._refilled_at = self.loop.now()
 
     def _within_rate(self, changes: int) -> bool:
-        """Take tokens for a transaction; one with more changes than the bucket holds needs only a full bucket."""
+        """Take tokens for a transaction. The bucket holds one second's changes; a larger transaction needs it full."""
         if self.write_rps is None:
             return True
         elapsed_s = (self.loop.now() - self._refilled_at) / timedelta(seconds=1)
--- a/tests/standins/net.py
+++ b/tests/standins/net.py
@@ -154,7 +154,7 @@
                 pipe.release()
 
     def cut_one_way(self, source: str, target: str) -> None:
-        """Hold packets from `source` to `target` until the link heals. The other one works; new connections fail."""
+        """Hold packets from `source` to `target` until the link heals, but none in reverse; new connections fail."""
         self.one_way_cuts.add((source, target))
 
     def heal_one_way(self, source: str, target: str) -> None:
--- a/tests/standins/workers.py
+++ b/tests/standins/workers.py
@@ -176,7 +176,7 @@
     # -- tasks
 
     def execute(self, calls: list[dict]) -> None:
-        """Carry out commands. A command for another attempt than the one on this machine is ignored."""
+        """Carry out commands. Other than start, they are ignored unless they name the attempt on this machine."""
         for call in calls:
             ref, _, index = call["head"].rpartition("/")
             task = self.tasks.get(call["head"])
@@ -411,7 +411,7 @@
         return all(f"{ref}/{index}" in self.finished for index in range(self.jobs[ref]["heads"]))
 
     def cancelled_at(self, ref: str) -> timedelta | None:
-        """Return when the job, or one that it depends on, was first cancelled, or None."""
+        """Return when the job or one of its direct or indirect predecessors was first cancelled, or None."""
         stack, seen, times = [ref], {ref}, []
         while stack:
             current = stack.pop()
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -187,7 +187,7 @@
 
 @pytest.mark.parametrize("mode", Mode)
 def test_nothing_that_safety_bounds_is_unbounded(mode: Mode) -> None:
-    """In every mode, actions for a shard and deletions of machines end with the grace period or the lease."""
+    """In every mode, the grace period or the lease limits actions for a shard and deletions of machines."""
     bounded = {
         Action.ANSWER_HEARTBEAT: {Permission.WITHIN_GRACE},
         Action.START: {Permission.WITHIN_GRACE, Permission.REFUSED},
--- a/tests/test_connectivity_days.py
+++ b/tests/test_connectivity_days.py
@@ -407,7 +407,7 @@
 
 
 def test_shards_of_a_controller_without_workers_go_to_different_peers() -> None:
-    """A controller that leads two shards and can't reach its workers transfers one shard to each of its two peers."""
+    """A controller that leads two shards but can't reach workers transfers them by load, so not both to one peer."""
     day = cluster(6, NO_RELAY_SERVES)
     day.restart(HOSTS[1], 30 * SECOND)
     assert day.run_until(
@@ -471,7 +471,7 @@
 
 
 def tampering(change: Callable[[Day, Controller, ForwardedRequest], None]) -> Callable[[Day], Callable]:
-    """Return a function that, for a `Day`, makes a hook for new controllers.
+    """Return a function that takes a `Day` and returns a hook, which the day calls for each new controller.
 
     With the hook, `change` is called for each forwarded request that a controller receives.
     """
@@ -548,7 +548,7 @@
     """Forwarded responses are lost with a probability of 0.4, some of them with start commands.
 
     The leader treats a task whose start command was lost as started until a later heartbeat of the worker does not list
-    the task. No task may run twice, and all must run.
+    the task. Every task must run, and none must run twice.
     """
     day = cluster(3)
     lost_responses = 0
--- a/tests/test_rebalancing_days.py
+++ b/tests/test_rebalancing_days.py
@@ -254,7 +254,7 @@
 
 
 def test_two_shards_that_see_each_other_as_colder_do_not_pass_work_to_and_fro() -> None:
-    """Shards have free capacity for each other's tasks in turn. Only waiting tasks may be transferred between them."""
+    """Two shards have free capacity for each other's tasks in turn. Running tasks must not be transferred."""
     day = Day(9, machines=6, capacity=0, operator=ON, teams=EQUALS)
     day.run(5)
     for number in range(40):
