--- a/tests/standins/day.py
+++ b/tests/standins/day.py
@@ -139,9 +139,9 @@
     `run` and read the violations that were found from `rules.broken`.
 
     `capacity`: how many machines of each type, except spot machines, can be rented in each zone. `production_hosts`:
-    hosts that run the version in production instead of these sources. `later`: lower limits that the settings announce
-    for the key-value store. `sockets`: the limit on files that a controller has open. `tick`: how often a worker
-    updates its tasks.
+    hosts that run the version in production instead of these sources. `later`: limits to which the key-value store will
+    lower its present limits, as announced in the settings. `sockets`: the limit on files that a controller has open.
+    `tick`: how often a worker updates its tasks.
     """
 
     def __init__(
--- a/tests/standins/key_value_store.py
+++ b/tests/standins/key_value_store.py
@@ -34,7 +34,7 @@
         self.refused_hosts: set[str] = set()  # all requests from these hosts are answered 503
         self.hosts_without_watches: set[str] = set()  # watches of these hosts get no response; other requests do
         self.changed = Future()  # is set at the next change
-        self.late_write_probability = 0.0  # of applying a transaction late, so that its response is late as well
+        self.late_write_probability = 0.0  # that a transaction is applied late, which delays its response too
         self.late_write_delay_s = (2.0, 12.0)  # minimum and maximum delay of these transactions
         self.answers_to_drop = 0  # how many more transactions are applied while their responses are lost
         self.limits: StoreLimits | None = None
@@ -131,14 +131,17 @@
         return reply(200, {"rows": rows, "more": len(keys) > limit, "ledger": self.revision})
 
     def lower(self, limits: StoreLimits) -> None:
-        """Apply the announced lower limits (`limits.next`) from now on. Larger stored values stay readable."""
+        """Lower the limits to the announced ones (`limits.next`) from now on. Larger stored values stay readable."""
         later = limits.next
         self.limits = StoreLimits(later.rps or limits.rps, later.write_rps, later.value_kb, later.txn_ops)
         self.write_rps = self._tokens = later.write_rps
         self._refilled_at = self.loop.now()
 
     def _within_rate(self, changes: int) -> bool:
-        """Take tokens for a transaction. The bucket holds one second's changes; a larger transaction needs it full."""
+        """Take tokens for a transaction from a bucket, which holds the tokens for one second's changes.
+
+        A transaction with more changes than this needs a full bucket.
+        """
         if self.write_rps is None:
             return True
         elapsed_s = (self.loop.now() - self._refilled_at) / timedelta(seconds=1)
--- a/tests/standins/loads.py
+++ b/tests/standins/loads.py
@@ -3,7 +3,7 @@
 from tests.standins.day import Day, job
 
 ARRAY_PERIOD_S = 30  # time between two large arrays, which two other teams submit in turn
-TRIPLED_AFTER_S = 20  # afterwards, the team with the high load submits three times as many jobs
+TRIPLED_AFTER_S = 20  # after this time, the team with the high load submits three times as many jobs
 
 
 def hot_team(day: Day, seconds: int = 110, time_scale: float = 1.0, jobs: int = 4) -> None:
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -1,6 +1,6 @@
 """Unit tests of failure detection, connectivity modes, flap damping, relay routes, transfer targets and forwarding.
 
-Others check that code in the controllers asks `ActionPolicy` before each action, and never bypasses it.
+Other tests check that the code of the controllers does not bypass `ActionPolicy`, which decides on each action.
 """
 
 import ast
@@ -149,7 +149,9 @@
         ([(0, GOOD), (9, GOOD)], [SERVING, SERVING]),
         ([(0, WORKERS_UNREACHABLE), (5, GOOD), (8, GOOD), (9, GOOD)], [NO_WORKERS, *[RECOVERING] * 2, SERVING]),
         ([(0, STORE_UNREACHABLE), (1, GOOD), (5, GOOD)], [NO_STORE, RECOVERING, SERVING]),
-        ([(0, OUTAGE), (5, GOOD)], [Mode.OUTAGE, SERVING]),  # no RECOVERING: no peer can take over in an outage
+        # RECOVERING delays the return of shards that peers took over while a link was lost. In an outage, no peer
+        # reaches the store, so no peer takes over a shard. SERVING therefore follows without RECOVERING.
+        ([(0, OUTAGE), (5, GOOD)], [Mode.OUTAGE, SERVING]),
         ([(0, STORE_UNREACHABLE), (1, WORKERS_UNREACHABLE), (2, GOOD), (6, GOOD)],
          [NO_STORE, NO_WORKERS, RECOVERING, SERVING]),
         # The second loss within a few seconds doubles the time in RECOVERING.
@@ -187,7 +189,11 @@
 
 @pytest.mark.parametrize("mode", Mode)
 def test_nothing_that_safety_bounds_is_unbounded(mode: Mode) -> None:
-    """In every mode, the grace period or the lease limits actions for a shard and deletions of machines."""
+    """In every mode, the safety rules limit actions for a shard and deletions of machines.
+
+    Each of the actions for a shard is refused, or is allowed only during the grace period after leadership was last
+    confirmed. Deleting a machine is allowed only while the lease can't have expired since that confirmation.
+    """
     bounded = {
         Action.ANSWER_HEARTBEAT: {Permission.WITHIN_GRACE},
         Action.START: {Permission.WITHIN_GRACE, Permission.REFUSED},
@@ -241,7 +247,7 @@
 
 
 def test_no_action_goes_round_the_policy() -> None:
-    """Only the action policy checks the grace period and the lease, and each action of `Action` is used somewhere."""
+    """Only the action policy checks the grace period and the lease. The controllers use every member of `Action`."""
     policy, state = "coordination/leadership/action_policy.py", "coordination/leadership/leadership_state.py"
     checks = attribute_uses({"within_grace", "lease_surely_valid", "may_lead"})
     assert set().union(*checks.values()) <= {policy, state}
@@ -263,7 +269,7 @@
     assert link.lost and link.lost_for(3 * SECOND) == 2 * SECOND
     assert link.machines_by_peer(0, 2 * SECOND) == {"b": 1, "c": 1}
     assert not link.shard_suspected(0, 8, SECOND, unrelayed_only=True) and link.shard_suspected(0, 8, SECOND)
-    assert link.machines_by_peer(0, 9 * SECOND) == {}, "records of heartbeats at peers expire"
+    assert link.machines_by_peer(0, 9 * SECOND) == {}, "records of the heartbeats that peers received expire"
     link.update({0: 0}, 9 * SECOND)
     assert not link.lost
 
@@ -283,7 +289,7 @@
     report_to_peer(3 * SECOND)
     assert not link.lost, "after a response, the link counts as up until its probation ends"
     report_to_peer(2 * SECOND + PROBATION)
-    assert link.lost, "the probation is over, and the machines still report to a peer"
+    assert link.lost, "the link is lost again: after its probation, the machines still report to a peer"
     link.update({}, 20 * SECOND)
     assert link.lost, "a controller without shards gets no heartbeats that could show that the link works again"
 
@@ -305,8 +311,8 @@
         # redirected again after a delay, which doubles each time.
         [(0, False, False, REDIRECT), (6, False, True, RELAY), (15, False, True, RELAY), (16, False, True, REDIRECT),
          (22, False, True, RELAY), (41, False, True, RELAY), (42, False, True, REDIRECT)],
-        # A machine that comes back only after this window might have reached its leader before, so it is redirected
-        # immediately.
+        # A machine that comes back only after REDIRECT_FAILURE_WINDOW might have reached its leader in the meantime, so
+        # it is redirected immediately.
         [(0, False, False, REDIRECT), (REDIRECT_FAILURE_WINDOW / SECOND, False, False, REDIRECT)],
         # Once workers can reach the leader again, redirects are spread over 4 s. In the middle of this period, either
         # route is right. The machine comes back 5 s after its redirect, so it can't reach the leader yet.
--- a/tests/test_connectivity_days.py
+++ b/tests/test_connectivity_days.py
@@ -86,7 +86,7 @@
 
 
 def test_damping_delays_the_return_of_a_shard_more_from_cut_to_cut() -> None:
-    """Without relays, each cut moves the shard to a peer. Its return takes longer with each cut, but at most 90 s."""
+    """Without relays, each cut moves the shard to a peer. The shard returns later after each cut, but within 90 s."""
     day = cluster(3, OperatorSettings())
     day.run(5)
     host = HOSTS[0]
@@ -407,7 +407,10 @@
 
 
 def test_shards_of_a_controller_without_workers_go_to_different_peers() -> None:
-    """A controller that leads two shards but can't reach workers transfers them by load, so not both to one peer."""
+    """A controller that leads two shards but can't reach workers does not transfer both to the same peer.
+
+    Peers that lead fewer machines are preferred, so a peer that leads no shard must get one.
+    """
     day = cluster(6, NO_RELAY_SERVES)
     day.restart(HOSTS[1], 30 * SECOND)
     assert day.run_until(
@@ -425,7 +428,7 @@
 @pytest.mark.parametrize("seed", [*SEEDS, 3])
 @pytest.mark.parametrize("fault", ["refused", "crashed", "frozen"])
 def test_a_new_leader_whose_machines_have_yet_to_come_reaches_its_workers(fault: str, seed: int) -> None:
-    """For some seconds after a takeover, workers report to the former leader, or it relays their heartbeats.
+    """For some seconds after a takeover, workers still send heartbeats to the former leader, which may relay them.
 
     The new leader must not conclude that its link to the workers is lost.
     """
--- a/tests/test_connectivity_loopback.py
+++ b/tests/test_connectivity_loopback.py
@@ -37,7 +37,7 @@
 
 
 def answers_dropped_and_state_delayed(day: ProxiedDay) -> None:
-    """Drop all packets from one controller to the workers; delay those between another one and the key-value store."""
+    """Drop all packets from one controller to the workers; delay those between another controller and the store."""
     between(day, HOSTS[0], list(day.site.workers), Fault.DROP, Fault.PASS)
     between(day, HOSTS[1], [f"state-{HOSTS[1]}"], Fault.DELAY, Fault.DELAY)
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -54,7 +54,7 @@
 
 
 def shard(machines: int = 2, share: float = 100.0, term: int = 7) -> Shard:
-    """Return a reconciled shard of machines alternately in zones a and b; each team may use `share` processors."""
+    """Return a reconciled shard with machines alternately in zones a and b; each team may use `share` processors."""
     new_shard = Shard(0, term, lambda team: (share, 0.0), timedelta(0))
     for number in range(machines):
         record = MachineRecord(0, "m:1", "k8", "ab"[number % 2], False)
@@ -113,7 +113,8 @@
         ("nowhere", 0, 5.0, delay_scheduling.LocalityLevel.ANY),  # no machine caches the image, so waiting is of no use
         ("a", 0, 50.0, delay_scheduling.LocalityLevel.CACHED),
         ("a", 9, 50.0, delay_scheduling.LocalityLevel.CACHED),
-        # a job that has waited for at least tau * p may use any machine in the zone where its image is cached
+        # after a wait of at least tau * p (the setting `tau` times the job's run time: 10 s here), a job may use any
+        # machine in the zone where its image is cached
         ("a", 10, 50.0, delay_scheduling.LocalityLevel.ZONE),
         ("a", 20, 50.0, delay_scheduling.LocalityLevel.ANY),  # after at least 2 * tau * p, any machine
         ("a", 6, 2.5, delay_scheduling.LocalityLevel.ANY),  # a job never waits for longer than the fetch takes, 5 s
@@ -206,7 +207,10 @@
     ],
 )
 def test_preemption(victim: Priority, guaranteed: bool, stopped: bool) -> None:
-    """A gang preempts tasks of lower priority, and of equal priority if its team's guarantee covers the gang."""
+    """A gang preempts tasks of lower priority. It preempts tasks of equal priority only in one case.
+
+    In this case, the gang is within the guarantee of its team, and the running task is not.
+    """
     target = shard(1)
     machine = target.machines["host-0"]
     running = add(target, submission("run-v", team="red", priority=victim, tasks=1, cpus=8.0))
@@ -296,7 +300,7 @@
 @pytest.mark.parametrize(
     ("shards", "expected"),
     [
-        ([(4, [], 0), (4, [], 0), (4, [], 0)], 2),  # no machine caches the image: its hash selects the shard
+        ([(4, [], 0), (4, [], 0), (4, [], 0)], 2),  # no machine caches the image: the image's hash selects the shard
         ([(9, [], 0), (4, [], 0), (4, [], 0)], 2),  # that shard is selected although another one has more free machines
         ([(0, [], 0), (0, [], 0), (0, [], 0)], 2),  # it is also selected if no shard has a free machine yet
         ([(9, [], 0), (4, [], 0), (1, [], 0)], 0),  # it is not selected if the gang does not fit in it
@@ -345,7 +349,7 @@
         ({"a": (10, 10, [20])}, {"a": 0}),
         # not all three jobs can be in time: the one with the most work is late
         ({"a": (80, 10, [15]), "b": (100, 10, [20]), "c": (60, 10, [18])}, {"a": 0, "b": 1, "c": 0}),
-        # its shortest possible duration, with any number of processors, exceeds the time until it is due
+        # the job's shortest possible duration, with any number of processors, exceeds the time until it is due
         ({"a": (10, 30, [20])}, {"a": 1}),
         # b misses its first due time, but not the second
         ({"a": (100, 10, [12, 21]), "b": (110, 10, [12, 22])}, {"a": 0, "b": 1}),
@@ -375,7 +379,7 @@
 
 @pytest.mark.parametrize(("tier", "first"), [(1, "run-near"), (-1, "run-far")])
 def test_late_jobs_come_last_unless_they_have_waited_too_long(tier: int, first: str) -> None:
-    """A job with a higher lateness tier than another job (it misses more due times) is placed after that job.
+    """A job that misses more due times than another has a higher lateness tier and is placed after it.
 
     A job that has waited too long gets a tier below 0 and is placed first.
     """
@@ -521,7 +525,7 @@
 @pytest.mark.parametrize(
     ("sequence", "periodic", "task", "commands"),
     [
-        (2, False, ALONE, []),  # this message may have been sent before the worker received the start command
+        (2, False, ALONE, []),  # this message might have been sent before the worker received the start command
         (2, True, ALONE, ["clear", "start"]),  # the start command was lost, or the restarted task has timed out again
         (2, True, TaskStatus("run-g/0", 99, "waiting"), []),
         (1, True, ALONE, []),
@@ -611,7 +615,7 @@
     [
         (10, True, 20, 22, True),
         (10, True, 20, 20, False),
-        # a former leader may have renewed the machine's lease until that leader's grace period of 20 s ended
+        # a former leader might have renewed the machine's lease until that leader's grace period of 20 s ended
         (None, False, 20, 30, False),
         (None, False, 20, 32, True),
         # a response of this leader renewed the machine's lease, although the machine was not fenced yet
@@ -630,12 +634,12 @@
 @pytest.mark.parametrize(
     ("events", "drained", "failing"),
     [
-        # both jobs could be at fault: they might fail on any other machine too
+        # both jobs could be at fault: each might fail on any other machine too
         (["0 run-1 error", "0 run-2 error"], set(), False),
         # the three jobs have failed on host-0 only, so host-0 is at fault
         (["0 run-1 error", "0 run-2 error", "5", "0 run-3 error"], {"host-0"}, False),
         (["0 run-1 error", "0 run-2 error", "1 run-1 error", "1 run-2 error", "5", "0 run-3 error"], set(), False),
-        # run-1 has not run on another machine yet, so it may be at fault itself
+        # run-1 has not run on another machine yet, so it might be at fault itself
         (["0 run-1 error", "0 run-1 error", "0 run-1 error"], set(), False),
         # run-1 succeeded on host-1, so host-0 is at fault
         (["0 run-1 error", "0 run-1 error", "0 run-1 error", "1 run-1 done"], {"host-0"}, False),
@@ -652,8 +656,8 @@
 def test_sick_machines_and_failing_jobs(events: list[str], drained: set[str], failing: bool) -> None:
     """A job that fails on several machines is marked as failing; a machine that causes failures is quarantined.
 
-    An event is either a number of seconds that pass, or a host's number, a job and the cause with which a task of the
-    job exits on this host.
+    An event is a number of seconds that pass, or else a tuple: a host's number, a job, and the cause with which a task
+    of the job exits on this host.
     """
     target = shard(4)
     now = S
@@ -730,7 +734,7 @@
 @pytest.mark.parametrize(
     ("heartbeats", "unreachable"),
     [
-        ([(2, 1, [])], False),  # one missing start is not enough: a single response may be lost by chance
+        ([(2, 1, [])], False),  # one missing start is not enough: a single response might be lost by chance
         ([(2, 1, []), (3, 1, [])], True),  # two start commands in a row did not arrive
         ([(2, 1, []), (3, 1, [RUNNING])], False),
         # a new incarnation: the machine's lease expired although the controller had just responded to it
@@ -787,8 +791,8 @@
     [
         ((1, 2, 3, 4), 1),  # a heartbeat each second, so the run time is known
         ((1, 2, 30, 31), 1),  # the gap is in the middle of the run: the start and the end of the run were seen in time
-        ((1, 2, 3, 30), 0),  # the task may have ended at any time in the gap
-        ((1, 20, 21, 22), 0),  # the task may have started at any time in the gap
+        ((1, 2, 3, 30), 0),  # the task might have ended at any time in the gap
+        ((1, 20, 21, 22), 0),  # the task might have started at any time in the gap
     ],
 )
 def test_runs_across_a_silence(times: tuple[int, ...], learned: int) -> None:
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -248,7 +248,7 @@
 
 
 def late_copies(day: Day) -> None:
-    """Old heartbeats are delivered again: before and after all controllers restart, and from deleted machines.
+    """Old heartbeats, also of deleted machines, are delivered again before and after all controllers restart.
 
     After the restart, the controllers no longer know which sequence numbers they have already received.
     """
@@ -327,7 +327,7 @@
 
 
 def frozen(seconds: float, hosts: int = 1) -> Callable[[Day], None]:
-    """Pause the processes of `hosts` controllers while their clocks run on. They then continue where they stopped."""
+    """Pause the processes of `hosts` controllers while their clocks run on. Then let the processes continue."""
 
     def fault(day: Day) -> None:
         for host in day.random.sample(HOSTS, hosts):
@@ -755,7 +755,7 @@
         day.run(2)
     started_tasks = [name for name in (*day.site.finished, *day.rules.worker_by_task) if name.startswith("run-big/")]
     assert (len(started_tasks) >= 48) is starts, (
-        "all 48 tasks that fit in the cluster, one for each CPU, must have started only if the job is old enough"
+        "all 48 tasks that fit in the cluster (one for each CPU) must start if the job is old enough, but not otherwise"
     )
     assert day.rules.broken == []
 
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -238,7 +238,7 @@
         await stream.write(data)
         await day.loop.sleep(60 * SECOND)
 
-    for number in range(700):  # more connections than a controller may have open files, which is 600
+    for number in range(700):  # exceeds the limit on a controller's open files, 600
         day.group.spawn(hold(b"POST /v1/jobs HTTP/1.1\r\nContent-Length: 50\r\n" if number % 2 else b""), "hold")
     day.run(8)
     assert day.ask("GET", "/up", host="drover-0").status == 200
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,6 +1,6 @@
 """Tests of shards whose leader changes, and of costs that grow with the fleet: sockets, tombstones, computing time.
 
-Most run a day: a simulated run of a whole cluster in virtual time.
+Most tests run a day: a simulated run of a whole cluster in virtual time.
 """
 
 import gc
@@ -253,7 +253,7 @@
     pages = {key: value[0] for key, value in day.store.items.items() if key.startswith("b/gone/0/")}
     kept = {name for page in pages.values() for name in page["names"]}
     assert len(kept) >= min(deleted, 2 * members), (
-        "all names must be kept, or at least twice as many as the shard has machines"
+        "at least twice as many names as the shard has machines must be kept, or all names if there are fewer"
     )
     assert set(names[-2 * members :]) <= kept, "the names of the machines that were deleted last must be kept"
     assert len(kept) <= max(40, 2 * members + 10) + 16, "the number of stored names must be bounded"
@@ -360,7 +360,7 @@
             job("run-n2", gait="group", heads=41),
             422,
             503,
-        ),  # exceeds its team's limit, which controllers can't read during an outage
+        ),  # the gang exceeds its team's limit, which controllers can't read during an outage
         ("/v1/jobs", job("run-n3", cpus=9.0), 422, 503),
         ("/v1/jobs", job("run-n4", crew="nobody"), 422, 503),
         ("/v1/jobs", job("run-n5"), 201, 503),
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -1,4 +1,4 @@
-"""Leadership of shards: terms that can't be raised, the condition of writes, and notifications of listeners."""
+"""Leadership of shards: terms that can't be raised, the condition of a leader's writes, notifications of changes."""
 
 import pytest
 
--- a/tests/test_left_waiting.py
+++ b/tests/test_left_waiting.py
@@ -1,7 +1,7 @@
 """Tests that no task keeps waiting while a machine has room for it, and tests of failures that were found in
 code reviews.
 
-Most run a day: a simulated run of a whole cluster in virtual time.
+Most tests run a day: a simulated run of a whole cluster in virtual time.
 """
 
 import json
@@ -32,7 +32,7 @@
 
 
 def decoy(day: Day, shards: dict[str, int]) -> list[dict]:
-    """Return a large job that waits for a full zone, and a job in another shard that may run in the other zone.
+    """Return a large job that waits for room in a full zone, and another shard's job, which may use the other zone.
 
     Guards against a former fault: idle shards requested work only from the shard of the large job, and so never got
     tasks of the other job.
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -228,8 +228,8 @@
 def test_a_long_outage_takes_no_node_from_the_load_balancer() -> None:
     """All controllers stay available to users during an outage of the key-value store.
 
-    Excluding controllers would be of no use: none could serve users better during the outage, and the load balancer
-    would exclude them for longer than the outage lasts.
+    Excluding a controller would be of no use: no other controller could serve users better during the outage, and the
+    load balancer would exclude the controller for longer than the outage lasts.
     """
     day = Day(seed=24)
     day.run(5)
@@ -345,7 +345,7 @@
 
 
 def far_ends(day: Day) -> Iterator[float]:
-    """Small jobs run while every leader restarts. Two tasks of the same job can end up to 29 s apart."""
+    """Small jobs run while every leader restarts. Two tasks of the same job can have end times up to 29 s apart."""
     number_of_job = {f"run-f{number}": number for number in range(6)}
     original_run_time = day.site.run_time
     day.site.run_time = lambda ref: (
--- a/tests/test_pipeline_edges.py
+++ b/tests/test_pipeline_edges.py
@@ -24,7 +24,7 @@
 from tests.standins.day import HOSTS, SECOND, Day, job
 
 CANCEL = 36  # seconds after a confirmed cancellation within which all tasks and dependents must be cancelled
-# The lower limits that the settings announce for the key-value store.
+# Limits to which the key-value store will lower its present limits later, as announced in the settings.
 LOWER = LaterStoreLimits(write_rps=21.0, value_kb=2.0, txn_ops=5)
 
 
@@ -182,7 +182,7 @@
 
 
 def test_a_list_beyond_any_bound_is_refused_with_the_reason() -> None:
-    """The refusal of a submission with too many predecessors names the limit; with exactly that many it is accepted."""
+    """The refusal of a submission with too many predecessors names the limit; one at the limit is accepted."""
     day = Day(seed=75, later=LOWER)
     day.run(5)
     refs = finished(day, 460)
@@ -299,7 +299,7 @@
 
 
 def test_tasks_of_jobs_that_certainly_wait_are_strays() -> None:
-    """A running task is orphaned, and is stopped, if its job can't have been released, whoever started the task."""
+    """A running task is orphaned and will be stopped if its job can't have been released, whoever started the task."""
     day = Day(seed=80)
     day.run(5)
     day.submit(job("run-a", heads=1, trek_s=30.0))
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -83,7 +83,7 @@
 
 
 def test_the_last_predecessor_starts_the_clock() -> None:
-    """A job counts as waiting from the time when the last of its predecessors was done, in any order of reports."""
+    """A job counts as waiting from when the last of its predecessors was done, whatever the order of the reports."""
     graph = Graph()
     graph.graph.add("c", "ab")
     graph.end("b", "done", 50.0)
@@ -202,7 +202,9 @@
     day.submit(job("run-other", heads=10, rank="idle", trek_s=2.0))
     machines_before = len(day.site.workers) + len(day.site.booting)
     assert day.run_until(lambda: day.poll("run-other") == "done", 25)
-    assert len(day.site.workers) + len(day.site.booting) <= machines_before + 2, "two spot machines at most"
+    assert len(day.site.workers) + len(day.site.booting) <= machines_before + 2, (
+        "no more than two spot machines may be added"
+    )
     day.cancel("run-first")
     assert day.finish() == []
     assert day.rules.broken == []
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -72,7 +72,7 @@
     ("text", "complaint"),
     [
         ('{"rebalancing": {"window_s": 1}}', "rebalancing.window_s"),
-        ('{"rebalancing": [{"stale_s": 2}]}', None),  # a block in a list of one element is read as well
+        ('{"rebalancing": [{"stale_s": 2}]}', None),  # a list with one block is read like the block itself
         ('{"rebalancing": {', "not HCL"),
         ("[]", "top level"),
     ],
@@ -200,7 +200,7 @@
         ([20.0, 20.0], 10.0),  # fewer than three measurements are not used
         ([20.0] * 3, 20.0),
         ([20.0] * 3 + [10.0] * 40, 10.0),
-        ([1e9] * 9, 80.0),  # at most 8 times the nominal time, since a heartbeat might be days late
+        ([1e9] * 9, 80.0),  # at most 8 times the nominal time: a late heartbeat can make a fetch seem to take days
         ([0.001] * 9, 1.25),
     ],
 )
@@ -233,7 +233,7 @@
     ("waiting", "expected"),
     [
         (1, 5.0),  # one waiting task: at second 5, the first running task should end in 5 s
-        (4, 9.0),  # the fourth waiting task needs the last of four running tasks to end, in 9 s
+        (4, 9.0),  # the fourth waiting task needs the last of four running tasks to end, which should happen in 9 s
         (5, None),  # more tasks wait than run on the machine, so the estimate is FOREVER
     ],
 )
@@ -430,7 +430,7 @@
 
 
 def equals(target: Shard) -> None:
-    """Give the waiting job the same priority as the running one, so that it is not allowed to preempt it."""
+    """Give the waiting job the same priority as the running one, which it is then not allowed to preempt."""
     del target.jobs["run-u"]
     add(target, urgent(priority=Priority.NORMAL))
 
--- a/tests/test_rebalancing_days.py
+++ b/tests/test_rebalancing_days.py
@@ -154,7 +154,7 @@
         saves = {"waypoint_s": 5.0, "pen_s": 1.0, "trek_s": 60.0}
         day.submit(job(f"run-v{shard}", heads=tasks // 3, crew="blue", pasture="a", **saves))
     assert day.run_until(lambda: len(day.rules.worker_by_task) == tasks, 30), "all CPUs of zone a are in use"
-    for shard in range(3):  # the workers would refuse tasks that are moved out of the zone that was submitted
+    for shard in range(3):  # otherwise, the workers would refuse tasks in zones other than the submitted one
         day.site.jobs[f"run-v{shard}"]["pasture"] = None
     widen(day)
     return day
@@ -254,7 +254,7 @@
 
 
 def test_two_shards_that_see_each_other_as_colder_do_not_pass_work_to_and_fro() -> None:
-    """Two shards have free capacity for each other's tasks in turn. Running tasks must not be transferred."""
+    """Two shards take turns in having free capacity for the other's tasks. Running tasks must not be transferred."""
     day = Day(9, machines=6, capacity=0, operator=ON, teams=EQUALS)
     day.run(5)
     for number in range(40):
@@ -421,7 +421,9 @@
 
 
 def test_the_leader_that_drains_is_cut_off() -> None:
-    """The leader that drains a machine is cut off from the store and its peers; it must not act after its lease.
+    """The leader that drains a machine is cut off from the store and its peers.
+
+    This leader must not act once its lease has expired.
 
     The next leader reads the drain from the key-value store and completes it.
     """
@@ -504,7 +506,7 @@
 def test_the_history_checker_catches_a_leader_that_does_not_wait_for_confirmation(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A stopped task is started elsewhere at once, while its machine is still saving its checkpoint."""
+    """The checker must detect that a stopped task starts elsewhere while its machine still saves its checkpoint."""
     from badgerroute.scheduling.shard import Shard
 
     real_stop = Shard.stop
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -193,7 +193,7 @@
 
 
 def test_what_is_told_of_waits_does_not_grow_with_the_fleet() -> None:
-    """A shard's message with waiting times and loads does not double in size when machines and jobs quadruple."""
+    """A shard's message with waits and loads does not double in size with four times as many machines and jobs."""
     sizes = []
     for machines in (FEW, MANY):
         shard, _ = varied_shard(machines, jobs=machines)
@@ -219,7 +219,7 @@
     def plan() -> None:
         wanted = ScaleOutPlan({"k8": machine_type}, [Team("blue")], lambda place: True, 50).machines_wanted(shards, [])
         assert sum(wanted.values()) == 50, (
-            "20 tasks wait for every two free machines of 8 CPUs, more than fit; 50 machines is the limit on rentals"
+            "for every two free machines of 8 CPUs, 20 tasks wait, which do not all fit; the plan may rent 50 at most"
         )
 
     return calls_in(plan)
@@ -302,13 +302,18 @@
 
 
 def test_judging_silence_looks_at_each_machine_once_in_seconds() -> None:
-    """Counting the machines with overdue heartbeats visits each machine once; at 4,000, the count is cached for 2 s."""
+    """Counting the machines with overdue heartbeats visits each machine of the shard once.
+
+    The leader caches the count for a time that is proportional to the number of machines: 2 s for 4,000 machines.
+    """
     costs = []
     for machines in (FEW, MANY):
         shard, _ = busy_shard(machines)
         costs.append(calls_in(lambda shard=shard: count_overdue(shard, SECOND, 0 * SECOND, 2 * SECOND)))
     assert costs[1] < 5 * costs[0]
-    assert RENEWAL_AGE_PER_MACHINE * MANY == 2 * SECOND, "the leader of a shard caches the count for 2 s"
+    assert RENEWAL_AGE_PER_MACHINE * MANY == 2 * SECOND, (
+        "the leader of a shard with 4,000 machines caches the count for 2 s"
+    )
 
 
 def test_a_relayed_heartbeat_costs_the_same_at_any_size() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Rolling upgrades from the version in production, and the lower limits of the key-value store that apply afterwards.
+"""Rolling upgrades from the version in production, and limits that the key-value store lowers after an upgrade.
 
 Both versions run in one cluster and read each other's stored records and messages.
 """
@@ -26,7 +26,7 @@
 from tests.standins.day import HOSTS, SECOND, Day, job, settings_of
 from tests.standins.workers import MachineType
 
-# The lower limits that the settings announce for the key-value store.
+# Limits to which the key-value store will lower its present limits later, as announced in the settings.
 LATER = LaterStoreLimits(write_rps=28.0, value_kb=2.0, txn_ops=5)
 SAMPLES = json.loads((Path(__file__).parent / "data" / "production-samples.json").read_text())
 WRITTEN = json.loads((Path(__file__).parent / "data" / "written-samples.json").read_text())
@@ -214,7 +214,7 @@
     assert day.rules.broken == []
 
 
-# -- Lower limits of the key-value store
+# -- Lowered limits of the key-value store
 
 
 def record_of_old_version(tasks: int, missing: list[int], ranges: list[list[int]], types: list[str] | None) -> dict:
@@ -275,7 +275,10 @@
 
 
 def test_spilling_stops_anywhere_without_losing_a_task() -> None:
-    """Moving the list of done tasks from a record to pages loses none if writes fail, get lost or are applied late."""
+    """Moving the list of done tasks from a record to pages must not lose any task.
+
+    Meanwhile, writes fail, get lost or are applied late.
+    """
     day = Day(seed=62, machines=0, capacity=0, value_kb=16.0, later=LATER)
     missing = list(range(100, 40000, 400))
     day.store.revision = 1
