--- a/badgerroute/protocol/__init__.py
+++ b/badgerroute/protocol/__init__.py
@@ -1,6 +1,6 @@
-"""Messages on the wire, one module for each counterpart: the only place where the names used on the wire appear.
+"""Wire messages, one module per interface; the names used on the wire appear only here.
 
-Owns how every message is named, checked and encoded; `field(name=...)` gives a field's name on the wire where it is not
-the one in the code. Holds no state and knows no keys. Imports no other package. Docstrings name the sections of
-PROTOCOL-badgerroute.md.
+Defines the name, validation and encoding of every message. `field(name=...)` gives a field's name on the wire where it
+differs from the name in the code. The package holds no state, knows no keys of the key-value store and imports no other
+package. The docstrings refer to sections of PROTOCOL-badgerroute.md.
 """
--- a/badgerroute/protocol/cloud.py
+++ b/badgerroute/protocol/cloud.py
@@ -1,4 +1,4 @@
-"""Controllers -> cloud: PROTOCOL, "Controller nodes -> cloud"."""
+"""Messages from controllers to the cloud: PROTOCOL, "Controller nodes -> cloud"."""
 
 from typing import Annotated, Literal
 
@@ -9,7 +9,11 @@
 
 
 class MachineType(Struct, frozen=True):
-    """A type of machine that can be rented (GET /catalog). Prices are per hour; `fetch_gb_per_s` is for images."""
+    """A type of machine that can be rented: item of GET /catalog.
+
+    Prices are per hour. `cache_gb`: disk space for cached images. `fetch_gb_per_s`: speed of an image fetch. `boot_s`:
+    time from the rental until the machine is up.
+    """
 
     name: str = field(name="label")
     cpus: Amount
@@ -24,13 +28,16 @@
 
 
 class Catalog(Struct):
-    """The machine types that can be rented: response of GET /catalog."""
+    """The machine types that can be rented: response to GET /catalog."""
 
     types: list[MachineType] = field(name="breeds")
 
 
 class RentalRequest(Struct):
-    """Asks for `count` machines: POST /rentals. Repeated under the same name it rents nothing more."""
+    """A request for `count` machines: POST /rentals.
+
+    `request` is an idempotency key: a repetition with the same key rents no further machines.
+    """
 
     request: str = field(name="hire")
     type: str = field(name="breed")
@@ -40,19 +47,22 @@
 
 
 class Rented(Struct):
-    """The names of the machines that were rented: response of POST /rentals."""
+    """The names of the rented machines: response to POST /rentals."""
 
     machines: list[str] = field(name="mounts")
 
 
 class Deletion(Struct):
-    """Machines to be deleted: POST /rentals/delete."""
+    """A request to delete machines: POST /rentals/delete."""
 
     machines: list[str] = field(name="mounts")
 
 
 class ListedMachine(Struct):
-    """A machine as the cloud's list has it, which lags (GET /rentals). `age_s`: how long it has been rented."""
+    """A machine in the cloud's machine list: item of GET /rentals. The list may be out of date by some seconds.
+
+    `age_s`: time since the machine was rented.
+    """
 
     name: str = field(name="ref")
     address: str
@@ -64,7 +74,7 @@
 
 
 class MachineList(Struct):
-    """A page of the machine list: response of GET /rentals."""
+    """A page of the machine list: response to GET /rentals. `more`: further pages follow."""
 
     machines: list[ListedMachine] = field(name="mounts")
     more: bool = False
--- a/badgerroute/protocol/common.py
+++ b/badgerroute/protocol/common.py
@@ -1,19 +1,19 @@
-"""What all interfaces share: the range of counters, and JSON in and out."""
+"""Definitions shared by all interfaces: the range of counters, JSON encoding and decoding."""
 
 import re
 from typing import Any
 
 import msgspec
 
-NO_LIMIT = 2**64  # counts, versions, tokens and attempts are integers below this
-# How msgspec says which field is wrong: "... missing required field `x`", or "... - at `$.x`".
-_FIELD_IN_TEXT = re.compile(r"(?:missing required field `|- at `\$\.)([^`]+)`")
+COUNTER_LIMIT = 2**64  # exclusive upper bound of counts, versions, fencing tokens and attempt numbers
+# msgspec's errors name the invalid field: "... missing required field `x`", or "... - at `$.x`".
+_FIELD_IN_ERROR_TEXT = re.compile(r"(?:missing required field `|- at `\$\.)([^`]+)`")
 
 
 class MalformedError(ValueError):
-    """A message that breaks its interface's rules. Its text goes to the sender, who has to correct the message.
+    """An invalid message. The error text is returned to the sender.
 
-    `field`: which field is wrong, by its name on the wire; "" if it is the message as a whole.
+    `field`: the invalid field by its name on the wire, or "" if no single field is to blame.
     """
 
     def __init__(self, text: str, field: str = "") -> None:
@@ -21,19 +21,19 @@
         self.field = field
 
     @classmethod
-    def of_field(cls, field: str, problem: str) -> "MalformedError":
-        """What is wrong with one field; the text begins with its name."""
+    def for_field(cls, field: str, problem: str) -> "MalformedError":
+        """Return an error about one field; the text begins with the field's name."""
         return cls(f"{field}: {problem}", field)
 
 
 def decode(data: bytes, decoder: msgspec.json.Decoder) -> Any:
-    """Decode one JSON message; everything that can be wrong with it becomes `MalformedError`."""
+    """Decode one JSON message; raise MalformedError if it is invalid in any way."""
     try:
         return decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError, OverflowError) as error:
         text = str(error)
-        found = _FIELD_IN_TEXT.search(text)
-        raise MalformedError(text, found[1] if found else "") from None
+        match = _FIELD_IN_ERROR_TEXT.search(text)
+        raise MalformedError(text, match[1] if match else "") from None
 
 
 encode = msgspec.json.encode
--- a/badgerroute/protocol/key_value.py
+++ b/badgerroute/protocol/key_value.py
@@ -1,6 +1,6 @@
-"""Controllers -> key-value store: PROTOCOL, "Controller nodes -> state service".
+"""Messages from controllers to the key-value store: PROTOCOL, "Controller nodes -> state service".
 
-A revision counts all changes of the store; every change of one transaction has the same.
+The store increments its revision with every transaction; all changes of a transaction have the same revision.
 """
 
 from typing import Any
@@ -10,7 +10,7 @@
 
 
 class KeyValueEntry(Struct):
-    """A key, its value and the revision at which it last changed: response of GET /kv/{key}, item of GET /kv."""
+    """A key, its value and the revision of its last change: response to GET /kv/{key}, item of GET /kv."""
 
     key: str
     value: Raw = Raw(b"null")
@@ -19,13 +19,13 @@
 
 
 class KeyMissing(Struct):
-    """The key does not exist (404 of GET /kv/{key}). `revision`: up to which changes had been applied by then."""
+    """The key does not exist: 404 response to GET /kv/{key}. `revision`: the store's revision at that time."""
 
     revision: int = field(name="ledger", default=0)
 
 
 class KeyValuePage(Struct):
-    """A page of keys under a prefix, sorted: response of GET /kv. `more`: others follow the last of them."""
+    """A page of the keys under a prefix, in order: response to GET /kv. `more`: further keys follow the last one."""
 
     items: list[KeyValueEntry] = field(name="rows")
     revision: int = field(name="ledger")
@@ -33,14 +33,14 @@
 
 
 class Compare(Struct):
-    """Condition of POST /txn: the revision that a key must have; 0: it must not exist."""
+    """Condition of POST /txn: the revision that a key must have, or 0 if the key must not exist."""
 
     key: str
     revision: int = field(name="mark")
 
 
 class Put(Struct, omit_defaults=True):
-    """Change of POST /txn: writes a key, attached to a lease or to none."""
+    """Change of POST /txn: writes a key and optionally attaches it to a lease."""
 
     key: str = field(name="write")
     value: Any
@@ -61,26 +61,26 @@
 
 
 class Applied(Struct):
-    """The revision at which a transaction was applied: 200 of POST /txn."""
+    """The revision at which a transaction was applied: 200 response to POST /txn."""
 
     revision: int = field(name="ledger")
 
 
 class CompareFailed(Struct):
-    """The keys whose conditions did not hold, so that nothing was applied: 409 of POST /txn."""
+    """The keys whose conditions did not hold; nothing was applied: 409 response to POST /txn."""
 
     failed: list[str]
     revision: int = field(name="ledger", default=0)
 
 
 class Lease(Struct):
-    """A lease that was granted: response of POST /grants."""
+    """A granted lease: response to POST /grants."""
 
     lease: int = field(name="tether")
 
 
 class Change(Struct):
-    """One change of a watched key (GET /follow): either `put` or `removed` names the key."""
+    """A change of a watched key: item of GET /follow. Either `put` or `removed` names the key."""
 
     revision: int = field(name="mark")
     put: str | UnsetType = field(name="write", default=UNSET)
@@ -89,14 +89,14 @@
 
 
 class Changes(Struct):
-    """All changes up to `revision` since the one that was asked for: response of GET /follow."""
+    """All changes after the requested revision, up to and including `revision`: response to GET /follow."""
 
     revision: int = field(name="ledger")
     changes: list[Change] = field(name="log")
 
 
 class Refusal(Struct):
-    """Why a request is called malformed: 400 of any request; of POST /txn also for a lease that has ended."""
+    """Why the store rejected a request: 400 response to any request. POST /txn also gets it if a lease has ended."""
 
     error: str = ""
 
@@ -105,7 +105,7 @@
 
 
 def names_ended_lease(body: bytes) -> bool:
-    """Whether a refused write named a lease that has ended."""
+    """Return whether a write was rejected because its lease has ended."""
     try:
         return refusal_decoder.decode(body).error == NO_SUCH_LEASE
     except msgspec.DecodeError:
--- a/badgerroute/protocol/mesh.py
+++ b/badgerroute/protocol/mesh.py
@@ -1,8 +1,8 @@
-"""Controllers <-> controllers: PROTOCOL, "Controller nodes <-> controller nodes".
+"""Messages between controllers: PROTOCOL, "Controller nodes <-> controller nodes".
 
 That section leaves the messages to the service, so they are defined here: msgpack structs, one per frame. A lost
-message costs time, never safety. Controllers of the version before send and read them too: names on the wire stay as
-they are, and what a version adds has a default.
+message causes a delay but never affects safety. Controllers of the previous version send and receive the messages too:
+names on the wire don't change, and fields added by a version have a default.
 """
 
 from typing import NamedTuple
@@ -14,7 +14,7 @@
 
 
 class FreeCapacity(Struct, array_like=True):
-    """`count` machines of one kind, each with the same free resources."""
+    """`count` machines of the same type, zone and rental model (spot or not), each with the given free resources."""
 
     type: str
     zone: str
@@ -26,14 +26,22 @@
 
 
 class ImageCapacity(NamedTuple):
-    """Free processors on the machines that cache an image: in all, and on one machine at most. On the wire an array."""
+    """Free processors on the machines that cache an image: their sum, and the most on any one machine.
+
+    Encoded as an array.
+    """
 
     total_cpus: float
     largest_cpus: float
 
 
 class PendingDemand(Struct, array_like=True):
-    """Waiting tasks of one job in one shard."""
+    """The waiting tasks of one job in one shard; resources are those of one task.
+
+    `count`: the number of waiting tasks. `level`: priority level. `guaranteed`: whether the job is within its team's
+    guarantee. `types`, `zone`: where the tasks may run, None for anywhere. `spot`: whether they may run on spot
+    machines.
+    """
 
     ref: str
     team: str
@@ -53,8 +61,8 @@
 class ClassWaits(Struct, array_like=True):
     """How long a team's tasks of one job class wait in one shard.
 
-    `oldest_s`: the longest that one of them has waited by now. `histogram`: of the milliseconds that they waited,
-    started lately or still waiting, as its library encodes it.
+    `waiting`: the number of waiting tasks. `oldest_s`: the longest current wait. `histogram`: wait times in
+    milliseconds of the tasks that started recently or are still waiting, as an encoded HDR histogram.
     """
 
     team: str
@@ -65,9 +73,9 @@
 
 
 class ShardLoad(Struct):
-    """How evenly a shard's work is spread. Versions that know nothing of it leave it out.
+    """A shard's wait times and machine utilization, used for rebalancing. Older versions don't send it.
 
-    `machines_by_load`: how many machines are up to a tenth used, up to two tenths, and so on.
+    `machines_by_load`: the number of machines in each tenth of CPU utilization, lowest first.
     """
 
     waits: list[ClassWaits]
@@ -75,14 +83,16 @@
 
 
 class ShardSummary(Struct):
-    """What the other shards need to know of one.
+    """The state of a shard as far as other shards need it.
 
     `images`: image -> free processors on machines that cache it.
-    `cached_image_cpus`: image -> processors that each machine with it cached could offer, preemptible work aside.
-    `preemptible_capacities`: priority level -> capacities for a job of it if work of lower levels were stopped.
-    `soon_free_cpus`: processors of small tasks that should end before a new machine could serve.
-    `running`: job -> how many of its tasks run. `used`: team -> its processors and accelerators in use.
-    `workers_silent`: its leader has had no heartbeat in time of at least half of its machines.
+    `cached_image_cpus`: image -> processors that each machine caching it could offer if preemptible work were stopped.
+    `preemptible_capacities`: priority level -> free resources for a job of this level if work of lower levels were
+    preempted.
+    `soon_free_cpus`: processors of array tasks that should end before a newly rented machine could be used.
+    `running`: job -> number of its running tasks.
+    `used`: team -> processors and accelerators in use.
+    `workers_silent`: whether the heartbeats of at least half of the shard's machines are overdue.
     """
 
     shard: int = field(name="part")
@@ -102,13 +112,13 @@
 
 
 class Gossip(Struct, tag="gossip"):
-    """What a controller tells the others a few times a second.
+    """The state of a controller, sent to all its peers a few times a second.
 
-    `store_reachable`: the key-value store answered it within the last seconds.
-    `isolated`: it wants no shard, because workers don't reach it or links have just come back.
-    `mode`: of `connectivity.modes`; older versions leave out this and what follows.
-    `hears`: the controllers whose gossip reaches it.
-    `relays`: it passes requests on, and takes those that are passed on.
+    `store_reachable`: the key-value store responded to it within the last seconds.
+    `isolated`: it must not receive any shard, because workers don't reach it or connectivity has only just returned.
+    `mode`: a mode of `connectivity.modes`. Older versions send neither this field nor those after it.
+    `hears`: the controllers whose gossip it receives.
+    `relays`: it forwards requests and accepts forwarded ones.
     """
 
     host: str
@@ -123,7 +133,10 @@
 
 
 class Push(Struct, tag="push"):
-    """A change in the key-value store, sent before the watch reports it. `value` None: the key was removed."""
+    """A change in the key-value store, sent by its writer so that peers learn of it before their watch reports it.
+
+    `value`: the new value, or None if the key was removed.
+    """
 
     key: str
     revision: int
@@ -131,9 +144,9 @@
 
 
 class StealRequest(Struct, tag="steal"):
-    """An idle shard (`thief`) asks a busy one (`victim`) for waiting tasks; the busy one's leader decides and writes.
+    """An idle shard (`thief`) asks a busy one (`victim`) for waiting tasks; the victim's leader decides and writes.
 
-    `teams_lacking_quota`: teams of which work waits at the thief already, for want of quota.
+    `teams_lacking_quota`: teams whose work already waits for quota in the thief's shard.
     """
 
     victim: int
@@ -144,10 +157,11 @@
 
 
 class QuotaRequest(Struct, tag="lack"):
-    """A shard lacks quota of a team's limit; a shard that does not use its own may give it.
+    """A shard needs more quota of a team's limit; a shard that does not use all of its quota may grant some.
 
-    `age_s`: of the oldest job that lacks it. `rank`: of the first of these jobs in the order of service; less comes
-    first. `used`: processors that the shard uses of the team's limit.
+    `cpus`, `accelerators`: the missing quota. `age_s`: age of the oldest job that waits for quota. `rank`: position in
+    the order of service of the first such job; lower ranks are served first. `used`: processors of the team's limit
+    that are in use in the requesting shard.
     """
 
     shard: int = field(name="part")
@@ -160,7 +174,7 @@
 
 
 class MachineRequest(Struct, tag="borrow"):
-    """A shard too small for a gang asks the others for empty machines."""
+    """A shard that is too small for a gang (`job`) asks the other shards for `count` empty machines."""
 
     shard: int = field(name="part")
     job: Submission
@@ -168,7 +182,10 @@
 
 
 class MisroutedHeartbeat(Struct, tag="knock"):
-    """A machine of a silent shard reported to a controller that does not own it."""
+    """A controller (`host`) received a heartbeat from a machine of a shard that another controller leads.
+
+    Sent to that leader if its workers seem to be cut off from it, so that it can transfer the shard.
+    """
 
     shard: int = field(name="part")
     machine: str
@@ -176,7 +193,10 @@
 
 
 class ForwardedRequest(Struct, tag="forward"):
-    """A request that a controller can't answer itself, passed on to one that can. `number` counts those of `host`."""
+    """A request that a controller can't answer itself, forwarded to one that can.
+
+    `number` identifies the request among those that `host` has forwarded.
+    """
 
     host: str
     number: int
@@ -186,7 +206,7 @@
 
 
 class ForwardedResponse(Struct, tag="forwarded"):
-    """The answer to a forwarded request."""
+    """The response to a forwarded request. `host`: the sender of the response; `number`: as in the request."""
 
     host: str
     number: int
@@ -195,14 +215,14 @@
 
 
 class CancellationNotice(Struct, tag="withdrawn"):
-    """Jobs that are cancelled, with the revisions of their final states. Sent again until it is acknowledged."""
+    """Cancelled jobs, with the revisions of their final states. Resent until it is acknowledged."""
 
     host: str
     jobs: list[tuple[str, int]]
 
 
 class CancellationAck(Struct, tag="withdrawn_heard"):
-    """The receiver of a CancellationNotice treats these jobs as cancelled from now on."""
+    """Acknowledges a CancellationNotice: from now on the receiver treats these jobs as cancelled."""
 
     host: str
     refs: list[str]
--- a/badgerroute/protocol/users.py
+++ b/badgerroute/protocol/users.py
@@ -1,4 +1,4 @@
-"""Users -> controllers: PROTOCOL, "Users -> controller nodes"."""
+"""Messages from users to controllers: PROTOCOL, "Users -> controller nodes"."""
 
 import re
 from enum import Enum
@@ -15,7 +15,7 @@
 
 
 class Priority(Enum):
-    """How important a job is to its user."""
+    """The priority of a job."""
 
     PRODUCTION = "prod"
     URGENT = "urgent"
@@ -24,7 +24,7 @@
 
     @property
     def level(self) -> int:
-        """Larger is more important."""
+        """The priority as a number; a larger one is more important."""
         return _LEVELS[self]
 
 
@@ -32,7 +32,13 @@
 
 
 class Submission(Struct, frozen=True, omit_defaults=True):
-    """A job as its user describes it: POST /v1/jobs. `predecessors`: jobs that have to be done before it starts."""
+    """A job as submitted by its user: POST /v1/jobs. Resources are those of one task.
+
+    `together`: all tasks must run in one zone. `spread`: at most half of the tasks (rounded up) may run in one zone.
+    `spot`: the job may run on spot machines. `checkpoint_s`: 0 if the job saves no checkpoints. `save_s`: how long a
+    task takes to save its progress when it is stopped. `types`, `zone`: where the job may run, None for anywhere.
+    `predecessors`: upstream jobs, which must be done before this one starts.
+    """
 
     ref: Text
     job_class: Text = field(name="herd")
@@ -58,7 +64,7 @@
 
     @property
     def gang(self) -> bool:
-        """Whether all of its tasks run at the same time or none does."""
+        """Whether the tasks must all run at the same time."""
         return self.kind == "group"
 
 
@@ -66,22 +72,25 @@
 
 
 def parse_submission(body: bytes) -> Submission:
-    """A job from a request's body; MalformedError names the field that is wrong."""
+    """Parse a job submission from a request's body. Raise MalformedError, with the invalid field, if it is invalid."""
     job = decode(body, _submission_decoder)
     if not REF.match(job.ref):
-        raise MalformedError.of_field("ref", "not a job id")
+        raise MalformedError.for_field("ref", "not a job id")
     if job.estimate_s == 0 and job.kind != "daemon":  # a daemon runs until it is cancelled: docs/questions.md
-        raise MalformedError.of_field("trek_s", "must be above 0")
+        raise MalformedError.for_field("trek_s", "must be above 0")
     if job.cpus == 0 and job.accelerators == 0 and job.memory_gb == 0:
-        raise MalformedError.of_field("cpus", "a task must take something of its machine")
+        raise MalformedError.for_field("cpus", "a task must take something of its machine")
     for ref in job.predecessors or ():
         if not REF.match(ref):
-            raise MalformedError.of_field("follows", f"not a job id: {ref}")
+            raise MalformedError.for_field("follows", f"not a job id: {ref}")
     return job
 
 
 class JobView(Struct, omit_defaults=True):
-    """A job's state as users see it: response of GET /v1/jobs/{id} and of POST /v1/jobs/{id}/cancel."""
+    """A job's state as shown to users: response to GET /v1/jobs/{id} and to POST /v1/jobs/{id}/cancel.
+
+    `done`, `running`: numbers of tasks.
+    """
 
     ref: str
     condition: Literal["queued", "running", "done", "withdrawn"]
--- a/badgerroute/protocol/workers.py
+++ b/badgerroute/protocol/workers.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import UNSET, Meta, Struct, UnsetType, field
 
-from badgerroute.protocol.common import NO_LIMIT, MalformedError, decode
+from badgerroute.protocol.common import COUNTER_LIMIT, MalformedError, decode
 
 Count = Annotated[int, Meta(ge=0)]
 Text = Annotated[str, Meta(min_length=1, max_length=120)]
@@ -16,7 +16,7 @@
 
 
 class TaskStatus(Struct):
-    """A task as its machine reports it (`heads` of POST /checkin). `checkpointed`: its progress was saved."""
+    """The state of a task as reported by its machine, part of a heartbeat. `checkpointed`: its progress was saved."""
 
     task: TaskId = field(name="head")
     attempt: Count = field(name="try")
@@ -26,10 +26,11 @@
 
 
 class Heartbeat(Struct):
-    """A machine's heartbeat: POST /checkin, and response of POST /do and GET /status.
+    """A machine's heartbeat: POST /checkin, and the response to POST /do and GET /status.
 
-    `incarnation` increases whenever the machine's lease ends, `sequence` with every message of the machine.
-    `fencing_token` is the highest one that it has seen. `preemption_notice_s`: seconds until the cloud takes it away.
+    `incarnation` increases whenever the machine's lease ends, `sequence` with every message that the machine sends.
+    `fencing_token`: the highest token that the machine has received. `preemption_notice_s`: seconds until the cloud
+    preempts the machine, or None without a preemption notice.
     """
 
     machine: Text = field(name="mount")
@@ -44,7 +45,7 @@
     tasks: list[TaskStatus] = field(name="heads", default_factory=list)
 
     def newer_than(self, incarnation: int, sequence: int) -> bool:
-        """Whether the heartbeat was made after the message with this incarnation and sequence number."""
+        """Return whether the heartbeat is newer than the message with this incarnation and sequence number."""
         return (self.incarnation, self.sequence) > (incarnation, sequence)
 
 
@@ -52,27 +53,27 @@
 
 
 def parse_heartbeat(body: bytes) -> Heartbeat:
-    """A heartbeat from a message's body; MalformedError names the field that is wrong."""
+    """Parse a heartbeat from a message's body; raise MalformedError if it is not valid."""
     heartbeat = decode(body, _heartbeat_decoder)
-    if max(heartbeat.incarnation, heartbeat.sequence, heartbeat.fencing_token) >= NO_LIMIT:
+    if max(heartbeat.incarnation, heartbeat.sequence, heartbeat.fencing_token) >= COUNTER_LIMIT:
         raise MalformedError("a counter is out of range")
     host, _, port = heartbeat.address.rpartition(":")
     if not port.isdigit() or not 0 < int(port) < 65536 or not host:
-        raise MalformedError.of_field("address", "not host:port")
+        raise MalformedError.for_field("address", "not host:port")
     for task in heartbeat.tasks:
-        if task.attempt >= NO_LIMIT:
-            raise MalformedError.of_field("try", "out of range")
+        if task.attempt >= COUNTER_LIMIT:
+            raise MalformedError.for_field("try", "out of range")
     return heartbeat
 
 
 def split_task(task: str) -> tuple[str, int]:
-    """A task's job and index."""
+    """Split a task's id into the job's id and the task's index."""
     ref, _, index = task.rpartition("/")
     return ref, int(index)
 
 
 class Command(Struct, omit_defaults=True):
-    """What a machine is to do with one task (`calls`). `grace_s`: how long the task may save before it is killed."""
+    """A command to a machine about one task. `grace_s`: how long the task may save its progress before it is killed."""
 
     kind: Literal["start", "halt", "clear"] = field(name="call")
     task: str = field(name="head")
@@ -81,14 +82,14 @@
 
 
 class HeartbeatResponse(Struct):
-    """The answer to a heartbeat, which renews the machine's lease: 200 of POST /checkin."""
+    """The response to a heartbeat, which renews the machine's lease: 200 response to POST /checkin."""
 
     fencing_token: int = field(name="crook")
     commands: list[Command] = field(name="calls", default_factory=list)
 
 
 class DirectCommands(Struct):
-    """Commands sent to a machine's own address: POST /do. They do not renew its lease."""
+    """Commands that a controller sends to a machine on its own initiative: POST /do. They don't renew the lease."""
 
     fencing_token: int = field(name="crook")
     incarnation: int = field(name="ride")
@@ -96,6 +97,6 @@
 
 
 class Redirect(Struct, omit_defaults=True):
-    """Tells a machine to heartbeat to another controller: 421 of POST /checkin."""
+    """Tells a machine to send its heartbeats to another controller: 421 response to POST /checkin."""
 
     leader: str | UnsetType = field(name="trail_boss", default=UNSET)
