--- a/badgerroute/coordination/controller.py
+++ b/badgerroute/coordination/controller.py
@@ -33,7 +33,7 @@
 
 
 class Controller:
-    """One controller. Each subsystem depends only on those built before it; `run` starts them all."""
+    """One controller. Each subsystem depends only on subsystems that are built before it; `run` starts all of them."""
 
     def __init__(
         self,
--- a/badgerroute/coordination/gossip.py
+++ b/badgerroute/coordination/gossip.py
@@ -18,7 +18,7 @@
 
 
 class GossipTask:
-    """Broadcasts the state of this controller and its shards, and resends cancellations until they are received."""
+    """Broadcasts the state of this controller and its shards, and resends cancellation notices until acknowledged."""
 
     def __init__(
         self,
--- a/badgerroute/coordination/membership/connectivity_monitor.py
+++ b/badgerroute/coordination/membership/connectivity_monitor.py
@@ -45,7 +45,7 @@
         return self._mode_machine.mode
 
     def resumed_at(self) -> timedelta:
-        """Return when the last pause of this process ended, or when it started if there was none."""
+        """Return when the last pause of this process ended, or when the process started if it was never paused."""
         return self._pause_detector.resumed_at
 
     def reaches_store(self) -> bool:
@@ -56,7 +56,7 @@
         return not self._store_detector.suspected(self._loop.now())
 
     def lacks_store_alone(self) -> bool:
-        """Whether users should turn to another controller, since only this one can't reach the key-value store."""
+        """Whether users should use another controller, since only this one seems to lack the key-value store."""
         return self._reachability().lacks_store_alone
 
     async def run(self) -> None:
--- a/badgerroute/coordination/membership/forwarding.py
+++ b/badgerroute/coordination/membership/forwarding.py
@@ -1,7 +1,7 @@
 """Forwards requests that this controller can't answer itself to a peer over the mesh.
 
-The forwarding controller makes no decision about a request. The peer answers it by its own leaderships and its own view
-of the key-value store, and never forwards it again. If a message is lost, the request times out.
+The forwarding controller makes no decision about a request. The peer answers it from the shards that it leads and from
+its own view of the key-value store, and never forwards it again. If a message is lost, the request times out.
 """
 
 from collections.abc import Awaitable, Callable
@@ -32,7 +32,7 @@
     ) -> None:
         self._loop, self._group, self._host, self._max_concurrent = loop, group, host, max_concurrent
         self._send = send
-        # Starts at random, so that a response to an earlier run of this process matches no request.
+        # Numbers start at a random value, so that a response to a request of an earlier run of this process is ignored.
         self._last_request_number = first_request_number
         self._pending_responses: dict[tuple[str, int], Future] = {}  # by peer and request number
         self._requests_in_progress = 0
--- a/badgerroute/coordination/membership/leadership_transfer.py
+++ b/badgerroute/coordination/membership/leadership_transfer.py
@@ -55,7 +55,8 @@
             peer = self._peers.reachable_peer(host)
             leader = self._leaders.get(shard)
             # A peer that can't reach the key-value store still reports its last lease. Without this check, the transfer
-            # would fail and the shard would be elected back here in every round until the peer recovers.
+            # would fail in every round until the peer recovers, and this controller would be elected for the shard
+            # again.
             if peer is None or not peer.may_receive_shard():
                 continue
             if leader is not None and leader.shard.reconciled:
@@ -74,7 +75,7 @@
         """
         leader = self._leaders.get(message.shard)
         if leader is None or not leader.ready or not leader.heartbeat_overdue(message.machine):
-            return  # new machines contact any controller, so this says nothing about the link
+            return  # a new machine may contact any controller, so its heartbeat says nothing about the link
         self._worker_link.record_peer_heartbeat(
             message.shard, message.machine, message.host, self._loop.now(), relayed=False
         )
@@ -85,7 +86,8 @@
     async def _transfer_without_workers(self) -> bool:
         """Transfer one shard whose workers can't reach this controller, and return whether there was one.
 
-        A shard whose heartbeats are relayed is transferred only after the maximum relay time.
+        A shard whose heartbeats peers relay to this controller is transferred only when the link to workers has been
+        lost for the maximum relay time.
         """
         now = self._loop.now()
         relayed_long_enough = self._worker_link.lost_for(now) >= self._max_relay_time
--- a/badgerroute/coordination/membership/mesh_listener.py
+++ b/badgerroute/coordination/membership/mesh_listener.py
@@ -29,7 +29,7 @@
         self._max_connections = max_connections
 
     async def accept_all(self, listener: Listener) -> None:
-        """Accept connections until cancelled, then close the listener. Connections beyond the limit are closed."""
+        """Accept connections until cancelled, then close the listener. Those beyond the limit are closed at once."""
         try:
             while True:
                 stream = await listener.accept()
--- a/badgerroute/coordination/membership/peer_connection.py
+++ b/badgerroute/coordination/membership/peer_connection.py
@@ -64,9 +64,9 @@
     async def _read_acks(self, stream: Stream) -> None:
         """Record the peer's acknowledgements, and the error if it closes the connection.
 
-        A successful write does not show that the peer receives anything: bytes written to a connection that the peer
-        has abandoned are lost without an error. The peer would suspect this controller for as long as the connection
-        is kept.
+        A successful write does not prove that the peer receives anything: bytes written to a connection that the peer
+        has abandoned are lost without an error. Without the check of acknowledgements, such a connection would be kept,
+        and the peer would suspect this controller.
         """
         reader = FrameReader(stream)
         try:
--- a/badgerroute/coordination/membership/peers.py
+++ b/badgerroute/coordination/membership/peers.py
@@ -23,18 +23,18 @@
 
     failure_detector: FailureDetector
     gossip: mesh_wire.Gossip
-    mode: Mode | None = field(init=False)  # None if its version does not report its mode
+    mode: Mode | None = field(init=False)  # None if the peer runs an older version that does not report its mode
 
     def __post_init__(self) -> None:
         self.mode = MODE_BY_VALUE.get(self.gossip.mode) if isinstance(self.gossip.mode, str) else None
 
     def may_receive_shard(self) -> bool:
-        """Whether a shard may be transferred to this peer, which could lead it immediately."""
+        """Whether a shard may be transferred to this peer, because the peer could lead it immediately."""
         gossip = self.gossip
         return gossip.ready and gossip.store_reachable and gossip.lease > 0 and not gossip.isolated
 
     def accepts_forwarded_from(self, host: str) -> bool:
-        """Whether this peer answers requests that `host` forwards, provided that they arrive."""
+        """Whether this peer answers requests forwarded by `host`: it supports that and receives messages of `host`."""
         return self.gossip.relays is True and (self.gossip.hears is UNSET or host in self.gossip.hears)
 
 
@@ -54,7 +54,7 @@
         self._settings, self._loop, self._leader_records, self._leaders = settings, loop, leader_records, leaders
         hosts = [peer.host_name for peer in settings.platform.peers]
         self.failure_detectors = {host: FailureDetector(PEER_TIMEOUT, loop.now()) for host in hosts}
-        self._peers_by_host: dict[str, Peer] = {}  # by host; includes suspected peers
+        self._peers_by_host: dict[str, Peer] = {}  # by host; including suspected peers
 
     def receive_gossip(self, gossip: mesh_wire.Gossip) -> None:
         """Record the gossip of a peer. Gossip from a host that is not a peer is ignored."""
@@ -73,7 +73,7 @@
         return {host: peer for host in self._peers_by_host if (peer := self.reachable_peer(host)) is not None}
 
     def summaries(self) -> list[mesh_wire.ShardSummary]:
-        """Return a summary of each shard whose leader is reachable: current if led here, else as last reported."""
+        """Return a summary of each shard with a reachable leader: the current one if led here, else the last report."""
         summaries = {leader.number: leader.summary() for leader in self._leaders.values() if leader.ready}
         for peer in self.reachable().values():
             for summary in peer.gossip.shards:
@@ -90,7 +90,7 @@
         ]
 
     def leader(self, shard: int) -> str | None:
-        """Return the host that leads a shard, by its leader record or by the gossip of a peer with a higher term.
+        """Return the host that leads a shard, according to its leader record or to gossip of a peer with a higher term.
 
         A controller that can't reach the key-value store learns of newer leaders only from their gossip.
         """
@@ -102,9 +102,9 @@
         return host
 
     def store_client_count(self) -> int:
-        """Return how many controllers may use the key-value store: this one, and peers that lead or may be alive.
+        """Return how many controllers may use the key-value store: this one and the peers that lead or may be alive.
 
-        Right after the start no gossip has been received yet, and every peer counts.
+        Right after the start of this controller, when it has received no gossip yet, every peer counts.
         """
         now = self._loop.now()
         leader_hosts = {self._leader_records.leader(shard) for shard in range(self._settings.params.size)}
--- a/badgerroute/coordination/membership/send_queue.py
+++ b/badgerroute/coordination/membership/send_queue.py
@@ -4,7 +4,7 @@
 
 from badgerroute.transport.loop import Future
 
-MAX_QUEUED_BYTES = 4 << 20  # per peer; enough for the frames of thousands of machines that come at once
+MAX_QUEUED_BYTES = 4 << 20  # per peer; enough for frames about thousands of machines at the same time
 
 
 class SendQueue:
--- a/badgerroute/coordination/membership/worker_prober.py
+++ b/badgerroute/coordination/membership/worker_prober.py
@@ -1,4 +1,4 @@
-"""Probes workers after the worker link was lost, since they may never send heartbeats here again by themselves."""
+"""Probes workers while they seem unable to reach this controller, because they may not return by themselves."""
 
 import logging
 from collections.abc import Callable
@@ -17,15 +17,15 @@
 log = logging.getLogger(__name__)
 PROBE_INTERVAL = timedelta(seconds=2)
 MACHINES_PER_PROBE = 3  # per round
-PROBE_TIMEOUT = timedelta(seconds=1)  # for connecting, and again for the response
+PROBE_TIMEOUT = timedelta(seconds=1)  # for connecting, and the same again for the response
 STATUS_OK = 200
 
 
 class WorkerProber:
     """Requests the status of a few random machines periodically while the worker link is lost.
 
-    `sample` draws the given number of elements from a list. If links have been flapping, probing starts only after the
-    extra delay of `damping`.
+    `sample` draws the given number of random elements from a list. If links have been flapping, probing starts only
+    after the extra delay of `damping`.
     """
 
     def __init__(
--- a/badgerroute/coordination/requests/heartbeat_handler.py
+++ b/badgerroute/coordination/requests/heartbeat_handler.py
@@ -58,7 +58,7 @@
         self._host = settings.platform.host_name
         self._relaying_enabled = settings.operator.connectivity.relay
         self.relay_routes = RelayRoutes()
-        self.relayed_heartbeats = 0  # number of heartbeats that were answered with a response relayed from the leader
+        self.relayed_heartbeats = 0  # number of heartbeats answered with a response that was relayed from the leader
 
     async def handle(self, request: Request, relay: str | None = None) -> Response:
         """Answer a heartbeat. `relay` is the peer that forwarded it, or None if it came directly from the worker."""
@@ -75,7 +75,7 @@
         if leader is not None:
             return await self._answer(leader, heartbeat, relay)
         if relay is not None:
-            return retry_later("not the owner")  # a forwarded heartbeat is not forwarded again
+            return retry_later("not the owner")  # a heartbeat that a peer forwarded is not forwarded again
         return await self._answer_for_other_shard(request, heartbeat, shard)
 
     async def _answer(self, leader: ShardLeader, heartbeat: Heartbeat, relay: str | None) -> Response:
@@ -100,7 +100,8 @@
         if relayed_response is not None:
             return relayed_response
         if leader_lacks_workers:
-            # Redirected to its leader, the worker would time out again, and its lease would expire meanwhile.
+            # If the worker were redirected to the leader, its request would time out again, and its lease could expire
+            # meanwhile.
             self._mesh.send(host, MisroutedHeartbeat(shard, heartbeat.machine, self._host))
             return retry_later("its owner does not hear its workers")
         return answer(421, Redirect(host))
@@ -110,9 +111,10 @@
     ) -> Response | None:
         """Relay a heartbeat to its leader and return the leader's response.
 
-        Returns None if the heartbeat is not to be relayed, or the leader did not answer it. The leader decides in its
-        own term. Its response reaches the worker either as the response to this heartbeat, within the time that the
-        worker waits for it, or not at all; see docs/safety.md.
+        Returns None if the heartbeat is not to be relayed, or the leader did not answer it. Relaying is safe, because
+        the leader itself chooses the commands in its response, and the response carries its term as the fencing token.
+        The worker receives it as the response to this heartbeat, while it waits for one, or not at all; see
+        docs/safety.md.
         """
         if not self._relaying_enabled or peer is None or not peer.accepts_forwarded_from(self._host):
             return None
@@ -129,7 +131,8 @@
     def _leader_lacks_workers(self, peer: Peer | None, shard: int) -> bool:
         """Return whether a shard's workers cannot reach its leader, by the leader's mode or the shard's summary.
 
-        Once its workers reach it again, the leader's mode says so, and that overrides the summary.
+        The modes WORKERS_UNREACHABLE and RECOVERING take precedence over the summary, which may still report silent
+        workers for a while after the leader has recovered.
         """
         mode = None if peer is None else peer.mode
         if mode in (Mode.WORKERS_UNREACHABLE, Mode.RECOVERING):
@@ -140,8 +143,8 @@
         value = self._replica.value(MACHINES + machine)
         if value is not None:
             return records.read(value, records.MachineRecord).shard
-        # Not a member yet. Consecutive numbers map to different shards, so that each shard gets a mix of machine types
-        # and zones.
+        # The machine is not a member yet. Consecutive numbers map to different shards, so that each shard gets a mix of
+        # machine types and zones.
         digits = machine[len(machine.rstrip("0123456789")) :]
         number = int(digits) if digits else zlib.crc32(machine.encode())
         return number % self._settings.params.size
--- a/badgerroute/coordination/requests/http_api.py
+++ b/badgerroute/coordination/requests/http_api.py
@@ -48,11 +48,11 @@
     def _load_balancer_status(self) -> Response:
         """Tell the load balancer whether to send requests to this controller.
 
-        In an outage of the key-value store that all controllers see, this controller reports that it is up: no other
-        could serve users better, and the load balancer would keep it out for longer than the outage lasts. This also
-        applies to an outage longer than the grace period G: when controllers reported being down in such an outage,
-        users reached no controller at all for many seconds afterwards. A controller that alone cannot reach the store
-        reports that at once.
+        If no controller reaches the key-value store, this controller reports that it is up: no other controller could
+        serve users better, and the load balancer would exclude it for longer than the outage lasts. This also applies
+        to an outage longer than the grace period: when controllers reported being down in such an outage, users reached
+        no controller at all for many seconds afterwards. If only this controller cannot reach the store, it reports at
+        once that it is down.
         """
         if not self._replica.ready.done:
             return retry_later("not ready")
--- a/badgerroute/coordination/requests/job_request_handler.py
+++ b/badgerroute/coordination/requests/job_request_handler.py
@@ -1,4 +1,4 @@
-"""Handles users' requests: here if this controller reaches the key-value store, else at a peer that reaches it."""
+"""Answers users' requests if this controller reaches the key-value store, else forwards them to a peer that does."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Operation:
-    """The HTTP method that a path requires, and the action that the request stands for."""
+    """The HTTP method that a path requires, and the action for which the request needs permission."""
 
     method: str
     action: Action
@@ -83,7 +83,7 @@
     async def _forward(self, request: Request) -> Response | None:
         """Forward a request to a peer that reaches the key-value store, and return the response.
 
-        Returns None if there is no such peer, or if it did not respond or could not decide either.
+        Returns None if there is no such peer, or if the peer did not respond or could not decide the request either.
         """
         if not self._forwarding_enabled:
             return None
--- a/badgerroute/coordination/requests/job_service.py
+++ b/badgerroute/coordination/requests/job_service.py
@@ -1,6 +1,7 @@
 """Answers users' submissions, polls and cancellations.
 
-A request that cannot be decided at the moment gets status 503 without delay.
+A request that cannot be decided at the moment, for example in an outage of the key-value store, gets status 503 without
+delay.
 """
 
 import logging
@@ -36,7 +37,7 @@
     """Answers users' requests from the stored jobs.
 
     `summaries` returns the known summaries of all shards. `running` returns the number of running tasks of a job, which
-    is only shown to users.
+    is shown to users and used for nothing else.
     """
 
     def __init__(
@@ -87,7 +88,7 @@
         return await self._accept(job)
 
     async def _answer_if_repeated(self, job: Submission) -> Response | None:
-        """Return the state of a job that was accepted before, or None if this controller knows of no such job."""
+        """Return the state of a job that was accepted before, or None if this controller does not know the job."""
         if not self._job_store.is_accepted(job.ref):
             return None
         lookup = await self._job_reader.look_up(job.ref, Urgency.SUBMIT)
@@ -120,7 +121,7 @@
         return self._state_response(200, job.ref, lookup)
 
     async def _refuse(self, job: Submission, reason: str) -> Response:
-        """Refuse a job, unless another controller has accepted it: then return the job's state.
+        """Refuse a job, unless another controller has accepted it; in that case answer with the job's state.
 
         The other controller may have had more recent information when it accepted the job.
         """
--- a/badgerroute/coordination/requests/job_splitting.py
+++ b/badgerroute/coordination/requests/job_splitting.py
@@ -1,7 +1,7 @@
 """Assigns the tasks of a new job to shards: by cached images, or else by free slots.
 
-The paper that this design follows assigns tasks by the location of their input data; here the cached images take that
-role.
+A slot is room for one task of the job in the free capacity of a machine. The paper that this design follows assigns
+tasks by the location of their input data, for which cached images are the substitute here.
 """
 
 import zlib
@@ -13,7 +13,8 @@
 from badgerroute.scheduling.resources import Resources, need_of
 from badgerroute.storage.task_ranges import TaskRange
 
-# The shard that a job's image hashes to is preferred up to this ratio of its queue per machine to the shortest one.
+# The shard that the hash of a job's image selects is preferred while its queue per machine is at most this many times
+# the shortest queue per machine of any shard.
 MAX_QUEUE_IMBALANCE = 1.5
 MIN_TASK_CPUS = 0.01  # lower bound for a task's processors, which may be close to 0
 
@@ -33,10 +34,10 @@
 
 
 def shard_weights(job: Submission, summaries: Sequence[ShardSummary], shard_count: int) -> list[float]:
-    """Return the share of a new job that each shard should get, as weights.
+    """Return a weight for each shard; the shards get parts of a new job in proportion to their weights.
 
-    The weights are the free slots next to cached images if these are enough for the job, else all free slots, else,
-    if there are none, the inverse of the queue per machine.
+    The weights are the free slots on machines that cache the image if these are enough for the job, else all free
+    slots, or the inverse of the queue per machine if no slot is free.
     """
     summary_by_shard = {summary.shard: summary for summary in summaries}
     shard_summaries = [summary_by_shard.get(shard) for shard in range(shard_count)]
@@ -68,7 +69,7 @@
 
 
 def _cached_slots(job: Submission, summary: ShardSummary) -> int:
-    """Return how many tasks of the job fit on machines that cache its image, judged by free processors only."""
+    """Return how many tasks of the job fit on machines that cache its image, considering only free processors."""
     free_cpus, _ = summary.images.get(job.image, (0.0, 0.0))
     return int(free_cpus / max(job.cpus, MIN_TASK_CPUS))
 
@@ -85,7 +86,8 @@
 def _shard_by_hash(ref: str, weights: list[float]) -> int:
     """Choose the shard of a job with one task pseudo-randomly, by the hash of its id, in proportion to the weights.
 
-    Many such jobs arrive at the same time. If each were sent to the best shard, all of them would go to the same one.
+    Many jobs with one task may arrive at the same time. If each were assigned to the best shard, all of them would
+    go to the same shard.
     """
     remaining_weight = zlib.crc32(ref.encode()) / 2**32 * sum(weights)
     for shard, weight in enumerate(weights):
@@ -100,7 +102,7 @@
 
     Among the shards that can hold the job, this is the one with the most slots on machines that cache the image, even
     if work of lower priority must be preempted there, because fetching an image may take as long as running the job. If
-    too few machines cache the image, the copies that are fetched now can serve the next job of the image in that shard.
+    too few machines cache the image, the others fetch it, and the next job with the image can use all of them.
     """
     summary_by_shard = {summary.shard: summary for summary in summaries}
     shards = range(len(weights))
--- a/badgerroute/coordination/requests/responses.py
+++ b/badgerroute/coordination/requests/responses.py
@@ -4,7 +4,7 @@
 from badgerroute.storage.errors import LeaseExpiredError, OutcomeUnknownError, StoreUnavailableError
 from badgerroute.transport.http import Response
 
-# Errors of the key-value store after which a request is not known to have taken effect, so the user must repeat it.
+# Errors of the key-value store after which a request may not have taken effect, so that the user must repeat it.
 UNDECIDED_ERRORS = (StoreUnavailableError, OutcomeUnknownError, LeaseExpiredError)
 RETRY_AFTER_S = "1"
 
--- a/badgerroute/coordination/requests/shard_requests.py
+++ b/badgerroute/coordination/requests/shard_requests.py
@@ -1,7 +1,7 @@
 """Requests between shards for waiting tasks, for quota of a team's limit, and for machines.
 
-A request goes to the leaders of the shards that may grant it, on this controller or on peers. The leader that grants it
-also writes the change, so a lost request only causes a delay.
+A request goes to the leaders of the shards that may grant it, on this controller or on peers. The leader that grants a
+request also writes the resulting change to the key-value store, so a lost request only causes a delay.
 """
 
 from datetime import timedelta
@@ -105,8 +105,8 @@
 ) -> int | None:
     """Return the shard with the most waiting work that fits the thief's free capacities, or None if there is none.
 
-    Work that fits none of the capacities does not count. Otherwise a shard with much such work would receive all
-    requests, while work of a third shard could run.
+    Work that fits none of the capacities does not count. Otherwise a shard with much work that the thief can't run
+    would receive all requests, although the thief could run work of another shard.
     """
     waiting_work = {
         summary.shard: sum(
--- a/badgerroute/protocol/__init__.py
+++ b/badgerroute/protocol/__init__.py
@@ -2,5 +2,6 @@
 
 Defines the name, validation and encoding of every message. `field(name=...)` gives a field's name on the wire where it
 differs from the name in the code. The package holds no state, knows no keys of the key-value store and imports no other
-package. The docstrings refer to sections of PROTOCOL-badgerroute.md.
+package. The platform's protocol specification, to whose sections the docstrings of the modules refer, is
+PROTOCOL-badgerroute.md.
 """
--- a/badgerroute/protocol/cloud.py
+++ b/badgerroute/protocol/cloud.py
@@ -1,4 +1,7 @@
-"""Messages from controllers to the cloud: PROTOCOL, "Controller nodes -> cloud"."""
+"""Messages from controllers to the cloud.
+
+They are specified in the section "Controller nodes -> cloud" of the platform's protocol specification.
+"""
 
 from typing import Annotated, Literal
 
--- a/badgerroute/protocol/common.py
+++ b/badgerroute/protocol/common.py
@@ -13,7 +13,7 @@
 class MalformedError(ValueError):
     """An invalid message. The error text is returned to the sender.
 
-    `field`: the invalid field by its name on the wire, or "" if no single field is to blame.
+    `field`: the invalid field by its name on the wire, or "" if the error is not about a single field.
     """
 
     def __init__(self, text: str, field: str = "") -> None:
--- a/badgerroute/protocol/key_value.py
+++ b/badgerroute/protocol/key_value.py
@@ -1,4 +1,6 @@
-"""Messages from controllers to the key-value store: PROTOCOL, "Controller nodes -> state service".
+"""Messages from controllers to the key-value store.
+
+They are specified in the section "Controller nodes -> state service" of the platform's protocol specification.
 
 The store increments its revision with every transaction; all changes of a transaction have the same revision.
 """
@@ -96,7 +98,7 @@
 
 
 class Refusal(Struct):
-    """Why the store rejected a request: 400 response to any request. POST /txn also gets it if a lease has ended."""
+    """Why the store rejected a request: 400 response to any request. Also sent for POST /txn if the lease has ended."""
 
     error: str = ""
 
--- a/badgerroute/protocol/mesh.py
+++ b/badgerroute/protocol/mesh.py
@@ -1,8 +1,9 @@
-"""Messages between controllers: PROTOCOL, "Controller nodes <-> controller nodes".
+"""Messages between controllers.
 
-That section leaves the messages to the service, so they are defined here: msgpack structs, one per frame. A lost
-message causes a delay but never affects safety. Controllers of the previous version send and receive the messages too:
-names on the wire don't change, and fields added by a version have a default.
+The section "Controller nodes <-> controller nodes" of the platform's protocol specification leaves these messages to
+the service, so they are defined here: msgpack structs, one per frame. A lost message causes a delay but never affects
+safety. Controllers of the previous version send and receive the messages too: names on the wire don't change, and
+fields added by a version have a default.
 """
 
 from typing import NamedTuple
@@ -114,11 +115,10 @@
 class Gossip(Struct, tag="gossip"):
     """The state of a controller, sent to all its peers a few times a second.
 
-    `store_reachable`: the key-value store responded to it within the last seconds.
-    `isolated`: it must not receive any shard, because workers don't reach it or connectivity has only just returned.
-    `mode`: a mode of `connectivity.modes`. Older versions send neither this field nor those after it.
-    `hears`: the controllers whose gossip it receives.
-    `relays`: it forwards requests and accepts forwarded ones.
+    `store_reachable`: whether the key-value store has responded to it within the last seconds. `isolated`: whether it
+    must not receive any shard, because workers can't reach it or its links have not been up for long. `mode`: a mode of
+    `connectivity.modes`. Older versions send neither this field nor those after it. `hears`: the controllers whose
+    gossip it receives. `relays`: whether it forwards requests and accepts forwarded requests.
     """
 
     host: str
--- a/badgerroute/protocol/users.py
+++ b/badgerroute/protocol/users.py
@@ -1,4 +1,4 @@
-"""Messages from users to controllers: PROTOCOL, "Users -> controller nodes"."""
+"""Messages from users to controllers: section "Users -> controller nodes" of the platform's protocol specification."""
 
 import re
 from enum import Enum
@@ -76,7 +76,7 @@
     job = decode(body, _submission_decoder)
     if not REF.match(job.ref):
         raise MalformedError.for_field("ref", "not a job id")
-    if job.estimate_s == 0 and job.kind != "daemon":  # a daemon runs until it is cancelled: docs/questions.md
+    if job.estimate_s == 0 and job.kind != "daemon":  # a daemon job runs until it is cancelled; see docs/questions.md
         raise MalformedError.for_field("trek_s", "must be above 0")
     if job.cpus == 0 and job.accelerators == 0 and job.memory_gb == 0:
         raise MalformedError.for_field("cpus", "a task must take something of its machine")
--- a/badgerroute/protocol/workers.py
+++ b/badgerroute/protocol/workers.py
@@ -1,6 +1,7 @@
-"""Workers -> controllers (heartbeats) and controllers -> workers (commands).
+"""Heartbeats that workers send to controllers, and commands that controllers send to workers.
 
-PROTOCOL, "Workers -> controller nodes" and "Controller nodes -> workers".
+They are specified in the sections "Workers -> controller nodes" and "Controller nodes -> workers" of the platform's
+protocol specification.
 """
 
 from typing import Annotated, Literal
--- a/badgerroute/transport/clock.py
+++ b/badgerroute/transport/clock.py
@@ -26,11 +26,11 @@
     """The clocks of the operating system."""
 
     def now(self) -> timedelta:
-        """See Clock."""
+        """Return the operating system's monotonic time."""
         return timedelta(seconds=time.monotonic())
 
     def today(self) -> datetime:
-        """See Clock."""
+        """Return the operating system's wall-clock time."""
         return datetime.now(UTC)
 
 
@@ -42,11 +42,11 @@
         self._elapsed = ZERO
 
     def now(self) -> timedelta:
-        """See Clock."""
+        """Return the simulated monotonic time."""
         return self._elapsed
 
     def today(self) -> datetime:
-        """See Clock."""
+        """Return the simulated wall-clock time, which never deviates from the monotonic time."""
         return self._start + self._elapsed
 
     def advance(self, to: timedelta) -> None:
--- a/badgerroute/transport/event_loop.py
+++ b/badgerroute/transport/event_loop.py
@@ -13,8 +13,8 @@
 from badgerroute.transport.tasks import CoroutineTask
 from badgerroute.transport.timers import Deadline, Timer, do_nothing
 
-# The due time, a unique number that keeps timers with equal due times in order, and the timer. A plain tuple for speed:
-# one is created for every wait and every time limit.
+# The due time, a unique number that keeps timers with equal due times in order, and the timer. It is a plain tuple for
+# speed, because one is created for every wait and every time limit.
 _TimerEntry = tuple[timedelta, int, Timer]
 
 
@@ -74,7 +74,7 @@
         return future.done
 
     def run_once(self, until: Callable[[], bool] | None = None) -> None:
-        """Run one iteration: due timers, then the tasks that are ready, then wait for sockets or the next timer.
+        """Run one iteration: run due timers and ready tasks, then wait for sockets or the next timer.
 
         The wait is skipped if `until` returns true.
         """
--- a/badgerroute/transport/http_client.py
+++ b/badgerroute/transport/http_client.py
@@ -29,8 +29,8 @@
 class Client:
     """Sends requests to one server, reusing idle connections.
 
-    `idle_limit`: how long an idle connection is kept. `most_idle`: how many are kept. `connect`: time limit for
-    opening a connection.
+    `idle_limit`: how long an idle connection is kept. `most_idle`: how many idle connections are kept. `connect`: time
+    limit for opening a connection.
     """
 
     def __init__(
--- a/badgerroute/transport/http_parser.py
+++ b/badgerroute/transport/http_parser.py
@@ -7,7 +7,8 @@
 
 MAX_HEAD_BYTES = 8192  # of the request line or status line, with the headers
 MAX_REQUEST_BYTES = 65536  # of a request's body
-# Of a response's body. Generous, since the key-value store does not limit the size of its responses to a watch.
+# Limit for a response's body. It is large, since the key-value store does not limit the size of its responses to a
+# watch.
 MAX_RESPONSE_BYTES = 64 * 1024 * 1024
 MAX_LENGTH_DIGITS = 12
 METHODS = frozenset({b"GET", b"POST", b"PUT", b"DELETE", b"HEAD", b"OPTIONS", b"PATCH", b"TRACE", b"CONNECT"})
--- a/badgerroute/transport/net.py
+++ b/badgerroute/transport/net.py
@@ -1,4 +1,4 @@
-"""TCP connections on the event loop. Tests replace the real `Network` by a simulated one."""
+"""TCP connections on the event loop. Tests use a simulated network instead of `TcpNetwork`."""
 
 import errno
 import logging
@@ -29,7 +29,7 @@
 
 
 class Listener(Protocol):
-    """Accepts connections."""
+    """Accepts incoming connections on one address, until it is closed."""
 
     async def accept(self) -> Stream:
         """Wait for an incoming connection and return it."""
@@ -55,7 +55,7 @@
 
 
 class TcpStream:
-    """A TCP connection; see Stream. Reads and writes raise OSError if the connection fails."""
+    """A `Stream` over a TCP socket. Reads and writes raise OSError if the connection fails."""
 
     __slots__ = ("_poller", "_sock")
 
@@ -85,7 +85,7 @@
 
 
 class TcpListener:
-    """A TCP listener; see Listener."""
+    """A `Listener` on a TCP socket."""
 
     def __init__(self, loop: Loop, poller: SelectorPoller, sock: socket.socket) -> None:
         self._loop = loop
@@ -123,7 +123,7 @@
         self._poller = poller
 
     async def connect(self, address: str, limit: timedelta) -> TcpStream:
-        """See Network."""
+        """Open a TCP connection. Raise OSError if that fails, or TimeLimitError if it takes longer than `limit`."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             sock.setblocking(False)
@@ -145,7 +145,7 @@
         return TcpStream(self._poller, sock)
 
     def listen(self, address: str) -> TcpListener:
-        """See Network."""
+        """Open a TCP socket that listens on an address."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.setblocking(False)
--- a/badgerroute/transport/poller.py
+++ b/badgerroute/transport/poller.py
@@ -51,7 +51,7 @@
                 future.fail(ConnectionError("connection closed locally"))
 
     def poll(self, limit: timedelta | None) -> None:
-        """See Poller."""
+        """Wait up to `limit` (None: without limit), and set the futures of the descriptors that became ready."""
         timeout = None if limit is None else max(0.0, limit.total_seconds())
         for key, mask in self._selector.select(timeout):
             self._wake(key.fd, mask)
@@ -77,7 +77,7 @@
         self._clock = clock
 
     def poll(self, limit: timedelta | None) -> None:
-        """Advance the virtual clock to the end of the wait."""
+        """Advance the virtual clock by `limit`, as if the whole time had passed."""
         if limit is None:
             raise RuntimeError("deadlock: all tasks are waiting and no timer is set")
         self._clock.advance(self._clock.now() + limit)
--- a/badgerroute/transport/semaphore.py
+++ b/badgerroute/transport/semaphore.py
@@ -1,4 +1,4 @@
-"""A semaphore with urgent waiters."""
+"""A semaphore that grants permits to urgent waiters first."""
 
 import heapq
 import itertools
--- a/badgerroute/transport/tasks.py
+++ b/badgerroute/transport/tasks.py
@@ -30,7 +30,7 @@
         self.loop = loop
         self.coro = coro
         self.name = name
-        self._pending_error: BaseException | None = None  # is raised in the coroutine at its next step
+        self._pending_error: BaseException | None = None  # to be raised in the coroutine at its next step
         self._awaited: Future | None = None
         self._scheduled = False
 
--- a/badgerroute/transport/timers.py
+++ b/badgerroute/transport/timers.py
@@ -33,7 +33,7 @@
     current: CoroutineTask | None
 
     def later(self, delay: timedelta, action: Callable[[], None]) -> Timer:
-        """See Loop."""
+        """Run an action after a delay. Return its timer, which can be cancelled."""
 
 
 class Deadline:
@@ -56,4 +56,4 @@
         self._timer.cancel()
         task = self._loop.current
         if task is not None:
-            task.discard_error(self._error)  # if time ran out just as the body ended, its result counts
+            task.discard_error(self._error)  # if the time ran out just as the body ended, the body's result stands
--- a/tools/connectivity_results.py
+++ b/tools/connectivity_results.py
@@ -1,4 +1,4 @@
-"""Results of the connectivity measurement: those of single days, and their spread over the seeds."""
+"""Results of the connectivity measurement: those of each simulation, and their spread over the seeds."""
 
 from dataclasses import dataclass, field
 from statistics import mean
@@ -6,7 +6,7 @@
 
 @dataclass
 class CutDay:
-    """The results of a simulated day with one kind of cut."""
+    """The results of one simulation with one kind of network cut."""
 
     kind: str
     relay: bool
@@ -14,7 +14,7 @@
     hand_overs: int  # leadership transfers
     claims: int  # elections won
     killed_by_lease: int  # tasks killed because their machine's lease expired
-    without_leader_s: float  # total over the shards
+    without_leader_s: float  # total over all shards
     refused: int  # 503 responses to a user who sends two requests per second
     asked: int  # requests of this user
     relayed: int  # heartbeats relayed to the shard's leader
@@ -62,7 +62,7 @@
 
 
 def summarize(days: list[CutDay]) -> list[KindSummary]:
-    """Return a summary for each kind of cut with and without relays, in the order of the days."""
+    """Return a summary for each kind of cut with and without relays, in the order of their first results."""
     groups: dict[tuple[str, bool], list[CutDay]] = {}
     for day in days:
         groups.setdefault((day.kind, day.relay), []).append(day)
--- a/tools/rebalancing_results.py
+++ b/tools/rebalancing_results.py
@@ -1,4 +1,4 @@
-"""Results of the rebalancing measurement: those of single days, and their spread over the seeds."""
+"""Results of the rebalancing measurement: those of each simulation, and their spread over the seeds."""
 
 from dataclasses import dataclass, field
 from statistics import mean, pstdev
@@ -6,7 +6,7 @@
 
 @dataclass
 class Wait:
-    """The wait of a task from the submission of its job to its first start. Times count from the start of the load."""
+    """The wait of a task from the submission of its job to its first start. Times count from the load's start."""
 
     team: str
     submitted_s: float
@@ -15,7 +15,7 @@
 
 @dataclass
 class DayResult:
-    """The results of a simulated day. `on`: with rebalancing. `problems`: violated rules and unfinished jobs."""
+    """The results of one simulation. `on`: with rebalancing. `problems`: violated safety rules and unfinished jobs."""
 
     seed: int
     on: bool
